--- /dev/null
+++ b/src/test/java/org/astershift/golden/OrderCallsTest.java
@@ -0,0 +1,71 @@
+package org.astershift.golden;
+
+import java.nio.file.Path;
+import java.util.List;
+import org.astershift.config.Settings;
+import org.astershift.core.Order;
+import org.astershift.worker.OrderSender;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** What workers are asked directly, and what their answers are taken for. */
+@Timeout(60)
+class OrderCallsTest {
+  private static final String REPORT =
+      "{\"vessel\":\"m-1\",\"addr\":\"a:1\",\"hull\":\"g8\",\"harbor\":\"z1\",\"watch\":5,\"tick\":9}";
+
+  @TempDir Path dir;
+  private final OrderSender sender = new OrderSender();
+  private Recorder recorder;
+  private String addr;
+
+  @BeforeEach
+  void start() throws Exception {
+    recorder = new Recorder();
+    Settings.Endpoint here = recorder.settings(dir).cloud();
+    addr = here.host() + ":" + here.port();
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    sender.forget(addr);
+    recorder.close();
+  }
+
+  private String send(String to, List<Order> orders) {
+    OrderSender.Result r = sender.send(to, 42, 5, () -> orders, 5000);
+    String told = r.report() == null ? "no report" : "report " + r.report().seq();
+    return (r.unknown() ? "maybe executed, " : "known, ") + told;
+  }
+
+  @Test
+  void directOrders() throws Exception {
+    List<Order> orders =
+        List.of(
+            new Order(Order.Op.START, "wk-1", 0, 1, 0),
+            new Order(Order.Op.STOP, "wk-1", 7, 2, 4.5),
+            new Order(Order.Op.FORGET, "wk-2", 3, 4, 0));
+    Golden g = new Golden("worker-calls");
+    for (int status : new int[] {200, 409, 400, 404, 421, 500, 503}) {
+      recorder.answer(status, REPORT);
+      String result = send(addr, orders);
+      g.add(status + ", request", recorder.taken());
+      g.add(status + ", result", result);
+    }
+    recorder.answer(200, "{}");
+    g.add("no report, result", send(addr, List.of()));
+    g.add("no report, request", recorder.taken());
+    for (int status : new int[] {200, 404, 503}) {
+      recorder.answer(status, REPORT);
+      g.add("question " + status + ", result", String.valueOf(sender.answers(addr, 5000)));
+      g.add("question " + status + ", request", recorder.taken());
+    }
+    for (String no : new String[] {"", "host", ":7", "host:", "host:x", "host:65536"}) {
+      g.add("address <" + no + ">", send(no, orders) + ", " + sender.answers(no, 5000));
+    }
+    g.check();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/golden/PeerDeskTest.java
@@ -0,0 +1,130 @@
+package org.astershift.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.concurrent.ConcurrentSkipListSet;
+import org.astershift.config.Operator;
+import org.astershift.config.Settings;
+import org.astershift.core.JobKind;
+import org.astershift.core.Priority;
+import org.astershift.http.HttpClient;
+import org.astershift.http.HttpServer;
+import org.astershift.http.HttpServer.Response;
+import org.astershift.http.Json;
+import org.astershift.leader.Director;
+import org.astershift.leader.UserDesk;
+import org.astershift.peer.JobAnswer;
+import org.astershift.standin.StandInStore;
+import org.astershift.standin.StandIns;
+import org.astershift.store.Mirror;
+import org.astershift.store.Records;
+import org.astershift.store.StoreClient;
+import org.astershift.world.JobDraft;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** What controllers ask each other and what is answered, in words that frames carry. */
+@Timeout(120)
+class PeerDeskTest {
+  private static final String JOB = "wk-1";
+  private static final JobAnswer RUNNING = new JobAnswer(200, "running", 3, 4);
+  private static final JobAnswer CANCELLED = new JobAnswer(200, "withdrawn", 3, 0);
+
+  @TempDir Path dir;
+  private final ThreadGroup threads = new ThreadGroup("controller");
+
+  /** Users' questions that the node passed on to the leader. */
+  private final Set<String> passedOn = new ConcurrentSkipListSet<>();
+
+  private StandInStore store;
+  private HttpServer worker;
+  private UserDesk desk;
+
+  /** Another node leads, and one job is on record. */
+  @BeforeEach
+  void start() throws Exception {
+    store = new StandInStore(0);
+    worker = new HttpServer("127.0.0.1", 0, 10, r -> Response.of(200, Map.of()));
+    worker.start();
+    Map<String, Object> job =
+        Records.job(
+            new Records.JobRecord(
+                JobDraft.array(JOB, 9).kind(JobKind.ARRAY).in("c", Priority.LOW).spec(), 1));
+    List<Object> rows =
+        List.of(
+            Map.of("set", Records.LEADER, "data", Records.leader("n2")),
+            Map.of("set", Records.JOB + JOB, "data", job));
+    try (HttpClient client = new HttpClient("127.0.0.1", store.port(), 1)) {
+      byte[] body = Json.bytes(Map.of("writes", rows));
+      assertEquals(200, client.call("POST", "/multi", body, 5000).status());
+    }
+    Settings settings = StandIns.settings(dir, store.port(), 1);
+    Thread starter = new Thread(threads, () -> begin(settings));
+    starter.start();
+    starter.join();
+  }
+
+  private void begin(Settings settings) {
+    StoreClient client = new StoreClient(settings);
+    Map<String, UserDesk.Asker> askers = Map.of("n2", (op, job, timeoutMs) -> asked(op, job));
+    Director director =
+        new Director(settings, Operator.defaults(), client, new Mirror(client), askers);
+    desk = new UserDesk(director, client, askers);
+    director.start();
+  }
+
+  private JobAnswer asked(String op, String job) {
+    if (!job.equals(JOB)) {
+      return new JobAnswer(200, "", 0, 0); // what nodes ask each other of themselves
+    }
+    passedOn.add(op + " " + job);
+    return op.equals("cancel") ? CANCELLED : RUNNING;
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    threads.interrupt();
+    worker.close();
+    store.close();
+  }
+
+  private static String text(JobAnswer a) {
+    return a.status() + " <" + a.phase() + "> " + a.done() + " " + a.running();
+  }
+
+  private void add(Golden g, String label, String op, String job) throws Exception {
+    g.add(label, text(desk.answer(op, job)));
+  }
+
+  /** Asks until the node has read what is on record. */
+  private void ready() throws Exception {
+    while (desk.poll(JOB, true).status() != 200 || desk.answer("state", "").phase().isEmpty()) {
+      Thread.sleep(20);
+    }
+  }
+
+  @Test
+  void questions() throws Exception {
+    ready();
+    Golden g = new Golden("peer-words");
+    g.add("user asks", text(desk.poll(JOB, true)));
+    g.add("user cancels", text(desk.cancel(JOB, true)));
+    g.add("passed on", String.join(", ", new TreeSet<>(passedOn)));
+    add(g, "poll", "poll", "wk-2");
+    add(g, "state", "state", "");
+    add(g, "reach", "reach", "");
+    add(g, "yield", "yield", "n3");
+    String alive = "127.0.0.1:" + worker.port();
+    add(g, "witness", "witness", alive + " 127.0.0.1:70000 " + alive);
+    add(g, "another word", "rest", "");
+    g.check();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/golden/ServiceCallsTest.java
@@ -0,0 +1,221 @@
+package org.astershift.golden;
+
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.StringJoiner;
+import org.astershift.http.Json;
+import org.astershift.store.RateBudget;
+import org.astershift.store.StoreClient;
+import org.astershift.store.StoreClient.Outcome;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** What the state service is asked, and what its answers are taken for. */
+@Timeout(60)
+class ServiceCallsTest {
+  private static final int[] TROUBLE = {400, 404, 409, 410, 429, 500, 503};
+
+  @TempDir Path dir;
+  private Recorder recorder;
+  private StoreClient store;
+
+  @BeforeEach
+  void start() throws Exception {
+    recorder = new Recorder();
+    store = new StoreClient(recorder.settings(dir));
+  }
+
+  @AfterEach
+  void stop() throws Exception {
+    recorder.close();
+  }
+
+  /** A call and its result as text. */
+  private interface Call {
+    String make() throws Exception;
+  }
+
+  /** Notes the request, the answer to it, and what the client made of that. */
+  private void one(Golden g, String label, int status, String answer, Call call) throws Exception {
+    recorder.answer(status, answer);
+    String result;
+    try {
+      result = call.make();
+    } catch (IOException e) {
+      result = "error: " + e.getMessage();
+    }
+    g.add(label + ", request", recorder.taken());
+    g.add(label + ", answer", status + " " + answer);
+    g.add(label + ", result", result);
+  }
+
+  private static String text(StoreClient.Row row) {
+    String data = row.data() == null ? "nothing" : new String(Json.bytes(row.data()));
+    return row.key() + " " + data + " " + row.revision();
+  }
+
+  private static String text(List<StoreClient.Row> rows) {
+    StringJoiner out = new StringJoiner("; ", "[", "]");
+    rows.forEach(row -> out.add(text(row)));
+    return out.toString();
+  }
+
+  private static String text(StoreClient.Page page) {
+    return text(page.rows()) + " more " + page.more() + " at " + page.revision();
+  }
+
+  private static String text(StoreClient.Changes c) {
+    return text(c.rows()) + " at " + c.revision() + " too old " + c.tooOld();
+  }
+
+  private static String text(Outcome o) {
+    if (o instanceof Outcome.Applied a) {
+      return "applied at " + a.revision();
+    }
+    if (o instanceof Outcome.Conflict c) {
+      return "conflict of " + String.join(" ", c.keys());
+    }
+    return o instanceof Outcome.Refused r ? "refused: " + r.why() : "nothing is known";
+  }
+
+  @Test
+  void reading() throws Exception {
+    Golden g = new Golden("store-reads");
+    String row = "{\"data\":{\"node\":\"n1\"},\"stamp\":7,\"mooring\":12,\"new\":[]}";
+    Call get = () -> text(store.get("l/leader"));
+    one(g, "get", 200, row, get);
+    one(g, "get without data", 200, "{\"stamp\":7}", get);
+    one(g, "get without revision", 200, "{\"data\":{}}", get);
+    one(g, "get nonsense", 200, "no", get);
+    for (int status : TROUBLE) {
+      one(g, "get " + status, status, "{\"error\":\"x\"}", get);
+    }
+    Call on = () -> String.valueOf(store.revisionOn(12, "l/leader"));
+    one(g, "on its lease", 200, row, on);
+    one(g, "on another lease", 200, row.replace("12", "13"), on);
+    one(g, "on no lease", 200, "{\"data\":{},\"stamp\":7}", on);
+    one(g, "on a lease, absent", 404, "{}", on);
+    one(g, "on a lease, trouble", 503, "{}", on);
+    g.check();
+  }
+
+  @Test
+  void listing() throws Exception {
+    Golden g = new Golden("store-lists");
+    String rows =
+        "{\"rows\":[{\"k\":\"l/j/wk-1\",\"data\":{\"c\":\"a\",\"n\":1.5},\"stamp\":3},"
+            + "{\"k\":\"l/j/wk-2\",\"data\":{},\"stamp\":4}],\"more\":true,\"epoch\":9}";
+    one(g, "first page", 200, rows, () -> text(store.list("l/", null)));
+    Call next = () -> text(store.list("l/", "l/j/wk-2"));
+    one(g, "next page", 200, "{\"rows\":[],\"more\":false,\"epoch\":10}", next);
+    one(g, "no rows", 200, "{\"epoch\":18446744073709551615}", next);
+    one(g, "row without key", 200, rows.replace("\"k\"", "\"x\""), next);
+    one(g, "no epoch", 200, "{\"rows\":[]}", next);
+    one(g, "more is no flag", 200, "{\"more\":1,\"epoch\":1}", next);
+    for (int status : TROUBLE) {
+      one(g, "list " + status, status, "{}", next);
+    }
+    g.check();
+  }
+
+  @Test
+  void watching() throws Exception {
+    Golden g = new Golden("store-watches");
+    Call watch = () -> text(store.watch("l/", 41));
+    String news =
+        "{\"news\":[{\"set\":\"l/types\",\"data\":{\"types\":[]},\"stamp\":42},"
+            + "{\"remove\":\"l/j/wk-1\",\"stamp\":43}],\"epoch\":44}";
+    one(g, "changes", 200, news, watch);
+    one(g, "none", 200, "{\"news\":[],\"epoch\":41}", watch);
+    one(g, "neither set nor removed", 200, "{\"news\":[{\"stamp\":1}],\"epoch\":41}", watch);
+    one(g, "no data", 200, "{\"news\":[{\"set\":\"a\",\"stamp\":1}],\"epoch\":41}", watch);
+    for (int status : TROUBLE) {
+      one(g, "watch " + status, status, "{}", watch);
+    }
+    g.check();
+  }
+
+  private static StoreClient.Txn transaction() {
+    Map<String, Object> value = new LinkedHashMap<>();
+    value.put("b", 1);
+    value.put("a", List.of("x", true, 2.5));
+    return new StoreClient.Txn()
+        .when("l/leader", 7)
+        .when("l/n/o0", 0)
+        .put("l/n/o0", value)
+        .put("l/leader", Map.of("node", "n1"), 12)
+        .delete("l/j/wk-1");
+  }
+
+  @Test
+  void committing() throws Exception {
+    Golden g = new Golden("store-commits");
+    Call commit = () -> text(store.commit(transaction(), RateBudget.Use.URGENT, 5000));
+    one(g, "applied", 200, "{\"epoch\":99}", commit);
+    one(g, "conflict", 409, "{\"failed\":[\"l/n/o0\",\"l/leader\"]}", commit);
+    one(g, "conflict of none", 409, "{}", commit);
+    one(g, "applied without revision", 200, "{}", commit);
+    one(g, "conflict nonsense", 409, "no", commit);
+    for (int status : new int[] {400, 404, 413, 500, 503}) {
+      one(g, "commit " + status, status, "{}", commit);
+    }
+    StoreClient.Txn empty = new StoreClient.Txn();
+    one(
+        g,
+        "empty",
+        200,
+        "{\"epoch\":100}",
+        () -> text(store.commit(empty, RateBudget.Use.LAZY, 5000)));
+    g.add("malformed", StoreClient.MALFORMED);
+    g.add("changes of one", String.valueOf(transaction().size()));
+    g.check();
+  }
+
+  /** Over the limit: the same is sent once more. */
+  @Test
+  void committingOverTheLimit() throws Exception {
+    Golden g = new Golden("store-commits-again");
+    recorder.answer(429, "{}");
+    Call commit = () -> text(store.commit(transaction(), RateBudget.Use.URGENT, 5000));
+    one(g, "second", 200, "{\"epoch\":99}", commit);
+    g.check();
+  }
+
+  @Test
+  void leases() throws Exception {
+    Golden g = new Golden("store-leases");
+    Call grant = () -> String.valueOf(store.grant(2000));
+    one(g, "grant", 200, "{\"mooring\":12}", grant);
+    one(g, "grant without lease", 200, "{}", grant);
+    one(g, "grant refused", 503, "{}", grant);
+    Call renew = () -> String.valueOf(store.renew(12));
+    one(g, "renew", 200, "{}", renew);
+    one(g, "renew, over", 404, "{}", renew);
+    one(g, "renew, trouble", 503, "{}", renew);
+    Call revoke =
+        () -> {
+          store.revoke(12);
+          return "done";
+        };
+    one(g, "revoke", 200, "", revoke);
+    one(g, "revoke, over", 404, "{}", revoke);
+    g.check();
+  }
+
+  /** What is said when nobody listens: nothing was sent. */
+  @Test
+  void nobodyListens() throws Exception {
+    recorder.close();
+    assertThrows(IOException.class, () -> store.get("l/leader"));
+    String said = text(store.commit(transaction(), RateBudget.Use.URGENT, 5000));
+    new Golden("store-nobody").add("commit", said.split(":")[0]).check();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/golden/StoredRecordsTest.java
@@ -0,0 +1,235 @@
+package org.astershift.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.astershift.config.Constants;
+import org.astershift.core.Decision;
+import org.astershift.core.JobKind;
+import org.astershift.core.JobSpec;
+import org.astershift.core.MachineType;
+import org.astershift.core.Priority;
+import org.astershift.http.Json;
+import org.astershift.store.Records;
+import org.junit.jupiter.api.Test;
+
+/** Keys and values in the state service: later versions read what earlier ones wrote. */
+class StoredRecordsTest {
+  private static final String ID = "wk-000412";
+
+  private static Map<String, Object> object(String text) throws Json.Bad {
+    return Json.object(text.getBytes(StandardCharsets.UTF_8));
+  }
+
+  private static Object value(String text) throws Json.Bad {
+    return object("{\"v\":" + text + "}").get("v");
+  }
+
+  /** An object whose fields have no order, with its fields in the order of their names. */
+  private static byte[] sorted(Map<String, Object> m) {
+    return Json.bytes(new TreeMap<>(m));
+  }
+
+  private static JobSpec spec(
+      JobKind kind, Priority priority, List<String> types, String zone, Double deadlineS) {
+    return new JobSpec(
+        ID, "train", "vision", kind, priority, 16, 8.5, 1, 64.25, "img-07", 6.2, types, zone, true,
+        false, true, 240.5, 30, 4.75, deadlineS);
+  }
+
+  private static JobSpec otherFlags() {
+    return new JobSpec(
+        ID,
+        "c",
+        "t",
+        JobKind.ARRAY,
+        Priority.LOW,
+        100_000,
+        0,
+        0,
+        0,
+        "i",
+        1e9,
+        null,
+        null,
+        false,
+        true,
+        false,
+        1e-3,
+        1e7,
+        0,
+        1e9);
+  }
+
+  private static Map<String, JobSpec> jobs() {
+    Map<String, JobSpec> out = new LinkedHashMap<>();
+    List<String> types = List.of("g8", "c\u00e4\"4");
+    out.put("every field", spec(JobKind.GANG, Priority.HIGH, types, "z1", 900.5));
+    out.put("no optional field", spec(JobKind.GANG, Priority.HIGH, null, null, null));
+    out.put("only types", spec(JobKind.GANG, Priority.HIGH, types, null, null));
+    out.put("types of none", spec(JobKind.GANG, Priority.HIGH, List.of(), null, null));
+    out.put("only a zone", spec(JobKind.GANG, Priority.HIGH, null, "z1", null));
+    out.put("only a deadline", spec(JobKind.GANG, Priority.HIGH, null, null, 0.0));
+    out.put("array", spec(JobKind.ARRAY, Priority.NORMAL, null, null, null));
+    out.put("gang", spec(JobKind.GANG, Priority.NORMAL, null, null, null));
+    out.put("service", spec(JobKind.SERVICE, Priority.NORMAL, null, null, null));
+    out.put("critical", spec(JobKind.ARRAY, Priority.PRODUCTION, null, null, null));
+    out.put("urgent", spec(JobKind.ARRAY, Priority.HIGH, null, null, null));
+    out.put("standard", spec(JobKind.ARRAY, Priority.NORMAL, null, null, null));
+    out.put("idle", spec(JobKind.ARRAY, Priority.LOW, null, null, null));
+    out.put("other flags and amounts", otherFlags());
+    return out;
+  }
+
+  @Test
+  void jobRecords() throws Exception {
+    Golden g = new Golden("records-jobs");
+    for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
+      g.add(
+          e.getKey(), Json.bytes(Records.job(new Records.JobRecord(e.getValue(), 1700000000123L))));
+    }
+    g.check();
+    for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
+      Records.JobRecord back = Records.job(Records.JOB + ID, object(g.kept(e.getKey())));
+      assertEquals(new Records.JobRecord(e.getValue(), 1700000000123L), back, e.getKey());
+    }
+  }
+
+  @Test
+  void keys() throws Exception {
+    new Golden("records-keys")
+        .add("live", Records.LIVE)
+        .add("leader", Records.LEADER)
+        .add("types", Records.TYPES)
+        .add("job", Records.JOB)
+        .add("notes", Records.NOTES)
+        .add("ended", Records.ENDED)
+        .add("progress", Records.progress(ID, 3))
+        .add("tasks of a segment", String.valueOf(Constants.SEGMENT_TASKS))
+        .add("segments of 1", String.valueOf(Records.segments(1)))
+        .add("segments of 100000", String.valueOf(Records.segments(100_000)))
+        .check();
+  }
+
+  @Test
+  void leaderAndEnded() throws Exception {
+    Golden g = new Golden("records-ended");
+    g.add("leader", Json.bytes(Records.leader("n1")));
+    Map<String, Records.Ended> ended = new LinkedHashMap<>();
+    ended.put("done", new Records.Ended(false, 100_000));
+    ended.put("cancelled", new Records.Ended(true, 0));
+    ended.put("cancelled in part", new Records.Ended(true, 7));
+    ended.forEach((label, e) -> g.add(label, sorted(Records.ended(e))));
+    g.check();
+    for (Map.Entry<String, Records.Ended> e : ended.entrySet()) {
+      assertEquals(e.getValue(), Records.ended(object(g.kept(e.getKey()))));
+    }
+  }
+
+  @Test
+  void machinesAndRentals() throws Exception {
+    Golden g = new Golden("records-machines");
+    Map<String, Decision.Enrol> machines = new LinkedHashMap<>();
+    for (String addr : new String[] {"10.0.0.1:7000", null}) {
+      for (boolean fresh : new boolean[] {true, false}) {
+        String label = (fresh ? "fresh" : "not fresh") + (addr == null ? "" : " with address");
+        machines.put(label, new Decision.Enrol("m-1", addr, "g8", "z1", fresh, fresh));
+        machines.put(label + " other", new Decision.Enrol("m-1", addr, "g8", "z1", !fresh, fresh));
+      }
+    }
+    machines.forEach((label, m) -> g.add(label, Json.bytes(Records.machine(m))));
+    Decision.Rent spot = new Decision.Rent("g8", "z1", true, 1);
+    Decision.Rent many = new Decision.Rent("c4", "z2", false, 500);
+    g.add("rental spot", Json.bytes(Records.rental(spot)));
+    g.add("rental many", Json.bytes(Records.rental(many)));
+    g.check();
+    for (Map.Entry<String, Decision.Enrol> m : machines.entrySet()) {
+      assertEquals(m.getValue(), Records.machine("m-1", value(g.kept(m.getKey()))), m.getKey());
+    }
+    assertEquals(spot, Records.rental(value(g.kept("rental spot"))));
+    assertEquals(many, Records.rental(value(g.kept("rental many"))));
+  }
+
+  @Test
+  void types() throws Exception {
+    Map<String, MachineType> types = new LinkedHashMap<>();
+    types.put(
+        "g8", new MachineType("g8", 64, 8, 512.5, 900, 0.25, 12.5, 3.75, 90, List.of("a", "b")));
+    types.put("c4", new MachineType("c4", 4, 0, 16, 100, 1, 0.2, 0.05, 30.5, List.of()));
+    Golden g = new Golden("records-types");
+    g.add("two types", Json.bytes(Records.types(types)));
+    g.add("none", Json.bytes(Records.types(Map.of())));
+    g.check();
+    Map<String, MachineType> back = Records.readTypes(object(g.kept("two types")));
+    assertEquals(new ArrayList<>(types.values()), new ArrayList<>(back.values()));
+    assertEquals(new ArrayList<>(types.keySet()), new ArrayList<>(back.keySet()));
+    assertEquals(Map.of(), Records.readTypes(object(g.kept("none"))));
+  }
+
+  @Test
+  void opened() throws Exception {
+    Golden g = new Golden("records-opened");
+    List<String> places = List.of("m-1", "m-2");
+    g.add("no place", Json.bytes(Records.opened(List.of())));
+    g.add("one place", Json.bytes(Records.opened(List.of("m-1"))));
+    g.add("two places", Json.bytes(Records.opened(places)));
+    g.check();
+    assertEquals(List.of(), Records.openedOn(value(g.kept("no place"))));
+    assertEquals(List.of("m-1"), Records.openedOn(value(g.kept("one place"))));
+    assertEquals(places, Records.openedOn(value(g.kept("two places"))));
+    assertEquals(List.of(), Records.openedOn(null));
+  }
+
+  @Test
+  void progress() throws Exception {
+    BitSet done = new BitSet();
+    for (int i : new int[] {0, 1, 9, 40, Constants.SEGMENT_TASKS - 1, Constants.SEGMENT_TASKS}) {
+      done.set(i);
+    }
+    done.set(2 * Constants.SEGMENT_TASKS + 77);
+    Golden g = new Golden("records-progress");
+    for (int segment = 0; segment < 4; segment++) {
+      g.add(Records.progress(ID, segment), Json.bytes(Records.segment(done, segment)));
+    }
+    g.check();
+    BitSet back = new BitSet();
+    for (int segment = 0; segment < 4; segment++) {
+      String key = ID + "/" + segment;
+      assertEquals(ID, Records.merge(back, key, value(g.kept(key))));
+    }
+    assertEquals(done, back);
+  }
+
+  /** A call that must find its input bad. */
+  private interface Reading {
+    void read() throws Json.Bad;
+  }
+
+  private static void bad(Golden g, String label, Reading reading) {
+    g.add(label, assertThrows(Json.Bad.class, reading::read, label).getMessage());
+  }
+
+  @Test
+  void whatIsNoRecord() throws Exception {
+    Golden g = new Golden("records-errors");
+    bad(g, "machine 1", () -> Records.machine("m", 1));
+    bad(g, "machine short", () -> Records.machine("m", List.of("g8", "z1", true)));
+    bad(g, "machine flag", () -> Records.machine("m", List.of("g8", "z1", 1, true)));
+    bad(g, "rental text", () -> Records.rental("x"));
+    bad(g, "rental count", () -> Records.rental(List.of("g8", "z1", true, "2")));
+    bad(g, "progress text", () -> Records.merge(new BitSet(), ID + "/0", "?"));
+    bad(g, "progress key", () -> Records.merge(new BitSet(), ID, "AQ=="));
+    bad(g, "ended", () -> Records.ended(Map.of("cancelled", true)));
+    bad(g, "job", () -> Records.job(Records.JOB + ID, Map.of()));
+    bad(g, "types", () -> Records.readTypes(object("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
+    bad(g, "types text", () -> Records.readTypes(object("{\"types\":[\"a\"]}")));
+    g.check();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/golden/WorkerFormsTest.java
@@ -0,0 +1,179 @@
+package org.astershift.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.astershift.core.Order;
+import org.astershift.core.Report;
+import org.astershift.http.Json;
+import org.astershift.worker.WorkerCodec;
+import org.junit.jupiter.api.Test;
+
+/** Heartbeats of workers as they are read, and commands to them as they are written. */
+class WorkerFormsTest {
+  private static final String HEAD =
+      "\"vessel\":\"m-1\",\"addr\":\"10.0.0.1:7000\",\"hull\":\"g8\",\"harbor\":\"z1\"";
+  private static final String POSITION = "\"watch\":5,\"tick\":17";
+  private static final String TASK = "\"shard\":\"wk-1/0\",\"launch\":4,\"phase\":\"running\"";
+
+  private static Report read(String text) throws Json.Bad {
+    return WorkerCodec.report(text.getBytes(StandardCharsets.UTF_8));
+  }
+
+  private static String with(String more) {
+    return "{" + HEAD + "," + POSITION + more + "}";
+  }
+
+  private static String withTask(String fields) {
+    return with(",\"shards\":[{" + fields + "}]");
+  }
+
+  private static Map<String, String> reports() {
+    Map<String, String> out = new LinkedHashMap<>();
+    out.put("least", with(""));
+    out.put(
+        "every field",
+        with(
+            ",\"ebbtide\":true,\"helm\":9007199254740993,\"recall_s\":29.5,\"shards\":["
+                + "{\"shard\":\"wk-1/0\",\"launch\":1,\"phase\":\"fetching\",\"cause\":null},"
+                + "{\"shard\":\"wk-1/99999\",\"launch\":2,\"phase\":\"gathering\"},"
+                + "{\"shard\":\"wk-2/3\",\"launch\":3,\"phase\":\"running\"},"
+                + "{\"shard\":\"wk-2/4\",\"launch\":4,\"phase\":\"saving\"},"
+                + "{\"shard\":\"wk-3/1\",\"launch\":5,\"phase\":\"exited\",\"cause\":\"done\"}]"));
+    out.put("nulls", with(",\"ebbtide\":null,\"helm\":null,\"recall_s\":null,\"shards\":null"));
+    out.put("unknown fields", with(",\"new\":{\"a\":[1,{\"b\":2}]},\"shards\":[]"));
+    out.put("whole notice", with(",\"recall_s\":30,\"ebbtide\":false"));
+    for (String cause : List.of("done", "halted", "peers", "incomplete", "crash", "stopped")) {
+      String task = TASK.replace("running", "exited");
+      out.put("cause " + cause, withTask(task + ",\"cause\":\"" + cause + "\",\"x\":[]"));
+    }
+    return out;
+  }
+
+  /** The values of a report in a fixed order; phases by their place among all. */
+  private static String values(Report r) {
+    StringBuilder out = new StringBuilder();
+    out.append(r.machine()).append(' ').append(r.addr()).append(' ').append(r.type()).append(' ');
+    out.append(r.zone()).append(' ').append(r.spot()).append(' ').append(r.session()).append(' ');
+    out.append(r.seq()).append(' ').append(r.token()).append(' ').append(r.noticeS());
+    for (Report.Item i : r.tasks()) {
+      out.append(" [").append(i.job()).append(' ').append(i.index()).append(' ');
+      out.append(i.attempt()).append(' ').append(phase(i.phase())).append(' ');
+      out.append(i.cause()).append(']');
+    }
+    return out.toString();
+  }
+
+  private static String phase(Report.Phase p) {
+    return switch (p) {
+      case FETCHING -> "fetches";
+      case WAITING -> "waits";
+      case RUNNING -> "runs";
+      case SAVING -> "saves";
+      case EXITED -> "is over";
+    };
+  }
+
+  @Test
+  void heartbeats() throws Exception {
+    Golden g = new Golden("worker-reports");
+    for (Map.Entry<String, String> e : reports().entrySet()) {
+      g.add(e.getKey() + ", sent", e.getValue());
+      g.add(e.getKey() + ", read", values(read(e.getValue())));
+    }
+    g.check();
+    for (String label : reports().keySet()) {
+      assertEquals(g.kept(label + ", read"), values(read(g.kept(label + ", sent"))));
+    }
+  }
+
+  private static List<String> malformedHeads() {
+    return List.of(
+        "",
+        "no",
+        "[]",
+        "{",
+        with("") + "x",
+        with("") + "{}",
+        "{}",
+        "{" + HEAD + "}",
+        "{" + POSITION + "}",
+        "{" + HEAD + ",\"watch\":-1,\"tick\":1}",
+        "{" + HEAD + ",\"watch\":1,\"tick\":-1}",
+        "{" + HEAD + ",\"watch\":1.5,\"tick\":1}",
+        "{" + HEAD + ",\"watch\":\"1\",\"tick\":1}",
+        "{" + HEAD + ",\"watch\":1,\"tick\":null}",
+        "{" + HEAD + ",\"watch\":18446744073709551616,\"tick\":1}",
+        with(",\"vessel\":7"),
+        with(",\"addr\":null"),
+        with(",\"hull\":[]"),
+        with(",\"harbor\":{}"),
+        with(",\"ebbtide\":1"),
+        with(",\"helm\":\"1\""),
+        with(",\"recall_s\":\"1\""));
+  }
+
+  private static List<String> malformedTasks() {
+    return List.of(
+        with(",\"shards\":{}"),
+        with(",\"shards\":[1]"),
+        with(",\"shards\":[null]"),
+        withTask(""),
+        withTask("\"launch\":4,\"phase\":\"running\""),
+        withTask("\"shard\":\"wk-1/0\",\"phase\":\"running\""),
+        withTask("\"shard\":\"wk-1/0\",\"launch\":4"),
+        withTask(TASK.replace("4", "-4")),
+        withTask(TASK.replace("4", "4.5")),
+        withTask(TASK.replace("running", "napping")),
+        withTask(TASK.replace("\"running\"", "null")),
+        withTask(TASK.replace("wk-1/0", "wk-1")),
+        withTask(TASK.replace("wk-1/0", "/0")),
+        withTask(TASK.replace("wk-1/0", "wk-1/")),
+        withTask(TASK.replace("wk-1/0", "wk-1/x")),
+        withTask(TASK.replace("wk-1/0", "wk-1/-1")),
+        withTask(TASK.replace("wk-1/0", "wk-1/1234567890")),
+        withTask(TASK.replace("\"wk-1/0\"", "0")),
+        withTask(TASK + ",\"cause\":7"));
+  }
+
+  @Test
+  void errorsOfMalformedReports() throws Exception {
+    Golden g = new Golden("worker-errors");
+    List<String> all = new ArrayList<>(malformedHeads());
+    all.addAll(malformedTasks());
+    for (String text : all) {
+      String said = assertThrows(Json.Bad.class, () -> read(text), text).getMessage();
+      g.add("<" + text + ">", said);
+    }
+    g.check();
+  }
+
+  @Test
+  void commands() throws Exception {
+    Order start = new Order(Order.Op.START, "wk-1", 0, 1, 0);
+    Order stop = new Order(Order.Op.STOP, "wk-1", 99_999, 2, 4.5);
+    Order stopNow = new Order(Order.Op.STOP, "wk-2", 1, 3, 0);
+    Order forget = new Order(Order.Op.FORGET, "wk-3", 7, 9_007_199_254_740_993L, 0);
+    Map<String, List<Order>> cases = new LinkedHashMap<>();
+    cases.put("none", List.of());
+    cases.put("start", List.of(start));
+    cases.put("stop", List.of(stop));
+    cases.put("stop at once", List.of(stopNow));
+    cases.put("forget", List.of(forget));
+    cases.put("all", List.of(start, stop, stopNow, forget));
+    Golden g = new Golden("worker-orders");
+    cases.forEach(
+        (label, orders) -> {
+          g.add(label + ", answer", WorkerCodec.answer(42, orders));
+          g.add(label + ", direct", WorkerCodec.direct(42, 5, orders));
+        });
+    g.add("without a leader, answer", WorkerCodec.answer(0, List.of()));
+    g.add("first session, direct", WorkerCodec.direct(42, 0, List.of(start)));
+    g.check();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/leader/GoldenNotesTest.java
@@ -0,0 +1,90 @@
+package org.astershift.leader;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.astershift.config.Settings;
+import org.astershift.core.Decision;
+import org.astershift.golden.Golden;
+import org.astershift.golden.Recorder;
+import org.astershift.http.Json;
+import org.astershift.store.Records;
+import org.astershift.store.StoreClient;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Pages of a leader's notes: keys and forms that a successor, maybe of another version, reads. */
+@Timeout(60)
+class GoldenNotesTest {
+  private static final long TOKEN = 41;
+  @TempDir Path dir;
+
+  /** An entry of one kind. */
+  private record Entry(Notes.Kind kind, String key, Object value) {}
+
+  private static Map<String, Entry> entries() {
+    Decision.Enrol machine = new Decision.Enrol("m-1", "10.0.0.1:7000", "g8", "z1", true, false);
+    Decision.Rent rent = new Decision.Rent("g8", "z1", true, 3);
+    Map<String, Entry> out = new LinkedHashMap<>();
+    out.put("opened", new Entry(Notes.Kind.OPENED, "wk-1", Records.opened(List.of())));
+    out.put("rental", new Entry(Notes.Kind.RENTAL, "as-41-1", Records.rental(rent)));
+    out.put("machine", new Entry(Notes.Kind.MACHINE, "m-1", Records.machine(machine)));
+    out.put("progress", new Entry(Notes.Kind.PROGRESS, Records.progress("wk-1", 2), "AQ=="));
+    return out;
+  }
+
+  /** The transaction in which a leader notes an entry, or removes it. */
+  private String written(Entry e, boolean removed) throws Exception {
+    try (Recorder recorder = new Recorder()) {
+      Settings settings = recorder.settings(dir);
+      StoreClient store = new StoreClient(settings);
+      Notes[] notes = new Notes[1];
+      notes[0] =
+          new Notes(TOKEN, store, settings.storeLimits(), (kind, key, value) -> notes[0].end());
+      if (removed) {
+        String page = Records.NOTES + e.kind().letter + "0";
+        notes[0].load(List.of(new StoreClient.Row(page, Map.of(e.key(), e.value()), 17)));
+        notes[0].remove(e.kind(), e.key(), 0);
+      } else {
+        notes[0].put(e.kind(), e.key(), e.value(), 0);
+      }
+      recorder.answer(200, "{\"epoch\":50}");
+      notes[0].loop(null); // the term is asked only if another leads
+      return recorder.taken();
+    }
+  }
+
+  @Test
+  void pages() throws Exception {
+    Golden g = new Golden("notes-pages");
+    for (Map.Entry<String, Entry> e : entries().entrySet()) {
+      g.add(e.getKey() + ", noted", written(e.getValue(), false));
+      g.add(e.getKey() + ", removed", written(e.getValue(), true));
+    }
+    g.check();
+    for (Map.Entry<String, Entry> e : entries().entrySet()) {
+      Entry entry = e.getValue();
+      String kept = g.kept(e.getKey() + ", noted");
+      byte[] body = kept.substring(kept.indexOf('{')).getBytes(StandardCharsets.UTF_8);
+      Map<String, Object> set =
+          Json.object(Json.list(Json.object(body), "writes").get(0), "a change");
+      Map<String, Object> data = Json.object(set.get("data"), "data");
+      try (Recorder recorder = new Recorder()) {
+        Settings settings = recorder.settings(dir);
+        Notes notes =
+            new Notes(TOKEN, new StoreClient(settings), settings.storeLimits(), (k, y, v) -> {});
+        notes.load(List.of(new StoreClient.Row(Json.text(set, "set"), data, 50)));
+        for (Notes.Kind kind : Notes.Kind.values()) {
+          Map<String, Object> expected =
+              kind == entry.kind() ? Map.of(entry.key(), entry.value()) : Map.of();
+          assertEquals(expected, notes.entries(kind), e.getKey());
+        }
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/peer/GoldenFramesTest.java
@@ -0,0 +1,82 @@
+package org.astershift.peer;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.astershift.golden.Golden;
+import org.junit.jupiter.api.Test;
+
+/** Frames between controllers, which may be of different versions for a while. */
+class GoldenFramesTest {
+  private static final HexFormat HEX = HexFormat.of();
+
+  private static DataInputStream in(String hex) {
+    return new DataInputStream(new ByteArrayInputStream(HEX.parseHex(hex)));
+  }
+
+  @Test
+  void questions() throws Exception {
+    Map<String, PeerWire.Ask> asks = new LinkedHashMap<>();
+    asks.put("poll", new PeerWire.Ask("poll", "wk-000412"));
+    asks.put("cancel", new PeerWire.Ask("cancel", "wk-" + "z".repeat(40)));
+    asks.put("state", new PeerWire.Ask("state", ""));
+    asks.put("witness", new PeerWire.Ask("witness", "10.0.0.1:7000 10.0.0.2:7000"));
+    asks.put("empty", new PeerWire.Ask("", ""));
+    Golden g = new Golden("peer-questions");
+    for (Map.Entry<String, PeerWire.Ask> e : asks.entrySet()) {
+      ByteArrayOutputStream out = new ByteArrayOutputStream();
+      PeerWire.write(new DataOutputStream(out), e.getValue());
+      g.add(e.getKey(), HEX.formatHex(out.toByteArray()));
+    }
+    g.check();
+    for (Map.Entry<String, PeerWire.Ask> e : asks.entrySet()) {
+      assertEquals(e.getValue(), PeerWire.ask(in(g.kept(e.getKey()))));
+    }
+  }
+
+  @Test
+  void answers() throws Exception {
+    Map<String, JobAnswer> answers = new LinkedHashMap<>();
+    answers.put("known", new JobAnswer(200, "running", 100_000, 130));
+    answers.put("queued", new JobAnswer(200, "queued", 0, 0));
+    answers.put("empty phase", new JobAnswer(200, "", 3, 4));
+    answers.put("unknown", JobAnswer.UNKNOWN);
+    answers.put("undecided", JobAnswer.UNDECIDED);
+    answers.put("negative", new JobAnswer(200, "done", -1, -200));
+    Golden g = new Golden("peer-answers");
+    for (Map.Entry<String, JobAnswer> e : answers.entrySet()) {
+      ByteArrayOutputStream out = new ByteArrayOutputStream();
+      PeerWire.write(new DataOutputStream(out), e.getValue());
+      g.add(e.getKey(), HEX.formatHex(out.toByteArray()));
+    }
+    g.check();
+    for (Map.Entry<String, JobAnswer> e : answers.entrySet()) {
+      assertEquals(e.getValue(), PeerWire.answer(in(g.kept(e.getKey()))));
+    }
+  }
+
+  /** A later version may say more: what it says besides is passed over. */
+  @Test
+  void longerFramesAreReadAndOthersRefused() throws Exception {
+    assertEquals(new PeerWire.Ask("a", "b"), PeerWire.ask(in("0000000793a161a162a163")));
+    assertEquals(new JobAnswer(200, null, 1, 2), PeerWire.answer(in("0000000895ccc8c00102a178")));
+    Golden g = new Golden("peer-errors");
+    for (String hex : new String[] {"00000000", "ffffffff", "00010001", "0000000391a161"}) {
+      String said = assertThrows(IOException.class, () -> PeerWire.ask(in(hex))).getMessage();
+      g.add("question " + hex, said);
+    }
+    String shortAnswer = "0000000593ccc8c001";
+    g.add(
+        "answer " + shortAnswer,
+        assertThrows(IOException.class, () -> PeerWire.answer(in(shortAnswer))).getMessage());
+    g.check();
+  }
+}
