--- /dev/null
+++ b/src/test/java/org/astershift/DigestRun.java
@@ -0,0 +1,48 @@
+package org.astershift;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import org.astershift.core.AdversaryDigests;
+import org.astershift.world.SwarmDigests;
+
+/**
+ * Plays seeds of the swarm and of the adversary on all processors, and compares their digests with
+ * those kept: {@code DigestRun FIRST LAST [swarm|adversary]...}, both where neither is named. A
+ * build plays only the first {@link KeptDigests#LAST_SEED_IN_BUILD} of each, since all {@link
+ * KeptDigests#LAST_SEED} would make it a minute longer or more. To be run from the root of the
+ * project; exit 1 if any digest differs.
+ */
+public final class DigestRun {
+  private static final String SWARM = "swarm";
+  private static final String ADVERSARY = "adversary";
+
+  private DigestRun() {}
+
+  /** Plays the seeds and says which differ. */
+  public static void main(String[] args) throws IOException {
+    SeedArguments arguments = SeedArguments.parseOrExit(args, Set.of(SWARM, ADVERSARY));
+    List<String> options = arguments.options();
+    List<String> different = new ArrayList<>();
+    if (options.isEmpty() || options.contains(SWARM)) {
+      different.addAll(run(SWARM, SwarmDigests.kept(), arguments));
+    }
+    if (options.isEmpty() || options.contains(ADVERSARY)) {
+      different.addAll(run(ADVERSARY, AdversaryDigests.kept(), arguments));
+    }
+    System.exit(different.isEmpty() ? 0 : 1);
+  }
+
+  private static List<String> run(String what, KeptDigests kept, SeedArguments arguments)
+      throws IOException {
+    long from = System.nanoTime();
+    List<String> different = kept.differences(arguments.first(), arguments.last());
+    long ms = (System.nanoTime() - from) / 1_000_000;
+    different.forEach(System.out::println);
+    long seeds = arguments.last() - arguments.first() + 1;
+    System.out.println(
+        what + ": " + seeds + " seeds, " + different.size() + " differ, " + ms + " ms");
+    return different;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/EventDigest.java
@@ -0,0 +1,235 @@
+package org.astershift;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import java.util.List;
+import org.astershift.core.Decision;
+import org.astershift.core.Order;
+import org.astershift.core.Report;
+
+/**
+ * A hash over what happens in one played seed, in order: virtual times, codes, numbers, and names
+ * that the models made (jobs, machines, zones). Each kind of event, decision, command and state has
+ * a code in the tables here, so the digest stays the same when classes, constants or log lines are
+ * renamed, and changes when a decision does. A code is never given a new meaning.
+ *
+ * <p>Recording draws no random numbers and tells nobody anything, so it does not change the play.
+ */
+public final class EventDigest {
+  private static final int PASS = 1;
+  private static final int DECISION = 2;
+  private static final int COMMAND = 3;
+  private static final int START = 4;
+  private static final int BEGIN = 5;
+  private static final int LEAVE = 6;
+  private static final int COMPLETE = 7;
+  private static final int PHASE = 8;
+  private static final int JOB_OVER = 9;
+  private static final int TERM = 10;
+  private static final int TOLD = 11;
+  private static final int END_OF_PLAY = 12;
+
+  private static final int BUFFER_BYTES = 4096;
+
+  /** 16 hexadecimal digits. */
+  private static final int DIGEST_BYTES = 8;
+
+  private final MessageDigest hash;
+  private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+
+  /** A digest of nothing so far. */
+  public EventDigest() {
+    try {
+      hash = MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  // ---- controllers ----
+
+  /** A controller begins to lead. */
+  public void term(long atMs, String controller, long token) {
+    event(TERM, atMs).text(controller).number(token);
+  }
+
+  /** What one pass of a controller's scheduler decided, in order; maybe nothing. */
+  public void pass(long atMs, String controller, List<Decision> decisions) {
+    event(PASS, atMs).text(controller).number(decisions.size());
+    for (Decision decision : decisions) {
+      event(DECISION, atMs).decision(decision);
+    }
+  }
+
+  /** The end of a job is on record. */
+  public void jobOver(long atMs, String job, boolean cancelled, int done) {
+    event(JOB_OVER, atMs).text(job).flag(cancelled).number(done);
+  }
+
+  /** A user was told whether the job is over. */
+  public void told(long atMs, String job, String controller, boolean over, boolean news) {
+    event(TOLD, atMs).text(job).text(controller).flag(over).flag(news);
+  }
+
+  private void decision(Decision decision) {
+    if (decision instanceof Decision.OpenJob d) {
+      number(1).text(d.job()).texts(d.where());
+    } else if (decision instanceof Decision.Remember d) {
+      number(2).text(d.job()).texts(d.where());
+    } else if (decision instanceof Decision.Direct d) {
+      number(3).text(d.machine()).text(d.addr()).number(d.session()).number(d.timeoutMs());
+      number(d.orders().size());
+      d.orders().forEach(this::order);
+    } else if (decision instanceof Decision.FinishJob d) {
+      number(4).text(d.job());
+    } else if (decision instanceof Decision.Rent d) {
+      number(5).text(d.type()).text(d.zone()).flag(d.spot()).number(d.count());
+    } else if (decision instanceof Decision.Return d) {
+      number(6).texts(d.machines()).flag(d.silent());
+    } else if (decision instanceof Decision.Enrol d) {
+      number(7).text(d.machine()).text(d.addr()).text(d.type()).text(d.zone());
+      flag(d.spot()).flag(d.fresh());
+    } else if (decision instanceof Decision.Strike d) {
+      number(8).text(d.machine()).text(d.addr());
+    } else if (decision instanceof Decision.Witness d) {
+      number(9).number(d.askedMs()).named(d.suspects()).named(d.controls());
+    } else {
+      throw new IllegalArgumentException("a decision without a code: " + decision);
+    }
+  }
+
+  private EventDigest named(List<Decision.Named> machines) {
+    number(machines.size());
+    machines.forEach(machine -> text(machine.machine()).text(machine.addr()));
+    return this;
+  }
+
+  // ---- machines ----
+
+  /** A worker carries out a command. */
+  public void command(long atMs, String machine, Order order) {
+    event(COMMAND, atMs).text(machine).order(order);
+  }
+
+  /** A task is taken in by a machine. */
+  public void started(long atMs, String task, String machine, long attempt) {
+    event(START, atMs).text(task).text(machine).number(attempt);
+  }
+
+  /** A task has its image. */
+  public void begins(long atMs, String task, String machine) {
+    event(BEGIN, atMs).text(task).text(machine);
+  }
+
+  /** A task is no longer on the machine, for whatever reason. */
+  public void leaves(long atMs, String task, String machine) {
+    event(LEAVE, atMs).text(task).text(machine);
+  }
+
+  /** A task has completed. */
+  public void completed(long atMs, String task) {
+    event(COMPLETE, atMs).text(task);
+  }
+
+  /** A task on a machine moves on; {@code cause}: of its exit, otherwise null. */
+  public void phase(long atMs, String task, String machine, Report.Phase phase, String cause) {
+    event(PHASE, atMs).text(task).text(machine).number(code(phase)).number(causeCode(cause));
+  }
+
+  private void order(Order order) {
+    number(code(order.op())).text(order.job()).number(order.index()).number(order.attempt());
+    number(Double.doubleToLongBits(order.graceS()));
+  }
+
+  private static int code(Order.Op op) {
+    return switch (op) {
+      case START -> 1;
+      case STOP -> 2;
+      case FORGET -> 3;
+    };
+  }
+
+  private static int code(Report.Phase phase) {
+    return switch (phase) {
+      case FETCHING -> 1;
+      case WAITING -> 2;
+      case RUNNING -> 3;
+      case SAVING -> 4;
+      case EXITED -> 5;
+    };
+  }
+
+  private static int causeCode(String cause) {
+    return cause == null
+        ? 0
+        : switch (cause) {
+          case "done" -> 1;
+          case "error" -> 2;
+          case "halted" -> 3;
+          case "peers" -> 4;
+          case "incomplete" -> 5;
+          case "in_use" -> 6;
+          case "no_room" -> 7;
+          default -> throw new IllegalArgumentException("a cause without a code: " + cause);
+        };
+  }
+
+  // ---- the hash ----
+
+  /** The play is over: how many events it had, and whether it went well. */
+  public void endOfPlay(long atMs, long events, boolean well) {
+    event(END_OF_PLAY, atMs).number(events).flag(well);
+  }
+
+  /** The first 16 hexadecimal digits of the hash; nothing can be recorded after this. */
+  public String hex() {
+    flush();
+    return HexFormat.of().formatHex(hash.digest(), 0, DIGEST_BYTES);
+  }
+
+  private EventDigest event(int code, long atMs) {
+    return number(code).number(atMs);
+  }
+
+  private EventDigest number(long number) {
+    if (buffer.remaining() < Long.BYTES) {
+      flush();
+    }
+    buffer.putLong(number);
+    return this;
+  }
+
+  private EventDigest flag(boolean flag) {
+    return number(flag ? 1 : 0);
+  }
+
+  /** With its length first, so that no two sequences of names are the same bytes. */
+  private EventDigest text(String text) {
+    if (text == null) {
+      return number(-1);
+    }
+    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    number(bytes.length);
+    flush();
+    hash.update(bytes);
+    return this;
+  }
+
+  private EventDigest texts(List<String> texts) {
+    if (texts == null) {
+      return number(-1);
+    }
+    number(texts.size());
+    texts.forEach(this::text);
+    return this;
+  }
+
+  private void flush() {
+    buffer.flip();
+    hash.update(buffer);
+    buffer.clear();
+  }
+}
--- a/src/test/java/org/astershift/core/Adversary.java
+++ b/src/test/java/org/astershift/core/Adversary.java
@@ -12,6 +12,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
+import org.astershift.EventDigest;
 import org.astershift.SeedArguments;
 import org.astershift.config.Constants;
 import org.astershift.config.Operator;
@@ -64,6 +65,7 @@
   private final Map<String, Gang> gangs = new HashMap<>();
   private final List<Report> kept = new ArrayList<>();
   private final List<String> log = new ArrayList<>();
+  private final EventDigest digest = new EventDigest();
   private final boolean story;
   private int machineNumber;
   private int jobNumber;
@@ -155,6 +157,12 @@
     return log;
   }
 
+  /** Of all that happened, once it is played. */
+  String digest() {
+    digest.endOfPlay(now, order, rules.broken.isEmpty() && unfinished.isEmpty());
+    return digest.hex();
+  }
+
   /** Plays the seed; what broke is in the rules, what never ended in {@link #unfinished}. */
   Adversary play() {
     int machines = 3 + random.nextInt(5);
@@ -535,7 +543,9 @@
                 scheduler.resumed(clock());
               }
             }
-            for (Decision d : scheduler.pass(clock(), soleUntilMs)) {
+            List<Decision> decisions = scheduler.pass(clock(), soleUntilMs);
+            digest.pass(now, Long.toString(token), decisions);
+            for (Decision d : decisions) {
               carryOut(d);
             }
           });
@@ -617,6 +627,7 @@
           () -> {
             if (store.ended.putIfAbsent(job, cancelled) == null) {
               store.live.remove(job);
+              digest.jobOver(now, job, cancelled, specs.get(job).tasks());
               rules.ended(job, cancelled, wished.contains(job), now);
               note(job + " is over, cancelled " + cancelled);
             }
@@ -706,6 +717,7 @@
     store.keyEndsMs = now + KEY_MS;
     controllers.add(ctl);
     did("leaders");
+    digest.term(now, Long.toString(ctl.token), ctl.token);
     ctl.handle(ctl::load);
     for (Report r : kept) {
       after(random.nextInt(300), () -> ctl.handle(() -> ctl.scheduler.report(r, ctl.clock())));
@@ -917,6 +929,10 @@
       this.attempt = attempt;
     }
 
+    String task() {
+      return job + "/" + index;
+    }
+
     boolean exited() {
       return phase == Report.Phase.EXITED;
     }
@@ -1016,6 +1032,7 @@
       if (t.on) {
         t.on = false;
         rules.over(t.job, t.index, name);
+        digest.leaves(now, t.task(), name);
       }
       Gang g = gangs.get(t.job + "@" + t.attempt);
       if (g != null && g.members.remove(t) != null && g.running && !g.broken) {
@@ -1227,6 +1244,7 @@
     }
 
     private void execute(Order o) {
+      digest.command(now, name, o);
       String key = o.job() + "/" + o.index() + "@" + o.attempt();
       Task t = tasks.get(key);
       switch (o.op()) {
@@ -1252,6 +1270,7 @@
     private void start(String key, Task t) {
       JobSpec spec = specs.get(t.job);
       note(name + " starts " + key);
+      digest.started(now, t.task(), name, t.attempt);
       tasks.put(key, t);
       double cpus = types.get(type).cpus();
       double gpus = types.get(type).gpus();
@@ -1288,6 +1307,7 @@
       JobSpec spec = specs.get(t.job);
       t.on = true;
       changed = true;
+      digest.begins(now, t.task(), name);
       note(name + " begins " + t.job + "/" + t.index + "@" + t.attempt);
       rules.begins(t.job, t.index, new ReferenceRules.Place(name, type, zone, spot), now);
       if (rules.isCompleted(t.job, t.index)) {
@@ -1333,6 +1353,7 @@
     private void complete(Task t) {
       if (t.phase == Report.Phase.RUNNING && !t.stopped && tasks.containsValue(t)) {
         rules.completed(t.job, t.index);
+        digest.completed(now, t.task());
         exit(t, "done");
       }
     }
@@ -1357,6 +1378,7 @@
         return;
       }
       note(name + " ends " + t.job + "/" + t.index + "@" + t.attempt + " " + cause);
+      digest.phase(now, t.task(), name, Report.Phase.EXITED, cause);
       t.phase = Report.Phase.EXITED;
       t.cause = cause;
       changed = true;
@@ -1383,6 +1405,7 @@
     g.broken = true;
     Map<Task, Worker> all = new LinkedHashMap<>(g.members);
     all.keySet().forEach(t -> rules.completed(t.job, t.index));
+    all.keySet().forEach(t -> digest.completed(now, t.task()));
     all.forEach((t, w) -> w.exit(t, "done"));
   }
 
--- a/src/test/java/org/astershift/world/Checker.java
+++ b/src/test/java/org/astershift/world/Checker.java
@@ -89,6 +89,7 @@
   /** Rules ran_twice, wrong_place and quota. */
   void started(String task, String machine, long attempt) {
     started++;
+    world.digest.started(world.now(), task, machine, attempt);
     String job = task.substring(0, task.indexOf('/'));
     Long confirmed = confirmedMs.get(job);
     if (confirmed != null && world.now() > confirmed + CANCEL_MS) {
@@ -168,10 +169,12 @@
   /** The task has completed somewhere. */
   void completed(String task) {
     completed.add(task);
+    world.digest.completed(world.now(), task);
   }
 
   /** A task has its image, and goes on from there. */
   void begins(String task, String machine) {
+    world.digest.begins(world.now(), task, machine);
     afterConfirmation(task, machine);
   }
 
@@ -208,6 +211,7 @@
   }
 
   void over(String task, String machine) {
+    world.digest.leaves(world.now(), task, machine);
     running.remove(task, machine);
     onMachines.remove(task + " on " + machine);
   }
@@ -248,6 +252,7 @@
       broken.add("a job ended twice: " + job);
     }
     String id = job.substring(job.indexOf('/') + 1);
+    world.digest.jobOver(world.now(), id, end.cancelled(), end.done());
     int tasks = world.users.spec(id).tasks();
     long all = IntStream.range(0, tasks).filter(i -> completed.contains(id + "/" + i)).count();
     if (!end.cancelled() && (end.done() < tasks || all < tasks)) {
@@ -295,6 +300,7 @@
     if (said.equals("withdrawn")) {
       confirmed(job, node);
     }
+    world.digest.told(world.now(), job, node, end, news);
     return news;
   }
 
@@ -382,6 +388,7 @@
   }
 
   void leads(String node, long token) {
+    world.digest.term(world.now(), node, token);
     latestToken = Math.max(latestToken, token);
     leaders.add(node);
     world.note(node, "leads with token " + token);
--- a/src/test/java/org/astershift/world/NodeModel.java
+++ b/src/test/java/org/astershift/world/NodeModel.java
@@ -550,7 +550,9 @@
       t.scheduler.resumed(clock());
     }
     long soleMs = has(Mutant.LEASES_PROVE_IN_DOUBT) ? Long.MAX_VALUE : election.soleUntilMs();
-    for (Decision d : t.scheduler.pass(clock(), soleMs)) {
+    List<Decision> decisions = t.scheduler.pass(clock(), soleMs);
+    world.digest.pass(world.now(), name, decisions);
+    for (Decision d : decisions) {
       carryOut(t, d);
     }
   }
--- /dev/null
+++ b/src/test/java/org/astershift/world/SwarmDigestTest.java
@@ -0,0 +1,22 @@
+package org.astershift.world;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.util.List;
+import org.astershift.DigestRun;
+import org.astershift.KeptDigests;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The swarm decides and does what it did when its digests were kept. The build plays the first
+ * {@link KeptDigests#LAST_SEED_IN_BUILD} seeds, {@link DigestRun} all. A change of behaviour that
+ * is meant writes them anew with {@code -Ddigests.write=true}, in the commit that changes it.
+ */
+class SwarmDigestTest {
+  @Test
+  void noSeedIsPlayedOtherwiseThanKept() throws IOException {
+    List<String> different = SwarmDigests.kept().differencesInBuild();
+    assertEquals("", String.join("\n", different));
+  }
+}
--- a/src/test/java/org/astershift/world/WorkerModel.java
+++ b/src/test/java/org/astershift/world/WorkerModel.java
@@ -486,6 +486,7 @@
   }
 
   private void execute(Order o) {
+    world.digest.command(world.now(), name, o);
     String key = o.job() + "/" + o.index() + "@" + o.attempt();
     Task t = tasks.get(key);
     switch (o.op()) {
@@ -565,6 +566,7 @@
     if (here) {
       t.phase = phase;
       t.cause = cause;
+      world.digest.phase(world.now(), t.task(), name, phase, cause);
       if (phase == (t.ofGang(world) ? Report.Phase.WAITING : Report.Phase.RUNNING)) {
         world.checker.begins(t.task(), name);
       } else if ("done".equals(cause)) {
--- a/src/test/java/org/astershift/world/World.java
+++ b/src/test/java/org/astershift/world/World.java
@@ -15,6 +15,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
+import org.astershift.EventDigest;
 import org.astershift.core.Objective;
 import org.astershift.core.Team;
 
@@ -31,6 +32,7 @@
   final StoreModel store;
   final CloudModel cloud;
   final Checker checker;
+  final EventDigest digest = new EventDigest();
   final LeftWaiting leftWaiting;
   final Users users;
   final GangModel gangs = new GangModel(this);
