--- a/src/main/java/org/astershift/Main.java
+++ b/src/main/java/org/astershift/Main.java
@@ -15,20 +15,20 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 import org.astershift.api.PublicApi;
-import org.astershift.config.BadConfig;
+import org.astershift.config.ConfigurationException;
 import org.astershift.config.Constants;
-import org.astershift.config.Operator;
+import org.astershift.config.OperatorSettings;
 import org.astershift.config.Settings;
-import org.astershift.core.Policy;
+import org.astershift.controller.ControllerRuntime;
+import org.astershift.controller.JobService;
+import org.astershift.http.ConnectionSlots;
 import org.astershift.http.HttpServer;
-import org.astershift.http.Places;
 import org.astershift.http.Threads;
-import org.astershift.leader.Director;
-import org.astershift.leader.UserDesk;
 import org.astershift.peer.PeerClient;
 import org.astershift.peer.PeerServer;
-import org.astershift.store.Mirror;
+import org.astershift.scheduler.SchedulingPolicy;
 import org.astershift.store.StoreClient;
+import org.astershift.store.WatchCache;
 import org.slf4j.LoggerFactory;
 
 /** Command line and wiring. */
@@ -64,7 +64,7 @@
     options.addOption(null, "help", false, "print this and exit");
     options.addOption(null, "version", false, "print the version and exit");
     Settings settings;
-    Policy policy;
+    SchedulingPolicy policy;
     try {
       CommandLine line = new DefaultParser().parse(options, args);
       if (line.hasOption("help")) {
@@ -86,7 +86,7 @@
       }
       settings = Settings.load(Path.of(line.getOptionValue("config")));
       String ini = line.getOptionValue("ini", System.getenv("ASTERSHIFT_INI"));
-      policy = ini == null ? Operator.defaults() : Operator.load(Path.of(ini));
+      policy = ini == null ? OperatorSettings.defaults() : OperatorSettings.load(Path.of(ini));
       logging(System.getenv("LOG_LEVEL"));
       if (line.hasOption("check")) {
         out.println("settings are fine");
@@ -95,7 +95,7 @@
     } catch (ParseException e) {
       err.println("astershift: " + e.getMessage() + " (see --help)");
       return 2;
-    } catch (BadConfig e) {
+    } catch (ConfigurationException e) {
       err.println("astershift: " + e.getMessage());
       return 2;
     }
@@ -108,25 +108,26 @@
     }
   }
 
-  private static void logging(String level) throws BadConfig {
+  private static void logging(String level) throws ConfigurationException {
     String l = level == null || level.isEmpty() ? "info" : level.toLowerCase(Locale.ROOT);
     if (!Set.of("error", "info", "debug").contains(l)) {
-      throw new BadConfig("LOG_LEVEL is not error, info or debug: " + level);
+      throw new ConfigurationException("LOG_LEVEL is not error, info or debug: " + level);
     }
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", l);
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
   }
 
-  private static void start(Settings settings, Policy policy) throws IOException {
+  private static void start(Settings settings, SchedulingPolicy policy) throws IOException {
     StoreClient store = new StoreClient(settings);
-    Map<String, UserDesk.Asker> askers = new HashMap<>();
+    Map<String, JobService.PeerChannel> askers = new HashMap<>();
     for (Settings.Peer p : settings.peers()) {
       PeerClient client = new PeerClient(p.endpoint());
       askers.put(p.node(), client::ask);
     }
-    Director director = new Director(settings, policy, store, new Mirror(store), askers);
-    UserDesk desk = new UserDesk(director, store, askers);
+    ControllerRuntime director =
+        new ControllerRuntime(settings, policy, store, new WatchCache(store), askers);
+    JobService desk = new JobService(director, store, askers);
     // Both addresses are had before anything else begins: that this node's former process is gone
     // is what lets this one remove a leader's key that it left.
     PeerServer peers =
@@ -142,7 +143,7 @@
                 new HttpServer(
                     settings.listen().host(),
                     settings.listen().port(),
-                    new Places(most, (int) (most * Constants.USERS_SHARE)),
+                    new ConnectionSlots(most, (int) (most * Constants.USERS_SHARE)),
                     PublicApi::isReport,
                     api));
     peers.start();
@@ -153,7 +154,7 @@
   }
 
   /** Something that takes an address. */
-  interface Listening<T> {
+  interface SocketOpener<T> {
     T open() throws IOException;
   }
 
@@ -161,7 +162,7 @@
    * Waits for an address that is still taken: by this node's former process, which was killed a
    * moment ago or is about to end.
    */
-  static <T> T patiently(Listening<T> listening) throws IOException {
+  static <T> T patiently(SocketOpener<T> listening) throws IOException {
     long began = System.nanoTime();
     boolean told = false;
     while (true) {
--- a/src/main/java/org/astershift/api/Turns.java
+++ b/src/main/java/org/astershift/api/ConcurrencyGate.java
@@ -8,11 +8,11 @@
  * it any more: its asker has given up, and behind a backlog of such work nothing would ever be
  * answered in time again.
  */
-final class Turns {
+final class ConcurrencyGate {
   private final Semaphore turns;
   private final long patienceMs;
 
-  Turns(int atOnce, long patienceMs) {
+  ConcurrencyGate(int atOnce, long patienceMs) {
     this.turns = new Semaphore(atOnce);
     this.patienceMs = patienceMs;
   }
--- a/src/main/java/org/astershift/api/JobCodec.java
+++ b/src/main/java/org/astershift/api/JobCodec.java
@@ -5,11 +5,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Priority;
 import org.astershift.http.Json;
 import org.astershift.peer.JobAnswer;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Priority;
 
 /** The users' words for jobs. */
 public final class JobCodec {
@@ -23,28 +23,28 @@
   }
 
   /** Reads a submission; throws with the first field that is missing or invalid. */
-  public static JobSpec spec(Map<String, Object> m) throws Json.Bad {
+  public static JobSpec spec(Map<String, Object> m) throws Json.JsonFormatException {
     String id = Json.text(m, "id");
     if (!isId(id)) {
-      throw new Json.Bad("id is not of the form wk-000000");
+      throw new Json.JsonFormatException("id is not of the form wk-000000");
     }
     long tasks = Json.whole(m, "shards");
     if (tasks < 1 || tasks > MOST_TASKS) {
-      throw new Json.Bad("shards is out of range");
+      throw new Json.JsonFormatException("shards is out of range");
     }
     List<String> types = null;
     if (m.get("hulls") != null) {
       types = new ArrayList<>();
       for (Object o : Json.list(m, "hulls")) {
         if (!(o instanceof String s)) {
-          throw new Json.Bad("hulls is not a list of texts");
+          throw new Json.JsonFormatException("hulls is not a list of texts");
         }
         types.add(s);
       }
     }
     Double deadline = Json.numberOrNull(m, "due_s");
     if (deadline != null && deadline < 0) {
-      throw new Json.Bad("due_s is out of range");
+      throw new Json.JsonFormatException("due_s is out of range");
     }
     return new JobSpec(
         id,
@@ -83,43 +83,43 @@
         }
       }
       return spec(m).id();
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       return null;
     }
   }
 
-  private static String named(Map<String, Object> m, String name) throws Json.Bad {
+  private static String named(Map<String, Object> m, String name) throws Json.JsonFormatException {
     String s = Json.text(m, name);
     if (s.isEmpty() || s.length() > 200) {
-      throw new Json.Bad(name + " is empty or too long");
+      throw new Json.JsonFormatException(name + " is empty or too long");
     }
     return s;
   }
 
-  private static double amount(Map<String, Object> m, String name) throws Json.Bad {
+  private static double amount(Map<String, Object> m, String name) throws Json.JsonFormatException {
     double d = Json.number(m, name);
     if (d < 0 || d > 1e9) {
-      throw new Json.Bad(name + " is out of range");
+      throw new Json.JsonFormatException(name + " is out of range");
     }
     return d;
   }
 
-  private static JobKind kind(String word) throws Json.Bad {
+  private static JobKind kind(String word) throws Json.JsonFormatException {
     return switch (word) {
       case "sweep" -> JobKind.ARRAY;
       case "gang" -> JobKind.GANG;
       case "service" -> JobKind.SERVICE;
-      default -> throw new Json.Bad("shape is invalid");
+      default -> throw new Json.JsonFormatException("shape is invalid");
     };
   }
 
-  private static Priority priority(String word) throws Json.Bad {
+  private static Priority priority(String word) throws Json.JsonFormatException {
     return switch (word) {
       case "critical" -> Priority.PRODUCTION;
       case "urgent" -> Priority.HIGH;
       case "standard" -> Priority.NORMAL;
       case "idle" -> Priority.LOW;
-      default -> throw new Json.Bad("rank is invalid");
+      default -> throw new Json.JsonFormatException("rank is invalid");
     };
   }
 
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Constants;
-import org.astershift.core.Eligibility;
-import org.astershift.core.JobSpec;
-import org.astershift.core.MachineType;
-import org.astershift.core.Order;
-import org.astershift.core.Report;
-import org.astershift.core.Team;
+import org.astershift.controller.ControllerRuntime;
+import org.astershift.controller.JobService;
 import org.astershift.http.HttpServer.Handler;
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
-import org.astershift.leader.Director;
-import org.astershift.leader.UserDesk;
 import org.astershift.peer.JobAnswer;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Eligibility;
+import org.astershift.scheduler.Heartbeat;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Team;
 import org.astershift.worker.WorkerCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -26,13 +26,14 @@
   private static final String JOBS = "/v2/runs";
   private static final String REPORT = "/agent/beat";
   private static final String CANCEL = "/withdraw";
-  private final Director director;
-  private final UserDesk desk;
+  private final ControllerRuntime director;
+  private final JobService desk;
   private final Map<String, Team> teams;
-  private final Traffic traffic = new Traffic();
-  private final Turns reports = new Turns(Constants.REPORTS_AT_ONCE, Constants.REPORT_PATIENCE_MS);
+  private final RequestStatistics traffic = new RequestStatistics();
+  private final ConcurrencyGate reports =
+      new ConcurrencyGate(Constants.REPORTS_AT_ONCE, Constants.REPORT_PATIENCE_MS);
 
-  public PublicApi(Director director, UserDesk desk, Map<String, Team> teams) {
+  public PublicApi(ControllerRuntime director, JobService desk, Map<String, Team> teams) {
     this.director = director;
     this.desk = desk;
     this.teams = teams;
@@ -58,7 +59,9 @@
           : Response.error(503, "starting");
     }
     if (path.equals(JOBS)) {
-      return r.method().equals("POST") ? noted(Traffic.Kind.SUBMISSION, submit(r)) : wrongMethod();
+      return r.method().equals("POST")
+          ? noted(RequestStatistics.Kind.SUBMISSION, submit(r))
+          : wrongMethod();
     }
     if (path.startsWith(JOBS + "/")) {
       String rest = path.substring(JOBS.length() + 1);
@@ -74,13 +77,13 @@
         return Response.error(400, "not a job's id");
       }
       return cancel
-          ? noted(Traffic.Kind.CANCELLATION, answer(id, desk.cancel(id, true)))
-          : noted(Traffic.Kind.QUESTION, answer(id, desk.poll(id, true)));
+          ? noted(RequestStatistics.Kind.CANCELLATION, answer(id, desk.cancel(id, true)))
+          : noted(RequestStatistics.Kind.QUESTION, answer(id, desk.poll(id, true)));
     }
     return Response.error(404, "no such path");
   }
 
-  private Response noted(Traffic.Kind kind, Response r) {
+  private Response noted(RequestStatistics.Kind kind, Response r) {
     traffic.note(kind, r.status());
     return r;
   }
@@ -101,7 +104,7 @@
     JobSpec spec;
     try {
       spec = JobCodec.spec(Json.object(r.body()));
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       Response malformed = Response.error(400, e.getMessage());
       String id = JobCodec.acceptedBefore(r.body());
       return id == null ? malformed : unlessKnown(id, malformed);
@@ -114,7 +117,7 @@
     if (never != null) {
       return unlessKnown(spec.id(), Response.error(422, never));
     }
-    UserDesk.Submitted s = desk.submit(spec);
+    JobService.SubmissionResult s = desk.submit(spec);
     return switch (s.status()) {
       case 200, 201 -> Response.of(s.status(), JobCodec.state(spec.id(), s.known()));
       default -> Response.error(503, "cannot be accepted now");
@@ -150,15 +153,15 @@
   }
 
   private Response answered(Request r) {
-    Report report;
+    Heartbeat report;
     try {
       report = WorkerCodec.report(r.body());
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       LOG.info("a report that makes no sense: {}", e.getMessage());
       return Response.error(400, e.getMessage());
     }
     long token = director.token();
-    List<Order> orders = director.report(report, token);
+    List<Command> orders = director.report(report, token);
     if (orders == null) {
       String leader = director.otherLeader();
       return Response.of(421, leader == null ? Map.of() : Map.of("harbormaster", leader));
--- a/src/main/java/org/astershift/api/Traffic.java
+++ b/src/main/java/org/astershift/api/RequestStatistics.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Counts what users ask of this node, so that the log tells a storm or refusals from silence. */
-final class Traffic {
-  private static final Logger LOG = LoggerFactory.getLogger(Traffic.class);
+final class RequestStatistics {
+  private static final Logger LOG = LoggerFactory.getLogger(RequestStatistics.class);
 
   /** Kinds of requests. */
   enum Kind {
--- a/src/main/java/org/astershift/cloud/CloudClient.java
+++ b/src/main/java/org/astershift/cloud/CloudClient.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import org.astershift.config.Constants;
 import org.astershift.config.Settings;
-import org.astershift.core.Decision;
-import org.astershift.core.MachineType;
-import org.astershift.core.Scheduler.Listed;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
-import org.astershift.store.RateBudget;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Scheduler.ListedMachine;
+import org.astershift.store.RateLimiter;
 
 /** Speaks the cloud's protocol, within its limit of calls. */
 public final class CloudClient {
@@ -21,16 +21,16 @@
   private static final String NO_CAPACITY = "no capacity";
 
   private final HttpClient http;
-  private final RateBudget calls;
+  private final RateLimiter calls;
 
   public CloudClient(Settings settings) {
     this.http = new HttpClient(settings.cloud().host(), settings.cloud().port(), 3);
-    this.calls = new RateBudget(settings.cloudRps());
+    this.calls = new RateLimiter(settings.cloudRps());
     this.calls.share(Constants.CLOUD_BUDGET, 1);
   }
 
   /** The cloud refused: nothing was done. */
-  public static final class Refused extends IOException {
+  public static final class CloudRejectedException extends IOException {
     private static final long serialVersionUID = 1L;
 
     /** Why a request was refused. */
@@ -50,7 +50,7 @@
 
     private final Reason reason;
 
-    Refused(String message, Reason reason) {
+    CloudRejectedException(String message, Reason reason) {
       super(message);
       this.reason = reason;
     }
@@ -66,7 +66,8 @@
     try {
       Map<String, MachineType> out = new LinkedHashMap<>();
       for (Object o :
-          Json.list(Json.object(call(RateBudget.Use.URGENT, "GET", "/flavors", null)), "hulls")) {
+          Json.list(
+              Json.object(call(RateLimiter.Urgency.URGENT, "GET", "/flavors", null)), "hulls")) {
         Map<String, Object> m = Json.object(o, "type");
         List<String> zones = new ArrayList<>();
         for (Object z : Json.list(m, "harbors")) {
@@ -89,13 +90,13 @@
                 zones));
       }
       return out;
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       throw new IOException("machine types: " + e.getMessage());
     }
   }
 
   /** Rents under a name of its own; repeating the name repeats the answer. */
-  public List<String> rent(String name, Decision.Rent r) throws IOException {
+  public List<String> rent(String name, Decision.ProvisionMachines r) throws IOException {
     Map<String, Object> body = new LinkedHashMap<>();
     body.put("charter", name);
     body.put("hull", r.type());
@@ -105,35 +106,36 @@
     try {
       List<String> names = new ArrayList<>();
       for (Object o :
-          Json.list(Json.object(call(RateBudget.Use.URGENT, "POST", "/hosts", body)), "vessels")) {
+          Json.list(
+              Json.object(call(RateLimiter.Urgency.URGENT, "POST", "/hosts", body)), "vessels")) {
         names.add(String.valueOf(o));
       }
       return names;
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       throw new IOException("rental: " + e.getMessage());
     }
   }
 
   /** The answer frees the tasks that a silent machine may hold. */
   public void giveBack(List<String> names) throws IOException {
-    call(RateBudget.Use.URGENT, "POST", "/hosts/return", Map.of("vessels", names));
+    call(RateLimiter.Urgency.URGENT, "POST", "/hosts/return", Map.of("vessels", names));
   }
 
   /** The whole list, page by page. */
-  public List<Listed> list() throws IOException {
-    List<Listed> out = new ArrayList<>();
+  public List<ListedMachine> list() throws IOException {
+    List<ListedMachine> out = new ArrayList<>();
     String after = "";
     boolean more = true;
     try {
       while (more) {
         String path = "/hosts?limit=500" + (after.isEmpty() ? "" : "&from=" + after);
-        Map<String, Object> m = Json.object(call(RateBudget.Use.LAZY, "GET", path, null));
+        Map<String, Object> m = Json.object(call(RateLimiter.Urgency.LAZY, "GET", path, null));
         List<?> rows = Json.list(m, "vessels");
         for (Object o : rows) {
           Map<String, Object> v = Json.object(o, "machine");
           Double age = Json.numberOrNull(v, "held_s");
-          Listed l =
-              new Listed(
+          ListedMachine l =
+              new ListedMachine(
                   Json.text(v, "id"),
                   Json.textOrNull(v, "addr"),
                   Json.text(v, "hull"),
@@ -146,47 +148,50 @@
         }
         more = Json.flagOr(m, "more", false) && !rows.isEmpty();
       }
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       throw new IOException("machine list: " + e.getMessage());
     }
     return out;
   }
 
-  private byte[] call(RateBudget.Use use, String method, String path, Map<String, Object> body)
+  private byte[] call(RateLimiter.Urgency use, String method, String path, Map<String, Object> body)
       throws IOException {
     try {
       if (!calls.acquire(use, 1, Constants.CLOUD_TIMEOUT_MS)) {
-        throw new Refused("over the limit of calls", Refused.Reason.TROUBLE);
+        throw new CloudRejectedException(
+            "over the limit of calls", CloudRejectedException.Reason.TROUBLE);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new Refused("interrupted", Refused.Reason.TROUBLE);
+      throw new CloudRejectedException("interrupted", CloudRejectedException.Reason.TROUBLE);
     }
-    HttpClient.Answer a;
+    HttpClient.Response a;
     try {
       a =
           http.call(
               method, path, body == null ? null : Json.bytes(body), Constants.CLOUD_TIMEOUT_MS);
-    } catch (HttpClient.NotSent e) {
-      throw new Refused(e.getMessage(), Refused.Reason.TROUBLE);
+    } catch (HttpClient.RequestNotSentException e) {
+      throw new CloudRejectedException(e.getMessage(), CloudRejectedException.Reason.TROUBLE);
     }
     if (a.status() == 200) {
       return a.body();
     }
-    throw new Refused("status " + a.status(), reason(a));
+    throw new CloudRejectedException("status " + a.status(), reason(a));
   }
 
-  private static Refused.Reason reason(HttpClient.Answer a) {
+  private static CloudRejectedException.Reason reason(HttpClient.Response a) {
     if (a.status() == MALFORMED_STATUS) {
-      return Refused.Reason.MALFORMED;
+      return CloudRejectedException.Reason.MALFORMED;
     }
     try {
       boolean full =
           a.status() == UNAVAILABLE_STATUS
               && NO_CAPACITY.equals(Json.object(a.body()).get("error"));
-      return full ? Refused.Reason.NO_CAPACITY : Refused.Reason.TROUBLE;
-    } catch (Json.Bad e) {
-      return Refused.Reason.TROUBLE;
+      return full
+          ? CloudRejectedException.Reason.NO_CAPACITY
+          : CloudRejectedException.Reason.TROUBLE;
+    } catch (Json.JsonFormatException e) {
+      return CloudRejectedException.Reason.TROUBLE;
     }
   }
 }
--- a/src/main/java/org/astershift/config/Constants.java
+++ b/src/main/java/org/astershift/config/Constants.java
@@ -2,7 +2,7 @@
 
 /**
  * Every constant of the program, with its unit and the reason for its value. What a deployment may
- * want otherwise is in {@link Operator}; what the platform decides is in {@link Settings}.
+ * want otherwise is in {@link OperatorSettings}; what the platform decides is in {@link Settings}.
  */
 public final class Constants {
   private Constants() {}
--- a/src/main/java/org/astershift/config/Operator.java
+++ b/src/main/java/org/astershift/config/OperatorSettings.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.core.Policy;
+import org.astershift.scheduler.SchedulingPolicy;
 import org.ini4j.Config;
 import org.ini4j.Ini;
 import org.ini4j.Profile;
 
 /** The operators' own settings: an INI file, every key optional, nothing unknown allowed. */
-public final class Operator {
-  private Operator() {}
+public final class OperatorSettings {
+  private OperatorSettings() {}
 
   private static final Map<String, Set<String>> KNOWN =
       Map.of(
@@ -22,8 +22,8 @@
           "fleet", Set.of("idle_release_s"));
 
   /** What holds without a file. */
-  public static Policy defaults() {
-    return new Policy(
+  public static SchedulingPolicy defaults() {
+    return new SchedulingPolicy(
         Constants.WINDOW,
         Constants.UTILIZATION,
         Constants.BATCH,
@@ -32,7 +32,7 @@
   }
 
   /** Reads and checks a file, and names everything that is wrong with it. */
-  public static Policy load(Path file) throws BadConfig {
+  public static SchedulingPolicy load(Path file) throws ConfigurationException {
     Ini ini = new Ini();
     Config config = new Config();
     config.setGlobalSection(true);
@@ -41,7 +41,7 @@
       ini.load(in);
     } catch (IOException e) {
       String why = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
-      throw new BadConfig(file + ": cannot be read: " + why.replaceAll("\\s+", " "));
+      throw new ConfigurationException(file + ": cannot be read: " + why.replaceAll("\\s+", " "));
     }
     List<String> problems = new ArrayList<>();
     for (Profile.Section section : ini.values()) {
@@ -56,16 +56,16 @@
         }
       }
     }
-    Policy d = defaults();
-    Policy policy =
-        new Policy(
+    SchedulingPolicy d = defaults();
+    SchedulingPolicy policy =
+        new SchedulingPolicy(
             (int) value(ini, "placement", "window", d.window(), 1, 1_000_000, problems),
             value(ini, "placement", "utilization", d.utilization(), 0, 1, problems),
             (int) value(ini, "placement", "batch", d.batch(), 1, 100_000, problems),
             value(ini, "placement", "waiting_age_s", d.waitingAgeS(), 0, 86_400, problems),
             value(ini, "fleet", "idle_release_s", d.idleReleaseS(), 0, 86_400, problems));
     if (!problems.isEmpty()) {
-      throw new BadConfig(file + ": " + String.join("; ", problems));
+      throw new ConfigurationException(file + ": " + String.join("; ", problems));
     }
     return policy;
   }
--- a/src/main/java/org/astershift/config/Settings.java
+++ b/src/main/java/org/astershift/config/Settings.java
@@ -12,9 +12,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.core.Facts;
-import org.astershift.core.Objective;
-import org.astershift.core.Team;
+import org.astershift.scheduler.DeploymentLimits;
+import org.astershift.scheduler.ServiceLevelObjective;
+import org.astershift.scheduler.Team;
 
 /** The settings file that the platform hands over. Fields unknown here are ignored. */
 public record Settings(
@@ -28,7 +28,7 @@
     StoreLimits storeLimits,
     double cloudRps,
     int sockets,
-    Facts facts) {
+    DeploymentLimits facts) {
 
   /** Host and port of a TCP address. */
   public record Endpoint(String host, int port) {
@@ -45,23 +45,23 @@
   public record StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
   /** Reads and checks a file; all that is wrong with it is named at once. */
-  public static Settings load(Path file) throws BadConfig {
+  public static Settings load(Path file) throws ConfigurationException {
     String text;
     try {
       text = Files.readString(file);
     } catch (IOException e) {
-      throw new BadConfig(file + ": cannot be read: " + e.getClass().getSimpleName());
+      throw new ConfigurationException(file + ": cannot be read: " + e.getClass().getSimpleName());
     }
     UnmodifiableConfig root;
     try (Reader in = new StringReader(text)) {
       root = new TomlParser().parse(in);
     } catch (ParsingException | IOException e) {
-      throw new BadConfig(file + ": not TOML: " + oneLine(e.getMessage()));
+      throw new ConfigurationException(file + ": not TOML: " + oneLine(e.getMessage()));
     }
     Check check = new Check();
     Settings settings = read(root, check);
     if (!check.problems.isEmpty()) {
-      throw new BadConfig(file + ": " + String.join("; ", check.problems));
+      throw new ConfigurationException(file + ": " + String.join("; ", check.problems));
     }
     return settings;
   }
@@ -94,10 +94,10 @@
               c.numberOr(t, "gpus", 0),
               c.numberOr(t, "gpus_max", 0)));
     }
-    List<Objective> objectives = new ArrayList<>();
+    List<ServiceLevelObjective> objectives = new ArrayList<>();
     for (Field o : c.tables(facts.config, "objectives", "facts.objectives")) {
       objectives.add(
-          new Objective(
+          new ServiceLevelObjective(
               c.text(o, "kind"),
               c.textOr(o, "class", ""),
               c.numberOr(o, "within_s", 0),
@@ -111,8 +111,8 @@
             c.number(state, "write_rps", 1, 1e9),
             c.number(state, "value_kb", 4, 1e6),
             txnOps);
-    Facts f =
-        new Facts(
+    DeploymentLimits f =
+        new DeploymentLimits(
             teams,
             objectives,
             c.number(workers, "report_s", 0.01, 1e6),
--- a/src/main/java/org/astershift/leader/Machines.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.io.IOException;
 import java.util.List;
@@ -6,30 +6,30 @@
 import org.astershift.cloud.CloudClient;
 import org.astershift.config.Constants;
 import org.astershift.config.Settings;
-import org.astershift.core.Decision;
-import org.astershift.core.MachineType;
-import org.astershift.core.Scheduler;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
-import org.astershift.store.Mirror;
-import org.astershift.store.RateBudget;
-import org.astershift.store.Records;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.store.RateLimiter;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
+import org.astershift.store.WatchCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The leader's dealings with the cloud: types, the list, renting and giving back. */
-final class Machines {
-  private static final Logger LOG = LoggerFactory.getLogger(Machines.class);
+final class CloudProvisioner {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudProvisioner.class);
   private final CloudClient cloud;
   private final StoreClient store;
-  private final Mirror mirror;
+  private final WatchCache mirror;
   private final Runnable stir;
   private final Threads.Pool rentPool = Threads.pool("rent", Constants.RENT_THREADS);
   private final Threads.Pool returnPool = Threads.pool("return", Constants.RETURN_THREADS);
   private volatile Map<String, MachineType> types = Map.of();
 
-  Machines(Settings settings, StoreClient store, Mirror mirror, Runnable stir) {
+  CloudProvisioner(Settings settings, StoreClient store, WatchCache mirror, Runnable stir) {
     this.cloud = new CloudClient(settings);
     this.store = store;
     this.mirror = mirror;
@@ -49,27 +49,27 @@
   /** What the leader noted of the types, for nodes that start while the cloud is away. */
   void typesNoted(Map<String, Object> value) {
     try {
-      types = Records.readTypes(value);
-    } catch (Json.Bad e) {
+      types = RecordCodec.readTypes(value);
+    } catch (Json.JsonFormatException e) {
       LOG.error("record of machine types: {}", e.getMessage());
     }
   }
 
   // ---- list and types ----
 
-  void loop(Term t) {
+  void loop(LeaderTerm t) {
     long typesAt = 0;
     while (!t.over()) {
       try {
-        long now = Term.nowMs();
+        long now = LeaderTerm.nowMs();
         if (typesAt == 0 || now - typesAt > Constants.TYPES_MS) {
           learnTypes(t);
           typesAt = now;
         }
-        long asked = Term.nowMs();
-        List<Scheduler.Listed> listed = cloud.list();
+        long asked = LeaderTerm.nowMs();
+        List<Scheduler.ListedMachine> listed = cloud.list();
         synchronized (t) {
-          t.scheduler.list(listed, asked, Term.nowMs());
+          t.scheduler.list(listed, asked, LeaderTerm.nowMs());
         }
         stir.run();
         Thread.sleep(Constants.LIST_MS);
@@ -85,7 +85,7 @@
     }
   }
 
-  private void learnTypes(Term t) throws IOException, InterruptedException {
+  private void learnTypes(LeaderTerm t) throws IOException, InterruptedException {
     Map<String, MachineType> learnt = cloud.types();
     boolean other = !sizes(learnt).equals(sizes(types));
     types = learnt;
@@ -93,9 +93,9 @@
       t.scheduler.types(learnt);
     }
     stir.run();
-    if (other || mirror.row(Records.TYPES) == null) {
-      StoreClient.Txn txn = t.txn().put(Records.TYPES, Records.types(learnt));
-      t.lostBy(store.commit(txn, RateBudget.Use.URGENT, Constants.STORE_PATIENCE_MS));
+    if (other || mirror.row(RecordCodec.TYPES) == null) {
+      StoreClient.Transaction txn = t.txn().put(RecordCodec.TYPES, RecordCodec.types(learnt));
+      t.lostBy(store.commit(txn, RateLimiter.Urgency.URGENT, Constants.STORE_PATIENCE_MS));
     }
   }
 
@@ -111,19 +111,19 @@
   // ---- renting ----
 
   /** Rentals that an earlier leader left open are asked for again, under their own names. */
-  void takeOver(Term t) {
+  void takeOver(LeaderTerm t) {
     t.notes
-        .entries(Notes.Kind.RENTAL)
+        .entries(LeaderRecords.RecordKind.RENTAL)
         .forEach(
             (name, value) -> {
               try {
-                Decision.Rent r = Records.rental(value);
+                Decision.ProvisionMachines r = RecordCodec.rental(value);
                 LOG.info("rental {} was left open by an earlier leader: asked again", name);
                 synchronized (t) {
                   t.scheduler.renting(name, r);
                 }
                 execute(t, name, r);
-              } catch (Json.Bad e) {
+              } catch (Json.JsonFormatException e) {
                 LOG.error("rental {} cannot be read: {}", name, e.getMessage());
               }
             });
@@ -133,47 +133,48 @@
    * Notes a rental under a name of its own; it is sent when that is durable, so that a successor
    * learns what came of it.
    */
-  void rent(Term t, Decision.Rent r) {
+  void rent(LeaderTerm t, Decision.ProvisionMachines r) {
     String name = t.rentalName();
     synchronized (t) {
       t.scheduler.renting(name, r);
     }
-    t.notes.put(Notes.Kind.RENTAL, name, Records.rental(r), 0);
+    t.notes.put(LeaderRecords.RecordKind.RENTAL, name, RecordCodec.rental(r), 0);
   }
 
   /** The rental is on record. */
-  void noted(Term t, String name, Object value) throws Json.Bad {
-    execute(t, name, Records.rental(value));
+  void noted(LeaderTerm t, String name, Object value) throws Json.JsonFormatException {
+    execute(t, name, RecordCodec.rental(value));
   }
 
-  private void execute(Term t, String name, Decision.Rent r) {
+  private void execute(LeaderTerm t, String name, Decision.ProvisionMachines r) {
     rentPool.execute("rental", () -> send(t, name, r));
   }
 
   /** A call without an answer is repeated under the same name until it has one. */
-  private void send(Term t, String name, Decision.Rent r) {
+  private void send(LeaderTerm t, String name, Decision.ProvisionMachines r) {
     while (!t.over()) {
       try {
         List<String> names = cloud.rent(name, r);
         LOG.info("rental {} of {} {} in {} brings {}", name, r.count(), r.type(), r.zone(), names);
         for (String m : names) {
-          Decision.Enrol e = new Decision.Enrol(m, null, r.type(), r.zone(), r.spot(), true);
-          t.notes.putNew(Notes.Kind.MACHINE, m, Records.machine(e));
+          Decision.RegisterMachine e =
+              new Decision.RegisterMachine(m, null, r.type(), r.zone(), r.spot(), true);
+          t.notes.putNew(LeaderRecords.RecordKind.MACHINE, m, RecordCodec.machine(e));
         }
         synchronized (t) {
-          t.scheduler.rented(name, names, r, Term.nowMs());
+          t.scheduler.rented(name, names, r, LeaderTerm.nowMs());
         }
         break;
-      } catch (CloudClient.Refused e) {
-        if (e.reason() == CloudClient.Refused.Reason.NO_CAPACITY) {
+      } catch (CloudClient.CloudRejectedException e) {
+        if (e.reason() == CloudClient.CloudRejectedException.Reason.NO_CAPACITY) {
           LOG.info("no capacity for {} in {}{}", r.type(), r.zone(), r.spot() ? ", spot" : "");
-        } else if (e.reason() == CloudClient.Refused.Reason.MALFORMED) {
+        } else if (e.reason() == CloudClient.CloudRejectedException.Reason.MALFORMED) {
           // Repeated for ever, two of them held all threads that rent.
           LOG.error("rental {} of {} {} is malformed for the cloud", name, r.count(), r.type());
         }
         if (e.reason().isFinal()) {
           synchronized (t) {
-            t.scheduler.notRented(name, r, true, Term.nowMs());
+            t.scheduler.notRented(name, r, true, LeaderTerm.nowMs());
           }
           break;
         }
@@ -184,7 +185,7 @@
       sleep();
     }
     if (!t.over()) {
-      t.notes.remove(Notes.Kind.RENTAL, name, Constants.STRIKE_MS);
+      t.notes.remove(LeaderRecords.RecordKind.RENTAL, name, Constants.STRIKE_MS);
     }
   }
 
@@ -198,18 +199,18 @@
 
   // ---- giving back ----
 
-  void giveBack(Term t, Decision.Return r) {
+  void giveBack(LeaderTerm t, Decision.ReleaseMachines r) {
     returnPool.execute("return", () -> sendBack(t, r));
   }
 
-  private void sendBack(Term t, Decision.Return r) {
+  private void sendBack(LeaderTerm t, Decision.ReleaseMachines r) {
     if (t.over()) {
       return;
     }
     try {
       cloud.giveBack(r.machines());
       synchronized (t) {
-        t.scheduler.returned(r.machines(), Term.nowMs());
+        t.scheduler.returned(r.machines(), LeaderTerm.nowMs());
       }
       stir.run();
     } catch (IOException e) {
--- a/src/main/java/org/astershift/leader/Ends.java
+++ b/src/main/java/org/astershift/controller/CompletionQueue.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,7 +9,7 @@
  * transaction is under way those that complete gather for the next, so that many ends at once cost
  * few requests.
  */
-final class Ends {
+final class CompletionQueue {
   private final ArrayDeque<String> waiting = new ArrayDeque<>();
   private boolean over;
 
--- a/src/main/java/org/astershift/leader/JobEnds.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.io.IOException;
 import java.util.Collection;
@@ -7,31 +7,32 @@
 import java.util.Map;
 import org.astershift.config.Constants;
 import org.astershift.config.Settings;
-import org.astershift.core.Decision;
-import org.astershift.core.Scheduler;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
-import org.astershift.store.RateBudget;
-import org.astershift.store.Records;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.store.RateLimiter;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.astershift.store.StoreClient.Outcome;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Makes the ends of jobs durable before anybody is told of them. */
-final class JobEnds {
-  private static final Logger LOG = LoggerFactory.getLogger(JobEnds.class);
+final class CompletionWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(CompletionWriter.class);
 
   /** Changes that the end of a job takes: its record goes from the live ones to the ended. */
   private static final int CHANGES_AN_END = 2;
 
   private final Settings.StoreLimits limits;
   private final StoreClient store;
-  private final EndedJobs ended;
+  private final EndedJobCache ended;
   private final Runnable stir;
 
   /** {@code stir}: brings a pass of the scheduler about, since room may have become free. */
-  JobEnds(Settings.StoreLimits limits, StoreClient store, EndedJobs ended, Runnable stir) {
+  CompletionWriter(
+      Settings.StoreLimits limits, StoreClient store, EndedJobCache ended, Runnable stir) {
     this.limits = limits;
     this.store = store;
     this.ended = ended;
@@ -39,7 +40,7 @@
   }
 
   /** Writes the ends of completed jobs, as many in a transaction as it may have. */
-  void loop(Term t) throws InterruptedException {
+  void loop(LeaderTerm t) throws InterruptedException {
     int most = Math.max(1, limits.txnOps() / CHANGES_AN_END);
     most = Math.min(most, Constants.ENDS_AT_ONCE);
     while (true) {
@@ -56,12 +57,12 @@
     }
   }
 
-  private void finish(Term t, List<String> jobs) throws InterruptedException {
-    Map<String, Records.Ended> ends = new LinkedHashMap<>();
-    StoreClient.Txn txn = t.txn();
+  private void finish(LeaderTerm t, List<String> jobs) throws InterruptedException {
+    Map<String, RecordCodec.Ended> ends = new LinkedHashMap<>();
+    StoreClient.Transaction txn = t.txn();
     for (String id : jobs) {
       if (t.keeps(id)) {
-        Records.Ended end = endOf(t, id, false);
+        RecordCodec.Ended end = endOf(t, id, false);
         ends.put(id, end);
         write(txn, id, end);
         t.ledger().ending(id);
@@ -70,11 +71,11 @@
     if (ends.isEmpty()) {
       return;
     }
-    Outcome o = store.commit(txn, RateBudget.Use.URGENT, Constants.STORE_PATIENCE_MS);
-    if (o instanceof Outcome.Applied) {
+    Outcome o = store.commit(txn, RateLimiter.Urgency.URGENT, Constants.STORE_PATIENCE_MS);
+    if (o instanceof Outcome.Committed) {
       ends.forEach((id, end) -> ended(t, id, end));
       stir.run();
-    } else if (o instanceof Outcome.Conflict && !t.lostBy(o)) {
+    } else if (o instanceof Outcome.ConditionFailed && !t.lostBy(o)) {
       ends.keySet().forEach(t.ledger()::notEnded);
       // One of them was cancelled meanwhile, or an earlier try without an answer was applied.
       for (String id : ends.keySet()) {
@@ -83,14 +84,14 @@
         }
       }
     } else {
-      if (o instanceof Outcome.Refused) {
+      if (o instanceof Outcome.Rejected) {
         ends.keySet().forEach(t.ledger()::notEnded);
       }
       failed(t, ends.keySet());
     }
   }
 
-  private static void failed(Term t, Collection<String> jobs) {
+  private static void failed(LeaderTerm t, Collection<String> jobs) {
     if (!t.over()) {
       Threads.pause();
       synchronized (t) {
@@ -101,23 +102,23 @@
     }
   }
 
-  private static Records.Ended endOf(Term t, String id, boolean cancelled) {
-    Scheduler.JobView view;
+  private static RecordCodec.Ended endOf(LeaderTerm t, String id, boolean cancelled) {
+    Scheduler.JobProgress view;
     synchronized (t) {
       view = t.scheduler.view(id);
     }
-    return new Records.Ended(cancelled, view == null ? 0 : view.done());
+    return new RecordCodec.Ended(cancelled, view == null ? 0 : view.done());
   }
 
   /**
    * Done and cancelled exclude each other, also for tries whose answer was lost: the first stays.
    */
-  private static void write(StoreClient.Txn txn, String id, Records.Ended end) {
-    String key = Records.ENDED + id;
-    txn.when(key, 0).put(key, Records.ended(end)).delete(Records.JOB + id);
+  private static void write(StoreClient.Transaction txn, String id, RecordCodec.Ended end) {
+    String key = RecordCodec.ENDED + id;
+    txn.when(key, 0).put(key, RecordCodec.ended(end)).delete(RecordCodec.JOB + id);
   }
 
-  private void ended(Term t, String id, Records.Ended end) {
+  private void ended(LeaderTerm t, String id, RecordCodec.Ended end) {
     ended.put(id, end);
     t.ended(id, end.cancelled());
     LOG.debug("job {} is {}", id, end.cancelled() ? "cancelled" : "done");
@@ -129,7 +130,7 @@
    *
    * @param t the present term, or null
    */
-  void overOnRecord(Term t, String id, Records.Ended end) {
+  void overOnRecord(LeaderTerm t, String id, RecordCodec.Ended end) {
     ended.put(id, end);
     if (t != null && t.keeps(id)) {
       ended(t, id, end);
@@ -138,31 +139,31 @@
   }
 
   /** Makes the job's end durable, before anyone is told; null if that is not certain yet. */
-  Records.Ended finish(Term t, String id, boolean cancelled, long patienceMs)
+  RecordCodec.Ended finish(LeaderTerm t, String id, boolean cancelled, long patienceMs)
       throws InterruptedException {
     if (!t.keeps(id)) {
       return ended.get(id);
     }
-    Records.Ended end = endOf(t, id, cancelled);
-    StoreClient.Txn txn = t.txn();
+    RecordCodec.Ended end = endOf(t, id, cancelled);
+    StoreClient.Transaction txn = t.txn();
     write(txn, id, end);
     t.ledger().ending(id);
-    Outcome o = store.commit(txn, RateBudget.Use.URGENT, patienceMs);
-    if (o instanceof Outcome.Conflict || o instanceof Outcome.Refused) {
+    Outcome o = store.commit(txn, RateLimiter.Urgency.URGENT, patienceMs);
+    if (o instanceof Outcome.ConditionFailed || o instanceof Outcome.Rejected) {
       t.ledger().notEnded(id);
     }
-    if (o instanceof Outcome.Conflict && !t.lostBy(o)) {
+    if (o instanceof Outcome.ConditionFailed && !t.lostBy(o)) {
       try {
-        StoreClient.Row row = store.get(Records.ENDED + id);
+        StoreClient.Entry row = store.get(RecordCodec.ENDED + id);
         if (row.data() == null) {
           return null;
         }
-        end = Records.ended(row.data());
-      } catch (IOException | Json.Bad e) {
+        end = RecordCodec.ended(row.data());
+      } catch (IOException | Json.JsonFormatException e) {
         LOG.debug("end of {}: {}", id, e.toString());
         return null;
       }
-    } else if (!(o instanceof Outcome.Applied)) {
+    } else if (!(o instanceof Outcome.Committed)) {
       return null;
     }
     ended(t, id, end);
--- a/src/main/java/org/astershift/leader/Reach.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -1,14 +1,14 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Constants;
+import org.astershift.coordination.Candidacy;
+import org.astershift.coordination.StoreReachability;
+import org.astershift.coordination.WorkerReachability;
 import org.astershift.http.Threads;
-import org.astershift.office.Candidacy;
-import org.astershift.office.StateReach;
-import org.astershift.office.WorkerReach;
 import org.astershift.peer.JobAnswer;
 import org.astershift.store.StoreClient;
 import org.slf4j.Logger;
@@ -20,24 +20,24 @@
  * Cut off alone, it sends users elsewhere, and learns from the others who leads by now. And whether
  * one of them reaches more workers than this one, where it leads and hears few.
  */
-final class Reach {
-  private static final Logger LOG = LoggerFactory.getLogger(Reach.class);
+final class ConnectivityMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(ConnectivityMonitor.class);
   private final StoreClient store;
-  private final Map<String, UserDesk.Asker> askers;
-  private final Director director;
+  private final Map<String, JobService.PeerChannel> askers;
+  private final ControllerRuntime director;
   private final Candidacy candidacy;
   private volatile Leader told;
   private volatile boolean alone;
-  private final StateReach state = new StateReach();
+  private final StoreReachability state = new StoreReachability();
   private boolean silent;
 
   /** Who leads, as another node says; {@code node} empty if nobody does. */
   private record Leader(String node, long token) {}
 
-  Reach(
+  ConnectivityMonitor(
       StoreClient store,
-      Map<String, UserDesk.Asker> askers,
-      Director director,
+      Map<String, JobService.PeerChannel> askers,
+      ControllerRuntime director,
       Candidacy candidacy) {
     this.store = store;
     this.askers = askers;
@@ -65,7 +65,7 @@
     if (store.lost()) {
       return JobAnswer.UNDECIDED;
     }
-    StoreClient.Row row = director.leaderRow();
+    StoreClient.Entry row = director.leaderRow();
     return new JobAnswer(
         200, row == null ? "" : row.data().get("node") + " " + row.revision(), 0, 0);
   }
@@ -93,7 +93,7 @@
    * the state service is away it stays: nobody could take the leadership up.
    */
   private void hearing() throws InterruptedException {
-    Term t = director.term();
+    LeaderTerm t = director.term();
     if (t == null) {
       return;
     }
@@ -104,21 +104,21 @@
       }
       heard = t.scheduler.heardShare();
     }
-    List<Candidacy.Told> others = new ArrayList<>();
-    for (Map.Entry<String, UserDesk.Asker> e : askers.entrySet()) {
-      Candidacy.Told other = reach(e.getKey(), e.getValue());
+    List<Candidacy.PeerStatus> others = new ArrayList<>();
+    for (Map.Entry<String, JobService.PeerChannel> e : askers.entrySet()) {
+      Candidacy.PeerStatus other = reach(e.getKey(), e.getValue());
       if (other != null) {
         others.add(other);
       }
     }
     Candidacy.HandOver wish =
-        candidacy.handsOver(heard, others, askers.size(), t.beganMs, Term.nowMs());
+        candidacy.handsOver(heard, others, askers.size(), t.beganMs, LeaderTerm.nowMs());
     if (wish == null) {
       Thread.sleep(Constants.REACH_SAMPLE_MS); // what the others reach does not change sooner
       return;
     }
     if (wish.to() != null) {
-      for (UserDesk.Asker other : askers.values()) {
+      for (JobService.PeerChannel other : askers.values()) {
         tell(other, "yield", wish.to());
       }
     }
@@ -129,18 +129,19 @@
   }
 
   /** What another node tells of itself; null if it does not answer. */
-  private static Candidacy.Told reach(String node, UserDesk.Asker other) {
+  private static Candidacy.PeerStatus reach(String node, JobService.PeerChannel other) {
     try {
       JobAnswer a = other.ask("reach", "", Constants.REACH_TIMEOUT_MS);
-      WorkerReach.Seen seen = new WorkerReach.Seen(a.running(), a.done());
-      return new Candidacy.Told(node, a.status() == 200 && "".equals(a.phase()), seen);
+      WorkerReachability.Measurement seen =
+          new WorkerReachability.Measurement(a.running(), a.done());
+      return new Candidacy.PeerStatus(node, a.status() == 200 && "".equals(a.phase()), seen);
     } catch (IOException | RuntimeException e) {
       LOG.debug("asking {}: {}", node, e.toString());
       return null;
     }
   }
 
-  private static void tell(UserDesk.Asker other, String op, String what) {
+  private static void tell(JobService.PeerChannel other, String op, String what) {
     try {
       other.ask(op, what, Constants.REACH_TIMEOUT_MS);
     } catch (IOException | RuntimeException e) {
@@ -151,14 +152,14 @@
   /** The leader is about to hand over to this node, or to another one, which has to go first. */
   JobAnswer yielded(String to) {
     if (!to.equals(director.node())) {
-      candidacy.yields(Term.nowMs());
+      candidacy.yields(LeaderTerm.nowMs());
     }
     return new JobAnswer(200, "", 0, 0);
   }
 
   /** What this node tells another that asks how much of the fleet it reaches. */
   JobAnswer workers() {
-    WorkerReach.Seen seen = director.sampling().seen();
+    WorkerReachability.Measurement seen = director.sampling().seen();
     return new JobAnswer(200, store.lost() ? "apart" : "", seen.answered(), seen.asked());
   }
 
@@ -166,7 +167,7 @@
     Leader heard = null;
     String from = null;
     int answered = 0;
-    for (Map.Entry<String, UserDesk.Asker> e : askers.entrySet()) {
+    for (Map.Entry<String, JobService.PeerChannel> e : askers.entrySet()) {
       try {
         JobAnswer a = e.getValue().ask("state", "", Constants.REACH_TIMEOUT_MS);
         answered++;
@@ -190,7 +191,8 @@
     told = heard;
     boolean was = alone;
     alone =
-        state.asked(askers.size(), answered, heard != null, Term.nowMs()) == StateReach.Found.ALONE;
+        state.asked(askers.size(), answered, heard != null, LeaderTerm.nowMs())
+            == StoreReachability.Verdict.ALONE;
     if (alone && !was) {
       LOG.info("neither the state service nor another node answers this one: cut off, not ready");
     }
@@ -205,8 +207,8 @@
    * since a machine that has seen the later token drops what comes from here.
    */
   private boolean deaf(Leader later) {
-    Term t = director.term();
-    UserDesk.Asker asker = askers.get(later.node());
+    LeaderTerm t = director.term();
+    JobService.PeerChannel asker = askers.get(later.node());
     if (t == null || later.token() <= t.token || asker == null) {
       return false;
     }
@@ -214,7 +216,7 @@
       return false;
     }
     // A node that does not know the question tells 0 of 0, which is not few.
-    Candidacy.Told other = reach(later.node(), asker);
+    Candidacy.PeerStatus other = reach(later.node(), asker);
     return other != null && other.workers().few();
   }
 
--- a/src/main/java/org/astershift/leader/Director.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -1,42 +1,42 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Constants;
 import org.astershift.config.Settings;
-import org.astershift.core.Decision;
-import org.astershift.core.MachineType;
-import org.astershift.core.Order;
-import org.astershift.core.Policy;
-import org.astershift.core.Report;
-import org.astershift.core.Scheduler;
+import org.astershift.coordination.Candidacy;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
-import org.astershift.office.Candidacy;
-import org.astershift.store.Mirror;
-import org.astershift.store.Records;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Heartbeat;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.scheduler.SchedulingPolicy;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
-import org.astershift.worker.OrderSender;
+import org.astershift.store.WatchCache;
+import org.astershift.worker.CommandSender;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Carries the scheduler's decisions out and tells it what came of them, term by term. */
-public final class Director implements Leadership.Office {
-  private static final Logger LOG = LoggerFactory.getLogger(Director.class);
+public final class ControllerRuntime implements LeaderElector.TermListener {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerRuntime.class);
 
   private final Settings settings;
-  private final Policy policy;
+  private final SchedulingPolicy policy;
   private final StoreClient store;
-  private final Mirror mirror;
-  private final OrderSender sender = new OrderSender();
-  private final Leadership leadership;
-  private final Machines machines;
-  private final Sampling sampling;
-  private final Reach reach;
-  private final EndedJobs ended = new EndedJobs();
-  private final JobEnds jobEnds;
-  private volatile Term term;
+  private final WatchCache mirror;
+  private final CommandSender sender = new CommandSender();
+  private final LeaderElector leadership;
+  private final CloudProvisioner machines;
+  private final ReachabilityProber sampling;
+  private final ConnectivityMonitor reach;
+  private final EndedJobCache ended = new EndedJobCache();
+  private final CompletionWriter jobEnds;
+  private volatile LeaderTerm term;
 
   /** Held while a term is taken up or laid down: a term that is over must not be taken up late. */
   private final Object offices = new Object();
@@ -47,23 +47,23 @@
   private boolean stirred;
 
   /** {@code askers}: the ways to the other nodes, by their names. */
-  public Director(
+  public ControllerRuntime(
       Settings settings,
-      Policy policy,
+      SchedulingPolicy policy,
       StoreClient store,
-      Mirror mirror,
-      Map<String, UserDesk.Asker> askers) {
+      WatchCache mirror,
+      Map<String, JobService.PeerChannel> askers) {
     this.settings = settings;
     this.policy = policy;
     this.store = store;
     this.mirror = mirror;
     Candidacy candidacy = new Candidacy();
-    this.sampling = new Sampling(mirror, sender, questionPool, askers.values());
+    this.sampling = new ReachabilityProber(mirror, sender, questionPool, askers.values());
     this.leadership =
-        new Leadership(settings.node(), store, mirror, this, candidacy, sampling::seen);
-    this.machines = new Machines(settings, store, mirror, this::stir);
-    this.reach = new Reach(store, askers, this, candidacy);
-    this.jobEnds = new JobEnds(settings.storeLimits(), store, ended, this::stir);
+        new LeaderElector(settings.node(), store, mirror, this, candidacy, sampling::seen);
+    this.machines = new CloudProvisioner(settings, store, mirror, this::stir);
+    this.reach = new ConnectivityMonitor(store, askers, this, candidacy);
+    this.jobEnds = new CompletionWriter(settings.storeLimits(), store, ended, this::stir);
   }
 
   /** Starts the threads of this node: from now on it may lead. */
@@ -82,7 +82,7 @@
   }
 
   /** The leader's key as far as known here, or null. */
-  StoreClient.Row leaderRow() {
+  StoreClient.Entry leaderRow() {
     return leadership.row();
   }
 
@@ -95,16 +95,16 @@
     return settings.node();
   }
 
-  Reach reach() {
+  ConnectivityMonitor reach() {
     return reach;
   }
 
-  Sampling sampling() {
+  ReachabilityProber sampling() {
     return sampling;
   }
 
   /** Another node reaches more of the fleet. */
-  void handOver(Term t, String why) {
+  void handOver(LeaderTerm t, String why) {
     leadership.resign(t.token, why);
   }
 
@@ -119,44 +119,44 @@
   }
 
   /** The present term, or null. */
-  Term term() {
+  LeaderTerm term() {
     return term;
   }
 
   /** Whether no other node can have become leader since this term began. */
-  boolean valid(Term t) {
+  boolean valid(LeaderTerm t) {
     return leadership.valid(t.token);
   }
 
-  EndedJobs ended() {
+  EndedJobCache ended() {
     return ended;
   }
 
-  private void changed(List<StoreClient.Row> changes) {
-    Term t = term;
-    for (StoreClient.Row row : changes) {
-      if (row.key().equals(Records.LEADER)) {
+  private void changed(List<StoreClient.Entry> changes) {
+    LeaderTerm t = term;
+    for (StoreClient.Entry row : changes) {
+      if (row.key().equals(RecordCodec.LEADER)) {
         leadership.look();
-      } else if (row.key().equals(Records.TYPES) && row.data() != null && t == null) {
+      } else if (row.key().equals(RecordCodec.TYPES) && row.data() != null && t == null) {
         machines.typesNoted(row.data());
-      } else if (row.key().startsWith(Records.JOB) && row.data() != null) {
+      } else if (row.key().startsWith(RecordCodec.JOB) && row.data() != null) {
         learnt(row);
       }
     }
   }
 
   /** A live job was read from the state service. */
-  void learnt(StoreClient.Row row) {
-    Term t = term;
-    if (t != null && ended.get(row.key().substring(Records.JOB.length())) == null) {
+  void learnt(StoreClient.Entry row) {
+    LeaderTerm t = term;
+    if (t != null && ended.get(row.key().substring(RecordCodec.JOB.length())) == null) {
       t.add(row);
       stir();
     }
   }
 
   /** A job was accepted here, and recorded at this revision. */
-  void accepted(Records.JobRecord record, long revision) {
-    Term t = term;
+  void accepted(RecordCodec.JobRecord record, long revision) {
+    LeaderTerm t = term;
     if (t != null && ended.get(record.spec().id()) == null) {
       t.add(record, revision);
       stir();
@@ -173,14 +173,14 @@
       }
       store.leading(true);
     }
-    Notes notes =
-        new Notes(
+    LeaderRecords notes =
+        new LeaderRecords(
             token,
             store,
             settings.storeLimits(),
             (kind, key, value) -> durable(token, kind, key, value));
-    Term t =
-        new Term(
+    LeaderTerm t =
+        new LeaderTerm(
             token,
             new Scheduler(settings.facts(), policy, token),
             notes,
@@ -197,7 +197,7 @@
       term = t;
     }
     // What came between the loading and here was told to no term yet.
-    for (StoreClient.Row row : mirror.below(Records.JOB)) {
+    for (StoreClient.Entry row : mirror.below(RecordCodec.JOB)) {
       t.add(row);
     }
     machines.takeOver(t);
@@ -212,7 +212,7 @@
 
   @Override
   public void end(long token, String why) {
-    Term t;
+    LeaderTerm t;
     synchronized (offices) {
       t = term;
       if (t != null && t.token != token) {
@@ -235,7 +235,7 @@
     }
   }
 
-  private void passLoop(Term t) throws InterruptedException {
+  private void passLoop(LeaderTerm t) throws InterruptedException {
     long told = 0;
     long dueMs = Long.MAX_VALUE;
     long passesMs = 0;
@@ -248,7 +248,7 @@
         stirred = false;
       }
       long began = System.nanoTime();
-      long stoodStillMs = Term.nowMs() - dueMs;
+      long stoodStillMs = LeaderTerm.nowMs() - dueMs;
       boolean starting = false;
       try {
         List<Decision> decisions;
@@ -257,7 +257,7 @@
         String cancellations = null;
         boolean usedUp;
         synchronized (t) {
-          long now = Term.nowMs();
+          long now = LeaderTerm.nowMs();
           if (stoodStillMs > Constants.STOOD_STILL_MS) {
             LOG.info("{} stood still for {} ms", settings.node(), stoodStillMs);
             t.scheduler.resumed(now);
@@ -302,41 +302,45 @@
       longestMs = Math.max(longestMs, tookMs);
       long restMs = Math.max(Constants.PASS_GAP_MS, tookMs * Constants.PASS_REST);
       restMs = starting ? Math.min(Constants.PASS_REST_MOST_MS, restMs) : restMs;
-      dueMs = Term.nowMs() + restMs + Constants.PASS_MS;
+      dueMs = LeaderTerm.nowMs() + restMs + Constants.PASS_MS;
       Thread.sleep(restMs);
     }
   }
 
-  private void carryOut(Term t, Decision d) {
-    if (d instanceof Decision.Direct o) {
+  private void carryOut(LeaderTerm t, Decision d) {
+    if (d instanceof Decision.SendCommands o) {
       // Silent machines hold a thread until the deadline: the others' orders must not wait behind.
       (o.orders().isEmpty() ? questionPool : orderPool).execute("order", () -> direct(t, o));
     } else if (d instanceof Decision.OpenJob o) {
-      t.notes.put(Notes.Kind.OPENED, o.job(), Records.opened(o.where()), 0);
-    } else if (d instanceof Decision.Remember r) {
+      t.notes.put(LeaderRecords.RecordKind.OPENED, o.job(), RecordCodec.opened(o.where()), 0);
+    } else if (d instanceof Decision.PersistPlacement r) {
       if (t.keeps(r.job())) {
         t.notes.replace(
-            Notes.Kind.OPENED, r.job(), Records.opened(r.where()), Constants.REMEMBER_MS);
+            LeaderRecords.RecordKind.OPENED,
+            r.job(),
+            RecordCodec.opened(r.where()),
+            Constants.REMEMBER_MS);
       }
     } else if (d instanceof Decision.FinishJob f) {
       t.ends.add(f.job());
-    } else if (d instanceof Decision.Enrol e) {
-      t.notes.put(Notes.Kind.MACHINE, e.machine(), Records.machine(e), 0);
-    } else if (d instanceof Decision.Strike s) {
+    } else if (d instanceof Decision.RegisterMachine e) {
+      t.notes.put(LeaderRecords.RecordKind.MACHINE, e.machine(), RecordCodec.machine(e), 0);
+    } else if (d instanceof Decision.DeregisterMachine s) {
       if (s.addr() != null) {
         sender.forget(s.addr());
       }
-      t.notes.remove(Notes.Kind.MACHINE, s.machine(), Constants.STRIKE_MS);
-    } else if (d instanceof Decision.Rent r) {
+      t.notes.remove(LeaderRecords.RecordKind.MACHINE, s.machine(), Constants.STRIKE_MS);
+    } else if (d instanceof Decision.ProvisionMachines r) {
       machines.rent(t, r);
-    } else if (d instanceof Decision.Return r) {
+    } else if (d instanceof Decision.ReleaseMachines r) {
       machines.giveBack(t, r);
-    } else if (d instanceof Decision.Witness w) {
+    } else if (d instanceof Decision.ProbeThroughPeers w) {
       sampling.haveAsked(w, told -> witnessed(t, w, told));
     }
   }
 
-  private void witnessed(Term t, Decision.Witness w, List<Decision.Testimony> told) {
+  private void witnessed(
+      LeaderTerm t, Decision.ProbeThroughPeers w, List<Decision.PeerProbeResult> told) {
     synchronized (t) {
       t.scheduler.witnessed(w, told);
     }
@@ -344,8 +348,8 @@
   }
 
   /** A note is on record: what waited for it may happen now. */
-  private void durable(long token, Notes.Kind kind, String key, Object value) {
-    Term t = term;
+  private void durable(long token, LeaderRecords.RecordKind kind, String key, Object value) {
+    LeaderTerm t = term;
     if (t == null || t.token != token || value == null) {
       return;
     }
@@ -358,7 +362,7 @@
           stir();
         }
         case MACHINE -> {
-          if (!Records.machine(key, value).fresh()) {
+          if (!RecordCodec.machine(key, value).fresh()) {
             synchronized (t) {
               t.scheduler.enrolled(key);
             }
@@ -368,13 +372,13 @@
         case RENTAL -> machines.noted(t, key, value);
         case PROGRESS -> {
           BitSet done = new BitSet();
-          String job = Records.merge(done, key, value);
+          String job = RecordCodec.merge(done, key, value);
           synchronized (t) {
             t.scheduler.saved(job, done);
           }
         }
       }
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       throw new IllegalStateException("a note of ours cannot be read: " + key, e);
     }
   }
@@ -382,12 +386,12 @@
   // ---- workers ----
 
   /** Commands for the answer to a report; null if this node is not entitled to answer. */
-  public List<Order> report(Report r, long token) {
-    Term t = term;
+  public List<Command> report(Heartbeat r, long token) {
+    LeaderTerm t = term;
     if (t == null || t.token != token) {
       return null;
     }
-    List<Order> orders;
+    List<Command> orders;
     boolean deposed;
     boolean restless;
     synchronized (t) {
@@ -395,7 +399,7 @@
         return null;
       }
       t.scheduler.certainUntil(leadership.soleUntilMs());
-      orders = t.scheduler.report(r, Term.nowMs());
+      orders = t.scheduler.report(r, LeaderTerm.nowMs());
       deposed = t.scheduler.deposed();
       restless = t.scheduler.restless();
     }
@@ -411,21 +415,21 @@
 
   /** Token for the answer to a report. */
   public long token() {
-    Term t = term;
+    LeaderTerm t = term;
     return t == null ? 0 : t.token;
   }
 
   /** Its turn has come. */
-  void direct(Term t, Decision.Direct d) {
+  void direct(LeaderTerm t, Decision.SendCommands d) {
     if (t.over()) {
       return;
     }
     synchronized (t) {
-      if (!t.scheduler.stillDue(d, Term.nowMs())) {
+      if (!t.scheduler.stillDue(d, LeaderTerm.nowMs())) {
         return;
       }
     }
-    OrderSender.Result result = new OrderSender.Result(true, null);
+    CommandSender.Result result = new CommandSender.Result(true, null);
     boolean deposed;
     boolean restless;
     try {
@@ -435,7 +439,8 @@
       // job's cancellation.
       synchronized (t) {
         t.scheduler.certainUntil(leadership.soleUntilMs());
-        t.scheduler.directResult(d.machine(), result.unknown(), result.report(), Term.nowMs());
+        t.scheduler.directResult(
+            d.machine(), result.unknown(), result.report(), LeaderTerm.nowMs());
         deposed = t.scheduler.deposed();
         restless = t.scheduler.restless();
       }
@@ -452,7 +457,7 @@
    * one is looked at only here: a start decided before goes to nobody who may listen to the next
    * leader, however long the connection took or this process stood still.
    */
-  private List<Order> stillWanted(Term t, Decision.Direct d) {
+  private List<Command> stillWanted(LeaderTerm t, Decision.SendCommands d) {
     synchronized (t) {
       return t.scheduler.stillWanted(d, valid(t));
     }
@@ -461,17 +466,17 @@
   // ---- records ----
 
   /** The end of a job was read. */
-  void overOnRecord(String id, Records.Ended end) {
+  void overOnRecord(String id, RecordCodec.Ended end) {
     jobEnds.overOnRecord(term, id, end);
   }
 
   /** Makes the job's end durable, before anyone is told; null if that is not certain yet. */
-  Records.Ended finish(Term t, String id, boolean cancelled, long patienceMs)
+  RecordCodec.Ended finish(LeaderTerm t, String id, boolean cancelled, long patienceMs)
       throws InterruptedException {
     return jobEnds.finish(t, id, cancelled, patienceMs);
   }
 
-  private static void saveLoop(Term t) throws InterruptedException {
+  private static void saveLoop(LeaderTerm t) throws InterruptedException {
     while (!t.over()) {
       Thread.sleep(Constants.SAVE_MS);
       try {
@@ -486,11 +491,11 @@
     }
   }
 
-  private static void save(Term t, String job, BitSet done) {
-    for (int i = 0; i < Records.segments(done.length()); i++) {
-      String key = Records.progress(job, i);
+  private static void save(LeaderTerm t, String job, BitSet done) {
+    for (int i = 0; i < RecordCodec.segments(done.length()); i++) {
+      String key = RecordCodec.progress(job, i);
       if (t.keeps(job)) { // not after its end: its progress would stay for ever
-        t.notes.put(Notes.Kind.PROGRESS, key, Records.segment(done, i), 0);
+        t.notes.put(LeaderRecords.RecordKind.PROGRESS, key, RecordCodec.segment(done, i), 0);
       }
     }
   }
--- a/src/main/java/org/astershift/leader/EndedJobs.java
+++ b/src/main/java/org/astershift/controller/EndedJobCache.java
@@ -1,27 +1,27 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.astershift.config.Constants;
-import org.astershift.store.Records;
+import org.astershift.store.RecordCodec;
 
 /** The ends of jobs seen lately, so that most late polls need no read. */
-final class EndedJobs {
-  private final Map<String, Records.Ended> ends =
+final class EndedJobCache {
+  private final Map<String, RecordCodec.Ended> ends =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Records.Ended> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, RecordCodec.Ended> eldest) {
           return size() > Constants.ENDED_KEPT;
         }
       };
 
-  synchronized void put(String job, Records.Ended end) {
+  synchronized void put(String job, RecordCodec.Ended end) {
     ends.put(job, end);
   }
 
-  synchronized Records.Ended get(String job) {
+  synchronized RecordCodec.Ended get(String job) {
     return ends.get(job);
   }
 }
--- a/src/main/java/org/astershift/leader/UserDesk.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -1,16 +1,16 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.io.IOException;
 import java.util.Map;
 import org.astershift.config.Constants;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Scheduler;
+import org.astershift.coordination.Cancellation;
+import org.astershift.coordination.JobQuery;
 import org.astershift.http.Json;
-import org.astershift.office.Cancellation;
-import org.astershift.office.JobQuery;
 import org.astershift.peer.JobAnswer;
-import org.astershift.store.RateBudget;
-import org.astershift.store.Records;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.store.RateLimiter;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.astershift.store.StoreClient.Outcome;
 import org.slf4j.Logger;
@@ -20,22 +20,23 @@
  * Accepts, answers for and cancels jobs, on whatever node. A node that does not lead knows only
  * what the store and the leader say.
  */
-public final class UserDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(UserDesk.class);
-  private final Director director;
+public final class JobService {
+  private static final Logger LOG = LoggerFactory.getLogger(JobService.class);
+  private final ControllerRuntime director;
   private final StoreClient store;
-  private final EndedJobs ended;
-  private final Map<String, Asker> askers;
-  private final Shared<JobAnswer> elsewhere = new Shared<>(this::fromLeader);
-  private final Shared<JobAnswer> read = new Shared<>(this::fromStore);
+  private final EndedJobCache ended;
+  private final Map<String, PeerChannel> askers;
+  private final RequestCoalescer<JobAnswer> elsewhere = new RequestCoalescer<>(this::fromLeader);
+  private final RequestCoalescer<JobAnswer> read = new RequestCoalescer<>(this::fromStore);
 
   /** A way to another node. */
-  public interface Asker {
+  public interface PeerChannel {
     JobAnswer ask(String op, String job, int timeoutMs) throws IOException;
   }
 
   /** {@code askers}: the other controllers, by name. */
-  public UserDesk(Director director, StoreClient store, Map<String, Asker> askers) {
+  public JobService(
+      ControllerRuntime director, StoreClient store, Map<String, PeerChannel> askers) {
     this.director = director;
     this.store = store;
     this.ended = director.ended();
@@ -43,49 +44,52 @@
   }
 
   /** What became of a submission. */
-  public record Submitted(int status, JobAnswer known) {}
+  public record SubmissionResult(int status, JobAnswer known) {}
 
   /** Accepts a job durably, on whatever node. */
-  public Submitted submit(JobSpec spec) throws InterruptedException {
-    Records.Ended end = ended.get(spec.id());
+  public SubmissionResult submit(JobSpec spec) throws InterruptedException {
+    RecordCodec.Ended end = ended.get(spec.id());
     if (end != null) {
-      return new Submitted(200, answer(end));
+      return new SubmissionResult(200, answer(end));
     }
     if (store.lost()) {
-      return new Submitted(503, null);
+      return new SubmissionResult(503, null);
     }
-    String key = Records.JOB + spec.id();
-    Records.JobRecord record = new Records.JobRecord(spec, System.currentTimeMillis());
-    StoreClient.Txn txn =
-        new StoreClient.Txn()
+    String key = RecordCodec.JOB + spec.id();
+    RecordCodec.JobRecord record = new RecordCodec.JobRecord(spec, System.currentTimeMillis());
+    StoreClient.Transaction txn =
+        new StoreClient.Transaction()
             .when(key, 0)
-            .when(Records.ENDED + spec.id(), 0)
-            .put(key, Records.job(record));
-    Outcome o = store.commit(txn, RateBudget.Use.URGENT, Constants.ACCEPT_PATIENCE_MS);
-    if (o instanceof Outcome.Applied a) {
+            .when(RecordCodec.ENDED + spec.id(), 0)
+            .put(key, RecordCodec.job(record));
+    Outcome o = store.commit(txn, RateLimiter.Urgency.URGENT, Constants.ACCEPT_PATIENCE_MS);
+    if (o instanceof Outcome.Committed a) {
       director.accepted(record, a.revision());
       end = ended.get(spec.id());
       if (end != null) {
-        return new Submitted(200, answer(end)); // the answer was slow, and its user was quicker
+        return new SubmissionResult(
+            200, answer(end)); // the answer was slow, and its user was quicker
       }
-      return new Submitted(201, new JobAnswer(200, "queued", 0, 0));
+      return new SubmissionResult(201, new JobAnswer(200, "queued", 0, 0));
     }
-    if (o instanceof Outcome.Refused) {
-      return new Submitted(503, null);
+    if (o instanceof Outcome.Rejected) {
+      return new SubmissionResult(503, null);
     }
     JobAnswer known = poll(spec.id(), true);
-    return known.status() == 200 ? new Submitted(200, known) : new Submitted(503, null);
+    return known.status() == 200
+        ? new SubmissionResult(200, known)
+        : new SubmissionResult(503, null);
   }
 
-  private static JobAnswer answer(Records.Ended end) {
+  private static JobAnswer answer(RecordCodec.Ended end) {
     return new JobAnswer(200, end.cancelled() ? "withdrawn" : "done", end.done(), 0);
   }
 
   /** The state of a job, from where {@link JobQuery} lets it come. */
   public JobAnswer poll(String id, boolean forward) throws InterruptedException {
-    Records.Ended end = ended.get(id);
-    Term t = end == null ? director.term() : null;
-    Scheduler.JobView live = t == null ? null : t.told(id);
+    RecordCodec.Ended end = ended.get(id);
+    LeaderTerm t = end == null ? director.term() : null;
+    Scheduler.JobProgress live = t == null ? null : t.told(id);
     boolean sole = live != null && director.valid(t); // by now, so it was when that was looked at
     JobQuery.View view = new JobQuery.View(end != null, t != null, live != null, sole, forward);
     JobAnswer a =
@@ -116,19 +120,19 @@
       return JobAnswer.UNDECIDED; // at once: nobody waits for the deadline of a read
     }
     try {
-      StoreClient.Row live = store.get(Records.JOB + id);
+      StoreClient.Entry live = store.get(RecordCodec.JOB + id);
       if (live.data() != null) {
         director.learnt(live);
         return new JobAnswer(200, "queued", 0, 0);
       }
-      StoreClient.Row row = store.get(Records.ENDED + id);
+      StoreClient.Entry row = store.get(RecordCodec.ENDED + id);
       if (row.data() == null) {
         return JobAnswer.UNKNOWN;
       }
-      Records.Ended end = Records.ended(row.data());
+      RecordCodec.Ended end = RecordCodec.ended(row.data());
       director.overOnRecord(id, end);
       return answer(end);
-    } catch (IOException | Json.Bad e) {
+    } catch (IOException | Json.JsonFormatException e) {
       LOG.debug("reading {}: {}", id, e.toString());
       return JobAnswer.UNDECIDED;
     }
@@ -136,20 +140,20 @@
 
   /** Cancels; answered only when it is durable and can be kept. */
   public JobAnswer cancel(String id, boolean forward) throws InterruptedException {
-    Term t = director.term();
-    long arrivedMs = Term.nowMs();
+    LeaderTerm t = director.term();
+    long arrivedMs = LeaderTerm.nowMs();
     long deadline = arrivedMs + Constants.CANCEL_PATIENCE_MS;
     boolean wanted = false;
     JobAnswer read = null;
     while (true) {
-      Cancellation.Act act =
-          Cancellation.next(view(id, t, forward, read != null, Term.nowMs() >= deadline));
+      Cancellation.Action act =
+          Cancellation.next(view(id, t, forward, read != null, LeaderTerm.nowMs() >= deadline));
       if (act.ofKept() && !wanted) {
         wanted = true; // nothing of it starts from here on, however long the write takes
         t.cancelWanted(id, arrivedMs);
         director.stir();
       }
-      Records.Ended end = null;
+      RecordCodec.Ended end = null;
       switch (act) {
         case TELL -> end = ended.get(id);
         case FORWARD -> {
@@ -180,10 +184,11 @@
   }
 
   private static long leftMs(long deadline) {
-    return Math.max(1, deadline - Term.nowMs());
+    return Math.max(1, deadline - LeaderTerm.nowMs());
   }
 
-  private Cancellation.View view(String id, Term t, boolean forward, boolean read, boolean late) {
+  private Cancellation.View view(
+      String id, LeaderTerm t, boolean forward, boolean read, boolean late) {
     boolean over = ended.get(id) != null;
     boolean kept = t != null && t.keeps(id);
     boolean keepable = false;
@@ -191,7 +196,7 @@
     boolean complete = false;
     if (!over && kept) {
       synchronized (t) {
-        Scheduler.JobView view = t.scheduler.view(id);
+        Scheduler.JobProgress view = t.scheduler.view(id);
         keepable = t.scheduler.cancelKeepable(id);
         starting = t.scheduler.mayStart(id);
         complete = view != null && view.complete();
@@ -225,14 +230,14 @@
 
   private void remember(String id, JobAnswer a) {
     if ("done".equals(a.phase()) || "withdrawn".equals(a.phase())) {
-      ended.put(id, new Records.Ended(a.phase().equals("withdrawn"), a.done()));
+      ended.put(id, new RecordCodec.Ended(a.phase().equals("withdrawn"), a.done()));
     }
   }
 
   /** Asks the leading node. */
   private JobAnswer askLeader(String op, String id) {
     String leader = director.otherLeader();
-    Asker asker = leader == null ? null : askers.get(leader);
+    PeerChannel asker = leader == null ? null : askers.get(leader);
     if (asker == null) {
       return JobAnswer.UNDECIDED;
     }
--- a/src/main/java/org/astershift/leader/Leadership.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -1,35 +1,35 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.function.Supplier;
 import org.astershift.config.Constants;
+import org.astershift.coordination.Candidacy;
+import org.astershift.coordination.Election;
+import org.astershift.coordination.Election.Action;
+import org.astershift.coordination.WorkerReachability;
 import org.astershift.http.Threads;
-import org.astershift.office.Candidacy;
-import org.astershift.office.Election;
-import org.astershift.office.Election.Act;
-import org.astershift.office.WorkerReach;
-import org.astershift.store.Mirror;
-import org.astershift.store.RateBudget;
-import org.astershift.store.Records;
+import org.astershift.store.RateLimiter;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
+import org.astershift.store.WatchCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Carries out what {@link Election} decides: the requests to the state service, the waits. */
-public final class Leadership {
-  private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
+public final class LeaderElector {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderElector.class);
 
   private final String node;
   private final StoreClient store;
-  private final Mirror mirror;
-  private final Office office;
-  private final Supplier<WorkerReach.Seen> workers;
+  private final WatchCache mirror;
+  private final TermListener office;
+  private final Supplier<WorkerReachability.Measurement> workers;
   private final Election election;
   private final Object wake = new Object();
 
   /** Takes up and lays down the leader's work. */
-  public interface Office {
+  public interface TermListener {
     void begin(long token);
 
     /** Ends the term of this token, if it has begun. */
@@ -37,13 +37,13 @@
   }
 
   /** {@code workers}: what this node reaches of the fleet. */
-  public Leadership(
+  public LeaderElector(
       String node,
       StoreClient store,
-      Mirror mirror,
-      Office office,
+      WatchCache mirror,
+      TermListener office,
       Candidacy candidacy,
-      Supplier<WorkerReach.Seen> workers) {
+      Supplier<WorkerReachability.Measurement> workers) {
     this.node = node;
     this.store = store;
     this.mirror = mirror;
@@ -63,7 +63,7 @@
 
   /** Whether no other node can have become leader yet. */
   public boolean valid(long ofToken) {
-    return election.valid(ofToken, Term.nowMs());
+    return election.valid(ofToken, LeaderTerm.nowMs());
   }
 
   /** Until when, on the steady clock, no other node can have become leader. */
@@ -72,13 +72,13 @@
   }
 
   /** The leader's key as far as known here, or null. */
-  StoreClient.Row row() {
-    return mirror.row(Records.LEADER);
+  StoreClient.Entry row() {
+    return mirror.row(RecordCodec.LEADER);
   }
 
   /** The node that leads as far as known here, or null. */
   public String leader() {
-    StoreClient.Row row = row();
+    StoreClient.Entry row = row();
     return row == null ? null : String.valueOf(row.data().get("node"));
   }
 
@@ -101,15 +101,15 @@
 
   /** Lets another node lead, because this one reaches too few workers. */
   public void resign(long ofToken, String why) {
-    ended(election.resign(ofToken, why, Term.nowMs()));
+    ended(election.resign(ofToken, why, LeaderTerm.nowMs()));
   }
 
-  private void ended(List<Act> acts) {
-    for (Act act : acts) {
-      if (act instanceof Act.End e) {
+  private void ended(List<Action> acts) {
+    for (Action act : acts) {
+      if (act instanceof Action.EndTerm e) {
         office.end(e.token(), e.why());
         look();
-      } else if (act instanceof Act.Revoke r) {
+      } else if (act instanceof Action.RevokeLease r) {
         revoke(r.lease());
       }
     }
@@ -140,50 +140,52 @@
   }
 
   private Election.View view() {
-    StoreClient.Row row = row();
+    StoreClient.Entry row = row();
     Election.Holder holder =
         row == null
             ? null
             : new Election.Holder(String.valueOf(row.data().get("node")), row.revision());
     return new Election.View(
-        Term.nowMs(), mirror.loaded(), holder, workers.get(), store.silenceMs());
+        LeaderTerm.nowMs(), mirror.loaded(), holder, workers.get(), store.silenceMs());
   }
 
   /** Does what was decided and tells what came of it; true if a rest follows. */
-  private boolean carryOut(Act act) throws IOException, InterruptedException {
-    if (act instanceof Act.Look) {
-      store.get(Records.LEADER); // so that this node notices if it is cut off
+  private boolean carryOut(Action act) throws IOException, InterruptedException {
+    if (act instanceof Action.ReadKey) {
+      store.get(RecordCodec.LEADER); // so that this node notices if it is cut off
       return false;
-    } else if (act instanceof Act.Yield y) {
+    } else if (act instanceof Action.Defer y) {
       LOG.info(
           "{} reaches {} of {} workers asked: the others may stand first",
           node,
           y.workers().answered(),
           y.workers().asked());
-    } else if (act instanceof Act.Remove r) {
+    } else if (act instanceof Action.RemoveStaleKey r) {
       store.commit(
-          new StoreClient.Txn().when(Records.LEADER, r.revision()).delete(Records.LEADER),
-          RateBudget.Use.VITAL,
+          new StoreClient.Transaction()
+              .when(RecordCodec.LEADER, r.revision())
+              .delete(RecordCodec.LEADER),
+          RateLimiter.Urgency.VITAL,
           Constants.LEADER_CHANGE_MS);
-    } else if (act instanceof Act.Grant g) {
+    } else if (act instanceof Action.GrantLease g) {
       election.granted(store.grant(g.lifeMs()));
       return false;
-    } else if (act instanceof Act.Claim c) {
+    } else if (act instanceof Action.CreateKey c) {
       claim(c.lease());
       return false;
-    } else if (act instanceof Act.Verify v) {
+    } else if (act instanceof Action.VerifyKey v) {
       election.verified(standing(v.lease()));
       return false;
-    } else if (act instanceof Act.CatchUp c) {
+    } else if (act instanceof Action.CatchUp c) {
       boolean done = mirror.reach(c.revision(), Constants.LEADER_LEASE_MS);
       if (!done) {
         LOG.info("won token {} but could not read up to it: given up", c.revision());
       }
       election.caughtUp(c.revision(), done);
       return false;
-    } else if (act instanceof Act.Begin b) {
+    } else if (act instanceof Action.BeginTerm b) {
       begin(b.token());
-    } else if (act instanceof Act.Renew r) {
+    } else if (act instanceof Action.RenewLease r) {
       return renew(r.lease());
     } else {
       ended(List.of(act));
@@ -193,13 +195,13 @@
 
   /** True if a rest follows: not after what ends a term, nor after a try that got no answer. */
   private boolean renew(long lease) throws IOException {
-    long sentMs = Term.nowMs();
+    long sentMs = LeaderTerm.nowMs();
     try {
       election.renewed(store.renew(lease));
       return token() != 0;
     } catch (IOException e) {
       election.renewed(null);
-      if (Term.nowMs() - sentMs < Constants.LEASE_TIMEOUT_MS) {
+      if (LeaderTerm.nowMs() - sentMs < Constants.LEASE_TIMEOUT_MS) {
         throw e;
       }
       LOG.debug("renewal of the lease: {}", e.toString());
@@ -208,25 +210,25 @@
   }
 
   private void claim(long lease) throws InterruptedException {
-    StoreClient.Txn txn =
-        new StoreClient.Txn()
-            .when(Records.LEADER, 0)
-            .put(Records.LEADER, Records.leader(node), lease);
+    StoreClient.Transaction txn =
+        new StoreClient.Transaction()
+            .when(RecordCodec.LEADER, 0)
+            .put(RecordCodec.LEADER, RecordCodec.leader(node), lease);
     StoreClient.Outcome outcome =
-        store.commit(txn, RateBudget.Use.VITAL, Constants.LEADER_CHANGE_MS);
-    if (outcome instanceof StoreClient.Outcome.Applied a) {
-      election.claimed(Election.Claimed.APPLIED, a.revision());
+        store.commit(txn, RateLimiter.Urgency.VITAL, Constants.LEADER_CHANGE_MS);
+    if (outcome instanceof StoreClient.Outcome.Committed a) {
+      election.claimed(Election.KeyCreation.APPLIED, a.revision());
     } else if (outcome instanceof StoreClient.Outcome.Unknown) {
-      election.claimed(Election.Claimed.UNKNOWN, 0);
+      election.claimed(Election.KeyCreation.UNKNOWN, 0);
     } else {
-      election.claimed(Election.Claimed.REFUSED, 0);
+      election.claimed(Election.KeyCreation.REFUSED, 0);
     }
   }
 
   /** The revision of the key, if it stands on this lease and that could be prolonged; else 0. */
   private long standing(long lease) {
     try {
-      return store.renew(lease) ? store.revisionOn(lease, Records.LEADER) : 0;
+      return store.renew(lease) ? store.revisionOn(lease, RecordCodec.LEADER) : 0;
     } catch (IOException e) {
       LOG.debug("whether a claim was carried out is not known: {}", e.toString());
       return 0;
@@ -239,7 +241,7 @@
       // Taking over a large fleet takes longer than the lease lives on a small share of a
       // processor: this loop renews meanwhile.
       Threads.start("begin", () -> beginTerm(ofToken));
-    } catch (Threads.NoThread e) {
+    } catch (Threads.ThreadUnavailableException e) {
       giveUp(ofToken, e);
     }
   }
@@ -254,6 +256,6 @@
 
   private void giveUp(long ofToken, Throwable why) {
     LOG.error("a term could not begin", why);
-    ended(election.beginFailed(ofToken, Term.nowMs()));
+    ended(election.beginFailed(ofToken, LeaderTerm.nowMs()));
   }
 }
--- a/src/main/java/org/astershift/leader/Notes.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -13,8 +13,8 @@
 import org.astershift.config.Constants;
 import org.astershift.config.Settings;
 import org.astershift.http.Json;
-import org.astershift.store.RateBudget;
-import org.astershift.store.Records;
+import org.astershift.store.RateLimiter;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.astershift.store.StoreClient.Outcome;
 import org.slf4j.Logger;
@@ -26,12 +26,12 @@
  * dear, and each key counts as one; so many entries share a page, and one write carries all that
  * changed on it meanwhile. One thread brings the pages there to what they should be.
  */
-final class Notes {
-  private static final Logger LOG = LoggerFactory.getLogger(Notes.class);
+final class LeaderRecords {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderRecords.class);
   private static final long CLEAN = Long.MAX_VALUE;
 
   /** What an entry is about. Pages hold one kind, so that what changes often is written alone. */
-  enum Kind {
+  enum RecordKind {
     OPENED('o'),
     RENTAL('i'),
     MACHINE('m'),
@@ -39,18 +39,18 @@
 
     final char letter;
 
-    Kind(char letter) {
+    RecordKind(char letter) {
       this.letter = letter;
     }
   }
 
   /** Told when an entry is durable as it was then; {@code value} null: removed. */
   interface Listener {
-    void durable(Kind kind, String key, Object value);
+    void durable(RecordKind kind, String key, Object value);
   }
 
   private static final class Page {
-    final Kind kind;
+    final RecordKind kind;
     final String key;
     final Map<String, Object> entries = new LinkedHashMap<>();
     final Set<String> changed = new LinkedHashSet<>();
@@ -61,14 +61,14 @@
     /** Since when it holds changes that are not on record. */
     long changedMs = CLEAN;
 
-    Page(Kind kind, int number) {
+    Page(RecordKind kind, int number) {
       this.kind = kind;
-      this.key = Records.NOTES + kind.letter + number;
+      this.key = RecordCodec.NOTES + kind.letter + number;
     }
   }
 
   /** A page as it goes out: later changes do not touch it. */
-  private record Draft(Page page, Map<String, Object> entries, Set<String> changed) {}
+  private record PageWrite(Page page, Map<String, Object> entries, Set<String> changed) {}
 
   private final long token;
   private final StoreClient store;
@@ -79,11 +79,11 @@
   private int pagesAtOnce;
 
   private final int pageBytes;
-  private final Map<Kind, List<Page>> pages = new EnumMap<>(Kind.class);
-  private final Map<Kind, Map<String, Page>> where = new EnumMap<>(Kind.class);
+  private final Map<RecordKind, List<Page>> pages = new EnumMap<>(RecordKind.class);
+  private final Map<RecordKind, Map<String, Page>> where = new EnumMap<>(RecordKind.class);
   private boolean over;
 
-  Notes(long token, StoreClient store, Settings.StoreLimits limits, Listener listener) {
+  LeaderRecords(long token, StoreClient store, Settings.StoreLimits limits, Listener listener) {
     this.token = token;
     this.store = store;
     this.listener = listener;
@@ -91,17 +91,17 @@
     this.pagesAtOnce = mostPages;
     this.pageBytes =
         (int) Math.min(Constants.PAGE_BYTES, limits.valueKb() * 1024 * Constants.PAGE_SHARE);
-    for (Kind k : Kind.values()) {
+    for (RecordKind k : RecordKind.values()) {
       pages.put(k, new ArrayList<>());
       where.put(k, new HashMap<>());
     }
   }
 
   /** Takes in what an earlier leader noted. */
-  synchronized void load(List<StoreClient.Row> rows) {
-    for (StoreClient.Row row : rows) {
-      String rest = row.key().substring(Records.NOTES.length());
-      for (Kind kind : Kind.values()) {
+  synchronized void load(List<StoreClient.Entry> rows) {
+    for (StoreClient.Entry row : rows) {
+      String rest = row.key().substring(RecordCodec.NOTES.length());
+      for (RecordKind kind : RecordKind.values()) {
         if (rest.charAt(0) == kind.letter && rest.substring(1).matches("[0-9]{1,6}")) {
           Page page = page(kind, Integer.parseInt(rest.substring(1)));
           page.revision = row.revision();
@@ -111,7 +111,7 @@
     }
   }
 
-  private Page page(Kind kind, int number) {
+  private Page page(RecordKind kind, int number) {
     List<Page> all = pages.get(kind);
     while (all.size() <= number) {
       all.add(new Page(kind, all.size()));
@@ -129,7 +129,7 @@
     return key.length() + 4 + Json.bytes(value).length;
   }
 
-  synchronized Map<String, Object> entries(Kind kind) {
+  synchronized Map<String, Object> entries(RecordKind kind) {
     Map<String, Object> out = new LinkedHashMap<>();
     for (Page page : pages.get(kind)) {
       out.putAll(page.entries);
@@ -141,7 +141,7 @@
    * The same for an entry that is there, if its page has room for the new value: one that is not
    * needed must not grow a page beyond what the state service takes.
    */
-  synchronized void replace(Kind kind, String key, Object value, long delayMs) {
+  synchronized void replace(RecordKind kind, String key, Object value, long delayMs) {
     Page page = where.get(kind).get(key);
     int grown = page == null ? 0 : size(key, value) - size(key, page.entries.get(key));
     if (page != null && page.bytes + grown <= pageBytes) {
@@ -150,7 +150,7 @@
   }
 
   /** The entry should have this value, written after {@code delayMs} at the latest. */
-  synchronized void put(Kind kind, String key, Object value, long delayMs) {
+  synchronized void put(RecordKind kind, String key, Object value, long delayMs) {
     Page page = where.get(kind).get(key);
     if (page == null) {
       page = roomy(kind, size(key, value));
@@ -163,13 +163,13 @@
    * The same where there is no such entry yet. A machine that reported before its rental was
    * answered may have tasks by then: noted as fresh once more, a successor took it to hold nothing.
    */
-  synchronized void putNew(Kind kind, String key, Object value) {
+  synchronized void putNew(RecordKind kind, String key, Object value) {
     if (!where.get(kind).containsKey(key)) {
       put(kind, key, value, 0);
     }
   }
 
-  private Page roomy(Kind kind, int size) {
+  private Page roomy(RecordKind kind, int size) {
     for (Page page : pages.get(kind)) {
       if (page.bytes + size <= pageBytes) {
         return page;
@@ -178,7 +178,7 @@
     return page(kind, pages.get(kind).size());
   }
 
-  synchronized void remove(Kind kind, String key, long delayMs) {
+  synchronized void remove(RecordKind kind, String key, long delayMs) {
     Page page = where.get(kind).remove(key);
     if (page != null) {
       page.bytes -= size(key, page.entries.remove(key));
@@ -187,7 +187,7 @@
   }
 
   /** Keys of this kind that start so. */
-  synchronized List<String> keys(Kind kind, String prefix) {
+  synchronized List<String> keys(RecordKind kind, String prefix) {
     List<String> out = new ArrayList<>();
     for (String key : where.get(kind).keySet()) {
       if (key.startsWith(prefix)) {
@@ -199,8 +199,8 @@
 
   private void touch(Page page, String key, long delayMs) {
     page.changed.add(key);
-    page.dueMs = Math.min(page.dueMs, Term.nowMs() + delayMs);
-    page.changedMs = Math.min(page.changedMs, Term.nowMs());
+    page.dueMs = Math.min(page.dueMs, LeaderTerm.nowMs() + delayMs);
+    page.changedMs = Math.min(page.changedMs, LeaderTerm.nowMs());
     notifyAll();
   }
 
@@ -210,9 +210,9 @@
   }
 
   /** Writes what is due until the term is over. */
-  void loop(Term term) throws InterruptedException {
+  void loop(LeaderTerm term) throws InterruptedException {
     while (true) {
-      List<Draft> drafts = next();
+      List<PageWrite> drafts = next();
       if (drafts.isEmpty()) {
         return;
       }
@@ -223,19 +223,19 @@
         LOG.error("notes could not be written", e); // and are not lost: they go out again
         o = new Outcome.Unknown(e.toString());
       }
-      if (o instanceof Outcome.Applied a) {
+      if (o instanceof Outcome.Committed a) {
         written(drafts, a.revision());
       } else {
         again(drafts);
-        if (o instanceof Outcome.Conflict c && c.keys().contains(Records.LEADER)) {
+        if (o instanceof Outcome.ConditionFailed c && c.keys().contains(RecordCodec.LEADER)) {
           term.lost();
           return;
         }
-        if (o instanceof Outcome.Conflict c) {
+        if (o instanceof Outcome.ConditionFailed c) {
           reread(drafts, c.keys());
         } else {
           LOG.debug("notes are not written yet: {}", o);
-          if (o instanceof Outcome.Refused r && r.why().equals(StoreClient.MALFORMED)) {
+          if (o instanceof Outcome.Rejected r && r.why().equals(StoreClient.MALFORMED)) {
             refused(drafts);
           }
           Thread.sleep(Constants.RETRY_MS);
@@ -245,9 +245,9 @@
   }
 
   /** Waits for something due; empty once the term is over. */
-  private synchronized List<Draft> next() throws InterruptedException {
+  private synchronized List<PageWrite> next() throws InterruptedException {
     while (!over) {
-      long now = Term.nowMs();
+      long now = LeaderTerm.nowMs();
       long first = CLEAN;
       List<Page> due = new ArrayList<>();
       for (List<Page> some : pages.values()) {
@@ -261,11 +261,11 @@
       if (!due.isEmpty()) {
         // What waits for longest goes first: a rental is not struck before its machines are noted.
         due.sort(Comparator.comparingLong(p -> p.dueMs));
-        List<Draft> drafts = new ArrayList<>();
+        List<PageWrite> drafts = new ArrayList<>();
         int[] bytes = due.stream().mapToInt(p -> p.bytes).toArray();
         for (Page page : due.subList(0, fitting(bytes, pagesAtOnce))) {
           drafts.add(
-              new Draft(
+              new PageWrite(
                   page, new LinkedHashMap<>(page.entries), new LinkedHashSet<>(page.changed)));
           page.changed.clear();
           page.dueMs = CLEAN;
@@ -296,24 +296,24 @@
   }
 
   /** A transaction was refused for what it is: smaller ones next, and what is alone waits aside. */
-  private synchronized void refused(List<Draft> drafts) {
+  private synchronized void refused(List<PageWrite> drafts) {
     if (drafts.size() > 1) {
       pagesAtOnce = Math.max(1, drafts.size() / 2);
       return;
     }
     Page page = drafts.get(0).page();
     LOG.error("page {} of {} bytes is refused by the state service", page.key, page.bytes);
-    page.dueMs = Term.nowMs() + Constants.PAGE_REFUSED_MS; // others go on
+    page.dueMs = LeaderTerm.nowMs() + Constants.PAGE_REFUSED_MS; // others go on
   }
 
   /**
    * Conditional on the pages' revisions: an earlier try of ours that is applied late must not bring
    * back what has changed since.
    */
-  private Outcome write(List<Draft> drafts) throws InterruptedException {
-    StoreClient.Txn txn = new StoreClient.Txn().when(Records.LEADER, token);
-    RateBudget.Use use = RateBudget.Use.LAZY;
-    for (Draft d : drafts) {
+  private Outcome write(List<PageWrite> drafts) throws InterruptedException {
+    StoreClient.Transaction txn = new StoreClient.Transaction().when(RecordCodec.LEADER, token);
+    RateLimiter.Urgency use = RateLimiter.Urgency.LAZY;
+    for (PageWrite d : drafts) {
       txn.when(d.page().key, d.page().revision);
       if (!d.entries().isEmpty()) {
         txn.put(d.page().key, d.entries());
@@ -321,7 +321,7 @@
         txn.delete(d.page().key);
       }
       if (!mayWait(d.page())) {
-        use = RateBudget.Use.URGENT;
+        use = RateLimiter.Urgency.URGENT;
       }
     }
     return store.commit(txn, use, Constants.STORE_PATIENCE_MS);
@@ -329,21 +329,21 @@
 
   /** Progress may wait until there is time for it, but not for ever. */
   private synchronized boolean mayWait(Page page) {
-    boolean late = Term.nowMs() - page.changedMs > Constants.PROGRESS_LATEST_MS;
-    return page.kind == Kind.PROGRESS && !late;
+    boolean late = LeaderTerm.nowMs() - page.changedMs > Constants.PROGRESS_LATEST_MS;
+    return page.kind == RecordKind.PROGRESS && !late;
   }
 
-  private void written(List<Draft> drafts, long revision) {
+  private void written(List<PageWrite> drafts, long revision) {
     synchronized (this) {
       pagesAtOnce = mostPages;
-      for (Draft d : drafts) {
-        d.page().changedMs = d.page().changed.isEmpty() ? CLEAN : Term.nowMs();
+      for (PageWrite d : drafts) {
+        d.page().changedMs = d.page().changed.isEmpty() ? CLEAN : LeaderTerm.nowMs();
       }
     }
-    for (Draft d : drafts) {
+    for (PageWrite d : drafts) {
       d.page().revision = d.entries().isEmpty() ? 0 : revision;
     }
-    for (Draft d : drafts) {
+    for (PageWrite d : drafts) {
       for (String key : d.changed()) {
         try {
           listener.durable(d.page().kind, key, d.entries().get(key));
@@ -356,16 +356,16 @@
     }
   }
 
-  private synchronized void again(List<Draft> drafts) {
-    for (Draft d : drafts) {
+  private synchronized void again(List<PageWrite> drafts) {
+    for (PageWrite d : drafts) {
       d.page().changed.addAll(d.changed());
       d.page().dueMs = 0;
     }
   }
 
   /** An earlier try without an answer was applied after all: only its revision is news. */
-  private void reread(List<Draft> drafts, Set<String> conflicts) throws InterruptedException {
-    for (Draft d : drafts) {
+  private void reread(List<PageWrite> drafts, Set<String> conflicts) throws InterruptedException {
+    for (PageWrite d : drafts) {
       if (conflicts.contains(d.page().key)) {
         try {
           d.page().revision = store.get(d.page().key).revision();
--- a/src/main/java/org/astershift/leader/Term.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -1,44 +1,44 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Constants;
-import org.astershift.core.Decision;
-import org.astershift.core.Scheduler;
+import org.astershift.coordination.CancellationLatency;
+import org.astershift.coordination.TermJobs;
 import org.astershift.http.Json;
-import org.astershift.office.CancellationTimes;
-import org.astershift.office.JobLedger;
-import org.astershift.store.Mirror;
-import org.astershift.store.Records;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
+import org.astershift.store.WatchCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One leader's time in office: its scheduler, its notes, and the jobs it looks after. */
-final class Term {
-  private static final Logger LOG = LoggerFactory.getLogger(Term.class);
+final class LeaderTerm {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
   final long token;
   final long beganMs = nowMs();
 
   /** Used by one thread at a time: under the lock of this object. */
   final Scheduler scheduler;
 
-  final Notes notes;
-  final Ends ends = new Ends();
+  final LeaderRecords notes;
+  final CompletionQueue ends = new CompletionQueue();
   private final Runnable stepDown;
   private volatile boolean over;
-  private final JobLedger ledger;
-  private final CancellationTimes cancellations = new CancellationTimes();
+  private final TermJobs ledger;
+  private final CancellationLatency cancellations = new CancellationLatency();
   private long rentals;
 
   /** {@code stepDown} is called when it is certain that another leads. */
-  Term(long token, Scheduler scheduler, Notes notes, Runnable stepDown) {
+  LeaderTerm(long token, Scheduler scheduler, LeaderRecords notes, Runnable stepDown) {
     this.token = token;
     this.scheduler = scheduler;
     this.notes = notes;
-    this.ledger = new JobLedger(token);
+    this.ledger = new TermJobs(token);
     this.stepDown = stepDown;
   }
 
@@ -58,13 +58,14 @@
   }
 
   /** A transaction that fails when it is applied late, after another leader took over. */
-  StoreClient.Txn txn() {
-    return new StoreClient.Txn().when(Records.LEADER, token);
+  StoreClient.Transaction txn() {
+    return new StoreClient.Transaction().when(RecordCodec.LEADER, token);
   }
 
   /** Whether the outcome shows that another leads, which ends the term. */
   boolean lostBy(StoreClient.Outcome o) {
-    if (o instanceof StoreClient.Outcome.Conflict c && c.keys().contains(Records.LEADER)) {
+    if (o instanceof StoreClient.Outcome.ConditionFailed c
+        && c.keys().contains(RecordCodec.LEADER)) {
       lost();
       return true;
     }
@@ -72,28 +73,30 @@
   }
 
   /** Takes in all that the mirror holds: machines first, they decide what may be placed. */
-  synchronized void load(Mirror mirror) {
-    notes.load(mirror.below(Records.NOTES));
+  synchronized void load(WatchCache mirror) {
+    notes.load(mirror.below(RecordCodec.NOTES));
     long now = nowMs();
-    notes.entries(Notes.Kind.MACHINE).forEach((name, value) -> loadMachine(name, value, now));
-    Map<String, Object> opened = notes.entries(Notes.Kind.OPENED);
+    notes
+        .entries(LeaderRecords.RecordKind.MACHINE)
+        .forEach((name, value) -> loadMachine(name, value, now));
+    Map<String, Object> opened = notes.entries(LeaderRecords.RecordKind.OPENED);
     Map<String, BitSet> done = new HashMap<>();
     notes
-        .entries(Notes.Kind.PROGRESS)
+        .entries(LeaderRecords.RecordKind.PROGRESS)
         .forEach(
             (key, value) -> {
               try {
                 BitSet part = new BitSet();
-                String job = Records.merge(part, key, value);
+                String job = RecordCodec.merge(part, key, value);
                 done.computeIfAbsent(job, j -> new BitSet()).or(part);
-              } catch (Json.Bad e) {
+              } catch (Json.JsonFormatException e) {
                 LOG.error(e.getMessage());
               }
             });
-    for (StoreClient.Row row : mirror.below(Records.JOB)) {
-      String id = row.key().substring(Records.JOB.length());
+    for (StoreClient.Entry row : mirror.below(RecordCodec.JOB)) {
+      String id = row.key().substring(RecordCodec.JOB.length());
       add(row, opened.containsKey(id), done.getOrDefault(id, new BitSet()));
-      scheduler.remembered(id, Records.openedOn(opened.get(id)));
+      scheduler.remembered(id, RecordCodec.openedOn(opened.get(id)));
     }
     ledger.loaded();
     // Left by a leader that ended between a job's end and the striking of its notes.
@@ -113,38 +116,39 @@
 
   private void loadMachine(String name, Object value, long now) {
     try {
-      Decision.Enrol e = Records.machine(name, value);
+      Decision.RegisterMachine e = RecordCodec.machine(name, value);
       if (e.fresh()) {
-        Decision.Rent rent = new Decision.Rent(e.type(), e.zone(), e.spot(), 1);
+        Decision.ProvisionMachines rent =
+            new Decision.ProvisionMachines(e.type(), e.zone(), e.spot(), 1);
         scheduler.rented("", List.of(name), rent, now);
       } else {
         scheduler.inherit(name, e.addr(), e.type(), e.zone(), e.spot(), now);
       }
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       LOG.error("note of machine {} cannot be read: {}", name, e.getMessage());
     }
   }
 
   /** A job whose live record was read. */
-  void add(StoreClient.Row row) {
+  void add(StoreClient.Entry row) {
     add(row, false, new BitSet());
   }
 
-  private void add(StoreClient.Row row, boolean opened, BitSet done) {
+  private void add(StoreClient.Entry row, boolean opened, BitSet done) {
     try {
-      add(Records.job(row.key(), row.data()), row.revision(), opened, done);
-    } catch (Json.Bad | RuntimeException e) {
+      add(RecordCodec.job(row.key(), row.data()), row.revision(), opened, done);
+    } catch (Json.JsonFormatException | RuntimeException e) {
       LOG.error("record {} cannot be read: {}", row.key(), e.getMessage());
     }
   }
 
   /** A job that this node accepted, recorded at this revision. */
-  void add(Records.JobRecord record, long revision) {
+  void add(RecordCodec.JobRecord record, long revision) {
     add(record, revision, false, new BitSet());
   }
 
   private synchronized void add(
-      Records.JobRecord record, long revision, boolean opened, BitSet done) {
+      RecordCodec.JobRecord record, long revision, boolean opened, BitSet done) {
     if (ledger.take(record.spec().id(), revision)) {
       long ago = Math.max(0, System.currentTimeMillis() - record.submittedMs());
       scheduler.addJob(record.spec(), opened, done, nowMs() - ago);
@@ -152,7 +156,7 @@
   }
 
   /** Which jobs this term looks after, and what may be told of them. */
-  JobLedger ledger() {
+  TermJobs ledger() {
     return ledger;
   }
 
@@ -160,7 +164,7 @@
    * A live job as its user may be told of it; null if this term does not look after it, or its end
    * may be on record already.
    */
-  synchronized Scheduler.JobView told(String id) {
+  synchronized Scheduler.JobProgress told(String id) {
     return ledger.mayBeOver(id) ? null : scheduler.view(id);
   }
 
@@ -190,9 +194,9 @@
   }
 
   private void strike(String id) {
-    notes.remove(Notes.Kind.OPENED, id, Constants.STRIKE_MS);
-    for (String key : notes.keys(Notes.Kind.PROGRESS, id + "/")) {
-      notes.remove(Notes.Kind.PROGRESS, key, Constants.STRIKE_MS);
+    notes.remove(LeaderRecords.RecordKind.OPENED, id, Constants.STRIKE_MS);
+    for (String key : notes.keys(LeaderRecords.RecordKind.PROGRESS, id + "/")) {
+      notes.remove(LeaderRecords.RecordKind.PROGRESS, key, Constants.STRIKE_MS);
     }
   }
 
--- a/src/main/java/org/astershift/leader/Sampling.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -14,15 +14,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.astershift.config.Constants;
-import org.astershift.core.Decision;
+import org.astershift.coordination.WorkerReachability;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
-import org.astershift.office.WorkerReach;
 import org.astershift.peer.JobAnswer;
-import org.astershift.store.Mirror;
-import org.astershift.store.Records;
+import org.astershift.scheduler.Decision;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
-import org.astershift.worker.OrderSender;
+import org.astershift.store.WatchCache;
+import org.astershift.worker.CommandSender;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -31,26 +31,26 @@
  * own reach, and those of which the leader wants to know whether they are dead or only silent to
  * it. The question needs no token, so any node may ask it.
  */
-final class Sampling {
-  private static final Logger LOG = LoggerFactory.getLogger(Sampling.class);
+final class ReachabilityProber {
+  private static final Logger LOG = LoggerFactory.getLogger(ReachabilityProber.class);
   private static final char REACHED = 'y';
   private static final char UNREACHED = 'n';
-  private final Mirror mirror;
-  private final OrderSender sender;
+  private final WatchCache mirror;
+  private final CommandSender sender;
   private final Threads.Pool questions;
-  private final Collection<UserDesk.Asker> others;
-  private final WorkerReach reach = new WorkerReach();
+  private final Collection<JobService.PeerChannel> others;
+  private final WorkerReachability reach = new WorkerReachability();
 
   /** Of its own: a leader's many questions to silent machines must not make it look cut off. */
   private final Threads.Pool samplePool = Threads.pool("sample", Constants.REACH_SAMPLE);
 
   private final Threads.Pool witnessPool = Threads.pool("witness", Constants.WITNESS_THREADS);
 
-  Sampling(
-      Mirror mirror,
-      OrderSender sender,
+  ReachabilityProber(
+      WatchCache mirror,
+      CommandSender sender,
       Threads.Pool questions,
-      Collection<UserDesk.Asker> others) {
+      Collection<JobService.PeerChannel> others) {
     this.mirror = mirror;
     this.sender = sender;
     this.questions = questions;
@@ -66,8 +66,8 @@
   }
 
   /** What this node reaches of the machines that it asked lately. */
-  WorkerReach.Seen seen() {
-    return reach.seen(Term.nowMs());
+  WorkerReachability.Measurement seen() {
+    return reach.seen(LeaderTerm.nowMs());
   }
 
   private void loop() throws InterruptedException {
@@ -79,19 +79,20 @@
       samplePool.tend();
       questions.tend();
       List<String> addrs = pick();
-      long atMs = Term.nowMs();
+      long atMs = LeaderTerm.nowMs();
       int answered = 0;
       for (Boolean yes : ask(samplePool, addrs, Constants.PROBE_TIMEOUT_MS)) {
         answered += Boolean.TRUE.equals(yes) ? 1 : 0;
       }
       reach.sampled(addrs.size(), answered, atMs);
-      none = answered == 0 && Term.nowMs() - atMs >= Constants.PROBE_TIMEOUT_MS;
+      none = answered == 0 && LeaderTerm.nowMs() - atMs >= Constants.PROBE_TIMEOUT_MS;
     }
   }
 
   /** Some machines of those that may hold tasks, at random. */
   private List<String> pick() {
-    List<StoreClient.Row> pages = mirror.below(Records.NOTES + Notes.Kind.MACHINE.letter);
+    List<StoreClient.Entry> pages =
+        mirror.below(RecordCodec.NOTES + LeaderRecords.RecordKind.MACHINE.letter);
     Set<String> out = new HashSet<>();
     ThreadLocalRandom random = ThreadLocalRandom.current();
     for (int i = 0; i < 2 * Constants.REACH_SAMPLE && !pages.isEmpty(); i++) {
@@ -101,11 +102,11 @@
       }
       String name = new ArrayList<>(page.keySet()).get(random.nextInt(page.size()));
       try {
-        Decision.Enrol e = Records.machine(name, page.get(name));
+        Decision.RegisterMachine e = RecordCodec.machine(name, page.get(name));
         if (!e.fresh() && e.addr() != null) {
           out.add(e.addr());
         }
-      } catch (Json.Bad e) {
+      } catch (Json.JsonFormatException e) {
         LOG.debug("note of machine {}: {}", name, e.getMessage());
       }
     }
@@ -117,13 +118,14 @@
       throws InterruptedException {
     Boolean[] answered = new Boolean[addrs.size()];
     CountDownLatch left = new CountDownLatch(addrs.size());
-    long untilMs = Term.nowMs() + timeoutMs;
+    long untilMs = LeaderTerm.nowMs() + timeoutMs;
     for (int i = 0; i < answered.length; i++) {
       int at = i;
       pool.execute(
           "question",
           () -> {
-            Boolean yes = Term.nowMs() > untilMs ? null : sender.answers(addrs.get(at), timeoutMs);
+            Boolean yes =
+                LeaderTerm.nowMs() > untilMs ? null : sender.answers(addrs.get(at), timeoutMs);
             synchronized (answered) {
               answered[at] = yes;
             }
@@ -143,8 +145,8 @@
   /**
    * Has all other nodes ask these machines; {@code verdict} gets the answers of those that could.
    */
-  void haveAsked(Decision.Witness w, Consumer<List<Decision.Testimony>> verdict) {
-    List<Decision.Named> all = new ArrayList<>(w.suspects());
+  void haveAsked(Decision.ProbeThroughPeers w, Consumer<List<Decision.PeerProbeResult>> verdict) {
+    List<Decision.MachineAddress> all = new ArrayList<>(w.suspects());
     all.addAll(w.controls());
     StringJoiner addrs = new StringJoiner(" ");
     all.forEach(m -> addrs.add(m.addr()));
@@ -152,11 +154,11 @@
     if (others.isEmpty()) {
       verdict.accept(List.of());
     }
-    for (UserDesk.Asker other : others) {
+    for (JobService.PeerChannel other : others) {
       witnessPool.execute(
           "witness",
           () -> {
-            Decision.Testimony t = null;
+            Decision.PeerProbeResult t = null;
             try {
               JobAnswer a = other.ask("witness", addrs.toString(), Constants.PEER_TIMEOUT_MS);
               t = a.status() == 200 ? testimony(all, a.phase()) : null;
@@ -170,16 +172,16 @@
 
   /** The answers to one question to all the others. */
   private static final class Round {
-    private final Consumer<List<Decision.Testimony>> verdict;
-    private final List<Decision.Testimony> told = new ArrayList<>();
+    private final Consumer<List<Decision.PeerProbeResult>> verdict;
+    private final List<Decision.PeerProbeResult> told = new ArrayList<>();
     private int left;
 
-    Round(Consumer<List<Decision.Testimony>> verdict, int others) {
+    Round(Consumer<List<Decision.PeerProbeResult>> verdict, int others) {
       this.verdict = verdict;
       this.left = others;
     }
 
-    synchronized void add(Decision.Testimony t) {
+    synchronized void add(Decision.PeerProbeResult t) {
       if (t != null) {
         told.add(t);
       }
@@ -191,8 +193,8 @@
   }
 
   /** A sign for each machine asked, in the order asked. */
-  private static Decision.Testimony testimony(List<Decision.Named> asked, String signs)
-      throws IOException {
+  private static Decision.PeerProbeResult testimony(
+      List<Decision.MachineAddress> asked, String signs) throws IOException {
     if (signs == null || signs.length() != asked.size()) {
       throw new IOException("an answer of a witness makes no sense: " + signs);
     }
@@ -205,7 +207,7 @@
         unreached.add(asked.get(i).machine());
       }
     }
-    return new Decision.Testimony(reached, unreached);
+    return new Decision.PeerProbeResult(reached, unreached);
   }
 
   /**
--- a/src/main/java/org/astershift/leader/Shared.java
+++ b/src/main/java/org/astershift/controller/RequestCoalescer.java
@@ -1,34 +1,35 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
-import org.astershift.office.Coalescing;
-import org.astershift.office.Coalescing.Part;
-import org.astershift.office.Coalescing.Place;
-import org.astershift.office.Coalescing.Round;
+import org.astershift.coordination.CoalescerState;
+import org.astershift.coordination.CoalescerState.Role;
+import org.astershift.coordination.CoalescerState.Round;
+import org.astershift.coordination.CoalescerState.Ticket;
 
 /**
- * Lets those who ask the same at the same time share an answer: the waits of {@link Coalescing}.
+ * Lets those who ask the same at the same time share an answer: the waits of {@link
+ * CoalescerState}.
  */
-final class Shared<A> {
+final class RequestCoalescer<A> {
   /** Finds the answer; each call begins after all who share it have asked. */
   interface Work<A> {
     A find(String key) throws InterruptedException;
   }
 
   private final Work<A> work;
-  private final Coalescing<A> rounds = new Coalescing<>();
+  private final CoalescerState<A> rounds = new CoalescerState<>();
 
-  Shared(Work<A> work) {
+  RequestCoalescer(Work<A> work) {
     this.work = work;
   }
 
   /** Null where the one who worked it out failed: whoever shared its answer asks again. */
   A ask(String key) throws InterruptedException {
     synchronized (this) {
-      Place<A> place = rounds.asks(key);
-      if (place.part() == Part.SHARES) {
+      Ticket<A> place = rounds.asks(key);
+      if (place.part() == Role.SHARES) {
         return await(place.round());
       }
-      if (place.part() == Part.FOLLOWS) {
+      if (place.part() == Role.FOLLOWS) {
         follow(key);
       }
     }
--- a/src/main/java/org/astershift/office/Cancellation.java
+++ b/src/main/java/org/astershift/coordination/Cancellation.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 /**
  * What a controller does next about a user's wish to cancel a job. Nothing is confirmed that could
@@ -12,7 +12,7 @@
   private Cancellation() {}
 
   /** What to do next. */
-  public enum Act {
+  public enum Action {
     /** Tell the end that is known: it is on record and does not change any more. */
     TELL,
     /** Ask the leader. */
@@ -55,22 +55,22 @@
       boolean late) {}
 
   /** What to do next about a cancellation that stands so. */
-  public static Act next(View v) {
+  public static Action next(View v) {
     if (v.over()) {
-      return Act.TELL;
+      return Action.TELL;
     }
     if (!v.leads()) {
-      return v.forward() ? Act.FORWARD : Act.REFUSE;
+      return v.forward() ? Action.FORWARD : Action.REFUSE;
     }
     if (!v.sole() || v.late()) {
-      return Act.REFUSE;
+      return Action.REFUSE;
     }
     if (!v.kept()) {
-      return v.read() ? Act.REFUSE : Act.READ;
+      return v.read() ? Action.REFUSE : Action.READ;
     }
     if (v.complete()) {
-      return Act.WRITE_DONE;
+      return Action.WRITE_DONE;
     }
-    return v.keepable() && !v.starting() ? Act.WRITE_CANCELLED : Act.WAIT;
+    return v.keepable() && !v.starting() ? Action.WRITE_CANCELLED : Action.WAIT;
   }
 }
--- a/src/main/java/org/astershift/office/CancellationTimes.java
+++ b/src/main/java/org/astershift/coordination/CancellationLatency.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -11,7 +11,7 @@
  * the leader, however often it is refused and repeated, to its confirmation. Its caller holds a
  * lock; only live jobs are asked for here, so what waits is bounded by these.
  */
-public final class CancellationTimes {
+public final class CancellationLatency {
   private static final double MEDIAN = 0.5;
   private static final double NEARLY_ALL = 0.99;
   private final Map<String, Long> waiting = new HashMap<>();
--- a/src/main/java/org/astershift/office/Candidacy.java
+++ b/src/main/java/org/astershift/coordination/Candidacy.java
@@ -1,10 +1,10 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Constants;
-import org.astershift.office.WorkerReach.Seen;
+import org.astershift.coordination.WorkerReachability.Measurement;
 
 /**
  * Whether a controller stands for the leadership, and when a leader hands it over. Nothing here is
@@ -24,7 +24,7 @@
   private long yieldedMs = Long.MIN_VALUE / 2;
 
   /** What one other controller told of itself; {@code served}: the state service answers it. */
-  public record Told(String node, boolean served, Seen workers) {}
+  public record PeerStatus(String node, boolean served, Measurement workers) {}
 
   /** A leader's wish to hand over to this controller, or to any where {@code to} is null. */
   public record HandOver(String to) {}
@@ -36,7 +36,7 @@
   }
 
   /** The leadership is free: whether this controller, which reaches so much, stands for it now. */
-  public synchronized boolean stands(Seen own, long nowMs) {
+  public synchronized boolean stands(Measurement own, long nowMs) {
     if (freeSinceMs < 0) {
       freeSinceMs = nowMs;
     }
@@ -55,12 +55,12 @@
    * cut that comes and goes must not turn the leadership round with it.
    */
   public synchronized HandOver handsOver(
-      double heard, List<Told> told, int others, long beganMs, long nowMs) {
+      double heard, List<PeerStatus> told, int others, long beganMs, long nowMs) {
     if (others == 0 || nowMs - beganMs < Constants.HAND_OVER_AFTER_MS) {
       return null;
     }
-    Told best = null;
-    for (Told t : told) {
+    PeerStatus best = null;
+    for (PeerStatus t : told) {
       boolean better =
           t.served() && t.workers().able() && t.workers().share() >= heard + Constants.REACH_BETTER;
       if (better && (best == null || t.workers().share() > best.workers().share())) {
--- a/src/main/java/org/astershift/office/Coalescing.java
+++ b/src/main/java/org/astershift/coordination/CoalescerState.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * being worked out shares the next one, and however many ask, one is in work and one follows. Its
  * caller holds a lock, and waits.
  */
-public final class Coalescing<A> {
+public final class CoalescerState<A> {
   /** Those who get one answer. */
   public static final class Round<A> {
     private A answer;
@@ -27,7 +27,7 @@
   }
 
   /** What one who asks does. */
-  public enum Part {
+  public enum Role {
     /** Works the answer out, now. */
     WORKS,
     /** Works it out once the present round is over, and begins then. */
@@ -37,24 +37,24 @@
   }
 
   /** The round of one who asks, and its part in it. */
-  public record Place<A>(Round<A> round, Part part) {}
+  public record Ticket<A>(Round<A> round, Role part) {}
 
   private final Map<String, Round<A>> working = new HashMap<>();
   private final Map<String, Round<A>> next = new HashMap<>();
 
   /** Somebody asks. */
-  public Place<A> asks(String key) {
+  public Ticket<A> asks(String key) {
     Round<A> round = next.get(key);
     if (round != null) {
-      return new Place<>(round, Part.SHARES);
+      return new Ticket<>(round, Role.SHARES);
     }
     round = new Round<>();
     if (busy(key)) {
       next.put(key, round);
-      return new Place<>(round, Part.FOLLOWS);
+      return new Ticket<>(round, Role.FOLLOWS);
     }
     working.put(key, round);
-    return new Place<>(round, Part.WORKS);
+    return new Ticket<>(round, Role.WORKS);
   }
 
   /** Whether an answer is being worked out: who follows begins when there is none. */
--- a/src/main/java/org/astershift/office/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -1,11 +1,11 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
 import org.astershift.config.Constants;
-import org.astershift.office.WorkerReach.Seen;
+import org.astershift.coordination.WorkerReachability.Measurement;
 
 /**
  * One controller's part in who leads: the holder of one key in the state service, on a lease. The
@@ -14,14 +14,14 @@
  * {@link #valid}, and answers nothing that another leader could contradict; it leads on until it
  * sees that there is another.
  *
- * <p>Its caller asks for the next {@link Act}, carries it out, tells what came of it, and asks
+ * <p>Its caller asks for the next {@link Action}, carries it out, tells what came of it, and asks
  * again. What ends a term may come at any time, from any thread. Times are milliseconds of the
  * steady clock.
  */
 public final class Election {
   private final String node;
   private final Candidacy candidacy;
-  private final Deque<Act> pending = new ArrayDeque<>();
+  private final Deque<Action> pending = new ArrayDeque<>();
   private long token;
   private long lease;
   private long leaseSentMs;
@@ -49,45 +49,45 @@
   }
 
   /** What the caller should do. */
-  public sealed interface Act {
+  public sealed interface Action {
     /** Nothing now: ask again after a rest, or when the key has changed. */
-    record Rest() implements Act {}
+    record Wait() implements Action {}
 
     /** Read the key, as a sign of life: nothing was heard of the state service for a while. */
-    record Look() implements Act {}
+    record ReadKey() implements Action {}
 
     /** The others may stand first: this one reaches so few workers. */
-    record Yield(Seen workers) implements Act {}
+    record Defer(Measurement workers) implements Action {}
 
     /** Remove the key at this revision: it was left by this controller's predecessor. */
-    record Remove(long revision) implements Act {}
+    record RemoveStaleKey(long revision) implements Action {}
 
     /** Get a lease; told by {@link #granted}. */
-    record Grant(long lifeMs) implements Act {}
+    record GrantLease(long lifeMs) implements Action {}
 
     /** Create the key, if absent, on this lease; told by {@link #claimed}. */
-    record Claim(long lease) implements Act {}
+    record CreateKey(long lease) implements Action {}
 
     /**
      * Prolong the lease, and read whether the key stands on it; told by {@link #verified}. A claim
      * had no answer.
      */
-    record Verify(long lease) implements Act {}
+    record VerifyKey(long lease) implements Action {}
 
     /** Bring the mirror up to this revision; told by {@link #caughtUp}. */
-    record CatchUp(long revision) implements Act {}
+    record CatchUp(long revision) implements Action {}
 
     /** Take up the leader's work; {@link #beginFailed} if that cannot be. */
-    record Begin(long token) implements Act {}
+    record BeginTerm(long token) implements Action {}
 
     /** Prolong the lease; told by {@link #renewed}. */
-    record Renew(long lease) implements Act {}
+    record RenewLease(long lease) implements Action {}
 
     /** End the lease at once, so that the key does not stand for this controller any more. */
-    record Revoke(long lease) implements Act {}
+    record RevokeLease(long lease) implements Action {}
 
     /** Lay the leader's work down. */
-    record End(long token, String why) implements Act {}
+    record EndTerm(long token, String why) implements Action {}
   }
 
   /** Who holds the key, and its revision. */
@@ -98,10 +98,11 @@
    * null: the key does not exist, as far as the mirror knows; {@code silenceMs}: since the state
    * service last answered this controller.
    */
-  public record View(long nowMs, boolean loaded, Holder holder, Seen workers, long silenceMs) {}
+  public record View(
+      long nowMs, boolean loaded, Holder holder, Measurement workers, long silenceMs) {}
 
   /** What came of creating the key. */
-  public enum Claimed {
+  public enum KeyCreation {
     APPLIED,
     REFUSED,
     UNKNOWN
@@ -132,7 +133,7 @@
   // ---- what to do next ----
 
   /** What to do next, as things stand. */
-  public synchronized Act next(View v) {
+  public synchronized Action next(View v) {
     if (!pending.isEmpty()) {
       return pending.poll();
     }
@@ -140,23 +141,23 @@
       case FOLLOWS -> contest(v);
       case GRANTED -> {
         tried = true;
-        yield new Act.Claim(lease);
+        yield new Action.CreateKey(lease);
       }
       case DOUBTS -> {
         leaseSentMs = v.nowMs();
-        yield new Act.Verify(lease);
+        yield new Action.VerifyKey(lease);
       }
-      case WON -> new Act.CatchUp(wonRevision);
+      case WON -> new Action.CatchUp(wonRevision);
       case LEADS -> renewal(v);
     };
   }
 
-  private Act contest(View v) {
+  private Action contest(View v) {
     if (v.silenceMs() > Constants.STORE_IDLE_MS) {
-      return new Act.Look();
+      return new Action.ReadKey();
     }
     if (!v.loaded() || v.nowMs() < contestMs) {
-      return new Act.Rest();
+      return new Action.Wait();
     }
     if (v.holder() != null) {
       boolean own = v.holder().node().equals(node);
@@ -164,26 +165,26 @@
       late = false;
       othersLed |= !own;
       // Left by this controller's predecessor, which is dead since this process runs in its place.
-      return own && !tried ? new Act.Remove(v.holder().revision()) : new Act.Rest();
+      return own && !tried ? new Action.RemoveStaleKey(v.holder().revision()) : new Action.Wait();
     }
     if (!candidacy.stands(v.workers(), v.nowMs())) {
       boolean said = late;
       late = true;
-      return said ? new Act.Rest() : new Act.Yield(v.workers());
+      return said ? new Action.Wait() : new Action.Defer(v.workers());
     }
     // Counted from here: the lease may have been granted as soon as it was asked for.
     leaseSentMs = v.nowMs();
-    return new Act.Grant(Constants.LEADER_LEASE_MS);
+    return new Action.GrantLease(Constants.LEADER_LEASE_MS);
   }
 
-  private Act renewal(View v) {
+  private Action renewal(View v) {
     if (v.holder() == null || v.holder().revision() != token) {
       String why = v.holder() == null ? "its key is gone" : "another leads";
-      return end(token, why) ? pending.poll() : new Act.Rest();
+      return end(token, why) ? pending.poll() : new Action.Wait();
     }
     candidacy.held(node, v.nowMs());
     leaseSentMs = v.nowMs();
-    return new Act.Renew(lease);
+    return new Action.RenewLease(lease);
   }
 
   // ---- what came of it ----
@@ -197,7 +198,7 @@
   }
 
   /** {@code revision}: of the key, where it was created. */
-  public synchronized void claimed(Claimed outcome, long revision) {
+  public synchronized void claimed(KeyCreation outcome, long revision) {
     if (step != Step.GRANTED) {
       return;
     }
@@ -223,7 +224,7 @@
     }
     // It may be carried out yet: the key, if it comes to exist, must not stand for this one.
     step = Step.FOLLOWS;
-    pending.add(new Act.Revoke(lease));
+    pending.add(new Action.RevokeLease(lease));
   }
 
   private void won(long revision) {
@@ -243,12 +244,12 @@
     }
     if (!done) {
       step = Step.FOLLOWS;
-      pending.add(new Act.Revoke(lease));
+      pending.add(new Action.RevokeLease(lease));
       return;
     }
     token = wonRevision;
     step = Step.LEADS;
-    pending.add(new Act.Begin(token));
+    pending.add(new Action.BeginTerm(token));
   }
 
   /** {@code ok} null: no answer, so nothing is known; false: the lease has ended. */
@@ -264,7 +265,7 @@
   }
 
   /** A term that cannot begin would hold the lease and place nothing: another is to try. */
-  public synchronized List<Act> beginFailed(long ofToken, long nowMs) {
+  public synchronized List<Action> beginFailed(long ofToken, long nowMs) {
     contestMs = nowMs + Constants.RESIGN_PAUSE_MS;
     return leave(ofToken, "it could not begin");
   }
@@ -272,12 +273,12 @@
   // ---- what ends a term ----
 
   /** It is certain that another leads. */
-  public synchronized List<Act> stepDown(long ofToken, String why) {
+  public synchronized List<Action> stepDown(long ofToken, String why) {
     return end(ofToken, why) ? drain() : List.of();
   }
 
   /** Another controller says who leads: if that one came later, this one does no longer. */
-  public synchronized List<Act> told(long otherToken) {
+  public synchronized List<Action> told(long otherToken) {
     return otherToken > token
         ? stepDown(token, "another node says that a later one leads, with token " + otherToken)
         : List.of();
@@ -287,7 +288,7 @@
    * Lets another controller lead, because this one reaches too few workers; not twice in a short
    * time if nobody else took it, since then the others reach no more.
    */
-  public synchronized List<Act> resign(long ofToken, String why, long nowMs) {
+  public synchronized List<Action> resign(long ofToken, String why, long nowMs) {
     if ((nowMs < mayResignMs && !othersLed) || token != ofToken || ofToken == 0) {
       return List.of();
     }
@@ -297,9 +298,9 @@
     return leave(ofToken, why);
   }
 
-  private List<Act> leave(long ofToken, String why) {
+  private List<Action> leave(long ofToken, String why) {
     if (end(ofToken, why)) {
-      pending.add(new Act.Revoke(lease));
+      pending.add(new Action.RevokeLease(lease));
     }
     return drain();
   }
@@ -310,13 +311,13 @@
     }
     token = 0;
     step = Step.FOLLOWS;
-    pending.removeIf(a -> a instanceof Act.Begin); // over before it began
-    pending.add(new Act.End(ofToken, why));
+    pending.removeIf(a -> a instanceof Action.BeginTerm); // over before it began
+    pending.add(new Action.EndTerm(ofToken, why));
     return true;
   }
 
-  private List<Act> drain() {
-    List<Act> out = new ArrayList<>(pending);
+  private List<Action> drain() {
+    List<Action> out = new ArrayList<>(pending);
     pending.clear();
     return out;
   }
--- a/src/main/java/org/astershift/office/JobQuery.java
+++ b/src/main/java/org/astershift/coordination/JobQuery.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 /**
  * Where a controller takes the answer to a user's question about a job from. Once any controller
--- a/src/main/java/org/astershift/office/StateReach.java
+++ b/src/main/java/org/astershift/coordination/StoreReachability.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import org.astershift.config.Constants;
 
@@ -8,9 +8,9 @@
  * no other answers at all either, it is cut off: nothing that users ask of it can be answered,
  * while the others may be served well; it keeps its workers, and tells the balancer the truth.
  */
-public final class StateReach {
+public final class StoreReachability {
   /** What this node takes the silence for. */
-  public enum Found {
+  public enum Verdict {
     /** Others are not served either, or it is too early to say. */
     OUTAGE,
     /** Another node is served. */
@@ -30,14 +30,14 @@
    * {@code others} were asked, {@code answered} of them answered, and one of these is served or
    * none is.
    */
-  public Found asked(int others, int answered, boolean served, long nowMs) {
+  public Verdict asked(int others, int answered, boolean served, long nowMs) {
     if (served) {
       answeredMs = nowMs;
-      return Found.APART;
+      return Verdict.APART;
     }
     if (answeredMs < 0 || answered > 0 || others == 0) {
       answeredMs = nowMs;
     }
-    return nowMs - answeredMs >= Constants.ALONE_MS ? Found.ALONE : Found.OUTAGE;
+    return nowMs - answeredMs >= Constants.ALONE_MS ? Verdict.ALONE : Verdict.OUTAGE;
   }
 }
--- a/src/main/java/org/astershift/office/JobLedger.java
+++ b/src/main/java/org/astershift/coordination/TermJobs.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -13,7 +13,7 @@
  * token on only this term can end jobs; so what is live is what was live at the token, and what was
  * recorded after it, less what ended here.
  */
-public final class JobLedger {
+public final class TermJobs {
   private final long token;
   private final Set<String> kept = new HashSet<>();
 
@@ -34,7 +34,7 @@
   private boolean loaded;
 
   /** {@code token}: the revision at which the term's leadership was recorded. */
-  public JobLedger(long token) {
+  public TermJobs(long token) {
     this.token = token;
   }
 
--- a/src/main/java/org/astershift/office/WorkerReach.java
+++ b/src/main/java/org/astershift/coordination/WorkerReachability.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -9,7 +9,7 @@
  * asks all the time, whether it leads or not: when it is to lead, or to tell whether a silent
  * machine is dead, it must know already.
  */
-public final class WorkerReach {
+public final class WorkerReachability {
   private final Deque<Sample> samples = new ArrayDeque<>();
 
   private record Sample(int asked, int answered, long atMs) {}
@@ -18,8 +18,8 @@
    * What a controller reaches of the machines it asked lately; {@code asked} 0: nothing is known,
    * as on a node that has just started or a site without machines.
    */
-  public record Seen(int asked, int answered) {
-    public static final Seen NOTHING = new Seen(0, 0);
+  public record Measurement(int asked, int answered) {
+    public static final Measurement NOTHING = new Measurement(0, 0);
 
     public boolean known() {
       return asked >= Constants.REACH_LEAST;
@@ -52,7 +52,7 @@
   }
 
   /** How many of its machines this node reached lately. */
-  public synchronized Seen seen(long nowMs) {
+  public synchronized Measurement seen(long nowMs) {
     Sample last = samples.peekLast();
     if (last != null && last.answered == 0 && last.asked >= Constants.REACH_LEAST) {
       samples.removeIf(s -> s != last); // cut off since the one before
@@ -65,6 +65,6 @@
         answered += s.answered;
       }
     }
-    return new Seen(asked, answered);
+    return new Measurement(asked, answered);
   }
 }
--- a/src/main/java/org/astershift/http/Places.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -18,7 +18,7 @@
  * closed with the answer that it waited for, and its worker comes again with its next report. Idle
  * connections closed at any other moment made workers take the node for dead and try others.
  */
-public final class Places {
+public final class ConnectionSlots {
   /** Whose a connection is. */
   private enum Side {
     NEW,
@@ -90,7 +90,7 @@
    * {@code most} places in all, of which at most {@code others} for connections without a reserved
    * place.
    */
-  public Places(int most, int others) {
+  public ConnectionSlots(int most, int others) {
     this.most = most;
     this.others = others;
     this.spare = (int) (most * Constants.SPARE_PLACES);
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -28,30 +28,30 @@
   }
 
   /** Status and body of an answer. */
-  public record Answer(int status, byte[] body) {}
+  public record Response(int status, byte[] body) {}
 
   /** No connection came about, so nothing of the request was sent. */
-  public static final class NotSent extends IOException {
+  public static final class RequestNotSentException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    NotSent(IOException cause) {
+    RequestNotSentException(IOException cause) {
       super("not sent: " + cause, cause);
     }
   }
 
   private static final class Connection {
     final Socket socket;
-    final Wire wire;
+    final HttpMessageReader wire;
     long lastNs;
 
     Connection(Socket socket) throws IOException {
       this.socket = socket;
-      this.wire = new Wire(socket);
+      this.wire = new HttpMessageReader(socket);
     }
   }
 
   /** Sends one request. An {@link IOException} other than NotSent leaves its effect unknown. */
-  public Answer call(String method, String path, byte[] body, int timeoutMs) throws IOException {
+  public Response call(String method, String path, byte[] body, int timeoutMs) throws IOException {
     return callConnected(method, path, () -> body, timeoutMs);
   }
 
@@ -61,7 +61,7 @@
    * to who accepted that connection, or to nobody: a process that begins anew at that address does
    * not have it.
    */
-  public Answer callConnected(String method, String path, Supplier<byte[]> late, int timeoutMs)
+  public Response callConnected(String method, String path, Supplier<byte[]> late, int timeoutMs)
       throws IOException {
     long deadline = System.nanoTime() + timeoutMs * 1_000_000L;
     Connection kept = take();
@@ -78,13 +78,13 @@
       head.append("\r\n\r\n");
       write(c.socket, head.toString(), body == null ? new byte[0] : body);
       int left = (int) Math.max(1, (deadline - System.nanoTime()) / 1_000_000);
-      Wire.Message m = c.wire.response(left, Constants.RESPONSE_BYTES);
+      HttpMessageReader.Message m = c.wire.response(left, Constants.RESPONSE_BYTES);
       String[] start = m.start().split(" ", 3);
       if (start.length < 2 || !start[1].matches("[0-9]{3}")) {
         throw new IOException("bad status line");
       }
       ok = !m.closes();
-      return new Answer(Integer.parseInt(start[1]), m.body());
+      return new Response(Integer.parseInt(start[1]), m.body());
     } catch (SocketTimeoutException e) {
       throw e;
     } catch (IOException e) {
@@ -101,7 +101,7 @@
     }
   }
 
-  private Connection connect(int timeoutMs) throws NotSent {
+  private Connection connect(int timeoutMs) throws RequestNotSentException {
     Socket socket = new Socket();
     try {
       socket.setTcpNoDelay(true);
@@ -113,7 +113,7 @@
       } catch (IOException again) {
         e.addSuppressed(again);
       }
-      throw new NotSent(e);
+      throw new RequestNotSentException(e);
     }
   }
 
@@ -172,7 +172,7 @@
 
   /** One write for head and body: each is a packet and a system call. */
   static void write(Socket socket, String head, byte[] body) throws IOException {
-    byte[] h = Wire.ascii(head);
+    byte[] h = HttpMessageReader.ascii(head);
     byte[] all = new byte[h.length + body.length];
     System.arraycopy(h, 0, all, 0, h.length);
     System.arraycopy(body, 0, all, h.length, body.length);
--- a/src/main/java/org/astershift/http/Wire.java
+++ b/src/main/java/org/astershift/http/HttpMessageReader.java
@@ -16,7 +16,7 @@
  * Reads HTTP/1.1 messages from a blocking socket. A message has to arrive whole within its
  * deadline, however slowly its bytes come; what is read beyond a message stays for the next one.
  */
-final class Wire {
+final class HttpMessageReader {
   private final Socket socket;
   private final InputStream in;
   private final byte[] buffer = new byte[4096];
@@ -26,7 +26,7 @@
   private long deadlineNs;
   private int headLeft;
 
-  Wire(Socket socket) throws IOException {
+  HttpMessageReader(Socket socket) throws IOException {
     this.socket = socket;
     this.in = socket.getInputStream();
   }
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ThreadFactory;
 import java.util.function.Predicate;
 import org.astershift.config.Constants;
-import org.astershift.http.Places.Connection;
+import org.astershift.http.ConnectionSlots.Connection;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -40,21 +40,22 @@
 
   private final ServerSocket server;
   private final Handler handler;
-  private final Places places;
+  private final ConnectionSlots places;
   private final Predicate<String> reserved;
-  private final Threads.Crowd threads;
+  private final Threads.ConnectionThreads threads;
   private final Map<Connection, Socket> open = new ConcurrentHashMap<>();
   private volatile boolean closed;
   private long toldNs = System.nanoTime();
 
   /** {@code most} connections, none of them with a place of its own. */
   public HttpServer(String host, int port, int most, Handler handler) throws IOException {
-    this(host, port, new Places(most, most), path -> false, handler, Threads.connections());
+    this(
+        host, port, new ConnectionSlots(most, most), path -> false, handler, Threads.connections());
   }
 
   /** Connections that ask for a {@code reserved} path have places that others cannot take. */
   public HttpServer(
-      String host, int port, Places places, Predicate<String> reserved, Handler handler)
+      String host, int port, ConnectionSlots places, Predicate<String> reserved, Handler handler)
       throws IOException {
     this(host, port, places, reserved, handler, Threads.connections());
   }
@@ -62,7 +63,7 @@
   HttpServer(
       String host,
       int port,
-      Places places,
+      ConnectionSlots places,
       Predicate<String> reserved,
       Handler handler,
       ThreadFactory threads)
@@ -70,7 +71,7 @@
     this.handler = handler;
     this.places = places;
     this.reserved = reserved;
-    this.threads = new Threads.Crowd(threads);
+    this.threads = new Threads.ConnectionThreads(threads);
     this.server = listen(host, port, Constants.BACKLOG);
   }
 
@@ -136,7 +137,7 @@
         open.put(c, socket);
         take(c, socket);
         tell();
-      } catch (IOException | Threads.NoThread e) {
+      } catch (IOException | Threads.ThreadUnavailableException e) {
         if (!closed) {
           LOG.info("a connection could not be taken: {}", e.toString());
           Threads.pause();
@@ -155,7 +156,7 @@
     try {
       c.served(true);
       threads.execute(() -> serve(c, socket));
-    } catch (Threads.NoThread e) {
+    } catch (Threads.ThreadUnavailableException e) {
       // Nobody will serve it: kept, it would hang for its user and count as open for ever.
       places.leave(c);
       c.served(false);
@@ -189,7 +190,7 @@
   private void serve(Connection c, Socket socket) {
     try (socket) {
       socket.setTcpNoDelay(true);
-      Wire wire = new Wire(socket);
+      HttpMessageReader wire = new HttpMessageReader(socket);
       while (!closed) {
         c.idleSince(System.nanoTime());
         if (!wire.await()) {
@@ -211,8 +212,8 @@
     }
   }
 
-  private boolean one(Connection c, Socket socket, Wire wire) throws IOException {
-    Wire.Message m;
+  private boolean one(Connection c, Socket socket, HttpMessageReader wire) throws IOException {
+    HttpMessageReader.Message m;
     String[] start;
     try {
       m = wire.request(Constants.BODY_BYTES);
--- a/src/main/java/org/astershift/http/Threads.java
+++ b/src/main/java/org/astershift/http/Threads.java
@@ -16,24 +16,25 @@
   private Threads() {}
 
   /** What a thread does; an exception ends this one run of it and is logged. */
-  public interface Body {
+  public interface Task {
     void run() throws Exception;
   }
 
   /** A thread could not be started: the process has as many as the system allows. */
-  public static final class NoThread extends RuntimeException {
+  public static final class ThreadUnavailableException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    NoThread(String name, OutOfMemoryError cause) {
+    ThreadUnavailableException(String name, OutOfMemoryError cause) {
       super("no thread for " + name + ": " + cause.getMessage(), cause);
     }
   }
 
   /**
-   * Starts a thread, or throws {@link NoThread}. The system's refusal comes as an error, which
-   * would pass by every loop's handler and end the loop; as an exception it is handled there.
+   * Starts a thread, or throws {@link ThreadUnavailableException}. The system's refusal comes as an
+   * error, which would pass by every loop's handler and end the loop; as an exception it is handled
+   * there.
    */
-  public static void start(String name, Body body) {
+  public static void start(String name, Task body) {
     start(thread(name, guarded(name, body)));
   }
 
@@ -41,12 +42,12 @@
     try {
       t.start();
     } catch (OutOfMemoryError e) {
-      throw new NoThread(t.getName(), e);
+      throw new ThreadUnavailableException(t.getName(), e);
     }
   }
 
   /** A loop that has to live as long as the process: whatever ends its body, it begins again. */
-  public static void startLoop(String name, Body body) {
+  public static void startLoop(String name, Task body) {
     Runnable once = guarded(name, body);
     start(
         thread(
@@ -84,7 +85,7 @@
       this.threads.allowCoreThreadTimeOut(true);
     }
 
-    public void execute(String what, Body body) {
+    public void execute(String what, Task body) {
       threads.getQueue().add(guarded(what, body));
       grow();
     }
@@ -109,10 +110,10 @@
    * Threads that serve a connection each, and then the next: making one costs some thirty system
    * calls, and users come with a connection for nearly each request.
    */
-  static final class Crowd {
+  static final class ConnectionThreads {
     private final ThreadPoolExecutor threads;
 
-    Crowd(ThreadFactory factory) {
+    ConnectionThreads(ThreadFactory factory) {
       this.threads =
           new ThreadPoolExecutor(
               0,
@@ -123,18 +124,21 @@
               factory);
     }
 
-    /** Serves at once or throws {@link NoThread}; how many there are is its caller's to limit. */
-    void execute(Body body) {
+    /**
+     * Serves at once or throws {@link ThreadUnavailableException}; how many there are is its
+     * caller's to limit.
+     */
+    void execute(Task body) {
       try {
         threads.execute(guarded("connection", body));
       } catch (OutOfMemoryError e) {
-        throw new NoThread("a connection", e);
+        throw new ThreadUnavailableException("a connection", e);
       }
     }
   }
 
   /** Logs whatever ends this run of the body, errors included: nothing ends without a line. */
-  public static Runnable guarded(String what, Body body) {
+  public static Runnable guarded(String what, Task body) {
     return () -> {
       try {
         body.run();
--- a/src/main/java/org/astershift/peer/PeerClient.java
+++ b/src/main/java/org/astershift/peer/PeerClient.java
@@ -72,8 +72,8 @@
       socket.setSoTimeout(timeoutMs);
       DataOutputStream out =
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
-      PeerWire.write(out, new PeerWire.Ask(op, job));
-      JobAnswer a = PeerWire.answer(new DataInputStream(socket.getInputStream()));
+      PeerCodec.write(out, new PeerCodec.PeerRequest(op, job));
+      JobAnswer a = PeerCodec.answer(new DataInputStream(socket.getInputStream()));
       ok = true;
       return a;
     } catch (RuntimeException e) {
--- a/src/main/java/org/astershift/peer/PeerWire.java
+++ b/src/main/java/org/astershift/peer/PeerCodec.java
@@ -8,15 +8,15 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Frames between controllers: a length of four bytes, then one MessagePack array. */
-final class PeerWire {
+final class PeerCodec {
   private static final int LIMIT = 64 * 1024;
 
-  private PeerWire() {}
+  private PeerCodec() {}
 
   /** A user's question that only the leader can answer. */
-  record Ask(String op, String job) {}
+  record PeerRequest(String op, String job) {}
 
-  static void write(DataOutputStream out, Ask ask) throws IOException {
+  static void write(DataOutputStream out, PeerRequest ask) throws IOException {
     try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
       p.packArrayHeader(2).packString(ask.op()).packString(ask.job());
       frame(out, p.toByteArray());
@@ -52,12 +52,12 @@
     return MessagePack.newDefaultUnpacker(body);
   }
 
-  static Ask ask(DataInputStream in) throws IOException {
+  static PeerRequest ask(DataInputStream in) throws IOException {
     try (MessageUnpacker u = frame(in)) {
       if (u.unpackArrayHeader() < 2) {
         throw new IOException("short question");
       }
-      return new Ask(u.unpackString(), u.unpackString());
+      return new PeerRequest(u.unpackString(), u.unpackString());
     }
   }
 
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -18,15 +18,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
 
   /** Answers without forwarding again. */
-  public interface Desk {
+  public interface RequestHandler {
     JobAnswer answer(String op, String job) throws InterruptedException;
   }
 
   private final ServerSocket server;
-  private final Desk desk;
+  private final RequestHandler desk;
   private final Semaphore places = new Semaphore(Constants.PEER_CONNECTIONS);
 
-  public PeerServer(String host, int port, Desk desk) throws IOException {
+  public PeerServer(String host, int port, RequestHandler desk) throws IOException {
     this.desk = desk;
     this.server = HttpServer.listen(host, port, Constants.PEER_CONNECTIONS);
   }
@@ -45,12 +45,12 @@
         }
         try {
           Threads.start("peer", () -> serve(socket));
-        } catch (Threads.NoThread e) {
+        } catch (Threads.ThreadUnavailableException e) {
           places.release(); // else the place is taken for ever by a connection that nobody serves
           socket.close();
           throw e;
         }
-      } catch (IOException | Threads.NoThread e) {
+      } catch (IOException | Threads.ThreadUnavailableException e) {
         LOG.info("a peer's connection could not be taken: {}", e.toString());
         Threads.pause();
       }
@@ -65,8 +65,8 @@
       DataOutputStream out =
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
       while (true) {
-        PeerWire.Ask ask = PeerWire.ask(in);
-        PeerWire.write(out, desk.answer(ask.op(), ask.job()));
+        PeerCodec.PeerRequest ask = PeerCodec.ask(in);
+        PeerCodec.write(out, desk.answer(ask.op(), ask.job()));
       }
     } catch (IOException | RuntimeException e) {
       LOG.debug("peer connection: {}", e.toString());
--- a/src/main/java/org/astershift/core/Cluster.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -18,15 +18,15 @@
  * What one term knows: jobs, machines, and which machine holds which attempt. It keeps the sums and
  * the sets of what changed, so that an event costs what it changes and not a walk over everything.
  *
- * <p>A {@link Run} leaves only on proof: the machine's own newer report, the end of its session,
- * the answer to its return, the cloud's list, or a lease that ran out while only this leader could
- * have renewed it.
+ * <p>A {@link TaskAttempt} leaves only on proof: the machine's own newer report, the end of its
+ * session, the answer to its return, the cloud's list, or a lease that ran out while only this
+ * leader could have renewed it.
  */
-final class Cluster {
-  private static final Logger LOG = LoggerFactory.getLogger(Cluster.class);
+final class ClusterState {
+  private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
-  final Facts facts;
-  final Policy policy;
+  final DeploymentLimits facts;
+  final SchedulingPolicy policy;
   final long token;
   final Map<String, Job> jobs = new LinkedHashMap<>();
   final Map<String, Machine> machines = new LinkedHashMap<>();
@@ -52,12 +52,12 @@
   /** Jobs with done tasks that no record holds yet. */
   final Set<Job> unsaved = new LinkedHashSet<>();
 
-  final Served served = new Served();
-  final Incarnations incarnations;
-  final Floor floor = new Floor(this);
-  final MachineTypes machineTypes = new MachineTypes();
+  final ServiceStatistics served = new ServiceStatistics();
+  final IncarnationTracker incarnations;
+  final MinimumShare floor = new MinimumShare(this);
+  final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
   final Utilization utilization = new Utilization();
-  private final Hidden hidden = new Hidden();
+  private final UnobservedUsage hidden = new UnobservedUsage();
 
   /** Looks at a job for a machine, so that tests can count what a pass and a report cost. */
   long looks;
@@ -68,8 +68,8 @@
       Comparator.comparingLong((Job j) -> j.submittedMs).thenComparing(j -> j.spec.id());
   private final Map<String, TreeSet<Job>> teamJobs = new HashMap<>();
   private final Map<String, double[]> teamUse = new HashMap<>();
-  private final List<Decision.Strike> struck = new ArrayList<>();
-  private final Map<String, Decaying> reuse = new HashMap<>();
+  private final List<Decision.DeregisterMachine> struck = new ArrayList<>();
+  private final Map<String, DecayingRate> reuse = new HashMap<>();
   private final Map<String, Long> goneMs = new LinkedHashMap<>();
   private final Map<String, Long> cutZones = new HashMap<>();
   private long attempts;
@@ -77,11 +77,11 @@
   private int unheard;
   private boolean restless;
 
-  Cluster(Facts facts, Policy policy, long token) {
+  ClusterState(DeploymentLimits facts, SchedulingPolicy policy, long token) {
     this.facts = facts;
     this.policy = policy;
     this.token = token;
-    this.incarnations = new Incarnations(token);
+    this.incarnations = new IncarnationTracker(token);
   }
 
   // ---- what a pass has to look at ----
@@ -155,10 +155,10 @@
     unsaved.remove(job);
     served.ended(job, cancelled);
     if (!cancelled) {
-      Floor.finished(job);
+      MinimumShare.finished(job);
     }
     job.state = cancelled ? Job.State.CANCELLED : Job.State.DONE;
-    for (Run run : new ArrayList<>(job.runs.values())) {
+    for (TaskAttempt run : new ArrayList<>(job.runs.values())) {
       if (run.ordered) {
         run.hasten();
         stale.add(run.machine);
@@ -276,7 +276,7 @@
    * next message, and what is on its way to it stays held.
    */
   void mayHaveRestarted(Machine m, long nowMs) {
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       if (run.phase == null && run.answered) {
         run.doubtful = true;
         run.orderedIn = Math.max(1, m.session);
@@ -304,7 +304,7 @@
   void restarted(Machine m, long nowMs) {
     LOG.info("machine {} began anew: its {} tasks are gone", m.name, m.heldCount());
     dropShown(m);
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       run.ordered = false; // it is repeated, once the machine may have tasks again
       run.lapsed = false; // and fits the new life
       run.answered = false; // an answer ends with the connection of the life before
@@ -345,7 +345,7 @@
     hidden.look(m, false);
     stale.remove(m);
     unrecorded.remove(m);
-    struck.add(new Decision.Strike(name, m.addr));
+    struck.add(new Decision.DeregisterMachine(name, m.addr));
     stir();
   }
 
@@ -355,8 +355,8 @@
   }
 
   /** Machines gone since the last call. */
-  List<Decision.Strike> struck() {
-    List<Decision.Strike> out = new ArrayList<>(struck);
+  List<Decision.DeregisterMachine> struck() {
+    List<Decision.DeregisterMachine> out = new ArrayList<>(struck);
     struck.clear();
     return out;
   }
@@ -451,11 +451,11 @@
     return (token << Constants.ATTEMPT_BITS) | ++attempts;
   }
 
-  Run place(Job job, int index, Machine m, long attempt, long nowMs) {
+  TaskAttempt place(Job job, int index, Machine m, long attempt, long nowMs) {
     if (m.idle()) {
-      reuse.computeIfAbsent(m.type, t -> new Decaying(Constants.REUSE_WINDOW_S)).add(nowMs);
+      reuse.computeIfAbsent(m.type, t -> new DecayingRate(Constants.REUSE_WINDOW_S)).add(nowMs);
     }
-    Run run = new Run(job, index, attempt, m, nowMs);
+    TaskAttempt run = new TaskAttempt(job, index, attempt, m, nowMs);
     m.add(run);
     hold(run);
     job.lastPlacedMs = nowMs;
@@ -471,12 +471,12 @@
 
   /** How many machines of a type are taken from idleness in a second, lately. */
   double reusedPerS(String type, long nowMs) {
-    Decaying d = reuse.get(type);
+    DecayingRate d = reuse.get(type);
     return d == null ? 0 : d.perS(nowMs);
   }
 
   /** A task found on a machine; it is the job's unless another attempt is, or nobody wants it. */
-  void adopt(Run run) {
+  void adopt(TaskAttempt run) {
     run.machine.add(run);
     if (!run.exited()) {
       use(run, 1);
@@ -484,19 +484,19 @@
   }
 
   /** Makes an adopted run the one that holds its task. */
-  void recognise(Run run) {
+  void recognise(TaskAttempt run) {
     run.job.hold(run);
     if (run.job.waiting.isEmpty()) {
       waiting.remove(run.job);
     }
   }
 
-  private void hold(Run run) {
+  private void hold(TaskAttempt run) {
     use(run, 1);
     recognise(run);
   }
 
-  private void use(Run run, int sign) {
+  private void use(TaskAttempt run, int sign) {
     JobSpec s = run.job.spec;
     run.machine.use(s, sign);
     if (run.job.stranger) {
@@ -545,12 +545,12 @@
   }
 
   /** The task is off its machine; its entry there may stay until the worker has forgotten it. */
-  void release(Run run) {
+  void release(TaskAttempt run) {
     use(run, -1);
     Job job = run.job;
     job.extras.remove(run);
     if (job.release(run)) {
-      for (Run extra : job.extras) {
+      for (TaskAttempt extra : job.extras) {
         if (extra.index == run.index) {
           job.extras.remove(extra);
           recognise(extra);
@@ -564,7 +564,7 @@
   }
 
   /** Proof that the machine does not have the attempt, nor will. */
-  void drop(Run run) {
+  void drop(TaskAttempt run) {
     if (!run.exited()) {
       release(run);
       run.job.restarts += run.ordered ? 1 : 0;
@@ -580,7 +580,7 @@
    */
   int dropShown(Machine m) {
     int dropped = 0;
-    for (Run run : new ArrayList<>(m.runs.values())) {
+    for (TaskAttempt run : new ArrayList<>(m.runs.values())) {
       if (!run.pending()) {
         drop(run);
         dropped++;
@@ -591,15 +591,15 @@
 
   /** Proof that nothing of what the machine held is left there, nor on its way. */
   void dropAll(Machine m) {
-    for (Run run : new ArrayList<>(m.runs.values())) {
+    for (TaskAttempt run : new ArrayList<>(m.runs.values())) {
       drop(run);
     }
   }
 
   /** Stops a task in the way that saves most: a gang as a whole, with time to save. */
-  void stop(Run run) {
+  void stop(TaskAttempt run) {
     if (run.job.spec.kind() == JobKind.GANG) {
-      for (Run other : run.job.runs.values()) {
+      for (TaskAttempt other : run.job.runs.values()) {
         mark(other);
       }
     } else {
@@ -609,7 +609,7 @@
 
   /** The attempt will never be complete: what waits under its number waits in vain. */
   void stopAttempt(Job job, long attempt) {
-    for (Run run : job.runs.values()) {
+    for (TaskAttempt run : job.runs.values()) {
       if (run.attempt == attempt) {
         mark(run);
       }
@@ -617,7 +617,7 @@
     stir();
   }
 
-  private void mark(Run run) {
+  private void mark(TaskAttempt run) {
     run.stopping = true;
     run.machine.stoppable = null;
     run.stopGraceS = run.job.spec.checkpointS() > 0 ? run.job.spec.saveS() + 1 : 0;
--- a/src/main/java/org/astershift/core/OrderBudget.java
+++ b/src/main/java/org/astershift/scheduler/CommandConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -12,7 +12,7 @@
  * lists and passes that all waited for came seconds late. What finds no place waits for the answer
  * to its machine's next report, which carries the same commands.
  */
-final class OrderBudget {
+final class CommandConcurrencyLimit {
   private final Map<String, Long> underWay = new HashMap<>();
   private double most = Constants.ORDERS_AT_FIRST;
   private long loweredMs = Long.MIN_VALUE / 2;
--- a/src/main/java/org/astershift/core/Commands.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,40 +8,40 @@
  * The difference between the attempts wanted on a machine and those it reports, as commands: in the
  * answer to its report, or straight to it where that should not wait.
  */
-final class Commands {
-  private final Cluster c;
-  private final OrderBudget budget = new OrderBudget();
+final class CommandReconciler {
+  private final ClusterState c;
+  private final CommandConcurrencyLimit budget = new CommandConcurrencyLimit();
 
-  Commands(Cluster cluster) {
+  CommandReconciler(ClusterState cluster) {
     this.c = cluster;
   }
 
   /** What to say in the answer to the newest report: everything wanted and not yet so. */
-  List<Order> answer(Machine m, long nowMs) {
-    List<Order> orders = new ArrayList<>(4);
-    for (Run run : m.runs.values()) {
+  List<Command> answer(Machine m, long nowMs) {
+    List<Command> orders = new ArrayList<>(4);
+    for (TaskAttempt run : m.runs.values()) {
       // One report is under way at a time: the answer to the one before arrived or never will.
       run.answered = false;
     }
     dropNeverStarted(m);
     boolean usable = c.incarnations.usable(m, nowMs);
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       if (run.exited()) {
         // Forgetting an attempt whose start may still arrive would let that start run it again.
         if (!run.doubtful && !run.inFlight && forgettable(run)) {
-          orders.add(Order.forget(run));
+          orders.add(Command.forget(run));
         }
       } else if (run.unwanted()) {
         if (run.phase == null && usable) {
           // Make the worker remember the attempt, so that the late start has no effect.
           run.answered = true;
-          orders.add(Order.start(run));
+          orders.add(Command.start(run));
         }
-        orders.add(Order.stop(run, run.graceS()));
+        orders.add(Command.stop(run, run.graceS()));
       } else if (run.phase == null && run.job.opened && m.enrolled && usable) {
         run.ordered = true;
         run.answered = true;
-        orders.add(Order.start(run));
+        orders.add(Command.start(run));
       }
     }
     return orders;
@@ -54,13 +54,13 @@
    * and held its team's limit (seed 1615 of the swarm, as old as the code).
    */
   void dropNeverStarted(Machine m) {
-    List<Run> never = new ArrayList<>(0);
-    for (Run run : m.runs.values()) {
+    List<TaskAttempt> never = new ArrayList<>(0);
+    for (TaskAttempt run : m.runs.values()) {
       if (run.unwanted() && run.phase == null && !run.pending() && !run.answered) {
         never.add(run);
       }
     }
-    for (Run run : never) {
+    for (TaskAttempt run : never) {
       c.drop(run);
     }
   }
@@ -70,12 +70,12 @@
    * machine's lease, also one to a report that proves nothing; so each carries these, or a task
    * whose user was told that it is cancelled would live on for as long as only such reports come.
    */
-  List<Order> ends(Report r) {
-    List<Order> orders = new ArrayList<>(0);
-    for (Report.Item item : r.tasks()) {
+  List<Command> ends(Heartbeat r) {
+    List<Command> orders = new ArrayList<>(0);
+    for (Heartbeat.TaskStatus item : r.tasks()) {
       Job job = c.jobs.get(item.job());
-      if (item.phase() != Report.Phase.EXITED && (job == null || job.cancelWanted)) {
-        orders.add(new Order(Order.Op.STOP, item.job(), item.index(), item.attempt(), 0));
+      if (item.phase() != Heartbeat.TaskPhase.EXITED && (job == null || job.cancelWanted)) {
+        orders.add(new Command(Command.Kind.STOP, item.job(), item.index(), item.attempt(), 0));
       }
     }
     return orders;
@@ -84,7 +84,7 @@
   /**
    * What a machine says is done is kept there until it is on record: a successor may ask for it.
    */
-  private static boolean forgettable(Run run) {
+  private static boolean forgettable(TaskAttempt run) {
     return run.job.state != Job.State.LIVE
         || !"done".equals(run.cause)
         || run.job.doneDurable.get(run.index);
@@ -92,7 +92,7 @@
 
   /** Whether a command waits that should not wait for the machine's next report. */
   static boolean due(Machine m) {
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       if (startDue(run) || stopDue(run)) {
         return true;
       }
@@ -108,7 +108,7 @@
     if (budget.open()) {
       return true;
     }
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       if (stopDue(run)) {
         return true;
       }
@@ -117,12 +117,12 @@
   }
 
   /** The books of the direct orders under way. */
-  OrderBudget budget() {
+  CommandConcurrencyLimit budget() {
     return budget;
   }
 
   /** A machine that began anew may hold a start in doubt: not before it is on record again. */
-  private static boolean startDue(Run run) {
+  private static boolean startDue(TaskAttempt run) {
     return run.phase == null
         && !run.ordered
         && run.job.opened
@@ -130,7 +130,7 @@
         && run.machine.enrolled;
   }
 
-  private static boolean stopDue(Run run) {
+  private static boolean stopDue(TaskAttempt run) {
     return !run.exited() && run.unwanted() && run.ordered && !run.stopSent && run.phase != null;
   }
 
@@ -140,14 +140,14 @@
    * begins anew has none, and executes a direct start of an earlier leader that stood still
    * meanwhile (seed 6651 of the swarm). In an answer it goes to who has just shown this token.
    */
-  Decision.Direct urgent(Machine m, boolean sole, long nowMs) {
+  Decision.SendCommands urgent(Machine m, boolean sole, long nowMs) {
     if (m.orderInFlight || m.addr == null || m.session == 0 || m.state != Machine.State.LIVE) {
       return null;
     }
-    List<Order> orders = new ArrayList<>();
-    for (Run run : m.runs.values()) {
+    List<Command> orders = new ArrayList<>();
+    for (TaskAttempt run : m.runs.values()) {
       if (stopDue(run)) {
-        orders.add(Order.stop(run, run.graceS()));
+        orders.add(Command.stop(run, run.graceS()));
         run.stopSent = true;
       } else if (sole && startDue(run) && !c.mute(m, nowMs)) {
         orders.add(directStart(run));
@@ -164,7 +164,7 @@
    * The claim of an inherited machine, or the question whether a machine whose report is overdue is
    * still there; null if neither is due.
    */
-  Decision.Direct question(Machine m, boolean sole, long nowMs) {
+  Decision.SendCommands question(Machine m, boolean sole, long nowMs) {
     if (m.orderInFlight
         || m.addr == null
         || m.state == Machine.State.BOOTING
@@ -188,19 +188,19 @@
    * wanted any more goes with its stop, so that the machine remembers the attempt: a cancellation
    * waited for ever for a start in doubt of the life before (seeds 4939 and 7641 of the swarm).
    */
-  private List<Order> repeated(Machine m, boolean sole, long nowMs) {
-    List<Order> orders = new ArrayList<>(0);
+  private List<Command> repeated(Machine m, boolean sole, long nowMs) {
+    List<Command> orders = new ArrayList<>(0);
     boolean starts = sole && m.restartedInTerm && m.enrolled && m.state == Machine.State.LIVE;
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       if (starts && run.phase == null && run.doubtful && run.job.state == Job.State.LIVE) {
         if (run.unwanted() || (run.job.opened && !c.mute(m, nowMs))) {
           orders.add(directStart(run));
           if (run.unwanted()) {
-            orders.add(Order.stop(run, run.graceS()));
+            orders.add(Command.stop(run, run.graceS()));
           }
         }
       } else if (!run.exited() && run.unwanted() && run.stopSent) {
-        orders.add(Order.stop(run, run.graceS()));
+        orders.add(Command.stop(run, run.graceS()));
       }
     }
     return orders;
@@ -228,26 +228,26 @@
    * A start in a direct order, which is under way from now on, and meant for the present session:
    * whoever sends one without noting both takes the attempt for gone while it may still start.
    */
-  private static Order directStart(Run run) {
+  private static Command directStart(TaskAttempt run) {
     run.ordered = true;
     run.inFlight = true;
     run.orderedIn = Math.max(1, run.machine.session);
-    return Order.start(run);
+    return Command.start(run);
   }
 
-  private Decision.Direct direct(Machine m, List<Order> orders, int timeoutMs, long nowMs) {
+  private Decision.SendCommands direct(Machine m, List<Command> orders, int timeoutMs, long nowMs) {
     m.orderInFlight = true;
     m.askedWhileSilent = m.state == Machine.State.UNHEARD || c.overdue(m, nowMs);
     m.lastDirectMs = nowMs;
     m.askedSession = m.session;
     m.askedSeq = m.seq;
-    return new Decision.Direct(m.name, m.addr, Math.max(1, m.session), orders, timeoutMs);
+    return new Decision.SendCommands(m.name, m.addr, Math.max(1, m.session), orders, timeoutMs);
   }
 
   /** A direct order has its answer, or will get none. */
   static void settled(Machine m, boolean unknown) {
     m.orderInFlight = false;
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       if (run.inFlight) {
         run.inFlight = false;
         run.doubtful |= unknown;
--- a/src/main/java/org/astershift/core/Spending.java
+++ b/src/main/java/org/astershift/scheduler/CostStatistics.java
@@ -1,10 +1,10 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.Collection;
 import java.util.Locale;
 
 /** Where this term's money goes, for the log: by what each machine does at the time. */
-final class Spending {
+final class CostStatistics {
   private static final double MS_PER_HOUR = 3_600_000;
   private long lastMs = -1;
   private double booting;
--- a/src/main/java/org/astershift/core/Triage.java
+++ b/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,10 +14,10 @@
  * put off, which leaves most jobs in time (Moore's rule). What is put off is served after the
  * others.
  */
-final class Triage {
-  private final Cluster c;
+final class DeadlineAdmission {
+  private final ClusterState c;
 
-  Triage(Cluster cluster) {
+  DeadlineAdmission(ClusterState cluster) {
     this.c = cluster;
   }
 
--- a/src/main/java/org/astershift/core/Decaying.java
+++ b/src/main/java/org/astershift/scheduler/DecayingRate.java
@@ -1,12 +1,12 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 /** How often something happens lately: old events count less and less. */
-final class Decaying {
+final class DecayingRate {
   private final double windowS;
   private double sum;
   private long atMs;
 
-  Decaying(double windowS) {
+  DecayingRate(double windowS) {
     this.windowS = windowS;
   }
 
--- a/src/main/java/org/astershift/core/Decision.java
+++ b/src/main/java/org/astershift/scheduler/Decision.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.List;
 import java.util.Set;
@@ -8,7 +8,7 @@
 
   /**
    * Record that commands for this job may go out; none goes out before that is durable. {@code
-   * where}: for a service, the machines that get its replicas now; see {@link Remember}.
+   * where}: for a service, the machines that get its replicas now; see {@link PersistPlacement}.
    */
   record OpenJob(String job, List<String> where) implements Decision {}
 
@@ -17,41 +17,45 @@
    * of them dead after a fall of all controllers: these machines have the image. No rule depends on
    * it.
    */
-  record Remember(String job, List<String> where) implements Decision {}
+  record PersistPlacement(String job, List<String> where) implements Decision {}
 
   /** Send these commands straight to the machine. */
-  record Direct(String machine, String addr, long session, List<Order> orders, int timeoutMs)
+  record SendCommands(
+      String machine, String addr, long session, List<Command> orders, int timeoutMs)
       implements Decision {}
 
   /** Record that the job is done. */
   record FinishJob(String job) implements Decision {}
 
   /** Rent machines. */
-  record Rent(String type, String zone, boolean spot, int count) implements Decision {}
+  record ProvisionMachines(String type, String zone, boolean spot, int count) implements Decision {}
 
   /** Give machines back. {@code silent}: only because nothing is heard of them. */
-  record Return(List<String> machines, boolean silent) implements Decision {}
+  record ReleaseMachines(List<String> machines, boolean silent) implements Decision {}
 
   /**
    * Record a machine, so that a successor knows of it. Until a record that is not {@code fresh} is
    * durable it gets no task, so a successor need not wait for a fresh one.
    */
-  record Enrol(String machine, String addr, String type, String zone, boolean spot, boolean fresh)
+  record RegisterMachine(
+      String machine, String addr, String type, String zone, boolean spot, boolean fresh)
       implements Decision {}
 
   /** Drop the record of a machine that is provably gone. */
-  record Strike(String machine, String addr) implements Decision {}
+  record DeregisterMachine(String machine, String addr) implements Decision {}
 
   /**
    * Have the other controllers ask these machines whether they are there: they are silent here, and
    * so many that this leader's own ears may be the trouble. {@code controls} are machines that were
    * heard here a moment ago: a controller that does not reach these either cannot tell.
    */
-  record Witness(List<Named> suspects, List<Named> controls, long askedMs) implements Decision {}
+  record ProbeThroughPeers(
+      List<MachineAddress> suspects, List<MachineAddress> controls, long askedMs)
+      implements Decision {}
 
   /** A machine and where it is reached. */
-  record Named(String machine, String addr) {}
+  record MachineAddress(String machine, String addr) {}
 
   /** What one other controller found: machines that answered it, and those asked in vain. */
-  record Testimony(Set<String> reached, Set<String> unreached) {}
+  record PeerProbeResult(Set<String> reached, Set<String> unreached) {}
 }
--- a/src/main/java/org/astershift/core/Need.java
+++ b/src/main/java/org/astershift/scheduler/Demand.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.HashMap;
 import java.util.List;
@@ -9,13 +9,13 @@
  * one zone's room, and what is spread by no more of a zone than it may use: else such a job would
  * wait for ever beside room that it cannot take.
  */
-final class Need {
+final class Demand {
   final Job job;
   private int left;
   private String only;
   private final Map<String, Integer> taken = new HashMap<>();
 
-  Need(Job job, int tasks) {
+  Demand(Job job, int tasks) {
     this.job = job;
     this.left = tasks;
   }
@@ -39,8 +39,8 @@
         : left;
   }
 
-  void fill(List<Bin> bins) {
-    for (Bin bin : bins) {
+  void fill(List<PlannedMachine> bins) {
+    for (PlannedMachine bin : bins) {
       if (left == 0) {
         return;
       }
@@ -55,10 +55,10 @@
   }
 
   /** How many of the tasks find room in this zone. */
-  int fits(List<Bin> bins, String zone) {
+  int fits(List<PlannedMachine> bins, String zone) {
     int n = 0;
     int most = allowed(zone);
-    for (Bin bin : bins) {
+    for (PlannedMachine bin : bins) {
       if (n < most && bin.zone.equals(zone)) {
         n += bin.fits(job.spec, most - n);
       }
--- a/src/main/java/org/astershift/core/Facts.java
+++ b/src/main/java/org/astershift/scheduler/DeploymentLimits.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.List;
 import java.util.Map;
@@ -6,9 +6,9 @@
 import java.util.TreeSet;
 
 /** What the settings say of the deployment, as far as scheduling needs it. */
-public record Facts(
+public record DeploymentLimits(
     Map<String, Team> teams,
-    List<Objective> objectives,
+    List<ServiceLevelObjective> objectives,
     double reportS,
     double leaseS,
     double gangWaitS,
@@ -17,11 +17,11 @@
     double listLagS) {
 
   /** What is aimed at for this class. */
-  public Aims aims(String jobClass) {
+  public ClassObjectives aims(String jobClass) {
     Double startS = null;
     Double finishS = null;
     boolean any = false;
-    for (Objective o : objectives) {
+    for (ServiceLevelObjective o : objectives) {
       if (o.jobClass().equals(jobClass)) {
         any = true;
         if (o.kind().equals("wait")) {
@@ -31,7 +31,7 @@
         }
       }
     }
-    return new Aims(startS, finishS, any);
+    return new ClassObjectives(startS, finishS, any);
   }
 
   /**
@@ -39,7 +39,7 @@
    */
   public Set<Double> deadlineTimes() {
     Set<Double> times = new TreeSet<>(Set.of(1.0));
-    for (Objective o : objectives) {
+    for (ServiceLevelObjective o : objectives) {
       if (o.kind().equals("deadline")) {
         times.add(o.times());
       }
--- a/src/main/java/org/astershift/core/Silence.java
+++ b/src/main/java/org/astershift/scheduler/FailureDetector.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -20,10 +20,10 @@
  * zone fell silent, or the leases are over), and only if it hears a part of the fleet. Whatever the
  * reasons, only a share of the fleet may go in a time.
  */
-final class Silence {
-  private static final Logger LOG = LoggerFactory.getLogger(Silence.class);
+final class FailureDetector {
+  private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
-  private final Cluster c;
+  private final ClusterState c;
 
   /** When machines were given up as silent, outside zones that are cut off; the oldest first. */
   private final ArrayDeque<Long> scattered = new ArrayDeque<>();
@@ -57,7 +57,7 @@
   private int keptUnjudged;
   private int keptBeyond;
 
-  Silence(Cluster cluster) {
+  FailureDetector(ClusterState cluster) {
     this.c = cluster;
   }
 
@@ -159,9 +159,9 @@
    * never heard, most of which it has asked in vain. A busy new leader is neither: it has not asked
    * yet.
    */
-  record Hearing(int all, int overdue, boolean isolated, boolean deaf) {}
+  record FleetVisibility(int all, int overdue, boolean isolated, boolean deaf) {}
 
-  Hearing hearing() {
+  FleetVisibility hearing() {
     int machines = 0;
     int late = 0;
     int unanswered = 0;
@@ -175,7 +175,7 @@
     boolean most = late > Constants.SILENT_FEW && late * 2 > machines;
     boolean isolated = most && unanswered > Constants.SILENT_FEW;
     boolean deaf = most && (unanswered + unansweredNew) * 2 > late;
-    return new Hearing(machines, late, isolated, deaf);
+    return new FleetVisibility(machines, late, isolated, deaf);
   }
 
   // ---- which silent machines may go ----
@@ -330,7 +330,7 @@
    * that the answer is there when patience ends. First a sample of each zone, which is enough where
    * a zone is cut off as a whole.
    */
-  Decision.Witness ask(long nowMs) {
+  Decision.ProbeThroughPeers ask(long nowMs) {
     // Who hears next to nobody gives nothing back whatever the others say, and need not ask.
     if (asking || !(few || hearsEnough())) {
       return null;
@@ -360,8 +360,9 @@
     // What reports and answers nothing would make each of the others look cut off.
     heard.sort(
         Comparator.comparing((Machine m) -> m.unanswered > 0).thenComparingLong(m -> -m.seenMs));
-    List<Decision.Named> suspects = named(sample, Constants.WITNESS_BATCH);
-    return new Decision.Witness(suspects, named(heard, Constants.WITNESS_CONTROLS), nowMs);
+    List<Decision.MachineAddress> suspects = named(sample, Constants.WITNESS_BATCH);
+    return new Decision.ProbeThroughPeers(
+        suspects, named(heard, Constants.WITNESS_CONTROLS), nowMs);
   }
 
   /**
@@ -376,10 +377,10 @@
         || m.peerFindings.isReachedForLong(m.saidMs(), nowMs);
   }
 
-  private static List<Decision.Named> named(List<Machine> machines, int most) {
-    List<Decision.Named> out = new ArrayList<>();
+  private static List<Decision.MachineAddress> named(List<Machine> machines, int most) {
+    List<Decision.MachineAddress> out = new ArrayList<>();
     for (Machine m : machines.subList(0, Math.min(machines.size(), most))) {
-      out.add(new Decision.Named(m.name, m.addr));
+      out.add(new Decision.MachineAddress(m.name, m.addr));
     }
     return out;
   }
@@ -389,12 +390,12 @@
    * leader, does not know it yet; the controls show it. What somebody reached stays; what nobody
    * reached, and somebody asked, is gone.
    */
-  void witnessed(Decision.Witness w, List<Decision.Testimony> told) {
+  void witnessed(Decision.ProbeThroughPeers w, List<Decision.PeerProbeResult> told) {
     asking = false;
     Set<String> reached = new HashSet<>();
     Set<String> unreached = new HashSet<>();
     int able = 0;
-    for (Decision.Testimony t : told) {
+    for (Decision.PeerProbeResult t : told) {
       reached.addAll(t.reached());
       if (reachesControls(w, t)) {
         able++;
@@ -405,7 +406,7 @@
     nobodyMs = able == 0 ? w.askedMs() : Long.MIN_VALUE / 2;
     noneMs = told.isEmpty() ? w.askedMs() : Long.MIN_VALUE / 2;
     int answering = 0;
-    for (Decision.Named s : w.suspects()) {
+    for (Decision.MachineAddress s : w.suspects()) {
       Machine m = c.machines.get(s.machine());
       if (m == null) {
         continue;
@@ -430,9 +431,9 @@
     c.stir();
   }
 
-  private static boolean reachesControls(Decision.Witness w, Decision.Testimony t) {
+  private static boolean reachesControls(Decision.ProbeThroughPeers w, Decision.PeerProbeResult t) {
     int answered = 0;
-    for (Decision.Named control : w.controls()) {
+    for (Decision.MachineAddress control : w.controls()) {
       answered += t.reached().contains(control.machine()) ? 1 : 0;
     }
     return answered * 2 >= w.controls().size();
--- a/src/main/java/org/astershift/core/Blame.java
+++ b/src/main/java/org/astershift/scheduler/FaultAttribution.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import org.astershift.config.Constants;
@@ -10,16 +10,16 @@
  * fails on every machine, and a first failure tells neither. So blame follows distinct machines for
  * a job and distinct jobs for a machine; what one verdict explains counts no more for the other.
  */
-final class Blame {
-  private static final Logger LOG = LoggerFactory.getLogger(Blame.class);
-  private final Cluster c;
+final class FaultAttribution {
+  private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
+  private final ClusterState c;
 
-  Blame(Cluster cluster) {
+  FaultAttribution(ClusterState cluster) {
     this.c = cluster;
   }
 
   /** A task failed on its machine. */
-  void failed(Run run, long nowMs) {
+  void failed(TaskAttempt run, long nowMs) {
     c.stir();
     Job job = run.job;
     Machine m = run.machine;
@@ -60,8 +60,8 @@
     if (job.everRan) {
       return true;
     }
-    for (Run run : job.runs.values()) {
-      if (run.phase == Report.Phase.RUNNING
+    for (TaskAttempt run : job.runs.values()) {
+      if (run.phase == Heartbeat.TaskPhase.RUNNING
           && run.runningSinceMs >= 0
           && nowMs - run.runningSinceMs >= Constants.PROVEN_MS) {
         return true;
@@ -86,7 +86,7 @@
         }
       }
       if (job.spec.kind() != JobKind.GANG) {
-        for (Run run : new ArrayList<>(job.runs.values())) {
+        for (TaskAttempt run : new ArrayList<>(job.runs.values())) {
           if (!run.exited() && run.runningSinceMs < 0) {
             c.stop(run);
           }
--- a/src/main/java/org/astershift/core/Gangs.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -15,12 +15,12 @@
  * first gang that has waited for too long has what becomes free in a zone kept for it: otherwise
  * smaller ones take each machine, and a large gang waits for ever.
  */
-final class Gangs {
-  private static final Logger LOG = LoggerFactory.getLogger(Gangs.class);
-  private final Cluster c;
+final class GangScheduler {
+  private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
+  private final ClusterState c;
   private final Placement placement;
 
-  Gangs(Cluster cluster, Placement placement) {
+  GangScheduler(ClusterState cluster, Placement placement) {
     this.c = cluster;
     this.placement = placement;
   }
@@ -45,7 +45,7 @@
    * The same for gangs of a class that is served too little: the first that finds no room has it
    * kept.
    */
-  void placeStarved(Floor.Group group, List<Machine> usable, long nowMs) {
+  void placeStarved(MinimumShare.Group group, List<Machine> usable, long nowMs) {
     for (Job job : group.old()) {
       if (!group.hungry()) {
         return;
@@ -187,7 +187,7 @@
   }
 
   private static boolean anyStopping(Job job) {
-    for (Run run : job.runs.values()) {
+    for (TaskAttempt run : job.runs.values()) {
       if (run.unwanted()) {
         return true;
       }
--- a/src/main/java/org/astershift/core/Report.java
+++ b/src/main/java/org/astershift/scheduler/Heartbeat.java
@@ -1,9 +1,9 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.List;
 
 /** What a worker said of its machine. The larger (session, seq) is the newer one. */
-public record Report(
+public record Heartbeat(
     String machine,
     String addr,
     String type,
@@ -13,18 +13,18 @@
     long seq,
     long token,
     Double noticeS,
-    List<Item> tasks) {
+    List<TaskStatus> tasks) {
 
   /** One task on the machine. */
-  public record Item(String job, int index, long attempt, Phase phase, String cause) {
+  public record TaskStatus(String job, int index, long attempt, TaskPhase phase, String cause) {
 
     /**
      * Whether this shows that the attempt can take no more tasks: the task, and so all of its gang,
      * has run, or it gave up waiting for the others.
      */
     boolean begun() {
-      return phase == Phase.RUNNING
-          || phase == Phase.SAVING
+      return phase == TaskPhase.RUNNING
+          || phase == TaskPhase.SAVING
           || "peers".equals(cause)
           || "incomplete".equals(cause)
           || "done".equals(cause);
@@ -32,7 +32,7 @@
   }
 
   /** States of a task on its machine. */
-  public enum Phase {
+  public enum TaskPhase {
     FETCHING,
     WAITING,
     RUNNING,
@@ -41,8 +41,8 @@
   }
 
   /** Whether it names this attempt, in whatever state. */
-  boolean shows(Run.Key key) {
-    for (Item item : tasks) {
+  boolean shows(TaskAttempt.Key key) {
+    for (TaskStatus item : tasks) {
       if (item.index() == key.index()
           && item.attempt() == key.attempt()
           && item.job().equals(key.job())) {
