--- a/src/main/java/org/astershift/core/Reports.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -8,15 +8,15 @@
 import org.slf4j.LoggerFactory;
 
 /** Brings what is known of machines and tasks up to what workers say of themselves. */
-final class Reports {
-  private static final Logger LOG = LoggerFactory.getLogger(Reports.class);
-  private final Cluster c;
-  private final Blame blame;
+final class HeartbeatReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
+  private final ClusterState c;
+  private final FaultAttribution blame;
   private boolean deposed;
 
-  Reports(Cluster cluster) {
+  HeartbeatReconciler(ClusterState cluster) {
     this.c = cluster;
-    this.blame = new Blame(cluster);
+    this.blame = new FaultAttribution(cluster);
   }
 
   /** A worker showed a higher token: another leader has taken over. */
@@ -29,7 +29,7 @@
    * any copy; a machine that nobody knows is taken in, and used once more than hearsay speaks for
    * it.
    */
-  Machine from(Report r, long nowMs) {
+  Machine from(Heartbeat r, long nowMs) {
     if (r.token() > c.token) {
       deposed = true;
     }
@@ -47,7 +47,7 @@
   }
 
   /** What a message that came as a report proves. */
-  enum Worth {
+  enum Evidence {
     /** The machine said this, and after all that is known of it. */
     ALL,
     /**
@@ -70,22 +70,22 @@
    * copy with a higher session dropped tasks that ran, which then ran twice (seeds 516 and 3143 of
    * the swarm).
    */
-  Worth worth(Machine m, Report r) {
+  Evidence worth(Machine m, Heartbeat r) {
     boolean lostToken = m.claimed && r.token() < c.token;
     boolean lostSession = m.claimed && r.session() > m.session && m.session > 0 && m.holdsAny();
     boolean lostTask = !m.restartedInTerm && r.session() == m.session && lacksTask(m, r);
     m.restartSuspected |= lostToken || lostTask;
     if (lostToken || lostSession || lostTask) {
-      return Worth.DOUBT;
+      return Evidence.DOUBT;
     }
     if (!r.newerThan(m.reportSession, m.reportSeq) || r.session() < m.session) {
-      return Worth.NOTHING;
+      return Evidence.NOTHING;
     }
-    return m.restartedInTerm ? Worth.LIFE : Worth.ALL;
+    return m.restartedInTerm ? Evidence.LIFE : Evidence.ALL;
   }
 
   /** Notes of which incarnation a message is; {@code answer}: to a direct order of this leader. */
-  void identify(Machine m, Report r, boolean answer, long nowMs) {
+  void identify(Machine m, Heartbeat r, boolean answer, long nowMs) {
     if (!r.newerThan(m.session, m.seq)) {
       return;
     }
@@ -101,11 +101,11 @@
    * in its machine's reports until it is cleared, so this one is of another incarnation: it was
    * held back on its way, or the machine restarted and has sent more by now than before.
    */
-  private static boolean lacksTask(Machine m, Report r) {
+  private static boolean lacksTask(Machine m, Heartbeat r) {
     if (!r.newerThan(m.session, m.seq)) {
       return false;
     }
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       if (run.phase != null && !run.exited() && !r.shows(run.key)) {
         return true;
       }
@@ -117,7 +117,7 @@
    * Notes that the machine spoke. A copy of an old report may come any time later, from before its
    * return, its loss or a change of leaders: what is not newer moves no clock and revives nothing.
    */
-  void heard(Machine m, Report r, long nowMs) {
+  void heard(Machine m, Heartbeat r, long nowMs) {
     if (!r.newerThan(m.session, m.seq)) {
       return;
     }
@@ -143,7 +143,7 @@
    * Brings what is known of the machine up to this report; false if the report is not newer. {@code
    * wasAnswered}: the one before it was answered well within a lease.
    */
-  boolean absorb(Machine m, Report r, boolean wasAnswered, long nowMs) {
+  boolean absorb(Machine m, Heartbeat r, boolean wasAnswered, long nowMs) {
     if (!r.newerThan(m.session, m.seq)) {
       return false;
     }
@@ -151,7 +151,7 @@
       if (m.session > 0 && wasAnswered) {
         m.older = true; // its lease ran out all the same: do answers reach it?
       }
-      for (Run run : new ArrayList<>(m.runs.values())) {
+      for (TaskAttempt run : new ArrayList<>(m.runs.values())) {
         if (run.pending() && run.orderedIn >= r.session()) {
           continue; // of a life before: the order may be meant for this session, too
         }
@@ -172,9 +172,9 @@
       c.stir();
     }
     m.noticeS = r.noticeS();
-    List<Report.Item> strange = new ArrayList<>(0);
-    for (Report.Item item : r.tasks()) {
-      Run run = m.runs.get(new Run.Key(item.job(), item.index(), item.attempt()));
+    List<Heartbeat.TaskStatus> strange = new ArrayList<>(0);
+    for (Heartbeat.TaskStatus item : r.tasks()) {
+      TaskAttempt run = m.runs.get(new TaskAttempt.Key(item.job(), item.index(), item.attempt()));
       if (run == null) {
         strange.add(item);
       } else {
@@ -182,16 +182,16 @@
         update(run, item, nowMs);
       }
     }
-    List<Run> absent = new ArrayList<>(0);
-    for (Run run : m.runs.values()) {
+    List<TaskAttempt> absent = new ArrayList<>(0);
+    for (TaskAttempt run : m.runs.values()) {
       if (run.phase != null && run.shownSeq != r.seq()) {
         absent.add(run);
       }
     }
-    for (Run run : absent) {
+    for (TaskAttempt run : absent) {
       c.drop(run);
     }
-    for (Report.Item item : strange) {
+    for (Heartbeat.TaskStatus item : strange) {
       adopt(m, item, r.seq(), nowMs);
     }
     if (!m.idle()) {
@@ -200,7 +200,7 @@
     return true;
   }
 
-  private void update(Run run, Report.Item item, long nowMs) {
+  private void update(TaskAttempt run, Heartbeat.TaskStatus item, long nowMs) {
     if (run.exited() || run.phase == item.phase()) {
       return;
     }
@@ -213,11 +213,12 @@
     if (run.phase == null) {
       m.unanswered = 0; // an order of ours has reached it
     }
-    if (item.phase() != Report.Phase.FETCHING && item.phase() != Report.Phase.EXITED) {
-      if (run.phase == null || run.phase == Report.Phase.FETCHING) {
+    if (item.phase() != Heartbeat.TaskPhase.FETCHING
+        && item.phase() != Heartbeat.TaskPhase.EXITED) {
+      if (run.phase == null || run.phase == Heartbeat.TaskPhase.FETCHING) {
         m.touchImage(job.spec.image(), job.spec.imageGb());
       }
-      if (item.phase() == Report.Phase.RUNNING && run.runningSinceMs < 0) {
+      if (item.phase() == Heartbeat.TaskPhase.RUNNING && run.runningSinceMs < 0) {
         run.runningSinceMs = nowMs;
         c.served.started(job, nowMs);
         LOG.debug(
@@ -227,7 +228,7 @@
             nowMs - run.placedMs);
       }
     }
-    if (item.phase() != Report.Phase.EXITED) {
+    if (item.phase() != Heartbeat.TaskPhase.EXITED) {
       job.phase(run, item.phase());
       completeStop(run);
       return;
@@ -236,12 +237,12 @@
     if (!"done".equals(item.cause())) {
       job.restarts++;
     }
-    run.phase = Report.Phase.EXITED;
+    run.phase = Heartbeat.TaskPhase.EXITED;
     run.cause = item.cause();
     exited(run, nowMs);
   }
 
-  private void exited(Run run, long nowMs) {
+  private void exited(TaskAttempt run, long nowMs) {
     Job job = run.job;
     Machine m = run.machine;
     String cause = run.cause == null ? "?" : run.cause;
@@ -277,12 +278,12 @@
     }
   }
 
-  private void adopt(Machine m, Report.Item item, long seq, long nowMs) {
+  private void adopt(Machine m, Heartbeat.TaskStatus item, long seq, long nowMs) {
     Job job = c.jobs.get(item.job());
     if (job == null || item.index() >= job.spec.tasks()) {
       job = stub(item);
     }
-    Run run = new Run(job, item.index(), item.attempt(), m, nowMs);
+    TaskAttempt run = new TaskAttempt(job, item.index(), item.attempt(), m, nowMs);
     run.ordered = true;
     run.phase = item.phase();
     run.cause = item.cause();
@@ -295,13 +296,13 @@
       exited(run, nowMs);
       return;
     }
-    if (item.phase() == Report.Phase.RUNNING) {
+    if (item.phase() == Heartbeat.TaskPhase.RUNNING) {
       run.runningSinceMs = nowMs;
     }
-    if (item.phase() != Report.Phase.FETCHING) {
+    if (item.phase() != Heartbeat.TaskPhase.FETCHING) {
       m.touchImage(job.spec.image(), job.spec.imageGb());
     }
-    Run other = job.runs.get(run.index);
+    TaskAttempt other = job.runs.get(run.index);
     if (other != null && !other.ordered && !other.pending()) {
       c.drop(other);
       other = null;
@@ -326,7 +327,7 @@
     c.recognise(run);
     completeStop(run);
     job.opened = true;
-    if (item.phase() == Report.Phase.RUNNING) {
+    if (item.phase() == Heartbeat.TaskPhase.RUNNING) {
       c.served.started(job, nowMs);
     }
   }
@@ -335,16 +336,16 @@
    * An earlier leader began to stop this gang. Tasks that are not told within {@code gang_peer_s}
    * of the first fail its save, and those told end all the same: so the others are told at once.
    */
-  private void completeStop(Run run) {
+  private void completeStop(TaskAttempt run) {
     Job job = run.job;
     if (job.spec.kind() != JobKind.GANG || job.state != Job.State.LIVE) {
       return;
     }
     boolean begun = false;
     boolean left = false;
-    for (Run other : job.runs.values()) {
+    for (TaskAttempt other : job.runs.values()) {
       boolean same = other.attempt == run.attempt && !other.exited();
-      begun |= same && other.phase == Report.Phase.SAVING;
+      begun |= same && other.phase == Heartbeat.TaskPhase.SAVING;
       left |= same && !other.stopping;
     }
     if (begun && left) {
@@ -354,7 +355,7 @@
   }
 
   /** Stands for a job this leader does not look after (any more): its tasks are only stopped. */
-  private static Job stub(Report.Item item) {
+  private static Job stub(Heartbeat.TaskStatus item) {
     Job job =
         new Job(
             new JobSpec(
@@ -381,7 +382,7 @@
             0,
             true,
             new BitSet(),
-            Aims.NONE);
+            ClassObjectives.NONE);
     job.state = Job.State.CANCELLED;
     job.stranger = true;
     return job;
--- a/src/main/java/org/astershift/core/Incarnations.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import org.astershift.config.Constants;
 import org.slf4j.Logger;
@@ -15,14 +15,14 @@
  * successor may have claimed the one before it. It waits until the lease is certain again, and
  * where the machine was not heard before in this term also for a record of its own.
  */
-final class Incarnations {
-  private static final Logger LOG = LoggerFactory.getLogger(Incarnations.class);
+final class IncarnationTracker {
+  private static final Logger LOG = LoggerFactory.getLogger(IncarnationTracker.class);
 
   private final long token;
   private long certainUntilMs = Long.MAX_VALUE;
   private long lastCertainMs = Long.MIN_VALUE;
 
-  Incarnations(long token) {
+  IncarnationTracker(long token) {
     this.token = token;
   }
 
@@ -54,7 +54,7 @@
    * report with this token, of a machine to which no such order is on its way, is of the
    * incarnation that was claimed.
    */
-  boolean continues(Machine m, Report r, boolean answer, long nowMs) {
+  boolean continues(Machine m, Heartbeat r, boolean answer, long nowMs) {
     boolean traced = !answer && !m.orderInFlight && !m.directLost;
     return (traced && m.claimed && r.token() == token) || provenToContinue(m, r, nowMs);
   }
@@ -63,14 +63,14 @@
    * Whether a message is of the incarnation known, whatever may have reached another: it shows a
    * task that only this one has, or it has sent more messages than one could that began since.
    */
-  boolean provenToContinue(Machine m, Report r, long nowMs) {
+  boolean provenToContinue(Machine m, Heartbeat r, long nowMs) {
     return m.incarnation.isKnown() && (showsKnownTask(m, r) || olderThanKnown(m, r, nowMs));
   }
 
   /** A task shown before, whose start cannot have reached another incarnation as well. */
-  private static boolean showsKnownTask(Machine m, Report r) {
-    for (Report.Item item : r.tasks()) {
-      Run run = m.runs.get(new Run.Key(item.job(), item.index(), item.attempt()));
+  private static boolean showsKnownTask(Machine m, Heartbeat r) {
+    for (Heartbeat.TaskStatus item : r.tasks()) {
+      TaskAttempt run = m.runs.get(new TaskAttempt.Key(item.job(), item.index(), item.attempt()));
       if (run != null && run.phase != null && !run.doubtful && !run.inFlight) {
         return true;
       }
@@ -78,7 +78,7 @@
     return false;
   }
 
-  private static boolean olderThanKnown(Machine m, Report r, long nowMs) {
+  private static boolean olderThanKnown(Machine m, Heartbeat r, long nowMs) {
     if (!m.incarnation.hasExisted()) {
       return false;
     }
@@ -87,7 +87,7 @@
   }
 
   /** Notes what a newer message proves: that its incarnation is there, and since when. */
-  void seen(Machine m, Report r, boolean answer, long nowMs) {
+  void seen(Machine m, Heartbeat r, boolean answer, long nowMs) {
     boolean first = !m.incarnation.isKnown();
     m.incarnation.seen(nowMs);
     lastCertainMs(nowMs);
--- a/src/main/java/org/astershift/core/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -57,23 +57,23 @@
   final BitSet waiting;
 
   /** Where each task is held; exited attempts are not here. */
-  final Map<Integer, Run> runs = new HashMap<>();
+  final Map<Integer, TaskAttempt> runs = new HashMap<>();
 
   /**
    * Runs of tasks that another run holds, until they are off their machines. When that one goes,
    * one of these holds the task: what a copy of an old report showed went, the true run was still
    * being stopped, and the task was started a second time (seed 20001 of the swarm).
    */
-  final List<Run> extras = new ArrayList<>(0);
+  final List<TaskAttempt> extras = new ArrayList<>(0);
 
   /** Types of machines that its tasks may go to. */
   Set<String> usableTypes = Set.of();
 
   /** What a machine has to be and to have for its tasks; set together with the types. */
-  Place place;
+  PlacementConstraints place;
 
   /** Jobs with the same find room on the same machines. */
-  record Place(
+  record PlacementConstraints(
       Set<String> types, String zone, boolean spot, double cpus, double gpus, double memoryGb) {}
 
   /**
@@ -82,7 +82,7 @@
   Set<String> spareTypes = Set.of();
 
   /** What it is counted with for the least that each class is served; set when it is taken in. */
-  Floor.Group group;
+  MinimumShare.Group group;
 
   /** The machine on which room is kept for a task of it; null while it waits for none. */
   Machine keptOn;
@@ -115,7 +115,7 @@
   private long begunAttempt;
 
   /** What the largest jobs of its class got is counted by this; set when it is taken in. */
-  Served.Fate fate;
+  ServiceStatistics.JobOutcome fate;
 
   /** The operators were told that it has not begun. */
   boolean warned;
@@ -144,7 +144,7 @@
   private int waitingCount;
   private int running;
 
-  Job(JobSpec spec, long submittedMs, boolean opened, BitSet done, Aims aims) {
+  Job(JobSpec spec, long submittedMs, boolean opened, BitSet done, ClassObjectives aims) {
     this.spec = spec;
     this.submittedMs = submittedMs;
     this.startAimS = aims.startS();
@@ -180,12 +180,12 @@
 
   /** Whether a task of it may still start, though no further command is sent for it. */
   boolean mayStart() {
-    for (Run run : runs.values()) {
+    for (TaskAttempt run : runs.values()) {
       if (run.mayStart()) {
         return true;
       }
     }
-    for (Run run : extras) {
+    for (TaskAttempt run : extras) {
       if (run.mayStart()) {
         return true;
       }
@@ -273,7 +273,7 @@
   List<String> machines() {
     List<String> out = new ArrayList<>(0);
     if (spec.kind() == JobKind.SERVICE) {
-      for (Run run : runs.values()) {
+      for (TaskAttempt run : runs.values()) {
         if (!out.contains(run.machine.name)) {
           out.add(run.machine.name);
         }
@@ -310,7 +310,7 @@
   }
 
   /** The run now holds its task. */
-  void hold(Run run) {
+  void hold(TaskAttempt run) {
     runs.put(run.index, run);
     gangAttempt = run.attempt;
     zones.merge(run.machine.zone, 1, Integer::sum);
@@ -319,7 +319,7 @@
   }
 
   /** Lets the task go if this run holds it; it waits again unless it is done. */
-  boolean release(Run run) {
+  boolean release(TaskAttempt run) {
     boolean held = runs.get(run.index) == run;
     if (held) {
       runs.remove(run.index);
@@ -345,7 +345,7 @@
   }
 
   /** Moves a run to its reported phase. */
-  void phase(Run run, Report.Phase phase) {
+  void phase(TaskAttempt run, Heartbeat.TaskPhase phase) {
     boolean counts = runs.get(run.index) == run;
     running -= counts && run.works() ? 1 : 0;
     run.phase = phase;
--- a/src/main/java/org/astershift/core/JobKind.java
+++ b/src/main/java/org/astershift/scheduler/JobKind.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 /** How the tasks of a job belong together. */
 public enum JobKind {
--- a/src/main/java/org/astershift/core/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -132,7 +132,7 @@
   boolean hearsay;
 
   /** What other controllers found when they were asked to reach it. */
-  final PeerFindings peerFindings = new PeerFindings();
+  final PeerProbeResults peerFindings = new PeerProbeResults();
 
   /**
    * When it was last known to exist for the cloud: listed, rented, reported, or on record when the
@@ -159,7 +159,7 @@
   long lastDirectMs = -1_000_000;
 
   /** Held attempts, and exited ones until the worker has forgotten them. */
-  final Map<Run.Key, Run> runs = new LinkedHashMap<>();
+  final Map<TaskAttempt.Key, TaskAttempt> runs = new LinkedHashMap<>();
 
   /** Images believed to be here, least recently used first: the worker does not report them. */
   final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
@@ -255,12 +255,12 @@
         && kind != null;
   }
 
-  void add(Run run) {
+  void add(TaskAttempt run) {
     runs.put(run.key, run);
     stoppable = null;
   }
 
-  void remove(Run run) {
+  void remove(TaskAttempt run) {
     runs.remove(run.key);
     stoppable = null;
   }
@@ -328,7 +328,7 @@
     if (held == 0 || kind == null || kind.gpus() == 0 || usedGpus > TOLERANCE) {
       return held == 0;
     }
-    for (Run run : runs.values()) {
+    for (TaskAttempt run : runs.values()) {
       if (!run.exited() && run.job.usableTypes.contains(type)) {
         return false;
       }
@@ -418,9 +418,9 @@
     return held;
   }
 
-  List<Run> held() {
-    List<Run> out = new ArrayList<>();
-    for (Run r : runs.values()) {
+  List<TaskAttempt> held() {
+    List<TaskAttempt> out = new ArrayList<>();
+    for (TaskAttempt r : runs.values()) {
       if (!r.exited()) {
         out.add(r);
       }
--- a/src/main/java/org/astershift/core/MachineIncarnation.java
+++ b/src/main/java/org/astershift/scheduler/MachineIncarnation.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 /**
  * One incarnation of a machine: its life from one start of its worker to the next, under the same
--- a/src/main/java/org/astershift/core/MachineTypes.java
+++ b/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 
 /** The machine types of the cloud, and which of them a job may use. */
-final class MachineTypes {
+final class MachineTypeCatalog {
   private static final double TOLERANCE = 1e-6;
 
   private Map<String, MachineType> types = Map.of();
@@ -48,7 +48,7 @@
     JobSpec spec = job.spec;
     job.usableTypes = usableTypes(spec);
     job.place =
-        new Job.Place(
+        new Job.PlacementConstraints(
             job.usableTypes, spec.zone(), spec.spot(), spec.cpus(), spec.gpus(), spec.memoryGb());
     job.spareTypes = new LinkedHashSet<>();
     for (MachineType t : types.values()) {
--- a/src/main/java/org/astershift/core/Smallest.java
+++ b/src/main/java/org/astershift/scheduler/MinimumRequirements.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.HashSet;
 import java.util.List;
@@ -8,13 +8,13 @@
  * The least that any task of some jobs takes, and the types that any may use: a machine without
  * even that is passed over, without a look at each of the jobs.
  */
-final class Smallest {
+final class MinimumRequirements {
   private final Set<String> types = new HashSet<>();
   private double cpus = Double.MAX_VALUE;
   private double gpus = Double.MAX_VALUE;
   private double memory = Double.MAX_VALUE;
 
-  Smallest(List<Job> jobs) {
+  MinimumRequirements(List<Job> jobs) {
     for (Job job : jobs) {
       if (!job.waiting.isEmpty()) {
         cpus = Math.min(cpus, job.spec.cpus());
--- a/src/main/java/org/astershift/core/Floor.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShare.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -19,9 +19,9 @@
  * machines that it can use is served before all but the first priority, the oldest job first, until
  * it holds that share; and what it holds up to there is not stopped for others.
  */
-final class Floor {
-  private static final Logger LOG = LoggerFactory.getLogger(Floor.class);
-  private final Cluster c;
+final class MinimumShare {
+  private static final Logger LOG = LoggerFactory.getLogger(MinimumShare.class);
+  private final ClusterState c;
   private final Map<String, Group> groups = new HashMap<>();
   private final Map<String, Set<Group>> classes = new HashMap<>();
   private final List<Group> starved = new ArrayList<>();
@@ -108,7 +108,7 @@
     }
   }
 
-  Floor(Cluster cluster) {
+  MinimumShare(ClusterState cluster) {
     this.c = cluster;
   }
 
--- a/src/main/java/org/astershift/core/OutstandingDecisions.java
+++ b/src/main/java/org/astershift/scheduler/OutstandingDecisions.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -36,7 +36,7 @@
       settled(Kind.OPEN_JOB, o.job());
     } else if (decision instanceof Decision.FinishJob f) {
       settled(Kind.FINISH_JOB, f.job());
-    } else if (decision instanceof Decision.Enrol e) {
+    } else if (decision instanceof Decision.RegisterMachine e) {
       settled(Kind.RECORD_MACHINE, e.machine());
     }
   }
--- a/src/main/java/org/astershift/core/PeerFindings.java
+++ b/src/main/java/org/astershift/scheduler/PeerProbeResults.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import org.astershift.config.Constants;
 
@@ -6,7 +6,7 @@
  * What the other controllers found when they were asked to reach one machine. A finding counts only
  * while the machine says nothing to the leader, and for a limited time.
  */
-final class PeerFindings {
+final class PeerProbeResults {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   /** When they were last asked and one of them had an answer. */
--- a/src/main/java/org/astershift/core/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -24,26 +24,26 @@
   /** Cached images first, then those being fetched, then none. */
   private static final double[] BY_SCORE = {1, 0.1, 0};
 
-  private final Cluster c;
-  private final Queue queue;
-  private final Gangs gangs;
+  private final ClusterState c;
+  private final WaitQueue queue;
+  private final GangScheduler gangs;
   private final Preemption preemption;
 
   /** Since when jobs have been kept from room that others wait for, by what they need. */
-  private final Map<Job.Place, Long> heldBackMs = new HashMap<>();
+  private final Map<Job.PlacementConstraints, Long> heldBackMs = new HashMap<>();
 
   /** Those of them that found room since the last pass began, and those that may have it. */
-  private final Set<Job.Place> heldBackNow = new HashSet<>();
+  private final Set<Job.PlacementConstraints> heldBackNow = new HashSet<>();
 
-  private final Set<Job.Place> letThrough = new HashSet<>();
+  private final Set<Job.PlacementConstraints> letThrough = new HashSet<>();
 
   /** A pass is under way, which looks at all machines. */
   private boolean passing;
 
-  Placement(Cluster cluster) {
+  Placement(ClusterState cluster) {
     this.c = cluster;
-    this.queue = new Queue(cluster);
-    this.gangs = new Gangs(cluster, this);
+    this.queue = new WaitQueue(cluster);
+    this.gangs = new GangScheduler(cluster, this);
     this.preemption = new Preemption(cluster, this);
   }
 
@@ -89,7 +89,7 @@
       return;
     }
     List<Machine> machines = new ArrayList<>(reserved.keySet());
-    Map<Job.Place, Boolean> room = new HashMap<>();
+    Map<Job.PlacementConstraints, Boolean> room = new HashMap<>();
     for (Priority priority : Priority.values()) {
       for (Job job : queue.tier(priority)) {
         if (!job.waiting.isEmpty()
@@ -143,7 +143,7 @@
   }
 
   /** The oldest jobs of a class that is served too little, up to the least that it should hold. */
-  private void starved(Floor.Group group, List<Machine> usable, long nowMs) {
+  private void starved(MinimumShare.Group group, List<Machine> usable, long nowMs) {
     gangs.placeStarved(group, usable, nowMs);
     List<Job> singles = singles(group.old());
     if (singles.isEmpty() || !group.hungry()) {
@@ -202,7 +202,7 @@
     for (Priority priority : Priority.values()) {
       serve(m, only, queue.tier(priority), null, nowMs);
       if (priority == Priority.PRODUCTION) {
-        for (Floor.Group group : c.floor.starved()) {
+        for (MinimumShare.Group group : c.floor.starved()) {
           if (group.hungry()) {
             serve(m, only, group.old(), group, nowMs);
           }
@@ -212,7 +212,7 @@
   }
 
   private void serve(
-      Machine m, List<Machine> only, List<Job> tier, Floor.Group starved, long nowMs) {
+      Machine m, List<Machine> only, List<Job> tier, MinimumShare.Group starved, long nowMs) {
     List<Job> jobs = singles(tier);
     jobs.removeIf(job -> !queue.startable(job, nowMs) || !fits(m, job));
     if (!jobs.isEmpty()) {
@@ -244,7 +244,7 @@
 
   /** Machines with room for any of the jobs: cheap ones and fuller ones first, so others empty. */
   private static List<Machine> free(List<Machine> usable, List<Job> jobs) {
-    Smallest smallest = new Smallest(jobs);
+    MinimumRequirements smallest = new MinimumRequirements(jobs);
     List<Machine> free = new ArrayList<>();
     for (Machine m : usable) {
       if (smallest.fits(m)) {
@@ -267,9 +267,9 @@
       List<Job> jobs,
       double least,
       boolean thin,
-      Floor.Group starved,
+      MinimumShare.Group starved,
       long nowMs) {
-    Smallest smallest = new Smallest(jobs);
+    MinimumRequirements smallest = new MinimumRequirements(jobs);
     for (Machine m : free) {
       if (smallest.fits(m)) {
         for (Job job : jobs) {
@@ -283,7 +283,7 @@
   }
 
   private void fill(
-      Machine m, Job job, double least, boolean thin, Floor.Group starved, long nowMs) {
+      Machine m, Job job, double least, boolean thin, MinimumShare.Group starved, long nowMs) {
     c.looks++;
     if (job.waiting.isEmpty()
         || !fits(m, job)
@@ -404,7 +404,7 @@
 
   /** An older attempt of the task is still known there: the start would be refused. */
   static boolean onMachine(Machine m, Job job, int index) {
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       if (run.index == index && run.job == job) {
         return true;
       }
--- a/src/main/java/org/astershift/core/Bin.java
+++ b/src/main/java/org/astershift/scheduler/PlannedMachine.java
@@ -1,9 +1,9 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import org.astershift.config.Constants;
 
 /** Room on one machine that is there, booting or asked for, as a plan for renting fills it. */
-final class Bin {
+final class PlannedMachine {
   private static final double TOLERANCE = 1e-6;
   final String zone;
   private final MachineType type;
@@ -14,7 +14,7 @@
   private int tasks = Constants.TASKS_A_MACHINE;
 
   /** An empty machine. */
-  Bin(MachineType type, String zone, boolean spot) {
+  PlannedMachine(MachineType type, String zone, boolean spot) {
     this.type = type;
     this.zone = zone;
     this.spot = spot;
@@ -24,7 +24,7 @@
   }
 
   /** What is free on a machine now. */
-  Bin(Machine m) {
+  PlannedMachine(Machine m) {
     this(m.kind, m.zone, m.spot);
     cpus -= m.usedCpus();
     gpus -= m.usedGpus();
@@ -33,9 +33,9 @@
   }
 
   /** With what its array tasks will have left at a time, as far as their estimates tell. */
-  static Bin soon(Machine m, long atMs) {
-    Bin bin = new Bin(m);
-    for (Run run : m.runs.values()) {
+  static PlannedMachine soon(Machine m, long atMs) {
+    PlannedMachine bin = new PlannedMachine(m);
+    for (TaskAttempt run : m.runs.values()) {
       JobSpec spec = run.job.spec;
       if (run.overBy(atMs)) {
         bin.cpus += spec.cpus();
--- a/src/main/java/org/astershift/core/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -19,7 +19,7 @@
   private static final double TOLERANCE = 1e-6;
   private static final Comparator<Choice> CHEAPEST =
       Comparator.comparingDouble(Choice::loss).thenComparingInt(Choice::order);
-  private final Cluster c;
+  private final ClusterState c;
   private final Placement placement;
 
   /** Room on a machine, free already or freed by what stops, less what other tasks wait for. */
@@ -59,7 +59,7 @@
   }
 
   /** What to stop on one machine, and what that loses; {@code order} decides between equal ones. */
-  private record Choice(Machine machine, List<Run> victims, double loss, int order) {}
+  private record Choice(Machine machine, List<TaskAttempt> victims, double loss, int order) {}
 
   /**
    * What a machine could give up for jobs of one priority, found once a pass: many jobs ask it of
@@ -76,12 +76,12 @@
     private final Room most = new Room();
 
     /** The cheapest first. */
-    private final List<Run> candidates = new ArrayList<>();
+    private final List<TaskAttempt> candidates = new ArrayList<>();
 
     private Stoppable(Machine m, Priority priority, boolean tight, long nowMs) {
       this.priority = priority;
       this.tight = tight;
-      for (Run run : m.runs.values()) {
+      for (TaskAttempt run : m.runs.values()) {
         if (run.exited()) {
           continue;
         }
@@ -91,7 +91,7 @@
         } else if (run.job.spec.kind() != JobKind.SERVICE
             && (tight || !run.job.aimed)
             && run.job.spec.priority().compareTo(priority) > 0
-            && (priority == Priority.PRODUCTION || !Floor.keeps(run.job, nowMs))) {
+            && (priority == Priority.PRODUCTION || !MinimumShare.keeps(run.job, nowMs))) {
           candidates.add(run);
           most.add(run.job.spec);
         }
@@ -121,7 +121,7 @@
     }
   }
 
-  Preemption(Cluster cluster, Placement placement) {
+  Preemption(ClusterState cluster, Placement placement) {
     this.c = cluster;
     this.placement = placement;
   }
@@ -159,7 +159,7 @@
     List<Machine> filled = new ArrayList<>();
     if (any) {
       for (Machine m : usable) {
-        for (Run run : m.runs.values()) {
+        for (TaskAttempt run : m.runs.values()) {
           if (!run.exited() && !run.job.aimed) {
             filled.add(m);
             break;
@@ -208,28 +208,28 @@
     if ((onlyHits && !hit) || !placement.allowed(m, job, nowMs)) {
       return null;
     }
-    List<Run> victims = victims(m, spec, stoppable);
+    List<TaskAttempt> victims = victims(m, spec, stoppable);
     if (victims == null) {
       return null;
     }
     double loss = hit ? 0 : Constants.FETCH_LOSS * spec.imageGb() / m.kind.fetchGbPerS();
     loss += placement.crowded(m, job) ? Constants.CROWDED_LOSS : 0;
-    for (Run run : victims) {
+    for (TaskAttempt run : victims) {
       loss += lost(run, nowMs);
     }
     return new Choice(m, victims, loss, order);
   }
 
   /** What has to stop for one task, the cheapest first; null if that would not be enough. */
-  private static List<Run> victims(Machine m, JobSpec spec, Stoppable s) {
+  private static List<TaskAttempt> victims(Machine m, JobSpec spec, Stoppable s) {
     Room room = new Room();
     room.addFree(m);
     room.add(s.ending);
     if (room.holds(spec)) {
       return List.of();
     }
-    List<Run> victims = new ArrayList<>();
-    for (Run run : s.candidates) {
+    List<TaskAttempt> victims = new ArrayList<>();
+    for (TaskAttempt run : s.candidates) {
       victims.add(run);
       room.add(run.job.spec);
       if (room.holds(spec)) {
@@ -243,14 +243,14 @@
     Machine m = choice.machine();
     JobSpec spec = job.spec;
     m.reserve(spec, 1);
-    for (Run run : choice.victims()) {
+    for (TaskAttempt run : choice.victims()) {
       c.stop(run);
       LOG.debug("task {} on {} stops for {}", run.name(), m.name, spec.id());
     }
   }
 
   /** Work lost if the task stops now, in processor seconds. */
-  private static double lost(Run run, long nowMs) {
+  private static double lost(TaskAttempt run, long nowMs) {
     double ran = run.runningSinceMs < 0 ? 0 : (nowMs - run.runningSinceMs) / 1000.0;
     return 1 + ran * Math.max(run.job.spec.cpus(), 1);
   }
--- a/src/main/java/org/astershift/core/Priority.java
+++ b/src/main/java/org/astershift/scheduler/Priority.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 /** Priorities, the most urgent first, so that the ordinal sorts the queue. */
 public enum Priority {
--- a/src/main/java/org/astershift/core/Allowance.java
+++ b/src/main/java/org/astershift/scheduler/RemainingQuota.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,20 +7,20 @@
  * What each team may still take of its limits, used up by one job after the other: for whoever
  * looks at many jobs of a team at once, since each alone may fit where all together do not.
  */
-final class Allowance {
+final class RemainingQuota {
   private static final double TOLERANCE = 1e-6;
-  private final Cluster c;
+  private final ClusterState c;
   private final Map<String, double[]> left = new HashMap<>();
 
   /** What of each team's use is thought to be over soon. */
   private final Map<String, double[]> soon = new HashMap<>();
 
-  Allowance(Cluster cluster) {
+  RemainingQuota(ClusterState cluster) {
     this.c = cluster;
   }
 
   /** This task will soon be over, and its team may have as much again from then on. */
-  void soonOver(Run run) {
+  void soonOver(TaskAttempt run) {
     JobSpec s = run.job.spec;
     double[] room = soon.computeIfAbsent(s.team(), t -> new double[2]);
     room[0] += s.cpus();
--- a/src/main/java/org/astershift/core/Reservation.java
+++ b/src/main/java/org/astershift/scheduler/Reservation.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 /** Room of a machine that a pass keeps for tasks which do not fit yet. */
 record Reservation(double cpus, double gpus, double memoryGb, int tasks) {
--- a/src/main/java/org/astershift/core/Returning.java
+++ b/src/main/java/org/astershift/scheduler/ScaleIn.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,21 +13,21 @@
 import org.slf4j.LoggerFactory;
 
 /** Which machines to give back: idle, silent, faulty or late to boot. */
-final class Returning {
-  private static final Logger LOG = LoggerFactory.getLogger(Returning.class);
+final class ScaleIn {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
   /** The cloud takes no more names in one call. */
   private static final int NAMES_A_CALL = 100;
 
-  private final Cluster c;
-  private final Silence silence;
+  private final ClusterState c;
+  private final FailureDetector silence;
   private final Set<String> failedNames = new HashSet<>();
   private final Set<String> asked = new HashSet<>();
 
   /** By type, how many machines were idle at the least lately. */
-  private final Map<String, Least> leastIdle = new HashMap<>();
+  private final Map<String, WindowMinimum> leastIdle = new HashMap<>();
 
-  Returning(Cluster cluster, Silence silence) {
+  ScaleIn(ClusterState cluster, FailureDetector silence) {
     this.c = cluster;
     this.silence = silence;
   }
@@ -91,7 +91,7 @@
   private static void calls(List<Decision> out, List<String> names, boolean silent) {
     for (int i = 0; i < names.size(); i += NAMES_A_CALL) {
       List<String> call = names.subList(i, Math.min(names.size(), i + NAMES_A_CALL));
-      out.add(new Decision.Return(call, silent));
+      out.add(new Decision.ReleaseMachines(call, silent));
     }
   }
 
@@ -107,7 +107,7 @@
       }
       case LIVE -> {
         if (m.condemned) {
-          for (Run run : m.held()) {
+          for (TaskAttempt run : m.held()) {
             c.stop(run);
           }
           return m.holdsAny() ? null : "faulty";
@@ -162,7 +162,7 @@
       long windowMs = (long) (1000 * Math.max(c.policy.idleReleaseS(), boots));
       int least =
           leastIdle
-              .computeIfAbsent(e.getKey(), t -> new Least())
+              .computeIfAbsent(e.getKey(), t -> new WindowMinimum())
               .of(machines.size(), nowMs, windowMs);
       machines.sort(
           Comparator.comparing((Machine m) -> m.spot).thenComparingLong(m -> m.idleSinceMs));
@@ -182,7 +182,7 @@
   }
 
   /** The least of a number within a window of time; nothing before the window is full. */
-  private static final class Least {
+  private static final class WindowMinimum {
     /** Times and values, both rising: what a later and smaller value makes needless is left out. */
     private final ArrayDeque<long[]> values = new ArrayDeque<>();
 
--- a/src/main/java/org/astershift/core/Renting.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOut.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,11 +17,11 @@
  * Which machines to rent. It follows the length of the queue, counted as the tasks that neither
  * free nor booting machines cover.
  */
-final class Renting {
-  private static final Logger LOG = LoggerFactory.getLogger(Renting.class);
-  private final Cluster c;
-  private final Map<String, Decision.Rent> underWay = new LinkedHashMap<>();
-  private final Map<Pool, Long> paused = new HashMap<>();
+final class ScaleOut {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
+  private final ClusterState c;
+  private final Map<String, Decision.ProvisionMachines> underWay = new LinkedHashMap<>();
+  private final Map<CapacityPool, Long> paused = new HashMap<>();
   private final Map<String, Integer> inZone = new HashMap<>();
 
   /** Within a plan: zones in which a machine boots or is asked for. */
@@ -30,17 +30,17 @@
   private boolean ready;
 
   /** Machines that the cloud gives or refuses together. */
-  private record Pool(String type, String zone, boolean spot) {
-    static Pool of(Decision.Rent r) {
-      return new Pool(r.type(), r.zone(), r.spot());
+  private record CapacityPool(String type, String zone, boolean spot) {
+    static CapacityPool of(Decision.ProvisionMachines r) {
+      return new CapacityPool(r.type(), r.zone(), r.spot());
     }
   }
 
-  Renting(Cluster cluster) {
+  ScaleOut(ClusterState cluster) {
     this.c = cluster;
   }
 
-  void underWay(String rental, Decision.Rent rent) {
+  void underWay(String rental, Decision.ProvisionMachines rent) {
     underWay.put(rental, rent);
   }
 
@@ -48,8 +48,8 @@
     ready |= underWay.remove(rental) != null;
   }
 
-  void refused(Decision.Rent rent, long nowMs) {
-    paused.put(Pool.of(rent), nowMs + Constants.NO_CAPACITY_MS);
+  void refused(Decision.ProvisionMachines rent, long nowMs) {
+    paused.put(CapacityPool.of(rent), nowMs + Constants.NO_CAPACITY_MS);
   }
 
   /** Whether a call to the cloud has ended since the last plan, so that the next may go out. */
@@ -67,45 +67,45 @@
     if (calls <= 0) {
       return;
     }
-    for (Decision.Rent r : wanted(nowMs)) {
+    for (Decision.ProvisionMachines r : wanted(nowMs)) {
       if (calls-- == 0) {
         return;
       }
       int n = Math.min(r.count(), Constants.RENT_BATCH);
-      out.add(new Decision.Rent(r.type(), r.zone(), r.spot(), n));
+      out.add(new Decision.ProvisionMachines(r.type(), r.zone(), r.spot(), n));
       LOG.info("renting {} {} in {}{}", n, r.type(), r.zone(), r.spot() ? ", spot" : "");
     }
   }
 
-  private Collection<Decision.Rent> wanted(long nowMs) {
-    List<Bin> coming = new ArrayList<>();
-    List<Bin> free = new ArrayList<>();
-    List<Bin> soon = new ArrayList<>();
+  private Collection<Decision.ProvisionMachines> wanted(long nowMs) {
+    List<PlannedMachine> coming = new ArrayList<>();
+    List<PlannedMachine> free = new ArrayList<>();
+    List<PlannedMachine> soon = new ArrayList<>();
     long soonMs = nowMs + soonMs();
     inZone.clear();
     awaited.clear();
-    Allowance allowance = new Allowance(c);
+    RemainingQuota allowance = new RemainingQuota(c);
     for (Machine m : c.all()) {
       inZone.merge(m.zone, 1, Integer::sum);
       if (m.state == Machine.State.BOOTING) {
         awaited.add(m.zone);
       }
       if (m.kind != null && m.state == Machine.State.BOOTING && !c.isCutOff(m.zone, nowMs)) {
-        coming.add(new Bin(m.kind, m.zone, m.spot));
+        coming.add(new PlannedMachine(m.kind, m.zone, m.spot));
       } else if (c.usable(m, nowMs)) {
-        free.add(new Bin(m));
-        soon.add(Bin.soon(m, soonMs));
-        for (Run run : m.runs.values()) {
+        free.add(new PlannedMachine(m));
+        soon.add(PlannedMachine.soon(m, soonMs));
+        for (TaskAttempt run : m.runs.values()) {
           if (run.overBy(soonMs)) {
             allowance.soonOver(run);
           }
         }
       }
     }
-    for (Decision.Rent r : underWay.values()) {
+    for (Decision.ProvisionMachines r : underWay.values()) {
       add(r, coming);
     }
-    Map<Pool, Decision.Rent> wanted = new LinkedHashMap<>();
+    Map<CapacityPool, Decision.ProvisionMachines> wanted = new LinkedHashMap<>();
     for (Job job : queue(nowMs)) {
       // What is free before a new machine could be up needs no new machine.
       boolean waits =
@@ -116,7 +116,7 @@
       // all that the limits still allowed: nothing was rented however many waited, with the teams
       // far below their limits (own day full-teams-hukkalampo).
       int n = waits ? allowance.takeSoon(job, most) : allowance.take(job, most);
-      Need need = new Need(job, n);
+      Demand need = new Demand(job, n);
       if (job.spec.oneZone()) {
         need.only(zone(need, free, coming, nowMs));
       }
@@ -127,7 +127,7 @@
       }
       need.fill(coming);
       for (int i = 0; need.left() > 0 && i < Constants.POOLS_A_JOB; i++) {
-        Decision.Rent r = cheapest(need, false, nowMs);
+        Decision.ProvisionMachines r = cheapest(need, false, nowMs);
         r = r == null ? cheapest(need, true, nowMs) : r;
         if (r == null) {
           break;
@@ -136,16 +136,19 @@
         add(r, coming);
         need.fill(coming.subList(from, coming.size()));
         wanted.merge(
-            Pool.of(r),
+            CapacityPool.of(r),
             r,
-            (a, b) -> new Decision.Rent(a.type(), a.zone(), a.spot(), a.count() + b.count()));
+            (a, b) ->
+                new Decision.ProvisionMachines(
+                    a.type(), a.zone(), a.spot(), a.count() + b.count()));
       }
     }
     return wanted.values();
   }
 
   /** The zone that lacks least of what the job needs, among those where the rest can be had. */
-  private String zone(Need need, List<Bin> free, List<Bin> coming, long nowMs) {
+  private String zone(
+      Demand need, List<PlannedMachine> free, List<PlannedMachine> coming, long nowMs) {
     String best = "";
     String fallback = "";
     double bestCost = Double.MAX_VALUE;
@@ -173,7 +176,7 @@
     for (String name : job.usableTypes) {
       MachineType t = c.machineTypes.all().get(name);
       for (boolean spot : job.spec.spotOrNot()) {
-        if (t.zones().contains(zone) && !paused(new Pool(name, zone, spot), nowMs)) {
+        if (t.zones().contains(zone) && !paused(new CapacityPool(name, zone, spot), nowMs)) {
           least = Math.min(least, t.price(spot));
         }
       }
@@ -181,19 +184,19 @@
     return least;
   }
 
-  private boolean paused(Pool pool, long nowMs) {
+  private boolean paused(CapacityPool pool, long nowMs) {
     // What is rented in a zone that is cut off does not come up.
     return refusedLately(pool, nowMs) || c.isCutOff(pool.zone(), nowMs);
   }
 
-  private boolean refusedLately(Pool pool, long nowMs) {
+  private boolean refusedLately(CapacityPool pool, long nowMs) {
     return paused.getOrDefault(pool, Long.MIN_VALUE) > nowMs;
   }
 
-  private void add(Decision.Rent r, List<Bin> coming) {
+  private void add(Decision.ProvisionMachines r, List<PlannedMachine> coming) {
     MachineType t = c.machineTypes.all().get(r.type());
     for (int i = 0; t != null && i < r.count(); i++) {
-      coming.add(new Bin(t, r.zone(), r.spot()));
+      coming.add(new PlannedMachine(t, r.zone(), r.spot()));
     }
     inZone.merge(r.zone(), r.count(), Integer::sum);
     awaited.add(r.zone());
@@ -254,9 +257,9 @@
    * one machine in a zone that is cut off, for what may go nowhere else. It shows when the zone is
    * back: where nothing was left in it to do that, such jobs waited for a minute more.
    */
-  private Decision.Rent cheapest(Need need, boolean lost, long nowMs) {
+  private Decision.ProvisionMachines cheapest(Demand need, boolean lost, long nowMs) {
     JobSpec spec = need.job.spec;
-    Decision.Rent best = null;
+    Decision.ProvisionMachines best = null;
     double bestCost = Double.MAX_VALUE;
     for (String name : need.job.usableTypes) {
       MachineType t = c.machineTypes.all().get(name);
@@ -265,7 +268,7 @@
       for (boolean spot : spec.spotOrNot()) {
         for (String zone : t.zones()) {
           int allowed = need.allowed(zone);
-          Pool pool = new Pool(name, zone, spot);
+          CapacityPool pool = new CapacityPool(name, zone, spot);
           boolean not =
               lost
                   ? refusedLately(pool, nowMs) || !c.isCutOff(zone, nowMs) || awaited.contains(zone)
@@ -282,7 +285,7 @@
           double cost = count * price * (1 + 0.001 * inZone.getOrDefault(zone, 0));
           if (cost < bestCost) {
             bestCost = cost;
-            best = new Decision.Rent(name, zone, spot, n);
+            best = new Decision.ProvisionMachines(name, zone, spot, n);
           }
         }
       }
--- a/src/main/java/org/astershift/core/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.astershift.config.Constants;
-import org.astershift.core.OutstandingDecisions.Kind;
+import org.astershift.scheduler.OutstandingDecisions.Kind;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,34 +17,35 @@
  * What one leader is told and decides during its term. One thread at a time may use it.
  *
  * <p>Safety rests on one principle: until a machine answers to this term's token, or is provably
- * gone, everything it might hold counts as held; see {@link Cluster}.
+ * gone, everything it might hold counts as held; see {@link ClusterState}.
  */
 public final class Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
-  private final Cluster c;
-  private final Reports reports;
-  private final Commands commands;
+  private final ClusterState c;
+  private final HeartbeatReconciler reports;
+  private final CommandReconciler commands;
   private final Placement placement;
-  private final Silence silence;
-  private final Returning returning;
-  private final Renting renting;
-  private final Spending spending = new Spending();
+  private final FailureDetector silence;
+  private final ScaleIn returning;
+  private final ScaleOut renting;
+  private final CostStatistics spending = new CostStatistics();
   private final OutstandingDecisions outstanding = new OutstandingDecisions();
   private long lastSweepMs = Long.MIN_VALUE / 2;
   private long lastPlanMs = Long.MIN_VALUE / 2;
   private long firstPlanMs = -1;
-  private Silence.Hearing hearing = new Silence.Hearing(0, 0, false, false);
+  private FailureDetector.FleetVisibility hearing =
+      new FailureDetector.FleetVisibility(0, 0, false, false);
 
   /** The scheduler of one term, whose token this is. */
-  public Scheduler(Facts facts, Policy policy, long token) {
-    this.c = new Cluster(facts, policy, token);
-    this.reports = new Reports(c);
-    this.commands = new Commands(c);
+  public Scheduler(DeploymentLimits facts, SchedulingPolicy policy, long token) {
+    this.c = new ClusterState(facts, policy, token);
+    this.reports = new HeartbeatReconciler(c);
+    this.commands = new CommandReconciler(c);
     this.placement = new Placement(c);
-    this.silence = new Silence(c);
-    this.returning = new Returning(c, silence);
-    this.renting = new Renting(c);
+    this.silence = new FailureDetector(c);
+    this.returning = new ScaleIn(c, silence);
+    this.renting = new ScaleOut(c);
   }
 
   // ---- what the loops around it tell ----
@@ -74,7 +75,8 @@
   }
 
   /** Machines a rental brought, still booting; fewer than asked for: there are no more now. */
-  public void rented(String rental, List<String> names, Decision.Rent rent, long nowMs) {
+  public void rented(
+      String rental, List<String> names, Decision.ProvisionMachines rent, long nowMs) {
     renting.settled(rental);
     if (names.size() < rent.count()) {
       renting.refused(rent, nowMs);
@@ -90,7 +92,8 @@
   }
 
   /** A rental was refused or failed. */
-  public void notRented(String rental, Decision.Rent rent, boolean noCapacity, long nowMs) {
+  public void notRented(
+      String rental, Decision.ProvisionMachines rent, boolean noCapacity, long nowMs) {
     renting.settled(rental);
     if (noCapacity) {
       renting.refused(rent, nowMs);
@@ -99,7 +102,7 @@
   }
 
   /** A rental under this name is under way. */
-  public void renting(String rental, Decision.Rent rent) {
+  public void renting(String rental, Decision.ProvisionMachines rent) {
     renting.underWay(rental, rent);
   }
 
@@ -121,7 +124,7 @@
     if (job != null) {
       job.opened = true;
       c.unopened.remove(job);
-      for (Run run : job.runs.values()) {
+      for (TaskAttempt run : job.runs.values()) {
         c.stale.add(run.machine);
       }
       c.stir();
@@ -164,7 +167,7 @@
     Job job = c.jobs.get(id);
     if (job != null && !job.cancelWanted) {
       job.cancelWanted = true;
-      for (Run run : job.runs.values()) {
+      for (TaskAttempt run : job.runs.values()) {
         run.hasten();
         c.stale.add(run.machine);
       }
@@ -198,12 +201,12 @@
   }
 
   /** Whether a lease that nobody renews is over within the time promised for a cancellation. */
-  public static boolean leaseWithin(Facts facts) {
+  public static boolean leaseWithin(DeploymentLimits facts) {
     return leaseMs(facts) <= facts.cancelS() * 1000;
   }
 
   private static boolean heldUnclaimed(Job job) {
-    for (Run run : job.runs.values()) {
+    for (TaskAttempt run : job.runs.values()) {
       if (run.ordered && !run.machine.claimed && run.machine.inherited) {
         return true;
       }
@@ -230,7 +233,7 @@
   }
 
   /** What those other controllers said that were asked and reach workers, as far as they know. */
-  public void witnessed(Decision.Witness witness, List<Decision.Testimony> told) {
+  public void witnessed(Decision.ProbeThroughPeers witness, List<Decision.PeerProbeResult> told) {
     silence.witnessed(witness, told);
     if (!told.isEmpty()) {
       lastPlanMs = Long.MIN_VALUE / 2; // what may go now should not wait for the next plan
@@ -271,7 +274,7 @@
    * A report that is being answered under this token; gives the commands for the answer, or null if
    * it must not be answered, since that would renew a lease of which nothing is known.
    */
-  public List<Order> report(Report r, long nowMs) {
+  public List<Command> report(Heartbeat r, long nowMs) {
     if (c.goneRecently(r.machine())) {
       return commands.ends(r); // a late report of a machine that is gone
     }
@@ -316,12 +319,12 @@
   }
 
   /** Whether a direct order whose turn has come should still go out; if not it is settled. */
-  public boolean stillDue(Decision.Direct d, long nowMs) {
+  public boolean stillDue(Decision.SendCommands d, long nowMs) {
     Machine m = c.machines.get(d.machine());
     if (m == null || !d.orders().isEmpty() || commands.worthAsking(m, nowMs)) {
       return true;
     }
-    Commands.settled(m, false);
+    CommandReconciler.settled(m, false);
     again(m);
     return false;
   }
@@ -335,17 +338,17 @@
    * not have the connection, before starting the task elsewhere. What is left out goes with
    * answers.
    */
-  public List<Order> stillWanted(Decision.Direct d, boolean sole) {
+  public List<Command> stillWanted(Decision.SendCommands d, boolean sole) {
     return d.orders().stream()
-        .filter(o -> o.op() != Order.Op.START || (sole && (wanted(o.job()) || stops(d, o))))
+        .filter(o -> o.op() != Command.Kind.START || (sole && (wanted(o.job()) || stops(d, o))))
         .toList();
   }
 
   /** Whether a start goes with its stop, of a job that is not over: nobody was told so yet. */
-  private boolean stops(Decision.Direct d, Order start) {
+  private boolean stops(Decision.SendCommands d, Command start) {
     return c.jobs.containsKey(start.job())
         && d.orders().stream()
-            .filter(o -> o.op() == Order.Op.STOP)
+            .filter(o -> o.op() == Command.Kind.STOP)
             .anyMatch(o -> o.job().equals(start.job()) && o.index() == start.index());
   }
 
@@ -356,20 +359,20 @@
 
   /** Sends what was decided while a direct order to the machine waited or was under way. */
   private void again(Machine m) {
-    if (Commands.due(m)) {
+    if (CommandReconciler.due(m)) {
       c.stale.add(m);
       c.stir();
     }
   }
 
   /** Result of a direct order. {@code report} is null without an answer. */
-  public void directResult(String name, boolean unknown, Report report, long nowMs) {
+  public void directResult(String name, boolean unknown, Heartbeat report, long nowMs) {
     commands.budget().settled(name, report != null, nowMs);
     Machine m = c.machines.get(name);
     if (m == null) {
       return;
     }
-    Commands.settled(m, unknown);
+    CommandReconciler.settled(m, unknown);
     int before = m.heldCount();
     if (report != null && report.machine().equals(name)) {
       reports.from(report, nowMs);
@@ -406,7 +409,7 @@
   // ---- the cloud ----
 
   /** One machine of a list. */
-  public record Listed(
+  public record ListedMachine(
       String name,
       String addr,
       String type,
@@ -416,9 +419,9 @@
       double ageS) {}
 
   /** A complete list that was asked for at {@code askedMs} and arrived at {@code nowMs}. */
-  public void list(Collection<Listed> listed, long askedMs, long nowMs) {
+  public void list(Collection<ListedMachine> listed, long askedMs, long nowMs) {
     Set<String> names = new HashSet<>();
-    for (Listed l : listed) {
+    for (ListedMachine l : listed) {
       names.add(l.name());
       Machine m = c.machines.get(l.name());
       if (l.state().equals("failed")) {
@@ -492,7 +495,7 @@
       }
       silence.survey(nowMs);
       hearing = silence.hearing();
-      Decision.Witness witness = silence.ask(nowMs);
+      Decision.ProbeThroughPeers witness = silence.ask(nowMs);
       if (witness != null) {
         out.add(witness);
       }
@@ -505,7 +508,7 @@
         c.stale.add(m);
         continue;
       }
-      Decision.Direct direct = commands.urgent(m, nowMs < soleUntilMs, nowMs);
+      Decision.SendCommands direct = commands.urgent(m, nowMs < soleUntilMs, nowMs);
       if (direct != null) {
         out.add(direct);
       } else if (m.orderInFlight) {
@@ -515,7 +518,7 @@
     if (sweep) {
       commands.budget().tidy(nowMs);
       for (Machine m : c.all()) {
-        Decision.Direct question = commands.question(m, nowMs < soleUntilMs, nowMs);
+        Decision.SendCommands question = commands.question(m, nowMs < soleUntilMs, nowMs);
         if (question != null) {
           out.add(question);
         }
@@ -523,7 +526,7 @@
     }
     for (Machine m : c.unrecorded) {
       if (!m.hearsay && outstanding.add(Kind.RECORD_MACHINE, m.name)) {
-        out.add(new Decision.Enrol(m.name, m.addr, m.type, m.zone, m.spot, false));
+        out.add(new Decision.RegisterMachine(m.name, m.addr, m.type, m.zone, m.spot, false));
         m.recordAskedFor = m.incarnation;
       }
     }
@@ -536,7 +539,7 @@
     }
     for (Job job : c.moved) {
       if (job.state == Job.State.LIVE && !job.runs.isEmpty()) {
-        out.add(new Decision.Remember(job.spec.id(), job.machines()));
+        out.add(new Decision.PersistPlacement(job.spec.id(), job.machines()));
       }
     }
     c.moved.clear();
@@ -551,7 +554,7 @@
       lastPlanMs = nowMs;
       plan(out, nowMs, nowMs < soleUntilMs);
     }
-    List<Decision.Strike> struck = c.struck();
+    List<Decision.DeregisterMachine> struck = c.struck();
     struck.forEach(s -> outstanding.settled(Kind.RECORD_MACHINE, s.machine()));
     out.addAll(struck);
     return out;
@@ -579,7 +582,7 @@
       return;
     }
     int dropped = c.dropShown(m);
-    for (Run run : m.runs.values()) {
+    for (TaskAttempt run : m.runs.values()) {
       run.lapsed = true;
     }
     if (m.state == Machine.State.LIVE || dropped > 0) {
@@ -596,7 +599,7 @@
    * the first word of a new session, which is later than its beginning, plus the drift between
    * steady clocks and a margin.
    */
-  private static long leaseMs(Facts facts) {
+  private static long leaseMs(DeploymentLimits facts) {
     return (long) (facts.leaseS() * 1000 * (1 + 2 * Constants.CLOCK_DRIFT))
         + Constants.CLOCK_MARGIN_MS;
   }
@@ -604,17 +607,17 @@
   // ---- what users and operators see ----
 
   /** State of a live job for its user; null if this leader does not look after it. */
-  public JobView view(String id) {
+  public JobProgress view(String id) {
     Job job = c.jobs.get(id);
     if (job == null) {
       return null;
     }
     int running = job.running();
-    return new JobView(running > 0, job.doneCount(), running, job.complete());
+    return new JobProgress(running > 0, job.doneCount(), running, job.complete());
   }
 
   /** A live job as its user sees it. */
-  public record JobView(boolean running, int done, int runningTasks, boolean complete) {}
+  public record JobProgress(boolean running, int done, int runningTasks, boolean complete) {}
 
   /** The done tasks of jobs whose record lags behind. */
   public Map<String, BitSet> unsaved() {
@@ -685,7 +688,7 @@
   }
 
   /** For tests, which sum its books up anew. */
-  Cluster cluster() {
+  ClusterState cluster() {
     return c;
   }
 
--- a/src/main/java/org/astershift/core/Served.java
+++ b/src/main/java/org/astershift/scheduler/ServiceStatistics.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -15,8 +15,8 @@
  * What each class of jobs and each team got in this term, for the log: where machines are short one
  * of them may get nothing while the sums look well.
  */
-final class Served {
-  private static final Logger LOG = LoggerFactory.getLogger(Served.class);
+final class ServiceStatistics {
+  private static final Logger LOG = LoggerFactory.getLogger(ServiceStatistics.class);
 
   /** One of so many of a class's jobs counts among its largest. */
   private static final int LARGEST = 10;
@@ -26,12 +26,12 @@
   private long lastStartMs = Long.MIN_VALUE / 2;
 
   /** What became of one job, for what the largest of its class got. */
-  static final class Fate {
+  static final class JobOutcome {
     private final double size;
     private boolean started;
     private boolean finished;
 
-    private Fate(double size) {
+    private JobOutcome(double size) {
       this.size = size;
     }
   }
@@ -43,7 +43,7 @@
     int finished;
 
     /** Of the latest jobs, without those that were cancelled. */
-    private final ArrayDeque<Fate> fates = new ArrayDeque<>();
+    private final ArrayDeque<JobOutcome> fates = new ArrayDeque<>();
 
     long lastStartMs = Long.MIN_VALUE / 2;
 
@@ -74,12 +74,12 @@
 
     /** What the largest tenth of its jobs got. */
     private String largest() {
-      List<Fate> sorted = new ArrayList<>(fates);
-      sorted.sort(Comparator.comparingDouble((Fate f) -> -f.size));
-      List<Fate> most = sorted.subList(0, (sorted.size() + LARGEST - 1) / LARGEST);
+      List<JobOutcome> sorted = new ArrayList<>(fates);
+      sorted.sort(Comparator.comparingDouble((JobOutcome f) -> -f.size));
+      List<JobOutcome> most = sorted.subList(0, (sorted.size() + LARGEST - 1) / LARGEST);
       int begun = 0;
       int over = 0;
-      for (Fate f : most) {
+      for (JobOutcome f : most) {
         begun += f.started ? 1 : 0;
         over += f.finished ? 1 : 0;
       }
@@ -100,7 +100,7 @@
       g.accepted++;
     }
     Group own = classes.get(job.spec.jobClass());
-    job.fate = new Fate(job.spec.tasks() * Math.max(job.spec.cpus(), job.spec.gpus()));
+    job.fate = new JobOutcome(job.spec.tasks() * Math.max(job.spec.cpus(), job.spec.gpus()));
     own.fates.addLast(job.fate);
     if (own.fates.size() > Constants.FATES_KEPT) {
       own.fates.removeFirst();
--- a/src/main/java/org/astershift/core/Run.java
+++ b/src/main/java/org/astershift/scheduler/TaskAttempt.java
@@ -1,7 +1,7 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 /** One attempt of one task on one machine, from the decision to place it until its proof of end. */
-final class Run {
+final class TaskAttempt {
   /** Names an attempt on its machine. */
   record Key(String job, int index, long attempt) {}
 
@@ -13,7 +13,7 @@
   final Key key;
 
   /** What the machine last reported; null while it has not shown the task in this session. */
-  Report.Phase phase;
+  Heartbeat.TaskPhase phase;
 
   /** Position of the newest report that showed it. */
   long shownSeq = -1;
@@ -53,7 +53,7 @@
   String cause;
   long runningSinceMs = -1;
 
-  Run(Job job, int index, long attempt, Machine machine, long placedMs) {
+  TaskAttempt(Job job, int index, long attempt, Machine machine, long placedMs) {
     this.job = job;
     this.index = index;
     this.attempt = attempt;
@@ -63,7 +63,7 @@
   }
 
   boolean exited() {
-    return phase == Report.Phase.EXITED;
+    return phase == Heartbeat.TaskPhase.EXITED;
   }
 
   /**
@@ -80,12 +80,13 @@
    * in doubt, with a direct order or with an answer, or its image is being fetched.
    */
   boolean mayStart() {
-    return phase == Report.Phase.FETCHING || (phase == null && (pending() || answered) && !lapsed);
+    return phase == Heartbeat.TaskPhase.FETCHING
+        || (phase == null && (pending() || answered) && !lapsed);
   }
 
   /** Whether its user sees it as running. */
   boolean works() {
-    return phase == Report.Phase.RUNNING || phase == Report.Phase.SAVING;
+    return phase == Heartbeat.TaskPhase.RUNNING || phase == Heartbeat.TaskPhase.SAVING;
   }
 
   /** Whether, as far as its estimate tells, it will have left its room at this time. */
--- a/src/main/java/org/astershift/core/Team.java
+++ b/src/main/java/org/astershift/scheduler/Team.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 /** A team's guarantee and limit; 0 means none. */
 public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
--- a/src/main/java/org/astershift/core/Hidden.java
+++ b/src/main/java/org/astershift/scheduler/UnobservedUsage.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -15,7 +15,7 @@
  * until none was left stopped a site on which each team has a limit for 5 s at each change of
  * leaders, and for as long as a single machine was slow.
  */
-final class Hidden {
+final class UnobservedUsage {
   private final Set<Machine> machines = new HashSet<>();
   private double cpus;
   private double gpus;
--- a/src/main/java/org/astershift/core/Utilization.java
+++ b/src/main/java/org/astershift/scheduler/Utilization.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.Collection;
 import java.util.List;
--- a/src/main/java/org/astershift/core/Queue.java
+++ b/src/main/java/org/astershift/scheduler/WaitQueue.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -12,21 +12,21 @@
  * The wait queue's window: the first tasks that may start now, as jobs, since all tasks of a job
  * share image and needs. Sorted anew by each pass; between passes it is used as it was.
  */
-final class Queue {
-  private final Cluster c;
+final class WaitQueue {
+  private final ClusterState c;
   private final Map<Priority, List<Job>> window = new EnumMap<>(Priority.class);
 
   /** Those of them for which something is aimed at, gangs apart. */
   private final List<Job> aimed = new ArrayList<>();
 
-  private final Triage triage;
+  private final DeadlineAdmission triage;
 
   /** Of all jobs in the window, as they were when it was sorted. */
-  private Smallest smallest = new Smallest(List.of());
+  private MinimumRequirements smallest = new MinimumRequirements(List.of());
 
-  Queue(Cluster cluster) {
+  WaitQueue(ClusterState cluster) {
     this.c = cluster;
-    this.triage = new Triage(cluster);
+    this.triage = new DeadlineAdmission(cluster);
   }
 
   /**
@@ -67,7 +67,7 @@
     List<Job> queue = new ArrayList<>();
     Map<Priority, List<Job>> timed = new EnumMap<>(Priority.class);
     for (Job job : c.waiting) {
-      Blame.lookAt(job, nowMs);
+      FaultAttribution.lookAt(job, nowMs);
       if (startable(job, nowMs)) {
         boolean byAim = job.startAimS != null && !job.timed();
         job.urgencyMs = byAim ? job.submittedMs + job.startAimS * 1000 : job.startMs();
@@ -93,8 +93,8 @@
   private void window(List<Job> queue) {
     int tasks = 0;
     int held = 0;
-    Map<Job.Place, Integer> looked = new HashMap<>();
-    Allowance allowance = new Allowance(c);
+    Map<Job.PlacementConstraints, Integer> looked = new HashMap<>();
+    RemainingQuota allowance = new RemainingQuota(c);
     List<Job> all = new ArrayList<>();
     aimed.clear();
     for (Job job : queue) {
@@ -121,7 +121,7 @@
     }
     // What is starved goes before the window, and most of it stands beyond its end.
     c.floor.starved().forEach(g -> all.addAll(g.old()));
-    smallest = new Smallest(all);
+    smallest = new MinimumRequirements(all);
   }
 
   /** Whether tasks of the job may be placed now. */
--- a/src/main/java/org/astershift/store/RateBudget.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -9,9 +9,9 @@
  * wait for is served in the order of asking, so that neither a burst of acceptances nor one of
  * records keeps the others waiting for ever; what can wait takes what these leave.
  */
-public final class RateBudget {
+public final class RateLimiter {
   /** Uses of the limit. */
-  public enum Use {
+  public enum Urgency {
     /**
      * The leader's key and its lease, which lives for two seconds: before all that wait. In line
      * behind users' questions a renewal was refused for as long as there were more of them than the
@@ -37,7 +37,7 @@
   private final Deque<Object> line = new ArrayDeque<>();
 
   /** The whole limit is this node's until {@link #share} says otherwise. */
-  public RateBudget(double limit) {
+  public RateLimiter(double limit) {
     this.limit = limit;
     this.lastNs = System.nanoTime();
     share(1, 1);
@@ -72,12 +72,13 @@
    * Waits until {@code n} may be spent; false, as soon as that is known, if it would take longer
    * than allowed.
    */
-  public synchronized boolean acquire(Use use, int n, long timeoutMs) throws InterruptedException {
+  public synchronized boolean acquire(Urgency use, int n, long timeoutMs)
+      throws InterruptedException {
     long deadline = System.nanoTime() + timeoutMs * 1_000_000;
     Object me = new Object();
-    if (use == Use.URGENT) {
+    if (use == Urgency.URGENT) {
       line.addLast(me);
-    } else if (use == Use.VITAL) {
+    } else if (use == Urgency.VITAL) {
       line.addFirst(me);
     }
     try {
@@ -85,7 +86,7 @@
         refill();
         // More than one may go into debt: a batch must not wait behind all that asks for little.
         double need =
-            use == Use.LAZY
+            use == Urgency.LAZY
                 ? Math.min(depth, n + line.size() + Constants.LAZY_LEAVES * depth)
                 : 1 + ahead(me);
         if (have >= need) {
--- a/src/main/java/org/astershift/store/Records.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Constants;
-import org.astershift.core.Decision;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.MachineType;
-import org.astershift.core.Priority;
 import org.astershift.http.Json;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Priority;
 
 /**
  * Keys and values in the state service. All that is live is below one prefix, which nodes watch.
  */
-public final class Records {
-  private Records() {}
+public final class RecordCodec {
+  private RecordCodec() {}
 
   public static final String LIVE = "l/";
   public static final String LEADER = LIVE + "leader";
@@ -74,7 +74,7 @@
   }
 
   /** The job in a record; {@code key} is the key of the record. */
-  public static JobRecord job(String key, Map<String, Object> m) throws Json.Bad {
+  public static JobRecord job(String key, Map<String, Object> m) throws Json.JsonFormatException {
     List<String> types = null;
     if (m.get("types") != null) {
       types = new ArrayList<>();
@@ -114,7 +114,7 @@
     return Map.of("cancelled", e.cancelled(), "done", e.done());
   }
 
-  public static Ended ended(Map<String, Object> m) throws Json.Bad {
+  public static Ended ended(Map<String, Object> m) throws Json.JsonFormatException {
     return new Ended(Json.flag(m, "cancelled"), (int) Json.whole(m, "done"));
   }
 
@@ -135,7 +135,8 @@
   }
 
   /** Adds one note of done tasks; gives the job that it is about. */
-  public static String merge(BitSet done, String key, Object value) throws Json.Bad {
+  public static String merge(BitSet done, String key, Object value)
+      throws Json.JsonFormatException {
     int slash = key.lastIndexOf('/');
     try {
       int from = Integer.parseInt(key.substring(slash + 1)) * Constants.SEGMENT_TASKS;
@@ -145,14 +146,14 @@
       }
       return key.substring(0, slash);
     } catch (RuntimeException e) {
-      throw new Json.Bad("not a note of done tasks: " + key);
+      throw new Json.JsonFormatException("not a note of done tasks: " + key);
     }
   }
 
   // ---- machines and rentals: short, since many share a record ----
 
   /** A machine as a page of machines holds it. */
-  public static List<Object> machine(Decision.Enrol e) {
+  public static List<Object> machine(Decision.RegisterMachine e) {
     List<Object> l = new ArrayList<>(List.of(e.type(), e.zone(), e.spot(), e.fresh()));
     if (e.addr() != null) {
       l.add(e.addr());
@@ -161,32 +162,33 @@
   }
 
   /** The machine in an entry of a page of machines. */
-  public static Decision.Enrol machine(String name, Object value) throws Json.Bad {
+  public static Decision.RegisterMachine machine(String name, Object value)
+      throws Json.JsonFormatException {
     if (value instanceof List<?> l
         && l.size() >= 4
         && l.get(2) instanceof Boolean spot
         && l.get(3) instanceof Boolean fresh) {
       String addr = l.size() > 4 ? String.valueOf(l.get(4)) : null;
-      return new Decision.Enrol(
+      return new Decision.RegisterMachine(
           name, addr, String.valueOf(l.get(0)), String.valueOf(l.get(1)), spot, fresh);
     }
-    throw new Json.Bad("not a machine");
+    throw new Json.JsonFormatException("not a machine");
   }
 
-  public static List<Object> rental(Decision.Rent r) {
+  public static List<Object> rental(Decision.ProvisionMachines r) {
     return List.of(r.type(), r.zone(), r.spot(), r.count());
   }
 
   /** The rental in an entry of a page of rentals. */
-  public static Decision.Rent rental(Object value) throws Json.Bad {
+  public static Decision.ProvisionMachines rental(Object value) throws Json.JsonFormatException {
     if (value instanceof List<?> l
         && l.size() >= 4
         && l.get(2) instanceof Boolean spot
         && l.get(3) instanceof Number count) {
-      return new Decision.Rent(
+      return new Decision.ProvisionMachines(
           String.valueOf(l.get(0)), String.valueOf(l.get(1)), spot, count.intValue());
     }
-    throw new Json.Bad("not a rental");
+    throw new Json.JsonFormatException("not a rental");
   }
 
   // ---- machine types ----
@@ -215,7 +217,8 @@
   }
 
   /** The machine types in their record, by name. */
-  public static Map<String, MachineType> readTypes(Map<String, Object> value) throws Json.Bad {
+  public static Map<String, MachineType> readTypes(Map<String, Object> value)
+      throws Json.JsonFormatException {
     Map<String, MachineType> out = new LinkedHashMap<>();
     for (Object o : Json.list(value, "types")) {
       Map<String, Object> m = Json.object(o, "type");
@@ -227,7 +230,7 @@
       double[] v = new double[8];
       for (int i = 0; i < v.length; i++) {
         if (n.size() <= i || !(n.get(i) instanceof Number x)) {
-          throw new Json.Bad("a machine type lacks its numbers");
+          throw new Json.JsonFormatException("a machine type lacks its numbers");
         }
         v[i] = x.doubleValue();
       }
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -18,8 +18,8 @@
   private static final String OVER_LIMIT = "status " + OVER_LIMIT_STATUS;
   private final HttpClient http;
   private final HttpClient watching;
-  private final RateBudget requests;
-  private final RateBudget writes;
+  private final RateLimiter requests;
+  private final RateLimiter writes;
   private final int others;
   private volatile long answeredNs = System.nanoTime();
 
@@ -29,8 +29,8 @@
     int port = settings.store().port();
     this.http = new HttpClient(host, port, 6);
     this.watching = new HttpClient(host, port, 1);
-    this.requests = new RateBudget(settings.storeLimits().rps());
-    this.writes = new RateBudget(settings.storeLimits().writeRps());
+    this.requests = new RateLimiter(settings.storeLimits().rps());
+    this.writes = new RateLimiter(settings.storeLimits().writeRps());
     this.others = settings.peers().size();
     leading(false);
   }
@@ -61,7 +61,7 @@
     return (System.nanoTime() - answeredNs) / 1_000_000;
   }
 
-  private HttpClient.Answer noted(HttpClient.Answer a) {
+  private HttpClient.Response noted(HttpClient.Response a) {
     if (a.status() != 503) {
       answeredNs = System.nanoTime();
     }
@@ -72,19 +72,19 @@
   public static final String MALFORMED = "status 400";
 
   /** One key; {@code data} null if it does not exist. */
-  public record Row(String key, Map<String, Object> data, long revision) {}
+  public record Entry(String key, Map<String, Object> data, long revision) {}
 
   /** Part of the keys below a prefix. */
-  public record Page(List<Row> rows, boolean more, long revision) {}
+  public record Page(List<Entry> rows, boolean more, long revision) {}
 
   /** Changes since a revision; {@code data} null for a removal. {@code tooOld}: read again. */
-  public record Changes(List<Row> rows, long revision, boolean tooOld) {}
+  public record WatchResponse(List<Entry> rows, long revision, boolean tooOld) {}
 
   /** The service did not answer as it should; nothing is known of the effect of a change. */
-  public static final class Trouble extends IOException {
+  public static final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    Trouble(String message) {
+    StoreException(String message) {
       super(message);
     }
   }
@@ -92,25 +92,25 @@
   /** What became of a transaction. */
   public sealed interface Outcome {
     /** Applied, at this revision. */
-    record Applied(long revision) implements Outcome {}
+    record Committed(long revision) implements Outcome {}
 
     /** Not applied: these keys had other revisions. */
-    record Conflict(Set<String> keys) implements Outcome {}
+    record ConditionFailed(Set<String> keys) implements Outcome {}
 
     /** Not applied and never will be: refused, or not even sent. */
-    record Refused(String why) implements Outcome {}
+    record Rejected(String why) implements Outcome {}
 
     /** No answer: applied, or not, or applied later. */
     record Unknown(String why) implements Outcome {}
   }
 
   /** A transaction in the making. */
-  public static final class Txn {
+  public static final class Transaction {
     private final List<Map<String, Object>> conditions = new ArrayList<>();
     private final List<Map<String, Object>> changes = new ArrayList<>();
 
     /** Applied only if the key has this revision. */
-    public Txn when(String key, long revision) {
+    public Transaction when(String key, long revision) {
       Map<String, Object> c = new LinkedHashMap<>();
       c.put("k", key);
       c.put("stamp", revision);
@@ -118,12 +118,12 @@
       return this;
     }
 
-    public Txn put(String key, Map<String, Object> value) {
+    public Transaction put(String key, Map<String, Object> value) {
       return put(key, value, 0);
     }
 
     /** A lease of 0 attaches the key to none. */
-    public Txn put(String key, Map<String, Object> value, long lease) {
+    public Transaction put(String key, Map<String, Object> value, long lease) {
       Map<String, Object> p = new LinkedHashMap<>();
       p.put("set", key);
       p.put("data", value);
@@ -134,7 +134,7 @@
       return this;
     }
 
-    public Txn delete(String key) {
+    public Transaction delete(String key) {
       changes.add(Map.of("remove", key));
       return this;
     }
@@ -145,22 +145,22 @@
   }
 
   /** Reads a key; its row has no data if there is none. */
-  public Row get(String key) throws IOException {
-    HttpClient.Answer a = call("GET", "/store/" + key, null);
+  public Entry get(String key) throws IOException {
+    HttpClient.Response a = call("GET", "/store/" + key, null);
     if (a.status() == 404) {
-      return new Row(key, null, 0);
+      return new Entry(key, null, 0);
     }
     try {
       Map<String, Object> m = Json.object(expect(a));
-      return new Row(key, Json.object(m.get("data"), "data"), Json.whole(m, "stamp"));
-    } catch (Json.Bad e) {
-      throw new Trouble(e.getMessage());
+      return new Entry(key, Json.object(m.get("data"), "data"), Json.whole(m, "stamp"));
+    } catch (Json.JsonFormatException e) {
+      throw new StoreException(e.getMessage());
     }
   }
 
   /** The revision of the key if it hangs on this lease; 0 if it is not there, or does not. */
   public long revisionOn(long lease, String key) throws IOException {
-    HttpClient.Answer a = call(RateBudget.Use.VITAL, "GET", "/store/" + key, null);
+    HttpClient.Response a = call(RateLimiter.Urgency.VITAL, "GET", "/store/" + key, null);
     if (a.status() == 404) {
       return 0;
     }
@@ -168,8 +168,8 @@
       Map<String, Object> m = Json.object(expect(a));
       boolean on = m.get("mooring") != null && Json.whole(m, "mooring") == lease;
       return on ? Json.whole(m, "stamp") : 0;
-    } catch (Json.Bad e) {
-      throw new Trouble(e.getMessage());
+    } catch (Json.JsonFormatException e) {
+      throw new StoreException(e.getMessage());
     }
   }
 
@@ -181,50 +181,52 @@
     }
     try {
       Map<String, Object> m = Json.object(expect(call("GET", path, null)));
-      List<Row> rows = new ArrayList<>();
+      List<Entry> rows = new ArrayList<>();
       for (Object o : Json.list(m, "rows")) {
         Map<String, Object> r = Json.object(o, "row");
         rows.add(
-            new Row(Json.text(r, "k"), Json.object(r.get("data"), "data"), Json.whole(r, "stamp")));
+            new Entry(
+                Json.text(r, "k"), Json.object(r.get("data"), "data"), Json.whole(r, "stamp")));
       }
       return new Page(rows, Json.flagOr(m, "more", false), Json.whole(m, "epoch"));
-    } catch (Json.Bad e) {
-      throw new Trouble(e.getMessage());
+    } catch (Json.JsonFormatException e) {
+      throw new StoreException(e.getMessage());
     }
   }
 
   /** Waits a while for changes below a prefix after a revision. */
-  public Changes watch(String prefix, long after) throws IOException {
+  public WatchResponse watch(String prefix, long after) throws IOException {
     String path =
         "/watch?starts=" + prefix + "&from=" + after + "&block_ms=" + Constants.WATCH_BLOCK_MS;
-    acquire(requests, RateBudget.Use.URGENT);
-    HttpClient.Answer a =
+    acquire(requests, RateLimiter.Urgency.URGENT);
+    HttpClient.Response a =
         noted(
             watching.call(
                 "GET", path, null, Constants.WATCH_BLOCK_MS + Constants.STORE_TIMEOUT_MS));
     standBack(a);
     if (a.status() == 410) {
-      return new Changes(List.of(), after, true);
+      return new WatchResponse(List.of(), after, true);
     }
     try {
       Map<String, Object> m = Json.object(expect(a));
-      List<Row> rows = new ArrayList<>();
+      List<Entry> rows = new ArrayList<>();
       for (Object o : Json.list(m, "news")) {
         Map<String, Object> r = Json.object(o, "change");
         String set = Json.textOrNull(r, "set");
         rows.add(
             set != null
-                ? new Row(set, Json.object(r.get("data"), "data"), Json.whole(r, "stamp"))
-                : new Row(Json.text(r, "remove"), null, Json.whole(r, "stamp")));
+                ? new Entry(set, Json.object(r.get("data"), "data"), Json.whole(r, "stamp"))
+                : new Entry(Json.text(r, "remove"), null, Json.whole(r, "stamp")));
       }
-      return new Changes(rows, Json.whole(m, "epoch"), false);
-    } catch (Json.Bad e) {
-      throw new Trouble(e.getMessage());
+      return new WatchResponse(rows, Json.whole(m, "epoch"), false);
+    } catch (Json.JsonFormatException e) {
+      throw new StoreException(e.getMessage());
     }
   }
 
   /** Applies a transaction, if this node's share of the limits allows it within its patience. */
-  public Outcome commit(Txn txn, RateBudget.Use use, long patienceMs) throws InterruptedException {
+  public Outcome commit(Transaction txn, RateLimiter.Urgency use, long patienceMs)
+      throws InterruptedException {
     long deadline = System.nanoTime() + patienceMs * 1_000_000;
     Map<String, Object> body = new LinkedHashMap<>();
     body.put("if", txn.conditions);
@@ -232,10 +234,10 @@
     while (true) {
       long leftMs = (deadline - System.nanoTime()) / 1_000_000;
       if (!writes.acquire(use, txn.size(), leftMs) || !requests.acquire(use, 1, leftMs)) {
-        return new Outcome.Refused("over this node's share of the limits");
+        return new Outcome.Rejected("over this node's share of the limits");
       }
       Outcome o = once(body);
-      if (!(o instanceof Outcome.Refused r && r.why().equals(OVER_LIMIT))) {
+      if (!(o instanceof Outcome.Rejected r && r.why().equals(OVER_LIMIT))) {
         return o;
       }
       writes.exhausted(); // the nodes' shares were spent at once: this one stands back
@@ -244,26 +246,26 @@
 
   private Outcome once(Map<String, Object> body) {
     try {
-      HttpClient.Answer a =
+      HttpClient.Response a =
           noted(http.call("POST", "/multi", Json.bytes(body), Constants.STORE_TIMEOUT_MS));
       switch (a.status()) {
         case 200 -> {
-          return new Outcome.Applied(Json.whole(Json.object(a.body()), "epoch"));
+          return new Outcome.Committed(Json.whole(Json.object(a.body()), "epoch"));
         }
         case 409 -> {
           Set<String> failed = new TreeSet<>();
           for (Object k : Json.list(Json.object(a.body()), "failed")) {
             failed.add(String.valueOf(k));
           }
-          return new Outcome.Conflict(failed);
+          return new Outcome.ConditionFailed(failed);
         }
         default -> {
-          return new Outcome.Refused("status " + a.status());
+          return new Outcome.Rejected("status " + a.status());
         }
       }
-    } catch (HttpClient.NotSent e) {
-      return new Outcome.Refused(e.getMessage());
-    } catch (IOException | Json.Bad e) {
+    } catch (HttpClient.RequestNotSentException e) {
+      return new Outcome.Rejected(e.getMessage());
+    } catch (IOException | Json.JsonFormatException e) {
       return new Outcome.Unknown(e.toString());
     }
   }
@@ -272,18 +274,18 @@
   public long grant(long ttlMs) throws IOException {
     try {
       byte[] body = Json.bytes(Map.of("life_ms", ttlMs));
-      HttpClient.Answer a = call(RateBudget.Use.VITAL, "POST", "/grants", body);
+      HttpClient.Response a = call(RateLimiter.Urgency.VITAL, "POST", "/grants", body);
       return Json.whole(Json.object(expect(a)), "mooring");
-    } catch (Json.Bad e) {
-      throw new Trouble(e.getMessage());
+    } catch (Json.JsonFormatException e) {
+      throw new StoreException(e.getMessage());
     }
   }
 
   /** False if the lease is over. */
   public boolean renew(long lease) throws IOException {
     String path = "/grants/" + lease + "/renew";
-    HttpClient.Answer a =
-        call(RateBudget.Use.VITAL, "POST", path, new byte[0], Constants.LEASE_TIMEOUT_MS);
+    HttpClient.Response a =
+        call(RateLimiter.Urgency.VITAL, "POST", path, new byte[0], Constants.LEASE_TIMEOUT_MS);
     if (a.status() == 404) {
       return false;
     }
@@ -292,48 +294,48 @@
   }
 
   public void revoke(long lease) throws IOException {
-    expect(call(RateBudget.Use.VITAL, "DELETE", "/grants/" + lease, null));
+    expect(call(RateLimiter.Urgency.VITAL, "DELETE", "/grants/" + lease, null));
   }
 
-  private HttpClient.Answer call(String method, String path, byte[] body) throws IOException {
-    return call(RateBudget.Use.URGENT, method, path, body);
+  private HttpClient.Response call(String method, String path, byte[] body) throws IOException {
+    return call(RateLimiter.Urgency.URGENT, method, path, body);
   }
 
-  private HttpClient.Answer call(RateBudget.Use use, String method, String path, byte[] body)
+  private HttpClient.Response call(RateLimiter.Urgency use, String method, String path, byte[] body)
       throws IOException {
     return call(use, method, path, body, Constants.STORE_TIMEOUT_MS);
   }
 
-  private HttpClient.Answer call(
-      RateBudget.Use use, String method, String path, byte[] body, int timeoutMs)
+  private HttpClient.Response call(
+      RateLimiter.Urgency use, String method, String path, byte[] body, int timeoutMs)
       throws IOException {
     acquire(requests, use);
-    HttpClient.Answer a = noted(http.call(method, path, body, timeoutMs));
+    HttpClient.Response a = noted(http.call(method, path, body, timeoutMs));
     standBack(a);
     return a;
   }
 
   /** The nodes' shares were spent at once: this one waits a little before its next request. */
-  private void standBack(HttpClient.Answer a) {
+  private void standBack(HttpClient.Response a) {
     if (a.status() == OVER_LIMIT_STATUS) {
       requests.exhausted();
     }
   }
 
-  private static void acquire(RateBudget budget, RateBudget.Use use) throws IOException {
+  private static void acquire(RateLimiter budget, RateLimiter.Urgency use) throws IOException {
     try {
       if (!budget.acquire(use, 1, Constants.STORE_TIMEOUT_MS)) {
-        throw new Trouble("over this node's share of the limits");
+        throw new StoreException("over this node's share of the limits");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new Trouble("interrupted");
+      throw new StoreException("interrupted");
     }
   }
 
-  private static byte[] expect(HttpClient.Answer a) throws Trouble {
+  private static byte[] expect(HttpClient.Response a) throws StoreException {
     if (a.status() != 200) {
-      throw new Trouble("status " + a.status());
+      throw new StoreException("status " + a.status());
     }
     return a.body();
   }
--- a/src/main/java/org/astershift/store/Mirror.java
+++ b/src/main/java/org/astershift/store/WatchCache.java
@@ -15,19 +15,19 @@
  * Every node's copy of what is live in the state service, kept up by a watch: a node that becomes
  * leader has to read nothing. It may lag; what must not be old is read from the service itself.
  */
-public class Mirror {
-  private static final Logger LOG = LoggerFactory.getLogger(Mirror.class);
+public class WatchCache {
+  private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
   private final StoreClient store;
-  private final TreeMap<String, StoreClient.Row> rows = new TreeMap<>();
+  private final TreeMap<String, StoreClient.Entry> rows = new TreeMap<>();
   private long revision = -1;
   private Listener listener = changes -> {};
 
   /** Told of changes, in order, by the thread that applies them. */
   public interface Listener {
-    void changed(List<StoreClient.Row> changes);
+    void changed(List<StoreClient.Entry> changes);
   }
 
-  public Mirror(StoreClient store) {
+  public WatchCache(StoreClient store) {
     this.store = store;
   }
 
@@ -40,11 +40,11 @@
     return revision >= 0;
   }
 
-  public synchronized StoreClient.Row row(String key) {
+  public synchronized StoreClient.Entry row(String key) {
     return rows.get(key);
   }
 
-  public synchronized List<StoreClient.Row> below(String prefix) {
+  public synchronized List<StoreClient.Entry> below(String prefix) {
     return new ArrayList<>(rows.subMap(prefix, prefix + Character.MAX_VALUE).values());
   }
 
@@ -67,7 +67,7 @@
         if (!loaded()) {
           load();
         }
-        StoreClient.Changes c = store.watch(Records.LIVE, revision);
+        StoreClient.WatchResponse c = store.watch(RecordCodec.LIVE, revision);
         if (c.tooOld()) {
           LOG.info("the watch fell too far behind: reading everything again");
           load();
@@ -85,28 +85,28 @@
 
   /** Reads all pages. Later pages may be newer than the first: the watch goes on from the first. */
   private void load() throws IOException {
-    Map<String, StoreClient.Row> all = new HashMap<>();
+    Map<String, StoreClient.Entry> all = new HashMap<>();
     long first = -1;
     String after = null;
     boolean more = true;
     while (more) {
-      StoreClient.Page page = store.list(Records.LIVE, after);
+      StoreClient.Page page = store.list(RecordCodec.LIVE, after);
       first = first < 0 ? page.revision() : first;
-      for (StoreClient.Row r : page.rows()) {
+      for (StoreClient.Entry r : page.rows()) {
         all.put(r.key(), r);
         after = r.key();
       }
       more = page.more() && !page.rows().isEmpty();
     }
-    List<StoreClient.Row> changes = new ArrayList<>();
+    List<StoreClient.Entry> changes = new ArrayList<>();
     synchronized (this) {
-      for (StoreClient.Row old : rows.values()) {
+      for (StoreClient.Entry old : rows.values()) {
         if (!all.containsKey(old.key())) {
-          changes.add(new StoreClient.Row(old.key(), null, first));
+          changes.add(new StoreClient.Entry(old.key(), null, first));
         }
       }
-      for (StoreClient.Row r : all.values()) {
-        StoreClient.Row old = rows.get(r.key());
+      for (StoreClient.Entry r : all.values()) {
+        StoreClient.Entry old = rows.get(r.key());
         if (old == null || old.revision() != r.revision()) {
           changes.add(r);
         }
@@ -120,10 +120,10 @@
     listener.changed(changes);
   }
 
-  private void apply(List<StoreClient.Row> changes, long upTo) {
+  private void apply(List<StoreClient.Entry> changes, long upTo) {
     synchronized (this) {
-      for (StoreClient.Row c : changes) {
-        StoreClient.Row old = rows.get(c.key());
+      for (StoreClient.Entry c : changes) {
+        StoreClient.Entry old = rows.get(c.key());
         if (old != null && old.revision() > c.revision()) {
           continue;
         }
--- a/src/main/java/org/astershift/worker/OrderSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import org.astershift.config.Constants;
-import org.astershift.core.Order;
-import org.astershift.core.Report;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Heartbeat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Sends commands straight to workers. */
-public final class OrderSender {
-  private static final Logger LOG = LoggerFactory.getLogger(OrderSender.class);
+public final class CommandSender {
+  private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
 
   private static final int MOST_PORT = 65_535;
 
@@ -35,7 +35,7 @@
       };
 
   /** What came of an order. {@code unknown}: it may have been executed, or may be later. */
-  public record Result(boolean unknown, Report report) {}
+  public record Result(boolean unknown, Heartbeat report) {}
 
   /** Whether the worker answers a question that needs no token and changes nothing. */
   public boolean answers(String addr, int timeoutMs) {
@@ -64,14 +64,14 @@
 
   /** {@code orders}: those still to be sent once there is a connection; not asked for without. */
   public Result send(
-      String addr, long token, long session, Supplier<List<Order>> orders, int timeoutMs) {
+      String addr, long token, long session, Supplier<List<Command>> orders, int timeoutMs) {
     int colon = port(addr);
     if (colon < 0) {
       return new Result(false, null);
     }
     HttpClient client = client(addr, colon);
     try {
-      HttpClient.Answer a =
+      HttpClient.Response a =
           client.callConnected(
               "POST", "/orders", () -> WorkerCodec.direct(token, session, orders.get()), timeoutMs);
       if (a.status() != 200 && a.status() != 409) {
@@ -79,10 +79,10 @@
         return new Result(a.status() != 400, null);
       }
       return new Result(false, WorkerCodec.report(a.body()));
-    } catch (HttpClient.NotSent e) {
+    } catch (HttpClient.RequestNotSentException e) {
       LOG.debug("orders to {}: {}", addr, e.toString());
       return new Result(false, null);
-    } catch (IOException | Json.Bad e) {
+    } catch (IOException | Json.JsonFormatException e) {
       LOG.info("orders to {} without an answer: {}", addr, e.toString());
       return new Result(true, null);
     }
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -9,9 +9,9 @@
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.astershift.core.Order;
-import org.astershift.core.Report;
 import org.astershift.http.Json;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Heartbeat;
 
 /**
  * The workers' words for reports and orders. Reports are most of what a leader reads, so they are
@@ -24,10 +24,10 @@
   private WorkerCodec() {}
 
   /** Reads a report; nonsense in it makes the whole report bad, since a part would mislead. */
-  public static Report report(byte[] text) throws Json.Bad {
+  public static Heartbeat report(byte[] text) throws Json.JsonFormatException {
     try (JsonParser p = JSON.createParser(text)) {
       if (p.nextToken() != JsonToken.START_OBJECT) {
-        throw new Json.Bad("not an object");
+        throw new Json.JsonFormatException("not an object");
       }
       Draft d = new Draft();
       while (p.nextToken() == JsonToken.FIELD_NAME) {
@@ -36,11 +36,11 @@
         d.read(field, p);
       }
       if (p.nextToken() != null) {
-        throw new Json.Bad("something follows the object");
+        throw new Json.JsonFormatException("something follows the object");
       }
       return d.report();
     } catch (IOException e) {
-      throw new Json.Bad("not JSON");
+      throw new Json.JsonFormatException("not JSON");
     }
   }
 
@@ -55,9 +55,9 @@
     private long seq = -1;
     private long token;
     private Double noticeS;
-    private List<Report.Item> tasks = List.of();
+    private List<Heartbeat.TaskStatus> tasks = List.of();
 
-    void read(String field, JsonParser p) throws IOException, Json.Bad {
+    void read(String field, JsonParser p) throws IOException, Json.JsonFormatException {
       switch (field) {
         case "vessel" -> machine = text(field, p);
         case "addr" -> addr = text(field, p);
@@ -73,35 +73,37 @@
       }
     }
 
-    Report report() throws Json.Bad {
+    Heartbeat report() throws Json.JsonFormatException {
       if (machine == null || addr == null || type == null || zone == null) {
-        throw new Json.Bad("vessel, addr, hull or harbor is missing");
+        throw new Json.JsonFormatException("vessel, addr, hull or harbor is missing");
       }
       if (session < 0 || seq < 0) {
-        throw new Json.Bad("watch or tick is missing or out of range");
+        throw new Json.JsonFormatException("watch or tick is missing or out of range");
       }
-      return new Report(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks);
+      return new Heartbeat(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks);
     }
   }
 
-  private static List<Report.Item> tasks(JsonParser p) throws IOException, Json.Bad {
+  private static List<Heartbeat.TaskStatus> tasks(JsonParser p)
+      throws IOException, Json.JsonFormatException {
     if (p.currentToken() != JsonToken.START_ARRAY) {
-      throw new Json.Bad("shards is not a list");
+      throw new Json.JsonFormatException("shards is not a list");
     }
-    List<Report.Item> items = new ArrayList<>();
+    List<Heartbeat.TaskStatus> items = new ArrayList<>();
     while (p.nextToken() != JsonToken.END_ARRAY) {
       if (p.currentToken() != JsonToken.START_OBJECT) {
-        throw new Json.Bad("task is not an object");
+        throw new Json.JsonFormatException("task is not an object");
       }
       items.add(task(p));
     }
     return items;
   }
 
-  private static Report.Item task(JsonParser p) throws IOException, Json.Bad {
+  private static Heartbeat.TaskStatus task(JsonParser p)
+      throws IOException, Json.JsonFormatException {
     String name = null;
     long attempt = -1;
-    Report.Phase phase = null;
+    Heartbeat.TaskPhase phase = null;
     String cause = null;
     while (p.nextToken() == JsonToken.FIELD_NAME) {
       String field = p.currentName();
@@ -115,23 +117,23 @@
       }
     }
     if (name == null || attempt < 0 || phase == null) {
-      throw new Json.Bad("shard, launch or phase is missing or out of range");
+      throw new Json.JsonFormatException("shard, launch or phase is missing or out of range");
     }
     int slash = name.lastIndexOf('/');
-    return new Report.Item(
+    return new Heartbeat.TaskStatus(
         name.substring(0, Math.max(slash, 0)), index(name, slash), attempt, phase, cause);
   }
 
-  private static int index(String name, int slash) throws Json.Bad {
+  private static int index(String name, int slash) throws Json.JsonFormatException {
     int digits = name.length() - slash - 1;
     if (slash <= 0 || digits < 1 || digits > MOST_DIGITS) {
-      throw new Json.Bad("not a task: " + name);
+      throw new Json.JsonFormatException("not a task: " + name);
     }
     int n = 0;
     for (int i = slash + 1; i < name.length(); i++) {
       char c = name.charAt(i);
       if (c < '0' || c > '9') {
-        throw new Json.Bad("not a task: " + name);
+        throw new Json.JsonFormatException("not a task: " + name);
       }
       n = n * 10 + c - '0';
     }
@@ -142,45 +144,49 @@
     return p.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  private static String text(String field, JsonParser p) throws IOException, Json.Bad {
+  private static String text(String field, JsonParser p)
+      throws IOException, Json.JsonFormatException {
     if (p.currentToken() != JsonToken.VALUE_STRING) {
-      throw new Json.Bad(field + " is not a text");
+      throw new Json.JsonFormatException(field + " is not a text");
     }
     return p.getText();
   }
 
-  private static long whole(String field, JsonParser p) throws IOException, Json.Bad {
+  private static long whole(String field, JsonParser p)
+      throws IOException, Json.JsonFormatException {
     if (p.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-      throw new Json.Bad(field + " is not a whole number");
+      throw new Json.JsonFormatException(field + " is not a whole number");
     }
     return p.getLongValue();
   }
 
-  private static double number(String field, JsonParser p) throws IOException, Json.Bad {
+  private static double number(String field, JsonParser p)
+      throws IOException, Json.JsonFormatException {
     if (!p.currentToken().isNumeric()) {
-      throw new Json.Bad(field + " is not a number");
+      throw new Json.JsonFormatException(field + " is not a number");
     }
     return p.getDoubleValue();
   }
 
-  private static boolean flag(String field, JsonParser p) throws IOException, Json.Bad {
+  private static boolean flag(String field, JsonParser p)
+      throws IOException, Json.JsonFormatException {
     if (isNull(p)) {
       return false;
     }
     if (!p.currentToken().isBoolean()) {
-      throw new Json.Bad(field + " is not true or false");
+      throw new Json.JsonFormatException(field + " is not true or false");
     }
     return p.getBooleanValue();
   }
 
-  private static Report.Phase phase(String word) throws Json.Bad {
+  private static Heartbeat.TaskPhase phase(String word) throws Json.JsonFormatException {
     return switch (word) {
-      case "fetching" -> Report.Phase.FETCHING;
-      case "gathering" -> Report.Phase.WAITING;
-      case "running" -> Report.Phase.RUNNING;
-      case "saving" -> Report.Phase.SAVING;
-      case "exited" -> Report.Phase.EXITED;
-      default -> throw new Json.Bad("unknown task state: " + word);
+      case "fetching" -> Heartbeat.TaskPhase.FETCHING;
+      case "gathering" -> Heartbeat.TaskPhase.WAITING;
+      case "running" -> Heartbeat.TaskPhase.RUNNING;
+      case "saving" -> Heartbeat.TaskPhase.SAVING;
+      case "exited" -> Heartbeat.TaskPhase.EXITED;
+      default -> throw new Json.JsonFormatException("unknown task state: " + word);
     };
   }
 
@@ -189,16 +195,16 @@
   }
 
   /** The answer to a report. */
-  public static byte[] answer(long token, List<Order> orders) {
+  public static byte[] answer(long token, List<Command> orders) {
     return write(token, -1, orders);
   }
 
   /** The body of a direct order; it holds for one session of the worker. */
-  public static byte[] direct(long token, long session, List<Order> orders) {
+  public static byte[] direct(long token, long session, List<Command> orders) {
     return write(token, session, orders);
   }
 
-  private static byte[] write(long token, long session, List<Order> orders) {
+  private static byte[] write(long token, long session, List<Command> orders) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(64 + 96 * orders.size());
     try (JsonGenerator g = JSON.createGenerator(out)) {
       g.writeStartObject();
@@ -207,12 +213,12 @@
         g.writeNumberField("watch", session);
       }
       g.writeArrayFieldStart("orders");
-      for (Order o : orders) {
+      for (Command o : orders) {
         g.writeStartObject();
         g.writeStringField("verb", verb(o.op()));
         g.writeStringField("shard", o.job() + "/" + o.index());
         g.writeNumberField("launch", o.attempt());
-        if (o.op() == Order.Op.STOP) {
+        if (o.op() == Command.Kind.STOP) {
           g.writeNumberField("leeway_s", o.graceS());
         }
         g.writeEndObject();
@@ -225,7 +231,7 @@
     return out.toByteArray();
   }
 
-  private static String verb(Order.Op op) {
+  private static String verb(Command.Kind op) {
     return switch (op) {
       case START -> "run";
       case STOP -> "stop";
--- a/src/test/java/org/astershift/CloseUsers.java
+++ b/src/test/java/org/astershift/ConcurrentUsers.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.astershift.emulator.Await;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
-import org.astershift.standin.Await;
 
 /**
  * Users who ask all nodes at once as soon as one has told them something, repeat their submissions,
  * and cancel a quarter of their jobs at once. What a user was told before he sent a question bounds
  * the answer to it from below: a newer answer may come at any time, an older one never.
  */
-final class CloseUsers implements AutoCloseable {
+final class ConcurrentUsers implements AutoCloseable {
   /** A question counts as one of a close look if it was sent so soon after another's answer. */
   private static final long CLOSE_NS = 30_000_000;
 
@@ -84,13 +84,13 @@
   private final List<HttpClient> clients = new ArrayList<>();
 
   /** {@code jobs} jobs of so many tasks, numbered from {@code first}; every fourth is cancelled. */
-  CloseUsers(Controllers nodes, int first, int jobs, int tasks) {
+  ConcurrentUsers(ControllerProcesses nodes, int first, int jobs, int tasks) {
     this.tasks = tasks;
     for (int i = 0; i < jobs; i++) {
       this.jobs.add(new Job(String.format("wk-%06d", first + i), i % 4 == 3));
     }
     waiting.addAll(this.jobs);
-    for (int i = 0; i < Controllers.NODES; i++) {
+    for (int i = 0; i < ControllerProcesses.NODES; i++) {
       clients.add(new HttpClient("127.0.0.1", nodes.port(i), KEPT));
     }
     for (Known k : Known.values()) {
@@ -154,7 +154,7 @@
         return null;
       }
       node++;
-      live(job, node % Controllers.NODES);
+      live(job, node % ControllerProcesses.NODES);
       over.incrementAndGet();
     }
   }
@@ -166,13 +166,13 @@
     Await.until(
         job.id + " to be accepted",
         () -> {
-          int at = next.getAndIncrement() % Controllers.NODES;
+          int at = next.getAndIncrement() % ControllerProcesses.NODES;
           return ask(job, at, Request.SUBMIT) != Known.NOTHING;
         });
     List<Callable<Known>> atOnce = everywhere(job, Request.ASK);
     atOnce.addAll(everywhere(job, Request.SUBMIT));
     if (job.cancels) {
-      int other = (node + 1) % Controllers.NODES;
+      int other = (node + 1) % ControllerProcesses.NODES;
       atOnce.add(() -> ask(job, other, Request.CANCEL));
     }
     together(atOnce);
@@ -190,7 +190,7 @@
     after.addAll(everywhere(job, Request.SUBMIT));
     after.addAll(everywhere(job, Request.CANCEL));
     together(after);
-    for (int i = 0; i < Controllers.NODES; i++) {
+    for (int i = 0; i < ControllerProcesses.NODES; i++) {
       int each = i;
       Await.until("node " + i + " to say how " + job.id + " ended", () -> tells(job, each));
     }
@@ -202,7 +202,7 @@
 
   private List<Callable<Known>> everywhere(Job job, Request request) {
     List<Callable<Known>> out = new ArrayList<>();
-    for (int i = 0; i < Controllers.NODES; i++) {
+    for (int i = 0; i < ControllerProcesses.NODES; i++) {
       int node = i;
       out.add(() -> ask(job, node, request));
     }
@@ -233,11 +233,12 @@
       toldBy = job.toldBy;
     }
     long sentNs = System.nanoTime();
-    HttpClient.Answer a;
+    HttpClient.Response a;
     try {
       HttpClient client = clients.get(node);
       String path = "/v2/runs/" + job.id;
-      byte[] body = Controllers.job(job.id, "sweep", tasks).getBytes(StandardCharsets.UTF_8);
+      byte[] body =
+          ControllerProcesses.job(job.id, "sweep", tasks).getBytes(StandardCharsets.UTF_8);
       a =
           switch (request) {
             case SUBMIT -> client.call("POST", "/v2/runs", body, TIMEOUT_MS);
@@ -281,7 +282,7 @@
     }
   }
 
-  private static Known known(HttpClient.Answer a) throws IOException {
+  private static Known known(HttpClient.Response a) throws IOException {
     if (a.status() >= 400) {
       return Known.NOTHING;
     }
@@ -291,12 +292,12 @@
         case "withdrawn" -> Known.CANCELLED;
         default -> Known.ACCEPTED;
       };
-    } catch (Json.Bad e) {
+    } catch (Json.JsonFormatException e) {
       throw new IOException("an answer that makes no sense: " + text(a), e);
     }
   }
 
-  private static String text(HttpClient.Answer a) {
+  private static String text(HttpClient.Response a) {
     return new String(a.body(), StandardCharsets.UTF_8);
   }
 }
--- a/src/test/java/org/astershift/CloseLooksTest.java
+++ b/src/test/java/org/astershift/ConsistentAnswersTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import org.astershift.CloseUsers.Known;
-import org.astershift.standin.Await;
-import org.astershift.standin.StandInWorker;
+import org.astershift.ConcurrentUsers.Known;
+import org.astershift.emulator.Await;
+import org.astershift.emulator.WorkerEmulator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -24,16 +24,16 @@
  * or confirmed as cancelled: no node tells anything older than another has told.
  */
 @Timeout(240)
-class CloseLooksTest {
+class ConsistentAnswersTest {
   private static final long TASK_MS = 150;
   @TempDir Path dir;
-  private Controllers nodes;
+  private ControllerProcesses nodes;
 
   @BeforeEach
   void start() throws Exception {
     // Users ask far more often here than the limits of the first job's state service allow for.
     nodes =
-        new Controllers(
+        new ControllerProcesses(
             dir,
             TASK_MS,
             s -> s.replace("rps = 250.0", "rps = 20000.0").replace("rps = 100.0", "rps = 5000.0"));
@@ -50,7 +50,7 @@
   /** One-task jobs in a row, a quarter of them cancelled, and no other trouble. */
   @Test
   void aStreamOfShortJobs() throws Exception {
-    try (CloseUsers users = new CloseUsers(nodes, 1, 150, 1)) {
+    try (ConcurrentUsers users = new ConcurrentUsers(nodes, 1, 150, 1)) {
       users.start(users.jobs().size());
       users.join();
       check(users);
@@ -64,7 +64,7 @@
    */
   @Test
   void answersAreLostAndLeadersChange() throws Exception {
-    try (CloseUsers users = new CloseUsers(nodes, 1001, 150, 2)) {
+    try (ConcurrentUsers users = new ConcurrentUsers(nodes, 1001, 150, 2)) {
       nodes.store.loseAnswers(0.33);
       // A part of the jobs is left for each trouble, however fast the users are.
       int part = users.jobs().size() / 3;
@@ -93,7 +93,7 @@
     }
   }
 
-  private void check(CloseUsers users) {
+  private void check(ConcurrentUsers users) {
     assertEquals(List.of(), users.broken());
     Map<Known, Long> ends =
         users.jobs().stream().collect(Collectors.groupingBy(j -> j.known(), Collectors.counting()));
@@ -104,21 +104,21 @@
     List<String> started = new ArrayList<>();
     Map<String, Long> confirmed =
         users.jobs().stream().collect(Collectors.toMap(j -> j.id, j -> j.confirmedNs()));
-    for (StandInWorker w : nodes.cloud.everRented()) {
-      for (StandInWorker.Start s : w.starts()) {
+    for (WorkerEmulator w : nodes.cloud.everRented()) {
+      for (WorkerEmulator.Start s : w.starts()) {
         started.add(s.task());
         long lateMs = (s.atNs() - confirmed.get(s.task().split("/")[0])) / 1_000_000;
         assertTrue(lateMs < 0, s.task() + " was started " + lateMs + " ms after its cancellation");
       }
     }
     assertEquals(new HashSet<>(started).size(), started.size(), "started twice: " + started);
-    for (CloseUsers.Job j : users.jobs()) {
+    for (ConcurrentUsers.Job j : users.jobs()) {
       boolean all = started.stream().filter(s -> s.startsWith(j.id + "/")).count() == tasks(j);
       assertTrue(j.known() != Known.DONE || all, j.id + " is done and was not started");
     }
   }
 
-  private static int tasks(CloseUsers.Job j) {
+  private static int tasks(ConcurrentUsers.Job j) {
     return j.id.compareTo("wk-001000") < 0 ? 1 : 2;
   }
 }
--- a/src/test/java/org/astershift/Controllers.java
+++ b/src/test/java/org/astershift/ControllerProcesses.java
@@ -13,17 +13,17 @@
 import java.util.function.UnaryOperator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import org.astershift.emulator.Await;
+import org.astershift.emulator.CloudEmulator;
+import org.astershift.emulator.PortBlock;
+import org.astershift.emulator.StoreEmulator;
 import org.astershift.http.HttpClient;
-import org.astershift.standin.Await;
-import org.astershift.standin.PortBlock;
-import org.astershift.standin.StandInCloud;
-import org.astershift.standin.StandInStore;
 
 /**
  * Three real controllers, a process each, on loopback against stand-ins. Whoever waits here waits
  * for what must come, however slow the machine is, but not for ever: what did not come is named.
  */
-final class Controllers implements AutoCloseable {
+final class ControllerProcesses implements AutoCloseable {
   static final int NODES = 3;
 
   private static final Pattern LEADS = Pattern.compile(" leads with token ([0-9]+)");
@@ -32,9 +32,9 @@
   private final PortBlock block;
   private final List<Integer> ports;
   private final List<Process> nodes = new ArrayList<>();
-  final List<StandInStore.Door> doors = new ArrayList<>();
-  final StandInStore store;
-  final StandInCloud cloud;
+  final List<StoreEmulator.StoreAddress> doors = new ArrayList<>();
+  final StoreEmulator store;
+  final CloudEmulator cloud;
   private final UnaryOperator<String> settings;
   private int starts;
 
@@ -42,18 +42,18 @@
   private final Map<Integer, Integer> logs = new HashMap<>();
 
   /** {@code dir}: for settings and logs. They are asked to start, and may not be ready yet. */
-  Controllers(Path dir, long taskMs) throws Exception {
+  ControllerProcesses(Path dir, long taskMs) throws Exception {
     this(dir, taskMs, s -> s);
   }
 
   /** {@code settings}: what is changed of the settings of the first job. */
-  Controllers(Path dir, long taskMs, UnaryOperator<String> settings) throws Exception {
+  ControllerProcesses(Path dir, long taskMs, UnaryOperator<String> settings) throws Exception {
     this.dir = dir;
     this.settings = settings;
     block = PortBlock.take();
     ports = block.ports(2 * NODES);
-    store = new StandInStore(0);
-    cloud = new StandInCloud(0, ports.subList(0, NODES), taskMs);
+    store = new StoreEmulator(0);
+    cloud = new CloudEmulator(0, ports.subList(0, NODES), taskMs);
     for (int i = 0; i < NODES; i++) {
       doors.add(store.door());
       nodes.add(null);
@@ -115,14 +115,14 @@
       p.destroyForcibly().onExit().join();
     }
     cloud.close();
-    for (StandInStore.Door door : doors) {
+    for (StoreEmulator.StoreAddress door : doors) {
       door.close();
     }
     store.close();
     block.close();
   }
 
-  HttpClient.Answer call(int node, String method, String path, String body) throws IOException {
+  HttpClient.Response call(int node, String method, String path, String body) throws IOException {
     try (HttpClient client = new HttpClient("127.0.0.1", ports.get(node), 1)) {
       byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
       return client.call(method, path, bytes, 10_000);
@@ -138,7 +138,7 @@
           what,
           () -> {
             try {
-              HttpClient.Answer a = call(node, method, path, body);
+              HttpClient.Response a = call(node, method, path, body);
               last[0] = a.status() + " " + new String(a.body(), StandardCharsets.UTF_8);
               if (a.status() < 400 && last[0].contains(word)) {
                 return true;
--- a/src/test/java/org/astershift/DigestRun.java
+++ b/src/test/java/org/astershift/DigestRun.java
@@ -4,8 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import org.astershift.core.AdversaryDigests;
-import org.astershift.world.SwarmDigests;
+import org.astershift.scheduler.SchedulerFuzzerDigests;
+import org.astershift.simulation.RandomizedScenarioDigests;
 
 /**
  * Plays seeds of the swarm and of the adversary on all processors, and compares their digests with
@@ -26,10 +26,10 @@
     List<String> options = arguments.options();
     List<String> different = new ArrayList<>();
     if (options.isEmpty() || options.contains(SWARM)) {
-      different.addAll(run(SWARM, SwarmDigests.kept(), arguments));
+      different.addAll(run(SWARM, RandomizedScenarioDigests.kept(), arguments));
     }
     if (options.isEmpty() || options.contains(ADVERSARY)) {
-      different.addAll(run(ADVERSARY, AdversaryDigests.kept(), arguments));
+      different.addAll(run(ADVERSARY, SchedulerFuzzerDigests.kept(), arguments));
     }
     System.exit(different.isEmpty() ? 0 : 1);
   }
--- a/src/test/java/org/astershift/EndToEndTest.java
+++ b/src/test/java/org/astershift/EndToEndTest.java
@@ -10,9 +10,9 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.astershift.emulator.Await;
+import org.astershift.emulator.WorkerEmulator;
 import org.astershift.http.HttpClient;
-import org.astershift.standin.Await;
-import org.astershift.standin.StandInWorker;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -29,11 +29,11 @@
   private static final int CANCEL_S = 40;
 
   @TempDir Path dir;
-  private Controllers nodes;
+  private ControllerProcesses nodes;
 
   @BeforeEach
   void start() throws Exception {
-    nodes = new Controllers(dir, 700);
+    nodes = new ControllerProcesses(dir, 700);
     nodes.awaitReady();
   }
 
@@ -44,7 +44,7 @@
     }
   }
 
-  private HttpClient.Answer call(int node, String method, String path, String body)
+  private HttpClient.Response call(int node, String method, String path, String body)
       throws Exception {
     return nodes.call(node, method, path, body);
   }
@@ -56,7 +56,7 @@
 
   private List<String> started() {
     List<String> out = new ArrayList<>();
-    for (StandInWorker w : nodes.cloud.workers()) {
+    for (WorkerEmulator w : nodes.cloud.workers()) {
       out.addAll(w.started());
     }
     return out;
@@ -64,8 +64,8 @@
 
   @Test
   void jobsSurviveAnOutageAndTheLossOfControllers() throws Exception {
-    await(0, "POST", "/v2/runs", Controllers.job("wk-000001", "sweep", 6), "wk-000001");
-    await(1, "POST", "/v2/runs", Controllers.job("wk-000001", "sweep", 6), "wk-000001");
+    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000001", "sweep", 6), "wk-000001");
+    await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000001", "sweep", 6), "wk-000001");
     await(2, "GET", "/v2/runs/wk-000001", null, "\"done\",");
     assertEquals(404, call(1, "GET", "/v2/runs/wk-999999", null).status());
     assertEquals(400, call(1, "POST", "/v2/runs", "{\"id\":7}").status());
@@ -75,21 +75,23 @@
                 1,
                 "POST",
                 "/v2/runs",
-                Controllers.job("wk-000009", "sweep", 1).replace("\"vcpus\":1", "\"vcpus\":99"))
+                ControllerProcesses.job("wk-000009", "sweep", 1)
+                    .replace("\"vcpus\":1", "\"vcpus\":99"))
             .status());
     assertEquals(405, call(1, "DELETE", "/v2/runs", null).status());
 
     // Jobs opened before an outage go on in it; their end is told when it can be written.
-    await(1, "POST", "/v2/runs", Controllers.job("wk-000002", "sweep", 8), "wk-000002");
+    await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000002", "sweep", 8), "wk-000002");
     await(1, "GET", "/v2/runs/wk-000002", null, "running\":");
     nodes.store.down(true);
     assertEquals(
-        503, call(0, "POST", "/v2/runs", Controllers.job("wk-000003", "sweep", 1)).status());
+        503,
+        call(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000003", "sweep", 1)).status());
     nodes.store.down(false);
     await(0, "GET", "/v2/runs/wk-000002", null, "\"done\",");
 
     // Every controller in turn is killed and started again.
-    await(0, "POST", "/v2/runs", Controllers.job("wk-000004", "sweep", 20), "wk-000004");
+    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000004", "sweep", 20), "wk-000004");
     for (int i = 0; i < 3; i++) {
       nodes.kill(i);
       nodes.start(i);
@@ -110,7 +112,7 @@
 
   @Test
   void cancelledOnAnyNodeIsGoneAndStaysCancelled() throws Exception {
-    await(0, "POST", "/v2/runs", Controllers.job("wk-000005", "sweep", 40), "wk-000005");
+    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000005", "sweep", 40), "wk-000005");
     await(1, "GET", "/v2/runs/wk-000005", null, "\"running\",");
     await(2, "POST", "/v2/runs/wk-000005/withdraw", null, "withdrawn");
     for (int i = 0; i < 3; i++) {
@@ -120,13 +122,14 @@
       nodes.start(i);
     }
     await(0, "GET", "/v2/runs/wk-000005", null, "withdrawn");
-    await(1, "POST", "/v2/runs", Controllers.job("wk-000006", "sweep", 1), "wk-000006");
+    await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000006", "sweep", 1), "wk-000006");
     await(1, "GET", "/v2/runs/wk-000006", null, "\"done\",");
-    for (StandInWorker w : nodes.cloud.workers()) {
+    for (WorkerEmulator w : nodes.cloud.workers()) {
       assertEquals(List.of(), w.running());
     }
     assertEquals(
-        200, call(1, "POST", "/v2/runs", Controllers.job("wk-000005", "sweep", 40)).status());
+        200,
+        call(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000005", "sweep", 40)).status());
   }
 
   /**
@@ -135,11 +138,11 @@
    */
   @Test
   void whatIsOverOnRecordIsToldByNobodyAsLive() throws Exception {
-    await(0, "POST", "/v2/runs", Controllers.job("wk-000008", "sweep", 3), "wk-000008");
+    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000008", "sweep", 3), "wk-000008");
     nodes.doors.forEach(d -> d.holdEnds(true));
     Await.until("the end on record", () -> nodes.store.has("d/wk-000008"));
     for (int i = 0; i < 3; i++) {
-      HttpClient.Answer a = call(i, "GET", "/v2/runs/wk-000008", null);
+      HttpClient.Response a = call(i, "GET", "/v2/runs/wk-000008", null);
       String said = new String(a.body(), StandardCharsets.UTF_8);
       assertTrue(a.status() == 503 || said.contains("\"done\","), a.status() + " " + said);
     }
@@ -153,7 +156,7 @@
    */
   @Test
   void processesAreBackAtOnce() throws Exception {
-    await(0, "POST", "/v2/runs", Controllers.job("wk-000007", "sweep", 60), "wk-000007");
+    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000007", "sweep", 60), "wk-000007");
     await(1, "GET", "/v2/runs/wk-000007", null, "\"running\",");
     for (int round = 0; round < 5; round++) {
       for (int i = 0; i < 3; i++) {
@@ -184,11 +187,11 @@
    */
   @Test
   void copiesComeLateMachinesBeginAnewAndOneHearsNothing() throws Exception {
-    await(0, "POST", "/v2/runs", Controllers.job("wk-000030", "sweep", 60), "wk-000030");
+    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000030", "sweep", 60), "wk-000030");
     await(1, "GET", "/v2/runs/wk-000030", null, "\"running\",");
     List<String> lost = nodes.cloud.workers().get(0).beginAnew();
     replay();
-    StandInWorker deaf = nodes.cloud.workers().get(nodes.cloud.workers().size() - 1);
+    WorkerEmulator deaf = nodes.cloud.workers().get(nodes.cloud.workers().size() - 1);
     deaf.deaf(true);
     for (int i = 0; i < 3; i++) {
       if (nodes.hasLed(i)) {
@@ -208,7 +211,7 @@
 
   /** Sends a part of all that was reported so far once more, to each node. */
   private void replay() throws Exception {
-    for (StandInWorker w : nodes.cloud.workers()) {
+    for (WorkerEmulator w : nodes.cloud.workers()) {
       List<String> said = w.said();
       for (int i = 0; i < said.size(); i += 1 + said.size() / 4) {
         for (int n = 0; n < 3; n++) {
@@ -229,12 +232,13 @@
       int other = (i + 1) % 3;
       String before = "wk-00001" + i;
       String during = "wk-00002" + i;
-      await(i, "POST", "/v2/runs", Controllers.job(before, "sweep", 3), before);
+      await(i, "POST", "/v2/runs", ControllerProcesses.job(before, "sweep", 3), before);
       nodes.doors.get(i).refuse(true);
       nodes.awaitStatus(i, "/ready", 503);
-      assertEquals(503, call(i, "POST", "/v2/runs", Controllers.job(during, "sweep", 3)).status());
+      assertEquals(
+          503, call(i, "POST", "/v2/runs", ControllerProcesses.job(during, "sweep", 3)).status());
       assertEquals(200, call(other, "GET", "/ready", null).status());
-      await(other, "POST", "/v2/runs", Controllers.job(during, "sweep", 3), during);
+      await(other, "POST", "/v2/runs", ControllerProcesses.job(during, "sweep", 3), during);
       await(other, "GET", "/v2/runs/" + during, null, "\"done\",");
       await(i, "GET", "/v2/runs/" + during, null, "\"done\",");
       await(i, "GET", "/v2/runs/" + before, null, "\"done\",");
@@ -257,7 +261,7 @@
       await(i, "GET", "/v2/runs/wk-90000" + i, null, "\"running\",");
     }
     int old = nodes.leader();
-    nodes.cloud.workers().forEach(StandInWorker::answeredBy);
+    nodes.cloud.workers().forEach(WorkerEmulator::answeredBy);
     nodes.doors.get(old).refuse(true);
     int other = (old + 1) % 3;
     long askedNs = System.nanoTime();
@@ -268,7 +272,7 @@
     assertTrue(
         nodes.cloud.workers().stream().anyMatch(w -> w.answeredBy().contains(nodes.port(old))),
         "workers went on reporting to the old leader");
-    HttpClient.Answer refused = call(old, "POST", "/v2/runs/wk-900001/withdraw", null);
+    HttpClient.Response refused = call(old, "POST", "/v2/runs/wk-900001/withdraw", null);
     assertEquals(503, refused.status());
     while (nodes.cloud.workers().stream().anyMatch(w -> runs(w, "wk-900000"))) {
       long s = (System.nanoTime() - confirmedNs) / 1_000_000_000;
@@ -298,10 +302,10 @@
 
   /** Its tasks run until they are stopped, and their owner says so. */
   private static String endless(String id) {
-    return Controllers.job(id, "sweep", 2).replace("\"expect_s\":1", "\"expect_s\":600");
+    return ControllerProcesses.job(id, "sweep", 2).replace("\"expect_s\":1", "\"expect_s\":600");
   }
 
-  private static boolean runs(StandInWorker w, String job) {
+  private static boolean runs(WorkerEmulator w, String job) {
     return w.running().stream().anyMatch(t -> t.startsWith(job + "/"));
   }
 }
--- a/src/test/java/org/astershift/EventDigest.java
+++ b/src/test/java/org/astershift/EventDigest.java
@@ -6,9 +6,9 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 import java.util.List;
-import org.astershift.core.Decision;
-import org.astershift.core.Order;
-import org.astershift.core.Report;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Heartbeat;
 
 /**
  * A hash over what happens in one played seed, in order: virtual times, codes, numbers, and names
@@ -77,31 +77,31 @@
   private void decision(Decision decision) {
     if (decision instanceof Decision.OpenJob d) {
       number(1).text(d.job()).texts(d.where());
-    } else if (decision instanceof Decision.Remember d) {
+    } else if (decision instanceof Decision.PersistPlacement d) {
       number(2).text(d.job()).texts(d.where());
-    } else if (decision instanceof Decision.Direct d) {
+    } else if (decision instanceof Decision.SendCommands d) {
       number(3).text(d.machine()).text(d.addr()).number(d.session()).number(d.timeoutMs());
       number(d.orders().size());
       d.orders().forEach(this::order);
     } else if (decision instanceof Decision.FinishJob d) {
       number(4).text(d.job());
-    } else if (decision instanceof Decision.Rent d) {
+    } else if (decision instanceof Decision.ProvisionMachines d) {
       number(5).text(d.type()).text(d.zone()).flag(d.spot()).number(d.count());
-    } else if (decision instanceof Decision.Return d) {
+    } else if (decision instanceof Decision.ReleaseMachines d) {
       number(6).texts(d.machines()).flag(d.silent());
-    } else if (decision instanceof Decision.Enrol d) {
+    } else if (decision instanceof Decision.RegisterMachine d) {
       number(7).text(d.machine()).text(d.addr()).text(d.type()).text(d.zone());
       flag(d.spot()).flag(d.fresh());
-    } else if (decision instanceof Decision.Strike d) {
+    } else if (decision instanceof Decision.DeregisterMachine d) {
       number(8).text(d.machine()).text(d.addr());
-    } else if (decision instanceof Decision.Witness d) {
+    } else if (decision instanceof Decision.ProbeThroughPeers d) {
       number(9).number(d.askedMs()).named(d.suspects()).named(d.controls());
     } else {
       throw new IllegalArgumentException("a decision without a code: " + decision);
     }
   }
 
-  private EventDigest named(List<Decision.Named> machines) {
+  private EventDigest named(List<Decision.MachineAddress> machines) {
     number(machines.size());
     machines.forEach(machine -> text(machine.machine()).text(machine.addr()));
     return this;
@@ -110,7 +110,7 @@
   // ---- machines ----
 
   /** A worker carries out a command. */
-  public void command(long atMs, String machine, Order order) {
+  public void command(long atMs, String machine, Command order) {
     event(COMMAND, atMs).text(machine).order(order);
   }
 
@@ -135,16 +135,17 @@
   }
 
   /** A task on a machine moves on; {@code cause}: of its exit, otherwise null. */
-  public void phase(long atMs, String task, String machine, Report.Phase phase, String cause) {
+  public void phase(
+      long atMs, String task, String machine, Heartbeat.TaskPhase phase, String cause) {
     event(PHASE, atMs).text(task).text(machine).number(code(phase)).number(causeCode(cause));
   }
 
-  private void order(Order order) {
+  private void order(Command order) {
     number(code(order.op())).text(order.job()).number(order.index()).number(order.attempt());
     number(Double.doubleToLongBits(order.graceS()));
   }
 
-  private static int code(Order.Op op) {
+  private static int code(Command.Kind op) {
     return switch (op) {
       case START -> 1;
       case STOP -> 2;
@@ -152,7 +153,7 @@
     };
   }
 
-  private static int code(Report.Phase phase) {
+  private static int code(Heartbeat.TaskPhase phase) {
     return switch (phase) {
       case FETCHING -> 1;
       case WAITING -> 2;
--- a/src/test/java/org/astershift/SeedArgumentsTest.java
+++ b/src/test/java/org/astershift/SeedArgumentsTest.java
@@ -35,7 +35,9 @@
 
   @Test
   void theProgramsEndWithExitCodeTwo() throws Exception {
-    for (String program : List.of("org.astershift.world.Seeds", "org.astershift.core.Adversary")) {
+    for (String program :
+        List.of(
+            "org.astershift.simulation.SeedRunner", "org.astershift.scheduler.SchedulerFuzzer")) {
       String java = System.getProperty("java.home") + "/bin/java";
       String path = System.getProperty("java.class.path");
       Process p =
--- a/src/test/java/org/astershift/api/TurnsTest.java
+++ b/src/test/java/org/astershift/api/ConcurrencyGateTest.java
@@ -8,10 +8,10 @@
 
 /** An overloaded leader worked on nothing but reports that their workers had given up. */
 @Timeout(60)
-class TurnsTest {
+class ConcurrencyGateTest {
   @Test
   void whoWaitedTooLongGetsNoTurn() throws Exception {
-    Turns turns = new Turns(2, 1);
+    ConcurrencyGate turns = new ConcurrencyGate(2, 1);
     assertTrue(turns.take());
     assertTrue(turns.take());
     assertFalse(turns.take(), "two are at work");
--- a/src/test/java/org/astershift/api/JobCodecTest.java
+++ b/src/test/java/org/astershift/api/JobCodecTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
 import org.astershift.http.Json;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,12 +20,12 @@
           + "\"one_zone\":true,\"apart\":false,\"ebbtide\":true,\"expect_s\":240.0,"
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
-  private static JobSpec read(String text) throws Json.Bad {
+  private static JobSpec read(String text) throws Json.JsonFormatException {
     return JobCodec.spec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  void readsWhatTheProtocolShows() throws Json.Bad {
+  void readsWhatTheProtocolShows() throws Json.JsonFormatException {
     JobSpec s = read(GOOD);
     assertEquals(JobKind.GANG, s.kind());
     assertEquals(16, s.tasks());
@@ -51,7 +51,8 @@
         "\"one_zone\":true | \"one_zone\":1 | one_zone is missing or not true or false"
       })
   void namesTheFieldThatIsWrong(String part, String wrong, String message) {
-    Json.Bad bad = assertThrows(Json.Bad.class, () -> read(GOOD.replace(part, wrong)));
+    Json.JsonFormatException bad =
+        assertThrows(Json.JsonFormatException.class, () -> read(GOOD.replace(part, wrong)));
     assertEquals(message, bad.getMessage());
   }
 
@@ -60,7 +61,7 @@
       delimiter = '|',
       value = {"[1] | not an object", "{\"a\": | not JSON", "'' | not JSON"})
   void refusesWhatIsNoObject(String text, String message) {
-    Json.Bad bad = assertThrows(Json.Bad.class, () -> read(text));
+    Json.JsonFormatException bad = assertThrows(Json.JsonFormatException.class, () -> read(text));
     assertEquals(message, bad.getMessage());
   }
 }
--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -12,18 +12,18 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Priority;
+import org.astershift.emulator.CloudEmulator;
+import org.astershift.emulator.InProcessControllers;
+import org.astershift.emulator.StoreEmulator;
 import org.astershift.http.HttpClient;
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
-import org.astershift.standin.InProcessControllers;
-import org.astershift.standin.StandInCloud;
-import org.astershift.standin.StandInStore;
-import org.astershift.store.Records;
-import org.astershift.world.JobDraft;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Priority;
+import org.astershift.simulation.JobDraft;
+import org.astershift.store.RecordCodec;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -75,15 +75,15 @@
 
   @TempDir Path dir;
   private final List<Integer> ports = new ArrayList<>();
-  private StandInStore store;
-  private StandInCloud cloud;
+  private StoreEmulator store;
+  private CloudEmulator cloud;
   private InProcessControllers nodes;
   private int ids;
 
   @BeforeEach
   void start() throws Exception {
-    store = new StandInStore(0);
-    cloud = new StandInCloud(0, ports, 200);
+    store = new StoreEmulator(0);
+    cloud = new CloudEmulator(0, ports, 200);
   }
 
   @AfterEach
@@ -127,17 +127,17 @@
   }
 
   private Set<String> stored() {
-    Set<String> out = new TreeSet<>(store.below(Records.JOB));
-    out.addAll(store.below(Records.ENDED));
+    Set<String> out = new TreeSet<>(store.below(RecordCodec.JOB));
+    out.addAll(store.below(RecordCodec.ENDED));
     return out;
   }
 
-  private HttpClient.Answer submit(String body) throws Exception {
+  private HttpClient.Response submit(String body) throws Exception {
     return nodes.call(0, "POST", JOBS, body);
   }
 
   private void refused(int status, String body) throws Exception {
-    HttpClient.Answer a = submit(body);
+    HttpClient.Response a = submit(body);
     String said = new String(a.body(), StandardCharsets.UTF_8);
     String shown = body.length() > 600 ? body.substring(0, 600) + "..." : body;
     assertEquals(status, a.status(), said + " to " + shown);
@@ -226,7 +226,7 @@
     fine.add(with("shards", "100000", "vcpus", "0.001"));
     Set<String> ids = new TreeSet<>();
     for (Map<String, String> m : fine) {
-      HttpClient.Answer a = submit(text(m));
+      HttpClient.Response a = submit(text(m));
       assertEquals(201, a.status(), text(m));
       ids.add((String) Json.object(a.body()).get("id"));
     }
@@ -279,9 +279,9 @@
     Map<String, Object> row =
         Map.of(
             "set",
-            Records.JOB + id,
+            RecordCodec.JOB + id,
             "data",
-            Records.job(new Records.JobRecord(spec, System.currentTimeMillis())));
+            RecordCodec.job(new RecordCodec.JobRecord(spec, System.currentTimeMillis())));
     try (HttpClient client = new HttpClient("127.0.0.1", store.port(), 1)) {
       byte[] body = Json.bytes(Map.of("writes", List.of(row)));
       assertEquals(200, client.call("POST", "/multi", body, 5000).status());
@@ -314,12 +314,12 @@
     typesKnown(0);
     typesKnown(1);
     known(2, "wk-old1", "queued");
-    assertEquals(Set.of(Records.JOB + "wk-old1"), stored());
+    assertEquals(Set.of(RecordCodec.JOB + "wk-old1"), stored());
     for (int node = 0; node < 2; node++) {
       nodes.await(node, "POST", JOBS + "/wk-old1/withdraw", null, 200, "withdrawn");
     }
     known(2, "wk-old1", "withdrawn");
-    assertEquals(Set.of(Records.ENDED + "wk-old1"), stored());
+    assertEquals(Set.of(RecordCodec.ENDED + "wk-old1"), stored());
 
     // While nobody can say whether it is known, only what no version accepted is refused.
     store.down(true);
@@ -330,7 +330,7 @@
     refused(400, text(with("id", null)));
     store.down(false);
     nodes.await(0, "POST", JOBS, text(with("one_zone", null)), 400, "one_zone");
-    assertEquals(Set.of(Records.ENDED + "wk-old1"), stored());
+    assertEquals(Set.of(RecordCodec.ENDED + "wk-old1"), stored());
   }
 
   /** The cloud is out from the start: what is new waits, and what is known is told. */
@@ -345,7 +345,7 @@
       refused(400, text(with("apart", null)));
       refused(400, text(with("vcpus", null)));
       known(1, "wk-old1", "queued");
-      assertEquals(Set.of(Records.JOB + "wk-old1"), stored());
+      assertEquals(Set.of(RecordCodec.JOB + "wk-old1"), stored());
     }
   }
 
@@ -379,12 +379,12 @@
       expect(node, "POST", JOBS + "/wk-9/withdraw", null, 200, "\"withdrawn\",");
       expect(node, "GET", JOBS + "/wk-9", null, 200, "\"withdrawn\",");
     }
-    assertEquals(Set.of(Records.ENDED + "wk-9", Records.ENDED + id), stored());
+    assertEquals(Set.of(RecordCodec.ENDED + "wk-9", RecordCodec.ENDED + id), stored());
   }
 
   private void expect(int node, String method, String path, String body, int status, String word)
       throws Exception {
-    HttpClient.Answer a = nodes.call(node, method, path, body);
+    HttpClient.Response a = nodes.call(node, method, path, body);
     String said = new String(a.body(), StandardCharsets.UTF_8);
     assertEquals(status, a.status(), said + ": " + method + " " + path + " at " + node);
     assertTrue(said.contains(word), said + ": " + method + " " + path + " at " + node);
--- a/src/test/java/org/astershift/leader/EndsTest.java
+++ b/src/test/java/org/astershift/controller/CompletionQueueTest.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,10 +6,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Which ends go out together. */
-class EndsTest {
+class CompletionQueueTest {
   @Test
   void endsGatherInTheOrderOfWaiting() throws Exception {
-    Ends ends = new Ends();
+    CompletionQueue ends = new CompletionQueue();
     for (String job : List.of("a", "b", "c", "d", "e")) {
       ends.add(job);
     }
--- a/src/test/java/org/astershift/leader/TakeoverFencesTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,20 +11,21 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import org.astershift.core.Decision;
-import org.astershift.standin.Await;
-import org.astershift.store.Records;
+import org.astershift.emulator.Await;
+import org.astershift.scheduler.Decision;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** Fences of a term's beginning, and of what it has to note before it acts. */
 @Timeout(200)
-class TakeoverFencesTest extends FenceCase {
+class FailoverFencingTest extends FencingTestCase {
   private static final String VM = "vm-000007";
 
   private static Object machine(String name, boolean fresh) {
-    return Records.machine(new Decision.Enrol(name, "127.0.0.1:1", "small", "a", false, fresh));
+    return RecordCodec.machine(
+        new Decision.RegisterMachine(name, "127.0.0.1:1", "small", "a", false, fresh));
   }
 
   /** Opened jobs, machines that may hold their tasks, and done tasks come from the notes. */
@@ -33,13 +34,15 @@
     BitSet done = new BitSet();
     done.set(0);
     // Of two tasks one is left: of a job that is complete nothing is told from memory any more.
-    StoreClient.Txn notes = new StoreClient.Txn().put(LIVE, record(job(2)));
-    notes.put(Records.NOTES + "o0", Map.of(ID, Records.opened(List.of())));
-    notes.put(Records.NOTES + "m0", Map.of(VM, machine(VM, false)));
-    notes.put(Records.NOTES + "p0", Map.of(Records.progress(ID, 0), Records.segment(done, 0)));
+    StoreClient.Transaction notes = new StoreClient.Transaction().put(LIVE, record(job(2)));
+    notes.put(RecordCodec.NOTES + "o0", Map.of(ID, RecordCodec.opened(List.of())));
+    notes.put(RecordCodec.NOTES + "m0", Map.of(VM, machine(VM, false)));
+    notes.put(
+        RecordCodec.NOTES + "p0",
+        Map.of(RecordCodec.progress(ID, 0), RecordCodec.segment(done, 0)));
     write(notes);
     node.start();
-    Term term = node.leads();
+    LeaderTerm term = node.leads();
     assertEquals(1, term.told(ID).done());
     synchronized (term) {
       assertFalse(term.scheduler.cancelKeepable(ID), "a machine that may hold it is unheard");
@@ -52,20 +55,20 @@
     AtomicBoolean once = new AtomicBoolean();
     node.loaded =
         prefix -> {
-          if (prefix.equals(Records.JOB) && once.compareAndSet(false, true)) {
+          if (prefix.equals(RecordCodec.JOB) && once.compareAndSet(false, true)) {
             try {
-              write(new StoreClient.Txn().put(LIVE, record()));
+              write(new StoreClient.Transaction().put(LIVE, record()));
               Await.until("the job", () -> node.mirror.row(LIVE) != null);
               // The next news is applied after the listeners were told of this.
-              write(new StoreClient.Txn().put(Records.LIVE + "x", Map.of()));
-              Await.until("the next news", () -> node.mirror.row(Records.LIVE + "x") != null);
+              write(new StoreClient.Transaction().put(RecordCodec.LIVE + "x", Map.of()));
+              Await.until("the next news", () -> node.mirror.row(RecordCodec.LIVE + "x") != null);
             } catch (Exception e) {
               throw new IllegalStateException(e);
             }
           }
         };
     node.start();
-    Term term = node.leads();
+    LeaderTerm term = node.leads();
     assertTrue(once.get());
     Await.until("the job to be kept", () -> term.keeps(ID));
   }
@@ -77,8 +80,8 @@
     AtomicLong overToken = new AtomicLong();
     node.loaded =
         prefix -> {
-          if (prefix.equals(Records.JOB) && overToken.get() == 0) {
-            overToken.set(node.mirror.row(Records.LEADER).revision());
+          if (prefix.equals(RecordCodec.JOB) && overToken.get() == 0) {
+            overToken.set(node.mirror.row(RecordCodec.LEADER).revision());
             node.director.leaderTold(Long.MAX_VALUE);
           }
         };
@@ -91,12 +94,12 @@
   /** Its own key, left by the process before it, is removed; one that is not the same stays. */
   @Test
   void onlyThePredecessorsKeyIsRemoved() throws Exception {
-    write(new StoreClient.Txn().put(Records.LEADER, Records.leader("one")));
+    write(new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.leader("one")));
     AtomicBoolean once = new AtomicBoolean();
     AtomicBoolean answered = new AtomicBoolean();
     door.watched(
         (r, done) -> {
-          boolean removal = says(r, "\"remove\":\"" + Records.LEADER);
+          boolean removal = says(r, "\"remove\":\"" + RecordCodec.LEADER);
           if (!done && removal && once.compareAndSet(false, true)) {
             anotherLeads();
           } else if (done && removal) {
@@ -106,7 +109,7 @@
     node.start();
     Await.until("the removal to be answered", answered::get);
     Await.until("the leader to be known", () -> "another".equals(node.director.otherLeader()));
-    assertEquals("another", read(Records.LEADER).data().get("node"));
+    assertEquals("another", read(RecordCodec.LEADER).data().get("node"));
     assertEquals(0, node.director.token());
   }
 
@@ -117,15 +120,15 @@
     AtomicInteger revoked = new AtomicInteger();
     door.watched(
         (r, done) -> {
-          if (!done && says(r, "\"set\":\"" + Records.LEADER)) {
+          if (!done && says(r, "\"set\":\"" + RecordCodec.LEADER)) {
             service.loseAnswers(claims.incrementAndGet() == 1 ? 1 : 0);
           }
           revoked.addAndGet(!done && r.method().equals("DELETE") ? 1 : 0);
         });
     node.start();
-    Term term = node.leads();
+    LeaderTerm term = node.leads();
     service.loseAnswers(0);
-    assertEquals(read(Records.LEADER).revision(), term.token);
+    assertEquals(read(RecordCodec.LEADER).revision(), term.token);
     assertEquals("1 claims, 0 ended", claims + " claims, " + revoked + " ended");
   }
 
@@ -136,12 +139,12 @@
     AtomicInteger revoked = new AtomicInteger();
     door.watched(
         (r, done) -> {
-          if (says(r, "\"set\":\"" + Records.LEADER)) {
+          if (says(r, "\"set\":\"" + RecordCodec.LEADER)) {
             if (!done) {
               service.loseAnswers(claims.incrementAndGet() == 1 ? 1 : 0);
             } else if (claims.get() == 1) {
               service.loseAnswers(0);
-              write(new StoreClient.Txn().delete(Records.LEADER));
+              write(new StoreClient.Transaction().delete(RecordCodec.LEADER));
             }
           }
           revoked.addAndGet(!done && r.method().equals("DELETE") ? 1 : 0);
@@ -158,11 +161,11 @@
     AtomicLong won = new AtomicLong();
     door.watched(
         (r, done) -> {
-          if (!done && won.get() == 0 && says(r, "\"set\":\"" + Records.LEADER)) {
+          if (!done && won.get() == 0 && says(r, "\"set\":\"" + RecordCodec.LEADER)) {
             hangs.set(true);
-            write(new StoreClient.Txn().put(LIVE, record()));
-          } else if (done && won.get() == 0 && says(r, "\"set\":\"" + Records.LEADER)) {
-            won.set(read(Records.LEADER).revision());
+            write(new StoreClient.Transaction().put(LIVE, record()));
+          } else if (done && won.get() == 0 && says(r, "\"set\":\"" + RecordCodec.LEADER)) {
+            won.set(read(RecordCodec.LEADER).revision());
           }
           if (done && r.path().equals("/watch")) {
             Await.until("the mirror to go on", () -> !hangs.get());
@@ -170,12 +173,12 @@
         });
     node.start();
     Await.until("the key", () -> won.get() > 0);
-    Term[] early = new Term[1];
+    LeaderTerm[] early = new LeaderTerm[1];
     Await.until(
         "it to give up or to lead",
         () -> {
           early[0] = node.director.term();
-          return early[0] != null || read(Records.LEADER).data() == null;
+          return early[0] != null || read(RecordCodec.LEADER).data() == null;
         });
     assertEquals(null, early[0], "it leads and has not read the jobs");
     hangs.set(false);
@@ -190,7 +193,7 @@
     AtomicBoolean refuses = new AtomicBoolean(true);
     door.watched(
         (r, done) -> {
-          if (!done && says(r, "\"" + Records.NOTES + "i") && refuses.get()) {
+          if (!done && says(r, "\"" + RecordCodec.NOTES + "i") && refuses.get()) {
             tries.incrementAndGet();
             throw new IllegalStateException("refused");
           }
@@ -208,19 +211,19 @@
   @Test
   void aMachineThatWasNotedBeforeItsRentalWasAnsweredIsNotFresh() throws Exception {
     node.start();
-    Term term = node.leads();
-    cloud.rented(m -> term.notes.put(Notes.Kind.MACHINE, m, machine(m, false), 0));
+    LeaderTerm term = node.leads();
+    cloud.rented(m -> term.notes.put(LeaderRecords.RecordKind.MACHINE, m, machine(m, false), 0));
     accept();
     Await.until(
         "the rental to be settled",
         () -> {
           boolean rented = !cloud.everRented().isEmpty();
-          return rented && term.notes.entries(Notes.Kind.RENTAL).isEmpty();
+          return rented && term.notes.entries(LeaderRecords.RecordKind.RENTAL).isEmpty();
         });
-    Map<String, Object> machines = term.notes.entries(Notes.Kind.MACHINE);
+    Map<String, Object> machines = term.notes.entries(LeaderRecords.RecordKind.MACHINE);
     assertFalse(machines.isEmpty());
     for (Map.Entry<String, Object> m : machines.entrySet()) {
-      assertFalse(Records.machine(m.getKey(), m.getValue()).fresh(), m.getKey());
+      assertFalse(RecordCodec.machine(m.getKey(), m.getValue()).fresh(), m.getKey());
     }
   }
 }
--- a/src/test/java/org/astershift/leader/FencesTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,13 +17,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.astershift.config.Constants;
 import org.astershift.config.Settings;
-import org.astershift.core.Decision;
-import org.astershift.core.Order;
-import org.astershift.core.Report;
+import org.astershift.emulator.Await;
+import org.astershift.emulator.WorkerEmulator;
 import org.astershift.http.Threads;
-import org.astershift.standin.Await;
-import org.astershift.standin.StandInWorker;
-import org.astershift.store.Records;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Heartbeat;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.astershift.store.StoreClient.Outcome;
 import org.junit.jupiter.api.Test;
@@ -36,7 +36,7 @@
  * its steps is done here by the state service's other client, at that very moment.
  */
 @Timeout(200)
-class FencesTest extends FenceCase {
+class FencingTest extends FencingTestCase {
   /** So long a case looks whether something older is told. */
   private static final long LOOK_NS = 300_000_000;
 
@@ -47,14 +47,14 @@
   @Test
   void aLeaderInDoubtAnswersNothingFromMemory() throws Exception {
     node.start();
-    Term term = node.leads();
+    LeaderTerm term = node.leads();
     accept();
     assertNotNull(term.told(ID));
     assertEquals("queued", node.desk.poll(ID, false).phase());
     door.refuse(true);
     service.leasesEndLate(0);
     Await.until("the lease to be over", () -> !node.director.valid(term));
-    Await.until("its key to be gone", () -> read(Records.LEADER).data() == null);
+    Await.until("its key to be gone", () -> read(RecordCodec.LEADER).data() == null);
     anotherLeads();
     endElsewhere(true);
     assertSame(term, node.director.term(), "it still leads, as far as it knows");
@@ -72,7 +72,7 @@
   /** The job ends between the two reads of an answer: it was accepted, so it is not unknown. */
   @Test
   void aJobThatEndsBetweenTwoReadsIsNotUnknown() throws Exception {
-    write(new StoreClient.Txn().put(LIVE, record()));
+    write(new StoreClient.Transaction().put(LIVE, record()));
     AtomicInteger reads = new AtomicInteger();
     door.watched(
         (r, done) -> {
@@ -87,12 +87,13 @@
   /** A repeated submission, at a node that knows nothing of the job, changes nothing on record. */
   @Test
   void aRepeatedSubmissionWritesNothing() throws Exception {
-    Outcome.Applied accepted = (Outcome.Applied) write(new StoreClient.Txn().put(LIVE, record()));
+    Outcome.Committed accepted =
+        (Outcome.Committed) write(new StoreClient.Transaction().put(LIVE, record()));
     assertEquals(200, node.desk.submit(job()).status());
     assertEquals(200, node.desk.poll(ID, true).status(), "asked for before a refusal");
     assertEquals(accepted.revision(), read(LIVE).revision());
     endElsewhere(true);
-    UserDesk.Submitted again = node.desk.submit(job());
+    JobService.SubmissionResult again = node.desk.submit(job());
     assertEquals("200 withdrawn", again.status() + " " + again.known().phase());
     assertNull(read(LIVE).data(), "what is over is not accepted once more");
   }
@@ -111,16 +112,16 @@
             endElsewhere(true);
           }
         });
-    UserDesk.Submitted s = node.desk.submit(job());
+    JobService.SubmissionResult s = node.desk.submit(job());
     assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
-    assertTrue(service.lost(Records.JOB) == 1, "the answer was lost");
+    assertTrue(service.lost(RecordCodec.JOB) == 1, "the answer was lost");
   }
 
   /** Another node leads by the time a write arrives: it is not applied, and the term is over. */
   @Test
   void writesOfALeaderThatIsNoneAreNotApplied() throws Exception {
     node.start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
     door.watched(
         (r, done) -> {
@@ -139,7 +140,7 @@
   @Test
   void notesOfALeaderThatIsNoneAreNotApplied() throws Exception {
     node.start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     AtomicInteger late = new AtomicInteger();
     AtomicInteger answered = new AtomicInteger();
     door.watched(
@@ -149,9 +150,9 @@
           }
           answered.addAndGet(done && says(r, "late-note") ? 1 : 0);
         });
-    term.notes.put(Notes.Kind.OPENED, "late-note", true, 0);
+    term.notes.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
     Await.until("the late note to be decided on", () -> answered.get() > 0);
-    assertFalse(service.has(Records.NOTES + "o0"));
+    assertFalse(service.has(RecordCodec.NOTES + "o0"));
     Await.until("the term to be over", term::over);
   }
 
@@ -162,13 +163,13 @@
   @Test
   void aPageOfNotesIsWrittenFromTheRevisionThatItHas() throws Exception {
     node.start();
-    Term term = node.leads();
-    String page = Records.NOTES + "o0";
+    LeaderTerm term = node.leads();
+    String page = RecordCodec.NOTES + "o0";
     service.loseAnswers(1);
-    term.notes.put(Notes.Kind.OPENED, "first", true, 0);
-    Await.until("a note without an answer", () -> service.lost(Records.NOTES) > 0);
+    term.notes.put(LeaderRecords.RecordKind.OPENED, "first", true, 0);
+    Await.until("a note without an answer", () -> service.lost(RecordCodec.NOTES) > 0);
     service.loseAnswers(0);
-    term.notes.put(Notes.Kind.OPENED, "second", true, 0);
+    term.notes.put(LeaderRecords.RecordKind.OPENED, "second", true, 0);
     Await.until("both notes", () -> notes(page) == 2);
     long revision = read(page).revision();
     List<String> conditions = new ArrayList<>();
@@ -178,13 +179,13 @@
             conditions.add(new String(r.body(), StandardCharsets.UTF_8));
           }
         });
-    term.notes.put(Notes.Kind.OPENED, "third", true, 0);
+    term.notes.put(LeaderRecords.RecordKind.OPENED, "third", true, 0);
     Await.until("the third note", () -> notes(page) == 3);
     assertTrue(conditions.get(0).contains("{\"k\":\"" + page + "\",\"stamp\":" + revision + "}"));
   }
 
   private int notes(String page) throws Exception {
-    StoreClient.Row row = read(page);
+    StoreClient.Entry row = read(page);
     return row.data() == null ? 0 : row.data().size();
   }
 
@@ -192,21 +193,21 @@
   @Test
   void otherTermsDoNotTouchThisOne() throws Exception {
     node.start();
-    Term term = node.leads();
+    LeaderTerm term = node.leads();
     node.director.end(term.token - 1, "told late");
     assertSame(term, node.director.term());
     assertFalse(term.over());
     node.director.begin(term.token + 1);
     assertSame(term, node.director.term(), "a term that is not won does not begin");
-    Report report =
-        new Report("vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, 0, null, List.of());
+    Heartbeat report =
+        new Heartbeat("vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, 0, null, List.of());
     assertNotNull(node.director.report(report, term.token));
     assertNull(node.director.report(report, term.token - 1), "its answer would show that token");
     node.director.handOver(term, "a test");
     Await.until("the term to be over", term::over);
     assertNull(node.director.report(report, term.token));
     node.director.begin(term.token);
-    Term next = node.director.term();
+    LeaderTerm next = node.director.term();
     assertTrue(next == null || next.token > term.token, "a term that is over does not begin again");
   }
 
@@ -217,7 +218,7 @@
     AtomicInteger answered = new AtomicInteger();
     door.watched(
         (r, done) -> {
-          boolean claim = says(r, "\"set\":\"" + Records.LEADER);
+          boolean claim = says(r, "\"set\":\"" + RecordCodec.LEADER);
           if (!done && claim && claims.incrementAndGet() == 1) {
             anotherLeads();
           }
@@ -225,7 +226,7 @@
         });
     node.start();
     Await.until("a claim that came too late to be answered", () -> answered.get() > 0);
-    assertEquals("another", read(Records.LEADER).data().get("node"));
+    assertEquals("another", read(RecordCodec.LEADER).data().get("node"));
     Await.until("the leader to be known", () -> "another".equals(node.director.otherLeader()));
     assertNull(node.director.term());
     assertEquals(0, node.director.token());
@@ -235,9 +236,9 @@
   @Test
   void aWorkerThatHasSeenALaterLeaderEndsTheTerm() throws Exception {
     node.start();
-    Term term = node.leads();
-    Report later =
-        new Report(
+    LeaderTerm term = node.leads();
+    Heartbeat later =
+        new Heartbeat(
             "vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, term.token + 5, null, List.of());
     assertNull(node.director.report(later, term.token));
     assertTrue(term.over());
@@ -247,7 +248,7 @@
   @Test
   void aCancellationIsTimedFromItsFirstArrival() throws Exception {
     node.start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
     door.watched(
         (r, done) -> {
@@ -255,7 +256,7 @@
             throw new IllegalStateException("refused");
           }
         });
-    final long beganMs = Term.nowMs();
+    final long beganMs = LeaderTerm.nowMs();
     assertEquals(503, node.desk.cancel(ID, true).status());
     assertTrue(term.cancellationTimes().contains(" 0 confirmed; 1 wait, the longest for "));
     door.watched((r, done) -> {});
@@ -264,7 +265,7 @@
       assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
       line = term.cancellationTimes();
     }
-    final long tookMs = Term.nowMs() - beganMs;
+    final long tookMs = LeaderTerm.nowMs() - beganMs;
     long saidMs = Long.parseLong(line.replaceAll(".* worst ([0-9]+) ms", "$1"));
     assertTrue(line.contains(" 1 confirmed, median " + saidMs + " ms"), line);
     assertTrue(saidMs >= Constants.CANCEL_PATIENCE_MS && saidMs <= tookMs, line);
@@ -275,7 +276,7 @@
   @Test
   void whileACancellationIsWrittenNothingOlderIsTold() throws Exception {
     node.start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
     String[] told = new String[1];
     door.watched(
@@ -298,7 +299,7 @@
   @ValueSource(booleans = {true, false})
   void whenTheAnswerToAnEndIsLostNothingOlderIsTold(boolean cancelled) throws Exception {
     node.start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
     AtomicBoolean over = new AtomicBoolean();
     door.watched(
@@ -330,12 +331,12 @@
   @Test
   void anAcceptanceToldLateBringsNothingBack() throws Exception {
     node.start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
-    StoreClient.Row live = read(LIVE);
+    StoreClient.Entry live = read(LIVE);
     assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
     node.director.learnt(live);
-    node.director.accepted(new Records.JobRecord(job(), 0), live.revision());
+    node.director.accepted(new RecordCodec.JobRecord(job(), 0), live.revision());
     assertFalse(term.keeps(ID));
     assertEquals("withdrawn", node.desk.poll(ID, true).phase());
   }
@@ -353,14 +354,14 @@
           }
         });
     assertEquals("done", node.desk.cancel(ID, true).phase());
-    assertFalse(Records.ended(read(OVER).data()).cancelled());
+    assertFalse(RecordCodec.ended(read(OVER).data()).cancelled());
   }
 
   /** The same by the answer to a direct order: the machine has seen a later leader. */
   @Test
   void aMachineThatRefusesItsOrdersEndsTheTerm() throws Exception {
     node.listens(ports.ports(1).get(0)).start();
-    Term term = node.leads();
+    LeaderTerm term = node.leads();
     accept();
     Await.until("the job to run", () -> started().contains(ID + "/0"));
     cloud.everRented().forEach(w -> w.seenUnsaid(term.token + 1000));
@@ -381,17 +382,17 @@
           }
         });
     write(
-        new StoreClient.Txn()
+        new StoreClient.Transaction()
             .put(LIVE, record())
-            .put(Records.NOTES + "o0", Map.of(ID, Records.opened(List.of()))));
+            .put(RecordCodec.NOTES + "o0", Map.of(ID, RecordCodec.opened(List.of()))));
     node.listens(ports.ports(1).get(0)).start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     assertTrue(term.keeps(ID));
     AtomicInteger ends = new AtomicInteger();
     door.watched(
         (r, done) -> {
           if (!done && says(r, "\"set\":\"" + OVER) && ends.incrementAndGet() == 1) {
-            write(new StoreClient.Txn().put(Records.JOB + "wk-000002", record()));
+            write(new StoreClient.Transaction().put(RecordCodec.JOB + "wk-000002", record()));
             mayRent.countDown();
             Await.until("the next job to start", () -> started().contains("wk-000002/0"));
           }
@@ -408,14 +409,15 @@
   @Test
   void aStartThatWaitedWhileItsJobWasCancelledIsNotSent() throws Exception {
     node.listens(ports.ports(1).get(0)).start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
     Await.until("the job to run", () -> started().contains(ID + "/0"));
     Await.until("it to be cancelled", () -> node.desk.cancel(ID, true).status() == 200);
-    StandInWorker worker = cloud.everRented().get(0);
-    Order late = new Order(Order.Op.START, ID, 0, 77, 0);
+    WorkerEmulator worker = cloud.everRented().get(0);
+    Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
     String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
-    node.director.direct(term, new Decision.Direct(worker.name(), addr, 1, List.of(late), 5000));
+    node.director.direct(
+        term, new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000));
     assertEquals(List.of(ID + "/0"), started());
   }
 
@@ -427,13 +429,14 @@
   @Test
   void aStartThatWaitedUntilAnotherMayLeadIsNotSent() throws Exception {
     node.listens(ports.ports(1).get(0)).start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
     Await.until("the job to run", () -> started().contains(ID + "/0"));
-    StandInWorker worker = cloud.everRented().get(0);
-    Order late = new Order(Order.Op.START, ID, 0, 77, 0);
+    WorkerEmulator worker = cloud.everRented().get(0);
+    Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
     String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
-    Decision.Direct direct = new Decision.Direct(worker.name(), addr, 1, List.of(late), 5000);
+    Decision.SendCommands direct =
+        new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000);
     door.refuse(true);
     Await.until("the lease to be over", () -> !node.director.valid(term));
     node.director.direct(term, direct);
@@ -464,7 +467,7 @@
             told[0] = node.desk.poll(ID, true).phase();
           }
         });
-    UserDesk.Submitted s = node.desk.submit(job());
+    JobService.SubmissionResult s = node.desk.submit(job());
     assertEquals("withdrawn", told[0]);
     assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
   }
@@ -476,7 +479,7 @@
   @Test
   void anOrderThatFailsIsNotUnderWayForEver() throws Exception {
     node.start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
     Await.until("a machine", () -> !cloud.everRented().isEmpty());
     long[] tick = {2};
@@ -485,7 +488,7 @@
         term, 2); // with the token; the start follows directly, once what it needs is on record
     Await.until(
         "what the start needs to be on record",
-        () -> notes(Records.NOTES + "o0") == 1 && !fresh(Records.NOTES + "m0"));
+        () -> notes(RecordCodec.NOTES + "o0") == 1 && !fresh(RecordCodec.NOTES + "m0"));
     long untilNs = System.nanoTime() + LOOK_NS;
     boolean underWay;
     do {
@@ -502,9 +505,9 @@
   }
 
   private boolean fresh(String page) throws Exception {
-    StoreClient.Row row = read(page);
+    StoreClient.Entry row = read(page);
     for (Map.Entry<String, Object> e : row.data().entrySet()) {
-      if (!Records.machine(e.getKey(), e.getValue()).fresh()) {
+      if (!RecordCodec.machine(e.getKey(), e.getValue()).fresh()) {
         return false;
       }
     }
@@ -512,12 +515,12 @@
   }
 
   /** A report of the machine, empty, under an address that is none. */
-  private void reported(Term term, long tick) {
+  private void reported(LeaderTerm term, long tick) {
     String machine = cloud.everRented().get(0).name();
     String addr = "127.0.0.1:70000";
     long token = tick > 1 ? term.token : 0;
     node.director.report(
-        new Report(machine, addr, "small", "a", false, 1, tick, token, null, List.of()),
+        new Heartbeat(machine, addr, "small", "a", false, 1, tick, token, null, List.of()),
         term.token);
   }
 
@@ -526,11 +529,12 @@
    */
   @Test
   void notesAreWrittenWhateverOneOfThemBringsAbout() throws Exception {
-    StoreClient.Txn key = new StoreClient.Txn().put(Records.LEADER, Records.leader("one"));
-    long token = ((Outcome.Applied) write(key)).revision();
+    StoreClient.Transaction key =
+        new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.leader("one"));
+    long token = ((Outcome.Committed) write(key)).revision();
     ConcurrentLinkedQueue<String> durable = new ConcurrentLinkedQueue<>();
-    Notes notes =
-        new Notes(
+    LeaderRecords notes =
+        new LeaderRecords(
             token,
             node.store,
             new Settings.StoreLimits(100, 100, 8, 8),
@@ -540,12 +544,12 @@
               }
               durable.add(name);
             });
-    notes.put(Notes.Kind.OPENED, "bad", 1, 0);
-    notes.put(Notes.Kind.OPENED, "beside it", 1, 0);
+    notes.put(LeaderRecords.RecordKind.OPENED, "bad", 1, 0);
+    notes.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
     Thread loop = new Thread(Threads.guarded("notes", () -> notes.loop(null)));
     loop.start();
-    Await.until("the first page", () -> notes(Records.NOTES + "o0") == 2);
-    notes.put(Notes.Kind.OPENED, "later", 1, 0);
+    Await.until("the first page", () -> notes(RecordCodec.NOTES + "o0") == 2);
+    notes.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
     Await.until("the later note", () -> durable.contains("later"));
     assertEquals(List.of("beside it", "later"), List.copyOf(durable));
     notes.end();
@@ -559,21 +563,25 @@
   @Test
   void aStartOfACancelledJobIsSentOnlyWithItsStopAndBeforeThatIsTold() throws Exception {
     node.listens(ports.ports(1).get(0)).start();
-    final Term term = node.leads();
+    final LeaderTerm term = node.leads();
     accept();
     Await.until("the job to run", () -> started().contains(ID + "/0"));
-    StandInWorker worker = cloud.everRented().get(0);
+    WorkerEmulator worker = cloud.everRented().get(0);
     String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
     synchronized (term) {
       term.scheduler.cancelWanted(ID);
     }
-    Order start = new Order(Order.Op.START, ID, 0, 77, 0);
-    Order stop = new Order(Order.Op.STOP, ID, 0, 77, 0);
-    List<Order> later =
-        List.of(new Order(Order.Op.START, ID, 0, 78, 0), new Order(Order.Op.STOP, ID, 0, 78, 0));
-    Decision.Direct again = new Decision.Direct(worker.name(), addr, 1, later, 5000);
-    Decision.Direct alone = new Decision.Direct(worker.name(), addr, 1, List.of(start), 5000);
-    Decision.Direct both = new Decision.Direct(worker.name(), addr, 1, List.of(start, stop), 5000);
+    Command start = new Command(Command.Kind.START, ID, 0, 77, 0);
+    Command stop = new Command(Command.Kind.STOP, ID, 0, 77, 0);
+    List<Command> later =
+        List.of(
+            new Command(Command.Kind.START, ID, 0, 78, 0),
+            new Command(Command.Kind.STOP, ID, 0, 78, 0));
+    Decision.SendCommands again = new Decision.SendCommands(worker.name(), addr, 1, later, 5000);
+    Decision.SendCommands alone =
+        new Decision.SendCommands(worker.name(), addr, 1, List.of(start), 5000);
+    Decision.SendCommands both =
+        new Decision.SendCommands(worker.name(), addr, 1, List.of(start, stop), 5000);
     node.director.direct(term, alone);
     assertEquals(List.of(ID + "/0"), started());
     node.director.direct(term, both);
--- a/src/test/java/org/astershift/leader/FenceCase.java
+++ b/src/test/java/org/astershift/controller/FencingTestCase.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,19 +7,19 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.Map;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Priority;
+import org.astershift.emulator.Await;
+import org.astershift.emulator.CloudEmulator;
+import org.astershift.emulator.Emulators;
+import org.astershift.emulator.PortBlock;
+import org.astershift.emulator.StoreEmulator;
 import org.astershift.http.HttpServer;
-import org.astershift.standin.Await;
-import org.astershift.standin.PortBlock;
-import org.astershift.standin.StandInCloud;
-import org.astershift.standin.StandInStore;
-import org.astershift.standin.StandIns;
-import org.astershift.store.RateBudget;
-import org.astershift.store.Records;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Priority;
+import org.astershift.simulation.JobDraft;
+import org.astershift.store.RateLimiter;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.astershift.store.StoreClient.Outcome;
-import org.astershift.world.JobDraft;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
@@ -28,29 +28,29 @@
  * One node in this process, and another client of the state service that acts in its place between
  * two of its steps.
  */
-abstract class FenceCase {
+abstract class FencingTestCase {
   static final String ID = "wk-000001";
-  static final String LIVE = Records.JOB + ID;
-  static final String OVER = Records.ENDED + ID;
+  static final String LIVE = RecordCodec.JOB + ID;
+  static final String OVER = RecordCodec.ENDED + ID;
   @TempDir Path dir;
-  StandInStore service;
-  StandInStore.Door door;
-  StandInStore.Door otherDoor;
-  StandInCloud cloud;
+  StoreEmulator service;
+  StoreEmulator.StoreAddress door;
+  StoreEmulator.StoreAddress otherDoor;
+  CloudEmulator cloud;
   PortBlock ports;
-  OneNode node;
+  SingleController node;
   StoreClient other;
 
   @BeforeEach
   void start() throws Exception {
-    service = new StandInStore(0);
+    service = new StoreEmulator(0);
     service.leasesEndLate(60_000);
     door = service.door();
     otherDoor = service.door();
     ports = PortBlock.take();
-    cloud = new StandInCloud(0, ports.ports(1), 0); // where nobody listens unless a test says so
-    node = new OneNode(dir, door, cloud);
-    other = new StoreClient(StandIns.settings(dir, otherDoor.port(), cloud.port()));
+    cloud = new CloudEmulator(0, ports.ports(1), 0); // where nobody listens unless a test says so
+    node = new SingleController(dir, door, cloud);
+    other = new StoreClient(Emulators.settings(dir, otherDoor.port(), cloud.port()));
   }
 
   @AfterEach
@@ -76,12 +76,12 @@
   }
 
   static Map<String, Object> record(JobSpec job) {
-    return Records.job(new Records.JobRecord(job, System.currentTimeMillis()));
+    return RecordCodec.job(new RecordCodec.JobRecord(job, System.currentTimeMillis()));
   }
 
   /** A row as it is on record, however busy the machine. */
-  StoreClient.Row read(String key) throws Exception {
-    StoreClient.Row[] row = new StoreClient.Row[1];
+  StoreClient.Entry read(String key) throws Exception {
+    StoreClient.Entry[] row = new StoreClient.Entry[1];
     Await.until(
         "a read of " + key,
         () -> {
@@ -95,8 +95,8 @@
     return row[0];
   }
 
-  Outcome write(StoreClient.Txn txn) throws InterruptedException {
-    return other.commit(txn, RateBudget.Use.URGENT, 10_000);
+  Outcome write(StoreClient.Transaction txn) throws InterruptedException {
+    return other.commit(txn, RateLimiter.Urgency.URGENT, 10_000);
   }
 
   void accept() throws Exception {
@@ -104,16 +104,17 @@
   }
 
   void endElsewhere(boolean cancelled) throws InterruptedException {
-    Records.Ended end = new Records.Ended(cancelled, 1);
-    StoreClient.Txn txn = new StoreClient.Txn().delete(LIVE).put(OVER, Records.ended(end));
-    assertTrue(write(txn) instanceof Outcome.Applied);
+    RecordCodec.Ended end = new RecordCodec.Ended(cancelled, 1);
+    StoreClient.Transaction txn =
+        new StoreClient.Transaction().delete(LIVE).put(OVER, RecordCodec.ended(end));
+    assertTrue(write(txn) instanceof Outcome.Committed);
   }
 
   /** Another node is recorded as leader, as it may be as soon as the lease is over. */
   void anotherLeads() throws InterruptedException {
-    StoreClient.Txn txn = new StoreClient.Txn();
-    txn.delete(Records.LEADER).put(Records.LEADER, Records.leader("another"));
-    assertTrue(write(txn) instanceof Outcome.Applied);
+    StoreClient.Transaction txn = new StoreClient.Transaction();
+    txn.delete(RecordCodec.LEADER).put(RecordCodec.LEADER, RecordCodec.leader("another"));
+    assertTrue(write(txn) instanceof Outcome.Committed);
   }
 
   static boolean says(HttpServer.Request r, String part) {
--- a/src/test/java/org/astershift/leader/GoldenNotesTest.java
+++ b/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Settings;
-import org.astershift.core.Decision;
 import org.astershift.golden.Golden;
 import org.astershift.golden.Recorder;
 import org.astershift.http.Json;
-import org.astershift.store.Records;
+import org.astershift.scheduler.Decision;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -20,21 +20,29 @@
 
 /** Pages of a leader's notes: keys and forms that a successor, maybe of another version, reads. */
 @Timeout(60)
-class GoldenNotesTest {
+class GoldenRecordPagesTest {
   private static final long TOKEN = 41;
   @TempDir Path dir;
 
   /** An entry of one kind. */
-  private record Entry(Notes.Kind kind, String key, Object value) {}
+  private record Entry(LeaderRecords.RecordKind kind, String key, Object value) {}
 
   private static Map<String, Entry> entries() {
-    Decision.Enrol machine = new Decision.Enrol("m-1", "10.0.0.1:7000", "g8", "z1", true, false);
-    Decision.Rent rent = new Decision.Rent("g8", "z1", true, 3);
+    Decision.RegisterMachine machine =
+        new Decision.RegisterMachine("m-1", "10.0.0.1:7000", "g8", "z1", true, false);
+    Decision.ProvisionMachines rent = new Decision.ProvisionMachines("g8", "z1", true, 3);
     Map<String, Entry> out = new LinkedHashMap<>();
-    out.put("opened", new Entry(Notes.Kind.OPENED, "wk-1", Records.opened(List.of())));
-    out.put("rental", new Entry(Notes.Kind.RENTAL, "as-41-1", Records.rental(rent)));
-    out.put("machine", new Entry(Notes.Kind.MACHINE, "m-1", Records.machine(machine)));
-    out.put("progress", new Entry(Notes.Kind.PROGRESS, Records.progress("wk-1", 2), "AQ=="));
+    out.put(
+        "opened",
+        new Entry(LeaderRecords.RecordKind.OPENED, "wk-1", RecordCodec.opened(List.of())));
+    out.put(
+        "rental", new Entry(LeaderRecords.RecordKind.RENTAL, "as-41-1", RecordCodec.rental(rent)));
+    out.put(
+        "machine",
+        new Entry(LeaderRecords.RecordKind.MACHINE, "m-1", RecordCodec.machine(machine)));
+    out.put(
+        "progress",
+        new Entry(LeaderRecords.RecordKind.PROGRESS, RecordCodec.progress("wk-1", 2), "AQ=="));
     return out;
   }
 
@@ -43,12 +51,13 @@
     try (Recorder recorder = new Recorder()) {
       Settings settings = recorder.settings(dir);
       StoreClient store = new StoreClient(settings);
-      Notes[] notes = new Notes[1];
+      LeaderRecords[] notes = new LeaderRecords[1];
       notes[0] =
-          new Notes(TOKEN, store, settings.storeLimits(), (kind, key, value) -> notes[0].end());
+          new LeaderRecords(
+              TOKEN, store, settings.storeLimits(), (kind, key, value) -> notes[0].end());
       if (removed) {
-        String page = Records.NOTES + e.kind().letter + "0";
-        notes[0].load(List.of(new StoreClient.Row(page, Map.of(e.key(), e.value()), 17)));
+        String page = RecordCodec.NOTES + e.kind().letter + "0";
+        notes[0].load(List.of(new StoreClient.Entry(page, Map.of(e.key(), e.value()), 17)));
         notes[0].remove(e.kind(), e.key(), 0);
       } else {
         notes[0].put(e.kind(), e.key(), e.value(), 0);
@@ -76,10 +85,11 @@
       Map<String, Object> data = Json.object(set.get("data"), "data");
       try (Recorder recorder = new Recorder()) {
         Settings settings = recorder.settings(dir);
-        Notes notes =
-            new Notes(TOKEN, new StoreClient(settings), settings.storeLimits(), (k, y, v) -> {});
-        notes.load(List.of(new StoreClient.Row(Json.text(set, "set"), data, 50)));
-        for (Notes.Kind kind : Notes.Kind.values()) {
+        LeaderRecords notes =
+            new LeaderRecords(
+                TOKEN, new StoreClient(settings), settings.storeLimits(), (k, y, v) -> {});
+        notes.load(List.of(new StoreClient.Entry(Json.text(set, "set"), data, 50)));
+        for (LeaderRecords.RecordKind kind : LeaderRecords.RecordKind.values()) {
           Map<String, Object> expected =
               kind == entry.kind() ? Map.of(entry.key(), entry.value()) : Map.of();
           assertEquals(expected, notes.entries(kind), e.getKey());
--- a/src/test/java/org/astershift/leader/NotesTest.java
+++ b/src/test/java/org/astershift/controller/LeaderRecordsTest.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How many pages of notes one transaction takes, whatever limits the settings give. */
-class NotesTest {
+class LeaderRecordsTest {
   private static final int PROTOCOL_BYTES = 64 * 1024;
 
   @Test
@@ -18,7 +18,7 @@
     for (int i = 0; i < 10_000; i++) {
       int[] bytes = random.ints(random.nextInt(1, 200), 0, Constants.PAGE_BYTES + 1).toArray();
       int most = random.nextInt(2, 1000);
-      int n = Notes.fitting(bytes, most);
+      int n = LeaderRecords.fitting(bytes, most);
       int sum = Arrays.stream(bytes, 0, n).map(b -> b + Constants.PAGE_FRAME_BYTES).sum();
       assertTrue(n >= 1 && n <= most && sum <= PROTOCOL_BYTES, n + " pages, " + sum + " bytes");
       boolean room = n < Math.min(bytes.length, most);
@@ -32,13 +32,13 @@
   void fullPagesOfALargeFleetNeedSeveralOfThem() {
     int[] full = new int[48];
     Arrays.fill(full, Constants.PAGE_BYTES);
-    assertEquals(11, Notes.fitting(full, 48));
-    assertEquals(8, Notes.fitting(full, 8));
+    assertEquals(11, LeaderRecords.fitting(full, 48));
+    assertEquals(8, LeaderRecords.fitting(full, 8));
   }
 
   /** One that is larger than all goes alone, and is refused alone. */
   @Test
   void onePageAlwaysGoes() {
-    assertEquals(1, Notes.fitting(new int[] {10 * PROTOCOL_BYTES, 10}, 8));
+    assertEquals(1, LeaderRecords.fitting(new int[] {10 * PROTOCOL_BYTES, 10}, 8));
   }
 }
--- a/src/test/java/org/astershift/leader/TermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -7,35 +7,35 @@
 
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Operator;
+import org.astershift.config.OperatorSettings;
 import org.astershift.config.Settings;
-import org.astershift.core.Facts;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Priority;
-import org.astershift.core.Scheduler;
-import org.astershift.store.Mirror;
-import org.astershift.store.Records;
+import org.astershift.scheduler.DeploymentLimits;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Priority;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.simulation.JobDraft;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
-import org.astershift.world.JobDraft;
+import org.astershift.store.WatchCache;
 import org.junit.jupiter.api.Test;
 
 /** Rules ran_cancelled and went_back: news of a job from before its end does not bring it back. */
-class TermTest {
-  private static Term term() {
-    Facts facts = new Facts(Map.of(), List.of(), 2, 14, 30, 4, 40, 3);
+class LeaderTermTest {
+  private static LeaderTerm term() {
+    DeploymentLimits facts = new DeploymentLimits(Map.of(), List.of(), 2, 14, 30, 4, 40, 3);
     Settings.StoreLimits limits = new Settings.StoreLimits(100, 100, 8, 8);
-    Notes notes = new Notes(5, null, limits, (kind, key, value) -> {});
-    return new Term(5, new Scheduler(facts, Operator.defaults(), 5), notes, () -> {});
+    LeaderRecords notes = new LeaderRecords(5, null, limits, (kind, key, value) -> {});
+    return new LeaderTerm(5, new Scheduler(facts, OperatorSettings.defaults(), 5), notes, () -> {});
   }
 
-  private static Records.JobRecord job() {
+  private static RecordCodec.JobRecord job() {
     return job(0);
   }
 
   /** {@code aheadMs}: by how much the clock of the node that accepted it is ahead of this one's. */
-  private static Records.JobRecord job(long aheadMs) {
+  private static RecordCodec.JobRecord job(long aheadMs) {
     JobSpec spec = JobDraft.array("wk-1", 1).of("t").in("c", Priority.LOW).estimate(1).spec();
-    return new Records.JobRecord(spec, System.currentTimeMillis() + aheadMs);
+    return new RecordCodec.JobRecord(spec, System.currentTimeMillis() + aheadMs);
   }
 
   /**
@@ -44,7 +44,7 @@
    */
   @Test
   void nothingIsToldFromMemoryWhileAnEndIsOnItsWay() {
-    Term term = term();
+    LeaderTerm term = term();
     term.add(job(), 6);
     assertNotNull(term.told("wk-1"));
     term.ledger().ending("wk-1"); // a try that gets no answer: it may be applied at any time
@@ -61,8 +61,8 @@
 
   @Test
   void lateNewsOfAnEndedJobIsIgnored() {
-    Term term = term();
-    Records.JobRecord record = job();
+    LeaderTerm term = term();
+    RecordCodec.JobRecord record = job();
     term.add(record, 6);
     assertNotNull(term.scheduler.view("wk-1"));
     term.ended("wk-1", true);
@@ -78,15 +78,15 @@
    */
   @Test
   void newsOfAJobFromBeforeTheTokenIsIgnored() {
-    Term term = term();
-    Records.JobRecord record = job();
-    Map<String, Object> data = Records.job(record);
-    term.load(new Mirror(null));
+    LeaderTerm term = term();
+    RecordCodec.JobRecord record = job();
+    Map<String, Object> data = RecordCodec.job(record);
+    term.load(new WatchCache(null));
     term.add(record, 4);
-    term.add(new StoreClient.Row(Records.JOB + "wk-1", data, 4));
+    term.add(new StoreClient.Entry(RecordCodec.JOB + "wk-1", data, 4));
     assertFalse(term.keeps("wk-1"));
     assertNull(term.scheduler.view("wk-1"));
-    term.add(new StoreClient.Row(Records.JOB + "wk-1", data, 6));
+    term.add(new StoreClient.Entry(RecordCodec.JOB + "wk-1", data, 6));
     assertTrue(term.keeps("wk-1"), "recorded after the token: live until this term ends it");
   }
 
@@ -97,8 +97,8 @@
   @Test
   void clocksOfTheDayMayBeOff() {
     for (long aheadMs : new long[] {-10_000, -1000, 0, 1000, 10_000}) {
-      Term term = term();
-      Records.JobRecord record = job(aheadMs);
+      LeaderTerm term = term();
+      RecordCodec.JobRecord record = job(aheadMs);
       term.add(record, 6);
       assertFalse(term.told("wk-1").running());
       term.add(job(-aheadMs), 6); // read again, as another node saw it
--- a/src/test/java/org/astershift/leader/ProgressRecordsTest.java
+++ b/src/test/java/org/astershift/controller/ProgressRecordsTest.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.astershift.config.Settings;
-import org.astershift.standin.Await;
-import org.astershift.standin.StandInStore;
-import org.astershift.standin.StandIns;
-import org.astershift.store.RateBudget;
-import org.astershift.store.Records;
+import org.astershift.emulator.Await;
+import org.astershift.emulator.Emulators;
+import org.astershift.emulator.StoreEmulator;
+import org.astershift.store.RateLimiter;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -31,22 +31,26 @@
 
   @Test
   void progressIsRecordedWhereTheLimitOfChangesIsUsedUp() throws Exception {
-    try (StandInStore service = new StandInStore(0)) {
-      Settings settings = StandIns.settings(dir, service.port(), 1, CHANGES_A_SECOND);
+    try (StoreEmulator service = new StoreEmulator(0)) {
+      Settings settings = Emulators.settings(dir, service.port(), 1, CHANGES_A_SECOND);
       StoreClient store = new StoreClient(settings);
       long token = lead(store);
       AtomicBoolean over = new AtomicBoolean();
       List<Thread> writers = writers(store, over);
       try {
         AtomicBoolean durable = new AtomicBoolean();
-        Notes notes =
-            new Notes(
+        LeaderRecords notes =
+            new LeaderRecords(
                 token, store, settings.storeLimits(), (kind, key, value) -> durable.set(true));
         Thread loop = new Thread(() -> run(notes));
         loop.start();
         BitSet done = new BitSet();
         done.set(0);
-        notes.put(Notes.Kind.PROGRESS, Records.progress(JOB, 0), Records.segment(done, 0), 0);
+        notes.put(
+            LeaderRecords.RecordKind.PROGRESS,
+            RecordCodec.progress(JOB, 0),
+            RecordCodec.segment(done, 0),
+            0);
         Await.until("the progress to be on record", durable::get);
         notes.end();
         loop.join();
@@ -60,9 +64,10 @@
   }
 
   private static long lead(StoreClient store) throws Exception {
-    StoreClient.Txn txn = new StoreClient.Txn().put(Records.LEADER, Records.leader("n"));
-    StoreClient.Outcome o = store.commit(txn, RateBudget.Use.VITAL, 10_000);
-    return ((StoreClient.Outcome.Applied) o).revision();
+    StoreClient.Transaction txn =
+        new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.leader("n"));
+    StoreClient.Outcome o = store.commit(txn, RateLimiter.Urgency.VITAL, 10_000);
+    return ((StoreClient.Outcome.Committed) o).revision();
   }
 
   /** Each waits for its turn all the time, so that what can wait never finds the line empty. */
@@ -80,14 +85,15 @@
   private static void write(StoreClient store, String key, AtomicBoolean over) {
     try {
       while (!over.get()) {
-        store.commit(new StoreClient.Txn().put(key, Map.of()), RateBudget.Use.URGENT, 10_000);
+        store.commit(
+            new StoreClient.Transaction().put(key, Map.of()), RateLimiter.Urgency.URGENT, 10_000);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static void run(Notes notes) {
+  private static void run(LeaderRecords notes) {
     try {
       notes.loop(null);
     } catch (InterruptedException e) {
--- a/src/test/java/org/astershift/leader/RentalRefusedTest.java
+++ b/src/test/java/org/astershift/controller/RentalRejectedTest.java
@@ -1,25 +1,27 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.astershift.standin.Await;
+import org.astershift.emulator.Await;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /** A rental that the cloud will never carry out is given up, and holds no thread. */
 @Timeout(30)
-class RentalRefusedTest extends FenceCase {
+class RentalRejectedTest extends FencingTestCase {
   /** Asked on for ever, two such rentals held both threads that rent, and nothing was rented. */
   @Test
   void aRentalThatIsMalformedForTheCloudIsGivenUp() throws Exception {
     cloud.refuseRentals(400);
     node.start();
-    Term term = node.leads();
+    LeaderTerm term = node.leads();
     accept();
     Await.until("more rentals than there are threads", () -> cloud.rentalsRefused().size() > 2);
     assertTrue(cloud.everRented().isEmpty());
     cloud.refuseRentals(0);
     Await.until("a machine", () -> !cloud.everRented().isEmpty());
-    Await.until("no rental to be open", () -> term.notes.entries(Notes.Kind.RENTAL).isEmpty());
+    Await.until(
+        "no rental to be open",
+        () -> term.notes.entries(LeaderRecords.RecordKind.RENTAL).isEmpty());
   }
 }
--- a/src/test/java/org/astershift/leader/SharedTest.java
+++ b/src/test/java/org/astershift/controller/RequestCoalescerTest.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,7 +13,7 @@
 
 /** Who may share an answer with whom. */
 @Timeout(60)
-class SharedTest {
+class RequestCoalescerTest {
   /** The store as it changes, and what is asked of it. */
   private final Semaphore mayRead = new Semaphore(0);
 
@@ -29,7 +29,7 @@
     return seen;
   }
 
-  private static FutureTask<String> ask(Shared<String> shared, String job) {
+  private static FutureTask<String> ask(RequestCoalescer<String> shared, String job) {
     FutureTask<String> task = new FutureTask<>(() -> shared.ask(job));
     Thread t = new Thread(task);
     t.setDaemon(true);
@@ -46,7 +46,7 @@
    */
   @Test
   void nobodySharesAnAnswerBegunBeforeHeAsked() throws Exception {
-    Shared<String> shared = new Shared<>(this::read);
+    RequestCoalescer<String> shared = new RequestCoalescer<>(this::read);
     FutureTask<String> first = ask(shared, "job");
     firstBegan.await();
     state = "done";
@@ -68,8 +68,8 @@
   @Test
   void failuresLeaveNobodyWaiting() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    Shared<String> shared =
-        new Shared<>(
+    RequestCoalescer<String> shared =
+        new RequestCoalescer<>(
             job -> {
               go.await();
               throw new IllegalStateException("broken");
