--- a/src/test/java/org/astershift/leader/OneNode.java
+++ b/src/test/java/org/astershift/controller/SingleController.java
@@ -1,4 +1,4 @@
-package org.astershift.leader;
+package org.astershift.controller;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -6,49 +6,51 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.astershift.api.PublicApi;
-import org.astershift.config.Operator;
+import org.astershift.config.OperatorSettings;
 import org.astershift.config.Settings;
+import org.astershift.emulator.Await;
+import org.astershift.emulator.CloudEmulator;
+import org.astershift.emulator.Emulators;
+import org.astershift.emulator.StoreEmulator;
 import org.astershift.http.HttpServer;
-import org.astershift.standin.Await;
-import org.astershift.standin.StandInCloud;
-import org.astershift.standin.StandInStore;
-import org.astershift.standin.StandIns;
-import org.astershift.store.Mirror;
 import org.astershift.store.StoreClient;
+import org.astershift.store.WatchCache;
 
 /**
  * One node of the program in this process, against stand-ins, with its insides in reach. Its
  * threads form a group, and end with it.
  */
-final class OneNode implements AutoCloseable {
+final class SingleController implements AutoCloseable {
   private final ThreadGroup threads = new ThreadGroup("node");
   final StoreClient store;
-  final Mirror mirror;
-  final Director director;
-  final UserDesk desk;
+  final WatchCache mirror;
+  final ControllerRuntime director;
+  final JobService desk;
   private HttpServer http;
 
   /** What happens after its term has read the rows below a prefix; the prefix is told. */
   volatile Consumer<String> loaded = prefix -> {};
 
-  OneNode(Path dir, StandInStore.Door door, StandInCloud cloud) throws Exception {
-    Settings settings = StandIns.settings(dir, door.port(), cloud.port());
+  SingleController(Path dir, StoreEmulator.StoreAddress door, CloudEmulator cloud)
+      throws Exception {
+    Settings settings = Emulators.settings(dir, door.port(), cloud.port());
     store = new StoreClient(settings);
     mirror =
-        new Mirror(store) {
+        new WatchCache(store) {
           @Override
-          public List<StoreClient.Row> below(String prefix) {
-            List<StoreClient.Row> rows = super.below(prefix);
+          public List<StoreClient.Entry> below(String prefix) {
+            List<StoreClient.Entry> rows = super.below(prefix);
             loaded.accept(prefix);
             return rows;
           }
         };
-    director = new Director(settings, Operator.defaults(), store, mirror, Map.of());
-    desk = new UserDesk(director, store, Map.of());
+    director =
+        new ControllerRuntime(settings, OperatorSettings.defaults(), store, mirror, Map.of());
+    desk = new JobService(director, store, Map.of());
   }
 
   /** Starts it. */
-  OneNode start() throws Exception {
+  SingleController start() throws Exception {
     Thread t = new Thread(threads, director::start);
     t.start();
     t.join();
@@ -56,14 +58,14 @@
   }
 
   /** Workers and users reach it here. */
-  OneNode listens(int port) throws Exception {
+  SingleController listens(int port) throws Exception {
     http = new HttpServer("127.0.0.1", port, 50, new PublicApi(director, desk, Map.of()));
     http.start();
     return this;
   }
 
   /** Its term, once it certainly leads. */
-  Term leads() throws Exception {
+  LeaderTerm leads() throws Exception {
     Await.until(
         "the node to lead", () -> director.term() != null && director.valid(director.term()));
     return director.term();
@@ -74,7 +76,7 @@
     if (http != null) {
       http.close();
     }
-    Term term = director.term();
+    LeaderTerm term = director.term();
     if (term != null) {
       director.end(term.token, "the test is over");
     }
--- a/src/test/java/org/astershift/office/CancellationTimesTest.java
+++ b/src/test/java/org/astershift/coordination/CancellationLatencyTest.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What the log says of how long users wait for their cancellations. */
-class CancellationTimesTest {
-  private final CancellationTimes times = new CancellationTimes();
+class CancellationLatencyTest {
+  private final CancellationLatency times = new CancellationLatency();
 
   @Test
   void medianNearlyAllAndWorst() {
--- a/src/test/java/org/astershift/office/CandidacyTest.java
+++ b/src/test/java/org/astershift/coordination/CandidacyTest.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,20 +8,20 @@
 
 import java.util.List;
 import org.astershift.config.Constants;
-import org.astershift.office.Candidacy.HandOver;
-import org.astershift.office.Candidacy.Told;
-import org.astershift.office.WorkerReach.Seen;
+import org.astershift.coordination.Candidacy.HandOver;
+import org.astershift.coordination.Candidacy.PeerStatus;
+import org.astershift.coordination.WorkerReachability.Measurement;
 import org.junit.jupiter.api.Test;
 
 /** Who stands for the leadership and who hands it over, by what each reaches of the fleet. */
 class CandidacyTest {
-  private static final Seen ALL = new Seen(12, 12);
-  private static final Seen HALF = new Seen(12, 6);
-  private static final Seen NONE = new Seen(12, 0);
+  private static final Measurement ALL = new Measurement(12, 12);
+  private static final Measurement HALF = new Measurement(12, 6);
+  private static final Measurement NONE = new Measurement(12, 0);
   private static final long LATER = 1000 + Constants.HAND_OVER_AFTER_MS;
 
-  private static Told told(Seen seen) {
-    return new Told(seen.equals(ALL) ? "whole" : "less", true, seen);
+  private static PeerStatus told(Measurement seen) {
+    return new PeerStatus(seen.equals(ALL) ? "whole" : "less", true, seen);
   }
 
   @Test
@@ -32,7 +32,7 @@
     assertTrue(c.stands(NONE, 1000 + Constants.STAND_LATE_MS), "nobody else stood");
     c.held("other", 10_000);
     assertFalse(c.stands(NONE, 20_000), "the others have their turn each time it is free");
-    for (Seen seen : List.of(ALL, HALF, Seen.NOTHING, new Seen(2, 0))) {
+    for (Measurement seen : List.of(ALL, HALF, Measurement.NOTHING, new Measurement(2, 0))) {
       assertTrue(new Candidacy().stands(seen, 0), seen.toString());
     }
   }
@@ -71,7 +71,8 @@
   void oneThatTheStateServiceDoesNotAnswerCannotTakeOver() {
     assertNull(
         new Candidacy()
-            .handsOver(0, List.of(new Told("apart", false, ALL), told(NONE)), 2, 1000, LATER));
+            .handsOver(
+                0, List.of(new PeerStatus("apart", false, ALL), told(NONE)), 2, 1000, LATER));
   }
 
   @Test
@@ -89,7 +90,7 @@
 
   @Test
   void onlyTheLastSamplesCountAndNotForLong() {
-    WorkerReach reach = new WorkerReach();
+    WorkerReachability reach = new WorkerReachability();
     assertFalse(reach.seen(0).known());
     reach.sampled(6, 6, 0);
     reach.sampled(6, 6, 2000);
@@ -97,11 +98,12 @@
     reach.sampled(6, 1, 4000);
     reach.sampled(6, 1, 6000);
     assertTrue(reach.seen(6500).few(), "cut off two samples ago");
-    assertEquals(new Seen(12, 2), reach.seen(6500));
+    assertEquals(new Measurement(12, 2), reach.seen(6500));
     assertFalse(reach.seen(6000 + Constants.REACH_FRESH_MS + 1).known(), "too old to say anything");
     reach.sampled(6, 6, 16_000);
     reach.sampled(6, 0, 18_000);
-    assertEquals(new Seen(6, 0), reach.seen(19_000), "the last is enough if nobody answered it");
+    assertEquals(
+        new Measurement(6, 0), reach.seen(19_000), "the last is enough if nobody answered it");
     reach.sampled(0, 0, 30_000);
     assertFalse(reach.seen(30_000).known(), "a site without machines");
   }
--- a/src/test/java/org/astershift/office/CoalescingTest.java
+++ b/src/test/java/org/astershift/coordination/CoalescerStateTest.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,38 +10,38 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.astershift.office.Coalescing.Part;
-import org.astershift.office.Coalescing.Place;
+import org.astershift.coordination.CoalescerState.Role;
+import org.astershift.coordination.CoalescerState.Ticket;
 import org.junit.jupiter.api.Test;
 
 /** Who may share an answer with whom, without threads; their waits are tried in SharedTest. */
-class CoalescingTest {
+class CoalescerStateTest {
   private static final List<String> JOBS = List.of("a", "b");
-  private final Coalescing<Integer> rounds = new Coalescing<>();
+  private final CoalescerState<Integer> rounds = new CoalescerState<>();
 
   /** One who asked, and when. */
-  private record Asker(Place<Integer> place, int at) {}
+  private record Asker(Ticket<Integer> place, int at) {}
 
   @Test
   void whoComesWhileAnAnswerIsWorkedOutSharesTheNext() {
-    Place<Integer> first = rounds.asks("a");
-    Place<Integer> second = rounds.asks("a");
-    assertEquals(Part.WORKS, first.part());
-    assertEquals(Part.FOLLOWS, second.part());
-    assertEquals(new Place<>(second.round(), Part.SHARES), rounds.asks("a"));
-    assertEquals(Part.WORKS, rounds.asks("b").part(), "another job is another matter");
+    Ticket<Integer> first = rounds.asks("a");
+    Ticket<Integer> second = rounds.asks("a");
+    assertEquals(Role.WORKS, first.part());
+    assertEquals(Role.FOLLOWS, second.part());
+    assertEquals(new Ticket<>(second.round(), Role.SHARES), rounds.asks("a"));
+    assertEquals(Role.WORKS, rounds.asks("b").part(), "another job is another matter");
     rounds.ends("a", 1);
     assertEquals(1, first.round().answer());
     assertFalse(second.round().over());
     rounds.begins("a");
-    Place<Integer> late = rounds.asks("a");
-    assertEquals(Part.FOLLOWS, late.part(), "its answer began before this one asked");
+    Ticket<Integer> late = rounds.asks("a");
+    assertEquals(Role.FOLLOWS, late.part(), "its answer began before this one asked");
     rounds.ends("a", 2);
     assertEquals(2, second.round().answer());
     rounds.leaves("a");
     assertTrue(late.round().over());
     assertNull(late.round().answer(), "nobody waits for who gave up");
-    assertEquals(Part.WORKS, rounds.asks("a").part());
+    assertEquals(Role.WORKS, rounds.asks("a").part());
   }
 
   /**
@@ -62,9 +62,9 @@
         boolean ending = now > 380;
         int draw = ending ? 5 + random.nextInt(3) : random.nextInt(8);
         if (draw < 5) {
-          Place<Integer> place = rounds.asks(job);
+          Ticket<Integer> place = rounds.asks(job);
           askers.add(new Asker(place, now));
-          assertEquals(place.part() == Part.WORKS, !began.containsKey(job), "one in work");
+          assertEquals(place.part() == Role.WORKS, !began.containsKey(job), "one in work");
           switch (place.part()) {
             case WORKS -> began.put(job, now);
             case FOLLOWS -> assertNull(follows.put(job, true), "one follows");
--- a/src/test/java/org/astershift/office/ElectionTest.java
+++ b/src/test/java/org/astershift/coordination/ElectionTest.java
@@ -1,12 +1,12 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.astershift.office.Election.Act;
-import org.astershift.office.Election.Claimed;
-import org.astershift.office.Election.View;
+import org.astershift.coordination.Election.Action;
+import org.astershift.coordination.Election.KeyCreation;
+import org.astershift.coordination.Election.View;
 import org.junit.jupiter.api.Test;
 
 /** What one controller does to lead, event by event. */
@@ -17,23 +17,23 @@
   /** Stands and creates the key, which gets this revision. */
   private void wins(long lease, long revision) {
     nowMs += 100;
-    View free = new View(nowMs, true, null, WorkerReach.Seen.NOTHING, 0);
-    assertInstanceOf(Act.Grant.class, election.next(free));
+    View free = new View(nowMs, true, null, WorkerReachability.Measurement.NOTHING, 0);
+    assertInstanceOf(Action.GrantLease.class, election.next(free));
     election.granted(lease);
-    assertEquals(new Act.Claim(lease), election.next(free));
-    election.claimed(Claimed.APPLIED, revision);
-    assertEquals(new Act.CatchUp(revision), election.next(free));
+    assertEquals(new Action.CreateKey(lease), election.next(free));
+    election.claimed(KeyCreation.APPLIED, revision);
+    assertEquals(new Action.CatchUp(revision), election.next(free));
   }
 
   /** Stands, and has no answer to its claim. */
   private View doubts(long lease) {
-    View free = new View(nowMs, true, null, WorkerReach.Seen.NOTHING, 0);
-    assertInstanceOf(Act.Grant.class, election.next(free));
+    View free = new View(nowMs, true, null, WorkerReachability.Measurement.NOTHING, 0);
+    assertInstanceOf(Action.GrantLease.class, election.next(free));
     election.granted(lease);
-    assertEquals(new Act.Claim(lease), election.next(free));
-    election.claimed(Claimed.UNKNOWN, 0);
-    View later = new View(nowMs + 1500, true, null, WorkerReach.Seen.NOTHING, 0);
-    assertEquals(new Act.Verify(lease), election.next(later));
+    assertEquals(new Action.CreateKey(lease), election.next(free));
+    election.claimed(KeyCreation.UNKNOWN, 0);
+    View later = new View(nowMs + 1500, true, null, WorkerReachability.Measurement.NOTHING, 0);
+    assertEquals(new Action.VerifyKey(lease), election.next(later));
     return later;
   }
 
@@ -43,9 +43,9 @@
     View v = doubts(1);
     assertEquals(0, election.token());
     election.verified(61);
-    assertEquals(new Act.CatchUp(61), election.next(v));
+    assertEquals(new Action.CatchUp(61), election.next(v));
     election.caughtUp(61, true);
-    assertEquals(new Act.Begin(61), election.next(v));
+    assertEquals(new Action.BeginTerm(61), election.next(v));
     assertTrue(election.valid(61, nowMs + 1500 + 1500), "counted from the renewal");
   }
 
@@ -54,25 +54,25 @@
   void aClaimWithoutAnAnswerIsTakenBackIfItsKeyDoesNotStand() {
     View v = doubts(1);
     election.verified(0);
-    assertEquals(new Act.Revoke(1), election.next(v));
+    assertEquals(new Action.RevokeLease(1), election.next(v));
     assertEquals(0, election.token());
     election.verified(61); // told late
-    assertInstanceOf(Act.Grant.class, election.next(v));
+    assertInstanceOf(Action.GrantLease.class, election.next(v));
   }
 
   /** The mirror was too slow for one key, and a second was won before that is told once more. */
   @Test
   void aTermBeginsOnlyOnAMirrorThatHasReachedItsOwnKey() {
-    View free = new View(nowMs, true, null, WorkerReach.Seen.NOTHING, 0);
+    View free = new View(nowMs, true, null, WorkerReachability.Measurement.NOTHING, 0);
     wins(1, 61);
     election.caughtUp(61, false);
-    assertEquals(new Act.Revoke(1), election.next(free));
+    assertEquals(new Action.RevokeLease(1), election.next(free));
     wins(2, 65);
     election.caughtUp(61, true);
     assertEquals(0, election.token());
-    assertEquals(new Act.CatchUp(65), election.next(free));
+    assertEquals(new Action.CatchUp(65), election.next(free));
     election.caughtUp(65, true);
     assertEquals(65, election.token());
-    assertEquals(new Act.Begin(65), election.next(free));
+    assertEquals(new Action.BeginTerm(65), election.next(free));
   }
 }
--- a/src/test/java/org/astershift/office/JobQueryTest.java
+++ b/src/test/java/org/astershift/coordination/JobQueryTest.java
@@ -1,9 +1,9 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.astershift.office.JobQuery.Source;
-import org.astershift.office.JobQuery.View;
+import org.astershift.coordination.JobQuery.Source;
+import org.astershift.coordination.JobQuery.View;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/org/astershift/office/JobLedgerTest.java
+++ b/src/test/java/org/astershift/coordination/TermJobsTest.java
@@ -1,4 +1,4 @@
-package org.astershift.office;
+package org.astershift.coordination;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How old the news of a job may be that a thread brings after the job's end. */
-class JobLedgerTest {
+class TermJobsTest {
   private static final int CHANGES_AN_END = 2;
 
   /**
@@ -18,7 +18,7 @@
   @Test
   void newsOfEndedJobsIsRefusedForLongerThanARequestLives() {
     for (double endsPerS : new double[] {4, 180 * Constants.LEADER_BUDGET / CHANGES_AN_END}) {
-      JobLedger ledger = new JobLedger(5);
+      TermJobs ledger = new TermJobs(5);
       ledger.loaded();
       double oldestS = Constants.ENDED_IN_TERM / endsPerS;
       long requestMs = Constants.WATCH_BLOCK_MS + Constants.STORE_TIMEOUT_MS;
--- a/src/test/java/org/astershift/standin/Await.java
+++ b/src/test/java/org/astershift/emulator/Await.java
@@ -1,4 +1,4 @@
-package org.astershift.standin;
+package org.astershift.emulator;
 
 /** Waits for what must come, however slow the machine is, but not for ever. */
 public final class Await {
--- a/src/test/java/org/astershift/standin/StandInCloud.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulator.java
@@ -1,4 +1,4 @@
-package org.astershift.standin;
+package org.astershift.emulator;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,12 +15,12 @@
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
 
-/** A cloud of one machine type whose machines boot at once, each with a {@link StandInWorker}. */
-public final class StandInCloud implements AutoCloseable {
+/** A cloud of one machine type whose machines boot at once, each with a {@link WorkerEmulator}. */
+public final class CloudEmulator implements AutoCloseable {
   private final List<Integer> controllers;
   private final Map<String, List<String>> rentals = new HashMap<>();
-  private final TreeMap<String, StandInWorker> machines = new TreeMap<>();
-  private final List<StandInWorker> ever = new ArrayList<>();
+  private final TreeMap<String, WorkerEmulator> machines = new TreeMap<>();
+  private final List<WorkerEmulator> ever = new ArrayList<>();
   private final long taskMs;
   private int made;
   private int refusal;
@@ -30,7 +30,7 @@
   private final HttpServer http;
 
   /** Workers report to the controllers at these ports, and their tasks take so long. */
-  public StandInCloud(int port, List<Integer> controllers, long taskMs) throws IOException {
+  public CloudEmulator(int port, List<Integer> controllers, long taskMs) throws IOException {
     this.controllers = controllers;
     this.taskMs = taskMs;
     this.http = new HttpServer("127.0.0.1", port, 50, this::handle);
@@ -42,7 +42,7 @@
   }
 
   /** Workers of the machines that there are. */
-  public synchronized List<StandInWorker> workers() {
+  public synchronized List<WorkerEmulator> workers() {
     return new ArrayList<>(machines.values());
   }
 
@@ -52,23 +52,23 @@
   }
 
   /** The same with those of machines that were given back. */
-  public synchronized List<StandInWorker> everRented() {
+  public synchronized List<WorkerEmulator> everRented() {
     return new ArrayList<>(ever);
   }
 
   /** Ends it with all workers that it ever had: none of them sends anything afterwards. */
   @Override
   public void close() throws IOException {
-    List<StandInWorker> workers = closeToRequests();
-    for (StandInWorker worker : workers) {
+    List<WorkerEmulator> workers = closeToRequests();
+    for (WorkerEmulator worker : workers) {
       worker.close();
     }
-    for (StandInWorker worker : workers) {
+    for (WorkerEmulator worker : workers) {
       worker.awaitEnd();
     }
   }
 
-  private synchronized List<StandInWorker> closeToRequests() throws IOException {
+  private synchronized List<WorkerEmulator> closeToRequests() throws IOException {
     closed = true;
     http.close();
     return everRented();
@@ -98,7 +98,7 @@
       }
       case "/hosts/return" -> {
         for (Object name : Json.list(Json.object(r.body()), "vessels")) {
-          StandInWorker w = machines.remove(String.valueOf(name));
+          WorkerEmulator w = machines.remove(String.valueOf(name));
           if (w != null) {
             w.close();
           }
@@ -132,7 +132,7 @@
       names = new ArrayList<>();
       for (long i = Json.whole(m, "number"); i > 0; i--) {
         String name = String.format("vm-%06d", ++made);
-        StandInWorker w = new StandInWorker(name, Json.text(m, "harbor"), controllers, taskMs);
+        WorkerEmulator w = new WorkerEmulator(name, Json.text(m, "harbor"), controllers, taskMs);
         machines.put(name, w);
         ever.add(w);
         beforeAnswer.accept(name);
@@ -145,7 +145,7 @@
 
   private Response list() {
     List<Object> out = new ArrayList<>();
-    for (StandInWorker w : machines.values()) {
+    for (WorkerEmulator w : machines.values()) {
       Map<String, Object> m = new LinkedHashMap<>();
       m.put("id", w.name());
       m.put("addr", w.addr());
--- a/src/test/java/org/astershift/standin/StandInCloudTest.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
@@ -1,4 +1,4 @@
-package org.astershift.standin;
+package org.astershift.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,17 +13,17 @@
 
 /** What a test leaves behind must not take part in the next one. */
 @Timeout(200)
-class StandInCloudTest {
+class CloudEmulatorTest {
 
   /** A rental is on its way as the test that began it ends: no worker outlives its cloud. */
   @Test
   void aRentalThatArrivesAsTheCloudClosesBringsNoMachine() throws Exception {
-    StandInCloud cloud = new StandInCloud(0, List.of(1), 0);
+    CloudEmulator cloud = new CloudEmulator(0, List.of(1), 0);
     int port = cloud.port();
     Thread renter = new Thread(() -> rent(port));
     synchronized (cloud) {
       renter.start();
-      Await.until("the rental to wait for the cloud", StandInCloudTest::aRequestWaits);
+      Await.until("the rental to wait for the cloud", CloudEmulatorTest::aRequestWaits);
       cloud.close();
     }
     renter.join();
@@ -46,11 +46,11 @@
   private static boolean aRequestWaits() {
     return Thread.getAllStackTraces().values().stream()
         .flatMap(Arrays::stream)
-        .anyMatch(StandInCloudTest::isHandler);
+        .anyMatch(CloudEmulatorTest::isHandler);
   }
 
   private static boolean isHandler(StackTraceElement frame) {
-    return frame.getClassName().equals(StandInCloud.class.getName())
+    return frame.getClassName().equals(CloudEmulator.class.getName())
         && frame.getMethodName().equals("handle");
   }
 }
--- a/src/test/java/org/astershift/standin/StandIns.java
+++ b/src/test/java/org/astershift/emulator/Emulators.java
@@ -1,4 +1,4 @@
-package org.astershift.standin;
+package org.astershift.emulator;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -6,8 +6,8 @@
 import org.astershift.config.Settings;
 
 /** The stand-ins on fixed ports, for the first job in the README. */
-public final class StandIns {
-  private StandIns() {}
+public final class Emulators {
+  private Emulators() {}
 
   /**
    * Settings of a single node against stand-ins on these ports, written to this directory. Its
@@ -30,8 +30,8 @@
 
   /** Runs until it is killed. */
   public static void main(String[] args) throws Exception {
-    StandInStore store = new StandInStore(18_379);
-    StandInCloud cloud = new StandInCloud(18_443, List.of(18_080), 2000);
+    StoreEmulator store = new StoreEmulator(18_379);
+    CloudEmulator cloud = new CloudEmulator(18_443, List.of(18_080), 2000);
     System.out.println(
         "stand-ins are ready: state service on " + store.port() + ", cloud on " + cloud.port());
     Thread.currentThread().join();
--- a/src/test/java/org/astershift/standin/InProcessControllers.java
+++ b/src/test/java/org/astershift/emulator/InProcessControllers.java
@@ -1,4 +1,4 @@
-package org.astershift.standin;
+package org.astershift.emulator;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -9,17 +9,17 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.api.PublicApi;
-import org.astershift.config.BadConfig;
-import org.astershift.config.Operator;
+import org.astershift.config.ConfigurationException;
+import org.astershift.config.OperatorSettings;
 import org.astershift.config.Settings;
+import org.astershift.controller.ControllerRuntime;
+import org.astershift.controller.JobService;
 import org.astershift.http.HttpClient;
 import org.astershift.http.HttpServer;
 import org.astershift.http.Json;
-import org.astershift.leader.Director;
-import org.astershift.leader.UserDesk;
 import org.astershift.peer.JobAnswer;
-import org.astershift.store.Mirror;
 import org.astershift.store.StoreClient;
+import org.astershift.store.WatchCache;
 
 /**
  * Real controllers in this process, at ports that the system chooses. Users, workers, the state
@@ -32,7 +32,7 @@
   private final ThreadGroup threads = new ThreadGroup("controllers");
 
   private final List<HttpServer> servers = new ArrayList<>();
-  private final Map<String, UserDesk> desks = new HashMap<>();
+  private final Map<String, JobService> desks = new HashMap<>();
 
   /** {@code ports} gets theirs; {@code more}: tables that the settings have besides. */
   public InProcessControllers(
@@ -47,7 +47,7 @@
                 for (int i = 0; i < count; i++) {
                   start(settings(i, count, storePort, cloudPort, more, dir));
                 }
-              } catch (IOException | BadConfig e) {
+              } catch (IOException | ConfigurationException e) {
                 failure[0] = e;
               }
             });
@@ -64,7 +64,7 @@
 
   private static Settings settings(
       int i, int count, int storePort, int cloudPort, String more, Path dir)
-      throws IOException, BadConfig {
+      throws IOException, ConfigurationException {
     StringBuilder others = new StringBuilder();
     for (int j = 0; j < count; j++) {
       if (j != i) {
@@ -84,13 +84,14 @@
 
   private void start(Settings settings) throws IOException {
     StoreClient store = new StoreClient(settings);
-    Map<String, UserDesk.Asker> askers = new HashMap<>();
+    Map<String, JobService.PeerChannel> askers = new HashMap<>();
     for (Settings.Peer p : settings.peers()) {
       askers.put(p.node(), (op, job, timeoutMs) -> asked(p.node(), op, job));
     }
-    Director director =
-        new Director(settings, Operator.defaults(), store, new Mirror(store), askers);
-    UserDesk desk = new UserDesk(director, store, askers);
+    ControllerRuntime director =
+        new ControllerRuntime(
+            settings, OperatorSettings.defaults(), store, new WatchCache(store), askers);
+    JobService desk = new JobService(director, store, askers);
     synchronized (desks) {
       desks.put(settings.node(), desk);
     }
@@ -102,7 +103,7 @@
   }
 
   private JobAnswer asked(String node, String op, String job) throws IOException {
-    UserDesk desk;
+    JobService desk;
     synchronized (desks) {
       desk = desks.get(node);
     }
@@ -118,7 +119,7 @@
   }
 
   /** One request of a user, on a connection of its own. */
-  public HttpClient.Answer call(int node, String method, String path, String body)
+  public HttpClient.Response call(int node, String method, String path, String body)
       throws IOException {
     try (HttpClient client = new HttpClient("127.0.0.1", servers.get(node).port(), 1)) {
       byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
@@ -132,7 +133,7 @@
     long deadline = System.nanoTime() + PATIENCE_MS * 1_000_000;
     String last = "nothing";
     while (System.nanoTime() < deadline) {
-      HttpClient.Answer a = call(node, method, path, body);
+      HttpClient.Response a = call(node, method, path, body);
       last = a.status() + " " + new String(a.body(), StandardCharsets.UTF_8);
       if (a.status() == status && last.contains(word)) {
         return Json.object(a.body());
--- a/src/test/java/org/astershift/standin/PortBlock.java
+++ b/src/test/java/org/astershift/emulator/PortBlock.java
@@ -1,4 +1,4 @@
-package org.astershift.standin;
+package org.astershift.emulator;
 
 import java.io.IOException;
 import java.net.BindException;
--- a/src/test/java/org/astershift/standin/StandInStore.java
+++ b/src/test/java/org/astershift/emulator/StoreEmulator.java
@@ -1,4 +1,4 @@
-package org.astershift.standin;
+package org.astershift.emulator;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -22,7 +22,7 @@
  * A state service in memory, by its published protocol; it can be down, and it can carry
  * transactions out and lose the answers.
  */
-public final class StandInStore implements AutoCloseable {
+public final class StoreEmulator implements AutoCloseable {
   private record Value(Object data, long revision, long lease) {}
 
   private record Event(long revision, Map<String, Object> news, String key) {}
@@ -52,7 +52,7 @@
 
   private int readMeanwhile;
 
-  public StandInStore(int port) throws IOException {
+  public StoreEmulator(int port) throws IOException {
     http = new HttpServer("127.0.0.1", port, 200, this::handle);
     http.start();
   }
@@ -70,13 +70,13 @@
   }
 
   /** A way in for one node, which can be refused there while all others are served. */
-  public final class Door implements AutoCloseable {
+  public final class StoreAddress implements AutoCloseable {
     private final HttpServer server;
     private volatile boolean refused;
     private volatile Watcher watcher = (r, carriedOut) -> {};
     private boolean held;
 
-    private Door() throws IOException {
+    private StoreAddress() throws IOException {
       server = new HttpServer("127.0.0.1", 0, 200, this::answer);
       server.start();
     }
@@ -122,8 +122,8 @@
     }
   }
 
-  public Door door() throws IOException {
-    return new Door();
+  public StoreAddress door() throws IOException {
+    return new StoreAddress();
   }
 
   /** Leases end so much too late, so that a test that stands still for a while loses none. */
--- a/src/test/java/org/astershift/standin/StandInWorker.java
+++ b/src/test/java/org/astershift/emulator/WorkerEmulator.java
@@ -1,4 +1,4 @@
-package org.astershift.standin;
+package org.astershift.emulator;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -14,7 +14,7 @@
 import org.astershift.http.Json;
 
 /** A worker by its published protocol; its tasks take a fixed time, and no image. */
-public final class StandInWorker implements AutoCloseable {
+public final class WorkerEmulator implements AutoCloseable {
   private static final long REPORT_MS = 150;
   private final String name;
   private final String zone;
@@ -44,7 +44,7 @@
   /** It sends no report. */
   private boolean silent;
 
-  StandInWorker(String name, String zone, List<Integer> controllers, long taskMs)
+  WorkerEmulator(String name, String zone, List<Integer> controllers, long taskMs)
       throws IOException {
     this.name = name;
     this.zone = zone;
@@ -183,7 +183,7 @@
     return Response.of(200, report());
   }
 
-  private synchronized void obey(Map<String, Object> m) throws Json.Bad {
+  private synchronized void obey(Map<String, Object> m) throws Json.JsonFormatException {
     if (m.get("helm") == null || Json.whole(m, "helm") < token) {
       return;
     }
@@ -223,7 +223,8 @@
     } while (silent && !closed);
   }
 
-  private synchronized void answered(String report, HttpClient.Answer a) throws Json.Bad {
+  private synchronized void answered(String report, HttpClient.Response a)
+      throws Json.JsonFormatException {
     said.add(report);
     if (!deaf) {
       answeredBy.add(controllers.get(at % controllers.size()));
@@ -238,13 +239,13 @@
         int port = controllers.get(at % controllers.size());
         HttpClient client = new HttpClient("127.0.0.1", port, 1);
         byte[] report = Json.bytes(report());
-        HttpClient.Answer a = client.call("POST", "/agent/beat", report, 2000);
+        HttpClient.Response a = client.call("POST", "/agent/beat", report, 2000);
         if (a.status() == 200) {
           answered(new String(report, StandardCharsets.UTF_8), a);
         } else {
           at++;
         }
-      } catch (IOException | Json.Bad e) {
+      } catch (IOException | Json.JsonFormatException e) {
         at++;
       } catch (InterruptedException e) {
         return;
--- a/src/test/java/org/astershift/golden/CloudCallsTest.java
+++ b/src/test/java/org/astershift/golden/CloudCallsTest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.StringJoiner;
 import org.astershift.cloud.CloudClient;
-import org.astershift.core.Decision;
-import org.astershift.core.MachineType;
-import org.astershift.core.Scheduler;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Scheduler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -44,7 +44,7 @@
     String result;
     try {
       result = call.make();
-    } catch (CloudClient.Refused e) {
+    } catch (CloudClient.CloudRejectedException e) {
       result = "refused: " + e.getMessage() + ", " + why(e.reason()) + ", " + e.reason().isFinal();
     } catch (IOException e) {
       result = "error: " + e.getMessage();
@@ -54,7 +54,7 @@
     g.add(label + ", result", result);
   }
 
-  private static String why(CloudClient.Refused.Reason reason) {
+  private static String why(CloudClient.CloudRejectedException.Reason reason) {
     return switch (reason) {
       case NO_CAPACITY -> "none to be had";
       case MALFORMED -> "never";
@@ -81,7 +81,7 @@
     return out.add("in " + String.join(" ", t.zones())).toString();
   }
 
-  private static String text(Scheduler.Listed l) {
+  private static String text(Scheduler.ListedMachine l) {
     return String.join(" ", l.name(), l.addr(), l.type(), l.zone(), l.state())
         + (l.spot() ? " spot " : " no spot ")
         + l.ageS();
@@ -119,8 +119,8 @@
   @Test
   void renting() throws Exception {
     Golden g = new Golden("cloud-rentals");
-    Decision.Rent spot = new Decision.Rent("g8", "z1", true, 3);
-    Decision.Rent other = new Decision.Rent("c4", "z2", false, 1);
+    Decision.ProvisionMachines spot = new Decision.ProvisionMachines("g8", "z1", true, 3);
+    Decision.ProvisionMachines other = new Decision.ProvisionMachines("c4", "z2", false, 1);
     Call rent = () -> String.join(" ", cloud.rent("as-7-1", spot));
     one(g, "spot", 200, "{\"vessels\":[\"m-1\",\"m-2\",\"m-3\"]}", rent);
     one(g, "no spot", 200, "{\"vessels\":[]}", () -> String.join(" ", cloud.rent("as-7-2", other)));
--- a/src/test/java/org/astershift/golden/OrderCallsTest.java
+++ b/src/test/java/org/astershift/golden/CommandCallsTest.java
@@ -3,8 +3,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.astershift.config.Settings;
-import org.astershift.core.Order;
-import org.astershift.worker.OrderSender;
+import org.astershift.scheduler.Command;
+import org.astershift.worker.CommandSender;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -13,12 +13,12 @@
 
 /** What workers are asked directly, and what their answers are taken for. */
 @Timeout(60)
-class OrderCallsTest {
+class CommandCallsTest {
   private static final String REPORT =
       "{\"vessel\":\"m-1\",\"addr\":\"a:1\",\"hull\":\"g8\",\"harbor\":\"z1\",\"watch\":5,\"tick\":9}";
 
   @TempDir Path dir;
-  private final OrderSender sender = new OrderSender();
+  private final CommandSender sender = new CommandSender();
   private Recorder recorder;
   private String addr;
 
@@ -35,19 +35,19 @@
     recorder.close();
   }
 
-  private String send(String to, List<Order> orders) {
-    OrderSender.Result r = sender.send(to, 42, 5, () -> orders, 5000);
+  private String send(String to, List<Command> orders) {
+    CommandSender.Result r = sender.send(to, 42, 5, () -> orders, 5000);
     String told = r.report() == null ? "no report" : "report " + r.report().seq();
     return (r.unknown() ? "maybe executed, " : "known, ") + told;
   }
 
   @Test
   void directOrders() throws Exception {
-    List<Order> orders =
+    List<Command> orders =
         List.of(
-            new Order(Order.Op.START, "wk-1", 0, 1, 0),
-            new Order(Order.Op.STOP, "wk-1", 7, 2, 4.5),
-            new Order(Order.Op.FORGET, "wk-2", 3, 4, 0));
+            new Command(Command.Kind.START, "wk-1", 0, 1, 0),
+            new Command(Command.Kind.STOP, "wk-1", 7, 2, 4.5),
+            new Command(Command.Kind.FORGET, "wk-2", 3, 4, 0));
     Golden g = new Golden("worker-calls");
     for (int status : new int[] {200, 409, 400, 404, 421, 500, 503}) {
       recorder.answer(status, REPORT);
--- a/src/test/java/org/astershift/golden/OperatorFormsTest.java
+++ b/src/test/java/org/astershift/golden/OperatorFormsTest.java
@@ -6,9 +6,9 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.astershift.config.BadConfig;
-import org.astershift.config.Operator;
-import org.astershift.core.Policy;
+import org.astershift.config.ConfigurationException;
+import org.astershift.config.OperatorSettings;
+import org.astershift.scheduler.SchedulingPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -24,7 +24,7 @@
     return Files.writeString(dir.resolve("operator.ini"), text);
   }
 
-  private static String text(Policy p) {
+  private static String text(SchedulingPolicy p) {
     return p.window()
         + " "
         + p.utilization()
@@ -39,14 +39,15 @@
   @Test
   void values() throws Exception {
     new Golden("operator-values")
-        .add("defaults", text(Operator.defaults()))
-        .add("empty", text(Operator.load(file(""))))
-        .add("empty sections", text(Operator.load(file("[placement]\n[fleet]\n"))))
-        .add("one key", text(Operator.load(file("[fleet]\nidle_release_s = 0\n"))))
-        .add("full", text(Operator.load(file(FULL))))
-        .add("fractions", text(Operator.load(file("[placement]\nwindow=9.9\nbatch=1.5\n"))))
-        .add("twice", text(Operator.load(file("[placement]\nwindow = 1\nwindow = 2\n"))))
-        .add("bounds", text(Operator.load(file("[placement]\nwindow=1e6\nutilization=1\n"))))
+        .add("defaults", text(OperatorSettings.defaults()))
+        .add("empty", text(OperatorSettings.load(file(""))))
+        .add("empty sections", text(OperatorSettings.load(file("[placement]\n[fleet]\n"))))
+        .add("one key", text(OperatorSettings.load(file("[fleet]\nidle_release_s = 0\n"))))
+        .add("full", text(OperatorSettings.load(file(FULL))))
+        .add("fractions", text(OperatorSettings.load(file("[placement]\nwindow=9.9\nbatch=1.5\n"))))
+        .add("twice", text(OperatorSettings.load(file("[placement]\nwindow = 1\nwindow = 2\n"))))
+        .add(
+            "bounds", text(OperatorSettings.load(file("[placement]\nwindow=1e6\nutilization=1\n"))))
         .check();
   }
 
@@ -76,11 +77,13 @@
     for (Map.Entry<String, String> e : bad().entrySet()) {
       Path file = file(e.getValue());
       String said =
-          assertThrows(BadConfig.class, () -> Operator.load(file), e.getKey()).getMessage();
+          assertThrows(ConfigurationException.class, () -> OperatorSettings.load(file), e.getKey())
+              .getMessage();
       g.add("<" + e.getKey() + ">", said.replace(file.toString(), "FILE"));
     }
     Path none = dir.resolve("none.ini");
-    String said = assertThrows(BadConfig.class, () -> Operator.load(none)).getMessage();
+    String said =
+        assertThrows(ConfigurationException.class, () -> OperatorSettings.load(none)).getMessage();
     g.add("no file", said.replace(none.toString(), "FILE"));
     g.check();
   }
--- a/src/test/java/org/astershift/golden/PeerDeskTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -8,23 +8,23 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentSkipListSet;
-import org.astershift.config.Operator;
+import org.astershift.config.OperatorSettings;
 import org.astershift.config.Settings;
-import org.astershift.core.JobKind;
-import org.astershift.core.Priority;
+import org.astershift.controller.ControllerRuntime;
+import org.astershift.controller.JobService;
+import org.astershift.emulator.Emulators;
+import org.astershift.emulator.StoreEmulator;
 import org.astershift.http.HttpClient;
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
-import org.astershift.leader.Director;
-import org.astershift.leader.UserDesk;
 import org.astershift.peer.JobAnswer;
-import org.astershift.standin.StandInStore;
-import org.astershift.standin.StandIns;
-import org.astershift.store.Mirror;
-import org.astershift.store.Records;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.Priority;
+import org.astershift.simulation.JobDraft;
+import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
-import org.astershift.world.JobDraft;
+import org.astershift.store.WatchCache;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -33,7 +33,7 @@
 
 /** What controllers ask each other and what is answered, in words that frames carry. */
 @Timeout(120)
-class PeerDeskTest {
+class PeerRequestsTest {
   private static final String JOB = "wk-1";
   private static final JobAnswer RUNNING = new JobAnswer(200, "running", 3, 4);
   private static final JobAnswer CANCELLED = new JobAnswer(200, "withdrawn", 3, 0);
@@ -44,29 +44,29 @@
   /** Users' questions that the node passed on to the leader. */
   private final Set<String> passedOn = new ConcurrentSkipListSet<>();
 
-  private StandInStore store;
+  private StoreEmulator store;
   private HttpServer worker;
-  private UserDesk desk;
+  private JobService desk;
 
   /** Another node leads, and one job is on record. */
   @BeforeEach
   void start() throws Exception {
-    store = new StandInStore(0);
+    store = new StoreEmulator(0);
     worker = new HttpServer("127.0.0.1", 0, 10, r -> Response.of(200, Map.of()));
     worker.start();
     Map<String, Object> job =
-        Records.job(
-            new Records.JobRecord(
+        RecordCodec.job(
+            new RecordCodec.JobRecord(
                 JobDraft.array(JOB, 9).kind(JobKind.ARRAY).in("c", Priority.LOW).spec(), 1));
     List<Object> rows =
         List.of(
-            Map.of("set", Records.LEADER, "data", Records.leader("n2")),
-            Map.of("set", Records.JOB + JOB, "data", job));
+            Map.of("set", RecordCodec.LEADER, "data", RecordCodec.leader("n2")),
+            Map.of("set", RecordCodec.JOB + JOB, "data", job));
     try (HttpClient client = new HttpClient("127.0.0.1", store.port(), 1)) {
       byte[] body = Json.bytes(Map.of("writes", rows));
       assertEquals(200, client.call("POST", "/multi", body, 5000).status());
     }
-    Settings settings = StandIns.settings(dir, store.port(), 1);
+    Settings settings = Emulators.settings(dir, store.port(), 1);
     Thread starter = new Thread(threads, () -> begin(settings));
     starter.start();
     starter.join();
@@ -74,10 +74,12 @@
 
   private void begin(Settings settings) {
     StoreClient client = new StoreClient(settings);
-    Map<String, UserDesk.Asker> askers = Map.of("n2", (op, job, timeoutMs) -> asked(op, job));
-    Director director =
-        new Director(settings, Operator.defaults(), client, new Mirror(client), askers);
-    desk = new UserDesk(director, client, askers);
+    Map<String, JobService.PeerChannel> askers =
+        Map.of("n2", (op, job, timeoutMs) -> asked(op, job));
+    ControllerRuntime director =
+        new ControllerRuntime(
+            settings, OperatorSettings.defaults(), client, new WatchCache(client), askers);
+    desk = new JobService(director, client, askers);
     director.start();
   }
 
--- a/src/test/java/org/astershift/golden/Recorder.java
+++ b/src/test/java/org/astershift/golden/Recorder.java
@@ -8,10 +8,10 @@
 import java.util.Deque;
 import java.util.List;
 import org.astershift.config.Settings;
+import org.astershift.emulator.Emulators;
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
-import org.astershift.standin.StandIns;
 
 /** A server that notes what it is asked and gives the answers that it was told to give. */
 public final class Recorder implements AutoCloseable {
@@ -26,7 +26,7 @@
 
   /** Settings of a node whose state service and cloud are this server. */
   public Settings settings(Path dir) throws Exception {
-    return StandIns.settings(dir, server.port(), server.port());
+    return Emulators.settings(dir, server.port(), server.port());
   }
 
   /** The next request without an answer of its own gets this one. */
--- a/src/test/java/org/astershift/golden/ServiceCallsTest.java
+++ b/src/test/java/org/astershift/golden/ServiceCallsTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.StringJoiner;
 import org.astershift.http.Json;
-import org.astershift.store.RateBudget;
+import org.astershift.store.RateLimiter;
 import org.astershift.store.StoreClient;
 import org.astershift.store.StoreClient.Outcome;
 import org.junit.jupiter.api.AfterEach;
@@ -57,12 +57,12 @@
     g.add(label + ", result", result);
   }
 
-  private static String text(StoreClient.Row row) {
+  private static String text(StoreClient.Entry row) {
     String data = row.data() == null ? "nothing" : new String(Json.bytes(row.data()));
     return row.key() + " " + data + " " + row.revision();
   }
 
-  private static String text(List<StoreClient.Row> rows) {
+  private static String text(List<StoreClient.Entry> rows) {
     StringJoiner out = new StringJoiner("; ", "[", "]");
     rows.forEach(row -> out.add(text(row)));
     return out.toString();
@@ -72,18 +72,18 @@
     return text(page.rows()) + " more " + page.more() + " at " + page.revision();
   }
 
-  private static String text(StoreClient.Changes c) {
+  private static String text(StoreClient.WatchResponse c) {
     return text(c.rows()) + " at " + c.revision() + " too old " + c.tooOld();
   }
 
   private static String text(Outcome o) {
-    if (o instanceof Outcome.Applied a) {
+    if (o instanceof Outcome.Committed a) {
       return "applied at " + a.revision();
     }
-    if (o instanceof Outcome.Conflict c) {
+    if (o instanceof Outcome.ConditionFailed c) {
       return "conflict of " + String.join(" ", c.keys());
     }
-    return o instanceof Outcome.Refused r ? "refused: " + r.why() : "nothing is known";
+    return o instanceof Outcome.Rejected r ? "refused: " + r.why() : "nothing is known";
   }
 
   @Test
@@ -143,11 +143,11 @@
     g.check();
   }
 
-  private static StoreClient.Txn transaction() {
+  private static StoreClient.Transaction transaction() {
     Map<String, Object> value = new LinkedHashMap<>();
     value.put("b", 1);
     value.put("a", List.of("x", true, 2.5));
-    return new StoreClient.Txn()
+    return new StoreClient.Transaction()
         .when("l/leader", 7)
         .when("l/n/o0", 0)
         .put("l/n/o0", value)
@@ -158,7 +158,7 @@
   @Test
   void committing() throws Exception {
     Golden g = new Golden("store-commits");
-    Call commit = () -> text(store.commit(transaction(), RateBudget.Use.URGENT, 5000));
+    Call commit = () -> text(store.commit(transaction(), RateLimiter.Urgency.URGENT, 5000));
     one(g, "applied", 200, "{\"epoch\":99}", commit);
     one(g, "conflict", 409, "{\"failed\":[\"l/n/o0\",\"l/leader\"]}", commit);
     one(g, "conflict of none", 409, "{}", commit);
@@ -167,13 +167,13 @@
     for (int status : new int[] {400, 404, 413, 500, 503}) {
       one(g, "commit " + status, status, "{}", commit);
     }
-    StoreClient.Txn empty = new StoreClient.Txn();
+    StoreClient.Transaction empty = new StoreClient.Transaction();
     one(
         g,
         "empty",
         200,
         "{\"epoch\":100}",
-        () -> text(store.commit(empty, RateBudget.Use.LAZY, 5000)));
+        () -> text(store.commit(empty, RateLimiter.Urgency.LAZY, 5000)));
     g.add("malformed", StoreClient.MALFORMED);
     g.add("changes of one", String.valueOf(transaction().size()));
     g.check();
@@ -184,7 +184,7 @@
   void committingOverTheLimit() throws Exception {
     Golden g = new Golden("store-commits-again");
     recorder.answer(429, "{}");
-    Call commit = () -> text(store.commit(transaction(), RateBudget.Use.URGENT, 5000));
+    Call commit = () -> text(store.commit(transaction(), RateLimiter.Urgency.URGENT, 5000));
     one(g, "second", 200, "{\"epoch\":99}", commit);
     g.check();
   }
@@ -215,7 +215,7 @@
   void nobodyListens() throws Exception {
     recorder.close();
     assertThrows(IOException.class, () -> store.get("l/leader"));
-    String said = text(store.commit(transaction(), RateBudget.Use.URGENT, 5000));
+    String said = text(store.commit(transaction(), RateLimiter.Urgency.URGENT, 5000));
     new Golden("store-nobody").add("commit", said.split(":")[0]).check();
   }
 }
--- a/src/test/java/org/astershift/golden/SettingsFormsTest.java
+++ b/src/test/java/org/astershift/golden/SettingsFormsTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.StringJoiner;
-import org.astershift.config.BadConfig;
+import org.astershift.config.ConfigurationException;
 import org.astershift.config.Settings;
-import org.astershift.core.Facts;
-import org.astershift.core.Objective;
-import org.astershift.core.Team;
+import org.astershift.scheduler.DeploymentLimits;
+import org.astershift.scheduler.ServiceLevelObjective;
+import org.astershift.scheduler.Team;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -117,7 +117,7 @@
     g.add(label + ", state's limits", text(l.rps(), l.writeRps(), l.valueKb(), l.txnOps()));
     g.add(label + ", cloud's limit", text(s.cloudRps()));
     g.add(label + ", sockets", text(s.sockets()));
-    Facts f = s.facts();
+    DeploymentLimits f = s.facts();
     g.add(label + ", workers", text(f.reportS(), f.leaseS(), f.gangWaitS(), f.gangPeerS()));
     g.add(label + ", times", text(f.cancelS(), f.listLagS()));
     g.add(label + ", teams", String.join(" ", f.teams().keySet()));
@@ -126,7 +126,7 @@
       g.add(label + ", team " + t.name(), amounts);
     }
     g.add(label + ", objectives", String.valueOf(f.objectives().size()));
-    for (Objective o : f.objectives()) {
+    for (ServiceLevelObjective o : f.objectives()) {
       String rest = text(o.withinS(), o.share(), o.times());
       g.add(label + ", objective " + o.kind(), text("<" + o.jobClass() + ">", rest));
     }
@@ -185,11 +185,13 @@
     for (Map.Entry<String, String> e : bad().entrySet()) {
       Path file = file(e.getValue());
       String said =
-          assertThrows(BadConfig.class, () -> Settings.load(file), e.getKey()).getMessage();
+          assertThrows(ConfigurationException.class, () -> Settings.load(file), e.getKey())
+              .getMessage();
       g.add("<" + e.getKey() + ">", said.replace(file.toString(), "FILE"));
     }
     Path none = dir.resolve("none.toml");
-    String said = assertThrows(BadConfig.class, () -> Settings.load(none)).getMessage();
+    String said =
+        assertThrows(ConfigurationException.class, () -> Settings.load(none)).getMessage();
     g.add("no file", said.replace(none.toString(), "FILE"));
     g.check();
   }
--- a/src/test/java/org/astershift/golden/StoredRecordsTest.java
+++ b/src/test/java/org/astershift/golden/StoredRecordsTest.java
@@ -11,24 +11,24 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.astershift.config.Constants;
-import org.astershift.core.Decision;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.MachineType;
-import org.astershift.core.Priority;
 import org.astershift.http.Json;
-import org.astershift.store.Records;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Priority;
+import org.astershift.store.RecordCodec;
 import org.junit.jupiter.api.Test;
 
 /** Keys and values in the state service: later versions read what earlier ones wrote. */
 class StoredRecordsTest {
   private static final String ID = "wk-000412";
 
-  private static Map<String, Object> object(String text) throws Json.Bad {
+  private static Map<String, Object> object(String text) throws Json.JsonFormatException {
     return Json.object(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static Object value(String text) throws Json.Bad {
+  private static Object value(String text) throws Json.JsonFormatException {
     return object("{\"v\":" + text + "}").get("v");
   }
 
@@ -93,68 +93,71 @@
     Golden g = new Golden("records-jobs");
     for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
       g.add(
-          e.getKey(), Json.bytes(Records.job(new Records.JobRecord(e.getValue(), 1700000000123L))));
+          e.getKey(),
+          Json.bytes(RecordCodec.job(new RecordCodec.JobRecord(e.getValue(), 1700000000123L))));
     }
     g.check();
     for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
-      Records.JobRecord back = Records.job(Records.JOB + ID, object(g.kept(e.getKey())));
-      assertEquals(new Records.JobRecord(e.getValue(), 1700000000123L), back, e.getKey());
+      RecordCodec.JobRecord back =
+          RecordCodec.job(RecordCodec.JOB + ID, object(g.kept(e.getKey())));
+      assertEquals(new RecordCodec.JobRecord(e.getValue(), 1700000000123L), back, e.getKey());
     }
   }
 
   @Test
   void keys() throws Exception {
     new Golden("records-keys")
-        .add("live", Records.LIVE)
-        .add("leader", Records.LEADER)
-        .add("types", Records.TYPES)
-        .add("job", Records.JOB)
-        .add("notes", Records.NOTES)
-        .add("ended", Records.ENDED)
-        .add("progress", Records.progress(ID, 3))
+        .add("live", RecordCodec.LIVE)
+        .add("leader", RecordCodec.LEADER)
+        .add("types", RecordCodec.TYPES)
+        .add("job", RecordCodec.JOB)
+        .add("notes", RecordCodec.NOTES)
+        .add("ended", RecordCodec.ENDED)
+        .add("progress", RecordCodec.progress(ID, 3))
         .add("tasks of a segment", String.valueOf(Constants.SEGMENT_TASKS))
-        .add("segments of 1", String.valueOf(Records.segments(1)))
-        .add("segments of 100000", String.valueOf(Records.segments(100_000)))
+        .add("segments of 1", String.valueOf(RecordCodec.segments(1)))
+        .add("segments of 100000", String.valueOf(RecordCodec.segments(100_000)))
         .check();
   }
 
   @Test
   void leaderAndEnded() throws Exception {
     Golden g = new Golden("records-ended");
-    g.add("leader", Json.bytes(Records.leader("n1")));
-    Map<String, Records.Ended> ended = new LinkedHashMap<>();
-    ended.put("done", new Records.Ended(false, 100_000));
-    ended.put("cancelled", new Records.Ended(true, 0));
-    ended.put("cancelled in part", new Records.Ended(true, 7));
-    ended.forEach((label, e) -> g.add(label, sorted(Records.ended(e))));
+    g.add("leader", Json.bytes(RecordCodec.leader("n1")));
+    Map<String, RecordCodec.Ended> ended = new LinkedHashMap<>();
+    ended.put("done", new RecordCodec.Ended(false, 100_000));
+    ended.put("cancelled", new RecordCodec.Ended(true, 0));
+    ended.put("cancelled in part", new RecordCodec.Ended(true, 7));
+    ended.forEach((label, e) -> g.add(label, sorted(RecordCodec.ended(e))));
     g.check();
-    for (Map.Entry<String, Records.Ended> e : ended.entrySet()) {
-      assertEquals(e.getValue(), Records.ended(object(g.kept(e.getKey()))));
+    for (Map.Entry<String, RecordCodec.Ended> e : ended.entrySet()) {
+      assertEquals(e.getValue(), RecordCodec.ended(object(g.kept(e.getKey()))));
     }
   }
 
   @Test
   void machinesAndRentals() throws Exception {
     Golden g = new Golden("records-machines");
-    Map<String, Decision.Enrol> machines = new LinkedHashMap<>();
+    Map<String, Decision.RegisterMachine> machines = new LinkedHashMap<>();
     for (String addr : new String[] {"10.0.0.1:7000", null}) {
       for (boolean fresh : new boolean[] {true, false}) {
         String label = (fresh ? "fresh" : "not fresh") + (addr == null ? "" : " with address");
-        machines.put(label, new Decision.Enrol("m-1", addr, "g8", "z1", fresh, fresh));
-        machines.put(label + " other", new Decision.Enrol("m-1", addr, "g8", "z1", !fresh, fresh));
+        machines.put(label, new Decision.RegisterMachine("m-1", addr, "g8", "z1", fresh, fresh));
+        machines.put(
+            label + " other", new Decision.RegisterMachine("m-1", addr, "g8", "z1", !fresh, fresh));
       }
     }
-    machines.forEach((label, m) -> g.add(label, Json.bytes(Records.machine(m))));
-    Decision.Rent spot = new Decision.Rent("g8", "z1", true, 1);
-    Decision.Rent many = new Decision.Rent("c4", "z2", false, 500);
-    g.add("rental spot", Json.bytes(Records.rental(spot)));
-    g.add("rental many", Json.bytes(Records.rental(many)));
+    machines.forEach((label, m) -> g.add(label, Json.bytes(RecordCodec.machine(m))));
+    Decision.ProvisionMachines spot = new Decision.ProvisionMachines("g8", "z1", true, 1);
+    Decision.ProvisionMachines many = new Decision.ProvisionMachines("c4", "z2", false, 500);
+    g.add("rental spot", Json.bytes(RecordCodec.rental(spot)));
+    g.add("rental many", Json.bytes(RecordCodec.rental(many)));
     g.check();
-    for (Map.Entry<String, Decision.Enrol> m : machines.entrySet()) {
-      assertEquals(m.getValue(), Records.machine("m-1", value(g.kept(m.getKey()))), m.getKey());
+    for (Map.Entry<String, Decision.RegisterMachine> m : machines.entrySet()) {
+      assertEquals(m.getValue(), RecordCodec.machine("m-1", value(g.kept(m.getKey()))), m.getKey());
     }
-    assertEquals(spot, Records.rental(value(g.kept("rental spot"))));
-    assertEquals(many, Records.rental(value(g.kept("rental many"))));
+    assertEquals(spot, RecordCodec.rental(value(g.kept("rental spot"))));
+    assertEquals(many, RecordCodec.rental(value(g.kept("rental many"))));
   }
 
   @Test
@@ -164,27 +167,27 @@
         "g8", new MachineType("g8", 64, 8, 512.5, 900, 0.25, 12.5, 3.75, 90, List.of("a", "b")));
     types.put("c4", new MachineType("c4", 4, 0, 16, 100, 1, 0.2, 0.05, 30.5, List.of()));
     Golden g = new Golden("records-types");
-    g.add("two types", Json.bytes(Records.types(types)));
-    g.add("none", Json.bytes(Records.types(Map.of())));
+    g.add("two types", Json.bytes(RecordCodec.types(types)));
+    g.add("none", Json.bytes(RecordCodec.types(Map.of())));
     g.check();
-    Map<String, MachineType> back = Records.readTypes(object(g.kept("two types")));
+    Map<String, MachineType> back = RecordCodec.readTypes(object(g.kept("two types")));
     assertEquals(new ArrayList<>(types.values()), new ArrayList<>(back.values()));
     assertEquals(new ArrayList<>(types.keySet()), new ArrayList<>(back.keySet()));
-    assertEquals(Map.of(), Records.readTypes(object(g.kept("none"))));
+    assertEquals(Map.of(), RecordCodec.readTypes(object(g.kept("none"))));
   }
 
   @Test
   void opened() throws Exception {
     Golden g = new Golden("records-opened");
     List<String> places = List.of("m-1", "m-2");
-    g.add("no place", Json.bytes(Records.opened(List.of())));
-    g.add("one place", Json.bytes(Records.opened(List.of("m-1"))));
-    g.add("two places", Json.bytes(Records.opened(places)));
+    g.add("no place", Json.bytes(RecordCodec.opened(List.of())));
+    g.add("one place", Json.bytes(RecordCodec.opened(List.of("m-1"))));
+    g.add("two places", Json.bytes(RecordCodec.opened(places)));
     g.check();
-    assertEquals(List.of(), Records.openedOn(value(g.kept("no place"))));
-    assertEquals(List.of("m-1"), Records.openedOn(value(g.kept("one place"))));
-    assertEquals(places, Records.openedOn(value(g.kept("two places"))));
-    assertEquals(List.of(), Records.openedOn(null));
+    assertEquals(List.of(), RecordCodec.openedOn(value(g.kept("no place"))));
+    assertEquals(List.of("m-1"), RecordCodec.openedOn(value(g.kept("one place"))));
+    assertEquals(places, RecordCodec.openedOn(value(g.kept("two places"))));
+    assertEquals(List.of(), RecordCodec.openedOn(null));
   }
 
   @Test
@@ -196,40 +199,43 @@
     done.set(2 * Constants.SEGMENT_TASKS + 77);
     Golden g = new Golden("records-progress");
     for (int segment = 0; segment < 4; segment++) {
-      g.add(Records.progress(ID, segment), Json.bytes(Records.segment(done, segment)));
+      g.add(RecordCodec.progress(ID, segment), Json.bytes(RecordCodec.segment(done, segment)));
     }
     g.check();
     BitSet back = new BitSet();
     for (int segment = 0; segment < 4; segment++) {
       String key = ID + "/" + segment;
-      assertEquals(ID, Records.merge(back, key, value(g.kept(key))));
+      assertEquals(ID, RecordCodec.merge(back, key, value(g.kept(key))));
     }
     assertEquals(done, back);
   }
 
   /** A call that must find its input bad. */
   private interface Reading {
-    void read() throws Json.Bad;
+    void read() throws Json.JsonFormatException;
   }
 
   private static void bad(Golden g, String label, Reading reading) {
-    g.add(label, assertThrows(Json.Bad.class, reading::read, label).getMessage());
+    g.add(label, assertThrows(Json.JsonFormatException.class, reading::read, label).getMessage());
   }
 
   @Test
   void whatIsNoRecord() throws Exception {
     Golden g = new Golden("records-errors");
-    bad(g, "machine 1", () -> Records.machine("m", 1));
-    bad(g, "machine short", () -> Records.machine("m", List.of("g8", "z1", true)));
-    bad(g, "machine flag", () -> Records.machine("m", List.of("g8", "z1", 1, true)));
-    bad(g, "rental text", () -> Records.rental("x"));
-    bad(g, "rental count", () -> Records.rental(List.of("g8", "z1", true, "2")));
-    bad(g, "progress text", () -> Records.merge(new BitSet(), ID + "/0", "?"));
-    bad(g, "progress key", () -> Records.merge(new BitSet(), ID, "AQ=="));
-    bad(g, "ended", () -> Records.ended(Map.of("cancelled", true)));
-    bad(g, "job", () -> Records.job(Records.JOB + ID, Map.of()));
-    bad(g, "types", () -> Records.readTypes(object("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
-    bad(g, "types text", () -> Records.readTypes(object("{\"types\":[\"a\"]}")));
+    bad(g, "machine 1", () -> RecordCodec.machine("m", 1));
+    bad(g, "machine short", () -> RecordCodec.machine("m", List.of("g8", "z1", true)));
+    bad(g, "machine flag", () -> RecordCodec.machine("m", List.of("g8", "z1", 1, true)));
+    bad(g, "rental text", () -> RecordCodec.rental("x"));
+    bad(g, "rental count", () -> RecordCodec.rental(List.of("g8", "z1", true, "2")));
+    bad(g, "progress text", () -> RecordCodec.merge(new BitSet(), ID + "/0", "?"));
+    bad(g, "progress key", () -> RecordCodec.merge(new BitSet(), ID, "AQ=="));
+    bad(g, "ended", () -> RecordCodec.ended(Map.of("cancelled", true)));
+    bad(g, "job", () -> RecordCodec.job(RecordCodec.JOB + ID, Map.of()));
+    bad(
+        g,
+        "types",
+        () -> RecordCodec.readTypes(object("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
+    bad(g, "types text", () -> RecordCodec.readTypes(object("{\"types\":[\"a\"]}")));
     g.check();
   }
 }
--- a/src/test/java/org/astershift/golden/SubmissionFormsTest.java
+++ b/src/test/java/org/astershift/golden/SubmissionFormsTest.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.astershift.api.JobCodec;
-import org.astershift.core.JobSpec;
 import org.astershift.http.Json;
 import org.astershift.peer.JobAnswer;
+import org.astershift.scheduler.JobSpec;
 import org.junit.jupiter.api.Test;
 
 /** The users' words for jobs: what each is read as, without controllers. */
@@ -18,7 +18,7 @@
           + "\"one_zone\":true,\"apart\":false,\"ebbtide\":true,\"expect_s\":240.0,"
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
-  private static JobSpec read(String text) throws Json.Bad {
+  private static JobSpec read(String text) throws Json.JsonFormatException {
     return JobCodec.spec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
   }
 
--- a/src/test/java/org/astershift/golden/UserAnswersTest.java
+++ b/src/test/java/org/astershift/golden/UserAnswersTest.java
@@ -6,12 +6,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.astershift.emulator.CloudEmulator;
+import org.astershift.emulator.InProcessControllers;
+import org.astershift.emulator.StoreEmulator;
 import org.astershift.http.HttpClient;
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Response;
-import org.astershift.standin.InProcessControllers;
-import org.astershift.standin.StandInCloud;
-import org.astershift.standin.StandInStore;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -38,14 +38,14 @@
 
   @TempDir Path dir;
   private final List<Integer> ports = new ArrayList<>();
-  private StandInStore store;
-  private StandInCloud cloud;
+  private StoreEmulator store;
+  private CloudEmulator cloud;
   private InProcessControllers nodes;
 
   @BeforeEach
   void start() throws Exception {
-    store = new StandInStore(0);
-    cloud = new StandInCloud(0, ports, 200);
+    store = new StoreEmulator(0);
+    cloud = new CloudEmulator(0, ports, 200);
   }
 
   @AfterEach
@@ -74,7 +74,7 @@
 
   private void add(Golden g, String label, String method, String path, String body)
       throws Exception {
-    HttpClient.Answer a = nodes.call(0, method, path, body);
+    HttpClient.Response a = nodes.call(0, method, path, body);
     g.add(label, a.status() + " " + new String(a.body(), StandardCharsets.UTF_8));
   }
 
@@ -240,7 +240,7 @@
     long deadline = System.nanoTime() + 60_000_000_000L;
     while (said == null && System.nanoTime() < deadline) {
       for (int node = 0; node < 2; node++) {
-        HttpClient.Answer a = nodes.call(node, "POST", "/agent/beat", BEAT);
+        HttpClient.Response a = nodes.call(node, "POST", "/agent/beat", BEAT);
         String body = new String(a.body(), StandardCharsets.UTF_8);
         if (a.status() == 421 && body.length() > 2) {
           said = a.status() + " " + body.replace("n" + (1 - node), "OTHER");
--- a/src/test/java/org/astershift/golden/WorkerFormsTest.java
+++ b/src/test/java/org/astershift/golden/WorkerFormsTest.java
@@ -8,9 +8,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.core.Order;
-import org.astershift.core.Report;
 import org.astershift.http.Json;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Heartbeat;
 import org.astershift.worker.WorkerCodec;
 import org.junit.jupiter.api.Test;
 
@@ -21,7 +21,7 @@
   private static final String POSITION = "\"watch\":5,\"tick\":17";
   private static final String TASK = "\"shard\":\"wk-1/0\",\"launch\":4,\"phase\":\"running\"";
 
-  private static Report read(String text) throws Json.Bad {
+  private static Heartbeat read(String text) throws Json.JsonFormatException {
     return WorkerCodec.report(text.getBytes(StandardCharsets.UTF_8));
   }
 
@@ -56,12 +56,12 @@
   }
 
   /** The values of a report in a fixed order; phases by their place among all. */
-  private static String values(Report r) {
+  private static String values(Heartbeat r) {
     StringBuilder out = new StringBuilder();
     out.append(r.machine()).append(' ').append(r.addr()).append(' ').append(r.type()).append(' ');
     out.append(r.zone()).append(' ').append(r.spot()).append(' ').append(r.session()).append(' ');
     out.append(r.seq()).append(' ').append(r.token()).append(' ').append(r.noticeS());
-    for (Report.Item i : r.tasks()) {
+    for (Heartbeat.TaskStatus i : r.tasks()) {
       out.append(" [").append(i.job()).append(' ').append(i.index()).append(' ');
       out.append(i.attempt()).append(' ').append(phase(i.phase())).append(' ');
       out.append(i.cause()).append(']');
@@ -69,7 +69,7 @@
     return out.toString();
   }
 
-  private static String phase(Report.Phase p) {
+  private static String phase(Heartbeat.TaskPhase p) {
     return switch (p) {
       case FETCHING -> "fetches";
       case WAITING -> "waits";
@@ -147,7 +147,8 @@
     List<String> all = new ArrayList<>(malformedHeads());
     all.addAll(malformedTasks());
     for (String text : all) {
-      String said = assertThrows(Json.Bad.class, () -> read(text), text).getMessage();
+      String said =
+          assertThrows(Json.JsonFormatException.class, () -> read(text), text).getMessage();
       g.add("<" + text + ">", said);
     }
     g.check();
@@ -155,11 +156,11 @@
 
   @Test
   void commands() throws Exception {
-    Order start = new Order(Order.Op.START, "wk-1", 0, 1, 0);
-    Order stop = new Order(Order.Op.STOP, "wk-1", 99_999, 2, 4.5);
-    Order stopNow = new Order(Order.Op.STOP, "wk-2", 1, 3, 0);
-    Order forget = new Order(Order.Op.FORGET, "wk-3", 7, 9_007_199_254_740_993L, 0);
-    Map<String, List<Order>> cases = new LinkedHashMap<>();
+    Command start = new Command(Command.Kind.START, "wk-1", 0, 1, 0);
+    Command stop = new Command(Command.Kind.STOP, "wk-1", 99_999, 2, 4.5);
+    Command stopNow = new Command(Command.Kind.STOP, "wk-2", 1, 3, 0);
+    Command forget = new Command(Command.Kind.FORGET, "wk-3", 7, 9_007_199_254_740_993L, 0);
+    Map<String, List<Command>> cases = new LinkedHashMap<>();
     cases.put("none", List.of());
     cases.put("start", List.of(start));
     cases.put("stop", List.of(stop));
--- a/src/test/java/org/astershift/http/PlacesTest.java
+++ b/src/test/java/org/astershift/http/ConnectionSlotsTest.java
@@ -6,22 +6,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.astershift.config.Constants;
-import org.astershift.http.Places.Connection;
+import org.astershift.http.ConnectionSlots.Connection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Who keeps a place when there are more connections than threads. */
-class PlacesTest {
+class ConnectionSlotsTest {
   private long now;
 
-  private Connection come(Places places, List<Connection> closed) {
+  private Connection come(ConnectionSlots places, List<Connection> closed) {
     Connection c = new Connection(++now);
     closed.addAll(places.enter(c));
     return c;
   }
 
-  private Connection come(Places places, boolean worker, List<Connection> closed) {
+  private Connection come(ConnectionSlots places, boolean worker, List<Connection> closed) {
     Connection c = come(places, closed);
     c.busy(now);
     closed.addAll(places.asks(c, worker));
@@ -32,7 +32,7 @@
   /** A storm of users took the places of workers, whose reports keep leases alive. */
   @Test
   void usersStormLeavesWorkersTheirPlaces() {
-    Places places = new Places(100, 30);
+    ConnectionSlots places = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> workers = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
@@ -49,7 +49,7 @@
   /** Connections that never ask for anything go first. */
   @Test
   void silentConnectionsKeepNobodyOut() {
-    Places places = new Places(10, 3);
+    ConnectionSlots places = new ConnectionSlots(10, 3);
     List<Connection> closed = new ArrayList<>();
     List<Connection> silent = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
@@ -65,7 +65,7 @@
   /** As long as there is room, a group may have more than its part: workers that of the users. */
   @Test
   void workersUseWhatUsersLeave() {
-    Places places = new Places(10, 3);
+    ConnectionSlots places = new ConnectionSlots(10, 3);
     List<Connection> closed = new ArrayList<>();
     List<Connection> workers = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
@@ -77,7 +77,7 @@
   }
 
   /** One report on its connection, or on a new one; null if it ends with the answer. */
-  private Connection report(Places places, Connection open, List<Connection> closed) {
+  private Connection report(ConnectionSlots places, Connection open, List<Connection> closed) {
     Connection c = open == null ? come(places, closed) : open;
     c.busy(++now);
     closed.addAll(places.asks(c, true));
@@ -95,7 +95,7 @@
    */
   @Test
   void moreWorkersThanPlacesComeAndGoWithTheirReports() {
-    Places places = new Places(100, 30);
+    ConnectionSlots places = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     Connection[] workers = new Connection[170];
     int handshakes = 0;
@@ -118,7 +118,7 @@
   /** All machines connect in one second after a cut: users and health checks still get in. */
   @Test
   void allWorkersAtOnceLeaveRoomForUsers() {
-    Places places = new Places(100, 30);
+    ConnectionSlots places = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> refused = new ArrayList<>();
     for (int i = 0; i < 170; i++) {
@@ -139,7 +139,7 @@
   /** Old connections of machines that come anew are half open: they go first. */
   @Test
   void halfOpenConnectionsGoFirst() {
-    Places places = new Places(100, 30);
+    ConnectionSlots places = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> dead = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
@@ -157,7 +157,7 @@
   /** Whoever finds all others at work is told so instead of waiting unserved. */
   @Test
   void nobodyAtWorkIsGivenUp() {
-    Places places = new Places(2, 2);
+    ConnectionSlots places = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
     come(places, false, closed).busy(now);
     come(places, false, closed).busy(now);
@@ -168,7 +168,7 @@
   /** A connection closed and reported twice must not free two places. */
   @Test
   void leavingTwiceFreesOnePlace() {
-    Places places = new Places(2, 2);
+    ConnectionSlots places = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
     Connection first = come(places, false, closed);
     come(places, false, closed);
--- a/src/test/java/org/astershift/http/HostileInputTest.java
+++ b/src/test/java/org/astershift/http/HostileInputTest.java
@@ -58,7 +58,7 @@
             })) {
       server.start();
       HttpClient client = new HttpClient("127.0.0.1", server.port(), 1);
-      HttpClient.Answer a = client.call("GET", "/", null, 5000);
+      HttpClient.Response a = client.call("GET", "/", null, 5000);
       assertEquals(503, a.status());
       assertFalse(new String(a.body(), StandardCharsets.UTF_8).contains("secret"));
     }
--- a/src/test/java/org/astershift/http/HttpClientTest.java
+++ b/src/test/java/org/astershift/http/HttpClientTest.java
@@ -76,7 +76,7 @@
 
   private void serve(Socket socket) throws InterruptedException {
     try (socket) {
-      Wire wire = new Wire(socket);
+      HttpMessageReader wire = new HttpMessageReader(socket);
       while (wire.await()) {
         wire.request(Constants.BODY_BYTES);
         all.countDown();
--- a/src/test/java/org/astershift/http/HttpServerTest.java
+++ b/src/test/java/org/astershift/http/HttpServerTest.java
@@ -65,7 +65,8 @@
     ThreadFactory scarce =
         r -> refused.getAndDecrement() > 0 ? new Unstartable() : Threads.connections().newThread(r);
     try (HttpServer server =
-        new HttpServer("127.0.0.1", 0, new Places(2, 2), p -> false, HttpServerTest::ok, scarce)) {
+        new HttpServer(
+            "127.0.0.1", 0, new ConnectionSlots(2, 2), p -> false, HttpServerTest::ok, scarce)) {
       server.start();
       for (int i = 0; i < 5; i++) {
         try (Socket s = new Socket("127.0.0.1", server.port())) {
@@ -85,7 +86,11 @@
     List<Socket> sockets = new ArrayList<>();
     try (HttpServer server =
         new HttpServer(
-            "127.0.0.1", 0, new Places(20, 5), p -> p.equals("/report"), HttpServerTest::ok)) {
+            "127.0.0.1",
+            0,
+            new ConnectionSlots(20, 5),
+            p -> p.equals("/report"),
+            HttpServerTest::ok)) {
       server.start();
       List<Socket> workers = new ArrayList<>();
       for (int i = 0; i < 15; i++) {
--- a/src/test/java/org/astershift/knownred/KnownFailure.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailure.java
@@ -1,4 +1,4 @@
-package org.astershift.knownred;
+package org.astershift.knownfailures;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/test/java/org/astershift/knownred/KnownFailureExtension.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailureExtension.java
@@ -1,4 +1,4 @@
-package org.astershift.knownred;
+package org.astershift.knownfailures;
 
 import java.io.PrintStream;
 import java.lang.reflect.Method;
--- a/src/test/java/org/astershift/knownred/KnownFailureTest.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailureTest.java
@@ -1,4 +1,4 @@
-package org.astershift.knownred;
+package org.astershift.knownfailures;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/org/astershift/peer/GoldenFramesTest.java
+++ b/src/test/java/org/astershift/peer/GoldenFramesTest.java
@@ -24,21 +24,21 @@
 
   @Test
   void questions() throws Exception {
-    Map<String, PeerWire.Ask> asks = new LinkedHashMap<>();
-    asks.put("poll", new PeerWire.Ask("poll", "wk-000412"));
-    asks.put("cancel", new PeerWire.Ask("cancel", "wk-" + "z".repeat(40)));
-    asks.put("state", new PeerWire.Ask("state", ""));
-    asks.put("witness", new PeerWire.Ask("witness", "10.0.0.1:7000 10.0.0.2:7000"));
-    asks.put("empty", new PeerWire.Ask("", ""));
+    Map<String, PeerCodec.PeerRequest> asks = new LinkedHashMap<>();
+    asks.put("poll", new PeerCodec.PeerRequest("poll", "wk-000412"));
+    asks.put("cancel", new PeerCodec.PeerRequest("cancel", "wk-" + "z".repeat(40)));
+    asks.put("state", new PeerCodec.PeerRequest("state", ""));
+    asks.put("witness", new PeerCodec.PeerRequest("witness", "10.0.0.1:7000 10.0.0.2:7000"));
+    asks.put("empty", new PeerCodec.PeerRequest("", ""));
     Golden g = new Golden("peer-questions");
-    for (Map.Entry<String, PeerWire.Ask> e : asks.entrySet()) {
+    for (Map.Entry<String, PeerCodec.PeerRequest> e : asks.entrySet()) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      PeerWire.write(new DataOutputStream(out), e.getValue());
+      PeerCodec.write(new DataOutputStream(out), e.getValue());
       g.add(e.getKey(), HEX.formatHex(out.toByteArray()));
     }
     g.check();
-    for (Map.Entry<String, PeerWire.Ask> e : asks.entrySet()) {
-      assertEquals(e.getValue(), PeerWire.ask(in(g.kept(e.getKey()))));
+    for (Map.Entry<String, PeerCodec.PeerRequest> e : asks.entrySet()) {
+      assertEquals(e.getValue(), PeerCodec.ask(in(g.kept(e.getKey()))));
     }
   }
 
@@ -54,29 +54,29 @@
     Golden g = new Golden("peer-answers");
     for (Map.Entry<String, JobAnswer> e : answers.entrySet()) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      PeerWire.write(new DataOutputStream(out), e.getValue());
+      PeerCodec.write(new DataOutputStream(out), e.getValue());
       g.add(e.getKey(), HEX.formatHex(out.toByteArray()));
     }
     g.check();
     for (Map.Entry<String, JobAnswer> e : answers.entrySet()) {
-      assertEquals(e.getValue(), PeerWire.answer(in(g.kept(e.getKey()))));
+      assertEquals(e.getValue(), PeerCodec.answer(in(g.kept(e.getKey()))));
     }
   }
 
   /** A later version may say more: what it says besides is passed over. */
   @Test
   void longerFramesAreReadAndOthersRefused() throws Exception {
-    assertEquals(new PeerWire.Ask("a", "b"), PeerWire.ask(in("0000000793a161a162a163")));
-    assertEquals(new JobAnswer(200, null, 1, 2), PeerWire.answer(in("0000000895ccc8c00102a178")));
+    assertEquals(new PeerCodec.PeerRequest("a", "b"), PeerCodec.ask(in("0000000793a161a162a163")));
+    assertEquals(new JobAnswer(200, null, 1, 2), PeerCodec.answer(in("0000000895ccc8c00102a178")));
     Golden g = new Golden("peer-errors");
     for (String hex : new String[] {"00000000", "ffffffff", "00010001", "0000000391a161"}) {
-      String said = assertThrows(IOException.class, () -> PeerWire.ask(in(hex))).getMessage();
+      String said = assertThrows(IOException.class, () -> PeerCodec.ask(in(hex))).getMessage();
       g.add("question " + hex, said);
     }
     String shortAnswer = "0000000593ccc8c001";
     g.add(
         "answer " + shortAnswer,
-        assertThrows(IOException.class, () -> PeerWire.answer(in(shortAnswer))).getMessage());
+        assertThrows(IOException.class, () -> PeerCodec.answer(in(shortAnswer))).getMessage());
     g.check();
   }
 }
--- a/src/test/java/org/astershift/core/OrderBudgetTest.java
+++ b/src/test/java/org/astershift/scheduler/CommandConcurrencyLimitTest.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /** How many direct orders may be under way follows from how they are answered. */
-class OrderBudgetTest {
-  private final OrderBudget budget = new OrderBudget();
+class CommandConcurrencyLimitTest {
+  private final CommandConcurrencyLimit budget = new CommandConcurrencyLimit();
 
   /** Sends as many as may go; each is answered after so long. */
   private int round(long nowMs, long answerMs) {
--- a/src/test/java/org/astershift/core/Books.java
+++ b/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,15 +8,15 @@
 import java.util.Set;
 
 /** Sums up anew what a term keeps up event by event, and says where the two differ. */
-final class Books {
+final class DerivedStateCheck {
   private static final double TOLERANCE = 1e-6;
 
-  private Books() {}
+  private DerivedStateCheck() {}
 
-  static List<String> differences(Cluster c) {
+  static List<String> differences(ClusterState c) {
     List<String> out = new ArrayList<>();
     Map<String, double[]> teams = new HashMap<>();
-    Map<Job, Set<Run>> byJob = new HashMap<>();
+    Map<Job, Set<TaskAttempt>> byJob = new HashMap<>();
     int unheard = 0;
     double dark = 0;
     double darkGpus = 0;
@@ -29,7 +29,7 @@
       double plain = 0;
       int held = 0;
       boolean strangers = false;
-      for (Run run : m.runs.values()) {
+      for (TaskAttempt run : m.runs.values()) {
         check(out, run.machine == m, run.name() + " is in the books of another machine");
         check(out, m.runs.get(run.key) == run, run.name() + " under another key");
         if (run.exited()) {
@@ -108,13 +108,13 @@
     return out;
   }
 
-  private static void job(Cluster c, List<String> out, Job job, Set<Run> runs) {
+  private static void job(ClusterState c, List<String> out, Job job, Set<TaskAttempt> runs) {
     String id = job.spec.id();
     int waiting = 0;
     int running = 0;
     Map<String, Integer> zones = new HashMap<>();
     for (int i = 0; i < job.spec.tasks(); i++) {
-      Run run = job.runs.get(i);
+      TaskAttempt run = job.runs.get(i);
       boolean waits = run == null && !job.done.get(i);
       waiting += waits ? 1 : 0;
       check(out, waits == job.waiting.get(i), id + "/" + i + " waits: " + waits);
@@ -124,7 +124,7 @@
         zones.merge(run.machine.zone, 1, Integer::sum);
       }
     }
-    for (Run extra : job.extras) {
+    for (TaskAttempt extra : job.extras) {
       check(out, runs.contains(extra), extra.name() + ", extra, is on no machine");
       check(out, job.runs.get(extra.index) != extra, extra.name() + " is extra and held");
       check(out, job.runs.containsKey(extra.index), extra.name() + " is extra beside nothing");
--- a/src/test/java/org/astershift/core/EligibilityTest.java
+++ b/src/test/java/org/astershift/scheduler/EligibilityTest.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.astershift.config.Constants;
-import org.astershift.world.JobDraft;
+import org.astershift.simulation.JobDraft;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -173,19 +173,20 @@
     Deployment(Map<String, MachineType> types, Team team) {
       this.types = types;
       this.team = team;
-      Facts facts = new Facts(Map.of("t", team), List.of(), 2, 14, 30, 4, 40, 3);
-      this.scheduler = new Scheduler(facts, org.astershift.config.Operator.defaults(), 7);
+      DeploymentLimits facts =
+          new DeploymentLimits(Map.of("t", team), List.of(), 2, 14, 30, 4, 40, 3);
+      this.scheduler = new Scheduler(facts, org.astershift.config.OperatorSettings.defaults(), 7);
       scheduler.types(types);
     }
 
     private static final class Task {
-      Order start;
+      Command start;
       long sinceMs;
       boolean done;
 
-      Report.Item item() {
-        Report.Phase phase = done ? Report.Phase.EXITED : Report.Phase.RUNNING;
-        return new Report.Item(
+      Heartbeat.TaskStatus item() {
+        Heartbeat.TaskPhase phase = done ? Heartbeat.TaskPhase.EXITED : Heartbeat.TaskPhase.RUNNING;
+        return new Heartbeat.TaskStatus(
             start.job(), start.index(), start.attempt(), phase, done ? "done" : null);
       }
     }
@@ -224,9 +225,9 @@
       } else if (d instanceof Decision.FinishJob f) {
         scheduler.ended(f.job(), false, now);
         finished = true;
-      } else if (d instanceof Decision.Enrol e) {
+      } else if (d instanceof Decision.RegisterMachine e) {
         scheduler.enrolled(e.machine());
-      } else if (d instanceof Decision.Rent r) {
+      } else if (d instanceof Decision.ProvisionMachines r) {
         assertTrue(r.count() > 0, () -> r + " for " + spec);
         if (boxes.size() + r.count() > MACHINES) {
           scheduler.notRented("r", r, true, now);
@@ -244,20 +245,20 @@
           names.add(name);
         }
         scheduler.rented("r", names, r, now);
-      } else if (d instanceof Decision.Return r) {
+      } else if (d instanceof Decision.ReleaseMachines r) {
         for (String name : r.machines()) {
           assertEquals(0, boxes.remove(name).running(), () -> "given back under " + spec);
         }
         scheduler.returned(r.machines(), now);
-      } else if (d instanceof Decision.Direct o) {
+      } else if (d instanceof Decision.SendCommands o) {
         Box box = boxes.get(o.machine());
         obey(box, o.orders(), now);
         scheduler.directResult(o.machine(), false, report(o.machine(), box), now);
       }
     }
 
-    private void obey(Box box, List<Order> orders, long now) {
-      for (Order o : orders) {
+    private void obey(Box box, List<Command> orders, long now) {
+      for (Command o : orders) {
         switch (o.op()) {
           case START -> {
             Task t = new Task();
@@ -272,10 +273,10 @@
       check();
     }
 
-    private Report report(String name, Box box) {
-      List<Report.Item> items = new ArrayList<>();
+    private Heartbeat report(String name, Box box) {
+      List<Heartbeat.TaskStatus> items = new ArrayList<>();
       box.tasks.values().forEach(t -> items.add(t.item()));
-      return new Report(
+      return new Heartbeat(
           name, name + ":1", box.type.name(), box.zone, box.spot, 1, ++box.seq, 7, null, items);
     }
 
@@ -291,7 +292,7 @@
           boolean ends = spec.kind() != JobKind.SERVICE && together;
           t.done |= ends && now - t.sinceMs >= 1000;
         }
-        List<Order> orders = scheduler.report(report(e.getKey(), e.getValue()), now);
+        List<Command> orders = scheduler.report(report(e.getKey(), e.getValue()), now);
         obey(e.getValue(), orders, now);
       }
       scheduler.unsaved().forEach(scheduler::saved);
--- a/src/test/java/org/astershift/core/OutstandingDecisionsTest.java
+++ b/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
@@ -1,11 +1,11 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Operator;
+import org.astershift.config.OperatorSettings;
 import org.junit.jupiter.api.Test;
 
 /** What was asked to be put on record is forgotten with what it was about. */
@@ -16,7 +16,9 @@
       new MachineType("small", 4, 0, 16, 50, 0.5, 1, 0.3, 20, List.of("a"));
   private final Scheduler scheduler =
       new Scheduler(
-          new Facts(Map.of("team", team), List.of(), 2, 14, 30, 4, 40, 3), Operator.defaults(), 7);
+          new DeploymentLimits(Map.of("team", team), List.of(), 2, 14, 30, 4, 40, 3),
+          OperatorSettings.defaults(),
+          7);
 
   private static JobSpec job(String id) {
     return new JobSpec(
@@ -46,12 +48,13 @@
   @Test
   void nothingIsLeftOfJobsThatAreOverAndMachinesThatAreGone() {
     scheduler.types(Map.of("small", small));
-    Decision.Rent rent = new Decision.Rent("small", "a", false, 1);
+    Decision.ProvisionMachines rent = new Decision.ProvisionMachines("small", "a", false, 1);
     scheduler.rented("r", List.of("vm-1"), rent, 0);
     scheduler.enrolled("vm-1");
     scheduler.rented("s", List.of("vm-2"), rent, 0);
     for (String machine : List.of("vm-1", "vm-2")) {
-      scheduler.report(new Report(machine, "x", "small", "a", false, 1, 1, 7, null, List.of()), 0);
+      scheduler.report(
+          new Heartbeat(machine, "x", "small", "a", false, 1, 1, 7, null, List.of()), 0);
     }
     for (int i = 0; i < JOBS; i++) {
       scheduler.addJob(job("wk-" + i), false, new BitSet(), 0);
--- a/src/test/java/org/astershift/core/PassCostTest.java
+++ b/src/test/java/org/astershift/scheduler/PassCostTest.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Operator;
+import org.astershift.config.OperatorSettings;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -21,17 +21,17 @@
   private long now = 1_000_000;
 
   PassCostTest() {
-    Facts facts =
-        new Facts(
+    DeploymentLimits facts =
+        new DeploymentLimits(
             Map.of("team", new Team("team", 0, 0, 0, 0)),
-            List.of(new Objective("wait", "urgent", 2, 0.9, 1)),
+            List.of(new ServiceLevelObjective("wait", "urgent", 2, 0.9, 1)),
             4,
             22,
             30,
             4,
             52,
             3);
-    scheduler = new Scheduler(facts, Operator.defaults(), 7);
+    scheduler = new Scheduler(facts, OperatorSettings.defaults(), 7);
     MachineType type =
         new MachineType("small", 4, 0, 16, 50, 1, 0.2, 0.1, 15, List.of("a", "b", "c", "d"));
     scheduler.types(Map.of("small", type));
@@ -63,9 +63,9 @@
     scheduler.addJob(spec, true, new BitSet(), now);
   }
 
-  private void report(int machine, long seq, List<Report.Item> tasks) {
+  private void report(int machine, long seq, List<Heartbeat.TaskStatus> tasks) {
     scheduler.report(
-        new Report(
+        new Heartbeat(
             "vm-" + machine,
             "10.0.0.1:" + machine,
             "small",
@@ -80,7 +80,7 @@
   }
 
   /** A fleet that is full, with all reports in; gives what runs where. */
-  private List<List<Report.Item>> full() {
+  private List<List<Heartbeat.TaskStatus>> full() {
     for (int i = 0; i < MACHINES; i++) {
       scheduler.inherit("vm-" + i, "10.0.0.1:" + i, "small", "abcd".charAt(i % 4) + "", false, now);
     }
@@ -90,21 +90,25 @@
     for (int i = 0; i < MACHINES; i++) {
       report(i, 1, List.of());
     }
-    List<List<Report.Item>> running = new ArrayList<>();
+    List<List<Heartbeat.TaskStatus>> running = new ArrayList<>();
     for (int i = 0; i < MACHINES; i++) {
       running.add(new ArrayList<>());
     }
     for (int pass = 0; pass < 40; pass++) {
       now += 250;
       for (Decision d : scheduler.pass(now, Long.MAX_VALUE)) {
-        if (d instanceof Decision.Direct o) {
+        if (d instanceof Decision.SendCommands o) {
           int machine = Integer.parseInt(o.machine().substring(3));
-          for (Order order : o.orders()) {
+          for (Command order : o.orders()) {
             running
                 .get(machine)
                 .add(
-                    new Report.Item(
-                        order.job(), order.index(), order.attempt(), Report.Phase.RUNNING, null));
+                    new Heartbeat.TaskStatus(
+                        order.job(),
+                        order.index(),
+                        order.attempt(),
+                        Heartbeat.TaskPhase.RUNNING,
+                        null));
           }
           scheduler.directResult(o.machine(), false, null, now);
           report(machine, 2 + pass, running.get(machine));
@@ -121,7 +125,7 @@
 
   @Test
   void fullMachinesCostNoLooks() {
-    List<List<Report.Item>> running = full();
+    List<List<Heartbeat.TaskStatus>> running = full();
     assertEquals(
         MACHINES * 4, running.stream().mapToInt(List::size).sum(), "the fleet is not full");
     long before = scheduler.looks();
--- a/src/test/java/org/astershift/core/Adversary.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -15,14 +15,14 @@
 import org.astershift.EventDigest;
 import org.astershift.SeedArguments;
 import org.astershift.config.Constants;
-import org.astershift.config.Operator;
-import org.astershift.office.Cancellation;
-import org.astershift.office.JobLedger;
+import org.astershift.config.OperatorSettings;
+import org.astershift.coordination.Cancellation;
+import org.astershift.coordination.TermJobs;
 
 /**
  * Tries to make the deciding core break a rule, one seed at a time: it owns all links and clocks,
  * the state service, the cloud and the workers, which do what the protocol says of them, and does
- * whatever the protocol lets happen. Controllers are here a {@link Scheduler}, a {@link JobLedger}
+ * whatever the protocol lets happen. Controllers are here a {@link Scheduler}, a {@link TermJobs}
  * and {@link Cancellation} each; what carries decisions out is the few lines that it takes. Shares
  * nothing with the simulation in {@code world} on purpose: neither its model nor its checker.
  *
@@ -30,7 +30,7 @@
  * a start that was on its way to a life of a machine does not reach the next life after its leader
  * was succeeded.
  */
-final class Adversary {
+final class SchedulerFuzzer {
   private static final long REPORT_MS = 2000;
   private static final long LEASE_MS = 14_000;
   private static final long GANG_WAIT_MS = 30_000;
@@ -53,7 +53,7 @@
   private long now;
   private long order;
 
-  private final Facts facts;
+  private final DeploymentLimits facts;
   private final Map<String, MachineType> types = new LinkedHashMap<>();
   private final Map<String, Team> teams = new LinkedHashMap<>();
   private final List<Controller> controllers = new ArrayList<>();
@@ -63,7 +63,7 @@
   private final Map<String, Long> durations = new HashMap<>();
   private final Set<String> wished = new HashSet<>();
   private final Map<String, Gang> gangs = new HashMap<>();
-  private final List<Report> kept = new ArrayList<>();
+  private final List<Heartbeat> kept = new ArrayList<>();
   private final List<String> log = new ArrayList<>();
   private final EventDigest digest = new EventDigest();
   private final boolean story;
@@ -94,7 +94,7 @@
     }
   }
 
-  Adversary(long seed, boolean story) {
+  SchedulerFuzzer(long seed, boolean story) {
     this.seed = seed;
     this.story = story;
     this.random = new Random(seed * 0x9E3779B97F4A7C15L + 1);
@@ -119,9 +119,9 @@
     teams.put("free", new Team("free", 0, 0, 0, 0));
     teams.put("mixed", new Team("mixed", 4, 8 + random.nextInt(8), 0, random.nextInt(2) * 3));
     facts =
-        new Facts(
+        new DeploymentLimits(
             teams,
-            List.of(new Objective("wait", "quick", 4, 0.9, 1)),
+            List.of(new ServiceLevelObjective("wait", "quick", 4, 0.9, 1)),
             REPORT_MS / 1000.0,
             LEASE_MS / 1000.0,
             GANG_WAIT_MS / 1000.0,
@@ -164,7 +164,7 @@
   }
 
   /** Plays the seed; what broke is in the rules, what never ended in {@link #unfinished}. */
-  Adversary play() {
+  SchedulerFuzzer play() {
     int machines = 3 + random.nextInt(5);
     for (int i = 0; i < machines; i++) {
       String type = i % 2 == 0 || random.nextBoolean() ? "p" : "g";
@@ -200,7 +200,7 @@
     }
     StringBuilder sb = new StringBuilder("waiting " + job.waiting + " of " + job.spec + ", done ");
     sb.append(job.done).append(", opened ").append(job.opened);
-    for (Run run : job.runs.values()) {
+    for (TaskAttempt run : job.runs.values()) {
       Machine m = run.machine;
       sb.append("; ").append(run.key).append(" on ").append(m.name).append(' ').append(m.state);
       sb.append(" anew=").append(m.restartedInTerm).append(" claimed=").append(m.claimed);
@@ -328,8 +328,8 @@
           if (kept && ctl.clock() < ctl.soleUntilMs) {
             s.cancelWanted(id);
           }
-          Scheduler.JobView view = s.view(id);
-          Cancellation.Act act =
+          Scheduler.JobProgress view = s.view(id);
+          Cancellation.Action act =
               Cancellation.next(
                   new Cancellation.View(
                       false,
@@ -359,9 +359,9 @@
     final Map<String, Long> submitted = new HashMap<>();
     final Map<String, Boolean> ended = new HashMap<>();
     final Set<String> opened = new HashSet<>();
-    final Map<String, Decision.Enrol> machines = new LinkedHashMap<>();
+    final Map<String, Decision.RegisterMachine> machines = new LinkedHashMap<>();
     final Map<String, BitSet> progress = new HashMap<>();
-    final Map<String, Decision.Rent> rentals = new LinkedHashMap<>();
+    final Map<String, Decision.ProvisionMachines> rentals = new LinkedHashMap<>();
     final Map<String, Long> stamps = new HashMap<>();
     Controller holder;
     long keyEndsMs;
@@ -430,7 +430,7 @@
     final int id;
     final long token;
     final Scheduler scheduler;
-    final JobLedger ledger;
+    final TermJobs ledger;
     final double rate = 1 + (random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT;
     final long offset = random.nextInt(1_000_000);
     final Map<String, Long> cutUntil = new HashMap<>();
@@ -446,8 +446,8 @@
     Controller(long token) {
       this.id = controllers.size();
       this.token = token;
-      this.scheduler = new Scheduler(facts, Operator.defaults(), token);
-      this.ledger = new JobLedger(token);
+      this.scheduler = new Scheduler(facts, OperatorSettings.defaults(), token);
+      this.ledger = new TermJobs(token);
     }
 
     long clock() {
@@ -467,7 +467,7 @@
       if (over) {
         return;
       }
-      List<String> differences = Books.differences(scheduler.cluster());
+      List<String> differences = DerivedStateCheck.differences(scheduler.cluster());
       if (!differences.isEmpty()) {
         rules.broken.add("books at " + now + ": " + differences);
       }
@@ -490,9 +490,10 @@
 
     void load() {
       scheduler.types(types);
-      for (Decision.Enrol e : store.machines.values()) {
+      for (Decision.RegisterMachine e : store.machines.values()) {
         if (e.fresh()) {
-          Decision.Rent r = new Decision.Rent(e.type(), e.zone(), e.spot(), 1);
+          Decision.ProvisionMachines r =
+              new Decision.ProvisionMachines(e.type(), e.zone(), e.spot(), 1);
           scheduler.rented("", List.of(e.machine()), r, clock());
         } else {
           scheduler.inherit(e.machine(), e.addr(), e.type(), e.zone(), e.spot(), clock());
@@ -600,7 +601,7 @@
           "o" + job);
     }
 
-    private void enrol(Decision.Enrol e) {
+    private void enrol(Decision.RegisterMachine e) {
       store.write(
           this,
           () -> store.machines.put(e.machine(), e),
@@ -647,18 +648,18 @@
     }
 
     private void carryOut(Decision d) {
-      if (d instanceof Decision.Direct o) {
+      if (d instanceof Decision.SendCommands o) {
         long ms = chance(slow) ? random.nextInt(2500) : random.nextInt(30);
         after(ms, () -> direct(this, o));
       } else if (d instanceof Decision.OpenJob o) {
         open(o.job());
       } else if (d instanceof Decision.FinishJob f) {
         end(f.job(), false);
-      } else if (d instanceof Decision.Enrol e) {
+      } else if (d instanceof Decision.RegisterMachine e) {
         enrol(e);
-      } else if (d instanceof Decision.Strike s) {
+      } else if (d instanceof Decision.DeregisterMachine s) {
         strike(s.machine());
-      } else if (d instanceof Decision.Rent r) {
+      } else if (d instanceof Decision.ProvisionMachines r) {
         String name = token + "-" + ++rentals;
         scheduler.renting(name, r);
         store.write(
@@ -672,26 +673,26 @@
               }
             },
             "i" + name);
-      } else if (d instanceof Decision.Return r) {
+      } else if (d instanceof Decision.ReleaseMachines r) {
         giveBack(this, r.machines());
-      } else if (d instanceof Decision.Witness w) {
+      } else if (d instanceof Decision.ProbeThroughPeers w) {
         after(200, () -> handle(() -> scheduler.witnessed(w, testimony(w))));
       }
     }
 
-    private List<Decision.Testimony> testimony(Decision.Witness w) {
+    private List<Decision.PeerProbeResult> testimony(Decision.ProbeThroughPeers w) {
       if (random.nextInt(3) == 0) {
         return List.of();
       }
       Set<String> reached = new HashSet<>();
       Set<String> unreached = new HashSet<>();
-      List<Decision.Named> all = new ArrayList<>(w.suspects());
+      List<Decision.MachineAddress> all = new ArrayList<>(w.suspects());
       all.addAll(w.controls());
-      for (Decision.Named n : all) {
+      for (Decision.MachineAddress n : all) {
         Worker m = workers.get(n.machine());
         (m != null && m.alive && !m.hung ? reached : unreached).add(n.machine());
       }
-      return List.of(new Decision.Testimony(reached, unreached));
+      return List.of(new Decision.PeerProbeResult(reached, unreached));
     }
 
     /** When what goes on the way between it and a machine arrives; -1: never. */
@@ -719,7 +720,7 @@
     did("leaders");
     digest.term(now, Long.toString(ctl.token), ctl.token);
     ctl.handle(ctl::load);
-    for (Report r : kept) {
+    for (Heartbeat r : kept) {
       after(random.nextInt(300), () -> ctl.handle(() -> ctl.scheduler.report(r, ctl.clock())));
     }
     kept.clear();
@@ -742,7 +743,7 @@
 
   private final Map<String, List<String>> rentalAnswers = new HashMap<>();
 
-  private void rent(Controller ctl, String name, Decision.Rent r) {
+  private void rent(Controller ctl, String name, Decision.ProvisionMachines r) {
     after(
         20 + random.nextInt(chance(slow) ? 8000 : 200),
         () -> {
@@ -770,8 +771,9 @@
                   ctl.handle(
                       () -> {
                         for (String m : names) {
-                          Decision.Enrol e =
-                              new Decision.Enrol(m, null, r.type(), r.zone(), r.spot(), true);
+                          Decision.RegisterMachine e =
+                              new Decision.RegisterMachine(
+                                  m, null, r.type(), r.zone(), r.spot(), true);
                           store.write(
                               ctl, () -> store.machines.putIfAbsent(m, e), ok -> {}, "f" + m);
                         }
@@ -825,14 +827,16 @@
           random.nextInt(100),
           () -> {
             long asOf = now - (long) (random.nextDouble() * 2 * LIST_LAG_S * 1000);
-            List<Scheduler.Listed> out = new ArrayList<>();
+            List<Scheduler.ListedMachine> out = new ArrayList<>();
             for (Worker w : workers.values()) {
               boolean gone = w.goneMs >= 0 && (w.deleted || w.taken) && w.goneMs <= asOf;
               if (w.createdMs <= asOf && !gone) {
                 boolean failed = w.goneMs >= 0 && !w.deleted && !w.taken && w.goneMs < asOf - 30000;
                 String state = failed ? "failed" : w.upMs < 0 ? "starting" : "running";
                 double age = (asOf - w.createdMs) / 1000.0;
-                out.add(new Scheduler.Listed(w.name, w.name, w.type, w.zone, w.spot, state, age));
+                out.add(
+                    new Scheduler.ListedMachine(
+                        w.name, w.name, w.type, w.zone, w.spot, state, age));
               }
             }
             after(
@@ -845,13 +849,13 @@
 
   // ---- orders ----
 
-  private void direct(Controller ctl, Decision.Direct d) {
+  private void direct(Controller ctl, Decision.SendCommands d) {
     ctl.handle(
         () -> {
           if (!ctl.scheduler.stillDue(d, ctl.clock())) {
             return;
           }
-          List<Order> orders = ctl.scheduler.stillWanted(d, ctl.clock() < ctl.soleUntilMs);
+          List<Command> orders = ctl.scheduler.stillWanted(d, ctl.clock() < ctl.soleUntilMs);
           Worker w = workers.get(d.machine());
           boolean[] settled = {false};
           if (w == null || !w.alive) {
@@ -891,7 +895,7 @@
                       if (now - sentMs > d.timeoutMs()) {
                         did("late order");
                       }
-                      Report r = w.orders(ctl.token, d.session(), orders);
+                      Heartbeat r = w.orders(ctl.token, d.session(), orders);
                       long back = ctl.way(w.name, "up");
                       if (back >= 0) {
                         after(
@@ -917,7 +921,7 @@
     final String job;
     final int index;
     final long attempt;
-    Report.Phase phase = Report.Phase.FETCHING;
+    Heartbeat.TaskPhase phase = Heartbeat.TaskPhase.FETCHING;
     String cause;
     boolean on;
     boolean stopped;
@@ -934,7 +938,7 @@
     }
 
     boolean exited() {
-      return phase == Report.Phase.EXITED;
+      return phase == Heartbeat.TaskPhase.EXITED;
     }
   }
 
@@ -1116,12 +1120,12 @@
       changed = true;
     }
 
-    private Report says() {
-      List<Report.Item> items = new ArrayList<>();
+    private Heartbeat says() {
+      List<Heartbeat.TaskStatus> items = new ArrayList<>();
       for (Task t : tasks.values()) {
-        items.add(new Report.Item(t.job, t.index, t.attempt, t.phase, t.cause));
+        items.add(new Heartbeat.TaskStatus(t.job, t.index, t.attempt, t.phase, t.cause));
       }
-      return new Report(
+      return new Heartbeat(
           name, name, type, zone, spot, session, ++tick, token, recallS, List.copyOf(items));
     }
 
@@ -1145,7 +1149,7 @@
       }
       long sentMs = now;
       long sentIn = session;
-      Report r = says();
+      Heartbeat r = says();
       if (chance(copies)) {
         did("copies");
         if (random.nextInt(3) == 0) {
@@ -1171,7 +1175,7 @@
           () ->
               to.handle(
                   () -> {
-                    List<Order> orders = to.scheduler.report(r, to.clock());
+                    List<Command> orders = to.scheduler.report(r, to.clock());
                     boolean ok = orders != null && !to.scheduler.deposed();
                     long back = to.way(name, "down");
                     if (back >= 0) {
@@ -1186,7 +1190,7 @@
                   }));
     }
 
-    private void anywhere(Report r) {
+    private void anywhere(Heartbeat r) {
       if (!controllers.isEmpty()) {
         Controller to = controllers.get(random.nextInt(controllers.size()));
         to.handle(() -> to.scheduler.report(r, to.clock()));
@@ -1214,7 +1218,7 @@
     }
 
     private void answered(
-        int mine, boolean ok, long helm, List<Order> orders, long sentMs, long sentIn) {
+        int mine, boolean ok, long helm, List<Command> orders, long sentMs, long sentIn) {
       if (!waits || outstanding != mine) {
         return;
       }
@@ -1232,7 +1236,7 @@
       orders.forEach(this::execute);
     }
 
-    Report orders(long helm, long ofSession, List<Order> orders) {
+    Heartbeat orders(long helm, long ofSession, List<Command> orders) {
       if (helm >= token && ofSession == session) {
         changed |= helm > token;
         token = helm;
@@ -1243,7 +1247,7 @@
       return says();
     }
 
-    private void execute(Order o) {
+    private void execute(Command o) {
       digest.command(now, name, o);
       String key = o.job() + "/" + o.index() + "@" + o.attempt();
       Task t = tasks.get(key);
@@ -1301,7 +1305,7 @@
     }
 
     private void fetched(Task t) {
-      if (t.phase != Report.Phase.FETCHING || !tasks.containsValue(t)) {
+      if (t.phase != Heartbeat.TaskPhase.FETCHING || !tasks.containsValue(t)) {
         return;
       }
       JobSpec spec = specs.get(t.job);
@@ -1316,25 +1320,25 @@
         return;
       }
       if (faulty) {
-        t.phase = Report.Phase.RUNNING;
+        t.phase = Heartbeat.TaskPhase.RUNNING;
         later(random.nextInt(300), () -> exit(t, "error"));
         return;
       }
       if (spec.kind() != JobKind.GANG) {
-        t.phase = Report.Phase.RUNNING;
+        t.phase = Heartbeat.TaskPhase.RUNNING;
         if (spec.kind() == JobKind.ARRAY) {
           later(durations.get(t.job), () -> complete(t));
         }
         return;
       }
-      t.phase = Report.Phase.WAITING;
+      t.phase = Heartbeat.TaskPhase.WAITING;
       t.waitsSinceMs = now;
       Gang g = gangs.computeIfAbsent(t.job + "@" + t.attempt, k -> new Gang());
       g.members.put(t, this);
       later(
           GANG_WAIT_MS,
           () -> {
-            if (t.phase == Report.Phase.WAITING) {
+            if (t.phase == Heartbeat.TaskPhase.WAITING) {
               exit(t, "incomplete");
             }
           });
@@ -1343,7 +1347,7 @@
         g.running = true;
         did("gangs run");
         for (Map.Entry<Task, Worker> e : g.members.entrySet()) {
-          e.getKey().phase = Report.Phase.RUNNING;
+          e.getKey().phase = Heartbeat.TaskPhase.RUNNING;
           e.getValue().changed = true;
         }
         after(durations.get(t.job), () -> together(g));
@@ -1351,7 +1355,7 @@
     }
 
     private void complete(Task t) {
-      if (t.phase == Report.Phase.RUNNING && !t.stopped && tasks.containsValue(t)) {
+      if (t.phase == Heartbeat.TaskPhase.RUNNING && !t.stopped && tasks.containsValue(t)) {
         rules.completed(t.job, t.index);
         digest.completed(now, t.task());
         exit(t, "done");
@@ -1361,14 +1365,14 @@
     private void stop(Task t, double graceS) {
       JobSpec spec = specs.get(t.job);
       boolean saves = spec.checkpointS() > 0 && graceS >= spec.saveS();
-      if (saves && t.phase == Report.Phase.RUNNING) {
+      if (saves && t.phase == Heartbeat.TaskPhase.RUNNING) {
         if (!t.stopped) {
           t.stopped = true;
-          t.phase = Report.Phase.SAVING;
+          t.phase = Heartbeat.TaskPhase.SAVING;
           changed = true;
           later((long) (spec.saveS() * 1000), () -> exit(t, "halted"));
         }
-      } else if (!saves || t.phase != Report.Phase.SAVING) {
+      } else if (!saves || t.phase != Heartbeat.TaskPhase.SAVING) {
         exit(t, "halted");
       }
     }
@@ -1378,8 +1382,8 @@
         return;
       }
       note(name + " ends " + t.job + "/" + t.index + "@" + t.attempt + " " + cause);
-      digest.phase(now, t.task(), name, Report.Phase.EXITED, cause);
-      t.phase = Report.Phase.EXITED;
+      digest.phase(now, t.task(), name, Heartbeat.TaskPhase.EXITED, cause);
+      t.phase = Heartbeat.TaskPhase.EXITED;
       t.cause = cause;
       changed = true;
       off(t);
@@ -1600,7 +1604,7 @@
         .parallel()
         .forEach(
             seed -> {
-              Adversary a = new Adversary(seed, story);
+              SchedulerFuzzer a = new SchedulerFuzzer(seed, story);
               try {
                 a.play();
               } catch (RuntimeException e) {
--- a/src/test/java/org/astershift/core/AdversaryDigestTest.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzerDigestTest.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,10 +13,10 @@
  * first {@link KeptDigests#LAST_SEED_IN_BUILD} seeds, {@link DigestRun} all. A change of behaviour
  * that is meant writes them anew with {@code -Ddigests.write=true}, in the commit that changes it.
  */
-class AdversaryDigestTest {
+class SchedulerFuzzerDigestTest {
   @Test
   void noSeedIsPlayedOtherwiseThanKept() throws IOException {
-    List<String> different = AdversaryDigests.kept().differencesInBuild();
+    List<String> different = SchedulerFuzzerDigests.kept().differencesInBuild();
     assertEquals("", String.join("\n", different));
   }
 }
--- a/src/test/java/org/astershift/core/AdversaryTest.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzerTest.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,16 +11,16 @@
 
 /**
  * No rule breaks whatever the adversary does, and all sums that a term keeps up are what they are
- * when summed up anew after each input. More seeds: {@code org.astershift.core.Adversary FIRST
- * LAST}, with the story of each that fails after a third word.
+ * when summed up anew after each input. More seeds: {@code org.astershift.scheduler.SchedulerFuzzer
+ * FIRST LAST}, with the story of each that fails after a third word.
  */
-class AdversaryTest {
+class SchedulerFuzzerTest {
   @Test
   void noRuleBreaksWhereTroublesMeet() {
     List<String> broken = new ArrayList<>();
     Map<String, Integer> happened = new TreeMap<>();
     for (long seed = 1; seed <= 6; seed++) {
-      Adversary a = new Adversary(seed, false).play();
+      SchedulerFuzzer a = new SchedulerFuzzer(seed, false).play();
       a.happened.forEach((what, n) -> happened.merge(what, n, Integer::sum));
       happened.merge("starts", a.rules.starts, Integer::sum);
       if (!a.rules.broken.isEmpty()) {
--- a/src/test/java/org/astershift/core/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -10,19 +10,19 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.astershift.config.Constants;
-import org.astershift.config.Operator;
+import org.astershift.config.OperatorSettings;
 
 /** Turns the lines of a trace into calls of a scheduler, and what it says into lines. */
 final class TracePlayer {
   private static final long TOKEN = 7;
   private final Map<String, Team> teams = new LinkedHashMap<>();
-  private final List<Objective> objectives = new ArrayList<>();
+  private final List<ServiceLevelObjective> objectives = new ArrayList<>();
   private final Map<String, MachineType> types = new LinkedHashMap<>();
-  private Policy policy = Operator.defaults();
-  private final Map<String, Report> last = new HashMap<>();
+  private SchedulingPolicy policy = OperatorSettings.defaults();
+  private final Map<String, Heartbeat> last = new HashMap<>();
 
   /** The direct order to each machine that was decided last. */
-  private final Map<String, Decision.Direct> directs = new HashMap<>();
+  private final Map<String, Decision.SendCommands> directs = new HashMap<>();
 
   private Scheduler scheduler;
 
@@ -30,7 +30,7 @@
   private boolean others;
 
   /** The question to the other controllers that was decided last. */
-  private Decision.Witness asked;
+  private Decision.ProbeThroughPeers asked;
 
   private double cancelS = 40;
 
@@ -60,11 +60,13 @@
                   w.num("cpus_max", 0),
                   w.num("gpus", 0),
                   w.num("gpus_max", 0)));
-      case "aim" -> objectives.add(new Objective("wait", plain.get(1), w.num("within", 1), 0.9, 1));
+      case "aim" ->
+          objectives.add(
+              new ServiceLevelObjective("wait", plain.get(1), w.num("within", 1), 0.9, 1));
       case "promise" -> cancelS = w.num("cancel", cancelS);
       case "policy" ->
           policy =
-              new Policy(
+              new SchedulingPolicy(
                   (int) w.num("window", policy.window()),
                   w.num("utilization", policy.utilization()),
                   (int) w.num("batch", policy.batch()),
@@ -111,7 +113,8 @@
     if (scheduler == null) {
       teams.putIfAbsent("team", new Team("team", 0, 0, 0, 0));
       scheduler =
-          new Scheduler(new Facts(teams, objectives, 2, 14, 30, 4, cancelS, 3), policy, TOKEN);
+          new Scheduler(
+              new DeploymentLimits(teams, objectives, 2, 14, 30, 4, cancelS, 3), policy, TOKEN);
       scheduler.types(types);
     }
     return scheduler;
@@ -124,14 +127,14 @@
       case "job" -> s.addJob(spec(w), w.flag("opened"), new BitSet(), now);
       case "report" -> {
         last.put(p.get(2), report(w));
-        List<Order> answer = s.report(last.get(p.get(2)), now);
+        List<Command> answer = s.report(last.get(p.get(2)), now);
         return answer == null ? List.of("not answered") : orders(answer);
       }
       case "alive" -> {
         for (String name : p.subList(2, p.size())) {
-          Report r = last.get(name);
-          Report next =
-              new Report(
+          Heartbeat r = last.get(name);
+          Heartbeat next =
+              new Heartbeat(
                   name,
                   r.addr(),
                   r.type(),
@@ -154,14 +157,14 @@
         // sole=S: until when no other node can lead; without it, for ever.
         long soleUntil = (long) (w.num("sole", 1e9) * 1000);
         for (Decision d : s.pass(now, soleUntil)) {
-          if (d instanceof Decision.Witness a) {
+          if (d instanceof Decision.ProbeThroughPeers a) {
             asked = a;
             if (!others) {
               s.witnessed(a, List.of()); // there is no other controller
               continue;
             }
           }
-          if (d instanceof Decision.Direct o) {
+          if (d instanceof Decision.SendCommands o) {
             directs.put(o.machine(), o);
           }
           out.add(words(d));
@@ -170,7 +173,7 @@
       }
       case "turn" -> {
         // The turn of a direct order that a pass decided, to be sent now.
-        Decision.Direct d = directs.get(p.get(2));
+        Decision.SendCommands d = directs.get(p.get(2));
         boolean sole = now < (long) (w.num("sole", 1e9) * 1000);
         return s.stillDue(d, now) ? orders(s.stillWanted(d, sole)) : List.of("not due");
       }
@@ -187,23 +190,30 @@
       case "returned" -> s.returned(List.of(p.get(2)), now);
       case "rented" -> {
         s.rented(
-            "r", List.of(p.get(2)), new Decision.Rent(p.get(3), p.get(4), w.flag("spot"), 1), now);
+            "r",
+            List.of(p.get(2)),
+            new Decision.ProvisionMachines(p.get(3), p.get(4), w.flag("spot"), 1),
+            now);
         if (!w.flag("fresh")) {
           s.enrolled(p.get(2));
         }
       }
       case "refused" ->
-          s.notRented("r", new Decision.Rent(p.get(2), p.get(3), w.flag("spot"), 1), true, now);
+          s.notRented(
+              "r",
+              new Decision.ProvisionMachines(p.get(2), p.get(3), w.flag("spot"), 1),
+              true,
+              now);
       case "saved" -> {
         BitSet done = new BitSet();
         done.set((int) w.num("task", 0));
         s.saved(p.get(2), done);
       }
       case "list" -> {
-        List<Scheduler.Listed> listed = new ArrayList<>();
+        List<Scheduler.ListedMachine> listed = new ArrayList<>();
         for (String name : p.subList(2, p.size())) {
           listed.add(
-              new Scheduler.Listed(
+              new Scheduler.ListedMachine(
                   name,
                   name + ":1",
                   w.text("type", "small"),
@@ -216,7 +226,7 @@
       }
       case "witnessed" -> {
         // Each word is what one controller reached of those asked, by comma; "nobody" reached none.
-        List<Decision.Testimony> told = new ArrayList<>();
+        List<Decision.PeerProbeResult> told = new ArrayList<>();
         for (String one : p.subList(2, p.size())) {
           told.add(testimony(List.of(one.split(","))));
         }
@@ -238,9 +248,9 @@
     return List.of();
   }
 
-  private Decision.Testimony testimony(List<String> reached) {
+  private Decision.PeerProbeResult testimony(List<String> reached) {
     Set<String> no = new HashSet<>();
-    for (List<Decision.Named> some : List.of(asked.suspects(), asked.controls())) {
+    for (List<Decision.MachineAddress> some : List.of(asked.suspects(), asked.controls())) {
       some.forEach(m -> no.add(m.machine()));
     }
     Set<String> yes = new HashSet<>(no);
@@ -249,7 +259,7 @@
       asked.controls().forEach(m -> yes.add(m.machine()));
     }
     no.removeAll(yes);
-    return new Decision.Testimony(yes, no);
+    return new Decision.PeerProbeResult(yes, no);
   }
 
   private static String show(Scheduler s, String job) {
@@ -291,9 +301,9 @@
   /**
    * Tasks are words of the form job/index@attempt:state[:cause]; a small attempt is this term's.
    */
-  private static Report report(Words w) {
+  private static Heartbeat report(Words w) {
     List<String> p = w.plain();
-    List<Report.Item> items = new ArrayList<>();
+    List<Heartbeat.TaskStatus> items = new ArrayList<>();
     for (String word : p.subList(3, p.size())) {
       if (!word.contains("@")) {
         continue;
@@ -304,16 +314,16 @@
               ? Long.parseLong(parts[2].substring(3))
               : (TOKEN << Constants.ATTEMPT_BITS) | Long.parseLong(parts[2]);
       items.add(
-          new Report.Item(
+          new Heartbeat.TaskStatus(
               parts[0],
               Integer.parseInt(parts[1]),
               attempt,
-              Report.Phase.valueOf(parts[3].toUpperCase(java.util.Locale.ROOT)),
+              Heartbeat.TaskPhase.valueOf(parts[3].toUpperCase(java.util.Locale.ROOT)),
               parts.length > 4 ? parts[4] : null));
     }
     String name = p.get(2);
     String notice = w.text("notice", null);
-    return new Report(
+    return new Heartbeat(
         name,
         name + ":1",
         w.text("type", "small"),
@@ -326,21 +336,21 @@
         items);
   }
 
-  private static List<String> orders(List<Order> orders) {
+  private static List<String> orders(List<Command> orders) {
     List<String> out = new ArrayList<>();
-    for (Order o : orders) {
+    for (Command o : orders) {
       out.add(word(o));
     }
     return out;
   }
 
-  private static String word(Order o) {
+  private static String word(Command o) {
     long term = o.attempt() >> Constants.ATTEMPT_BITS;
     String attempt =
         term == TOKEN
             ? "" + (o.attempt() & ((1L << Constants.ATTEMPT_BITS) - 1))
             : "old" + o.attempt();
-    String grace = o.op() == Order.Op.STOP ? " grace " + o.graceS() : "";
+    String grace = o.op() == Command.Kind.STOP ? " grace " + o.graceS() : "";
     return o.op().name().toLowerCase(java.util.Locale.ROOT)
         + " "
         + o.job()
@@ -355,28 +365,28 @@
     return names.stream().sorted().toList();
   }
 
-  private static List<String> names(List<Decision.Named> machines) {
-    return machines.stream().map(Decision.Named::machine).toList();
+  private static List<String> names(List<Decision.MachineAddress> machines) {
+    return machines.stream().map(Decision.MachineAddress::machine).toList();
   }
 
   private static String words(Decision d) {
-    if (d instanceof Decision.Direct o) {
+    if (d instanceof Decision.SendCommands o) {
       return "send " + o.machine() + " session " + o.session() + " " + orders(o.orders());
     } else if (d instanceof Decision.OpenJob o) {
       return "open " + o.job() + (o.where().isEmpty() ? "" : " on " + sorted(o.where()));
-    } else if (d instanceof Decision.Remember r) {
+    } else if (d instanceof Decision.PersistPlacement r) {
       return "remember " + r.job() + " on " + sorted(r.where());
     } else if (d instanceof Decision.FinishJob f) {
       return "finish " + f.job();
-    } else if (d instanceof Decision.Rent r) {
+    } else if (d instanceof Decision.ProvisionMachines r) {
       return "rent " + r.count() + " " + r.type() + " in " + r.zone() + (r.spot() ? " spot" : "");
-    } else if (d instanceof Decision.Return r) {
+    } else if (d instanceof Decision.ReleaseMachines r) {
       return "return " + r.machines();
-    } else if (d instanceof Decision.Enrol e) {
+    } else if (d instanceof Decision.RegisterMachine e) {
       return "enrol " + e.machine();
-    } else if (d instanceof Decision.Strike s) {
+    } else if (d instanceof Decision.DeregisterMachine s) {
       return "strike " + s.machine();
-    } else if (d instanceof Decision.Witness w) {
+    } else if (d instanceof Decision.ProbeThroughPeers w) {
       return "witness " + names(w.suspects()) + " controls " + names(w.controls());
     }
     throw new IllegalArgumentException(d.toString());
--- a/src/test/java/org/astershift/core/TraceTest.java
+++ b/src/test/java/org/astershift/scheduler/TraceTest.java
@@ -1,4 +1,4 @@
-package org.astershift.core;
+package org.astershift.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/org/astershift/world/CloudModel.java
+++ b/src/test/java/org/astershift/simulation/CloudModel.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.astershift.core.Decision;
-import org.astershift.core.MachineType;
-import org.astershift.core.Scheduler;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Scheduler;
 
 /**
  * The cloud: request names, machines that boot, lists that lag and go back, dead machines that are
@@ -41,7 +41,7 @@
 
   int takenWithTasks;
 
-  private final World world;
+  private final Simulation world;
   private final Map<String, List<String>> answered = new HashMap<>();
   private final Map<String, Long> diedMs = new HashMap<>();
   private final Set<String> gone = new HashSet<>();
@@ -58,9 +58,9 @@
   /** What a machine is: type, zone, and whether the cloud may take it any time. */
   record Kind(String type, String zone, boolean spot) {}
 
-  private record Snapshot(long atMs, List<Scheduler.Listed> listed) {}
+  private record Snapshot(long atMs, List<Scheduler.ListedMachine> listed) {}
 
-  CloudModel(World world) {
+  CloudModel(Simulation world) {
     this.world = world;
     offer(new MachineType(TYPE, 4, 0, 16, 50, 0.5, 1, 0.3, 10, world.setup.zones()));
     snap();
@@ -100,7 +100,7 @@
     }
   }
 
-  void rent(String request, Decision.Rent r, Consumer<List<String>> answer) {
+  void rent(String request, Decision.ProvisionMachines r, Consumer<List<String>> answer) {
     List<String> names = rent(request, r);
     if (slowMs == 0) {
       answer.accept(names);
@@ -123,7 +123,7 @@
     world.workers.get(name).die();
   }
 
-  private List<String> rent(String request, Decision.Rent r) {
+  private List<String> rent(String request, Decision.ProvisionMachines r) {
     return answered.computeIfAbsent(
         request,
         n -> {
@@ -178,13 +178,13 @@
   }
 
   private void snap() {
-    List<Scheduler.Listed> listed = new ArrayList<>();
+    List<Scheduler.ListedMachine> listed = new ArrayList<>();
     for (String name : names) {
       if (!gone.contains(name)) {
         Long died = diedMs.get(name);
         boolean failed = died != null && world.now() - died > FAILED_AFTER_MS;
         listed.add(
-            new Scheduler.Listed(
+            new Scheduler.ListedMachine(
                 name,
                 name,
                 kinds.get(name).type(),
@@ -202,7 +202,7 @@
   }
 
   /** Any state of the last six seconds, so a list may be older than the one before it. */
-  List<Scheduler.Listed> list() {
+  List<Scheduler.ListedMachine> list() {
     List<Snapshot> all = new ArrayList<>(snapshots);
     return all.get(world.random.nextInt(all.size())).listed();
   }
--- a/src/test/java/org/astershift/world/MeetingsTest.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -7,15 +7,15 @@
 
 import java.util.List;
 import java.util.function.LongFunction;
-import org.astershift.core.JobKind;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
  * Two troubles that meet, each brought about and seen to have happened: no rule breaks, and whoever
  * asked gets an answer in the end. For each a fence is taken away, and the checker notices.
  */
-class MeetingsTest {
+class CombinedFaultsTest {
   private static final int SEEDS = 20;
 
   /** Which machines the other controllers reach once the leader is refused. */
@@ -43,24 +43,24 @@
 
   private record Gap(Heard heard, Fate fate, Down down) {}
 
-  static World busy(long seed, int machines, Mutant... mutants) {
-    World w = new World(seed, Setup.of(3, machines));
+  static Simulation busy(long seed, int machines, Mutation... mutants) {
+    Simulation w = new Simulation(seed, Setup.of(3, machines));
     w.mutants.addAll(List.of(mutants));
     w.runTo(4);
-    w.submit(WorldTest.job("wk-1", JobKind.SERVICE, machines), null);
+    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, machines), null);
     for (int i = 10; i < 16; i++) {
-      w.userSubmits(WorldTest.job("wk-" + i, JobKind.ARRAY, 3), 300_000L, () -> {});
+      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 3), 300_000L, () -> {});
     }
     w.runTo(20);
     assertEquals(1, w.leaders().size(), w.story());
     return w;
   }
 
-  static boolean leadsBeside(World w, NodeModel old) {
+  static boolean leadsBeside(Simulation w, ControllerModel old) {
     return w.leaders().stream().anyMatch(n -> n != old);
   }
 
-  static void assertSound(World w) {
+  static void assertSound(Simulation w) {
     assertEquals(List.of(), w.checker.broken, w.wholeStory());
   }
 
@@ -95,12 +95,12 @@
   /**
    * {@code confirmed}: by another, before the outage; {@code answered}: by the old leader in it.
    */
-  private record Played(World world, int confirmed, int answered) {}
+  private record Played(Simulation world, int confirmed, int answered) {}
 
-  private static Played gap(Gap g, long seed, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
-    NodeModel old = w.leaders().get(0);
-    List<NodeModel> others = w.nodes.stream().filter(n -> n != old).toList();
+  private static Played gap(Gap g, long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
+    ControllerModel old = w.leaders().get(0);
+    List<ControllerModel> others = w.nodes.stream().filter(n -> n != old).toList();
     w.store.refuse(old.name, true);
     if (seed % 2 == 0) {
       others.forEach(n -> w.cutBoth(old.name, n.name)); // nobody tells it who leads
@@ -117,7 +117,7 @@
     for (int i = 20; i < 24; i++) {
       String job = "wk-" + i;
       Runnable then = () -> w.after(w.random.nextLong(400), () -> w.userCancels(job));
-      w.userSubmits(WorldTest.job(job, JobKind.ARRAY, 2), 300_000L, then);
+      w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 300_000L, then);
     }
     if (g.down != Down.BEFORE_ANYBODY_WINS) {
       w.runUntil(() -> leadsBeside(w, old), 30);
@@ -125,7 +125,8 @@
     if (g.down == Down.AFTER_A_CONFIRMATION || g.fate != Fate.STAYS) {
       w.runUntil(() -> w.checker.anyConfirmed(), 30);
     }
-    NodeModel winner = w.leaders().stream().filter(n -> n != old).findFirst().orElse(others.get(0));
+    ControllerModel winner =
+        w.leaders().stream().filter(n -> n != old).findFirst().orElse(others.get(0));
     suffer(w, winner, g.fate, others);
     if (g.down == Down.AS_THE_NEXT_WINS) {
       w.runUntil(() -> leadsBeside(w, old) && !winner.leads(), 35);
@@ -137,7 +138,7 @@
     w.store.down(true);
     w.store.slowMs = 0;
     w.after(12_000, () -> w.store.refuse(old.name, false));
-    double outageS = 3 * Checker.CANCEL_MS / 1000.0;
+    double outageS = 3 * InvariantChecker.CANCEL_MS / 1000.0;
     w.runTo(w.now() / 1000.0 + outageS);
     answered = old.answeredInDoubt() - answered;
     w.healAll();
@@ -148,7 +149,7 @@
       winner.start();
     }
     w.runUntil(() -> !w.leaders().isEmpty(), w.now() / 1000.0 + 10);
-    NodeModel next = w.leaders().get(0);
+    ControllerModel next = w.leaders().get(0);
     w.store.refuse(next.name, true);
     w.userCancels("wk-14");
     w.runTo(w.now() / 1000.0 + 1.5);
@@ -160,11 +161,12 @@
     return new Played(w, confirmed, answered);
   }
 
-  private static void suffer(World w, NodeModel winner, Fate fate, List<NodeModel> others) {
+  private static void suffer(
+      Simulation w, ControllerModel winner, Fate fate, List<ControllerModel> others) {
     switch (fate) {
       case CRASHES -> {
         winner.crash();
-        for (NodeModel n : others) {
+        for (ControllerModel n : others) {
           w.cutBoth(n.name, "zone b"); // which the next leader hears when it is in doubt itself
           w.after(6000, () -> w.healBoth(n.name, "zone b"));
         }
@@ -178,7 +180,7 @@
     }
   }
 
-  static void assertMissed(Mutant mutant, LongFunction<World> played) {
+  static void assertMissed(Mutation mutant, LongFunction<Simulation> played) {
     for (long seed = 1; seed <= 4 * SEEDS; seed++) {
       if (!played.apply(seed).checker.broken.isEmpty()) {
         return;
@@ -191,7 +193,7 @@
   @Test
   void theGapWithoutWaitingForTheUnheard() {
     Gap g = new Gap(Heard.NONE, Fate.STAYS, Down.AFTER_A_CONFIRMATION);
-    assertMissed(Mutant.CANCELS_UNHEARD, seed -> gap(g, seed, Mutant.CANCELS_UNHEARD).world);
+    assertMissed(Mutation.CANCELS_UNHEARD, seed -> gap(g, seed, Mutation.CANCELS_UNHEARD).world);
   }
 
   /**
@@ -202,19 +204,19 @@
   void theNextLeaderStopsWhatAnotherConfirmed() {
     int left = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = confirmedAndGone(seed);
+      Simulation w = confirmedAndGone(seed);
       assertSound(w);
       left += w.checker.leftAtConfirmation;
     }
     assertNotEquals(0, left, "none was left when it was confirmed");
     assertMissed(
-        Mutant.IN_DOUBT_STOPS_NOTHING,
-        seed -> confirmedAndGone(seed, Mutant.IN_DOUBT_STOPS_NOTHING));
+        Mutation.IN_DOUBT_STOPS_NOTHING,
+        seed -> confirmedAndGone(seed, Mutation.IN_DOUBT_STOPS_NOTHING));
   }
 
-  private static World confirmedAndGone(long seed, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
-    NodeModel first = w.leaders().get(0);
+  private static Simulation confirmedAndGone(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
+    ControllerModel first = w.leaders().get(0);
     for (int i = 10; i < 14; i++) {
       w.userCancels("wk-" + i);
     }
@@ -222,7 +224,7 @@
     suffer(w, first, Fate.CRASHES, w.nodes.stream().filter(n -> n != first).toList());
     assertTrue(w.runUntil(() -> leadsBeside(w, first), 35), w.story());
     w.store.down(true);
-    w.runTo((w.now() + 3 * Checker.CANCEL_MS) / 1000.0);
+    w.runTo((w.now() + 3 * InvariantChecker.CANCEL_MS) / 1000.0);
     w.store.down(false);
     w.runTo(w.now() / 1000.0 + 30);
     return w;
@@ -237,13 +239,13 @@
     for (long seed = 1; seed <= SEEDS; seed++) {
       assertSound(lateNews(seed));
     }
-    assertMissed(Mutant.LATE_NEWS_OF_JOBS, seed -> lateNews(seed, Mutant.LATE_NEWS_OF_JOBS));
+    assertMissed(Mutation.LATE_NEWS_OF_JOBS, seed -> lateNews(seed, Mutation.LATE_NEWS_OF_JOBS));
   }
 
-  private static World lateNews(long seed, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
+  private static Simulation lateNews(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
     w.stuckMs = 8000;
-    for (NodeModel n : w.nodes) {
+    for (ControllerModel n : w.nodes) {
       for (int i = 10; i < 16; i++) {
         n.ask("wk-" + i, false, said -> {});
       }
@@ -251,7 +253,7 @@
     for (int i = 10; i < 16; i++) {
       w.userCancels("wk-" + i);
     }
-    NodeModel old = w.leaders().get(0);
+    ControllerModel old = w.leaders().get(0);
     w.runUntil(() -> w.checker.confirmed() >= 3, 40);
     old.crash();
     w.runTo(70);
@@ -263,8 +265,8 @@
   @Test
   void leasesProveNothingInDoubt() {
     assertMissed(
-        Mutant.LEASES_PROVE_IN_DOUBT,
-        seed -> WorldTest.twoLeaders(seed, Mutant.LEASES_PROVE_IN_DOUBT));
+        Mutation.LEASES_PROVE_IN_DOUBT,
+        seed -> SimulationTest.twoLeaders(seed, Mutation.LEASES_PROVE_IN_DOUBT));
   }
 
   /** A job comes, and the leader loses the state service and the others before it is opened. */
@@ -273,16 +275,17 @@
     for (long seed = 1; seed <= SEEDS; seed++) {
       assertSound(cutAsAJobComes(seed));
     }
-    assertMissed(Mutant.STARTS_BEFORE_OPENED, s -> cutAsAJobComes(s, Mutant.STARTS_BEFORE_OPENED));
+    assertMissed(
+        Mutation.STARTS_BEFORE_OPENED, s -> cutAsAJobComes(s, Mutation.STARTS_BEFORE_OPENED));
   }
 
-  private static World cutAsAJobComes(long seed, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
-    NodeModel old = w.leaders().get(0);
-    w.submit(WorldTest.job("wk-30", JobKind.ARRAY, 6), 60_000L);
+  private static Simulation cutAsAJobComes(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
+    ControllerModel old = w.leaders().get(0);
+    w.submit(SimulationTest.job("wk-30", JobKind.ARRAY, 6), 60_000L);
     assertTrue(w.runUntil(() -> old.keeps("wk-30"), 25), w.story());
     w.cutBoth(old.name, "state");
-    for (NodeModel n : w.nodes) {
+    for (ControllerModel n : w.nodes) {
       if (n != old) {
         w.cutBoth(old.name, n.name);
         w.cutBoth(n.name, "zone a"); // which only the old leader reaches
@@ -301,29 +304,29 @@
   void aWriteIsCarriedOutAfterNewerOnes() {
     int late = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = lateWrites(seed);
+      Simulation w = lateWrites(seed);
       assertSound(w);
       late += w.store.lateAfterNewer;
     }
     assertNotEquals(0, late, "none came after a newer one");
     assertMissed(
-        Mutant.NOTES_WITHOUT_REVISIONS, s -> lateWrites(s, Mutant.NOTES_WITHOUT_REVISIONS));
+        Mutation.NOTES_WITHOUT_REVISIONS, s -> lateWrites(s, Mutation.NOTES_WITHOUT_REVISIONS));
   }
 
-  private static World lateWrites(long seed, Mutant... mutants) {
-    World w = busy(seed, 6, mutants);
+  private static Simulation lateWrites(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 6, mutants);
     w.store.lateShare = 0.5;
-    w.submit(WorldTest.job("wk-40", JobKind.SERVICE, 40), null); // machines are rented for it
+    w.submit(SimulationTest.job("wk-40", JobKind.SERVICE, 40), null); // machines are rented for it
     w.runTo(24);
     w.store.lateShare = seed % 2 == 0 ? 0.3 : 0;
     for (int i = 0; i < 8; i++) {
       String job = "wk-5" + i;
       Runnable then = () -> w.after(3000, () -> w.userCancels(job));
-      w.userSubmits(WorldTest.job(job, JobKind.ARRAY, 2), 5_000L, then);
+      w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 5_000L, then);
     }
     w.runTo(33 + w.random.nextInt(4));
     w.store.lateShare = 0;
-    w.leaders().forEach(NodeModel::crash);
+    w.leaders().forEach(ControllerModel::crash);
     w.runTo(80);
     return w;
   }
@@ -335,14 +338,14 @@
   @Test
   void tasksEndFarApartAcrossAChangeOfLeaders() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = busy(seed, 12);
-      w.userSubmits(WorldTest.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
-      w.userSubmits(WorldTest.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
+      Simulation w = busy(seed, 12);
+      w.userSubmits(SimulationTest.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
+      w.userSubmits(SimulationTest.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
       w.users.slower.put("wk-60/1", 45_000L);
       w.users.slower.put("wk-61/2", 45_000L);
       // The early tasks are done, their record is on its way or late, and the leader ends.
       w.store.lateShare = seed % 2 == 0 ? 0.5 : 0;
-      NodeModel old = w.leaders().get(0);
+      ControllerModel old = w.leaders().get(0);
       assertTrue(w.runUntil(() -> old.done("wk-60") == 1, 50), w.story());
       w.runTo((w.now() + seed * 150) / 1000.0);
       old.crash();
@@ -350,10 +353,10 @@
       w.askAll();
       w.runTo(45);
       old.start();
-      w.leaders().forEach(NodeModel::handOver);
+      w.leaders().forEach(ControllerModel::handOver);
       w.runTo(110);
       assertSound(w);
-      for (NodeModel n : w.nodes) {
+      for (ControllerModel n : w.nodes) {
         assertEquals("done", w.checker.lastTold("wk-60", n.name), w.wholeStory());
         assertEquals("done", w.checker.lastTold("wk-61", n.name), w.wholeStory());
       }
@@ -364,18 +367,18 @@
   @Test
   void controllersHandOverAndBackAndAllEnd() {
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      World w = busy(seed, 12);
+      Simulation w = busy(seed, 12);
       w.askAll();
       for (int i = 10; i < 13; i++) {
         w.userCancels("wk-" + i);
       }
       for (int i = 0; i < 6; i++) {
-        w.after(w.random.nextLong(4000), () -> w.leaders().forEach(NodeModel::handOver));
+        w.after(w.random.nextLong(4000), () -> w.leaders().forEach(ControllerModel::handOver));
       }
       w.runTo(20 + w.random.nextInt(5000) / 1000.0);
-      w.nodes.forEach(NodeModel::crash);
-      NodeModel first = w.nodes.get(w.random.nextInt(3));
-      for (NodeModel n : w.nodes) {
+      w.nodes.forEach(ControllerModel::crash);
+      ControllerModel first = w.nodes.get(w.random.nextInt(3));
+      for (ControllerModel n : w.nodes) {
         w.after(50 + w.random.nextLong(n == first ? 300 : 6000), n::start);
       }
       w.runTo(100);
@@ -397,7 +400,7 @@
   @Test
   void aLeaderEndsWhileMachinesCannotBeReached() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = unreached(seed);
+      Simulation w = unreached(seed);
       assertSound(w);
       for (int i = 10; i < 13; i++) {
         Long confirmed = w.checker.confirmedMs("wk-" + i);
@@ -407,14 +410,14 @@
         assertEquals(3, w.checker.on("wk-" + i), w.wholeStory());
       }
     }
-    assertMissed(Mutant.NO_ROSTER, seed -> unreached(seed, Mutant.NO_ROSTER));
+    assertMissed(Mutation.NO_ROSTER, seed -> unreached(seed, Mutation.NO_ROSTER));
   }
 
-  private static World unreached(long seed, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
-    NodeModel old = w.leaders().get(0);
+  private static Simulation unreached(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
+    ControllerModel old = w.leaders().get(0);
     old.crash();
-    for (NodeModel n : w.nodes) {
+    for (ControllerModel n : w.nodes) {
       w.cut(n.name, "zone b");
       if (seed % 2 == 0) {
         w.cut("zone b", n.name);
@@ -438,8 +441,8 @@
   void ordersAreHeldAndTheMachinesGoOn() {
     int held = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      World w = busy(seed, 12);
-      NodeModel old = w.leaders().get(0);
+      Simulation w = busy(seed, 12);
+      ControllerModel old = w.leaders().get(0);
       for (int i = 0; i < 4; i++) {
         String machine = "vm-" + (seed + 3 * i) % 12;
         w.cut(old.name, machine);
@@ -448,7 +451,8 @@
       for (int i = 0; i < 8; i++) {
         String job = "wk-5" + i;
         Runnable then = () -> w.after(w.random.nextLong(6000), () -> w.userCancels(job));
-        w.userSubmits(WorldTest.job(job, JobKind.ARRAY, 2), 3_000L, i % 2 == 0 ? then : () -> {});
+        w.userSubmits(
+            SimulationTest.job(job, JobKind.ARRAY, 2), 3_000L, i % 2 == 0 ? then : () -> {});
       }
       if (seed % 2 == 0) {
         w.after(w.random.nextLong(6000), old::handOver);
--- a/src/test/java/org/astershift/world/NodeModel.java
+++ b/src/test/java/org/astershift/simulation/ControllerModel.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -11,32 +11,32 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.astershift.config.Constants;
-import org.astershift.core.Decision;
-import org.astershift.core.Facts;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Order;
-import org.astershift.core.Policy;
-import org.astershift.core.Report;
-import org.astershift.core.Scheduler;
-import org.astershift.office.Cancellation;
-import org.astershift.office.Candidacy;
-import org.astershift.office.Election;
-import org.astershift.office.Election.Act;
-import org.astershift.office.JobLedger;
-import org.astershift.office.WorkerReach;
-import org.astershift.world.StoreModel.EndRow;
-import org.astershift.world.StoreModel.JobRow;
-import org.astershift.world.StoreModel.MachineRow;
-import org.astershift.world.StoreModel.Outcome;
-import org.astershift.world.StoreModel.Row;
-import org.astershift.world.StoreModel.Write;
+import org.astershift.coordination.Cancellation;
+import org.astershift.coordination.Candidacy;
+import org.astershift.coordination.Election;
+import org.astershift.coordination.Election.Action;
+import org.astershift.coordination.TermJobs;
+import org.astershift.coordination.WorkerReachability;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.DeploymentLimits;
+import org.astershift.scheduler.Heartbeat;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.scheduler.SchedulingPolicy;
+import org.astershift.simulation.StoreModel.EndRow;
+import org.astershift.simulation.StoreModel.JobRow;
+import org.astershift.simulation.StoreModel.MachineRow;
+import org.astershift.simulation.StoreModel.Outcome;
+import org.astershift.simulation.StoreModel.Row;
+import org.astershift.simulation.StoreModel.Write;
 
 /**
  * A controller: the program's own decisions ({@link Election}, {@link Candidacy}, {@link
- * WorkerReach}, {@link Scheduler}), carried out over the world's links as the loops of the program
- * do. It may stand still while its clock runs on, or crash and start anew.
+ * WorkerReachability}, {@link Scheduler}), carried out over the world's links as the loops of the
+ * program do. It may stand still while its clock runs on, or crash and start anew.
  */
-final class NodeModel extends ProcessModel {
+final class ControllerModel extends ProcessModel {
   private static final long CLOUD_MS = 5000;
   private static final long POLL_MS = 60;
 
@@ -49,7 +49,7 @@
   // What a process knows; gone when it crashes.
   private Election election;
   private Candidacy candidacy;
-  private WorkerReach reach;
+  private WorkerReachability reach;
   private Map<String, Row> mirror;
   private long mirrored;
   private String toldLeader;
@@ -78,7 +78,7 @@
     final long token;
     final long beganMs;
     final Scheduler scheduler;
-    final JobLedger ledger;
+    final TermJobs ledger;
     final Map<String, BitSet> progress = new HashMap<>();
 
     /** What this leader wants on record, by key. */
@@ -98,7 +98,7 @@
 
     Term(long token, long beganMs, Scheduler scheduler) {
       this.token = token;
-      this.ledger = new JobLedger(token);
+      this.ledger = new TermJobs(token);
       this.beganMs = beganMs;
       this.scheduler = scheduler;
     }
@@ -117,7 +117,7 @@
     Runnable durable;
   }
 
-  NodeModel(World world, String name) {
+  ControllerModel(Simulation world, String name) {
     super(world, name);
   }
 
@@ -127,7 +127,7 @@
     begin();
     candidacy = new Candidacy();
     election = new Election(name, candidacy);
-    reach = new WorkerReach();
+    reach = new WorkerReachability();
     mirror = new TreeMap<>();
     mirrored = -1;
     toldLeader = null;
@@ -158,7 +158,7 @@
     fullUntilMs = 0;
   }
 
-  private boolean has(Mutant m) {
+  private boolean has(Mutation m) {
     return world.mutants.contains(m);
   }
 
@@ -221,16 +221,16 @@
   private void elect() {
     resting = false;
     restMark++;
-    Act act = election.next(view());
+    Action act = election.next(view());
     long restMs = election.token() == 0 ? Constants.ELECTION_POLL_MS : Constants.LEADER_RENEW_MS;
-    if (act instanceof Act.Look) {
+    if (act instanceof Action.ReadKey) {
       state(() -> world.store.revision(), r -> rest(r == null ? Constants.RETRY_MS : 0));
-    } else if (act instanceof Act.Remove r) {
+    } else if (act instanceof Action.RemoveStaleKey r) {
       commit(
           Map.of(StoreModel.LEADER, r.revision()),
           List.of(new Write(StoreModel.LEADER, null, 0)),
           o -> rest(restMs));
-    } else if (act instanceof Act.Grant g) {
+    } else if (act instanceof Action.GrantLease g) {
       state(
           () -> world.store.grant(g.lifeMs()),
           lease -> {
@@ -239,23 +239,25 @@
             }
             rest(lease == null ? Constants.RETRY_MS : 0);
           });
-    } else if (act instanceof Act.Claim c) {
-      world.lateReports.at(LateReports.Moment.STANDS, this);
+    } else if (act instanceof Action.CreateKey c) {
+      world.lateReports.at(DelayedHeartbeats.Moment.STANDS, this);
       commit(
           Map.of(StoreModel.LEADER, 0L),
           List.of(new Write(StoreModel.LEADER, name, c.lease())),
           o -> {
             election.claimed(
                 o == null
-                    ? Election.Claimed.UNKNOWN
-                    : o.revision() > 0 ? Election.Claimed.APPLIED : Election.Claimed.REFUSED,
+                    ? Election.KeyCreation.UNKNOWN
+                    : o.revision() > 0
+                        ? Election.KeyCreation.APPLIED
+                        : Election.KeyCreation.REFUSED,
                 o == null ? 0 : o.revision());
             if (o != null && o.revision() > 0) {
-              world.lateReports.at(LateReports.Moment.WINS, this);
+              world.lateReports.at(DelayedHeartbeats.Moment.WINS, this);
             }
             rest(0);
           });
-    } else if (act instanceof Act.Verify v) {
+    } else if (act instanceof Action.VerifyKey v) {
       state(
           () -> {
             StoreModel.Row row =
@@ -266,12 +268,12 @@
             election.verified(revision == null ? 0 : revision);
             rest(0);
           });
-    } else if (act instanceof Act.CatchUp c) {
+    } else if (act instanceof Action.CatchUp c) {
       catchUp(c.revision(), clock() + Constants.LEADER_LEASE_MS);
-    } else if (act instanceof Act.Begin b) {
+    } else if (act instanceof Action.BeginTerm b) {
       begin(b.token());
       rest(restMs);
-    } else if (act instanceof Act.Renew r) {
+    } else if (act instanceof Action.RenewLease r) {
       state(
           () -> world.store.renew(r.lease()),
           ok -> {
@@ -285,8 +287,8 @@
   }
 
   private void catchUp(long revision, long untilMs) {
-    world.lateReports.at(LateReports.Moment.CATCHES_UP, this);
-    boolean done = mirrored >= revision || has(Mutant.NO_CATCHING_UP);
+    world.lateReports.at(DelayedHeartbeats.Moment.CATCHES_UP, this);
+    boolean done = mirrored >= revision || has(Mutation.NO_CATCHING_UP);
     if (done || clock() > untilMs) {
       election.caughtUp(revision, done);
       rest(0);
@@ -295,14 +297,14 @@
     }
   }
 
-  private void ended(List<Act> acts) {
-    for (Act act : acts) {
-      if (act instanceof Act.End e) {
+  private void ended(List<Action> acts) {
+    for (Action act : acts) {
+      if (act instanceof Action.EndTerm e) {
         if (term != null && term.token == e.token()) {
           world.note(name, "leads no longer (token " + e.token() + "): " + e.why());
           term = null;
         }
-      } else if (act instanceof Act.Revoke r) {
+      } else if (act instanceof Action.RevokeLease r) {
         state(
             () -> {
               world.store.revoke(r.lease());
@@ -357,12 +359,12 @@
 
   /** What each of the others answers; those that do not are left out. */
   private <A> void others(
-      java.util.function.BiConsumer<NodeModel, Consumer<A>> question,
+      java.util.function.BiConsumer<ControllerModel, Consumer<A>> question,
       long timeoutMs,
       Consumer<Map<String, A>> done) {
     Map<String, A> out = new LinkedHashMap<>();
     int[] left = {world.nodes.size() - 1};
-    for (NodeModel other : world.nodes) {
+    for (ControllerModel other : world.nodes) {
       if (other != this) {
         call(
             other.name,
@@ -392,7 +394,7 @@
   private void lookAround() {
     if (lost()) {
       others(
-          (NodeModel other, Consumer<Row> answer) -> {
+          (ControllerModel other, Consumer<Row> answer) -> {
             if (!other.lost()) {
               answer.accept(
                   other.mirror.getOrDefault(
@@ -405,13 +407,14 @@
     }
     toldLeader = null;
     Term t = term;
-    if (t == null || !t.scheduler.isolated() || has(Mutant.NO_HANDING_OVER)) {
+    if (t == null || !t.scheduler.isolated() || has(Mutation.NO_HANDING_OVER)) {
       return;
     }
     others(
-        (NodeModel other, Consumer<Candidacy.Told> answer) ->
+        (ControllerModel other, Consumer<Candidacy.PeerStatus> answer) ->
             answer.accept(
-                new Candidacy.Told(other.name, !other.lost(), other.reach.seen(other.clock()))),
+                new Candidacy.PeerStatus(
+                    other.name, !other.lost(), other.reach.seen(other.clock()))),
         Constants.REACH_TIMEOUT_MS,
         told -> handOver(t, new ArrayList<>(told.values())));
   }
@@ -420,16 +423,16 @@
     for (Row row : told.values()) {
       if (!"".equals(row.value())) {
         toldLeader = (String) row.value();
-        WorkerReach.Seen own = reach.seen(clock());
+        WorkerReachability.Measurement own = reach.seen(clock());
         others(
-            (NodeModel other, Consumer<WorkerReach.Seen> answer) -> {
+            (ControllerModel other, Consumer<WorkerReachability.Measurement> answer) -> {
               if (other.name.equals(row.value())) {
                 answer.accept(other.reach.seen(other.clock()));
               }
             },
             Constants.REACH_TIMEOUT_MS,
-            (Map<String, WorkerReach.Seen> seen) -> {
-              boolean deaf = seen.values().stream().anyMatch(WorkerReach.Seen::few);
+            (Map<String, WorkerReachability.Measurement> seen) -> {
+              boolean deaf = seen.values().stream().anyMatch(WorkerReachability.Measurement::few);
               if (!(term != null && own.able() && deaf)) {
                 ended(election.told(row.revision()));
               }
@@ -439,7 +442,7 @@
     }
   }
 
-  private void handOver(Term t, List<Candidacy.Told> told) {
+  private void handOver(Term t, List<Candidacy.PeerStatus> told) {
     if (t != term) {
       return;
     }
@@ -450,7 +453,7 @@
       return;
     }
     others(
-        (NodeModel other, Consumer<Boolean> answer) -> {
+        (ControllerModel other, Consumer<Boolean> answer) -> {
           if (wish.to() != null && !wish.to().equals(other.name)) {
             other.candidacy.yields(other.clock());
           }
@@ -466,32 +469,32 @@
     if (election.token() != token) {
       return;
     }
-    Facts facts =
-        new Facts(
+    DeploymentLimits facts =
+        new DeploymentLimits(
             world.teams(),
             world.objectives,
             world.setup.reportMs() / 1000.0,
             world.setup.leaseMs() / 1000.0,
             GangModel.WAIT_MS / 1000.0,
             GangModel.PEER_MS / 1000.0,
-            Checker.CANCEL_MS / 1000.0,
+            InvariantChecker.CANCEL_MS / 1000.0,
             3);
     // Machines are never given back as idle here, so that each return is for silence.
-    Policy policy = new Policy(2500, 0.9, 64, 5, 1e6);
+    SchedulingPolicy policy = new SchedulingPolicy(2500, 0.9, 64, 5, 1e6);
     Term t = new Term(token, clock(), new Scheduler(facts, policy, token));
     t.scheduler.types(world.cloud.types());
     StoreModel.below(mirror, "m/")
         .forEach(
             (machine, row) -> {
-              Decision.Enrol e = ((MachineRow) row).machine();
-              if (has(Mutant.NO_ROSTER)) {
+              Decision.RegisterMachine e = ((MachineRow) row).machine();
+              if (has(Mutation.NO_ROSTER)) {
                 return;
               }
               if (e.fresh()) {
                 t.scheduler.rented(
                     "",
                     List.of(machine),
-                    new Decision.Rent(e.type(), e.zone(), e.spot(), 1),
+                    new Decision.ProvisionMachines(e.type(), e.zone(), e.spot(), 1),
                     clock());
               } else {
                 t.scheduler.inherit(machine, e.addr(), e.type(), e.zone(), e.spot(), clock());
@@ -508,12 +511,13 @@
             add(t, (JobRow) row.value(), row.revision());
           }
         });
-    if (!has(Mutant.LATE_NEWS_OF_JOBS)) {
+    if (!has(Mutation.LATE_NEWS_OF_JOBS)) {
       t.ledger.loaded();
     }
-    StoreModel.below(mirror, "i/").forEach((request, r) -> rent(t, request, (Decision.Rent) r));
+    StoreModel.below(mirror, "i/")
+        .forEach((request, r) -> rent(t, request, (Decision.ProvisionMachines) r));
     world.checker.leads(name, token);
-    world.lateReports.at(LateReports.Moment.BEGINS, this);
+    world.lateReports.at(DelayedHeartbeats.Moment.BEGINS, this);
     pass(t);
     list(t);
     save(t);
@@ -549,7 +553,7 @@
     if (clock() - t.dueMs > Constants.STOOD_STILL_MS) {
       t.scheduler.resumed(clock());
     }
-    long soleMs = has(Mutant.LEASES_PROVE_IN_DOUBT) ? Long.MAX_VALUE : election.soleUntilMs();
+    long soleMs = has(Mutation.LEASES_PROVE_IN_DOUBT) ? Long.MAX_VALUE : election.soleUntilMs();
     List<Decision> decisions = t.scheduler.pass(clock(), soleMs);
     world.digest.pass(world.now(), name, decisions);
     for (Decision d : decisions) {
@@ -573,14 +577,14 @@
   }
 
   private void carryOut(Term t, Decision d) {
-    if (!t.acted && !(d instanceof Decision.Witness)) {
+    if (!t.acted && !(d instanceof Decision.ProbeThroughPeers)) {
       t.acted = true;
-      world.lateReports.at(LateReports.Moment.ACTED, this);
+      world.lateReports.at(DelayedHeartbeats.Moment.ACTED, this);
     }
-    if (d instanceof Decision.Direct o) {
+    if (d instanceof Decision.SendCommands o) {
       direct(t, o);
     } else if (d instanceof Decision.OpenJob o) {
-      boolean early = has(Mutant.STARTS_BEFORE_OPENED);
+      boolean early = has(Mutation.STARTS_BEFORE_OPENED);
       if (early) {
         t.scheduler.opened(o.job());
       }
@@ -596,25 +600,26 @@
     } else if (d instanceof Decision.FinishJob f) {
       t.ends.add(f.job());
       writeEnds(t);
-    } else if (d instanceof Decision.Enrol e) {
+    } else if (d instanceof Decision.RegisterMachine e) {
       t.noted.add(e.machine());
-      if (has(Mutant.TASKS_BEFORE_THE_RECORD)) {
+      if (has(Mutation.TASKS_BEFORE_THE_RECORD)) {
         t.scheduler.enrolled(e.machine());
       }
       note(t, "m/" + e.machine(), new MachineRow(e), () -> t.scheduler.enrolled(e.machine()));
-    } else if (d instanceof Decision.Strike s) {
+    } else if (d instanceof Decision.DeregisterMachine s) {
       note(t, "m/" + s.machine(), null, () -> {});
-    } else if (d instanceof Decision.Rent r) {
+    } else if (d instanceof Decision.ProvisionMachines r) {
       String request = "as-" + t.token + "-" + ++t.rentals;
       t.scheduler.renting(request, r);
       note(t, "i/" + request, r, () -> rent(t, request, r));
-    } else if (d instanceof Decision.Return r) {
+    } else if (d instanceof Decision.ReleaseMachines r) {
       giveBack(t, r);
-    } else if (d instanceof Decision.Witness w) {
+    } else if (d instanceof Decision.ProbeThroughPeers w) {
       others(
-          (NodeModel other, Consumer<Decision.Testimony> answer) -> other.witness(w, answer),
+          (ControllerModel other, Consumer<Decision.PeerProbeResult> answer) ->
+              other.witness(w, answer),
           Constants.PEER_TIMEOUT_MS,
-          (Map<String, Decision.Testimony> told) -> {
+          (Map<String, Decision.PeerProbeResult> told) -> {
             if (t == term) {
               t.scheduler.witnessed(w, new ArrayList<>(told.values()));
             }
@@ -622,27 +627,27 @@
     }
   }
 
-  private void witness(Decision.Witness w, Consumer<Decision.Testimony> answer) {
-    List<Decision.Named> all = new ArrayList<>(w.suspects());
+  private void witness(Decision.ProbeThroughPeers w, Consumer<Decision.PeerProbeResult> answer) {
+    List<Decision.MachineAddress> all = new ArrayList<>(w.suspects());
     all.addAll(w.controls());
     Set<String> yes = new HashSet<>();
     Set<String> no = new HashSet<>();
-    for (Decision.Named m : all) {
+    for (Decision.MachineAddress m : all) {
       show(
           m.addr(),
           Constants.WITNESS_TIMEOUT_MS,
           answers -> {
             boolean control = w.controls().contains(m);
-            boolean said = has(Mutant.DEAF_WITNESSES) ? control : answers;
+            boolean said = has(Mutation.DEAF_WITNESSES) ? control : answers;
             (said ? yes : no).add(m.machine());
             if (yes.size() + no.size() == all.size()) {
-              answer.accept(new Decision.Testimony(yes, no));
+              answer.accept(new Decision.PeerProbeResult(yes, no));
             }
           });
     }
   }
 
-  private void direct(Term t, Decision.Direct d) {
+  private void direct(Term t, Decision.SendCommands d) {
     if (!world.connections) {
       order(t, d, d.orders(), null, d.timeoutMs());
       return;
@@ -655,8 +660,8 @@
           if (life == null && t == term) {
             t.scheduler.directResult(d.machine(), false, null, clock());
           } else if (life != null) {
-            boolean sole = election.valid(t.token, clock()) || has(Mutant.STARTS_WHOEVER_LEADS);
-            List<Order> orders = t.scheduler.stillWanted(d, sole);
+            boolean sole = election.valid(t.token, clock()) || has(Mutation.STARTS_WHOEVER_LEADS);
+            List<Command> orders = t.scheduler.stillWanted(d, sole);
             withheld += d.orders().size() - orders.size();
             order(t, d, orders, life, Math.max(1, untilMs - clock()));
           }
@@ -701,8 +706,9 @@
   }
 
   /** {@code life}: the only one that may get it; null: whichever is there. */
-  private void order(Term t, Decision.Direct d, List<Order> wanted, Integer life, long timeoutMs) {
-    List<Order> orders = said(t, wanted);
+  private void order(
+      Term t, Decision.SendCommands d, List<Command> wanted, Integer life, long timeoutMs) {
+    List<Command> orders = said(t, wanted);
     call(
         d.addr(),
         timeoutMs,
@@ -716,26 +722,26 @@
           if (t != term) {
             return;
           }
-          Report r = e == null ? null : e.report();
+          Heartbeat r = e == null ? null : e.report();
           judged(t).directResult(d.machine(), e == null, r, clock());
-          if (r != null && has(Mutant.ANSWERS_RENEW_LEASES)) {
+          if (r != null && has(Mutation.ANSWERS_RENEW_LEASES)) {
             t.scheduler.report(r, clock());
           }
           deposed(t, d.machine());
         });
   }
 
-  private List<Order> said(Term t, List<Order> orders) {
-    boolean silent = has(Mutant.IN_DOUBT_STOPS_NOTHING) && !election.valid(t.token, clock());
-    boolean over = has(Mutant.WHAT_IS_OVER_GOES_ON);
+  private List<Command> said(Term t, List<Command> orders) {
+    boolean silent = has(Mutation.IN_DOUBT_STOPS_NOTHING) && !election.valid(t.token, clock());
+    boolean over = has(Mutation.WHAT_IS_OVER_GOES_ON);
     return orders.stream()
-        .filter(o -> o.op() != Order.Op.STOP || !(silent || (over && !t.ledger.keeps(o.job()))))
+        .filter(o -> o.op() != Command.Kind.STOP || !(silent || (over && !t.ledger.keeps(o.job()))))
         .toList();
   }
 
   /** The scheduler, told up to when no other node can lead. */
   private Scheduler judged(Term t) {
-    boolean unproven = has(Mutant.USES_UNPROVEN_INCARNATIONS);
+    boolean unproven = has(Mutation.USES_UNPROVEN_INCARNATIONS);
     t.scheduler.certainUntil(unproven ? Long.MAX_VALUE : election.soleUntilMs());
     return t.scheduler;
   }
@@ -750,8 +756,8 @@
    * A copy of an old report; a leader that takes copies for news believes it as it believes the
    * answer to a question, whatever else speaks against it.
    */
-  void copy(Report r) {
-    if (!has(Mutant.COPIES_ARE_NEWS)) {
+  void copy(Heartbeat r) {
+    if (!has(Mutation.COPIES_ARE_NEWS)) {
       report(r, a -> {});
       return;
     }
@@ -765,7 +771,7 @@
   }
 
   /** A worker's report. */
-  void report(Report r, Consumer<WorkerModel.Answer> answer) {
+  void report(Heartbeat r, Consumer<WorkerModel.Answer> answer) {
     boolean full = world.now() < fullUntilMs;
     if (crashed() || (full && world.now() >= mutedUntilMs)) {
       return;
@@ -775,7 +781,7 @@
         () -> {
           Term t = term;
           if (t != null) {
-            List<Order> orders = judged(t).report(r, clock());
+            List<Command> orders = judged(t).report(r, clock());
             deposed(t, r.machine());
             if (t == term && full) {
               return;
@@ -795,7 +801,7 @@
         });
   }
 
-  private void rent(Term t, String request, Decision.Rent r) {
+  private void rent(Term t, String request, Decision.ProvisionMachines r) {
     call(
         "cloud",
         CLOUD_MS,
@@ -821,7 +827,8 @@
               continue; // it may have tasks already, and is no longer fresh
             }
             left[0]++;
-            Decision.Enrol e = new Decision.Enrol(m, null, r.type(), r.zone(), r.spot(), true);
+            Decision.RegisterMachine e =
+                new Decision.RegisterMachine(m, null, r.type(), r.zone(), r.spot(), true);
             note(t, "m/" + m, new MachineRow(e), noted);
           }
           t.scheduler.rented(request, names, r, clock());
@@ -829,7 +836,7 @@
         });
   }
 
-  private void giveBack(Term t, Decision.Return r) {
+  private void giveBack(Term t, Decision.ReleaseMachines r) {
     if (r.silent()) {
       world.checker.givesUp(this, r.machines());
     }
@@ -858,7 +865,7 @@
         "cloud",
         CLOUD_MS,
         answer -> answer.accept(world.cloud.list()),
-        (List<Scheduler.Listed> listed) -> {
+        (List<Scheduler.ListedMachine> listed) -> {
           if (t == term && listed != null) {
             t.scheduler.list(listed, asked, clock());
           }
@@ -880,7 +887,7 @@
 
   private Map<String, Long> fenced(Term t) {
     Map<String, Long> when = new HashMap<>();
-    if (!has(Mutant.WRITES_WITHOUT_THE_KEY)) {
+    if (!has(Mutation.WRITES_WITHOUT_THE_KEY)) {
       when.put(StoreModel.LEADER, t.token);
     }
     return when;
@@ -904,7 +911,7 @@
     Object value = n.value;
     Runnable durable = n.durable;
     Map<String, Long> when = fenced(t);
-    if (!has(Mutant.NOTES_WITHOUT_REVISIONS)) {
+    if (!has(Mutation.NOTES_WITHOUT_REVISIONS)) {
       when.put(key, n.revision);
     }
     commit(
@@ -1037,9 +1044,9 @@
   private void cancelOn(Wish w, boolean read) {
     Term t = w.term();
     boolean kept = t != null && t.ledger.keeps(w.job());
-    Scheduler.JobView view = kept ? t.scheduler.view(w.job()) : null;
-    boolean unheard = has(Mutant.CANCELS_UNHEARD);
-    Cancellation.Act act =
+    Scheduler.JobProgress view = kept ? t.scheduler.view(w.job()) : null;
+    boolean unheard = has(Mutation.CANCELS_UNHEARD);
+    Cancellation.Action act =
         Cancellation.next(
             new Cancellation.View(
                 ended.containsKey(w.job()),
@@ -1049,14 +1056,14 @@
                 kept,
                 read,
                 kept && (unheard || t.scheduler.cancelKeepable(w.job())),
-                kept && !has(Mutant.CONFIRMS_WHILE_STARTING) && t.scheduler.mayStart(w.job()),
+                kept && !has(Mutation.CONFIRMS_WHILE_STARTING) && t.scheduler.mayStart(w.job()),
                 view != null && view.complete(),
                 clock() >= w.untilMs()));
     if (act.ofKept()) {
       t.scheduler.cancelWanted(w.job());
       stir(t);
     }
-    if (act == Cancellation.Act.WRITE_CANCELLED && has(Mutant.CANCELS_UNWRITTEN)) {
+    if (act == Cancellation.Action.WRITE_CANCELLED && has(Mutation.CANCELS_UNWRITTEN)) {
       w.answer().accept("withdrawn");
     }
     switch (act) {
@@ -1076,7 +1083,7 @@
           finish(
               t,
               w.job(),
-              act == Cancellation.Act.WRITE_CANCELLED,
+              act == Cancellation.Action.WRITE_CANCELLED,
               end -> {
                 if (end != null) {
                   w.answer().accept(phase(end));
@@ -1090,7 +1097,7 @@
   }
 
   private void forward(Wish w) {
-    NodeModel other = otherLeader();
+    ControllerModel other = otherLeader();
     if (other == null) {
       w.answer().accept("503");
       return;
@@ -1107,7 +1114,7 @@
   }
 
   /** The other controller that leads, as far as known here; null: none, or this one. */
-  private NodeModel otherLeader() {
+  private ControllerModel otherLeader() {
     Row row = mirror.get(StoreModel.LEADER);
     String leader = toldLeader != null || row == null ? toldLeader : (String) row.value();
     return leader == null || leader.equals(name)
@@ -1124,11 +1131,11 @@
       then.accept(ended.get(job));
       return;
     }
-    Scheduler.JobView view = t.scheduler.view(job);
+    Scheduler.JobProgress view = t.scheduler.view(job);
     EndRow end = new EndRow(cancelled, view.done());
     t.ledger.ending(job);
     Map<String, Long> when = fenced(t);
-    if (!has(Mutant.ENDS_REPLACE_ENDS)) {
+    if (!has(Mutation.ENDS_REPLACE_ENDS)) {
       when.put("d/" + job, 0L);
     }
     commit(
@@ -1173,7 +1180,7 @@
     for (String job : jobs) {
       EndRow end = new EndRow(false, t.scheduler.view(job).done());
       ends.put(job, end);
-      if (!has(Mutant.ENDS_REPLACE_ENDS)) {
+      if (!has(Mutation.ENDS_REPLACE_ENDS)) {
         when.put("d/" + job, 0L);
       }
       writes.add(new Write("j/" + job, null, 0));
@@ -1241,7 +1248,7 @@
     here(
         incarnation(),
         () -> {
-          if (has(Mutant.ONE_JOB_IS_FORGOTTEN) && name.equals("n1") && job.equals("wk-7")) {
+          if (has(Mutation.ONE_JOB_IS_FORGOTTEN) && name.equals("n1") && job.equals("wk-7")) {
             answer.accept("503");
             return;
           }
@@ -1250,13 +1257,13 @@
             return;
           }
           Term t = term;
-          boolean told = t != null && (has(Mutant.TOLD_WHILE_ENDING) || !t.ledger.mayBeOver(job));
-          Scheduler.JobView view = told ? t.scheduler.view(job) : null;
+          boolean told = t != null && (has(Mutation.TOLD_WHILE_ENDING) || !t.ledger.mayBeOver(job));
+          Scheduler.JobProgress view = told ? t.scheduler.view(job) : null;
           if (view != null && election.valid(t.token, clock())) {
             answer.accept(view.running() ? "running" : "queued");
             return;
           }
-          if (has(Mutant.TOLD_FROM_THE_MIRROR) && mirror.containsKey("j/" + job)) {
+          if (has(Mutation.TOLD_FROM_THE_MIRROR) && mirror.containsKey("j/" + job)) {
             answer.accept("queued");
             return;
           }
@@ -1269,7 +1276,7 @@
   }
 
   private void askLeader(String job, Consumer<String> answer) {
-    NodeModel other = otherLeader();
+    ControllerModel other = otherLeader();
     if (other == null) {
       read(job, answer);
       return;
@@ -1310,7 +1317,7 @@
       Consumer<String> answer,
       java.util.function.BiConsumer<String, Consumer<String>> find) {
     Round r = rounds.computeIfAbsent(job, j -> new Round());
-    boolean joins = has(Mutant.SHARES_THE_ROUND_IN_WORK) && !r.working.isEmpty();
+    boolean joins = has(Mutation.SHARES_THE_ROUND_IN_WORK) && !r.working.isEmpty();
     (joins ? r.working : r.next).add(answer);
     if (r.working.isEmpty()) {
       nextRound(rounds, job, find);
@@ -1413,7 +1420,7 @@
 
   /** Tasks of the job that it knows to be done. */
   int done(String job) {
-    Scheduler.JobView view = term == null ? null : term.scheduler.view(job);
+    Scheduler.JobProgress view = term == null ? null : term.scheduler.view(job);
     return view == null ? 0 : view.done();
   }
 
--- a/src/test/java/org/astershift/world/LateReports.java
+++ b/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
@@ -1,17 +1,17 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.core.Report;
+import org.astershift.scheduler.Heartbeat;
 
 /**
  * Reports that come just as a leader begins: copies kept for the next leader, each delivered at
  * every controller at a moment of its own, and reports that are held back with their answers' way
  * until a new leader has acted.
  */
-final class LateReports {
+final class DelayedHeartbeats {
   /** What is delivered on account of one moment comes within so long. */
   private static final long SOON_MS = 5;
 
@@ -54,20 +54,20 @@
   /** Reports held back that arrived at a controller which led, began later and had acted. */
   int heldBackAtLeader;
 
-  private final World world;
+  private final Simulation world;
   private final Map<Moment, List<Copy>> copies = new EnumMap<>(Moment.class);
   private final List<Held> held = new ArrayList<>();
 
-  private record Copy(WorkerModel worker, Report report, int life, long token) {}
+  private record Copy(WorkerModel worker, Heartbeat report, int life, long token) {}
 
-  private record Held(NodeModel to, long leaderToken, Runnable arrives) {}
+  private record Held(ControllerModel to, long leaderToken, Runnable arrives) {}
 
-  LateReports(World world) {
+  DelayedHeartbeats(Simulation world) {
     this.world = world;
   }
 
   /** A machine says this; a copy of it may be kept. */
-  void said(WorkerModel w, Report r) {
+  void said(WorkerModel w, Heartbeat r) {
     if (kept > 0 && world.random.nextDouble() < kept) {
       Moment at = Moment.values()[world.random.nextInt(Moment.values().length)];
       copies
@@ -77,7 +77,7 @@
   }
 
   /** The way of a report to its controller, which may be long. */
-  <A> World.Service<A> way(NodeModel to, World.Service<A> service) {
+  <A> Simulation.Service<A> way(ControllerModel to, Simulation.Service<A> service) {
     if (heldBack == 0 || world.random.nextDouble() >= heldBack) {
       return service;
     }
@@ -85,14 +85,14 @@
   }
 
   /** A change of leaders has come so far at this controller. */
-  void at(Moment moment, NodeModel leader) {
+  void at(Moment moment, ControllerModel leader) {
     long within = moment == Moment.ACTED ? ACTED_MS : SOON_MS;
     List<Copy> due = copies.computeIfAbsent(moment, m -> new ArrayList<>());
     // What was said under this very leader is kept for the next one.
     List<Copy> now = due.stream().filter(c -> leader.token() != c.token).toList();
     due.removeAll(now);
     for (Copy c : now) {
-      for (NodeModel n : world.nodes) {
+      for (ControllerModel n : world.nodes) {
         world.after(world.random.nextLong(within), () -> deliver(moment, c, n));
       }
     }
@@ -105,12 +105,12 @@
     }
   }
 
-  private void deliver(Moment moment, Copy c, NodeModel to) {
+  private void deliver(Moment moment, Copy c, ControllerModel to) {
     if (to.up() && to.leads()) {
       atLeader.merge(moment, 1, Integer::sum);
       boolean ended =
           c.report.tasks().stream()
-              .filter(t -> t.phase() != Report.Phase.EXITED)
+              .filter(t -> t.phase() != Heartbeat.TaskPhase.EXITED)
               .anyMatch(t -> !world.checker.isOn(t.job() + "/" + t.index(), c.worker.name));
       ofEndedTasks += ended ? 1 : 0;
       ofGoneMachines += c.worker.alive() ? 0 : 1;
--- a/src/test/java/org/astershift/world/SuccessionTest.java
+++ b/src/test/java/org/astershift/simulation/FailoverTest.java
@@ -1,37 +1,37 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.function.LongFunction;
-import org.astershift.core.JobKind;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /** What a leader wrote last, and the one that follows it. */
-class SuccessionTest {
+class FailoverTest {
   private static final int SEEDS = 10;
   private static final int MUTANT_SEEDS = 40;
 
-  private static World busy(long seed, Mutant... mutants) {
-    World w = new World(seed, Setup.of(3, 12));
+  private static Simulation busy(long seed, Mutation... mutants) {
+    Simulation w = new Simulation(seed, Setup.of(3, 12));
     w.mutants.addAll(List.of(mutants));
     w.runTo(4);
-    w.submit(WorldTest.job("wk-1", JobKind.SERVICE, 12), null);
+    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 12), null);
     for (int i = 10; i < 16; i++) {
-      w.userSubmits(WorldTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
     w.runTo(20);
     assertEquals(1, w.leaders().size(), w.story());
     return w;
   }
 
-  private static void assertSound(World w) {
+  private static void assertSound(Simulation w) {
     assertEquals(List.of(), w.checker.broken, () -> "seed " + w.seed + "\n" + w.wholeStory());
   }
 
-  private static void assertMissed(Mutant mutant, LongFunction<World> played) {
+  private static void assertMissed(Mutation mutant, LongFunction<Simulation> played) {
     for (long seed = 1; seed <= MUTANT_SEEDS; seed++) {
       if (!played.apply(seed).checker.broken.isEmpty()) {
         return;
@@ -47,20 +47,20 @@
   @Test
   void theEndsThatALeaderWroteLastComeAfterItsTerm() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = lateEnds(seed);
+      Simulation w = lateEnds(seed);
       assertSound(w);
       for (int i = 10; i < 16; i++) {
         assertTrue(w.checker.confirmedMs("wk-" + i) != null, w.wholeStory());
       }
     }
     assertMissed(
-        Mutant.WRITES_WITHOUT_THE_KEY, seed -> lateEnds(seed, Mutant.WRITES_WITHOUT_THE_KEY));
+        Mutation.WRITES_WITHOUT_THE_KEY, seed -> lateEnds(seed, Mutation.WRITES_WITHOUT_THE_KEY));
   }
 
-  private static World lateEnds(long seed, Mutant... mutants) {
-    World w = busy(seed, mutants);
-    NodeModel old = w.leaders().get(0);
-    List<NodeModel> others = w.nodes.stream().filter(n -> n != old).toList();
+  private static Simulation lateEnds(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, mutants);
+    ControllerModel old = w.leaders().get(0);
+    List<ControllerModel> others = w.nodes.stream().filter(n -> n != old).toList();
     w.store.lateShare = 1;
     for (int i = 10; i < 16; i++) {
       w.userCancels("wk-" + i);
@@ -84,18 +84,18 @@
     for (long seed = 1; seed <= SEEDS; seed++) {
       assertSound(laggingMirror(seed));
     }
-    assertMissed(Mutant.NO_CATCHING_UP, seed -> laggingMirror(seed, Mutant.NO_CATCHING_UP));
+    assertMissed(Mutation.NO_CATCHING_UP, seed -> laggingMirror(seed, Mutation.NO_CATCHING_UP));
   }
 
-  private static World laggingMirror(long seed, Mutant... mutants) {
-    World w = busy(seed, mutants);
-    NodeModel old = w.leaders().get(0);
+  private static Simulation laggingMirror(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, mutants);
+    ControllerModel old = w.leaders().get(0);
     w.store.slowMs = 2500;
     for (int i = 20; i < 50; i++) {
       int id = i;
       w.after(
           w.random.nextLong(6000),
-          () -> w.userSubmits(WorldTest.job("wk-" + id, JobKind.ARRAY, 1), 20_000L, () -> {}));
+          () -> w.userSubmits(SimulationTest.job("wk-" + id, JobKind.ARRAY, 1), 20_000L, () -> {}));
     }
     w.after(3000, old::handOver);
     w.runTo(23.1);
@@ -115,8 +115,8 @@
   @Test
   void aClaimIsCarriedOutAndItsAnswerIsLost() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = busy(seed);
-      NodeModel old = w.leaders().get(0);
+      Simulation w = busy(seed);
+      ControllerModel old = w.leaders().get(0);
       w.store.unheardShare = 1;
       old.crash();
       boolean led = w.runUntil(() -> w.leaders().stream().anyMatch(n -> n != old), 30);
--- a/src/test/java/org/astershift/world/GangMeetingsTest.java
+++ b/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,20 +8,20 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.MachineType;
-import org.astershift.core.Objective;
-import org.astershift.core.Priority;
-import org.astershift.core.Team;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Priority;
+import org.astershift.scheduler.ServiceLevelObjective;
+import org.astershift.scheduler.Team;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
  * Gangs, whose tasks gather, run, save and complete together, as the leader changes and machines
  * cannot be reached. Each case counts that its troubles met.
  */
-class GangMeetingsTest {
+class GangCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final List<String> GANGS = List.of("wk-g0", "wk-g1", "wk-g2", "wk-g3");
 
@@ -39,8 +39,8 @@
     HANG
   }
 
-  private static World world(long seed) {
-    World w = new World(seed, Setup.of(3, 12));
+  private static Simulation world(long seed) {
+    Simulation w = new Simulation(seed, Setup.of(3, 12));
     w.runTo(4);
     w.submit(JobDraft.array("wk-all", 6).kind(JobKind.SERVICE).spec(), null);
     w.runTo(20);
@@ -48,7 +48,7 @@
     return w;
   }
 
-  private static void suffer(World w, NodeModel old, Fate fate) {
+  private static void suffer(Simulation w, ControllerModel old, Fate fate) {
     switch (fate) {
       case CRASHES -> {
         old.crash();
@@ -59,12 +59,12 @@
     }
   }
 
-  private static void trouble(World w, Trouble trouble, String machine, long forMs) {
+  private static void trouble(Simulation w, Trouble trouble, String machine, long forMs) {
     if (trouble == Trouble.HANG) {
       w.workers.get(machine).hang(forMs);
       return;
     }
-    for (NodeModel n : w.nodes) {
+    for (ControllerModel n : w.nodes) {
       w.cut(n.name, machine);
       if (trouble == Trouble.CUT_OFF) {
         w.cut(machine, n.name);
@@ -83,7 +83,7 @@
   }
 
   /** Machines that hold tasks of the jobs. */
-  private static List<String> machinesOf(World w, List<String> jobs) {
+  private static List<String> machinesOf(Simulation w, List<String> jobs) {
     Set<String> on = new HashSet<>();
     w.checker.eachOnMachine(
         (task, machine) -> {
@@ -95,12 +95,12 @@
   }
 
   /** Machines that hold tasks of gangs that gather; where none does, of any of the gangs. */
-  private static List<String> machinesThatGather(World w) {
+  private static List<String> machinesThatGather(Simulation w) {
     List<String> gathering = GANGS.stream().filter(w.gangs::gathers).toList();
     return machinesOf(w, gathering.isEmpty() ? GANGS : gathering);
   }
 
-  private static List<String> some(World w, List<String> machines, int most) {
+  private static List<String> some(Simulation w, List<String> machines, int most) {
     List<String> left = new ArrayList<>(machines);
     List<String> out = new ArrayList<>();
     while (!left.isEmpty() && out.size() < most) {
@@ -109,12 +109,12 @@
     return out;
   }
 
-  private static long count(World w, Predicate<String> what) {
+  private static long count(Simulation w, Predicate<String> what) {
     return w.users.accepted().stream().filter(what).count();
   }
 
   /** The troubles are over: so long later all is done, and no rule was broken. */
-  private static void assertSound(World w, double afterS) {
+  private static void assertSound(Simulation w, double afterS) {
     w.healAll();
     w.lateReports.release();
     w.leftWaiting.troublesAreOver();
@@ -140,8 +140,8 @@
     for (Fate fate : Fate.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = world(seed);
-          NodeModel old = w.leaders().get(0);
+          Simulation w = world(seed);
+          ControllerModel old = w.leaders().get(0);
           long[] lasts = {6000, 12_000, 20_000, 34_000};
           for (String machine : some(w, List.copyOf(w.workers.keySet()), 3)) {
             trouble(w, trouble, machine, lasts[(int) (seed % 4)]);
@@ -177,11 +177,11 @@
     int played = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        World w = new World(seed, Setup.of(3, 12));
+        Simulation w = new Simulation(seed, Setup.of(3, 12));
         w.cloud.capacity.put(CloudModel.TYPE, 12);
         w.cloud.boots = () -> 32_000L;
         w.runTo(20);
-        NodeModel old = w.leaders().get(0);
+        ControllerModel old = w.leaders().get(0);
         List<String> there =
             w.workers.values().stream().filter(m -> m.zone.equals("a")).map(m -> m.name).toList();
         String lost = some(w, there, 1).get(0);
@@ -200,10 +200,10 @@
   }
 
   /** Full of gangs at which urgent work aims; so these are stopped as a whole, and save. */
-  private static World full(long seed) {
-    World w = new World(seed, Setup.of(3, 12));
+  private static Simulation full(long seed) {
+    Simulation w = new Simulation(seed, Setup.of(3, 12));
     w.cloud.capacity.put(CloudModel.TYPE, 12);
-    w.objectives.add(new Objective("wait", "u", 2, 0.9, 1));
+    w.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
     w.runTo(4);
     for (int i = 0; i < 4; i++) {
       JobDraft d = JobDraft.gang(GANGS.get(i), 12).in("c", Priority.LOW).saves(1 + i % 2);
@@ -230,8 +230,8 @@
     for (Fate fate : Fate.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = full(seed);
-          NodeModel old = w.leaders().get(0);
+          Simulation w = full(seed);
+          ControllerModel old = w.leaders().get(0);
           for (String machine : some(w, machinesOf(w, GANGS), (int) (seed % 3) * 2)) {
             trouble(w, trouble, machine, seed < 3 ? 2500 : 9000);
           }
@@ -267,8 +267,8 @@
     for (Fate fate : Fate.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = world(seed);
-          NodeModel old = w.leaders().get(0);
+          Simulation w = world(seed);
+          ControllerModel old = w.leaders().get(0);
           List<Long> whenMs = List.of(-1500L, 100L, 1500L);
           boolean early = seed % 2 == 0; // so that they are still gathering
           long forMs = 4000 + 4000 * seed;
@@ -315,8 +315,8 @@
     int played = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        World w = world(seed);
-        NodeModel old = w.leaders().get(0);
+        Simulation w = world(seed);
+        ControllerModel old = w.leaders().get(0);
         w.lateReports.kept = 0.4;
         w.lateReports.heldBack = 0.3;
         gangs().forEach(g -> w.userSubmits(g, 8_000L, () -> {}));
@@ -343,7 +343,7 @@
   }
 
   /** Machines with tasks that have just completed. */
-  private static List<String> machinesOfDone(World w) {
+  private static List<String> machinesOfDone(Simulation w) {
     return w.workers.values().stream()
         .filter(m -> m.tasks().stream().anyMatch(t -> w.gangs.done(t.job)))
         .map(m -> m.name)
@@ -362,8 +362,8 @@
     for (Fate fate : Fate.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = limited(seed);
-          NodeModel old = w.leaders().get(0);
+          Simulation w = limited(seed);
+          ControllerModel old = w.leaders().get(0);
           double[] use = w.checker.use("red");
           atLimit += use[0] > 12 - 3 && use[1] > 3 - 2 ? 1 : 0;
           List<String> machines = some(w, machinesOf(w, List.copyOf(w.users.accepted())), 4);
@@ -388,8 +388,8 @@
     assertTrue(onTroubled >= 3 * played, onTroubled + " machines in trouble");
   }
 
-  private static World limited(long seed) {
-    World w = new World(seed, Setup.of(3, 12));
+  private static Simulation limited(long seed) {
+    Simulation w = new Simulation(seed, Setup.of(3, 12));
     w.cloud.offer(new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, w.setup.zones()));
     for (int i = 0; i < 6; i++) {
       String zone = w.setup.zones().get(i % 3);
@@ -426,8 +426,8 @@
     for (Fate fate : Fate.values()) {
       for (boolean mute : new boolean[] {false, true}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = world(seed);
-          NodeModel old = w.leaders().get(0);
+          Simulation w = world(seed);
+          ControllerModel old = w.leaders().get(0);
           List<String> machines = some(w, List.copyOf(w.workers.keySet()), 6);
           long forMs = List.of(1500L, 3000L, 6000L, 13_000L).get((int) (seed % 4));
           machines.forEach(m -> w.cut(old.name, m));
--- a/src/test/java/org/astershift/world/GangModel.java
+++ b/src/test/java/org/astershift/simulation/GangModel.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Report;
-import org.astershift.world.WorkerModel.Task;
+import org.astershift.scheduler.Heartbeat;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.simulation.WorkerModel.Task;
 
 /**
  * What the tasks of gangs do with one another, as the protocol's section on gangs says: those of
@@ -22,7 +22,7 @@
   static final long WAIT_MS = 30_000;
   static final long PEER_MS = 4000;
   private static final long LOOK_MS = 200;
-  private final World world;
+  private final Simulation world;
   private final Map<String, Attempt> attempts = new HashMap<>();
 
   /** By job, the progress that its next attempt goes on from. */
@@ -90,7 +90,7 @@
     }
   }
 
-  GangModel(World world) {
+  GangModel(Simulation world) {
     this.world = world;
   }
 
@@ -124,19 +124,19 @@
   /** The task has its image. */
   void arrives(Task t) {
     if (done.contains(t.job)) {
-      t.worker.phase(t, Report.Phase.EXITED, "done");
+      t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "done");
       return;
     }
     Attempt a = of(t);
     startedTooLate += a.began ? 1 : 0;
     a.members.put(t.index, t);
-    t.worker.phase(t, Report.Phase.WAITING, null);
+    t.worker.phase(t, Heartbeat.TaskPhase.WAITING, null);
     t.worker.afterWork(
         WAIT_MS,
         () -> {
-          if (t.phase == Report.Phase.WAITING) {
+          if (t.phase == Heartbeat.TaskPhase.WAITING) {
             incomplete++;
-            t.worker.phase(t, Report.Phase.EXITED, "incomplete");
+            t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "incomplete");
           }
         });
     begin(a);
@@ -155,7 +155,7 @@
     beganAfterConfirmation += world.checker.confirmedMs(a.job) == null ? 0 : 1;
     world.note("gang", a.job + " begins");
     List<Task> all = new ArrayList<>(a.members.values());
-    all.forEach(t -> t.worker.phase(t, Report.Phase.RUNNING, null));
+    all.forEach(t -> t.worker.phase(t, Heartbeat.TaskPhase.RUNNING, null));
     all.forEach(t -> t.worker.fails(t, WorkerModel.FAILS_MS));
     all.stream().map(t -> t.worker).filter(WorkerModel::hung).forEach(this::hangs);
     Long runMs = world.users.runMsOf(a.job, 0);
@@ -183,7 +183,7 @@
       world.checker.completed(a.job + "/" + i);
     }
     for (Task t : List.copyOf(a.members.values())) {
-      t.worker.phase(t, Report.Phase.EXITED, "done");
+      t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "done");
     }
   }
 
@@ -234,7 +234,7 @@
     for (Task t : a.members.values()) {
       world.after(
           world.random.nextLong(PEER_MS),
-          () -> t.worker.when(t, () -> t.worker.phase(t, Report.Phase.EXITED, "peers")));
+          () -> t.worker.when(t, () -> t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "peers")));
     }
   }
 
@@ -245,11 +245,11 @@
   /** A task that runs or saves is told to stop. */
   void stop(Task t, boolean inTime) {
     Attempt a = of(t);
-    if (t.phase == Report.Phase.SAVING && inTime) {
+    if (t.phase == Heartbeat.TaskPhase.SAVING && inTime) {
       return;
     }
-    if (a.over || !inTime || t.phase != Report.Phase.RUNNING) {
-      t.worker.phase(t, Report.Phase.EXITED, "halted");
+    if (a.over || !inTime || t.phase != Heartbeat.TaskPhase.RUNNING) {
+      t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "halted");
       return;
     }
     if (a.firstStopMs < 0) {
@@ -263,7 +263,7 @@
           });
     }
     a.told.add(t.index);
-    t.worker.phase(t, Report.Phase.SAVING, null);
+    t.worker.phase(t, Heartbeat.TaskPhase.SAVING, null);
     t.worker.afterWork(
         Math.round(a.spec.saveS() * 1000),
         () -> {
@@ -285,8 +285,8 @@
       world.note("gang", a.job + " has saved");
     }
     for (Task t : List.copyOf(a.members.values())) {
-      if (t.phase == Report.Phase.SAVING && a.saved.contains(t.index)) {
-        t.worker.when(t, () -> t.worker.phase(t, Report.Phase.EXITED, "halted"));
+      if (t.phase == Heartbeat.TaskPhase.SAVING && a.saved.contains(t.index)) {
+        t.worker.when(t, () -> t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "halted"));
       }
     }
   }
