--- a/src/test/java/org/astershift/world/HealthyMachinesTest.java
+++ b/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
@@ -1,11 +1,11 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.astershift.core.JobKind;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /** Machines that other controllers reach are not given away, since work runs there. */
@@ -41,14 +41,14 @@
 
   /** What is played under a seed, with a restart so long after some moment. */
   private interface Play {
-    World with(long seed, long atMs);
+    Simulation with(long seed, long atMs);
   }
 
   private static void assertNothingIsGivenAway(Play play) {
     List<String> givenAway = new ArrayList<>();
     for (long seed = 1; seed <= SEEDS; seed++) {
       for (long atMs = 0; atMs < 2 * REPORT_MS; atMs += STEP_MS) {
-        World w = play.with(seed, atMs);
+        Simulation w = play.with(seed, atMs);
         assertEquals(List.of(), w.checker.broken, w.wholeStory());
         for (String machine : w.checker.healthyReturned) {
           givenAway.add("seed " + seed + ", at " + atMs + " ms: " + machine);
@@ -59,17 +59,17 @@
   }
 
   /** A service runs on all machines, and one controller leads. */
-  private static World served(long seed) {
-    World w = new World(seed, Setup.of(3, MACHINES));
+  private static Simulation served(long seed) {
+    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
     w.runTo(4);
-    w.submit(WorldTest.job("wk-1", JobKind.SERVICE, 2 * MACHINES), null);
+    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 2 * MACHINES), null);
     w.runTo(20);
     return w;
   }
 
-  private static World restartUnheard(long seed, long atMs) {
-    World w = served(seed);
-    NodeModel leader = w.onlyLeader();
+  private static Simulation restartUnheard(long seed, long atMs) {
+    Simulation w = served(seed);
+    ControllerModel leader = w.onlyLeader();
     for (int i = 0; i < RESTARTED; i++) {
       w.cut(restarted(seed, i), leader.name);
     }
@@ -82,7 +82,7 @@
   }
 
   /** Some for longer than others, all within a second. */
-  private static void restartMachines(World w) {
+  private static void restartMachines(Simulation w) {
     for (int i = 0; i < RESTARTED; i++) {
       w.workers.get(restarted(w.seed, i)).beginAnew(RESTART_MS - 150 * i);
     }
@@ -92,9 +92,9 @@
     return "vm-" + (seed + 3 * i) % MACHINES;
   }
 
-  private static World restart(long seed, long atMs) {
-    World w = served(seed);
-    NodeModel leader = w.onlyLeader();
+  private static Simulation restart(long seed, long atMs) {
+    Simulation w = served(seed);
+    ControllerModel leader = w.onlyLeader();
     w.runTo(20 + atMs / 1000.0);
     restartMachines(w);
     w.runTo(20 + atMs / 1000.0 + CUT_AFTER_S);
--- a/src/test/java/org/astershift/world/ReportMeetingsTest.java
+++ b/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongFunction;
-import org.astershift.core.JobKind;
-import org.astershift.world.LateReports.Moment;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.DelayedHeartbeats.Moment;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
  * Old reports and orders that meet a new leader, and leaders that meet machines which went on
  * without one for long. Each case brings its meeting about and counts it.
  */
-class ReportMeetingsTest {
+class HeartbeatCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MACHINES = 12;
 
@@ -41,21 +41,21 @@
    * Arrays that end ({@code wk-10..15}), that are cancelled before the leader ends (20..23), and
    * that run on (30..32), beside a service and under a limit.
    */
-  private static World busy(long seed, double kept, Mutant... mutants) {
-    World w = new World(seed, Setup.of(3, MACHINES));
+  private static Simulation busy(long seed, double kept, Mutation... mutants) {
+    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
     w.mutants.addAll(List.of(mutants));
     w.teamLimit = seed % 2 == 0 ? 44 : 0;
     w.runTo(4);
     w.lateReports.kept = kept;
-    w.submit(WorldTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
+    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
     for (int i = 10; i < 16; i++) {
-      w.userSubmits(WorldTest.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
+      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
     }
     for (int i = 20; i < 24; i++) {
-      w.userSubmits(WorldTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
     for (int i = 30; i < 33; i++) {
-      w.userSubmits(WorldTest.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
+      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
     }
     w.runTo(9);
     assertNotNull(leader(w), w.story());
@@ -63,31 +63,31 @@
   }
 
   /** Whoever leads with the highest token; null: nobody. */
-  private static NodeModel leader(World w) {
-    return w.leaders().stream().max(Comparator.comparingLong(NodeModel::token)).orElse(null);
+  private static ControllerModel leader(Simulation w) {
+    return w.leaders().stream().max(Comparator.comparingLong(ControllerModel::token)).orElse(null);
   }
 
-  private static boolean leadsAnew(World w, long token) {
+  private static boolean leadsAnew(Simulation w, long token) {
     return leader(w) != null && leader(w).token() > token;
   }
 
-  private static double nowS(World w) {
+  private static double nowS(Simulation w) {
     return w.now() / 1000.0;
   }
 
-  private static void assertSound(World w) {
+  private static void assertSound(Simulation w) {
     assertEquals(List.of(), w.checker.broken, w.wholeStory());
   }
 
-  private static void assertDone(World w, int first, int last) {
+  private static void assertDone(Simulation w, int first, int last) {
     for (int i = first; i <= last; i++) {
-      for (NodeModel n : w.nodes) {
+      for (ControllerModel n : w.nodes) {
         assertEquals("done", w.checker.lastTold("wk-" + i, n.name), w.wholeStory());
       }
     }
   }
 
-  private static void assertServes(World w) {
+  private static void assertServes(Simulation w) {
     assertSound(w);
     assertDone(w, 10, 15);
     assertDone(w, 30, 32);
@@ -96,10 +96,10 @@
       assertEquals(0, w.checker.on("wk-" + i), w.wholeStory());
     }
     assertEquals(MACHINES, w.checker.on("wk-1"), w.wholeStory());
-    assertEquals(1, w.nodes.stream().filter(NodeModel::leads).count(), w.story());
+    assertEquals(1, w.nodes.stream().filter(ControllerModel::leads).count(), w.story());
   }
 
-  private static void assertMissed(Mutant mutant, LongFunction<World> play) {
+  private static void assertMissed(Mutation mutant, LongFunction<Simulation> play) {
     for (long seed = 1; seed <= 60; seed++) {
       if (!play.apply(seed).checker.broken.isEmpty()) {
         return;
@@ -109,7 +109,7 @@
   }
 
   /** Ends the leader; who leads next is another one, or the same process begun anew. */
-  private static void end(World w, NodeModel old, End how) {
+  private static void end(Simulation w, ControllerModel old, End how) {
     switch (how) {
       case BACK_AT_ONCE -> {
         old.crash();
@@ -134,7 +134,7 @@
   }
 
   /** The cancelled arrays' users ask within the next seconds. */
-  private static void cancel(World w, int first, int last, long withinMs) {
+  private static void cancel(Simulation w, int first, int last, long withinMs) {
     for (int i = first; i <= last; i++) {
       String job = "wk-" + i;
       w.after(w.random.nextLong(withinMs), () -> w.userCancels(job));
@@ -160,7 +160,7 @@
         Took t = oldReports(how, seed);
         assertServes(t.world);
         assertTrue(t.heardMs <= HEARD_MS, t.heardMs + " ms\n" + t.world.wholeStory());
-        LateReports late = t.world.lateReports;
+        DelayedHeartbeats late = t.world.lateReports;
         late.atLeader.forEach((moment, n) -> at.merge(moment, n, Integer::sum));
         ended += late.ofEndedTasks;
         lives += late.ofEarlierLives;
@@ -172,16 +172,16 @@
     }
     assertTrue(ended > 100, ended + " showed a task that was there no more");
     assertTrue(lives > 10 && gone > 10, lives + " of earlier lives, " + gone + " of what is gone");
-    for (Mutant m : List.of(Mutant.COPIES_ARE_NEWS, Mutant.COPIES_SHOW_THE_TOKEN)) {
+    for (Mutation m : List.of(Mutation.COPIES_ARE_NEWS, Mutation.COPIES_SHOW_THE_TOKEN)) {
       assertMissed(m, seed -> oldReports(End.values()[(int) seed % 5], seed, m).world);
     }
   }
 
   /** {@code heardMs}: until the first new leader had heard all machines of the one before. */
-  private record Took(World world, long heardMs) {}
+  private record Took(Simulation world, long heardMs) {}
 
-  private static Took oldReports(End how, long seed, Mutant... mutants) {
-    World w = busy(seed, seed % 2 == 0 ? 0.4 : 0.1, mutants);
+  private static Took oldReports(End how, long seed, Mutation... mutants) {
+    Simulation w = busy(seed, seed % 2 == 0 ? 0.4 : 0.1, mutants);
     w.askAll();
     // One is not reached and given back, some begin anew, and users cancel.
     String cut = "vm-" + seed % MACHINES;
@@ -194,7 +194,7 @@
     }
     cancel(w, 20, 23, 4000);
     w.runTo(24 + w.random.nextInt(2000) / 1000.0);
-    NodeModel old = leader(w);
+    ControllerModel old = leader(w);
     long token = old.token();
     end(w, old, how);
     assertTrue(w.runUntil(() -> leadsAnew(w, token), 60), w.story());
@@ -218,22 +218,22 @@
     int arrived = 0;
     for (End how : End.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        World w = heldBack(how, seed);
+        Simulation w = heldBack(how, seed);
         assertServes(w);
         arrived += w.lateReports.heldBackAtLeader;
       }
     }
     assertTrue(arrived > 100, arrived + " reports arrived at the new leader");
-    Mutant m = Mutant.COPIES_ARE_NEWS;
+    Mutation m = Mutation.COPIES_ARE_NEWS;
     assertMissed(m, seed -> heldBack(End.values()[(int) seed % 5], seed, m));
   }
 
-  private static World heldBack(End how, long seed, Mutant... mutants) {
-    World w = busy(seed, 0, mutants);
+  private static Simulation heldBack(End how, long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 0, mutants);
     w.askAll();
     w.runTo(15);
     w.lateReports.heldBack = 0.6;
-    NodeModel old = leader(w);
+    ControllerModel old = leader(w);
     long token = old.token();
     old.full(6000); // so machines try the others, where they are held back, too
     w.runTo(19 + w.random.nextInt(1500) / 1000.0);
@@ -296,7 +296,7 @@
     assertTrue(started > 5, started + " tasks started by orders from before, with nobody there");
     assertTrue(told > 20 && untold > 20, told + " told before, and " + untold + " were not");
     assertTrue(sessions > 50, sessions + " copies of earlier sessions came at a leader");
-    Mutant m = Mutant.NO_ROSTER;
+    Mutation m = Mutation.NO_ROSTER;
     assertMissed(m, seed -> allAway(Back.values()[(int) seed % 3], seed, m).world);
   }
 
@@ -304,17 +304,17 @@
    * {@code told}: cancellations before all were away; {@code held}: messages on their way; {@code
    * started}: tasks that started with nobody there, by orders from before.
    */
-  private record Away(World world, int told, int held, int started) {}
+  private record Away(Simulation world, int told, int held, int started) {}
 
-  private static Away allAway(Back back, long seed, Mutant... mutants) {
-    World w = busy(seed, 0.3, mutants);
+  private static Away allAway(Back back, long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 0.3, mutants);
     w.askAll();
-    NodeModel old = leader(w);
+    ControllerModel old = leader(w);
     for (int i = 0; i < 4; i++) {
       w.cut(old.name, "vm-" + (seed + 3 * i) % MACHINES);
     }
     for (int i = 40; i < 43; i++) {
-      w.userSubmits(WorldTest.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
+      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
     }
     w.runTo(10);
     cancel(w, 20, 21, 300);
@@ -390,25 +390,25 @@
     assertTrue(before > 20 && meanwhile > 20, before + " told before, " + meanwhile + " meanwhile");
     assertTrue(inDoubt > 100, inDoubt + " reports answered by the leader that was cut off");
     assertTrue(lived > 20, lived + " machines of the zone lived on");
-    Mutant m = Mutant.CANCELS_UNHEARD;
+    Mutation m = Mutation.CANCELS_UNHEARD;
     assertMissed(m, seed -> zoneAway(true, false, seed, m).world);
   }
 
-  private record Zone(World world, int before, int meanwhile, int inDoubt, int lived) {}
+  private record Zone(Simulation world, int before, int meanwhile, int inDoubt, int lived) {}
 
-  private static Zone zoneAway(boolean withLeader, boolean cloud, long seed, Mutant... mutants) {
-    World w = busy(seed, 0.2, mutants);
+  private static Zone zoneAway(boolean withLeader, boolean cloud, long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 0.2, mutants);
     w.askAll();
     w.runTo(15);
-    NodeModel old = leader(w);
+    ControllerModel old = leader(w);
     long token = old.token();
-    NodeModel inZone =
+    ControllerModel inZone =
         withLeader ? old : w.nodes.stream().filter(n -> n != old).findFirst().orElseThrow();
     cancel(w, 20, 21, 100);
     w.runTo(15.05 + w.random.nextInt(150) / 1000.0); // stops may not have gone out yet
     final int before = w.checker.confirmed();
     List<String> lost = new ArrayList<>(List.of("state", "zone b", "zone c"));
-    for (NodeModel n : w.nodes) {
+    for (ControllerModel n : w.nodes) {
       if (n != inZone) {
         lost.add(n.name);
         w.cutBoth(n.name, "zone a");
@@ -424,7 +424,7 @@
     assertTrue(!withLeader || leadsAnew(w, token), w.story());
     int meanwhile = w.checker.confirmed() - before;
     long lived = w.workers.values().stream().filter(m -> m.alive() && m.zone.equals("a")).count();
-    NodeModel next = leader(w);
+    ControllerModel next = leader(w);
     w.after(w.random.nextLong(1000), () -> end(w, next, End.values()[w.random.nextInt(3)]));
     w.runTo(nowS(w) + w.random.nextInt(1000) / 1000.0);
     w.healAll();
@@ -442,7 +442,7 @@
   void copiesComeOfMachinesThatTheNextLeaderDoesNotReach() {
     int copies = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      World w = unreached(seed);
+      Simulation w = unreached(seed);
       assertServes(w);
       copies += w.lateReports.atLeader.values().stream().mapToInt(n -> n).sum();
       for (int i = 20; i < 24; i++) {
@@ -450,16 +450,16 @@
       }
     }
     assertTrue(copies > 100, copies + " copies came at a leader");
-    assertMissed(Mutant.NO_ROSTER, seed -> unreached(seed, Mutant.NO_ROSTER));
+    assertMissed(Mutation.NO_ROSTER, seed -> unreached(seed, Mutation.NO_ROSTER));
   }
 
-  private static World unreached(long seed, Mutant... mutants) {
-    World w = busy(seed, 0.4, mutants);
+  private static Simulation unreached(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 0.4, mutants);
     w.askAll();
     w.runTo(20);
-    NodeModel old = leader(w);
+    ControllerModel old = leader(w);
     old.crash();
-    for (NodeModel n : w.nodes) {
+    for (ControllerModel n : w.nodes) {
       w.cut(n.name, "zone b");
       if (seed % 2 == 0) {
         w.cut("zone b", n.name);
@@ -507,13 +507,13 @@
    * had begun anew before; {@code elsewhere}: its task was on another machine.
    */
   private record Late(
-      World world, boolean open, boolean anew, boolean elsewhere, long sinceAnewMs) {}
+      Simulation world, boolean open, boolean anew, boolean elsewhere, long sinceAnewMs) {}
 
   private static Late lateStart(long seed, boolean connections) {
-    World w = busy(seed, 0);
+    Simulation w = busy(seed, 0);
     w.connections = connections;
     w.runTo(20);
-    NodeModel old = leader(w);
+    ControllerModel old = leader(w);
     final long token = old.token();
     List<WorkerModel> cut = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -521,7 +521,7 @@
       cut.add(m);
       w.cut(old.name, m.name);
     }
-    w.submit(WorldTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
+    w.submit(SimulationTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
     w.runTo(20.4 + w.random.nextInt(600) / 1000.0);
     old.handOver();
     assertTrue(w.runUntil(() -> leadsAnew(w, token), 40), w.story());
@@ -564,17 +564,18 @@
     assertTrue(withheld > 20, withheld + " starts were left out over such a connection");
     assertTrue(elsewhere > 20, elsewhere + " times their tasks were all started elsewhere");
     assertMissed(
-        Mutant.STARTS_WHOEVER_LEADS, seed -> standsStill(seed, Mutant.STARTS_WHOEVER_LEADS).world);
+        Mutation.STARTS_WHOEVER_LEADS,
+        seed -> standsStill(seed, Mutation.STARTS_WHOEVER_LEADS).world);
   }
 
   /** {@code withheld}: starts left out as the old leader went on. */
-  private record Still(World world, int withheld, boolean elsewhere) {}
+  private record Still(Simulation world, int withheld, boolean elsewhere) {}
 
-  private static Still standsStill(long seed, Mutant... mutants) {
-    World w = busy(seed, 0, mutants);
+  private static Still standsStill(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 0, mutants);
     w.connections = true;
     w.runTo(20);
-    NodeModel old = leader(w);
+    ControllerModel old = leader(w);
     final long token = old.token();
     List<WorkerModel> cut = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -582,7 +583,7 @@
       cut.add(m);
       w.cut(old.name, m.name);
     }
-    w.submit(WorldTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
+    w.submit(SimulationTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
     w.runTo(20.4 + w.random.nextInt(600) / 1000.0);
     final int before = old.withheld();
     long stillMs = 9000 + w.random.nextLong(3000);
--- a/src/test/java/org/astershift/world/IncarnationMeetingsTest.java
+++ b/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
@@ -1,11 +1,11 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.astershift.core.JobKind;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -15,7 +15,7 @@
  * the earlier leader, and must get nothing from it. Each case counts the starts on it, or asserts
  * that the earlier leader had heard it.
  */
-class IncarnationMeetingsTest {
+class IncarnationCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MACHINES = 12;
   private static final long TASK_MS = 22_000;
@@ -33,7 +33,7 @@
   }
 
   /** {@code heardAnew}: the earlier leader has heard the machine's new incarnation. */
-  private record Restart(World world, boolean heardAnew) {}
+  private record Restart(Simulation world, boolean heardAnew) {}
 
   /**
    * The earlier leader hears the machine for the first time while its lease is uncertain. What it
@@ -78,7 +78,7 @@
 
   /** Without the proof that an incarnation was there in time, a task runs twice. */
   private static void assertMissed(Known known) {
-    Mutant unproven = Mutant.USES_UNPROVEN_INCARNATIONS;
+    Mutation unproven = Mutation.USES_UNPROVEN_INCARNATIONS;
     boolean missed = false;
     for (long seed = 1; seed <= SEEDS; seed++) {
       missed |= !restart(seed, known, unproven).world.checker.broken.isEmpty();
@@ -86,22 +86,22 @@
     assertTrue(missed, unproven + " taken away is not missed");
   }
 
-  private static Restart restart(long seed, Known known, Mutant... mutants) {
-    World w = new World(seed, Setup.of(3, MACHINES));
+  private static Restart restart(long seed, Known known, Mutation... mutants) {
+    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
     w.mutants.addAll(List.of(mutants));
     w.runTo(5);
     w.nodes.forEach(n -> w.cutBoth(n.name, "cloud")); // nothing is rented: some tasks have to wait
-    w.submit(WorldTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
-    w.submit(WorldTest.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
+    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
+    w.submit(SimulationTest.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
     w.runTo(19);
     final WorkerModel machine = w.workers.get("vm-" + seed % MACHINES);
     if (known == Known.YOUNG) {
       machine.beginAnew(200);
     }
-    NodeModel first = w.onlyLeader();
-    List<NodeModel> others = w.nodes.stream().filter(n -> n != first).toList();
-    final NodeModel earlier = others.get(0);
-    final NodeModel later = others.get(1);
+    ControllerModel first = w.onlyLeader();
+    List<ControllerModel> others = w.nodes.stream().filter(n -> n != first).toList();
+    final ControllerModel earlier = others.get(0);
+    final ControllerModel later = others.get(1);
     w.cutBoth(later.name, "state");
     if (known == Known.NEVER_HEARD) {
       machine.mute(20_000);
@@ -136,12 +136,12 @@
     return new Restart(w, heardAnew);
   }
 
-  private static void runFor(World w, long ms) {
+  private static void runFor(Simulation w, long ms) {
     w.runTo((w.now() + ms) / 1000.0);
   }
 
   /** Nobody reaches it and it reaches nobody: it cannot know that its lease is over. */
-  private static void isolate(World w, NodeModel node) {
+  private static void isolate(Simulation w, ControllerModel node) {
     w.cutBoth(node.name, "state");
     w.nodes.stream().filter(n -> n != node).forEach(n -> w.cutBoth(node.name, n.name));
     w.workers.keySet().forEach(m -> w.cutBoth(node.name, m));
--- a/src/test/java/org/astershift/world/Checker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,11 +9,11 @@
 import java.util.function.BiConsumer;
 import java.util.stream.IntStream;
 import org.astershift.config.Constants;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Team;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Team;
 
 /** What must never happen, and what users would call a failure, over the whole history. */
-final class Checker {
+final class InvariantChecker {
   private static final long JUST_NOW_MS = 1500;
   private static final double TOLERANCE = 1e-6;
 
@@ -46,7 +46,7 @@
   /** By job, the moment at which a user was first told that it is over. */
   private final Map<String, Long> toldOver = new HashMap<>();
 
-  private final World world;
+  private final Simulation world;
   private final Map<String, String> running = new HashMap<>();
 
   /** The same where a task is on two machines at once, for what a team uses. */
@@ -82,7 +82,7 @@
 
   private long latestToken;
 
-  Checker(World world) {
+  InvariantChecker(Simulation world) {
     this.world = world;
   }
 
@@ -220,13 +220,13 @@
    * A controller decides to give machines back for silence. A failure if one of them lives and this
    * controller, or another that it could have asked, reaches it.
    */
-  void givesUp(NodeModel leader, List<String> machines) {
+  void givesUp(ControllerModel leader, List<String> machines) {
     for (String machine : machines) {
       if (!decided.add(machine)) {
         continue; // a return without an answer may be executed any time, so it is repeated
       }
       WorkerModel w = world.workers.get(machine);
-      for (NodeModel n : world.nodes) {
+      for (ControllerModel n : world.nodes) {
         // Nor one that the leader cannot make listen while everything opened before waits for it.
         boolean holdsUp = leader.starting() && leader.ledMs() > Constants.HOLD_UP_MS;
         boolean asked = n == leader || (!holdsUp && world.reaches(leader.name, n.name));
@@ -364,7 +364,7 @@
   /** All troubles were over at {@code healedMs}: no job may be without an answer for 75 s. */
   void allAnswered(long healedMs) {
     for (String job : world.users.accepted()) {
-      for (NodeModel n : world.nodes) {
+      for (ControllerModel n : world.nodes) {
         long last = answeredMs.getOrDefault(job + " at " + n.name, 0L);
         if (world.now() - Math.max(last, healedMs) >= FORGOTTEN_MS) {
           broken.add("forgotten: " + n.name + " answers nothing about " + job);
--- a/src/test/java/org/astershift/world/JobDraft.java
+++ b/src/test/java/org/astershift/simulation/JobDraft.java
@@ -1,12 +1,13 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.List;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Priority;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Priority;
 
 /**
- * A job as a test describes it, for all tests: what it does not say is as in {@link WorldTest#job}.
+ * A job as a test describes it, for all tests: what it does not say is as in {@link
+ * SimulationTest#job}.
  */
 public final class JobDraft {
   private final String id;
--- a/src/test/java/org/astershift/world/LargeFleetTest.java
+++ b/src/test/java/org/astershift/simulation/LargeFleetTest.java
@@ -1,11 +1,11 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.astershift.core.JobKind;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -27,17 +27,17 @@
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
   void machinesRestartByTheHundredWheneverNobodyLeadsForCertain(int controllers) {
-    World w = new World(controllers, Setup.of(controllers, MACHINES));
+    Simulation w = new Simulation(controllers, Setup.of(controllers, MACHINES));
     w.runTo(4);
     for (int i = 0; i < SERVICES; i++) {
-      w.submit(WorldTest.job("wk-s" + i, JobKind.SERVICE, REPLICAS), null);
+      w.submit(SimulationTest.job("wk-s" + i, JobKind.SERVICE, REPLICAS), null);
     }
     w.runTo(20);
     arrays(w, "wk-a");
     w.onlyLeader().crash();
     restart(w, 0);
     w.runTo(23);
-    w.nodes.stream().filter(n -> !n.up()).forEach(NodeModel::start);
+    w.nodes.stream().filter(n -> !n.up()).forEach(ControllerModel::start);
     w.runTo(45);
     arrays(w, "wk-b");
     String refused = w.onlyLeader().name;
@@ -48,10 +48,10 @@
     w.healBoth(refused, "state");
     w.runTo(70);
     arrays(w, "wk-c");
-    w.nodes.forEach(NodeModel::crash);
+    w.nodes.forEach(ControllerModel::crash);
     restart(w, 2);
     w.runTo(72);
-    w.nodes.forEach(NodeModel::start);
+    w.nodes.forEach(ControllerModel::start);
     w.runTo(140);
     assertEquals(List.of(), w.checker.broken);
     assertEquals(List.of(), w.checker.healthyReturned);
@@ -63,14 +63,14 @@
     }
   }
 
-  private static void arrays(World w, String prefix) {
+  private static void arrays(Simulation w, String prefix) {
     for (int i = 0; i < ARRAYS; i++) {
-      w.submit(WorldTest.job(prefix + i, JobKind.ARRAY, TASKS), TASK_MS);
+      w.submit(SimulationTest.job(prefix + i, JobKind.ARRAY, TASKS), TASK_MS);
     }
   }
 
   /** Others each time, in all zones, for up to a second. */
-  private static void restart(World w, int time) {
+  private static void restart(Simulation w, int time) {
     for (int i = 0; i < RESTARTED; i++) {
       String machine = "vm-" + (i * (MACHINES / RESTARTED) + time);
       w.workers.get(machine).beginAnew(1 + w.random.nextLong(RESTART_MS));
--- a/src/test/java/org/astershift/world/MachineMeetingsTest.java
+++ b/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -10,15 +10,15 @@
 import java.util.Set;
 import java.util.function.LongFunction;
 import java.util.function.ToIntFunction;
-import org.astershift.core.JobKind;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
  * Machines that hang, that reach no controller, or that are up at once, and what else goes wrong
  * meanwhile. Each case counts what it is about, so that it is seen to have happened.
  */
-class MachineMeetingsTest {
+class MachineCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MUTANT_SEEDS = 40;
   private static final int MACHINES = 12;
@@ -33,19 +33,19 @@
     HANDS_OVER
   }
 
-  private static World busy(long seed, int replicas, double limit, Mutant... mutants) {
-    World w = new World(seed, Setup.of(3, MACHINES));
+  private static Simulation busy(long seed, int replicas, double limit, Mutation... mutants) {
+    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
     w.teamLimit = limit;
     w.mutants.addAll(List.of(mutants));
     w.runTo(4);
-    w.submit(WorldTest.job("wk-1", JobKind.SERVICE, replicas), null);
+    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, replicas), null);
     w.runTo(20);
     w.onlyLeader();
     return w;
   }
 
-  private static void suffer(World w, Fate fate) {
-    NodeModel n = w.onlyLeader();
+  private static void suffer(Simulation w, Fate fate) {
+    ControllerModel n = w.onlyLeader();
     switch (fate) {
       case CRASHES -> {
         n.crash();
@@ -60,7 +60,7 @@
     }
   }
 
-  private static List<WorkerModel> some(World w, int machines) {
+  private static List<WorkerModel> some(Simulation w, int machines) {
     List<WorkerModel> all = new ArrayList<>(w.workers.values());
     all.removeIf(m -> !m.alive());
     List<WorkerModel> out = new ArrayList<>();
@@ -70,15 +70,15 @@
     return out;
   }
 
-  private static int sum(World w, ToIntFunction<WorkerModel> count) {
+  private static int sum(Simulation w, ToIntFunction<WorkerModel> count) {
     return w.workers.values().stream().mapToInt(count).sum();
   }
 
-  private static void assertSound(World w) {
+  private static void assertSound(Simulation w) {
     assertEquals(List.of(), w.checker.broken, w.wholeStory());
   }
 
-  private static void assertMissed(Mutant mutant, LongFunction<World> played) {
+  private static void assertMissed(Mutation mutant, LongFunction<Simulation> played) {
     for (long seed = 1; seed <= MUTANT_SEEDS; seed++) {
       if (!played.apply(seed).checker.broken.isEmpty()) {
         return;
@@ -88,7 +88,7 @@
   }
 
   /** One-task jobs, four a second, and each fourth of them is cancelled soon after. */
-  private static void stream(World w, int jobs, long runMs) {
+  private static void stream(Simulation w, int jobs, long runMs) {
     for (int i = 0; i < jobs; i++) {
       String job = "wk-" + (1000 + i);
       Runnable then = () -> w.after(w.random.nextLong(3000), () -> w.userCancels(job));
@@ -97,14 +97,14 @@
           i * 250L,
           () ->
               w.userSubmits(
-                  WorldTest.job(job, JobKind.ARRAY, 1), runMs, cancelled ? then : () -> {}));
+                  SimulationTest.job(job, JobKind.ARRAY, 1), runMs, cancelled ? then : () -> {}));
     }
   }
 
   // ---- mute ----
 
   /** {@code startedMs}: the last start on a mute machine after it became so; 0: there was none. */
-  private record Mute(World world, long startedMs, long movedMs) {}
+  private record Mute(Simulation world, long startedMs, long movedMs) {}
 
   /**
    * Machines reach no controller for three leases, while direct orders reach them. They get nothing
@@ -133,16 +133,16 @@
     assertTrue(killed > 50, killed + " tasks ended with a lease");
     int late = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Mute m = mute(seed, 4, Fate.STAYS, Mutant.ANSWERS_RENEW_LEASES);
+      Mute m = mute(seed, 4, Fate.STAYS, Mutation.ANSWERS_RENEW_LEASES);
       late += m.startedMs > LEASE_MS / 2 + 1000 ? 1 : 0;
     }
-    assertNotEquals(0, late, Mutant.ANSWERS_RENEW_LEASES + " not missed");
+    assertNotEquals(0, late, Mutation.ANSWERS_RENEW_LEASES + " not missed");
   }
 
-  private static Mute mute(long seed, int machines, Fate fate, Mutant... mutants) {
-    World w = busy(seed, 2 * MACHINES, 0, mutants);
+  private static Mute mute(long seed, int machines, Fate fate, Mutation... mutants) {
+    Simulation w = busy(seed, 2 * MACHINES, 0, mutants);
     stream(w, STREAM, 4000);
-    w.userSubmits(WorldTest.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
+    w.userSubmits(SimulationTest.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
     w.runTo(27);
     List<WorkerModel> mute = some(w, machines);
     List<String> held = new ArrayList<>();
@@ -184,7 +184,7 @@
     for (Fate fate : Fate.values()) {
       for (long ms : hangs()) {
         for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-          World w = hung(seed, ms, fate);
+          Simulation w = hung(seed, ms, fate);
           assertSound(w);
           assertEquals(12, w.checker.ended(), w.wholeStory());
           assertEquals(2 * MACHINES, w.checker.on("wk-1"), w.wholeStory());
@@ -197,7 +197,7 @@
     assertTrue(executed > 40, executed + " orders were executed when a machine went on");
     assertTrue(answered > 15, answered + " answers were heard when a machine went on");
     assertTrue(wentOn > 200, wentOn + " tasks went on");
-    assertMissed(Mutant.NO_ROSTER, s -> hung(s, LEASE_MS / 2, Fate.CRASHES, Mutant.NO_ROSTER));
+    assertMissed(Mutation.NO_ROSTER, s -> hung(s, LEASE_MS / 2, Fate.CRASHES, Mutation.NO_ROSTER));
   }
 
   private static void hang(WorkerModel m, boolean reporting, long ms) {
@@ -212,15 +212,15 @@
     return new long[] {3000, LEASE_MS / 2, LEASE_MS - 1000, LEASE_MS, 2 * LEASE_MS};
   }
 
-  private static World hung(long seed, long ms, Fate fate, Mutant... mutants) {
-    World w = busy(seed, 2 * MACHINES, 0, mutants);
+  private static Simulation hung(long seed, long ms, Fate fate, Mutation... mutants) {
+    Simulation w = busy(seed, 2 * MACHINES, 0, mutants);
     for (int i = 20; i < 32; i++) {
       String job = "wk-" + i;
       Runnable cancel = () -> w.after(w.random.nextLong(4000), () -> w.userCancels(job));
       Runnable then = i % 2 == 0 ? cancel : () -> {};
       w.after(
           w.random.nextLong(1500),
-          () -> w.userSubmits(WorldTest.job(job, JobKind.ARRAY, 2), 3000L, then));
+          () -> w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 3000L, then));
     }
     for (WorkerModel m : some(w, 5)) {
       boolean reporting = w.random.nextBoolean();
@@ -244,7 +244,7 @@
     for (Fate fate : Fate.values()) {
       for (long ms : hangs()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = cancelNow(seed, ms, fate);
+          Simulation w = cancelNow(seed, ms, fate);
           assertSound(w);
           for (int i = 20; i < 34; i++) {
             assertTrue(w.checker.confirmedMs("wk-" + i) != null, w.wholeStory());
@@ -259,14 +259,14 @@
     assertTrue(left > 100, left + " tasks were left as it was confirmed");
     assertTrue(wentOn > 50, wentOn + " cancelled tasks went on with their machine");
     assertMissed(
-        Mutant.WHAT_IS_OVER_GOES_ON,
-        s -> cancelNow(s, LEASE_MS / 2, Fate.CRASHES, Mutant.WHAT_IS_OVER_GOES_ON));
+        Mutation.WHAT_IS_OVER_GOES_ON,
+        s -> cancelNow(s, LEASE_MS / 2, Fate.CRASHES, Mutation.WHAT_IS_OVER_GOES_ON));
   }
 
-  private static World cancelNow(long seed, long ms, Fate fate, Mutant... mutants) {
-    World w = busy(seed, MACHINES, 0, mutants);
+  private static Simulation cancelNow(long seed, long ms, Fate fate, Mutation... mutants) {
+    Simulation w = busy(seed, MACHINES, 0, mutants);
     for (int i = 20; i < 36; i++) {
-      w.userSubmits(WorldTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
     w.runTo(30);
     for (int i = 20; i < 34; i++) {
@@ -299,7 +299,7 @@
     int late = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        World w = upAtOnce(seed, fate);
+        Simulation w = upAtOnce(seed, fate);
         assertSound(w);
         assertEquals(5 * MACHINES, w.checker.on("wk-2"), w.wholeStory());
         assertEquals(10, w.checker.ended(), w.wholeStory());
@@ -312,28 +312,29 @@
     assertTrue(busyEarly > 20, busyEarly + " of them had tasks by then");
     assertNotEquals(0, late, "no write came after a newer one");
     assertMissed(
-        Mutant.TASKS_BEFORE_THE_RECORD,
-        s -> upAtOnce(s, Fate.CRASHES, Mutant.TASKS_BEFORE_THE_RECORD));
+        Mutation.TASKS_BEFORE_THE_RECORD,
+        s -> upAtOnce(s, Fate.CRASHES, Mutation.TASKS_BEFORE_THE_RECORD));
   }
 
-  private static World upAtOnce(long seed, Fate fate, Mutant... mutants) {
-    World w = busy(seed, MACHINES, seed % 2 == 0 ? 0 : 6.5 * MACHINES, mutants);
+  private static Simulation upAtOnce(long seed, Fate fate, Mutation... mutants) {
+    Simulation w = busy(seed, MACHINES, seed % 2 == 0 ? 0 : 6.5 * MACHINES, mutants);
     w.cloud.boots = () -> 50 + w.random.nextLong(1950);
     w.cloud.slowMs = 4000;
     w.store.lateShare = 0.4;
     w.store.slowMs = 300;
-    w.submit(WorldTest.job("wk-2", JobKind.SERVICE, 5 * MACHINES), null);
+    w.submit(SimulationTest.job("wk-2", JobKind.SERVICE, 5 * MACHINES), null);
     for (int i = 20; i < 30; i++) {
       String job = "wk-" + i;
       Runnable then = () -> w.after(w.random.nextLong(4000), () -> w.userCancels(job));
-      w.userSubmits(WorldTest.job(job, JobKind.ARRAY, 2), 5_000L, i % 2 == 0 ? then : () -> {});
+      w.userSubmits(
+          SimulationTest.job(job, JobKind.ARRAY, 2), 5_000L, i % 2 == 0 ? then : () -> {});
     }
     w.runTo(22 + w.random.nextInt(6000) / 1000.0);
     suffer(w, fate);
     w.runUntil(() -> !w.leaders().isEmpty(), w.now() / 1000.0 + 15);
     w.runTo(w.now() / 1000.0 + w.random.nextInt(5000) / 1000.0);
     w.store.lateShare = 0;
-    for (NodeModel n : w.leaders()) {
+    for (ControllerModel n : w.leaders()) {
       n.crash();
       w.after(1000, n::start);
     }
--- a/src/test/java/org/astershift/world/Mutant.java
+++ b/src/test/java/org/astershift/simulation/Mutation.java
@@ -1,7 +1,7 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 /** Fences of ours, each of which a test takes away to see that the checker misses it. */
-enum Mutant {
+enum Mutation {
   /** Writes of a leader are applied whoever leads by then. */
   WRITES_WITHOUT_THE_KEY,
   /** A leader in doubt proves by leases as one that is certainly alone. */
--- a/src/test/java/org/astershift/world/ProcessModel.java
+++ b/src/test/java/org/astershift/simulation/ProcessModel.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
@@ -12,7 +12,7 @@
   static final long STORE_MS = 1500;
 
   final String name;
-  final World world;
+  final Simulation world;
   private final double drift;
   private int incarnation;
   private boolean crashed;
@@ -21,7 +21,7 @@
   /** When the state service last answered. */
   private long servedMs;
 
-  ProcessModel(World world, String name) {
+  ProcessModel(Simulation world, String name) {
     this.world = world;
     this.name = name;
     this.drift = (world.random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT;
@@ -91,7 +91,7 @@
   }
 
   /** A request of this process to another host. */
-  <A> void call(String to, long timeoutMs, World.Service<A> service, Consumer<A> done) {
+  <A> void call(String to, long timeoutMs, Simulation.Service<A> service, Consumer<A> done) {
     int of = incarnation;
     world.call(name, to, timeoutMs, service, a -> here(of, () -> done.accept(a)));
   }
--- a/src/test/java/org/astershift/world/Swarm.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenario.java
@@ -1,20 +1,20 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.MachineType;
-import org.astershift.core.Objective;
-import org.astershift.core.Priority;
-import org.astershift.core.Team;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Priority;
+import org.astershift.scheduler.ServiceLevelObjective;
+import org.astershift.scheduler.Team;
+import org.astershift.simulation.Simulation.Setup;
 
 /**
  * One world with faults drawn from its seed: first which kinds occur, then when and to whom. All is
  * healed at the end, and then everything has to serve again.
  */
-final class Swarm {
+final class RandomizedScenario {
   private static final int FAULTS_FROM_S = 20;
   private static final int HEALED_S = 100;
   private static final int END_S = 195;
@@ -39,7 +39,7 @@
   private static final String SPOT_TYPE = "brief";
   private static final int SPOT_MACHINES = 9;
   private static final long NOTICE_MS = 20_000;
-  final World world;
+  final Simulation world;
   private final int kinds;
   private final int userKinds;
   private int jobs = JOBS;
@@ -65,9 +65,9 @@
 
   private int replicas;
 
-  private Swarm(long seed) {
+  private RandomizedScenario(long seed) {
     RandomSetup drawn = new RandomSetup(seed);
-    world = new World(seed, drawn.setup);
+    world = new Simulation(seed, drawn.setup);
     world.teamLimit = drawn.limited ? 3 * drawn.setup.machines() : 0;
     teams = drawn.teams;
     gangs = drawn.gangs;
@@ -96,7 +96,7 @@
       String zone = zones.get(i % zones.size());
       world.cloud.add("vm-acc" + i, new CloudModel.Kind("accel", zone, i == 0), true);
     }
-    world.objectives.add(new Objective("wait", "u", 2, 0.9, 1));
+    world.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
   }
 
   private void spotMachines() {
@@ -169,12 +169,12 @@
   }
 
   /** Plays a seed to its end; what went wrong is in the checker and in {@link #unserved}. */
-  static Swarm play(long seed, Mutant... mutants) {
-    Swarm s = new Swarm(seed);
-    World w = s.world;
+  static RandomizedScenario play(long seed, Mutation... mutants) {
+    RandomizedScenario s = new RandomizedScenario(seed);
+    Simulation w = s.world;
     w.mutants.addAll(List.of(mutants));
     w.runTo(4);
-    w.submit(WorldTest.job("wk-0", JobKind.SERVICE, s.replicas), null);
+    w.submit(SimulationTest.job("wk-0", JobKind.SERVICE, s.replicas), null);
     if (s.spot) {
       JobDraft d = JobDraft.array("wk-spot", SPOT_MACHINES).kind(JobKind.SERVICE).spot();
       w.submit(d.only(SPOT_TYPE).spec(), null);
@@ -220,7 +220,7 @@
     w.store.slowMs = 0;
     w.stuckMs = 0;
     w.lateReports.release();
-    w.nodes.forEach(NodeModel::hasPlaces);
+    w.nodes.forEach(ControllerModel::hasPlaces);
     w.workers.values().forEach(WorkerModel::unmute);
     w.nodes.stream()
         .filter(n -> w.store.refuses(n.name))
@@ -276,17 +276,17 @@
     if ((kinds & 1 << kind) == 0) {
       return;
     }
-    NodeModel any = world.nodes.get(world.random.nextInt(world.nodes.size()));
+    ControllerModel any = world.nodes.get(world.random.nextInt(world.nodes.size()));
     boolean leader =
         second || world.random.nextBoolean(); // most of what can go wrong goes wrong there
-    NodeModel node = leader ? world.leaders().stream().findFirst().orElse(any) : any;
+    ControllerModel node = leader ? world.leaders().stream().findFirst().orElse(any) : any;
     long forMs = 1000 + world.random.nextLong(45_000);
     switch (kind) {
       case 0 -> cut(node.name, "workers", forMs);
       case 1 -> cut(node.name, "state", forMs);
       case 2 -> cut(node.name, "cloud", forMs);
       case 3 -> {
-        NodeModel other = world.nodes.get(world.random.nextInt(world.nodes.size()));
+        ControllerModel other = world.nodes.get(world.random.nextInt(world.nodes.size()));
         if (other != node) {
           cut(node.name, other.name, forMs);
         }
@@ -295,7 +295,7 @@
       case 5 -> {
         boolean all = world.random.nextInt(4) == 0;
         int row = world.random.nextBoolean() ? 1 : 2 + world.random.nextInt(4);
-        for (NodeModel n : all ? world.nodes : List.of(node)) {
+        for (ControllerModel n : all ? world.nodes : List.of(node)) {
           for (int i = 0; i < row; i++) {
             world.after(i * 600L + world.random.nextLong(600), () -> crash(n));
           }
@@ -367,9 +367,9 @@
 
   /** What users do all at once, or what meets them just then. */
   private void users(int kind) {
-    Users users = world.users;
+    UserModel users = world.users;
     long forMs = 5000 + world.random.nextLong(45_000);
-    NodeModel leader = world.leaders().stream().findFirst().orElse(world.nodes.get(0));
+    ControllerModel leader = world.leaders().stream().findFirst().orElse(world.nodes.get(0));
     switch (kind) {
       case 0 -> {
         users.closeLooks = 0.2 + 0.8 * world.random.nextDouble();
@@ -398,14 +398,14 @@
         // Cancelled as the leader alone is refused, and a second later all are, for long.
         users.cancelNow(2 + world.random.nextInt(6));
         trouble(world.random.nextLong(100), () -> refuse(leader, 3000));
-        trouble(1000, () -> down(Checker.CANCEL_MS + 2000));
+        trouble(1000, () -> down(InvariantChecker.CANCEL_MS + 2000));
       }
       default -> {
         for (int i = 0; i < 10; i++) {
           boolean crashes = world.random.nextBoolean();
           trouble(
               i * forMs / 10 + world.random.nextLong(500),
-              () -> world.leaders().forEach(crashes ? this::crash : NodeModel::handOver));
+              () -> world.leaders().forEach(crashes ? this::crash : ControllerModel::handOver));
         }
       }
     }
@@ -422,7 +422,7 @@
         });
   }
 
-  private void refuse(NodeModel node, long forMs) {
+  private void refuse(ControllerModel node, long forMs) {
     if (!world.store.refuses(node.name)) {
       world.store.refuse(node.name, true);
       world.after(forMs, () -> world.store.refuse(node.name, false));
@@ -438,7 +438,7 @@
   }
 
   /** Back after something between a twentieth of a second and ten, often at once. */
-  private void crash(NodeModel n) {
+  private void crash(ControllerModel n) {
     if (!n.crashed()) {
       n.crash();
       boolean atOnce = world.random.nextBoolean();
--- a/src/test/java/org/astershift/world/SwarmDigestTest.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigestTest.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,10 +13,10 @@
  * {@link KeptDigests#LAST_SEED_IN_BUILD} seeds, {@link DigestRun} all. A change of behaviour that
  * is meant writes them anew with {@code -Ddigests.write=true}, in the commit that changes it.
  */
-class SwarmDigestTest {
+class RandomizedScenarioDigestTest {
   @Test
   void noSeedIsPlayedOtherwiseThanKept() throws IOException {
-    List<String> different = SwarmDigests.kept().differencesInBuild();
+    List<String> different = RandomizedScenarioDigests.kept().differencesInBuild();
     assertEquals("", String.join("\n", different));
   }
 }
--- a/src/test/java/org/astershift/world/SwarmDigests.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
@@ -1,20 +1,20 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import org.astershift.EventDigest;
 import org.astershift.KeptDigests;
 
 /** The digests of the swarm's seeds. */
-public final class SwarmDigests {
-  private SwarmDigests() {}
+public final class RandomizedScenarioDigests {
+  private RandomizedScenarioDigests() {}
 
   /** Those kept, and how to play a seed. */
   public static KeptDigests kept() {
-    return KeptDigests.in("swarm.tsv", SwarmDigests::of);
+    return KeptDigests.in("swarm.tsv", RandomizedScenarioDigests::of);
   }
 
   private static String of(long seed) {
-    Swarm swarm = Swarm.play(seed);
-    World world = swarm.world;
+    RandomizedScenario swarm = RandomizedScenario.play(seed);
+    Simulation world = swarm.world;
     EventDigest digest = world.digest;
     digest.endOfPlay(world.now(), world.events(), !swarm.failed());
     return digest.hex();
--- a/src/test/java/org/astershift/world/KeptRoomTest.java
+++ b/src/test/java/org/astershift/simulation/ReservedRoomTest.java
@@ -1,12 +1,12 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.astershift.core.JobKind;
-import org.astershift.core.Priority;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.Priority;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -16,7 +16,7 @@
  * which the operators' page asks for, and room was kept: on the sources before small work waited
  * for as long as a long task ran.
  */
-class KeptRoomTest {
+class ReservedRoomTest {
   private static final int SEEDS = 6;
   private static final int MACHINES = 12;
   private static final double END_S = 420;
@@ -27,15 +27,15 @@
   void smallWorkDoesNotWaitBesideKeptRoom() {
     long longestMs = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = overload(seed);
+      Simulation w = overload(seed);
       assertEquals(List.of(), w.checker.broken, w.wholeStory());
       longestMs = Math.max(longestMs, w.leftWaiting.longestMs());
     }
     assertTrue(longestMs > 30_000, "the longest wait beside room was " + longestMs + " ms");
   }
 
-  private static World overload(long seed) {
-    World w = new World(seed, Setup.of(3, MACHINES));
+  private static Simulation overload(long seed) {
+    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
     w.cloud.capacity.put(CloudModel.TYPE, MACHINES);
     w.runTo(6);
     // Three of four processors of each machine, in part for minutes.
@@ -60,7 +60,7 @@
     return w;
   }
 
-  private static void small(World w, int id) {
+  private static void small(Simulation w, int id) {
     Priority priority = id % 3 == 0 ? Priority.LOW : Priority.NORMAL;
     JobDraft draft = JobDraft.array("wk-s" + id, 2).in("small" + id % 2, priority);
     w.submit(draft.takes(1 + id % 2, 0).spec(), SMALL_MS);
--- a/src/test/java/org/astershift/world/Seeds.java
+++ b/src/test/java/org/astershift/simulation/SeedRunner.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.Set;
 import java.util.TreeMap;
@@ -9,16 +9,17 @@
 
 /**
  * Plays many seeds of the swarm on all processors, for a search longer than the tests are: {@code
- * Seeds FIRST LAST [story] [MUTANT...]}. It prints each seed that fails and what failed, with the
- * log of all hosts where {@code story} is asked for; exit 1 if any did.
+ * SeedRunner FIRST LAST [story] [MUTANT...]}. It prints each seed that fails and what failed, with
+ * the log of all hosts where {@code story} is asked for; exit 1 if any did.
  */
-public final class Seeds {
+public final class SeedRunner {
   private static final String STORY = "story";
 
-  private Seeds() {}
+  private SeedRunner() {}
 
   private static Set<String> options() {
-    Set<String> options = Stream.of(Mutant.values()).map(Mutant::name).collect(Collectors.toSet());
+    Set<String> options =
+        Stream.of(Mutation.values()).map(Mutation::name).collect(Collectors.toSet());
     options.add(STORY);
     return options;
   }
@@ -29,11 +30,11 @@
     long first = arguments.first();
     long last = arguments.last();
     boolean story = arguments.options().contains(STORY);
-    Mutant[] mutants =
+    Mutation[] mutants =
         arguments.options().stream()
             .filter(a -> !a.equals(STORY))
-            .map(Mutant::valueOf)
-            .toArray(Mutant[]::new);
+            .map(Mutation::valueOf)
+            .toArray(Mutation[]::new);
     TreeMap<Long, String> failed =
         LongStream.rangeClosed(first, last)
             .parallel()
@@ -48,8 +49,8 @@
     System.exit(failed.isEmpty() ? 0 : 1);
   }
 
-  private static String play(long seed, boolean story, Mutant... mutants) {
-    Swarm s = Swarm.play(seed, mutants);
+  private static String play(long seed, boolean story, Mutation... mutants) {
+    RandomizedScenario s = RandomizedScenario.play(seed, mutants);
     if (!s.failed()) {
       return null;
     }
--- a/src/test/java/org/astershift/world/World.java
+++ b/src/test/java/org/astershift/simulation/Simulation.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -16,8 +16,8 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import org.astershift.EventDigest;
-import org.astershift.core.Objective;
-import org.astershift.core.Team;
+import org.astershift.scheduler.ServiceLevelObjective;
+import org.astershift.scheduler.Team;
 
 /**
  * Controllers, state service, cloud and workers in one process, in virtual time, under one seed.
@@ -25,21 +25,21 @@
  * protocol. Links between hosts are a matrix of directions, each of which may be cut. Events at the
  * same millisecond come in an order drawn from the seed.
  */
-final class World {
+final class Simulation {
   final long seed;
   final RandomGenerator random;
   final Setup setup;
   final StoreModel store;
   final CloudModel cloud;
-  final Checker checker;
+  final InvariantChecker checker;
   final EventDigest digest = new EventDigest();
-  final LeftWaiting leftWaiting;
-  final Users users;
+  final StarvationCheck leftWaiting;
+  final UserModel users;
   final GangModel gangs = new GangModel(this);
-  final LateReports lateReports = new LateReports(this);
-  final Set<Mutant> mutants = EnumSet.noneOf(Mutant.class);
+  final DelayedHeartbeats lateReports = new DelayedHeartbeats(this);
+  final Set<Mutation> mutants = EnumSet.noneOf(Mutation.class);
   final Map<String, WorkerModel> workers = new LinkedHashMap<>();
-  final List<NodeModel> nodes = new ArrayList<>();
+  final List<ControllerModel> nodes = new ArrayList<>();
 
   /** Processors that the tasks of the only team may take at once; 0: no limit. */
   double teamLimit;
@@ -48,7 +48,7 @@
   final Map<String, Team> teams = new LinkedHashMap<>();
 
   /** What the operators aim at. */
-  final List<Objective> objectives = new ArrayList<>();
+  final List<ServiceLevelObjective> objectives = new ArrayList<>();
 
   /** Share of the reports of which a copy comes later. */
   double copied;
@@ -95,23 +95,23 @@
     }
   }
 
-  World(long seed, Setup setup) {
+  Simulation(long seed, Setup setup) {
     this.seed = seed;
     this.setup = setup;
     this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    this.checker = new Checker(this);
-    this.leftWaiting = new LeftWaiting(this);
-    this.users = new Users(this);
+    this.checker = new InvariantChecker(this);
+    this.leftWaiting = new StarvationCheck(this);
+    this.users = new UserModel(this);
     this.store = new StoreModel(this);
     this.cloud = new CloudModel(this);
     for (int i = 0; i < setup.nodes(); i++) {
-      nodes.add(new NodeModel(this, "n" + i));
+      nodes.add(new ControllerModel(this, "n" + i));
     }
     for (int i = 0; i < setup.machines(); i++) {
       String zone = setup.zones().get(i % setup.zones().size());
       cloud.add("vm-" + i, zone, true);
     }
-    nodes.forEach(NodeModel::start);
+    nodes.forEach(ControllerModel::start);
   }
 
   // ---- time ----
@@ -222,13 +222,13 @@
   }
 
   /** Controllers that lead, as far as they know. */
-  List<NodeModel> leaders() {
+  List<ControllerModel> leaders() {
     return nodes.stream().filter(n -> n.up() && n.leads()).toList();
   }
 
   /** The one that leads; that there is exactly one is asserted. */
-  NodeModel onlyLeader() {
-    List<NodeModel> all = leaders();
+  ControllerModel onlyLeader() {
+    List<ControllerModel> all = leaders();
     assertEquals(1, all.size(), story());
     return all.get(0);
   }
@@ -290,12 +290,12 @@
   // ---- jobs ----
 
   /** A job is accepted; {@code ms}: how long its tasks run, null for a service. */
-  void submit(org.astershift.core.JobSpec spec, Long ms) {
+  void submit(org.astershift.scheduler.JobSpec spec, Long ms) {
     users.accept(spec, ms);
   }
 
   /** A user submits the job until it is accepted; {@code then}: what follows that. */
-  void userSubmits(org.astershift.core.JobSpec spec, Long ms, Runnable then) {
+  void userSubmits(org.astershift.scheduler.JobSpec spec, Long ms, Runnable then) {
     users.submit(spec, ms, then);
   }
 
--- a/src/test/java/org/astershift/world/WorldTest.java
+++ b/src/test/java/org/astershift/simulation/SimulationTest.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,14 +6,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Priority;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Priority;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /** Several controllers together, under cuts and deaths: nobody gives away what somebody hears. */
-class WorldTest {
+class SimulationTest {
   private static final int SEEDS = 25;
   private static final int MUTANT_SEEDS = 300;
 
@@ -47,8 +47,8 @@
   }
 
   /** A world with replicas on it that has come to rest. */
-  private static World rested(long seed, Setup setup) {
-    World w = new World(seed, setup);
+  private static Simulation rested(long seed, Setup setup) {
+    Simulation w = new Simulation(seed, setup);
     w.runTo(4);
     // Something is on each machine to the end, so that none is ever idle: each return is for
     // silence.
@@ -60,16 +60,16 @@
     return w;
   }
 
-  private static int running(World w) {
+  private static int running(Simulation w) {
     return w.workers.values().stream().mapToInt(WorkerModel::running).sum();
   }
 
-  private static void sound(World w) {
+  private static void sound(Simulation w) {
     assertEquals(List.of(), w.checker.broken, w.story());
     assertEquals(List.of(), w.checker.healthyReturned, w.story());
   }
 
-  private static NodeModel follower(World w, int which) {
+  private static ControllerModel follower(Simulation w, int which) {
     return w.nodes.stream().filter(n -> !n.leads()).toList().get(which);
   }
 
@@ -79,7 +79,7 @@
     int gangs = 0;
     int taken = 0;
     for (long seed = 1; seed <= seeds; seed++) {
-      Swarm s = Swarm.play(seed);
+      RandomizedScenario s = RandomizedScenario.play(seed);
       sound(s.world);
       assertEquals("", s.unserved(), s.world.story());
       gangs += s.world.gangs.began;
@@ -93,15 +93,15 @@
   @Test
   void eachFenceTakenAwayIsMissed() {
     StringBuilder found = new StringBuilder();
-    for (Mutant mutant :
+    for (Mutation mutant :
         List.of(
-            Mutant.DEAF_WITNESSES,
-            Mutant.NO_ROSTER,
-            Mutant.ONE_JOB_IS_FORGOTTEN,
-            Mutant.CANCELS_UNWRITTEN,
-            Mutant.ENDS_REPLACE_ENDS)) {
+            Mutation.DEAF_WITNESSES,
+            Mutation.NO_ROSTER,
+            Mutation.ONE_JOB_IS_FORGOTTEN,
+            Mutation.CANCELS_UNWRITTEN,
+            Mutation.ENDS_REPLACE_ENDS)) {
       long seed = 1;
-      while (seed <= MUTANT_SEEDS && !Swarm.play(seed, mutant).failed()) {
+      while (seed <= MUTANT_SEEDS && !RandomizedScenario.play(seed, mutant).failed()) {
         seed++;
       }
       found.append(mutant).append(" by seed ").append(seed).append('\n');
@@ -116,18 +116,18 @@
   @Test
   void aLeaderInDoubtProvesNothingByLeases() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = twoLeaders(seed);
+      Simulation w = twoLeaders(seed);
       assertEquals(2, w.leaders().size(), w.story());
       sound(w);
     }
   }
 
   /** With fences taken away once all are at rest. */
-  static World twoLeaders(long seed, Mutant... mutants) {
-    World w = rested(seed, Setup.of(3, 60));
+  static Simulation twoLeaders(long seed, Mutation... mutants) {
+    Simulation w = rested(seed, Setup.of(3, 60));
     w.mutants.addAll(List.of(mutants));
-    NodeModel old = w.leaders().get(0);
-    NodeModel later = follower(w, 0);
+    ControllerModel old = w.leaders().get(0);
+    ControllerModel later = follower(w, 0);
     for (String host : List.of("state", "cloud", "zone a", later.name, follower(w, 1).name)) {
       w.cutBoth(old.name, host);
     }
@@ -141,8 +141,8 @@
   /** Without handing over the deaf leader stays, and the leases run out. */
   @Test
   void withoutHandingOverTheLeasesRunOut() {
-    World w = rested(1, Setup.of(3, 60));
-    w.mutants.add(Mutant.NO_HANDING_OVER);
+    Simulation w = rested(1, Setup.of(3, 60));
+    w.mutants.add(Mutation.NO_HANDING_OVER);
     w.cutBoth(w.leaders().get(0).name, "workers");
     w.runTo(60);
     assertNotEquals(0, w.checker.killedByLease, "a fence was taken away");
@@ -151,10 +151,10 @@
   @Test
   void theSecondHolderIsCutFromTheWorkersAsTheFirst() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
-      NodeModel first = w.leaders().get(0);
-      NodeModel second = follower(w, 0);
-      NodeModel third = follower(w, 1);
+      Simulation w = rested(seed, Setup.of(3, 60));
+      ControllerModel first = w.leaders().get(0);
+      ControllerModel second = follower(w, 0);
+      ControllerModel third = follower(w, 1);
       w.cutBoth(first.name, "workers");
       w.cutBoth(second.name, "workers");
       w.runTo(35);
@@ -172,13 +172,13 @@
   @Test
   void allAreCutAtOnceAndComeBackOneByOne() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
+      Simulation w = rested(seed, Setup.of(3, 60));
       w.nodes.forEach(n -> w.cutBoth(n.name, "workers"));
       int before = w.checker.leaders.size();
       w.runTo(90);
       assertEquals(
           before, w.checker.leaders.size(), "nobody reaches them: one stays\n" + w.story());
-      NodeModel back = follower(w, 1);
+      ControllerModel back = follower(w, 1);
       w.healBoth(back.name, "workers");
       w.runTo(110);
       assertEquals(List.of(back), w.leaders(), w.story());
@@ -194,8 +194,8 @@
   @Test
   void requestsOfWorkersArriveAndAnswersDoNot() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
-      NodeModel first = w.leaders().get(0);
+      Simulation w = rested(seed, Setup.of(3, 60));
+      ControllerModel first = w.leaders().get(0);
       w.cut(first.name, "workers");
       w.runTo(80);
       sound(w);
@@ -213,7 +213,7 @@
   @Test
   void reportsAreLostAndOrdersAreNot() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
+      Simulation w = rested(seed, Setup.of(3, 60));
       w.nodes.forEach(n -> n.full(40_000));
       w.runTo(100);
       sound(w);
@@ -225,8 +225,8 @@
   @Test
   void aLeaderIsCutOffInTheMiddleOfReturning() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
-      NodeModel first = w.leaders().get(0);
+      Simulation w = rested(seed, Setup.of(3, 60));
+      ControllerModel first = w.leaders().get(0);
       for (int i = 0; i < 12; i++) {
         w.cloud.die("vm-" + i);
       }
@@ -244,8 +244,8 @@
 
   @Test
   void manyAreDeadAtTheMomentOfATakeover() {
-    World w = rested(1, Setup.of(3, 600));
-    NodeModel first = w.leaders().get(0);
+    Simulation w = rested(1, Setup.of(3, 600));
+    ControllerModel first = w.leaders().get(0);
     for (int i = 0; i < 180; i++) {
       w.cloud.die("vm-" + i);
     }
@@ -263,7 +263,7 @@
   @Test
   void aLimitHoldsThroughAChangeOfLeaders() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = atItsLimit(seed);
+      Simulation w = atItsLimit(seed);
       loseLeaderAndZone(w);
       w.runTo(90);
       sound(w);
@@ -275,7 +275,7 @@
   @Test
   void whatIsSaidToAZoneDoesNotArrive() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
+      Simulation w = rested(seed, Setup.of(3, 60));
       w.nodes.forEach(n -> w.cut(n.name, "zone a"));
       w.runTo(21 + seed % 10);
       w.leaders().get(0).crash();
@@ -297,7 +297,7 @@
   @Test
   void whatIsSaidToAFewDoesNotArriveForAWhile() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
+      Simulation w = rested(seed, Setup.of(3, 60));
       w.nodes.forEach(n -> w.cut(n.name, "vm-7"));
       w.submit(job("wk-3", JobKind.SERVICE, 30), null);
       w.runTo(32);
@@ -317,11 +317,11 @@
   @Test
   void oneMachineDoesNotHoldUpAllForEver() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
+      Simulation w = rested(seed, Setup.of(3, 60));
       w.leaders().get(0).crash();
       w.nodes.stream().filter(n -> !n.crashed()).forEach(n -> w.cut(n.name, "vm-3"));
       w.runTo(24);
-      NodeModel next = w.leaders().get(0);
+      ControllerModel next = w.leaders().get(0);
       w.nodes.stream().filter(n -> n != next).forEach(n -> w.heal(n.name, "vm-3"));
       w.submit(job("wk-3", JobKind.ARRAY, 60), 5_000L);
       w.runTo(70);
@@ -335,17 +335,17 @@
   @Test
   void copiesOfReportsComeLate() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = copied(seed);
+      Simulation w = copied(seed);
       sound(w);
       assertEquals(List.of(), w.checker.returned, w.story());
       assertTrue(running(w) >= 180, running(w) + " run\n" + w.story());
     }
-    World w = copied(1, Mutant.COPIES_ARE_NEWS);
+    Simulation w = copied(1, Mutation.COPIES_ARE_NEWS);
     assertFalse(w.checker.broken.isEmpty(), "a fence was taken away");
   }
 
-  private static World copied(long seed, Mutant... mutants) {
-    World w = rested(seed, Setup.of(3, 60));
+  private static Simulation copied(long seed, Mutation... mutants) {
+    Simulation w = rested(seed, Setup.of(3, 60));
     w.mutants.addAll(List.of(mutants));
     w.copied = 1;
     for (int i = 0; i < 30; i++) {
@@ -365,7 +365,7 @@
   @Test
   void machinesBeginAnewInTheMiddleOfAnElection() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
+      Simulation w = rested(seed, Setup.of(3, 60));
       w.copied = 0.2;
       w.leaders().get(0).crash();
       for (int i = 0; i < 12; i++) {
@@ -382,14 +382,16 @@
   @Test
   void aControllerLosesTheStateServiceAndTheOthersAndNotItsWorkers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
-      NodeModel old = w.leaders().get(0);
+      Simulation w = rested(seed, Setup.of(3, 60));
+      ControllerModel old = w.leaders().get(0);
       for (String host : List.of("state", follower(w, 0).name, follower(w, 1).name)) {
         w.cutBoth(old.name, host);
       }
       w.runTo(30);
       if (seed % 2 == 0) {
-        w.leaders().stream().filter(n -> n != old).forEach(NodeModel::crash); // in the election
+        w.leaders().stream()
+            .filter(n -> n != old)
+            .forEach(ControllerModel::crash); // in the election
       }
       w.submit(job("wk-3", JobKind.ARRAY, 60), 5_000L);
       w.runTo(70);
@@ -401,13 +403,13 @@
     }
   }
 
-  private static void loseLeaderAndZone(World w) {
+  private static void loseLeaderAndZone(Simulation w) {
     w.nodes.forEach(n -> w.cutBoth(n.name, "zone a"));
     w.leaders().get(0).crash();
   }
 
-  private static World atItsLimit(long seed) {
-    World w = new World(seed, Setup.of(3, 60));
+  private static Simulation atItsLimit(long seed) {
+    Simulation w = new Simulation(seed, Setup.of(3, 60));
     w.teamLimit = 120;
     w.runTo(4);
     w.submit(job("wk-1", JobKind.SERVICE, 110), null);
@@ -421,13 +423,13 @@
   @Test
   void aZoneIsCutOffWithTheLeaderInIt() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
-      NodeModel first = w.leaders().get(0);
+      Simulation w = rested(seed, Setup.of(3, 60));
+      ControllerModel first = w.leaders().get(0);
       for (String host :
           List.of("state", "cloud", "zone b", "zone c", follower(w, 0).name, follower(w, 1).name)) {
         w.cutBoth(first.name, host);
       }
-      for (NodeModel n : w.nodes) {
+      for (ControllerModel n : w.nodes) {
         if (n != first) {
           w.cutBoth(n.name, "zone a");
         }
@@ -445,7 +447,7 @@
   @Test
   void aLoneControllerStillGivesUpTheDead() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
+      Simulation w = rested(seed, Setup.of(3, 60));
       follower(w, 0).crash();
       follower(w, 1).crash();
       for (int i = 0; i < 10; i++) {
@@ -464,10 +466,10 @@
   @Test
   void aLeaderAloneKeepsAZoneUntilTheOthersAreBack() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, Setup.of(3, 60));
-      NodeModel leader = w.leaders().get(0);
-      List<NodeModel> others = w.nodes.stream().filter(n -> n != leader).toList();
-      others.forEach(NodeModel::crash);
+      Simulation w = rested(seed, Setup.of(3, 60));
+      ControllerModel leader = w.leaders().get(0);
+      List<ControllerModel> others = w.nodes.stream().filter(n -> n != leader).toList();
+      others.forEach(ControllerModel::crash);
       w.cutBoth(leader.name, "zone a");
       others.forEach(n -> w.after(7000 + w.random.nextLong(3000), n::start));
       w.runTo(60);
@@ -475,7 +477,7 @@
       int few = w.checker.returned.size(); // by its own ears, before most of the zone was overdue
       assertTrue(few <= 4, w.story());
       w.nodes.forEach(n -> w.cutBoth(n.name, "zone a"));
-      w.nodes.stream().filter(n -> !n.leads()).forEach(NodeModel::crash);
+      w.nodes.stream().filter(n -> !n.leads()).forEach(ControllerModel::crash);
       w.runTo(85);
       sound(w);
       assertTrue(w.checker.returned.size() - few >= 16, w.story());
@@ -485,7 +487,7 @@
   @Test
   void twoHalvesOfControllersReachHalfOfTheWorkersEach() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      World w = rested(seed, new Setup(5, 60, List.of("a", "b"), 2000, 14_000));
+      Simulation w = rested(seed, new Setup(5, 60, List.of("a", "b"), 2000, 14_000));
       for (int i = 0; i < 5; i++) {
         w.cutBoth("n" + i, i < 3 ? "zone a" : "zone b");
       }
--- a/src/test/java/org/astershift/world/SpotMeetingsTest.java
+++ b/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
@@ -1,13 +1,13 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.astershift.core.JobKind;
-import org.astershift.core.MachineType;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.MachineType;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -15,7 +15,7 @@
  * changes: replicas find another place, gangs and arrays end. Each case counts that its troubles
  * met.
  */
-class SpotMeetingsTest {
+class SpotCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final String SPOT = "brief";
   private static final int MACHINES = 9;
@@ -43,8 +43,8 @@
     }
   }
 
-  private static World world(long seed) {
-    World w = new World(seed, Setup.of(3, 6));
+  private static Simulation world(long seed) {
+    Simulation w = new Simulation(seed, Setup.of(3, 6));
     w.cloud.offer(new MachineType(SPOT, 4, 0, 16, 50, 0.5, 2, 0.1, 10, w.setup.zones()));
     for (int i = 0; i < MACHINES; i++) {
       String zone = w.setup.zones().get(i % 3);
@@ -62,8 +62,8 @@
     return w;
   }
 
-  private static void suffer(World w, Fate fate) {
-    NodeModel old = w.onlyLeader();
+  private static void suffer(Simulation w, Fate fate) {
+    ControllerModel old = w.onlyLeader();
     switch (fate) {
       case CRASHES -> {
         old.crash();
@@ -75,7 +75,7 @@
   }
 
   /** So long later all replicas run, all else is done, and no rule was broken. */
-  private static void assertServed(World w, double afterS) {
+  private static void assertServed(Simulation w, double afterS) {
     w.healAll();
     w.leftWaiting.troublesAreOver();
     w.runTo(w.now() / 1000.0 + afterS);
@@ -100,7 +100,7 @@
     for (Notice notice : Notice.values()) {
       for (Fate fate : Fate.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = world(seed);
+          Simulation w = world(seed);
           List<String> spot = new ArrayList<>();
           for (int i = (int) (seed % 3); i < MACHINES; i++) {
             spot.add("vm-spot" + i);
@@ -131,7 +131,7 @@
     assertTrue(broken >= played / 2, broken + " gangs lost a task");
   }
 
-  private static void takeBack(World w, String machine, Notice notice) {
+  private static void takeBack(Simulation w, String machine, Notice notice) {
     if (notice == Notice.NONE) {
       w.cloud.take(machine);
     } else {
@@ -151,7 +151,7 @@
     int played = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        World w = world(seed);
+        Simulation w = world(seed);
         String type = CloudModel.TYPE;
         w.submit(JobDraft.gang("wk-gang", 6).only(type).takes(3, 0).saves(1).spec(), 60_000L);
         w.runTo(24);
--- a/src/test/java/org/astershift/world/LeftWaiting.java
+++ b/src/test/java/org/astershift/simulation/StarvationCheck.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.MachineType;
-import org.astershift.core.Team;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Team;
 
 /**
  * Once all troubles are over no job is left waiting for 90 s while a machine that fits has room and
@@ -18,7 +18,7 @@
  * room. A gang waits for room for all of its tasks. Room counts once it has been there for some
  * seconds: where there is more work than room, some is always between two tasks.
  */
-final class LeftWaiting {
+final class StarvationCheck {
   /** The operators' page. */
   static final long MOST_MS = 90_000;
 
@@ -28,7 +28,7 @@
   private static final long SETTLED_MS = 5000;
 
   private static final double TOLERANCE = 1e-6;
-  private final World world;
+  private final Simulation world;
 
   /** By job, since when it has waited beside room without a start. */
   private final Map<String, Long> sinceMs = new HashMap<>();
@@ -42,7 +42,7 @@
 
   private String longest = "none";
 
-  LeftWaiting(World world) {
+  StarvationCheck(Simulation world) {
     this.world = world;
   }
 
--- a/src/test/java/org/astershift/world/StoreModel.java
+++ b/src/test/java/org/astershift/simulation/StoreModel.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.astershift.core.Decision;
-import org.astershift.core.JobSpec;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.JobSpec;
 
 /**
  * The state service: keys with revisions, leases that end late by up to 100 ms and have their full
@@ -18,7 +18,7 @@
  */
 final class StoreModel {
   static final String LEADER = "leader";
-  private final World world;
+  private final Simulation world;
   private final TreeMap<String, Row> rows = new TreeMap<>();
   private final List<Row> changes = new ArrayList<>();
   private final Map<Long, Long> leases = new HashMap<>();
@@ -60,7 +60,7 @@
   record JobRow(JobSpec spec, long atMs) {}
 
   /** A machine on record. */
-  record MachineRow(Decision.Enrol machine) {}
+  record MachineRow(Decision.RegisterMachine machine) {}
 
   /** How a job ended. */
   record EndRow(boolean cancelled, int done) {}
@@ -74,7 +74,7 @@
   /** 503: not carried out, and never will be. */
   static final Outcome REFUSED = new Outcome(-2, List.of());
 
-  StoreModel(World world) {
+  StoreModel(Simulation world) {
     this.world = world;
   }
 
--- a/src/test/java/org/astershift/world/TeamMeetingsTest.java
+++ b/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,13 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongFunction;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.MachineType;
-import org.astershift.core.Objective;
-import org.astershift.core.Priority;
-import org.astershift.core.Team;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Priority;
+import org.astershift.scheduler.ServiceLevelObjective;
+import org.astershift.scheduler.Team;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -20,7 +20,7 @@
  * once the troubles are over nothing is left waiting beside room. Each case counts that its
  * troubles met.
  */
-class TeamMeetingsTest {
+class TeamCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MUTANT_SEEDS = 40;
   private static final List<String> TEAMS = List.of("red", "green", "blue");
@@ -55,7 +55,7 @@
 
   /** What a played meeting brought about. */
   private static final class Played {
-    final World world;
+    final Simulation world;
 
     /** Teams that were at their limit when the cancellations came. */
     int atLimit;
@@ -68,18 +68,18 @@
 
     boolean changed;
 
-    Played(World world) {
+    Played(Simulation world) {
       this.world = world;
     }
   }
 
-  private static void assertSound(World w) {
+  private static void assertSound(Simulation w) {
     assertEquals(List.of(), w.checker.broken, () -> "seed " + w.seed + "\n" + w.wholeStory());
   }
 
   /** Three teams with limits far below what there is; more of each waits than its limit allows. */
-  private static World limited(long seed, Mutant... mutants) {
-    World w = new World(seed, Setup.of(3, 12));
+  private static Simulation limited(long seed, Mutation... mutants) {
+    Simulation w = new Simulation(seed, Setup.of(3, 12));
     w.mutants.addAll(List.of(mutants));
     w.cloud.offer(new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, w.setup.zones()));
     for (int i = 0; i < 6; i++) {
@@ -117,7 +117,7 @@
   }
 
   /** Something of the team waits, and its limit allows no more of what does. */
-  private static boolean atLimit(World w, String team) {
+  private static boolean atLimit(Simulation w, String team) {
     double[] use = w.checker.use(team);
     Team t = w.teams.get(team);
     boolean any = false;
@@ -133,7 +133,7 @@
     return any && use[1] >= t.gpusMax();
   }
 
-  private static String machineOf(World w, String job) {
+  private static String machineOf(Simulation w, String job) {
     List<String> on = new ArrayList<>();
     w.checker.eachOnMachine(
         (task, machine) -> {
@@ -144,7 +144,7 @@
     return on.isEmpty() ? null : on.get(w.random.nextInt(on.size()));
   }
 
-  private static int cancelledOn(World w, List<String> jobs, List<String> machines) {
+  private static int cancelledOn(Simulation w, List<String> jobs, List<String> machines) {
     int[] n = new int[1];
     w.checker.eachOnMachine(
         (task, machine) -> {
@@ -159,8 +159,8 @@
    * which they run are cut off or hang, for less than the lease, just as long, and longer; and the
    * leader changes. What waits takes what the cancellations free.
    */
-  private static Played cancelled(Meeting m, long seed, Mutant... mutants) {
-    World w = limited(seed, mutants);
+  private static Played cancelled(Meeting m, long seed, Mutation... mutants) {
+    Simulation w = limited(seed, mutants);
     Played p = new Played(w);
     for (String team : TEAMS) {
       p.atLimit += atLimit(w, team) ? 1 : 0;
@@ -182,7 +182,7 @@
     long leaseMs = w.setup.leaseMs();
     long[] lasts = {leaseMs / 2, leaseMs - 500, leaseMs + 500, 2 * leaseMs};
     long forMs = lasts[(int) (seed % 4)];
-    NodeModel old = w.leaders().get(0);
+    ControllerModel old = w.leaders().get(0);
     w.after(troubleMs - w.now(), () -> machines.forEach(machine -> trouble(w, m, machine, forMs)));
     w.after(cancelMs + m.when.ms - w.now(), () -> suffer(w, old, m.fate));
     for (String job : jobs) {
@@ -202,7 +202,7 @@
     return p;
   }
 
-  private static void trouble(World w, Meeting m, String machine, long forMs) {
+  private static void trouble(Simulation w, Meeting m, String machine, long forMs) {
     if (m.trouble == Trouble.HANG) {
       w.workers.get(machine).hang(forMs);
     } else {
@@ -215,7 +215,7 @@
     }
   }
 
-  private static void suffer(World w, NodeModel old, Fate fate) {
+  private static void suffer(Simulation w, ControllerModel old, Fate fate) {
     switch (fate) {
       case CRASHES -> {
         old.crash();
@@ -252,11 +252,11 @@
     assertTrue(onTroubled >= 6 * played, onTroubled + " tasks on machines in trouble");
     assertTrue(started >= 3 * played, started + " started meanwhile");
     Meeting m = new Meeting(Fate.CRASHES, When.BEFORE, Trouble.CUT_OFF);
-    assertMissed(Mutant.NO_ROSTER, s -> cancelled(m, s, Mutant.NO_ROSTER).world);
+    assertMissed(Mutation.NO_ROSTER, s -> cancelled(m, s, Mutation.NO_ROSTER).world);
   }
 
   /** Without the fence a limit is broken. */
-  private static void assertMissed(Mutant mutant, LongFunction<World> played) {
+  private static void assertMissed(Mutation mutant, LongFunction<Simulation> played) {
     for (long seed = 1; seed <= MUTANT_SEEDS; seed++) {
       List<String> broken = played.apply(seed).checker.broken;
       if (broken.stream().anyMatch(b -> b.startsWith("quota"))) {
@@ -287,17 +287,18 @@
     int played = Fate.values().length * 2 * SEEDS;
     assertTrue(inTheSpell >= 3 * played, inTheSpell + " called off in the spell");
     assertTrue(startedInIt >= played, startedInIt + " started in the spell");
-    assertMissed(Mutant.NO_ROSTER, s -> spell(Fate.CRASHES, s % 2 == 0, s, Mutant.NO_ROSTER).world);
+    assertMissed(
+        Mutation.NO_ROSTER, s -> spell(Fate.CRASHES, s % 2 == 0, s, Mutation.NO_ROSTER).world);
   }
 
-  private record Spell(World world, int cancelled, int started) {}
+  private record Spell(Simulation world, int cancelled, int started) {}
 
-  private static Spell spell(Fate fate, boolean deaf, long seed, Mutant... mutants) {
-    World w = limited(seed, mutants);
-    NodeModel old = w.leaders().get(0);
+  private static Spell spell(Fate fate, boolean deaf, long seed, Mutation... mutants) {
+    Simulation w = limited(seed, mutants);
+    ControllerModel old = w.leaders().get(0);
     String zone = "zone " + w.setup.zones().get((int) (seed % 3));
     long forMs = 4000 + seed * 3000;
-    for (NodeModel n : w.nodes) {
+    for (ControllerModel n : w.nodes) {
       w.cut(n.name, zone);
       if (!deaf) {
         w.cut(zone, n.name);
@@ -315,7 +316,7 @@
       // Some hold tasks where nobody can ask, some wait: what they leave is there to be taken.
       for (String job : List.of("0", "1", "acc0")) {
         w.userCancels("wk-" + team.substring(0, 1) + job);
-        cancelled += w.leaders().stream().anyMatch(NodeModel::starting) ? 1 : 0;
+        cancelled += w.leaders().stream().anyMatch(ControllerModel::starting) ? 1 : 0;
       }
       w.userSubmits(JobDraft.array("wk-late-" + team, 2).of(team).spec(), 300_000L, () -> {});
     }
@@ -347,7 +348,7 @@
     for (Loss loss : Loss.values()) {
       for (boolean changes : new boolean[] {false, true}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = new World(seed, Setup.of(3, 24));
+          Simulation w = new Simulation(seed, Setup.of(3, 24));
           emptied += zoneLost(w, loss, changes) ? 1 : 0;
           played++;
           assertSound(w);
@@ -364,12 +365,12 @@
   }
 
   /** Tasks of the jobs bound to zone a that are on machines. */
-  private static int bound(World w) {
+  private static int bound(Simulation w) {
     return w.checker.on("wk-a1") + w.checker.on("wk-a2") + w.checker.on("wk-a3");
   }
 
   /** Says whether no live machine was left there when the trouble was over. */
-  private static boolean zoneLost(World w, Loss loss, boolean changes) {
+  private static boolean zoneLost(Simulation w, Loss loss, boolean changes) {
     boolean spot = loss == Loss.TAKEN;
     w.cloud.offer(new MachineType("brief", 4, 0, 16, 50, 0.5, 2, 0.1, 10, w.setup.zones()));
     for (int i = 0; spot && i < 4; i++) {
@@ -398,7 +399,7 @@
       there.forEach(loss == Loss.DIE ? w.cloud::die : w.cloud::take);
     }
     if (changes) {
-      NodeModel old = w.leaders().get(0);
+      ControllerModel old = w.leaders().get(0);
       w.after(w.random.nextLong(forMs), () -> suffer(w, old, Fate.values()[(int) w.seed % 3]));
     }
     w.runTo((22_000 + forMs) / 1000.0);
@@ -421,8 +422,8 @@
     long longest = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        World w = crowded(seed);
-        NodeModel old = w.leaders().get(0);
+        Simulation w = crowded(seed);
+        ControllerModel old = w.leaders().get(0);
         w.after(20_000 + w.random.nextLong(5000), () -> suffer(w, old, fate));
         w.runTo(60);
         slow(w, 0);
@@ -442,14 +443,14 @@
     assertTrue(waitedAfter >= 50 * played, waitedAfter + " waited when the troubles were over");
   }
 
-  private static int waiting(World w) {
+  private static int waiting(Simulation w) {
     return w.users.accepted().stream()
         .mapToInt(job -> w.checker.waiting(w.users.spec(job)).size())
         .sum();
   }
 
-  private static void slow(World w, long ms) {
-    for (NodeModel n : w.nodes) {
+  private static void slow(Simulation w, long ms) {
+    for (ControllerModel n : w.nodes) {
       for (String host : List.of("workers", "state", "cloud")) {
         w.slow(n.name, host, host.equals("state") ? ms / 4 : ms);
         w.slow(host, n.name, host.equals("state") ? ms / 4 : ms);
@@ -457,11 +458,11 @@
     }
   }
 
-  private static World crowded(long seed) {
-    World w = new World(seed, Setup.of(3, 12));
+  private static Simulation crowded(long seed) {
+    Simulation w = new Simulation(seed, Setup.of(3, 12));
     w.cloud.capacity.put(CloudModel.TYPE, 12);
-    w.objectives.add(new Objective("wait", "u", 2, 0.9, 1));
-    w.objectives.add(new Objective("wait", "n", 30, 0.9, 1));
+    w.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
+    w.objectives.add(new ServiceLevelObjective("wait", "n", 30, 0.9, 1));
     slow(w, 1000);
     w.runTo(6);
     for (int i = 0; i < 10; i++) {
@@ -480,7 +481,7 @@
     return w;
   }
 
-  private static void urgent(World w, int id) {
+  private static void urgent(Simulation w, int id) {
     JobDraft d = JobDraft.array("wk-u" + id, 6).in("u", Priority.HIGH);
     w.submit(d.takes(id % 2 == 0 ? 2 : 1, 0).spec(), 8_000L);
   }
--- a/src/test/java/org/astershift/world/UserMeetingsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -1,8 +1,8 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
-import static org.astershift.world.MeetingsTest.assertMissed;
-import static org.astershift.world.MeetingsTest.assertSound;
-import static org.astershift.world.MeetingsTest.busy;
+import static org.astershift.simulation.CombinedFaultsTest.assertMissed;
+import static org.astershift.simulation.CombinedFaultsTest.assertSound;
+import static org.astershift.simulation.CombinedFaultsTest.busy;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,15 +11,15 @@
 import java.util.Collections;
 import java.util.List;
 import org.astershift.config.Constants;
-import org.astershift.core.JobKind;
-import org.astershift.world.World.Setup;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
  * What users ask, repeat and cancel meets other troubles, each time seen to have happened. For each
  * a fence is taken away, and the checker notices.
  */
-class UserMeetingsTest {
+class UserCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final long LONG_MS = 300_000;
 
@@ -32,8 +32,8 @@
     BOTH
   }
 
-  private static void change(World w, Change change) {
-    for (NodeModel n : w.leaders()) {
+  private static void change(Simulation w, Change change) {
+    for (ControllerModel n : w.leaders()) {
       if (change == Change.HANDS_OVER || change == Change.BOTH) {
         n.handOver();
       }
@@ -45,22 +45,22 @@
   }
 
   /** Each is served in the end: over, and told so by each node. */
-  private static void assertOver(World w, int from, int jobs) {
+  private static void assertOver(Simulation w, int from, int jobs) {
     for (int i = from; i < from + jobs; i++) {
-      for (NodeModel n : w.nodes) {
+      for (ControllerModel n : w.nodes) {
         String said = w.checker.lastTold("wk-" + i, n.name);
         assertTrue("done".equals(said) || "withdrawn".equals(said), i + ": " + said + w.story());
       }
     }
   }
 
-  private static void submit(World w, int from, int jobs, long withinMs, long runMs) {
+  private static void submit(Simulation w, int from, int jobs, long withinMs, long runMs) {
     for (int i = from; i < from + jobs; i++) {
       String job = "wk-" + i;
       int tasks = 1 + i % 3;
       w.after(
           w.random.nextLong(withinMs),
-          () -> w.userSubmits(WorldTest.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
+          () -> w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
     }
   }
 
@@ -76,7 +76,7 @@
     int cancelled = 0;
     for (Change change : Change.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        World w = closeLooks(seed, change);
+        Simulation w = closeLooks(seed, change);
         assertSound(w);
         assertOver(w, 100, 24);
         looks += w.users.looksAnswered;
@@ -86,13 +86,13 @@
     }
     assertTrue(looks > 10_000 && repeats > 2000, looks + " looks, " + repeats + " repeats");
     assertTrue(cancelled > 100, cancelled + " cancelled at once");
-    for (Mutant m : List.of(Mutant.SHARES_THE_ROUND_IN_WORK, Mutant.TOLD_FROM_THE_MIRROR)) {
+    for (Mutation m : List.of(Mutation.SHARES_THE_ROUND_IN_WORK, Mutation.TOLD_FROM_THE_MIRROR)) {
       assertMissed(m, seed -> closeLooks(seed, Change.NONE, m));
     }
   }
 
-  private static World closeLooks(long seed, Change change, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
+  private static Simulation closeLooks(long seed, Change change, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
     w.stuckMs = seed % 2 == 0 ? 1500 : 0;
     w.users.closeLooks = 1;
     w.users.cancelsAtOnce = 0.3;
@@ -115,7 +115,7 @@
       int ends = 0;
       int notes = 0;
       for (long seed = 1; seed <= SEEDS; seed++) {
-        World w = unheard(seed, change);
+        Simulation w = unheard(seed, change);
         assertSound(w);
         assertOver(w, 100, 16);
         live += w.store.unheardRead.getOrDefault("j/", 0);
@@ -125,17 +125,17 @@
       assertTrue(live > 10 && ends > 10 && notes > 10, live + " " + ends + " " + notes);
     }
     assertMissed(
-        Mutant.TOLD_WHILE_ENDING, seed -> unheard(seed, Change.NONE, Mutant.TOLD_WHILE_ENDING));
+        Mutation.TOLD_WHILE_ENDING, seed -> unheard(seed, Change.NONE, Mutation.TOLD_WHILE_ENDING));
   }
 
-  private static World unheard(long seed, Change change, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
+  private static Simulation unheard(long seed, Change change, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
     w.users.closeLooks = 1;
     w.users.cancelsAtOnce = 0.2;
     w.askAll();
     w.store.unheardShare = 0.4;
-    NodeModel leader = w.leaders().get(0);
-    NodeModel apart = w.nodes.get(w.nodes.indexOf(leader) == 0 ? 1 : 0);
+    ControllerModel leader = w.leaders().get(0);
+    ControllerModel apart = w.nodes.get(w.nodes.indexOf(leader) == 0 ? 1 : 0);
     w.cutBoth(leader.name, apart.name);
     submit(w, 100, 16, 15_000, 3000);
     w.after(8000, () -> change(w, change));
@@ -157,7 +157,7 @@
     for (Change change : List.of(Change.HANDS_OVER, Change.CRASHES, Change.BOTH)) {
       for (int afterMs : List.of(0, 5, 100, 400)) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          World w = changesHands(seed, change, afterMs);
+          Simulation w = changesHands(seed, change, afterMs);
           assertSound(w);
           for (int i = 0; i < 18; i++) {
             String job = "wk-" + (i < 6 ? 10 + i : 94 + i);
@@ -170,18 +170,20 @@
     }
     assertTrue(byTheNext > 300, byTheNext + " confirmed after the change");
     assertTrue(starting > 100, starting + " tasks left as their job was confirmed");
-    Mutant m = Mutant.CONFIRMS_WHILE_STARTING;
+    Mutation m = Mutation.CONFIRMS_WHILE_STARTING;
     assertMissed(m, seed -> changesHands(seed, Change.HANDS_OVER, 25 * (int) seed, m));
   }
 
-  private static World changesHands(long seed, Change change, int afterMs, Mutant... mutants) {
-    World w = busy(seed, 16, mutants);
+  private static Simulation changesHands(
+      long seed, Change change, int afterMs, Mutation... mutants) {
+    Simulation w = busy(seed, 16, mutants);
     w.store.slowMs = seed % 2 == 0 ? 1500 : 0; // the next leader's mirror lags
     // Half of these are accepted within the last moments before it.
     for (int i = 0; i < 12; i++) {
       String job = "wk-" + (100 + i);
       long atMs = i < 6 ? 0 : 600 + w.random.nextLong(300);
-      w.after(atMs, () -> w.userSubmits(WorldTest.job(job, JobKind.ARRAY, 2), LONG_MS, () -> {}));
+      w.after(
+          atMs, () -> w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), LONG_MS, () -> {}));
     }
     w.after(
         1000,
@@ -208,7 +210,7 @@
     int confirmed = 0;
     int looks = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      World w = atTheEnd(seed);
+      Simulation w = atTheEnd(seed);
       assertSound(w);
       assertOver(w, 100, 40);
       asked += w.users.cancelledAtEnd;
@@ -218,11 +220,11 @@
     assertTrue(asked > 200, asked + " cancelled around their end");
     assertTrue(confirmed > 20 && confirmed < asked - 20, confirmed + " of " + asked);
     assertTrue(looks > 5000, looks + " looks");
-    assertMissed(Mutant.ENDS_REPLACE_ENDS, seed -> atTheEnd(seed, Mutant.ENDS_REPLACE_ENDS));
+    assertMissed(Mutation.ENDS_REPLACE_ENDS, seed -> atTheEnd(seed, Mutation.ENDS_REPLACE_ENDS));
   }
 
-  private static World atTheEnd(long seed, Mutant... mutants) {
-    World w = busy(seed, 16, mutants);
+  private static Simulation atTheEnd(long seed, Mutation... mutants) {
+    Simulation w = busy(seed, 16, mutants);
     w.users.closeLooks = 1;
     w.users.cancelsAtEnd = 1;
     w.askAll();
@@ -258,22 +260,22 @@
     assertTrue(onRecord > 30 && not > 30, onRecord + " on record before the outage, not " + not);
     assertTrue(inDoubt > 500, inDoubt + " reports answered in doubt");
     assertMissed(
-        Mutant.IN_DOUBT_STOPS_NOTHING,
-        seed -> refused(seed, 4 + (int) seed % 12, true, Mutant.IN_DOUBT_STOPS_NOTHING).world);
+        Mutation.IN_DOUBT_STOPS_NOTHING,
+        seed -> refused(seed, 4 + (int) seed % 12, true, Mutation.IN_DOUBT_STOPS_NOTHING).world);
   }
 
-  private record Refused(World world, int onRecord, int inDoubt) {}
+  private record Refused(Simulation world, int onRecord, int inDoubt) {}
 
-  private static Refused refused(long seed, int afterMs, boolean hands, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
-    NodeModel old = w.leaders().get(0);
+  private static Refused refused(long seed, int afterMs, boolean hands, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
+    ControllerModel old = w.leaders().get(0);
     for (int i = 10; i < 16; i++) {
       w.userCancels("wk-" + i);
     }
     w.runTo((w.now() + afterMs) / 1000.0);
     if (hands) {
       old.handOver();
-      for (NodeModel n : w.nodes) {
+      for (ControllerModel n : w.nodes) {
         if (n != old) {
           w.cutBoth(n.name, "zone b"); // which the next leader hears when it is in doubt itself
           w.after(6000, () -> w.healBoth(n.name, "zone b"));
@@ -289,7 +291,7 @@
     }
     w.store.down(true);
     int before = old.answeredInDoubt();
-    w.runTo((w.now() + Checker.CANCEL_MS) / 1000.0 + 10);
+    w.runTo((w.now() + InvariantChecker.CANCEL_MS) / 1000.0 + 10);
     int inDoubt = old.answeredInDoubt() - before;
     w.store.refuse(old.name, false);
     w.store.down(false);
@@ -306,7 +308,7 @@
     List<Long> quietMs = new ArrayList<>();
     for (Change change : List.of(Change.NONE, Change.CRASHES, Change.HANDS_OVER)) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        World w = stream(seed, change);
+        Simulation w = stream(seed, change);
         assertSound(w);
         assertEquals(480, w.users.accepted().size() - 1, w.story());
         int confirmed = w.checker.confirmed();
@@ -322,15 +324,15 @@
     long most = quietMs.get(quietMs.size() * 98 / 100);
     assertTrue(most < Constants.CANCEL_PATIENCE_MS, quietMs.toString());
     assertMissed(
-        Mutant.CONFIRMS_WHILE_STARTING,
-        seed -> stream(seed, Change.NONE, Mutant.CONFIRMS_WHILE_STARTING));
+        Mutation.CONFIRMS_WHILE_STARTING,
+        seed -> stream(seed, Change.NONE, Mutation.CONFIRMS_WHILE_STARTING));
   }
 
-  private static World stream(long seed, Change change, Mutant... mutants) {
-    World w = new World(seed, Setup.of(3, 20));
+  private static Simulation stream(long seed, Change change, Mutation... mutants) {
+    Simulation w = new Simulation(seed, Setup.of(3, 20));
     w.mutants.addAll(List.of(mutants));
     w.runTo(4);
-    w.submit(WorldTest.job("wk-1", JobKind.SERVICE, 20), null);
+    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 20), null);
     w.runTo(15);
     w.users.stream(1000, 480, 4000);
     w.after(60_000, () -> change(w, change));
@@ -344,7 +346,7 @@
     int confirmed = 0;
     for (boolean outage : List.of(false, true)) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        World w = tenLeaders(seed, outage);
+        Simulation w = tenLeaders(seed, outage);
         assertSound(w);
         assertTrue(w.checker.leaders.size() >= 10, w.checker.leaders + w.story());
         assertOver(w, 100, 30);
@@ -352,11 +354,11 @@
       }
     }
     assertTrue(confirmed > 100, confirmed + " confirmed");
-    assertMissed(Mutant.NO_ROSTER, seed -> tenLeaders(seed, true, Mutant.NO_ROSTER));
+    assertMissed(Mutation.NO_ROSTER, seed -> tenLeaders(seed, true, Mutation.NO_ROSTER));
   }
 
-  private static World tenLeaders(long seed, boolean outage, Mutant... mutants) {
-    World w = busy(seed, 12, mutants);
+  private static Simulation tenLeaders(long seed, boolean outage, Mutation... mutants) {
+    Simulation w = busy(seed, 12, mutants);
     w.users.closeLooks = 0.5;
     w.users.cancelsAtOnce = 0.2;
     w.askAll();
--- a/src/test/java/org/astershift/world/Users.java
+++ b/src/test/java/org/astershift/simulation/UserModel.java
@@ -1,4 +1,4 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
 
 /**
  * The users: they submit, cancel and ask, each time at whatever node, until they have an answer.
@@ -18,7 +18,7 @@
  * as one of them learns that a job is accepted or over, others ask all nodes within milliseconds
  * and repeat the submission.
  */
-final class Users {
+final class UserModel {
   /** How long they wait for the answer to a submission or a cancellation, and to a question. */
   private static final long REQUEST_MS = 5000;
 
@@ -30,7 +30,7 @@
 
   private static final int LOOKS = 4;
 
-  private final World world;
+  private final Simulation world;
   private final Map<String, Long> runMs = new HashMap<>();
   private final Map<String, JobSpec> submitted = new LinkedHashMap<>();
   private final Set<String> accepted = new LinkedHashSet<>();
@@ -61,7 +61,7 @@
 
   int cancelledAtEnd;
 
-  Users(World world) {
+  UserModel(Simulation world) {
     this.world = world;
   }
 
@@ -139,14 +139,14 @@
       Runnable then = () -> world.after(afterMs, () -> cancel(job));
       world.after(
           i * 250L + world.random.nextLong(250),
-          () -> submit(WorldTest.job(job, JobKind.ARRAY, 1), ms, cancels ? then : () -> {}));
+          () -> submit(SimulationTest.job(job, JobKind.ARRAY, 1), ms, cancels ? then : () -> {}));
     }
   }
 
   /** A user's request about a job, at some node, and again at some node until it is answered. */
   private void request(
-      String job, BiConsumer<NodeModel, Consumer<String>> service, Runnable answered) {
-    NodeModel n = world.nodes.get(world.random.nextInt(world.nodes.size()));
+      String job, BiConsumer<ControllerModel, Consumer<String>> service, Runnable answered) {
+    ControllerModel n = world.nodes.get(world.random.nextInt(world.nodes.size()));
     ask(
         job,
         n,
@@ -163,9 +163,9 @@
 
   private void ask(
       String job,
-      NodeModel n,
+      ControllerModel n,
       long waitMs,
-      BiConsumer<NodeModel, Consumer<String>> service,
+      BiConsumer<ControllerModel, Consumer<String>> service,
       Consumer<String> done) {
     long asked = world.checker.asked();
     world.call(
@@ -192,12 +192,12 @@
   }
 
   private void poll(String job) {
-    for (NodeModel n : world.nodes) {
+    for (ControllerModel n : world.nodes) {
       world.after(world.random.nextLong(POLL_MS), () -> poll(job, n));
     }
   }
 
-  private void poll(String job, NodeModel n) {
+  private void poll(String job, ControllerModel n) {
     ask(
         job,
         n,
@@ -211,7 +211,7 @@
     if (world.random.nextDouble() >= closeLooks) {
       return;
     }
-    for (NodeModel n : world.nodes) {
+    for (ControllerModel n : world.nodes) {
       for (int i = 0; i < LOOKS; i++) {
         soon(job, n, QUESTION_MS, (node, a) -> node.ask(job, true, a), () -> looksAnswered++);
       }
@@ -222,9 +222,9 @@
 
   private void soon(
       String job,
-      NodeModel n,
+      ControllerModel n,
       long waitMs,
-      BiConsumer<NodeModel, Consumer<String>> service,
+      BiConsumer<ControllerModel, Consumer<String>> service,
       Runnable answered) {
     looks++;
     world.after(
--- a/src/test/java/org/astershift/world/WorkerModel.java
+++ b/src/test/java/org/astershift/simulation/WorkerModel.java
@@ -1,14 +1,14 @@
-package org.astershift.world;
+package org.astershift.simulation;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.astershift.core.JobKind;
-import org.astershift.core.JobSpec;
-import org.astershift.core.Order;
-import org.astershift.core.Report;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Heartbeat;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
 
 /**
  * A worker: tokens, sessions, lease, commands; it reports to one controller at a time. It may hang,
@@ -28,7 +28,7 @@
   final String name;
   final String zone;
   final CloudModel.Kind kind;
-  private final World world;
+  private final Simulation world;
   private boolean alive;
 
   /** Which of its lives this is: what was under way in an earlier one ends with it. */
@@ -100,7 +100,7 @@
     final String job;
     final int index;
     final long attempt;
-    Report.Phase phase = Report.Phase.FETCHING;
+    Heartbeat.TaskPhase phase = Heartbeat.TaskPhase.FETCHING;
     String cause;
 
     Task(WorkerModel worker, String job, int index, long attempt) {
@@ -114,19 +114,19 @@
       return job + "/" + index;
     }
 
-    boolean ofGang(World world) {
+    boolean ofGang(Simulation world) {
       JobSpec spec = world.users.spec(job);
       return spec != null && spec.kind() == JobKind.GANG;
     }
   }
 
   /** The answer to a report: 200 with a token, or 421 with the leader's name or null. */
-  record Answer(boolean ok, long token, List<Order> orders, String leader) {}
+  record Answer(boolean ok, long token, List<Command> orders, String leader) {}
 
   /** The answer to direct commands. */
-  record Executed(boolean ok, Report report) {}
+  record Executed(boolean ok, Heartbeat report) {}
 
-  WorkerModel(World world, String name, CloudModel.Kind kind) {
+  WorkerModel(Simulation world, String name, CloudModel.Kind kind) {
     this.world = world;
     this.name = name;
     this.zone = kind.zone();
@@ -264,7 +264,7 @@
   }
 
   private void gone(Task t) {
-    if (t.phase != Report.Phase.EXITED) {
+    if (t.phase != Heartbeat.TaskPhase.EXITED) {
       world.checker.over(t.task(), name);
       world.gangs.left(t);
     }
@@ -281,12 +281,12 @@
     return new ArrayList<>(tasks.values());
   }
 
-  private Report says() {
-    List<Report.Item> items = new ArrayList<>();
+  private Heartbeat says() {
+    List<Heartbeat.TaskStatus> items = new ArrayList<>();
     for (Task t : tasks.values()) {
-      items.add(new Report.Item(t.job, t.index, t.attempt, t.phase, t.cause));
+      items.add(new Heartbeat.TaskStatus(t.job, t.index, t.attempt, t.phase, t.cause));
     }
-    return new Report(
+    return new Heartbeat(
         name, name, kind.type(), zone, kind.spot(), session, ++seq, token, recall(), items);
   }
 
@@ -345,19 +345,19 @@
   }
 
   /** A copy of what it said, from seconds to well over a lease later, at whatever node. */
-  private void copy(Report r) {
+  private void copy(Heartbeat r) {
     if (world.random.nextDouble() < world.copied) {
-      NodeModel to = world.nodes.get(world.random.nextInt(world.nodes.size()));
+      ControllerModel to = world.nodes.get(world.random.nextInt(world.nodes.size()));
       long ms = 1000 + world.random.nextLong(3 * world.setup.leaseMs());
       world.after(ms, () -> to.copy(aged(r)));
     }
   }
 
   /** As it was sent, or as a leader would read it that does not order what it is told. */
-  Report aged(Report r) {
-    boolean news = world.mutants.contains(Mutant.COPIES_ARE_NEWS);
-    boolean shows = world.mutants.contains(Mutant.COPIES_SHOW_THE_TOKEN);
-    return new Report(
+  Heartbeat aged(Heartbeat r) {
+    boolean news = world.mutants.contains(Mutation.COPIES_ARE_NEWS);
+    boolean shows = world.mutants.contains(Mutation.COPIES_SHOW_THE_TOKEN);
+    return new Heartbeat(
         r.machine(),
         r.addr(),
         r.type(),
@@ -374,11 +374,11 @@
     expire();
     long sentMs = world.now();
     long sentIn = session;
-    Report r = says();
+    Heartbeat r = says();
     copy(r);
     world.lateReports.said(this, r);
     int of = life;
-    NodeModel to = world.nodes.get(node);
+    ControllerModel to = world.nodes.get(node);
     if (mute()) {
       noWay(r, to);
       return;
@@ -396,8 +396,8 @@
   }
 
   /** A report that arrives after newer ones is as a copy of it. */
-  private void arrives(NodeModel to, Report r, Consumer<Answer> answer) {
-    if (seq > r.seq() && world.mutants.contains(Mutant.COPIES_ARE_NEWS)) {
+  private void arrives(ControllerModel to, Heartbeat r, Consumer<Answer> answer) {
+    if (seq > r.seq() && world.mutants.contains(Mutation.COPIES_ARE_NEWS)) {
       to.copy(aged(r));
     } else {
       to.report(seq > r.seq() ? aged(r) : r, answer);
@@ -405,7 +405,7 @@
   }
 
   /** It is refused at once, or waits in vain for a connection. */
-  private void noWay(Report r, NodeModel to) {
+  private void noWay(Heartbeat r, ControllerModel to) {
     if (keptLast) {
       keptLast = false;
       world.after(muteUntilMs - world.now() + 1, () -> to.report(r, a -> {}));
@@ -447,7 +447,7 @@
       return;
     }
     for (Task t : tasks()) {
-      if (t.phase != Report.Phase.EXITED) {
+      if (t.phase != Heartbeat.TaskPhase.EXITED) {
         world.checker.killedByLease++;
         world.note(name, t.task() + " is killed by the lease");
         gone(t);
@@ -474,7 +474,7 @@
   }
 
   /** Commands sent straight to it, maybe minutes ago. */
-  Executed orders(long helm, long ofSession, List<Order> orders) {
+  Executed orders(long helm, long ofSession, List<Command> orders) {
     expire();
     if (helm < token || ofSession != session) {
       return new Executed(false, says());
@@ -485,7 +485,7 @@
     return new Executed(true, says());
   }
 
-  private void execute(Order o) {
+  private void execute(Command o) {
     world.digest.command(world.now(), name, o);
     String key = o.job() + "/" + o.index() + "@" + o.attempt();
     Task t = tasks.get(key);
@@ -502,23 +502,23 @@
             afterWork(FETCH_MS, () -> when(fresh, () -> fetched(fresh)));
             return;
           }
-          afterWork(FETCH_MS, () -> phase(fresh, Report.Phase.RUNNING, null));
+          afterWork(FETCH_MS, () -> phase(fresh, Heartbeat.TaskPhase.RUNNING, null));
           fails(fresh, FETCH_MS + FAILS_MS);
           Long runMs = world.users.runMsOf(o.job(), o.index());
           if (runMs != null) {
             world.users.started(o.job(), o.index(), FETCH_MS + runMs);
-            afterWork(FETCH_MS + runMs, () -> phase(fresh, Report.Phase.EXITED, "done"));
+            afterWork(FETCH_MS + runMs, () -> phase(fresh, Heartbeat.TaskPhase.EXITED, "done"));
           }
         }
       }
       case STOP -> {
         if (t != null) {
-          world.checker.halted += t.phase == Report.Phase.EXITED ? 0 : 1;
+          world.checker.halted += t.phase == Heartbeat.TaskPhase.EXITED ? 0 : 1;
           stop(t, o.graceS());
         }
       }
       case FORGET -> {
-        if (t != null && t.phase == Report.Phase.EXITED) {
+        if (t != null && t.phase == Heartbeat.TaskPhase.EXITED) {
           tasks.remove(key);
         }
       }
@@ -529,12 +529,12 @@
   /** On a faulty machine the task fails so long from now. */
   void fails(Task t, long ms) {
     if (faulty) {
-      afterWork(ms, () -> phase(t, Report.Phase.EXITED, "error"));
+      afterWork(ms, () -> phase(t, Heartbeat.TaskPhase.EXITED, "error"));
     }
   }
 
   private void fetched(Task t) {
-    if (t.phase == Report.Phase.FETCHING) {
+    if (t.phase == Heartbeat.TaskPhase.FETCHING) {
       world.gangs.arrives(t);
     }
   }
@@ -543,22 +543,23 @@
   private void stop(Task t, double graceS) {
     JobSpec spec = world.users.spec(t.job);
     boolean saves = spec != null && spec.checkpointS() > 0 && graceS >= spec.saveS();
-    if (t.ofGang(world) && (t.phase == Report.Phase.RUNNING || t.phase == Report.Phase.SAVING)) {
+    if (t.ofGang(world)
+        && (t.phase == Heartbeat.TaskPhase.RUNNING || t.phase == Heartbeat.TaskPhase.SAVING)) {
       world.gangs.stop(t, saves);
       return;
     }
-    if (saves && t.phase == Report.Phase.RUNNING) {
-      t.phase = Report.Phase.SAVING;
+    if (saves && t.phase == Heartbeat.TaskPhase.RUNNING) {
+      t.phase = Heartbeat.TaskPhase.SAVING;
       long ms = Math.round(spec.saveS() * 1000);
-      afterWork(ms, () -> phase(t, Report.Phase.EXITED, "halted"));
-    } else if (!saves || t.phase != Report.Phase.SAVING) {
-      phase(t, Report.Phase.EXITED, "halted");
+      afterWork(ms, () -> phase(t, Heartbeat.TaskPhase.EXITED, "halted"));
+    } else if (!saves || t.phase != Heartbeat.TaskPhase.SAVING) {
+      phase(t, Heartbeat.TaskPhase.EXITED, "halted");
     }
   }
 
   /** The task moves on, unless it has ended or its lease is over. */
-  void phase(Task t, Report.Phase phase, String cause) {
-    boolean here = alive && tasks.containsValue(t) && t.phase != Report.Phase.EXITED;
+  void phase(Task t, Heartbeat.TaskPhase phase, String cause) {
+    boolean here = alive && tasks.containsValue(t) && t.phase != Heartbeat.TaskPhase.EXITED;
     if (here && world.now() - answeredSentMs > world.setup.leaseMs()) {
       expire();
       return;
@@ -567,12 +568,12 @@
       t.phase = phase;
       t.cause = cause;
       world.digest.phase(world.now(), t.task(), name, phase, cause);
-      if (phase == (t.ofGang(world) ? Report.Phase.WAITING : Report.Phase.RUNNING)) {
+      if (phase == (t.ofGang(world) ? Heartbeat.TaskPhase.WAITING : Heartbeat.TaskPhase.RUNNING)) {
         world.checker.begins(t.task(), name);
       } else if ("done".equals(cause)) {
         world.users.completed(t.job, t.index);
       }
-      if (phase == Report.Phase.EXITED) {
+      if (phase == Heartbeat.TaskPhase.EXITED) {
         world.checker.over(t.task(), name);
         world.gangs.left(t);
         if ("done".equals(cause)) {
@@ -585,7 +586,7 @@
   /** Tasks on it, exited ones not, as "job/index". */
   List<String> holds() {
     return tasks.values().stream()
-        .filter(t -> t.phase != Report.Phase.EXITED)
+        .filter(t -> t.phase != Heartbeat.TaskPhase.EXITED)
         .map(Task::task)
         .toList();
   }
@@ -593,7 +594,7 @@
   int running() {
     int n = 0;
     for (Task t : tasks.values()) {
-      n += t.phase == Report.Phase.RUNNING ? 1 : 0;
+      n += t.phase == Heartbeat.TaskPhase.RUNNING ? 1 : 0;
     }
     return n;
   }
--- a/src/test/java/org/astershift/store/RecordsTest.java
+++ b/src/test/java/org/astershift/store/RecordCodecTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Progress of the largest job fits pages of notes, whatever the pattern. */
-class RecordsTest {
+class RecordCodecTest {
   @Test
   void hundredThousandTasksFitAndComeBack() throws Exception {
     BitSet done = new BitSet();
@@ -16,10 +16,10 @@
       done.set(i);
     }
     BitSet back = new BitSet();
-    for (int segment = 0; segment < Records.segments(100_000); segment++) {
-      String value = Records.segment(done, segment);
+    for (int segment = 0; segment < RecordCodec.segments(100_000); segment++) {
+      String value = RecordCodec.segment(done, segment);
       assertTrue(value.length() <= Constants.PAGE_BYTES, "segment of " + value.length());
-      assertEquals("wk-1", Records.merge(back, Records.progress("wk-1", segment), value));
+      assertEquals("wk-1", RecordCodec.merge(back, RecordCodec.progress("wk-1", segment), value));
     }
     assertEquals(done, back);
   }
--- a/src/test/java/org/astershift/store/StoreShellTest.java
+++ b/src/test/java/org/astershift/store/StoreClientTest.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.astershift.config.Constants;
-import org.astershift.standin.Await;
-import org.astershift.standin.StandInStore;
-import org.astershift.standin.StandIns;
+import org.astershift.emulator.Await;
+import org.astershift.emulator.Emulators;
+import org.astershift.emulator.StoreEmulator;
 import org.astershift.store.StoreClient.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -28,25 +28,25 @@
 
 /** What a node takes the state service's answers, and their absence, for. */
 @Timeout(200)
-class StoreShellTest {
+class StoreClientTest {
   private final ThreadGroup threads = new ThreadGroup("mirror");
   private final ConcurrentLinkedQueue<String> told = new ConcurrentLinkedQueue<>();
   @TempDir Path dir;
-  private StandInStore service;
-  private StandInStore.Door door;
-  private StandInStore.Door otherDoor;
+  private StoreEmulator service;
+  private StoreEmulator.StoreAddress door;
+  private StoreEmulator.StoreAddress otherDoor;
   private StoreClient store;
   private StoreClient other;
-  private Mirror mirror;
+  private WatchCache mirror;
 
   @BeforeEach
   void start() throws Exception {
-    service = new StandInStore(0);
+    service = new StoreEmulator(0);
     door = service.door();
     otherDoor = service.door();
-    store = new StoreClient(StandIns.settings(dir, door.port(), 1));
-    other = new StoreClient(StandIns.settings(dir, otherDoor.port(), 1));
-    mirror = new Mirror(store);
+    store = new StoreClient(Emulators.settings(dir, door.port(), 1));
+    other = new StoreClient(Emulators.settings(dir, otherDoor.port(), 1));
+    mirror = new WatchCache(store);
   }
 
   @AfterEach
@@ -58,12 +58,13 @@
   }
 
   private static String key(int i) {
-    return String.format("%sj/wk-%06d", Records.LIVE, i);
+    return String.format("%sj/wk-%06d", RecordCodec.LIVE, i);
   }
 
-  private static long write(StoreClient by, StoreClient.Txn txn) throws InterruptedException {
-    Outcome o = by.commit(txn, RateBudget.Use.URGENT, 10_000);
-    return assertInstanceOf(Outcome.Applied.class, o).revision();
+  private static long write(StoreClient by, StoreClient.Transaction txn)
+      throws InterruptedException {
+    Outcome o = by.commit(txn, RateLimiter.Urgency.URGENT, 10_000);
+    return assertInstanceOf(Outcome.Committed.class, o).revision();
   }
 
   private void startMirror() throws InterruptedException {
@@ -80,14 +81,14 @@
   /** Only what certainly is not applied may be taken for that. */
   @Test
   void whatIsUnknownIsNotTakenForRefused() throws Exception {
-    StoreClient.Txn txn = new StoreClient.Txn().put(key(1), Map.of());
+    StoreClient.Transaction txn = new StoreClient.Transaction().put(key(1), Map.of());
     service.loseAnswers(1);
-    Outcome lost = store.commit(txn, RateBudget.Use.URGENT, 1000);
+    Outcome lost = store.commit(txn, RateLimiter.Urgency.URGENT, 1000);
     service.loseAnswers(0);
     assertInstanceOf(Outcome.Unknown.class, lost);
     assertTrue(service.has(key(1)), "and it is applied");
     door.refuse(true);
-    assertInstanceOf(Outcome.Refused.class, store.commit(txn, RateBudget.Use.URGENT, 1000));
+    assertInstanceOf(Outcome.Rejected.class, store.commit(txn, RateLimiter.Urgency.URGENT, 1000));
     long before = store.silenceMs();
     assertThrows(IOException.class, () -> store.get(key(1)));
     assertTrue(store.silenceMs() >= before, "a refusal is no service");
@@ -102,7 +103,7 @@
   void pagesOfDifferentMomentsBecomeOne() throws Exception {
     int rows = Constants.LIST_ROWS * 3 / 2;
     for (int i = 0; i < rows; i += 100) {
-      StoreClient.Txn some = new StoreClient.Txn();
+      StoreClient.Transaction some = new StoreClient.Transaction();
       for (int j = i; j < i + 100; j++) {
         some.put(key(j), Map.of());
       }
@@ -112,31 +113,33 @@
     door.watched(
         (r, done) -> {
           if (done && r.path().equals("/store") && once.compareAndSet(false, true)) {
-            write(other, new StoreClient.Txn().delete(key(3)).put(key(rows - 1), Map.of("n", 2)));
-            write(other, new StoreClient.Txn().put(key(4), Map.of("n", 2)));
+            write(
+                other,
+                new StoreClient.Transaction().delete(key(3)).put(key(rows - 1), Map.of("n", 2)));
+            write(other, new StoreClient.Transaction().put(key(4), Map.of("n", 2)));
           }
         });
     startMirror();
     Await.until("the pages", mirror::loaded);
-    long last = write(other, new StoreClient.Txn().put(key(rows), Map.of()));
+    long last = write(other, new StoreClient.Transaction().put(key(rows), Map.of()));
     assertTrue(mirror.reach(last, 60_000));
     assertTrue(once.get());
     assertNull(mirror.row(key(3)), "gone after its page was read");
     assertEquals("2", String.valueOf(mirror.row(key(rows - 1)).data().get("n")));
     assertEquals("2", String.valueOf(mirror.row(key(4)).data().get("n")));
-    assertEquals(rows, mirror.below(Records.LIVE).size());
+    assertEquals(rows, mirror.below(RecordCodec.LIVE).size());
   }
 
   /** A node that was cut off for so long that its watch cannot go on. */
   @Test
   void whatChangedBeyondTheWatchIsToldAllTheSame() throws Exception {
-    write(other, new StoreClient.Txn().put(key(1), Map.of()).put(key(2), Map.of()));
+    write(other, new StoreClient.Transaction().put(key(1), Map.of()).put(key(2), Map.of()));
     startMirror();
     Await.until("the first reading", mirror::loaded);
     door.refuse(true);
-    write(other, new StoreClient.Txn().put(key(9), Map.of())); // ends the watch that waits
+    write(other, new StoreClient.Transaction().put(key(9), Map.of())); // ends the watch that waits
     Await.until("the watch to be refused", store::lost);
-    write(other, new StoreClient.Txn().delete(key(1)).put(key(3), Map.of()));
+    write(other, new StoreClient.Transaction().delete(key(1)).put(key(3), Map.of()));
     service.forgetChanges();
     told.clear();
     door.refuse(false);
@@ -164,7 +167,7 @@
    */
   @Test
   void aLeaseIsRenewedHoweverManyQuestionsWait() throws Exception {
-    StoreClient narrow = new StoreClient(StandIns.settings(dir, door.port(), 1, 40));
+    StoreClient narrow = new StoreClient(Emulators.settings(dir, door.port(), 1, 40));
     long lease = narrow.grant(60_000);
     AtomicBoolean over = new AtomicBoolean();
     AtomicInteger refused = new AtomicInteger();
--- a/src/test/java/org/astershift/store/StoreLimitsTest.java
+++ b/src/test/java/org/astershift/store/StoreLimitsTest.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.astershift.config.Constants;
+import org.astershift.emulator.Emulators;
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
-import org.astershift.standin.StandIns;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -33,7 +33,7 @@
     HttpServer server = new HttpServer("127.0.0.1", 0, 50, service);
     server.start();
     try {
-      body.run(new StoreClient(StandIns.settings(dir, server.port(), 1)));
+      body.run(new StoreClient(Emulators.settings(dir, server.port(), 1)));
     } finally {
       server.close();
     }
--- a/src/test/java/org/astershift/worker/OrderSenderTest.java
+++ b/src/test/java/org/astershift/worker/CommandSenderTest.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
-import org.astershift.core.Order;
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Response;
+import org.astershift.scheduler.Command;
 import org.junit.jupiter.api.Test;
 
 /** What a start may have done of which no proper answer came: it holds its task's place. */
-class OrderSenderTest {
+class CommandSenderTest {
   private static final String REPORT =
       "{\"vessel\":\"vm-1\",\"addr\":\"127.0.0.1:1\",\"hull\":\"small\",\"harbor\":\"a\","
           + "\"ebbtide\":false,\"watch\":1,\"tick\":7,\"helm\":5,\"shards\":[]}";
 
   private static String sent(String addr) {
-    OrderSender.Result r = new OrderSender().send(addr, 5, 1, List::of, 2000);
+    CommandSender.Result r = new CommandSender().send(addr, 5, 1, List::of, 2000);
     return (r.unknown() ? "unknown" : "known") + (r.report() == null ? "" : " with a report");
   }
 
@@ -47,7 +47,7 @@
     assertEquals("known", sent(addr), "no connection: nothing was sent");
     assertEquals("known", sent("nowhere"));
     assertEquals("known", sent("127.0.0.1:70000"), "no port");
-    assertFalse(new OrderSender().answers("127.0.0.1:70000", 2000));
+    assertFalse(new CommandSender().answers("127.0.0.1:70000", 2000));
   }
 
   /**
@@ -57,7 +57,7 @@
   @Test
   void ordersAreMadeUpOnceThereIsAConnection() throws Exception {
     AtomicInteger madeUp = new AtomicInteger();
-    Supplier<List<Order>> orders =
+    Supplier<List<Command>> orders =
         () -> {
           madeUp.incrementAndGet();
           return List.of();
@@ -65,12 +65,12 @@
     HttpServer gone = new HttpServer("127.0.0.1", 0, 5, r -> Response.of(200, null));
     String addr = "127.0.0.1:" + gone.port();
     gone.close();
-    new OrderSender().send(addr, 5, 1, orders, 2000);
+    new CommandSender().send(addr, 5, 1, orders, 2000);
     assertEquals(0, madeUp.get(), "nobody accepts a connection");
     byte[] report = REPORT.getBytes(StandardCharsets.UTF_8);
     try (HttpServer worker = new HttpServer("127.0.0.1", 0, 5, r -> new Response(200, report, 0))) {
       worker.start();
-      OrderSender sender = new OrderSender();
+      CommandSender sender = new CommandSender();
       for (int i = 1; i <= 2; i++) {
         sender.send("127.0.0.1:" + worker.port(), 5, 1, orders, 2000);
         assertEquals(i, madeUp.get(), "once a request, also over a connection that was kept");
