--- a/src/main/java/org/astershift/Main.java
+++ b/src/main/java/org/astershift/Main.java
@@ -68,9 +68,10 @@
     try {
       CommandLine line = new DefaultParser().parse(options, args);
       if (line.hasOption("help")) {
-        HelpFormatter f = new HelpFormatter();
-        java.io.PrintWriter w = new java.io.PrintWriter(out, true);
-        f.printHelp(w, 80, "astershift [OPTION...] --config FILE", "", options, 2, 2, "");
+        HelpFormatter formatter = new HelpFormatter();
+        java.io.PrintWriter writer = new java.io.PrintWriter(out, true);
+        formatter.printHelp(
+            writer, 80, "astershift [OPTION...] --config FILE", "", options, 2, 2, "");
         return 0;
       }
       if (line.hasOption("version")) {
@@ -87,7 +88,7 @@
       settings = Settings.load(Path.of(line.getOptionValue("config")));
       String ini = line.getOptionValue("ini", System.getenv("ASTERSHIFT_INI"));
       policy = ini == null ? OperatorSettings.defaults() : OperatorSettings.load(Path.of(ini));
-      logging(System.getenv("LOG_LEVEL"));
+      configureLogging(System.getenv("LOG_LEVEL"));
       if (line.hasOption("check")) {
         out.println("settings are fine");
         return 0;
@@ -108,49 +109,53 @@
     }
   }
 
-  private static void logging(String level) throws ConfigurationException {
-    String l = level == null || level.isEmpty() ? "info" : level.toLowerCase(Locale.ROOT);
-    if (!Set.of("error", "info", "debug").contains(l)) {
+  private static void configureLogging(String level) throws ConfigurationException {
+    String normalizedLevel =
+        level == null || level.isEmpty() ? "info" : level.toLowerCase(Locale.ROOT);
+    if (!Set.of("error", "info", "debug").contains(normalizedLevel)) {
       throw new ConfigurationException("LOG_LEVEL is not error, info or debug: " + level);
     }
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", l);
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", normalizedLevel);
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
   }
 
   private static void start(Settings settings, SchedulingPolicy policy) throws IOException {
     StoreClient store = new StoreClient(settings);
-    Map<String, JobService.PeerChannel> askers = new HashMap<>();
-    for (Settings.Peer p : settings.peers()) {
-      PeerClient client = new PeerClient(p.endpoint());
-      askers.put(p.node(), client::ask);
+    Map<String, JobService.PeerChannel> peerChannels = new HashMap<>();
+    for (Settings.Peer peer : settings.peers()) {
+      PeerClient client = new PeerClient(peer.endpoint());
+      peerChannels.put(peer.nodeName(), client::ask);
     }
-    ControllerRuntime director =
-        new ControllerRuntime(settings, policy, store, new WatchCache(store), askers);
-    JobService desk = new JobService(director, store, askers);
+    ControllerRuntime controller =
+        new ControllerRuntime(settings, policy, store, new WatchCache(store), peerChannels);
+    JobService jobService = new JobService(controller, store, peerChannels);
     // Both addresses are had before anything else begins: that this node's former process is gone
     // is what lets this one remove a leader's key that it left.
-    PeerServer peers =
-        patiently(
+    PeerServer peerServer =
+        retryWhileAddressInUse(
             () ->
                 new PeerServer(
-                    settings.peerListen().host(), settings.peerListen().port(), desk::answer));
-    int most = Constants.connections(settings.sockets());
-    PublicApi api = new PublicApi(director, desk, settings.facts().teams());
+                    settings.peerListen().host(),
+                    settings.peerListen().port(),
+                    jobService::answerPeer));
+    int maxConnections = Constants.maxConnections(settings.sockets());
+    PublicApi api = new PublicApi(controller, jobService, settings.limits().teams());
     HttpServer http =
-        patiently(
+        retryWhileAddressInUse(
             () ->
                 new HttpServer(
                     settings.listen().host(),
                     settings.listen().port(),
-                    new ConnectionSlots(most, (int) (most * Constants.USERS_SHARE)),
-                    PublicApi::isReport,
+                    new ConnectionSlots(
+                        maxConnections, (int) (maxConnections * Constants.USER_CONNECTIONS_SHARE)),
+                    PublicApi::isHeartbeatPath,
                     api));
-    peers.start();
-    director.start();
+    peerServer.start();
+    controller.start();
     http.start();
-    Thread keep = new Thread(null, Main::keepAlive, "keep-alive", Constants.STACK_BYTES);
-    keep.start();
+    Thread keepAliveThread = new Thread(null, Main::keepAlive, "keep-alive", Constants.STACK_BYTES);
+    keepAliveThread.start();
   }
 
   /** Something that takes an address. */
@@ -162,21 +167,21 @@
    * Waits for an address that is still taken: by this node's former process, which was killed a
    * moment ago or is about to end.
    */
-  static <T> T patiently(SocketOpener<T> listening) throws IOException {
-    long began = System.nanoTime();
-    boolean told = false;
+  static <T> T retryWhileAddressInUse(SocketOpener<T> opener) throws IOException {
+    long beganNs = System.nanoTime();
+    boolean logged = false;
     while (true) {
       try {
-        return listening.open();
+        return opener.open();
       } catch (BindException e) {
-        if ((System.nanoTime() - began) / 1_000_000 > Constants.LISTEN_PATIENCE_MS) {
+        if ((System.nanoTime() - beganNs) / 1_000_000 > Constants.LISTEN_TIMEOUT_MS) {
           throw e;
         }
-        if (!told) {
+        if (!logged) {
           LoggerFactory.getLogger(Main.class).info("waits for its address: {}", e.getMessage());
         }
-        told = true;
-        Threads.pause();
+        logged = true;
+        Threads.backOff();
       }
     }
   }
--- a/src/main/java/org/astershift/api/ConcurrencyGate.java
+++ b/src/main/java/org/astershift/api/ConcurrencyGate.java
@@ -9,20 +9,20 @@
  * answered in time again.
  */
 final class ConcurrencyGate {
-  private final Semaphore turns;
-  private final long patienceMs;
+  private final Semaphore permits;
+  private final long timeoutMs;
 
-  ConcurrencyGate(int atOnce, long patienceMs) {
-    this.turns = new Semaphore(atOnce);
-    this.patienceMs = patienceMs;
+  ConcurrencyGate(int limit, long patienceMs) {
+    this.permits = new Semaphore(limit);
+    this.timeoutMs = patienceMs;
   }
 
-  /** Waits for a turn; false if none came in time. After true, {@link #done} has to follow. */
-  boolean take() throws InterruptedException {
-    return turns.tryAcquire(patienceMs, TimeUnit.MILLISECONDS);
+  /** Waits for a turn; false if none came in time. After true, {@link #leave} has to follow. */
+  boolean tryEnter() throws InterruptedException {
+    return permits.tryAcquire(timeoutMs, TimeUnit.MILLISECONDS);
   }
 
-  void done() {
-    turns.release();
+  void leave() {
+    permits.release();
   }
 }
--- a/src/main/java/org/astershift/api/JobCodec.java
+++ b/src/main/java/org/astershift/api/JobCodec.java
@@ -13,60 +13,60 @@
 
 /** The users' words for jobs. */
 public final class JobCodec {
-  private static final int MOST_TASKS = 100_000;
+  private static final int MAX_TASKS = 100_000;
 
   private JobCodec() {}
 
   /** Whether this is an id of the form that all jobs have. */
-  public static boolean isId(String id) {
+  public static boolean isJobId(String id) {
     return id.matches("wk-[0-9a-z]{1,40}");
   }
 
   /** Reads a submission; throws with the first field that is missing or invalid. */
-  public static JobSpec spec(Map<String, Object> m) throws Json.JsonFormatException {
-    String id = Json.text(m, "id");
-    if (!isId(id)) {
+  public static JobSpec decodeSpec(Map<String, Object> fields) throws Json.JsonFormatException {
+    String id = Json.string(fields, "id");
+    if (!isJobId(id)) {
       throw new Json.JsonFormatException("id is not of the form wk-000000");
     }
-    long tasks = Json.whole(m, "shards");
-    if (tasks < 1 || tasks > MOST_TASKS) {
+    long tasks = Json.integer(fields, "shards");
+    if (tasks < 1 || tasks > MAX_TASKS) {
       throw new Json.JsonFormatException("shards is out of range");
     }
     List<String> types = null;
-    if (m.get("hulls") != null) {
+    if (fields.get("hulls") != null) {
       types = new ArrayList<>();
-      for (Object o : Json.list(m, "hulls")) {
-        if (!(o instanceof String s)) {
+      for (Object element : Json.list(fields, "hulls")) {
+        if (!(element instanceof String string)) {
           throw new Json.JsonFormatException("hulls is not a list of texts");
         }
-        types.add(s);
+        types.add(string);
       }
     }
-    Double deadline = Json.numberOrNull(m, "due_s");
-    if (deadline != null && deadline < 0) {
+    Double deadlineS = Json.numberOrNull(fields, "due_s");
+    if (deadlineS != null && deadlineS < 0) {
       throw new Json.JsonFormatException("due_s is out of range");
     }
     return new JobSpec(
         id,
-        named(m, "berth_class"),
-        named(m, "crew"),
-        kind(Json.text(m, "shape")),
-        priority(Json.text(m, "rank")),
+        boundedText(fields, "berth_class"),
+        boundedText(fields, "crew"),
+        kind(Json.string(fields, "shape")),
+        priority(Json.string(fields, "rank")),
         (int) tasks,
-        amount(m, "vcpus"),
-        amount(m, "gpus"),
-        amount(m, "mem_gb"),
-        named(m, "payload"),
-        amount(m, "image_gb"),
+        amount(fields, "vcpus"),
+        amount(fields, "gpus"),
+        amount(fields, "mem_gb"),
+        boundedText(fields, "payload"),
+        amount(fields, "image_gb"),
         types,
-        Json.textOrNull(m, "harbor"),
-        Json.flag(m, "one_zone"),
-        Json.flag(m, "apart"),
-        Json.flag(m, "ebbtide"),
-        amount(m, "expect_s"),
-        amount(m, "anchor_s"),
-        amount(m, "stow_s"),
-        deadline);
+        Json.stringOrNull(fields, "harbor"),
+        Json.bool(fields, "one_zone"),
+        Json.bool(fields, "apart"),
+        Json.bool(fields, "ebbtide"),
+        amount(fields, "expect_s"),
+        amount(fields, "anchor_s"),
+        amount(fields, "stow_s"),
+        deadlineS);
   }
 
   /**
@@ -74,38 +74,40 @@
    * missing or null as false, and overlooked what came after the object. Null if none did. Its user
    * may repeat it at any time.
    */
-  public static String acceptedBefore(byte[] text) {
+  public static String earlierAcceptedId(byte[] body) {
     try {
-      Map<String, Object> m = new HashMap<>(Json.leadingObject(text));
+      Map<String, Object> fields = new HashMap<>(Json.leadingObject(body));
       for (String flag : List.of("one_zone", "apart", "ebbtide")) {
-        if (m.get(flag) == null) {
-          m.put(flag, false);
+        if (fields.get(flag) == null) {
+          fields.put(flag, false);
         }
       }
-      return spec(m).id();
+      return decodeSpec(fields).id();
     } catch (Json.JsonFormatException e) {
       return null;
     }
   }
 
-  private static String named(Map<String, Object> m, String name) throws Json.JsonFormatException {
-    String s = Json.text(m, name);
-    if (s.isEmpty() || s.length() > 200) {
+  private static String boundedText(Map<String, Object> fields, String name)
+      throws Json.JsonFormatException {
+    String string = Json.string(fields, name);
+    if (string.isEmpty() || string.length() > 200) {
       throw new Json.JsonFormatException(name + " is empty or too long");
     }
-    return s;
+    return string;
   }
 
-  private static double amount(Map<String, Object> m, String name) throws Json.JsonFormatException {
-    double d = Json.number(m, name);
-    if (d < 0 || d > 1e9) {
+  private static double amount(Map<String, Object> fields, String name)
+      throws Json.JsonFormatException {
+    double value = Json.number(fields, name);
+    if (value < 0 || value > 1e9) {
       throw new Json.JsonFormatException(name + " is out of range");
     }
-    return d;
+    return value;
   }
 
-  private static JobKind kind(String word) throws Json.JsonFormatException {
-    return switch (word) {
+  private static JobKind kind(String wireName) throws Json.JsonFormatException {
+    return switch (wireName) {
       case "sweep" -> JobKind.ARRAY;
       case "gang" -> JobKind.GANG;
       case "service" -> JobKind.SERVICE;
@@ -113,8 +115,8 @@
     };
   }
 
-  private static Priority priority(String word) throws Json.JsonFormatException {
-    return switch (word) {
+  private static Priority priority(String wireName) throws Json.JsonFormatException {
+    return switch (wireName) {
       case "critical" -> Priority.PRODUCTION;
       case "urgent" -> Priority.HIGH;
       case "standard" -> Priority.NORMAL;
@@ -124,12 +126,12 @@
   }
 
   /** A job's state as its user reads it. */
-  public static Map<String, Object> state(String id, JobAnswer a) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("id", id);
-    m.put("phase", a.phase());
-    m.put("done", a.done());
-    m.put("running", a.running());
-    return m;
+  public static Map<String, Object> encodeState(String id, JobAnswer answer) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("id", id);
+    fields.put("phase", answer.phase());
+    fields.put("done", answer.doneTasks());
+    fields.put("running", answer.runningTasks());
+    return fields;
   }
 }
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -23,103 +23,107 @@
 /** The published interface: users, workers and health checks. */
 public final class PublicApi implements Handler {
   private static final Logger LOG = LoggerFactory.getLogger(PublicApi.class);
-  private static final String JOBS = "/v2/runs";
-  private static final String REPORT = "/agent/beat";
-  private static final String CANCEL = "/withdraw";
-  private final ControllerRuntime director;
-  private final JobService desk;
+  private static final String JOBS_PATH = "/v2/runs";
+  private static final String HEARTBEAT_PATH = "/agent/beat";
+  private static final String CANCEL_SUFFIX = "/withdraw";
+  private final ControllerRuntime controller;
+  private final JobService jobService;
   private final Map<String, Team> teams;
-  private final RequestStatistics traffic = new RequestStatistics();
-  private final ConcurrencyGate reports =
-      new ConcurrencyGate(Constants.REPORTS_AT_ONCE, Constants.REPORT_PATIENCE_MS);
+  private final RequestStatistics requestStatistics = new RequestStatistics();
+  private final ConcurrencyGate heartbeatGate =
+      new ConcurrencyGate(Constants.CONCURRENT_HEARTBEATS, Constants.HEARTBEAT_WAIT_MS);
 
-  public PublicApi(ControllerRuntime director, JobService desk, Map<String, Team> teams) {
-    this.director = director;
-    this.desk = desk;
+  public PublicApi(ControllerRuntime controller, JobService jobService, Map<String, Team> teams) {
+    this.controller = controller;
+    this.jobService = jobService;
     this.teams = teams;
   }
 
   /** Whether a request for this path is a worker's. */
-  public static boolean isReport(String path) {
-    return path.equals(REPORT);
+  public static boolean isHeartbeatPath(String path) {
+    return path.equals(HEARTBEAT_PATH);
   }
 
   @Override
-  public Response handle(Request r) throws InterruptedException {
-    String path = r.path();
-    if (isReport(path)) {
-      return r.method().equals("POST") ? report(r) : wrongMethod();
+  public Response handle(Request request) throws InterruptedException {
+    String path = request.path();
+    if (isHeartbeatPath(path)) {
+      return request.method().equals("POST") ? handleHeartbeat(request) : wrongMethod();
     }
     if (path.equals("/ready")) {
-      if (!r.method().equals("GET")) {
+      if (!request.method().equals("GET")) {
         return wrongMethod();
       }
-      return director.ready()
+      return controller.ready()
           ? Response.of(200, Map.of("ready", true))
           : Response.error(503, "starting");
     }
-    if (path.equals(JOBS)) {
-      return r.method().equals("POST")
-          ? noted(RequestStatistics.Kind.SUBMISSION, submit(r))
+    if (path.equals(JOBS_PATH)) {
+      return request.method().equals("POST")
+          ? counted(RequestStatistics.Kind.SUBMISSION, submit(request))
           : wrongMethod();
     }
-    if (path.startsWith(JOBS + "/")) {
-      String rest = path.substring(JOBS.length() + 1);
-      boolean cancel = rest.endsWith(CANCEL);
-      String id = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
+    if (path.startsWith(JOBS_PATH + "/")) {
+      String jobPath = path.substring(JOBS_PATH.length() + 1);
+      boolean cancel = jobPath.endsWith(CANCEL_SUFFIX);
+      String id =
+          cancel ? jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length()) : jobPath;
       if (id.contains("/")) {
         return Response.error(404, "no such path");
       }
-      if (!r.method().equals(cancel ? "POST" : "GET")) {
+      if (!request.method().equals(cancel ? "POST" : "GET")) {
         return wrongMethod();
       }
-      if (!JobCodec.isId(id)) {
+      if (!JobCodec.isJobId(id)) {
         return Response.error(400, "not a job's id");
       }
       return cancel
-          ? noted(RequestStatistics.Kind.CANCELLATION, answer(id, desk.cancel(id, true)))
-          : noted(RequestStatistics.Kind.QUESTION, answer(id, desk.poll(id, true)));
+          ? counted(
+              RequestStatistics.Kind.CANCELLATION, jobResponse(id, jobService.cancel(id, true)))
+          : counted(RequestStatistics.Kind.STATUS_POLL, jobResponse(id, jobService.poll(id, true)));
     }
     return Response.error(404, "no such path");
   }
 
-  private Response noted(RequestStatistics.Kind kind, Response r) {
-    traffic.note(kind, r.status());
-    return r;
+  private Response counted(RequestStatistics.Kind kind, Response response) {
+    requestStatistics.record(kind, response.status());
+    return response;
   }
 
   private static Response wrongMethod() {
     return Response.error(405, "wrong method");
   }
 
-  private static Response answer(String id, JobAnswer a) {
-    return switch (a.status()) {
-      case 200 -> Response.of(200, JobCodec.state(id, a));
+  private static Response jobResponse(String id, JobAnswer answer) {
+    return switch (answer.status()) {
+      case 200 -> Response.of(200, JobCodec.encodeState(id, answer));
       case 404 -> Response.error(404, "no such job");
       default -> Response.error(503, "cannot be decided now");
     };
   }
 
-  private Response submit(Request r) throws InterruptedException {
+  private Response submit(Request request) throws InterruptedException {
     JobSpec spec;
     try {
-      spec = JobCodec.spec(Json.object(r.body()));
+      spec = JobCodec.decodeSpec(Json.object(request.body()));
     } catch (Json.JsonFormatException e) {
       Response malformed = Response.error(400, e.getMessage());
-      String id = JobCodec.acceptedBefore(r.body());
+      String id = JobCodec.earlierAcceptedId(request.body());
       return id == null ? malformed : unlessKnown(id, malformed);
     }
-    Map<String, MachineType> types = director.types();
+    Map<String, MachineType> types = controller.types();
     if (types.isEmpty()) {
       return unlessKnown(spec.id(), Response.error(503, "machine types are not known yet"));
     }
-    String never = Eligibility.neverRuns(spec, types.values(), teams.get(spec.team()));
-    if (never != null) {
-      return unlessKnown(spec.id(), Response.error(422, never));
+    String rejectionReason =
+        Eligibility.rejectionReason(spec, types.values(), teams.get(spec.team()));
+    if (rejectionReason != null) {
+      return unlessKnown(spec.id(), Response.error(422, rejectionReason));
     }
-    JobService.SubmissionResult s = desk.submit(spec);
-    return switch (s.status()) {
-      case 200, 201 -> Response.of(s.status(), JobCodec.state(spec.id(), s.known()));
+    JobService.SubmissionResult result = jobService.submit(spec);
+    return switch (result.status()) {
+      case 200, 201 ->
+          Response.of(result.status(), JobCodec.encodeState(spec.id(), result.known()));
       default -> Response.error(503, "cannot be accepted now");
     };
   }
@@ -130,8 +134,8 @@
    * refused without it.
    */
   private Response unlessKnown(String id, Response refusal) throws InterruptedException {
-    JobAnswer known = desk.poll(id, true);
-    return known.status() == 404 ? refusal : answer(id, known);
+    JobAnswer known = jobService.poll(id, true);
+    return known.status() == 404 ? refusal : jobResponse(id, known);
   }
 
   /**
@@ -141,31 +145,31 @@
    * overloaded leader worked on nothing but reports half a minute old, all of its answers were
    * dropped, and the whole fleet's leases ran out.
    */
-  private Response report(Request r) throws InterruptedException {
-    if (!reports.take()) {
+  private Response handleHeartbeat(Request request) throws InterruptedException {
+    if (!heartbeatGate.tryEnter()) {
       return Response.error(503, "too many reports");
     }
     try {
-      return answered(r);
+      return processHeartbeat(request);
     } finally {
-      reports.done();
+      heartbeatGate.leave();
     }
   }
 
-  private Response answered(Request r) {
-    Heartbeat report;
+  private Response processHeartbeat(Request request) {
+    Heartbeat heartbeat;
     try {
-      report = WorkerCodec.report(r.body());
+      heartbeat = WorkerCodec.readHeartbeat(request.body());
     } catch (Json.JsonFormatException e) {
       LOG.info("a report that makes no sense: {}", e.getMessage());
       return Response.error(400, e.getMessage());
     }
-    long token = director.token();
-    List<Command> orders = director.report(report, token);
-    if (orders == null) {
-      String leader = director.otherLeader();
+    long fencingToken = controller.token();
+    List<Command> commands = controller.onHeartbeat(heartbeat, fencingToken);
+    if (commands == null) {
+      String leader = controller.otherLeader();
       return Response.of(421, leader == null ? Map.of() : Map.of("harbormaster", leader));
     }
-    return new Response(200, WorkerCodec.answer(token, orders), 0);
+    return new Response(200, WorkerCodec.heartbeatResponse(fencingToken, commands), 0);
   }
 }
--- a/src/main/java/org/astershift/api/RequestStatistics.java
+++ b/src/main/java/org/astershift/api/RequestStatistics.java
@@ -12,30 +12,30 @@
   /** Kinds of requests. */
   enum Kind {
     SUBMISSION,
-    QUESTION,
+    STATUS_POLL,
     CANCELLATION
   }
 
-  private final int[] asked = new int[Kind.values().length];
-  private int refused;
-  private long sinceNs = System.nanoTime();
+  private final int[] requests = new int[Kind.values().length];
+  private int unavailable;
+  private long periodStartNs = System.nanoTime();
 
   /** Notes one request and its answer, and from time to time writes down the sums. */
-  synchronized void note(Kind kind, int status) {
-    asked[kind.ordinal()]++;
-    refused += status == 503 ? 1 : 0;
-    long now = System.nanoTime();
-    if (now - sinceNs >= Constants.SUMMARY_MS * 1_000_000) {
+  synchronized void record(Kind kind, int status) {
+    requests[kind.ordinal()]++;
+    unavailable += status == 503 ? 1 : 0;
+    long nowNs = System.nanoTime();
+    if (nowNs - periodStartNs >= Constants.SUMMARY_INTERVAL_MS * 1_000_000) {
       LOG.info(
           "users sent {} submissions, {} questions and {} cancellations in {} s; {} got 503",
-          asked[0],
-          asked[1],
-          asked[2],
-          (now - sinceNs) / 1_000_000_000,
-          refused);
-      Arrays.fill(asked, 0);
-      refused = 0;
-      sinceNs = now;
+          requests[0],
+          requests[1],
+          requests[2],
+          (nowNs - periodStartNs) / 1_000_000_000,
+          unavailable);
+      Arrays.fill(requests, 0);
+      unavailable = 0;
+      periodStartNs = nowNs;
     }
   }
 }
--- a/src/main/java/org/astershift/cloud/CloudClient.java
+++ b/src/main/java/org/astershift/cloud/CloudClient.java
@@ -21,12 +21,12 @@
   private static final String NO_CAPACITY = "no capacity";
 
   private final HttpClient http;
-  private final RateLimiter calls;
+  private final RateLimiter rateLimiter;
 
   public CloudClient(Settings settings) {
     this.http = new HttpClient(settings.cloud().host(), settings.cloud().port(), 3);
-    this.calls = new RateLimiter(settings.cloudRps());
-    this.calls.share(Constants.CLOUD_BUDGET, 1);
+    this.rateLimiter = new RateLimiter(settings.cloudRps());
+    this.rateLimiter.setShare(Constants.CLOUD_RATE_SHARE, 1);
   }
 
   /** The cloud refused: nothing was done. */
@@ -40,11 +40,11 @@
       /** The cloud will never carry it out as it is. */
       MALFORMED,
       /** It may be carried out if it is sent again. */
-      TROUBLE;
+      RETRYABLE;
 
       /** Whether the same request is not to be sent again. */
-      public boolean isFinal() {
-        return this != TROUBLE;
+      public boolean isPermanent() {
+        return this != RETRYABLE;
       }
     }
 
@@ -62,136 +62,141 @@
   }
 
   /** The machine types that can be rented, by name. */
-  public Map<String, MachineType> types() throws IOException {
+  public Map<String, MachineType> listMachineTypes() throws IOException {
     try {
-      Map<String, MachineType> out = new LinkedHashMap<>();
-      for (Object o :
+      Map<String, MachineType> typesByName = new LinkedHashMap<>();
+      for (Object item :
           Json.list(
-              Json.object(call(RateLimiter.Urgency.URGENT, "GET", "/flavors", null)), "hulls")) {
-        Map<String, Object> m = Json.object(o, "type");
+              Json.object(call(RateLimiter.Urgency.INTERACTIVE, "GET", "/flavors", null)),
+              "hulls")) {
+        Map<String, Object> fields = Json.object(item, "type");
         List<String> zones = new ArrayList<>();
-        for (Object z : Json.list(m, "harbors")) {
-          zones.add(String.valueOf(z));
+        for (Object zone : Json.list(fields, "harbors")) {
+          zones.add(String.valueOf(zone));
         }
-        Double gpus = Json.numberOrNull(m, "gpus");
-        String name = Json.text(m, "name");
-        out.put(
-            name,
+        Double gpus = Json.numberOrNull(fields, "gpus");
+        String typeName = Json.string(fields, "name");
+        typesByName.put(
+            typeName,
             new MachineType(
-                name,
-                Json.number(m, "vcpus"),
+                typeName,
+                Json.number(fields, "vcpus"),
                 gpus == null ? 0 : gpus,
-                Json.number(m, "mem_gb"),
-                Json.number(m, "local_gb"),
-                Json.number(m, "pull_gb_per_s"),
-                Json.number(m, "hourly"),
-                Json.number(m, "low_price"),
-                Json.number(m, "ready_s"),
+                Json.number(fields, "mem_gb"),
+                Json.number(fields, "local_gb"),
+                Json.number(fields, "pull_gb_per_s"),
+                Json.number(fields, "hourly"),
+                Json.number(fields, "low_price"),
+                Json.number(fields, "ready_s"),
                 zones));
       }
-      return out;
+      return typesByName;
     } catch (Json.JsonFormatException e) {
       throw new IOException("machine types: " + e.getMessage());
     }
   }
 
   /** Rents under a name of its own; repeating the name repeats the answer. */
-  public List<String> rent(String name, Decision.ProvisionMachines r) throws IOException {
+  public List<String> provisionMachines(String requestId, Decision.ProvisionMachines request)
+      throws IOException {
     Map<String, Object> body = new LinkedHashMap<>();
-    body.put("charter", name);
-    body.put("hull", r.type());
-    body.put("harbor", r.zone());
-    body.put("ebbtide", r.spot());
-    body.put("number", r.count());
+    body.put("charter", requestId);
+    body.put("hull", request.typeName());
+    body.put("harbor", request.zone());
+    body.put("ebbtide", request.spot());
+    body.put("number", request.count());
     try {
-      List<String> names = new ArrayList<>();
-      for (Object o :
+      List<String> machineNames = new ArrayList<>();
+      for (Object item :
           Json.list(
-              Json.object(call(RateLimiter.Urgency.URGENT, "POST", "/hosts", body)), "vessels")) {
-        names.add(String.valueOf(o));
+              Json.object(call(RateLimiter.Urgency.INTERACTIVE, "POST", "/hosts", body)),
+              "vessels")) {
+        machineNames.add(String.valueOf(item));
       }
-      return names;
+      return machineNames;
     } catch (Json.JsonFormatException e) {
       throw new IOException("rental: " + e.getMessage());
     }
   }
 
   /** The answer frees the tasks that a silent machine may hold. */
-  public void giveBack(List<String> names) throws IOException {
-    call(RateLimiter.Urgency.URGENT, "POST", "/hosts/return", Map.of("vessels", names));
+  public void releaseMachines(List<String> machineNames) throws IOException {
+    call(RateLimiter.Urgency.INTERACTIVE, "POST", "/hosts/return", Map.of("vessels", machineNames));
   }
 
   /** The whole list, page by page. */
-  public List<ListedMachine> list() throws IOException {
-    List<ListedMachine> out = new ArrayList<>();
+  public List<ListedMachine> listMachines() throws IOException {
+    List<ListedMachine> machines = new ArrayList<>();
     String after = "";
     boolean more = true;
     try {
       while (more) {
         String path = "/hosts?limit=500" + (after.isEmpty() ? "" : "&from=" + after);
-        Map<String, Object> m = Json.object(call(RateLimiter.Urgency.LAZY, "GET", path, null));
-        List<?> rows = Json.list(m, "vessels");
-        for (Object o : rows) {
-          Map<String, Object> v = Json.object(o, "machine");
-          Double age = Json.numberOrNull(v, "held_s");
-          ListedMachine l =
+        Map<String, Object> page =
+            Json.object(call(RateLimiter.Urgency.BACKGROUND, "GET", path, null));
+        List<?> rows = Json.list(page, "vessels");
+        for (Object row : rows) {
+          Map<String, Object> fields = Json.object(row, "machine");
+          Double age = Json.numberOrNull(fields, "held_s");
+          ListedMachine machine =
               new ListedMachine(
-                  Json.text(v, "id"),
-                  Json.textOrNull(v, "addr"),
-                  Json.text(v, "hull"),
-                  Json.text(v, "harbor"),
-                  Json.flagOr(v, "ebbtide", false),
-                  Json.text(v, "phase"),
+                  Json.string(fields, "id"),
+                  Json.stringOrNull(fields, "addr"),
+                  Json.string(fields, "hull"),
+                  Json.string(fields, "harbor"),
+                  Json.boolOr(fields, "ebbtide", false),
+                  Json.string(fields, "phase"),
                   age == null ? 0 : age);
-          out.add(l);
-          after = l.name();
+          machines.add(machine);
+          after = machine.name();
         }
-        more = Json.flagOr(m, "more", false) && !rows.isEmpty();
+        more = Json.boolOr(page, "more", false) && !rows.isEmpty();
       }
     } catch (Json.JsonFormatException e) {
       throw new IOException("machine list: " + e.getMessage());
     }
-    return out;
+    return machines;
   }
 
-  private byte[] call(RateLimiter.Urgency use, String method, String path, Map<String, Object> body)
+  private byte[] call(
+      RateLimiter.Urgency urgency, String method, String path, Map<String, Object> body)
       throws IOException {
     try {
-      if (!calls.acquire(use, 1, Constants.CLOUD_TIMEOUT_MS)) {
+      if (!rateLimiter.acquire(urgency, 1, Constants.CLOUD_TIMEOUT_MS)) {
         throw new CloudRejectedException(
-            "over the limit of calls", CloudRejectedException.Reason.TROUBLE);
+            "over the limit of calls", CloudRejectedException.Reason.RETRYABLE);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new CloudRejectedException("interrupted", CloudRejectedException.Reason.TROUBLE);
+      throw new CloudRejectedException("interrupted", CloudRejectedException.Reason.RETRYABLE);
     }
-    HttpClient.Response a;
+    HttpClient.Response response;
     try {
-      a =
+      response =
           http.call(
               method, path, body == null ? null : Json.bytes(body), Constants.CLOUD_TIMEOUT_MS);
     } catch (HttpClient.RequestNotSentException e) {
-      throw new CloudRejectedException(e.getMessage(), CloudRejectedException.Reason.TROUBLE);
+      throw new CloudRejectedException(e.getMessage(), CloudRejectedException.Reason.RETRYABLE);
     }
-    if (a.status() == 200) {
-      return a.body();
+    if (response.status() == 200) {
+      return response.body();
     }
-    throw new CloudRejectedException("status " + a.status(), reason(a));
+    throw new CloudRejectedException("status " + response.status(), reason(response));
   }
 
-  private static CloudRejectedException.Reason reason(HttpClient.Response a) {
-    if (a.status() == MALFORMED_STATUS) {
+  private static CloudRejectedException.Reason reason(HttpClient.Response response) {
+    if (response.status() == MALFORMED_STATUS) {
       return CloudRejectedException.Reason.MALFORMED;
     }
     try {
-      boolean full =
-          a.status() == UNAVAILABLE_STATUS
-              && NO_CAPACITY.equals(Json.object(a.body()).get("error"));
-      return full
+      boolean noCapacity =
+          response.status() == UNAVAILABLE_STATUS
+              && NO_CAPACITY.equals(Json.object(response.body()).get("error"));
+      return noCapacity
           ? CloudRejectedException.Reason.NO_CAPACITY
-          : CloudRejectedException.Reason.TROUBLE;
+          : CloudRejectedException.Reason.RETRYABLE;
     } catch (Json.JsonFormatException e) {
-      return CloudRejectedException.Reason.TROUBLE;
+      return CloudRejectedException.Reason.RETRYABLE;
     }
   }
 }
--- a/src/main/java/org/astershift/config/OperatorSettings.java
+++ b/src/main/java/org/astershift/config/OperatorSettings.java
@@ -16,7 +16,7 @@
 public final class OperatorSettings {
   private OperatorSettings() {}
 
-  private static final Map<String, Set<String>> KNOWN =
+  private static final Map<String, Set<String>> KNOWN_KEYS =
       Map.of(
           "placement", Set.of("window", "utilization", "batch", "waiting_age_s"),
           "fleet", Set.of("idle_release_s"));
@@ -24,9 +24,9 @@
   /** What holds without a file. */
   public static SchedulingPolicy defaults() {
     return new SchedulingPolicy(
-        Constants.WINDOW,
-        Constants.UTILIZATION,
-        Constants.BATCH,
+        Constants.WINDOW_TASKS,
+        Constants.UTILIZATION_THRESHOLD_SHARE,
+        Constants.MACHINE_BATCH_TASKS,
         Constants.WAITING_AGE_S,
         Constants.IDLE_RELEASE_S);
   }
@@ -40,12 +40,13 @@
     try (var in = Files.newBufferedReader(file)) {
       ini.load(in);
     } catch (IOException e) {
-      String why = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
-      throw new ConfigurationException(file + ": cannot be read: " + why.replaceAll("\\s+", " "));
+      String reason = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
+      throw new ConfigurationException(
+          file + ": cannot be read: " + reason.replaceAll("\\s+", " "));
     }
     List<String> problems = new ArrayList<>();
     for (Profile.Section section : ini.values()) {
-      Set<String> keys = KNOWN.get(section.getName());
+      Set<String> keys = KNOWN_KEYS.get(section.getName());
       if (keys == null) {
         problems.add("[" + section.getName() + "] is not a known section");
         continue;
@@ -56,41 +57,48 @@
         }
       }
     }
-    SchedulingPolicy d = defaults();
+    SchedulingPolicy defaults = defaults();
     SchedulingPolicy policy =
         new SchedulingPolicy(
-            (int) value(ini, "placement", "window", d.window(), 1, 1_000_000, problems),
-            value(ini, "placement", "utilization", d.utilization(), 0, 1, problems),
-            (int) value(ini, "placement", "batch", d.batch(), 1, 100_000, problems),
-            value(ini, "placement", "waiting_age_s", d.waitingAgeS(), 0, 86_400, problems),
-            value(ini, "fleet", "idle_release_s", d.idleReleaseS(), 0, 86_400, problems));
+            (int)
+                readNumber(
+                    ini, "placement", "window", defaults.windowTasks(), 1, 1_000_000, problems),
+            readNumber(
+                ini, "placement", "utilization", defaults.utilizationThreshold(), 0, 1, problems),
+            (int)
+                readNumber(
+                    ini, "placement", "batch", defaults.machineBatchTasks(), 1, 100_000, problems),
+            readNumber(
+                ini, "placement", "waiting_age_s", defaults.waitingAgeS(), 0, 86_400, problems),
+            readNumber(
+                ini, "fleet", "idle_release_s", defaults.idleReleaseS(), 0, 86_400, problems));
     if (!problems.isEmpty()) {
       throw new ConfigurationException(file + ": " + String.join("; ", problems));
     }
     return policy;
   }
 
-  private static double value(
+  private static double readNumber(
       Ini ini,
       String section,
       String key,
-      double otherwise,
-      double least,
-      double most,
+      double fallback,
+      double minimum,
+      double maximum,
       List<String> problems) {
     String text = ini.get(section, key);
     if (text == null) {
-      return otherwise;
+      return fallback;
     }
     try {
-      double v = Double.parseDouble(text.trim());
-      if (v >= least && v <= most) {
-        return v;
+      double number = Double.parseDouble(text.trim());
+      if (number >= minimum && number <= maximum) {
+        return number;
       }
       problems.add(section + "." + key + " is out of range: " + text);
     } catch (NumberFormatException e) {
       problems.add(section + "." + key + " is not a number: " + text);
     }
-    return otherwise;
+    return fallback;
   }
 }
--- a/src/main/java/org/astershift/config/Settings.java
+++ b/src/main/java/org/astershift/config/Settings.java
@@ -18,7 +18,7 @@
 
 /** The settings file that the platform hands over. Fields unknown here are ignored. */
 public record Settings(
-    String node,
+    String nodeName,
     String zone,
     Endpoint listen,
     Endpoint peerListen,
@@ -28,7 +28,7 @@
     StoreLimits storeLimits,
     double cloudRps,
     int sockets,
-    DeploymentLimits facts) {
+    DeploymentLimits limits) {
 
   /** Host and port of a TCP address. */
   public record Endpoint(String host, int port) {
@@ -39,7 +39,7 @@
   }
 
   /** Another controller. */
-  public record Peer(String node, String zone, Endpoint endpoint) {}
+  public record Peer(String nodeName, String zone, Endpoint endpoint) {}
 
   /** Limits of the state service. */
   public record StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {}
@@ -58,7 +58,7 @@
     } catch (ParsingException | IOException e) {
       throw new ConfigurationException(file + ": not TOML: " + oneLine(e.getMessage()));
     }
-    Check check = new Check();
+    ConfigReader check = new ConfigReader();
     Settings settings = read(root, check);
     if (!check.problems.isEmpty()) {
       throw new ConfigurationException(file + ": " + String.join("; ", check.problems));
@@ -70,163 +70,168 @@
     return message == null ? "?" : message.replaceAll("\\s+", " ");
   }
 
-  private static Settings read(UnmodifiableConfig root, Check c) {
+  private static Settings read(UnmodifiableConfig root, ConfigReader check) {
     List<Peer> peers = new ArrayList<>();
-    for (Field p : c.tables(root, "others", "others")) {
-      peers.add(new Peer(c.text(p, "member"), c.text(p, "domain"), c.endpoint(p, "endpoint")));
-    }
-    Field top = new Field(root, "");
-    Field external = c.table(top, "external");
-    Field facts = c.table(top, "facts");
-    Field workers = c.table(facts, "workers");
-    Field state = c.table(facts, "state");
-    Field cloud = c.table(facts, "cloud");
-    Field resources = c.table(facts, "resources");
+    for (ConfigTable peer : check.tables(root, "others", "others")) {
+      peers.add(
+          new Peer(
+              check.string(peer, "member"),
+              check.string(peer, "domain"),
+              check.endpoint(peer, "endpoint")));
+    }
+    ConfigTable top = new ConfigTable(root, "");
+    ConfigTable externalTable = check.table(top, "external");
+    ConfigTable factsTable = check.table(top, "facts");
+    ConfigTable workersTable = check.table(factsTable, "workers");
+    ConfigTable stateTable = check.table(factsTable, "state");
+    ConfigTable cloudTable = check.table(factsTable, "cloud");
+    ConfigTable resourcesTable = check.table(factsTable, "resources");
     Map<String, Team> teams = new LinkedHashMap<>();
-    for (Field t : c.tables(facts.config, "teams", "facts.teams")) {
-      String name = c.text(t, "name");
+    for (ConfigTable team : check.tables(factsTable.config, "teams", "facts.teams")) {
+      String name = check.string(team, "name");
       teams.put(
           name,
           new Team(
               name,
-              c.numberOr(t, "cpus", 0),
-              c.numberOr(t, "cpus_max", 0),
-              c.numberOr(t, "gpus", 0),
-              c.numberOr(t, "gpus_max", 0)));
+              check.numberOr(team, "cpus", 0),
+              check.numberOr(team, "cpus_max", 0),
+              check.numberOr(team, "gpus", 0),
+              check.numberOr(team, "gpus_max", 0)));
     }
     List<ServiceLevelObjective> objectives = new ArrayList<>();
-    for (Field o : c.tables(facts.config, "objectives", "facts.objectives")) {
+    for (ConfigTable objective :
+        check.tables(factsTable.config, "objectives", "facts.objectives")) {
       objectives.add(
           new ServiceLevelObjective(
-              c.text(o, "kind"),
-              c.textOr(o, "class", ""),
-              c.numberOr(o, "within_s", 0),
-              c.numberOr(o, "share", 0),
-              c.numberOr(o, "times", 1)));
-    }
-    int txnOps = (int) c.number(state, "txn_ops", 2, 1e6);
-    StoreLimits limits =
+              check.string(objective, "kind"),
+              check.stringOr(objective, "class", ""),
+              check.numberOr(objective, "within_s", 0),
+              check.numberOr(objective, "share", 0),
+              check.numberOr(objective, "times", 1)));
+    }
+    int txnOps = (int) check.number(stateTable, "txn_ops", 2, 1e6);
+    StoreLimits storeLimits =
         new StoreLimits(
-            c.number(state, "rps", 1, 1e9),
-            c.number(state, "write_rps", 1, 1e9),
-            c.number(state, "value_kb", 4, 1e6),
+            check.number(stateTable, "rps", 1, 1e9),
+            check.number(stateTable, "write_rps", 1, 1e9),
+            check.number(stateTable, "value_kb", 4, 1e6),
             txnOps);
-    DeploymentLimits f =
+    DeploymentLimits limits =
         new DeploymentLimits(
             teams,
             objectives,
-            c.number(workers, "report_s", 0.01, 1e6),
-            c.number(workers, "lease_s", 0.1, 1e6),
-            c.number(workers, "gang_wait_s", 0, 1e6),
-            c.number(workers, "gang_peer_s", 0, 1e6),
-            c.number(workers, "cancel_s", 0, 1e6),
-            c.number(cloud, "list_lag_s", 0, 1e6));
+            check.number(workersTable, "report_s", 0.01, 1e6),
+            check.number(workersTable, "lease_s", 0.1, 1e6),
+            check.number(workersTable, "gang_wait_s", 0, 1e6),
+            check.number(workersTable, "gang_peer_s", 0, 1e6),
+            check.number(workersTable, "cancel_s", 0, 1e6),
+            check.number(cloudTable, "list_lag_s", 0, 1e6));
     return new Settings(
-        c.text(top, "member"),
-        c.text(top, "domain"),
-        c.endpoint(top, "public_addr"),
-        c.endpoint(top, "internal_addr"),
+        check.string(top, "member"),
+        check.string(top, "domain"),
+        check.endpoint(top, "public_addr"),
+        check.endpoint(top, "internal_addr"),
         peers,
-        c.endpoint(external, "cloud"),
-        c.endpoint(external, "state"),
-        limits,
-        c.number(cloud, "rps", 0.01, 1e9),
-        (int) c.number(resources, "sockets", 16, 1e7),
-        f);
+        check.endpoint(externalTable, "cloud"),
+        check.endpoint(externalTable, "state"),
+        storeLimits,
+        check.number(cloudTable, "rps", 0.01, 1e9),
+        (int) check.number(resourcesTable, "sockets", 16, 1e7),
+        limits);
   }
 
   /** A table of the file and where it stands. */
-  private record Field(UnmodifiableConfig config, String path) {
+  private record ConfigTable(UnmodifiableConfig config, String path) {
     String at(String name) {
       return path.isEmpty() ? name : path + "." + name;
     }
   }
 
   /** Typed access that collects every problem instead of stopping at the first. */
-  private static final class Check {
+  private static final class ConfigReader {
     final List<String> problems = new ArrayList<>();
 
-    private Object get(Field f, String name) {
-      return f.config == null ? null : f.config.get(List.of(name));
+    private Object get(ConfigTable table, String name) {
+      return table.config == null ? null : table.config.get(List.of(name));
     }
 
-    Field table(Field parent, String name) {
-      Object v = get(parent, name);
-      if (v instanceof UnmodifiableConfig t) {
-        return new Field(t, parent.at(name));
+    ConfigTable table(ConfigTable parent, String name) {
+      Object value = get(parent, name);
+      if (value instanceof UnmodifiableConfig childTable) {
+        return new ConfigTable(childTable, parent.at(name));
       }
       if (parent.config != null) {
-        problems.add(parent.at(name) + (v == null ? " is missing" : " is not a table"));
+        problems.add(parent.at(name) + (value == null ? " is missing" : " is not a table"));
       }
-      return new Field(null, parent.at(name));
+      return new ConfigTable(null, parent.at(name));
     }
 
-    List<Field> tables(UnmodifiableConfig parent, String name, String path) {
-      List<Field> out = new ArrayList<>();
-      Object v = parent == null ? null : parent.get(List.of(name));
-      if (v == null) {
-        return out;
+    List<ConfigTable> tables(UnmodifiableConfig parent, String name, String path) {
+      List<ConfigTable> children = new ArrayList<>();
+      Object value = parent == null ? null : parent.get(List.of(name));
+      if (value == null) {
+        return children;
       }
-      if (!(v instanceof List<?> list)) {
+      if (!(value instanceof List<?> list)) {
         problems.add(path + " is not a list of tables");
-        return out;
+        return children;
       }
-      for (Object o : list) {
-        if (o instanceof UnmodifiableConfig t) {
-          out.add(new Field(t, path + "[" + out.size() + "]"));
+      for (Object element : list) {
+        if (element instanceof UnmodifiableConfig childTable) {
+          children.add(new ConfigTable(childTable, path + "[" + children.size() + "]"));
         } else {
           problems.add(path + " is not a list of tables");
         }
       }
-      return out;
+      return children;
     }
 
-    String text(Field f, String name) {
-      Object v = get(f, name);
-      if (v instanceof String s && !s.isEmpty()) {
-        return s;
+    String string(ConfigTable table, String name) {
+      Object value = get(table, name);
+      if (value instanceof String string && !string.isEmpty()) {
+        return string;
       }
-      if (f.config != null) {
-        problems.add(f.at(name) + (v == null ? " is missing" : " is not a text"));
+      if (table.config != null) {
+        problems.add(table.at(name) + (value == null ? " is missing" : " is not a text"));
       }
       return "?";
     }
 
-    String textOr(Field f, String name, String otherwise) {
-      return get(f, name) == null ? otherwise : text(f, name);
+    String stringOr(ConfigTable table, String name, String fallback) {
+      return get(table, name) == null ? fallback : string(table, name);
     }
 
-    double number(Field f, String name, double least, double most) {
-      Object v = get(f, name);
-      if (v instanceof Number n) {
-        double d = n.doubleValue();
-        if (d >= least && d <= most) {
-          return d;
+    double number(ConfigTable table, String name, double minimum, double maximum) {
+      Object value = get(table, name);
+      if (value instanceof Number n) {
+        double number = n.doubleValue();
+        if (number >= minimum && number <= maximum) {
+          return number;
         }
-        problems.add(f.at(name) + " is out of range: " + v);
-      } else if (f.config != null) {
-        problems.add(f.at(name) + (v == null ? " is missing" : " is not a number"));
+        problems.add(table.at(name) + " is out of range: " + value);
+      } else if (table.config != null) {
+        problems.add(table.at(name) + (value == null ? " is missing" : " is not a number"));
       }
-      return least;
+      return minimum;
     }
 
-    double numberOr(Field f, String name, double otherwise) {
-      return get(f, name) == null ? otherwise : number(f, name, 0, 1e12);
+    double numberOr(ConfigTable table, String name, double fallback) {
+      return get(table, name) == null ? fallback : number(table, name, 0, 1e12);
     }
 
-    Endpoint endpoint(Field f, String name) {
-      String s = text(f, name);
-      int colon = s.lastIndexOf(':');
+    Endpoint endpoint(ConfigTable table, String name) {
+      String address = string(table, name);
+      int colon = address.lastIndexOf(':');
       try {
-        int port = Integer.parseInt(s.substring(colon + 1));
+        int port = Integer.parseInt(address.substring(colon + 1));
         if (colon > 0 && port > 0 && port < 65_536) {
-          return new Endpoint(s.substring(0, colon), port);
+          return new Endpoint(address.substring(0, colon), port);
         }
       } catch (NumberFormatException e) {
         // told below, as every other form that is no address
       }
-      if (!s.equals("?")) {
-        problems.add(f.at(name) + " is not host:port: " + s);
+      if (!address.equals("?")) {
+        problems.add(table.at(name) + " is not host:port: " + address);
       }
       return new Endpoint("?", 0);
     }
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -23,17 +23,18 @@
   private static final Logger LOG = LoggerFactory.getLogger(CloudProvisioner.class);
   private final CloudClient cloud;
   private final StoreClient store;
-  private final WatchCache mirror;
-  private final Runnable stir;
-  private final Threads.Pool rentPool = Threads.pool("rent", Constants.RENT_THREADS);
-  private final Threads.Pool returnPool = Threads.pool("return", Constants.RETURN_THREADS);
+  private final WatchCache watchCache;
+  private final Runnable requestPass;
+  private final Threads.Pool provisionPool = Threads.pool("rent", Constants.PROVISION_THREADS);
+  private final Threads.Pool releasePool = Threads.pool("return", Constants.RELEASE_THREADS);
   private volatile Map<String, MachineType> types = Map.of();
 
-  CloudProvisioner(Settings settings, StoreClient store, WatchCache mirror, Runnable stir) {
+  CloudProvisioner(
+      Settings settings, StoreClient store, WatchCache watchCache, Runnable requestPass) {
     this.cloud = new CloudClient(settings);
     this.store = store;
-    this.mirror = mirror;
-    this.stir = stir;
+    this.watchCache = watchCache;
+    this.requestPass = requestPass;
   }
 
   Map<String, MachineType> types() {
@@ -41,15 +42,15 @@
   }
 
   /** Work that found no thread gets one as soon as there is one. */
-  void tend() {
-    rentPool.tend();
-    returnPool.tend();
+  void startQueuedTasks() {
+    provisionPool.startWaitingWork();
+    releasePool.startWaitingWork();
   }
 
   /** What the leader noted of the types, for nodes that start while the cloud is away. */
-  void typesNoted(Map<String, Object> value) {
+  void onTypesRecord(Map<String, Object> value) {
     try {
-      types = RecordCodec.readTypes(value);
+      types = RecordCodec.decodeTypes(value);
     } catch (Json.JsonFormatException e) {
       LOG.error("record of machine types: {}", e.getMessage());
     }
@@ -57,22 +58,22 @@
 
   // ---- list and types ----
 
-  void loop(LeaderTerm t) {
-    long typesAt = 0;
-    while (!t.over()) {
+  void pollLoop(LeaderTerm term) {
+    long typesFetchedMs = 0;
+    while (!term.ended()) {
       try {
-        long now = LeaderTerm.nowMs();
-        if (typesAt == 0 || now - typesAt > Constants.TYPES_MS) {
-          learnTypes(t);
-          typesAt = now;
+        long nowMs = LeaderTerm.nowMs();
+        if (typesFetchedMs == 0 || nowMs - typesFetchedMs > Constants.MACHINE_TYPES_INTERVAL_MS) {
+          refreshTypes(term);
+          typesFetchedMs = nowMs;
         }
-        long asked = LeaderTerm.nowMs();
-        List<Scheduler.ListedMachine> listed = cloud.list();
-        synchronized (t) {
-          t.scheduler.list(listed, asked, LeaderTerm.nowMs());
+        long requestedMs = LeaderTerm.nowMs();
+        List<Scheduler.ListedMachine> listed = cloud.listMachines();
+        synchronized (term) {
+          term.scheduler.onMachineList(listed, requestedMs, LeaderTerm.nowMs());
         }
-        stir.run();
-        Thread.sleep(Constants.LIST_MS);
+        requestPass.run();
+        Thread.sleep(Constants.MACHINE_LIST_INTERVAL_MS);
       } catch (IOException e) {
         LOG.info("the cloud does not answer as it should: {}", e.getMessage());
         sleep();
@@ -80,49 +81,56 @@
         return;
       } catch (RuntimeException e) {
         LOG.error("cloud loop failed", e);
-        Threads.pause();
+        Threads.backOff();
       }
     }
   }
 
-  private void learnTypes(LeaderTerm t) throws IOException, InterruptedException {
-    Map<String, MachineType> learnt = cloud.types();
-    boolean other = !sizes(learnt).equals(sizes(types));
-    types = learnt;
-    synchronized (t) {
-      t.scheduler.types(learnt);
+  private void refreshTypes(LeaderTerm term) throws IOException, InterruptedException {
+    Map<String, MachineType> fetchedTypes = cloud.listMachineTypes();
+    boolean changed = !typesFingerprint(fetchedTypes).equals(typesFingerprint(types));
+    types = fetchedTypes;
+    synchronized (term) {
+      term.scheduler.updateMachineTypes(fetchedTypes);
     }
-    stir.run();
-    if (other || mirror.row(RecordCodec.TYPES) == null) {
-      StoreClient.Transaction txn = t.txn().put(RecordCodec.TYPES, RecordCodec.types(learnt));
-      t.lostBy(store.commit(txn, RateLimiter.Urgency.URGENT, Constants.STORE_PATIENCE_MS));
+    requestPass.run();
+    if (changed || watchCache.get(RecordCodec.TYPES) == null) {
+      StoreClient.Transaction txn =
+          term.transaction().put(RecordCodec.TYPES, RecordCodec.encodeTypes(fetchedTypes));
+      term.checkLeadershipLost(
+          store.commit(txn, RateLimiter.Urgency.INTERACTIVE, Constants.STORE_RATE_WAIT_MS));
     }
   }
 
   /** What is worth a write when it changes; prices move all the time. */
-  private static String sizes(Map<String, MachineType> types) {
-    StringBuilder sb = new StringBuilder();
-    for (MachineType t : types.values()) {
-      sb.append(t.name()).append(t.cpus()).append(t.gpus()).append(t.memoryGb()).append(t.zones());
+  private static String typesFingerprint(Map<String, MachineType> types) {
+    StringBuilder fingerprint = new StringBuilder();
+    for (MachineType type : types.values()) {
+      fingerprint
+          .append(type.name())
+          .append(type.cpus())
+          .append(type.gpus())
+          .append(type.memoryGb())
+          .append(type.zones());
     }
-    return sb.toString();
+    return fingerprint.toString();
   }
 
   // ---- renting ----
 
   /** Rentals that an earlier leader left open are asked for again, under their own names. */
-  void takeOver(LeaderTerm t) {
-    t.notes
+  void resumeProvisioning(LeaderTerm term) {
+    term.records
         .entries(LeaderRecords.RecordKind.RENTAL)
         .forEach(
             (name, value) -> {
               try {
-                Decision.ProvisionMachines r = RecordCodec.rental(value);
+                Decision.ProvisionMachines request = RecordCodec.decodeRental(value);
                 LOG.info("rental {} was left open by an earlier leader: asked again", name);
-                synchronized (t) {
-                  t.scheduler.renting(name, r);
+                synchronized (term) {
+                  term.scheduler.onProvisioningStarted(name, request);
                 }
-                execute(t, name, r);
+                submitRental(term, name, request);
               } catch (Json.JsonFormatException e) {
                 LOG.error("rental {} cannot be read: {}", name, e.getMessage());
               }
@@ -133,48 +141,66 @@
    * Notes a rental under a name of its own; it is sent when that is durable, so that a successor
    * learns what came of it.
    */
-  void rent(LeaderTerm t, Decision.ProvisionMachines r) {
-    String name = t.rentalName();
-    synchronized (t) {
-      t.scheduler.renting(name, r);
+  void provision(LeaderTerm term, Decision.ProvisionMachines request) {
+    String name = term.nextRentalName();
+    synchronized (term) {
+      term.scheduler.onProvisioningStarted(name, request);
     }
-    t.notes.put(LeaderRecords.RecordKind.RENTAL, name, RecordCodec.rental(r), 0);
+    term.records.put(LeaderRecords.RecordKind.RENTAL, name, RecordCodec.encodeRental(request), 0);
   }
 
   /** The rental is on record. */
-  void noted(LeaderTerm t, String name, Object value) throws Json.JsonFormatException {
-    execute(t, name, RecordCodec.rental(value));
+  void onRentalPersisted(LeaderTerm term, String name, Object value)
+      throws Json.JsonFormatException {
+    submitRental(term, name, RecordCodec.decodeRental(value));
   }
 
-  private void execute(LeaderTerm t, String name, Decision.ProvisionMachines r) {
-    rentPool.execute("rental", () -> send(t, name, r));
+  private void submitRental(LeaderTerm term, String name, Decision.ProvisionMachines request) {
+    provisionPool.execute("rental", () -> provisionUntilAnswered(term, name, request));
   }
 
   /** A call without an answer is repeated under the same name until it has one. */
-  private void send(LeaderTerm t, String name, Decision.ProvisionMachines r) {
-    while (!t.over()) {
+  private void provisionUntilAnswered(
+      LeaderTerm term, String name, Decision.ProvisionMachines request) {
+    while (!term.ended()) {
       try {
-        List<String> names = cloud.rent(name, r);
-        LOG.info("rental {} of {} {} in {} brings {}", name, r.count(), r.type(), r.zone(), names);
-        for (String m : names) {
+        List<String> names = cloud.provisionMachines(name, request);
+        LOG.info(
+            "rental {} of {} {} in {} brings {}",
+            name,
+            request.count(),
+            request.typeName(),
+            request.zone(),
+            names);
+        for (String machine : names) {
           Decision.RegisterMachine e =
-              new Decision.RegisterMachine(m, null, r.type(), r.zone(), r.spot(), true);
-          t.notes.putNew(LeaderRecords.RecordKind.MACHINE, m, RecordCodec.machine(e));
+              new Decision.RegisterMachine(
+                  machine, null, request.typeName(), request.zone(), request.spot(), true);
+          term.records.putNew(
+              LeaderRecords.RecordKind.MACHINE, machine, RecordCodec.encodeMachine(e));
         }
-        synchronized (t) {
-          t.scheduler.rented(name, names, r, LeaderTerm.nowMs());
+        synchronized (term) {
+          term.scheduler.onMachinesProvisioned(name, names, request, LeaderTerm.nowMs());
         }
         break;
       } catch (CloudClient.CloudRejectedException e) {
         if (e.reason() == CloudClient.CloudRejectedException.Reason.NO_CAPACITY) {
-          LOG.info("no capacity for {} in {}{}", r.type(), r.zone(), r.spot() ? ", spot" : "");
+          LOG.info(
+              "no capacity for {} in {}{}",
+              request.typeName(),
+              request.zone(),
+              request.spot() ? ", spot" : "");
         } else if (e.reason() == CloudClient.CloudRejectedException.Reason.MALFORMED) {
           // Repeated for ever, two of them held all threads that rent.
-          LOG.error("rental {} of {} {} is malformed for the cloud", name, r.count(), r.type());
+          LOG.error(
+              "rental {} of {} {} is malformed for the cloud",
+              name,
+              request.count(),
+              request.typeName());
         }
-        if (e.reason().isFinal()) {
-          synchronized (t) {
-            t.scheduler.notRented(name, r, true, LeaderTerm.nowMs());
+        if (e.reason().isPermanent()) {
+          synchronized (term) {
+            term.scheduler.onProvisioningFailed(name, request, true, LeaderTerm.nowMs());
           }
           break;
         }
@@ -184,14 +210,14 @@
       }
       sleep();
     }
-    if (!t.over()) {
-      t.notes.remove(LeaderRecords.RecordKind.RENTAL, name, Constants.STRIKE_MS);
+    if (!term.ended()) {
+      term.records.remove(LeaderRecords.RecordKind.RENTAL, name, Constants.DEREGISTER_DELAY_MS);
     }
   }
 
   private static void sleep() {
     try {
-      Thread.sleep(Constants.CLOUD_RETRY_MS);
+      Thread.sleep(Constants.CLOUD_RETRY_BACKOFF_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -199,25 +225,25 @@
 
   // ---- giving back ----
 
-  void giveBack(LeaderTerm t, Decision.ReleaseMachines r) {
-    returnPool.execute("return", () -> sendBack(t, r));
+  void releaseMachines(LeaderTerm term, Decision.ReleaseMachines request) {
+    releasePool.execute("return", () -> sendRelease(term, request));
   }
 
-  private void sendBack(LeaderTerm t, Decision.ReleaseMachines r) {
-    if (t.over()) {
+  private void sendRelease(LeaderTerm term, Decision.ReleaseMachines request) {
+    if (term.ended()) {
       return;
     }
     try {
-      cloud.giveBack(r.machines());
-      synchronized (t) {
-        t.scheduler.returned(r.machines(), LeaderTerm.nowMs());
+      cloud.releaseMachines(request.machineNames());
+      synchronized (term) {
+        term.scheduler.onMachinesReleased(request.machineNames(), LeaderTerm.nowMs());
       }
-      stir.run();
+      requestPass.run();
     } catch (IOException e) {
-      LOG.info("return of {}: {}", r.machines(), e.toString());
+      LOG.info("return of {}: {}", request.machineNames(), e.toString());
       sleep();
-      synchronized (t) {
-        t.scheduler.notReturned(r.machines());
+      synchronized (term) {
+        term.scheduler.onReleaseFailed(request.machineNames());
       }
     }
   }
--- a/src/main/java/org/astershift/controller/CompletionQueue.java
+++ b/src/main/java/org/astershift/controller/CompletionQueue.java
@@ -10,28 +10,28 @@
  * few requests.
  */
 final class CompletionQueue {
-  private final ArrayDeque<String> waiting = new ArrayDeque<>();
-  private boolean over;
+  private final ArrayDeque<String> pending = new ArrayDeque<>();
+  private boolean closed;
 
-  synchronized void add(String job) {
-    waiting.addLast(job);
+  synchronized void add(String jobId) {
+    pending.addLast(jobId);
     notifyAll();
   }
 
   /** Waits for the first and takes at most so many; none once the term is over. */
-  synchronized List<String> next(int most) throws InterruptedException {
-    while (waiting.isEmpty() && !over) {
+  synchronized List<String> takeBatch(int maxJobs) throws InterruptedException {
+    while (pending.isEmpty() && !closed) {
       wait();
     }
-    List<String> out = new ArrayList<>();
-    while (!over && !waiting.isEmpty() && out.size() < most) {
-      out.add(waiting.removeFirst());
+    List<String> batch = new ArrayList<>();
+    while (!closed && !pending.isEmpty() && batch.size() < maxJobs) {
+      batch.add(pending.removeFirst());
     }
-    return out;
+    return batch;
   }
 
-  synchronized void end() {
-    over = true;
+  synchronized void close() {
+    closed = true;
     notifyAll();
   }
 }
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -23,151 +23,156 @@
   private static final Logger LOG = LoggerFactory.getLogger(CompletionWriter.class);
 
   /** Changes that the end of a job takes: its record goes from the live ones to the ended. */
-  private static final int CHANGES_AN_END = 2;
+  private static final int CHANGES_PER_END = 2;
 
   private final Settings.StoreLimits limits;
   private final StoreClient store;
-  private final EndedJobCache ended;
-  private final Runnable stir;
+  private final EndedJobCache endedJobs;
+  private final Runnable requestPass;
 
-  /** {@code stir}: brings a pass of the scheduler about, since room may have become free. */
+  /** {@code requestPass}: brings a pass of the scheduler about, since room may have become free. */
   CompletionWriter(
-      Settings.StoreLimits limits, StoreClient store, EndedJobCache ended, Runnable stir) {
+      Settings.StoreLimits limits,
+      StoreClient store,
+      EndedJobCache endedJobs,
+      Runnable requestPass) {
     this.limits = limits;
     this.store = store;
-    this.ended = ended;
-    this.stir = stir;
+    this.endedJobs = endedJobs;
+    this.requestPass = requestPass;
   }
 
   /** Writes the ends of completed jobs, as many in a transaction as it may have. */
-  void loop(LeaderTerm t) throws InterruptedException {
-    int most = Math.max(1, limits.txnOps() / CHANGES_AN_END);
-    most = Math.min(most, Constants.ENDS_AT_ONCE);
+  void writeLoop(LeaderTerm term) throws InterruptedException {
+    int maxJobs = Math.max(1, limits.txnOps() / CHANGES_PER_END);
+    maxJobs = Math.min(maxJobs, Constants.COMPLETION_BATCH_JOBS);
     while (true) {
-      List<String> jobs = t.ends.next(most);
-      if (jobs.isEmpty()) {
+      List<String> jobIds = term.completions.takeBatch(maxJobs);
+      if (jobIds.isEmpty()) {
         return;
       }
       try {
-        finish(t, jobs);
+        persistEnds(term, jobIds);
       } catch (RuntimeException | Error e) {
         LOG.error("ends could not be written", e);
-        failed(t, jobs);
+        retryLater(term, jobIds);
       }
     }
   }
 
-  private void finish(LeaderTerm t, List<String> jobs) throws InterruptedException {
-    Map<String, RecordCodec.Ended> ends = new LinkedHashMap<>();
-    StoreClient.Transaction txn = t.txn();
-    for (String id : jobs) {
-      if (t.keeps(id)) {
-        RecordCodec.Ended end = endOf(t, id, false);
-        ends.put(id, end);
-        write(txn, id, end);
-        t.ledger().ending(id);
+  private void persistEnds(LeaderTerm term, List<String> jobIds) throws InterruptedException {
+    Map<String, RecordCodec.JobEnd> ends = new LinkedHashMap<>();
+    StoreClient.Transaction txn = term.transaction();
+    for (String jobId : jobIds) {
+      if (term.manages(jobId)) {
+        RecordCodec.JobEnd end = buildEnd(term, jobId, false);
+        ends.put(jobId, end);
+        addEndRecord(txn, jobId, end);
+        term.termJobs().onEndWriteStarted(jobId);
       }
     }
     if (ends.isEmpty()) {
       return;
     }
-    Outcome o = store.commit(txn, RateLimiter.Urgency.URGENT, Constants.STORE_PATIENCE_MS);
-    if (o instanceof Outcome.Committed) {
-      ends.forEach((id, end) -> ended(t, id, end));
-      stir.run();
-    } else if (o instanceof Outcome.ConditionFailed && !t.lostBy(o)) {
-      ends.keySet().forEach(t.ledger()::notEnded);
+    Outcome outcome =
+        store.commit(txn, RateLimiter.Urgency.INTERACTIVE, Constants.STORE_RATE_WAIT_MS);
+    if (outcome instanceof Outcome.Committed) {
+      ends.forEach((jobId, end) -> onEndPersisted(term, jobId, end));
+      requestPass.run();
+    } else if (outcome instanceof Outcome.ConditionFailed && !term.checkLeadershipLost(outcome)) {
+      ends.keySet().forEach(term.termJobs()::onEndWriteRejected);
       // One of them was cancelled meanwhile, or an earlier try without an answer was applied.
-      for (String id : ends.keySet()) {
-        if (finish(t, id, false, Constants.STORE_PATIENCE_MS) == null) {
-          failed(t, List.of(id));
+      for (String jobId : ends.keySet()) {
+        if (persistEnd(term, jobId, false, Constants.STORE_RATE_WAIT_MS) == null) {
+          retryLater(term, List.of(jobId));
         }
       }
     } else {
-      if (o instanceof Outcome.Rejected) {
-        ends.keySet().forEach(t.ledger()::notEnded);
+      if (outcome instanceof Outcome.Rejected) {
+        ends.keySet().forEach(term.termJobs()::onEndWriteRejected);
       }
-      failed(t, ends.keySet());
+      retryLater(term, ends.keySet());
     }
   }
 
-  private static void failed(LeaderTerm t, Collection<String> jobs) {
-    if (!t.over()) {
-      Threads.pause();
-      synchronized (t) {
-        for (String id : jobs) {
-          t.scheduler.failed(new Decision.FinishJob(id));
+  private static void retryLater(LeaderTerm term, Collection<String> jobIds) {
+    if (!term.ended()) {
+      Threads.backOff();
+      synchronized (term) {
+        for (String jobId : jobIds) {
+          term.scheduler.onDecisionFailed(new Decision.FinishJob(jobId));
         }
       }
     }
   }
 
-  private static RecordCodec.Ended endOf(LeaderTerm t, String id, boolean cancelled) {
-    Scheduler.JobProgress view;
-    synchronized (t) {
-      view = t.scheduler.view(id);
+  private static RecordCodec.JobEnd buildEnd(LeaderTerm term, String jobId, boolean cancelled) {
+    Scheduler.JobProgress progress;
+    synchronized (term) {
+      progress = term.scheduler.progress(jobId);
     }
-    return new RecordCodec.Ended(cancelled, view == null ? 0 : view.done());
+    return new RecordCodec.JobEnd(cancelled, progress == null ? 0 : progress.doneTasks());
   }
 
   /**
    * Done and cancelled exclude each other, also for tries whose answer was lost: the first stays.
    */
-  private static void write(StoreClient.Transaction txn, String id, RecordCodec.Ended end) {
-    String key = RecordCodec.ENDED + id;
-    txn.when(key, 0).put(key, RecordCodec.ended(end)).delete(RecordCodec.JOB + id);
+  private static void addEndRecord(
+      StoreClient.Transaction txn, String jobId, RecordCodec.JobEnd end) {
+    String key = RecordCodec.ENDED + jobId;
+    txn.when(key, 0).put(key, RecordCodec.encodeEnd(end)).delete(RecordCodec.JOB + jobId);
   }
 
-  private void ended(LeaderTerm t, String id, RecordCodec.Ended end) {
-    ended.put(id, end);
-    t.ended(id, end.cancelled());
-    LOG.debug("job {} is {}", id, end.cancelled() ? "cancelled" : "done");
+  private void onEndPersisted(LeaderTerm term, String jobId, RecordCodec.JobEnd end) {
+    endedJobs.put(jobId, end);
+    term.onJobEnded(jobId, end.cancelled());
+    LOG.debug("job {} is {}", jobId, end.cancelled() ? "cancelled" : "done");
   }
 
   /**
    * The end of a job was read. Where this leader wrote it, got no answer and was asked no more, its
    * term would keep the job, its records and its place among the team's for ever.
    *
-   * @param t the present term, or null
+   * @param term the present term, or null
    */
-  void overOnRecord(LeaderTerm t, String id, RecordCodec.Ended end) {
-    ended.put(id, end);
-    if (t != null && t.keeps(id)) {
-      ended(t, id, end);
-      stir.run();
+  void onEndRead(LeaderTerm term, String jobId, RecordCodec.JobEnd end) {
+    endedJobs.put(jobId, end);
+    if (term != null && term.manages(jobId)) {
+      onEndPersisted(term, jobId, end);
+      requestPass.run();
     }
   }
 
   /** Makes the job's end durable, before anyone is told; null if that is not certain yet. */
-  RecordCodec.Ended finish(LeaderTerm t, String id, boolean cancelled, long patienceMs)
+  RecordCodec.JobEnd persistEnd(LeaderTerm term, String jobId, boolean cancelled, long timeoutMs)
       throws InterruptedException {
-    if (!t.keeps(id)) {
-      return ended.get(id);
+    if (!term.manages(jobId)) {
+      return endedJobs.get(jobId);
     }
-    RecordCodec.Ended end = endOf(t, id, cancelled);
-    StoreClient.Transaction txn = t.txn();
-    write(txn, id, end);
-    t.ledger().ending(id);
-    Outcome o = store.commit(txn, RateLimiter.Urgency.URGENT, patienceMs);
-    if (o instanceof Outcome.ConditionFailed || o instanceof Outcome.Rejected) {
-      t.ledger().notEnded(id);
+    RecordCodec.JobEnd end = buildEnd(term, jobId, cancelled);
+    StoreClient.Transaction txn = term.transaction();
+    addEndRecord(txn, jobId, end);
+    term.termJobs().onEndWriteStarted(jobId);
+    Outcome outcome = store.commit(txn, RateLimiter.Urgency.INTERACTIVE, timeoutMs);
+    if (outcome instanceof Outcome.ConditionFailed || outcome instanceof Outcome.Rejected) {
+      term.termJobs().onEndWriteRejected(jobId);
     }
-    if (o instanceof Outcome.ConditionFailed && !t.lostBy(o)) {
+    if (outcome instanceof Outcome.ConditionFailed && !term.checkLeadershipLost(outcome)) {
       try {
-        StoreClient.Entry row = store.get(RecordCodec.ENDED + id);
-        if (row.data() == null) {
+        StoreClient.Entry entry = store.get(RecordCodec.ENDED + jobId);
+        if (entry.data() == null) {
           return null;
         }
-        end = RecordCodec.ended(row.data());
+        end = RecordCodec.decodeEnd(entry.data());
       } catch (IOException | Json.JsonFormatException e) {
-        LOG.debug("end of {}: {}", id, e.toString());
+        LOG.debug("end of {}: {}", jobId, e.toString());
         return null;
       }
-    } else if (!(o instanceof Outcome.Committed)) {
+    } else if (!(outcome instanceof Outcome.Committed)) {
       return null;
     }
-    ended(t, id, end);
-    stir.run();
+    onEndPersisted(term, jobId, end);
+    requestPass.run();
     return end;
   }
 }
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -23,68 +23,68 @@
 final class ConnectivityMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectivityMonitor.class);
   private final StoreClient store;
-  private final Map<String, JobService.PeerChannel> askers;
-  private final ControllerRuntime director;
+  private final Map<String, JobService.PeerChannel> peers;
+  private final ControllerRuntime runtime;
   private final Candidacy candidacy;
-  private volatile Leader told;
-  private volatile boolean alone;
-  private final StoreReachability state = new StoreReachability();
-  private boolean silent;
+  private volatile ObservedLeader observedLeader;
+  private volatile boolean isolated;
+  private final StoreReachability storeReachability = new StoreReachability();
+  private boolean storeSilent;
 
   /** Who leads, as another node says; {@code node} empty if nobody does. */
-  private record Leader(String node, long token) {}
+  private record ObservedLeader(String node, long token) {}
 
   ConnectivityMonitor(
       StoreClient store,
-      Map<String, JobService.PeerChannel> askers,
-      ControllerRuntime director,
+      Map<String, JobService.PeerChannel> peers,
+      ControllerRuntime runtime,
       Candidacy candidacy) {
     this.store = store;
-    this.askers = askers;
-    this.director = director;
+    this.peers = peers;
+    this.runtime = runtime;
     this.candidacy = candidacy;
   }
 
   void start() {
-    Threads.startLoop("reach", this::loop);
+    Threads.startLoop("reach", this::monitorLoop);
   }
 
   /** The state service answers others and not this node, or nobody answers it at all. */
-  boolean apart() {
-    return told != null || alone;
+  boolean partitionedFromStore() {
+    return observedLeader != null || isolated;
   }
 
   /** The leader as another node told; null where this node knows better, or nobody leads. */
-  String leader() {
-    Leader l = told;
-    return l == null || l.node().isEmpty() ? null : l.node();
+  String reportedLeader() {
+    ObservedLeader current = observedLeader;
+    return current == null || current.node().isEmpty() ? null : current.node();
   }
 
   /** What this node tells another that asks whether the state service answers. */
-  JobAnswer answer() {
-    if (store.lost()) {
+  JobAnswer answerStoreStatus() {
+    if (store.unavailable()) {
       return JobAnswer.UNDECIDED;
     }
-    StoreClient.Entry row = director.leaderRow();
+    StoreClient.Entry entry = runtime.leaderEntry();
     return new JobAnswer(
-        200, row == null ? "" : row.data().get("node") + " " + row.revision(), 0, 0);
+        200, entry == null ? "" : entry.data().get("node") + " " + entry.revision(), 0, 0);
   }
 
-  private void loop() throws InterruptedException {
+  private void monitorLoop() throws InterruptedException {
     while (true) {
-      Thread.sleep(Constants.REACH_MS);
-      if (!store.lost()) {
-        if (silent) {
+      Thread.sleep(Constants.REACHABILITY_QUERY_INTERVAL_MS);
+      if (!store.unavailable()) {
+        if (storeSilent) {
           LOG.info("the state service answers again");
         }
-        silent = false;
-        told = null;
-        alone = false;
-        state.served();
-        hearing();
+        storeSilent = false;
+        observedLeader = null;
+        isolated = false;
+        storeReachability.onServed();
+        checkFleetVisibility();
         continue;
       }
-      look();
+      queryStoreThroughPeers();
     }
   }
 
@@ -92,112 +92,122 @@
    * A leader that hears few of its machines asks the others whether one of them reaches more. While
    * the state service is away it stays: nobody could take the leadership up.
    */
-  private void hearing() throws InterruptedException {
-    LeaderTerm t = director.term();
-    if (t == null) {
+  private void checkFleetVisibility() throws InterruptedException {
+    LeaderTerm term = runtime.currentTerm();
+    if (term == null) {
       return;
     }
-    double heard;
-    synchronized (t) {
-      if (!t.scheduler.isolated()) {
+    double visibleShare;
+    synchronized (term) {
+      if (!term.scheduler.isolated()) {
         return;
       }
-      heard = t.scheduler.heardShare();
+      visibleShare = term.scheduler.observedShare();
     }
-    List<Candidacy.PeerStatus> others = new ArrayList<>();
-    for (Map.Entry<String, JobService.PeerChannel> e : askers.entrySet()) {
-      Candidacy.PeerStatus other = reach(e.getKey(), e.getValue());
+    List<Candidacy.PeerStatus> statuses = new ArrayList<>();
+    for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
+      Candidacy.PeerStatus other = queryWorkerReachability(peer.getKey(), peer.getValue());
       if (other != null) {
-        others.add(other);
+        statuses.add(other);
       }
     }
-    Candidacy.HandOver wish =
-        candidacy.handsOver(heard, others, askers.size(), t.beganMs, LeaderTerm.nowMs());
-    if (wish == null) {
-      Thread.sleep(Constants.REACH_SAMPLE_MS); // what the others reach does not change sooner
+    Candidacy.LeadershipTransfer transfer =
+        candidacy.handOverTarget(
+            visibleShare, statuses, peers.size(), term.beganMs, LeaderTerm.nowMs());
+    if (transfer == null) {
+      Thread.sleep(
+          Constants
+              .REACHABILITY_SAMPLE_INTERVAL_MS); // what the others reach does not change sooner
       return;
     }
-    if (wish.to() != null) {
-      for (JobService.PeerChannel other : askers.values()) {
-        tell(other, "yield", wish.to());
+    if (transfer.successor() != null) {
+      for (JobService.PeerChannel other : peers.values()) {
+        notifyPeer(other, "yield", transfer.successor());
       }
     }
-    String why =
-        wish.to() == null ? "no other node could be asked" : wish.to() + " reaches more of them";
-    director.handOver(
-        t, "only " + Math.round(heard * 100) + "% of its machines are heard, and " + why);
+    String reason =
+        transfer.successor() == null
+            ? "no other node could be asked"
+            : transfer.successor() + " reaches more of them";
+    runtime.transferLeadership(
+        term,
+        "only " + Math.round(visibleShare * 100) + "% of its machines are heard, and " + reason);
   }
 
   /** What another node tells of itself; null if it does not answer. */
-  private static Candidacy.PeerStatus reach(String node, JobService.PeerChannel other) {
+  private static Candidacy.PeerStatus queryWorkerReachability(
+      String node, JobService.PeerChannel peer) {
     try {
-      JobAnswer a = other.ask("reach", "", Constants.REACH_TIMEOUT_MS);
-      WorkerReachability.Measurement seen =
-          new WorkerReachability.Measurement(a.running(), a.done());
-      return new Candidacy.PeerStatus(node, a.status() == 200 && "".equals(a.phase()), seen);
+      JobAnswer answer = peer.call("reach", "", Constants.REACHABILITY_QUERY_TIMEOUT_MS);
+      WorkerReachability.Measurement measurement =
+          new WorkerReachability.Measurement(answer.runningTasks(), answer.doneTasks());
+      return new Candidacy.PeerStatus(
+          node, answer.status() == 200 && "".equals(answer.phase()), measurement);
     } catch (IOException | RuntimeException e) {
       LOG.debug("asking {}: {}", node, e.toString());
       return null;
     }
   }
 
-  private static void tell(JobService.PeerChannel other, String op, String what) {
+  private static void notifyPeer(JobService.PeerChannel peer, String operation, String argument) {
     try {
-      other.ask(op, what, Constants.REACH_TIMEOUT_MS);
+      peer.call(operation, argument, Constants.REACHABILITY_QUERY_TIMEOUT_MS);
     } catch (IOException | RuntimeException e) {
       LOG.debug("telling another node: {}", e.toString());
     }
   }
 
   /** The leader is about to hand over to this node, or to another one, which has to go first. */
-  JobAnswer yielded(String to) {
-    if (!to.equals(director.node())) {
-      candidacy.yields(LeaderTerm.nowMs());
+  JobAnswer onTransferAnnounced(String successor) {
+    if (!successor.equals(runtime.node())) {
+      candidacy.deferToSuccessor(LeaderTerm.nowMs());
     }
     return new JobAnswer(200, "", 0, 0);
   }
 
   /** What this node tells another that asks how much of the fleet it reaches. */
-  JobAnswer workers() {
-    WorkerReachability.Measurement seen = director.sampling().seen();
-    return new JobAnswer(200, store.lost() ? "apart" : "", seen.answered(), seen.asked());
+  JobAnswer answerWorkerReachability() {
+    WorkerReachability.Measurement measurement = runtime.prober().measurement();
+    return new JobAnswer(
+        200, store.unavailable() ? "apart" : "", measurement.answered(), measurement.probed());
   }
 
-  private void look() {
-    Leader heard = null;
-    String from = null;
+  private void queryStoreThroughPeers() {
+    ObservedLeader reported = null;
+    String servedPeer = null;
     int answered = 0;
-    for (Map.Entry<String, JobService.PeerChannel> e : askers.entrySet()) {
+    for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
       try {
-        JobAnswer a = e.getValue().ask("state", "", Constants.REACH_TIMEOUT_MS);
+        JobAnswer answer =
+            peer.getValue().call("state", "", Constants.REACHABILITY_QUERY_TIMEOUT_MS);
         answered++;
-        if (a.status() == 200) {
-          heard = leader(a.phase());
-          from = e.getKey();
+        if (answer.status() == 200) {
+          reported = parseLeader(answer.phase());
+          servedPeer = peer.getKey();
           break;
         }
-      } catch (IOException | RuntimeException x) {
-        LOG.debug("asking {}: {}", e.getKey(), x.toString());
+      } catch (IOException | RuntimeException e) {
+        LOG.debug("asking {}: {}", peer.getKey(), e.toString());
       }
     }
-    if (!silent || (heard == null) != (told == null)) {
-      if (heard == null) {
+    if (!storeSilent || (reported == null) != (observedLeader == null)) {
+      if (reported == null) {
         LOG.info("the state service does not answer, nor does it answer another node reached");
       } else {
-        LOG.info("the state service answers {} and not this node: not ready", from);
+        LOG.info("the state service answers {} and not this node: not ready", servedPeer);
       }
     }
-    silent = true;
-    told = heard;
-    boolean was = alone;
-    alone =
-        state.asked(askers.size(), answered, heard != null, LeaderTerm.nowMs())
-            == StoreReachability.Verdict.ALONE;
-    if (alone && !was) {
+    storeSilent = true;
+    observedLeader = reported;
+    boolean wasIsolated = isolated;
+    isolated =
+        storeReachability.onPeersAsked(peers.size(), answered, reported != null, LeaderTerm.nowMs())
+            == StoreReachability.Verdict.ISOLATED;
+    if (isolated && !wasIsolated) {
       LOG.info("neither the state service nor another node answers this one: cut off, not ready");
     }
-    if (heard != null && !deaf(heard)) {
-      director.leaderTold(heard.token());
+    if (reported != null && !inboundPartitioned(reported)) {
+      runtime.onLeaderObserved(reported.token());
     }
   }
 
@@ -206,24 +216,24 @@
    * under its token, so that their leases and tasks live on. That is safe beside any successor,
    * since a machine that has seen the later token drops what comes from here.
    */
-  private boolean deaf(Leader later) {
-    LeaderTerm t = director.term();
-    JobService.PeerChannel asker = askers.get(later.node());
-    if (t == null || later.token() <= t.token || asker == null) {
+  private boolean inboundPartitioned(ObservedLeader laterLeader) {
+    LeaderTerm term = runtime.currentTerm();
+    JobService.PeerChannel peer = peers.get(laterLeader.node());
+    if (term == null || laterLeader.token() <= term.token || peer == null) {
       return false;
     }
-    if (!director.sampling().seen().able()) {
+    if (!runtime.prober().measurement().reachesEnough()) {
       return false;
     }
     // A node that does not know the question tells 0 of 0, which is not few.
-    Candidacy.PeerStatus other = reach(later.node(), asker);
-    return other != null && other.workers().few();
+    Candidacy.PeerStatus status = queryWorkerReachability(laterLeader.node(), peer);
+    return status != null && status.workerReachability().reachesFew();
   }
 
-  private static Leader leader(String told) {
-    int space = told == null ? -1 : told.lastIndexOf(' ');
+  private static ObservedLeader parseLeader(String text) {
+    int space = text == null ? -1 : text.lastIndexOf(' ');
     return space < 0
-        ? new Leader("", 0)
-        : new Leader(told.substring(0, space), Long.parseLong(told.substring(space + 1)));
+        ? new ObservedLeader("", 0)
+        : new ObservedLeader(text.substring(0, space), Long.parseLong(text.substring(space + 1)));
   }
 }
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -28,353 +28,368 @@
   private final Settings settings;
   private final SchedulingPolicy policy;
   private final StoreClient store;
-  private final WatchCache mirror;
+  private final WatchCache watchCache;
   private final CommandSender sender = new CommandSender();
-  private final LeaderElector leadership;
-  private final CloudProvisioner machines;
-  private final ReachabilityProber sampling;
-  private final ConnectivityMonitor reach;
-  private final EndedJobCache ended = new EndedJobCache();
-  private final CompletionWriter jobEnds;
-  private volatile LeaderTerm term;
+  private final LeaderElector elector;
+  private final CloudProvisioner provisioner;
+  private final ReachabilityProber prober;
+  private final ConnectivityMonitor connectivity;
+  private final EndedJobCache endedJobs = new EndedJobCache();
+  private final CompletionWriter completionWriter;
+  private volatile LeaderTerm currentTerm;
 
   /** Held while a term is taken up or laid down: a term that is over must not be taken up late. */
-  private final Object offices = new Object();
+  private final Object termLock = new Object();
 
-  private final Threads.Pool orderPool = Threads.pool("order", Constants.ORDER_THREADS);
-  private final Threads.Pool questionPool = Threads.pool("question", Constants.QUESTION_THREADS);
-  private final Object wake = new Object();
-  private boolean stirred;
+  private final Threads.Pool commandPool = Threads.pool("order", Constants.COMMAND_THREADS);
+  private final Threads.Pool probePool = Threads.pool("question", Constants.MACHINE_PROBE_THREADS);
+  private final Object passSignal = new Object();
+  private boolean passRequested;
 
-  /** {@code askers}: the ways to the other nodes, by their names. */
+  /** {@code peers}: the ways to the other nodes, by their names. */
   public ControllerRuntime(
       Settings settings,
       SchedulingPolicy policy,
       StoreClient store,
-      WatchCache mirror,
-      Map<String, JobService.PeerChannel> askers) {
+      WatchCache watchCache,
+      Map<String, JobService.PeerChannel> peers) {
     this.settings = settings;
     this.policy = policy;
     this.store = store;
-    this.mirror = mirror;
+    this.watchCache = watchCache;
     Candidacy candidacy = new Candidacy();
-    this.sampling = new ReachabilityProber(mirror, sender, questionPool, askers.values());
-    this.leadership =
-        new LeaderElector(settings.node(), store, mirror, this, candidacy, sampling::seen);
-    this.machines = new CloudProvisioner(settings, store, mirror, this::stir);
-    this.reach = new ConnectivityMonitor(store, askers, this, candidacy);
-    this.jobEnds = new CompletionWriter(settings.storeLimits(), store, ended, this::stir);
+    this.prober = new ReachabilityProber(watchCache, sender, probePool, peers.values());
+    this.elector =
+        new LeaderElector(
+            settings.nodeName(), store, watchCache, this, candidacy, prober::measurement);
+    this.provisioner = new CloudProvisioner(settings, store, watchCache, this::requestPass);
+    this.connectivity = new ConnectivityMonitor(store, peers, this, candidacy);
+    this.completionWriter =
+        new CompletionWriter(settings.storeLimits(), store, endedJobs, this::requestPass);
   }
 
   /** Starts the threads of this node: from now on it may lead. */
   public void start() {
-    if (!Scheduler.leaseWithin(settings.facts())) {
+    if (!Scheduler.leaseFitsCancellationTime(settings.limits())) {
       LOG.warn("cancel_s is shorter than a lease: cancellations wait until all tasks are gone");
     }
-    mirror.start(this::changed);
-    leadership.start();
-    reach.start();
-    sampling.start();
+    watchCache.start(this::onStoreChanges);
+    elector.start();
+    connectivity.start();
+    prober.start();
   }
 
   public boolean ready() {
-    return mirror.loaded() && !reach.apart();
+    return watchCache.loaded() && !connectivity.partitionedFromStore();
   }
 
   /** The leader's key as far as known here, or null. */
-  StoreClient.Entry leaderRow() {
-    return leadership.row();
+  StoreClient.Entry leaderEntry() {
+    return elector.leaderEntry();
   }
 
   /** Another node says that the leader has this token. */
-  void leaderTold(long token) {
-    leadership.told(token);
+  void onLeaderObserved(long token) {
+    elector.onLeaderObserved(token);
   }
 
   String node() {
-    return settings.node();
+    return settings.nodeName();
   }
 
-  ConnectivityMonitor reach() {
-    return reach;
+  ConnectivityMonitor connectivity() {
+    return connectivity;
   }
 
-  ReachabilityProber sampling() {
-    return sampling;
+  ReachabilityProber prober() {
+    return prober;
   }
 
   /** Another node reaches more of the fleet. */
-  void handOver(LeaderTerm t, String why) {
-    leadership.resign(t.token, why);
+  void transferLeadership(LeaderTerm term, String reason) {
+    elector.resign(term.token, reason);
   }
 
   /** The other node that leads, as far as known here, or null. */
   public String otherLeader() {
-    String name = reach.apart() ? reach.leader() : leadership.leader();
-    return settings.node().equals(name) ? null : name;
+    String leader =
+        connectivity.partitionedFromStore() ? connectivity.reportedLeader() : elector.leader();
+    return settings.nodeName().equals(leader) ? null : leader;
   }
 
   public Map<String, MachineType> types() {
-    return machines.types();
+    return provisioner.types();
   }
 
   /** The present term, or null. */
-  LeaderTerm term() {
-    return term;
+  LeaderTerm currentTerm() {
+    return currentTerm;
   }
 
   /** Whether no other node can have become leader since this term began. */
-  boolean valid(LeaderTerm t) {
-    return leadership.valid(t.token);
+  boolean leaseCertain(LeaderTerm term) {
+    return elector.leaseCertain(term.token);
   }
 
-  EndedJobCache ended() {
-    return ended;
+  EndedJobCache endedJobs() {
+    return endedJobs;
   }
 
-  private void changed(List<StoreClient.Entry> changes) {
-    LeaderTerm t = term;
-    for (StoreClient.Entry row : changes) {
-      if (row.key().equals(RecordCodec.LEADER)) {
-        leadership.look();
-      } else if (row.key().equals(RecordCodec.TYPES) && row.data() != null && t == null) {
-        machines.typesNoted(row.data());
-      } else if (row.key().startsWith(RecordCodec.JOB) && row.data() != null) {
-        learnt(row);
+  private void onStoreChanges(List<StoreClient.Entry> changes) {
+    LeaderTerm term = currentTerm;
+    for (StoreClient.Entry entry : changes) {
+      if (entry.key().equals(RecordCodec.LEADER)) {
+        elector.wakeLoop();
+      } else if (entry.key().equals(RecordCodec.TYPES) && entry.data() != null && term == null) {
+        provisioner.onTypesRecord(entry.data());
+      } else if (entry.key().startsWith(RecordCodec.JOB) && entry.data() != null) {
+        onJobRecord(entry);
       }
     }
   }
 
   /** A live job was read from the state service. */
-  void learnt(StoreClient.Entry row) {
-    LeaderTerm t = term;
-    if (t != null && ended.get(row.key().substring(RecordCodec.JOB.length())) == null) {
-      t.add(row);
-      stir();
+  void onJobRecord(StoreClient.Entry entry) {
+    LeaderTerm term = currentTerm;
+    if (term != null && endedJobs.get(entry.key().substring(RecordCodec.JOB.length())) == null) {
+      term.addJob(entry);
+      requestPass();
     }
   }
 
   /** A job was accepted here, and recorded at this revision. */
-  void accepted(RecordCodec.JobRecord record, long revision) {
-    LeaderTerm t = term;
-    if (t != null && ended.get(record.spec().id()) == null) {
-      t.add(record, revision);
-      stir();
+  void onJobAccepted(RecordCodec.JobRecord record, long revision) {
+    LeaderTerm term = currentTerm;
+    if (term != null && endedJobs.get(record.spec().id()) == null) {
+      term.addJob(record, revision);
+      requestPass();
     }
   }
 
   // ---- term of office ----
 
   @Override
-  public void begin(long token) {
-    synchronized (offices) {
-      if (leadership.token() != token) {
+  public void onTermBegin(long token) {
+    synchronized (termLock) {
+      if (elector.token() != token) {
         return;
       }
-      store.leading(true);
+      store.setLeading(true);
     }
-    LeaderRecords notes =
+    LeaderRecords records =
         new LeaderRecords(
             token,
             store,
             settings.storeLimits(),
-            (kind, key, value) -> durable(token, kind, key, value));
-    LeaderTerm t =
+            (kind, key, value) -> onPersisted(token, kind, key, value));
+    LeaderTerm term =
         new LeaderTerm(
             token,
-            new Scheduler(settings.facts(), policy, token),
-            notes,
-            () -> leadership.stepDown(token, "a write found another leader"));
-    synchronized (t) {
-      t.scheduler.types(machines.types());
+            new Scheduler(settings.limits(), policy, token),
+            records,
+            () -> elector.stepDown(token, "a write found another leader"));
+    synchronized (term) {
+      term.scheduler.updateMachineTypes(provisioner.types());
     }
-    t.load(mirror);
-    synchronized (offices) {
-      if (leadership.token() != token) {
-        t.end(); // over before it began
+    term.load(watchCache);
+    synchronized (termLock) {
+      if (elector.token() != token) {
+        term.end(); // over before it began
         return;
       }
-      term = t;
+      currentTerm = term;
     }
     // What came between the loading and here was told to no term yet.
-    for (StoreClient.Entry row : mirror.below(RecordCodec.JOB)) {
-      t.add(row);
+    for (StoreClient.Entry entry : watchCache.entriesWithPrefix(RecordCodec.JOB)) {
+      term.addJob(entry);
     }
-    machines.takeOver(t);
+    provisioner.resumeProvisioning(term);
     // A term whose loops cannot all run is given up by its caller: half a leader would hold the
     // lease and place nothing.
-    Threads.start("notes", () -> notes.loop(t));
-    Threads.start("pass", () -> passLoop(t));
-    Threads.start("cloud", () -> machines.loop(t));
-    Threads.start("save", () -> saveLoop(t));
-    Threads.start("ends", () -> jobEnds.loop(t));
+    Threads.start("notes", () -> records.writeLoop(term));
+    Threads.start("pass", () -> passLoop(term));
+    Threads.start("cloud", () -> provisioner.pollLoop(term));
+    Threads.start("save", () -> progressLoop(term));
+    Threads.start("ends", () -> completionWriter.writeLoop(term));
   }
 
   @Override
-  public void end(long token, String why) {
-    LeaderTerm t;
-    synchronized (offices) {
-      t = term;
-      if (t != null && t.token != token) {
+  public void onTermEnd(long token, String reason) {
+    LeaderTerm term;
+    synchronized (termLock) {
+      term = currentTerm;
+      if (term != null && term.token != token) {
         return; // a later term has begun meanwhile
       }
-      term = null;
-      store.leading(leadership.token() != 0);
+      currentTerm = null;
+      store.setLeading(elector.token() != 0);
     }
-    if (t != null) {
-      t.end();
-      LOG.info("{} leads no longer (token {}): {}", settings.node(), t.token, why);
+    if (term != null) {
+      term.end();
+      LOG.info("{} leads no longer (token {}): {}", settings.nodeName(), term.token, reason);
     }
-    stir();
+    requestPass();
   }
 
-  void stir() {
-    synchronized (wake) {
-      stirred = true;
-      wake.notifyAll();
+  void requestPass() {
+    synchronized (passSignal) {
+      passRequested = true;
+      passSignal.notifyAll();
     }
   }
 
-  private void passLoop(LeaderTerm t) throws InterruptedException {
-    long told = 0;
+  private void passLoop(LeaderTerm term) throws InterruptedException {
+    long summaryLoggedMs = 0;
     long dueMs = Long.MAX_VALUE;
-    long passesMs = 0;
-    long longestMs = 0;
-    while (!t.over()) {
-      synchronized (wake) {
-        if (!stirred) {
-          wake.wait(Constants.PASS_MS);
+    long totalPassMs = 0;
+    long longestPassMs = 0;
+    while (!term.ended()) {
+      synchronized (passSignal) {
+        if (!passRequested) {
+          passSignal.wait(Constants.PASS_INTERVAL_MS);
         }
-        stirred = false;
+        passRequested = false;
       }
-      long began = System.nanoTime();
-      long stoodStillMs = LeaderTerm.nowMs() - dueMs;
+      long beganNs = System.nanoTime();
+      long stalledMs = LeaderTerm.nowMs() - dueMs;
       boolean starting = false;
       try {
         List<Decision> decisions;
         String summary = null;
-        String served = null;
-        String cancellations = null;
-        boolean usedUp;
-        synchronized (t) {
-          long now = LeaderTerm.nowMs();
-          if (stoodStillMs > Constants.STOOD_STILL_MS) {
-            LOG.info("{} stood still for {} ms", settings.node(), stoodStillMs);
-            t.scheduler.resumed(now);
+        String serviceSummary = null;
+        String cancellationSummary = null;
+        boolean attemptsExhausted;
+        synchronized (term) {
+          long nowMs = LeaderTerm.nowMs();
+          if (stalledMs > Constants.PROCESS_PAUSE_MS) {
+            LOG.info("{} stood still for {} ms", settings.nodeName(), stalledMs);
+            term.scheduler.onProcessResumed(nowMs);
           }
-          decisions = t.scheduler.pass(now, leadership.soleUntilMs());
-          usedUp = t.scheduler.usedUp();
-          starting = t.scheduler.starting();
-          if (now - told > Constants.SUMMARY_MS) {
-            told = now;
-            summary = t.scheduler.summary();
-            served = t.scheduler.served(now);
-            cancellations = t.cancellationTimes();
+          decisions = term.scheduler.pass(nowMs, elector.leaseCertainUntilMs());
+          attemptsExhausted = term.scheduler.attemptNumbersExhausted();
+          starting = term.scheduler.reconciling();
+          if (nowMs - summaryLoggedMs > Constants.SUMMARY_INTERVAL_MS) {
+            summaryLoggedMs = nowMs;
+            summary = term.scheduler.summary();
+            serviceSummary = term.scheduler.serviceSummary(nowMs);
+            cancellationSummary = term.cancellationSummary();
           }
         }
-        if (usedUp) {
-          leadership.stepDown(t.token, "its attempt numbers are used up");
+        if (attemptsExhausted) {
+          elector.stepDown(term.token, "its attempt numbers are used up");
         }
         if (summary != null) {
-          LOG.info("{}; passes took {} ms, the longest {} ms", summary, passesMs, longestMs);
-          LOG.info(served);
-          if (cancellations != null) {
-            LOG.info(cancellations);
+          LOG.info("{}; passes took {} ms, the longest {} ms", summary, totalPassMs, longestPassMs);
+          LOG.info(serviceSummary);
+          if (cancellationSummary != null) {
+            LOG.info(cancellationSummary);
           }
-          passesMs = 0;
-          longestMs = 0;
+          totalPassMs = 0;
+          longestPassMs = 0;
         }
-        for (Decision d : decisions) {
-          carryOut(t, d);
+        for (Decision decision : decisions) {
+          execute(term, decision);
         }
-        for (Threads.Pool pool : List.of(orderPool, questionPool)) {
-          pool.tend();
+        for (Threads.Pool pool : List.of(commandPool, probePool)) {
+          pool.startWaitingWork();
         }
-        sampling.tend();
-        machines.tend();
+        prober.startQueuedTasks();
+        provisioner.startQueuedTasks();
       } catch (RuntimeException | Error e) {
         LOG.error("pass failed", e);
-        Threads.pause();
+        Threads.backOff();
       }
       // Events gather meanwhile: reports and answers come first where processor time is short.
-      long tookMs = (System.nanoTime() - began) / 1_000_000;
-      passesMs += tookMs;
-      longestMs = Math.max(longestMs, tookMs);
-      long restMs = Math.max(Constants.PASS_GAP_MS, tookMs * Constants.PASS_REST);
-      restMs = starting ? Math.min(Constants.PASS_REST_MOST_MS, restMs) : restMs;
-      dueMs = LeaderTerm.nowMs() + restMs + Constants.PASS_MS;
-      Thread.sleep(restMs);
+      long passMs = (System.nanoTime() - beganNs) / 1_000_000;
+      totalPassMs += passMs;
+      longestPassMs = Math.max(longestPassMs, passMs);
+      long pauseMs = Math.max(Constants.PASS_MIN_GAP_MS, passMs * Constants.PASS_REST_FACTOR);
+      pauseMs = starting ? Math.min(Constants.PASS_REST_MAX_MS, pauseMs) : pauseMs;
+      dueMs = LeaderTerm.nowMs() + pauseMs + Constants.PASS_INTERVAL_MS;
+      Thread.sleep(pauseMs);
     }
   }
 
-  private void carryOut(LeaderTerm t, Decision d) {
-    if (d instanceof Decision.SendCommands o) {
+  private void execute(LeaderTerm term, Decision decision) {
+    if (decision instanceof Decision.SendCommands o) {
       // Silent machines hold a thread until the deadline: the others' orders must not wait behind.
-      (o.orders().isEmpty() ? questionPool : orderPool).execute("order", () -> direct(t, o));
-    } else if (d instanceof Decision.OpenJob o) {
-      t.notes.put(LeaderRecords.RecordKind.OPENED, o.job(), RecordCodec.opened(o.where()), 0);
-    } else if (d instanceof Decision.PersistPlacement r) {
-      if (t.keeps(r.job())) {
-        t.notes.replace(
+      (o.commands().isEmpty() ? probePool : commandPool)
+          .execute("order", () -> sendCommands(term, o));
+    } else if (decision instanceof Decision.OpenJob o) {
+      term.records.put(
+          LeaderRecords.RecordKind.OPENED,
+          o.jobId(),
+          RecordCodec.encodePlacement(o.replicaMachineNames()),
+          0);
+    } else if (decision instanceof Decision.PersistPlacement r) {
+      if (term.manages(r.jobId())) {
+        term.records.replace(
             LeaderRecords.RecordKind.OPENED,
-            r.job(),
-            RecordCodec.opened(r.where()),
-            Constants.REMEMBER_MS);
+            r.jobId(),
+            RecordCodec.encodePlacement(r.replicaMachineNames()),
+            Constants.PLACEMENT_RECORD_DELAY_MS);
       }
-    } else if (d instanceof Decision.FinishJob f) {
-      t.ends.add(f.job());
-    } else if (d instanceof Decision.RegisterMachine e) {
-      t.notes.put(LeaderRecords.RecordKind.MACHINE, e.machine(), RecordCodec.machine(e), 0);
-    } else if (d instanceof Decision.DeregisterMachine s) {
-      if (s.addr() != null) {
-        sender.forget(s.addr());
+    } else if (decision instanceof Decision.FinishJob finish) {
+      term.completions.add(finish.jobId());
+    } else if (decision instanceof Decision.RegisterMachine register) {
+      term.records.put(
+          LeaderRecords.RecordKind.MACHINE,
+          register.machineName(),
+          RecordCodec.encodeMachine(register),
+          0);
+    } else if (decision instanceof Decision.DeregisterMachine deregister) {
+      if (deregister.address() != null) {
+        sender.disconnect(deregister.address());
       }
-      t.notes.remove(LeaderRecords.RecordKind.MACHINE, s.machine(), Constants.STRIKE_MS);
-    } else if (d instanceof Decision.ProvisionMachines r) {
-      machines.rent(t, r);
-    } else if (d instanceof Decision.ReleaseMachines r) {
-      machines.giveBack(t, r);
-    } else if (d instanceof Decision.ProbeThroughPeers w) {
-      sampling.haveAsked(w, told -> witnessed(t, w, told));
+      term.records.remove(
+          LeaderRecords.RecordKind.MACHINE,
+          deregister.machineName(),
+          Constants.DEREGISTER_DELAY_MS);
+    } else if (decision instanceof Decision.ProvisionMachines r) {
+      provisioner.provision(term, r);
+    } else if (decision instanceof Decision.ReleaseMachines r) {
+      provisioner.releaseMachines(term, r);
+    } else if (decision instanceof Decision.ProbeThroughPeers probe) {
+      prober.probeThroughPeers(probe, results -> onPeerProbeResults(term, probe, results));
     }
   }
 
-  private void witnessed(
-      LeaderTerm t, Decision.ProbeThroughPeers w, List<Decision.PeerProbeResult> told) {
-    synchronized (t) {
-      t.scheduler.witnessed(w, told);
+  private void onPeerProbeResults(
+      LeaderTerm term, Decision.ProbeThroughPeers probe, List<Decision.PeerProbeResult> results) {
+    synchronized (term) {
+      term.scheduler.onPeerProbeResults(probe, results);
     }
-    stir();
+    requestPass();
   }
 
   /** A note is on record: what waited for it may happen now. */
-  private void durable(long token, LeaderRecords.RecordKind kind, String key, Object value) {
-    LeaderTerm t = term;
-    if (t == null || t.token != token || value == null) {
+  private void onPersisted(long token, LeaderRecords.RecordKind kind, String key, Object value) {
+    LeaderTerm term = currentTerm;
+    if (term == null || term.token != token || value == null) {
       return;
     }
     try {
       switch (kind) {
         case OPENED -> {
-          synchronized (t) {
-            t.scheduler.opened(key);
+          synchronized (term) {
+            term.scheduler.onJobOpened(key);
           }
-          stir();
+          requestPass();
         }
         case MACHINE -> {
-          if (!RecordCodec.machine(key, value).fresh()) {
-            synchronized (t) {
-              t.scheduler.enrolled(key);
+          if (!RecordCodec.decodeMachine(key, value).newlyProvisioned()) {
+            synchronized (term) {
+              term.scheduler.onMachineRegistered(key);
             }
-            stir();
+            requestPass();
           }
         }
-        case RENTAL -> machines.noted(t, key, value);
+        case RENTAL -> provisioner.onRentalPersisted(term, key, value);
         case PROGRESS -> {
           BitSet done = new BitSet();
-          String job = RecordCodec.merge(done, key, value);
-          synchronized (t) {
-            t.scheduler.saved(job, done);
+          String jobId = RecordCodec.mergeSegment(done, key, value);
+          synchronized (term) {
+            term.scheduler.onProgressPersisted(jobId, done);
           }
         }
       }
@@ -386,69 +401,76 @@
   // ---- workers ----
 
   /** Commands for the answer to a report; null if this node is not entitled to answer. */
-  public List<Command> report(Heartbeat r, long token) {
-    LeaderTerm t = term;
-    if (t == null || t.token != token) {
+  public List<Command> onHeartbeat(Heartbeat heartbeat, long token) {
+    LeaderTerm term = currentTerm;
+    if (term == null || term.token != token) {
       return null;
     }
-    List<Command> orders;
+    List<Command> commands;
     boolean deposed;
-    boolean restless;
-    synchronized (t) {
-      if (t.over()) {
+    boolean passNeeded;
+    synchronized (term) {
+      if (term.ended()) {
         return null;
       }
-      t.scheduler.certainUntil(leadership.soleUntilMs());
-      orders = t.scheduler.report(r, LeaderTerm.nowMs());
-      deposed = t.scheduler.deposed();
-      restless = t.scheduler.restless();
+      term.scheduler.extendLeaseCertainty(elector.leaseCertainUntilMs());
+      commands = term.scheduler.onHeartbeat(heartbeat, LeaderTerm.nowMs());
+      deposed = term.scheduler.deposed();
+      passNeeded = term.scheduler.passRequested();
     }
     if (deposed) {
-      leadership.stepDown(t.token, "worker " + r.machine() + " has seen a higher token");
+      elector.stepDown(
+          term.token, "worker " + heartbeat.machineName() + " has seen a higher token");
       return null;
     }
-    if (restless) {
-      stir();
+    if (passNeeded) {
+      requestPass();
     }
-    return orders;
+    return commands;
   }
 
   /** Token for the answer to a report. */
   public long token() {
-    LeaderTerm t = term;
-    return t == null ? 0 : t.token;
+    LeaderTerm term = currentTerm;
+    return term == null ? 0 : term.token;
   }
 
   /** Its turn has come. */
-  void direct(LeaderTerm t, Decision.SendCommands d) {
-    if (t.over()) {
+  void sendCommands(LeaderTerm term, Decision.SendCommands request) {
+    if (term.ended()) {
       return;
     }
-    synchronized (t) {
-      if (!t.scheduler.stillDue(d, LeaderTerm.nowMs())) {
+    synchronized (term) {
+      if (!term.scheduler.directCommandsStillDue(request, LeaderTerm.nowMs())) {
         return;
       }
     }
     CommandSender.Result result = new CommandSender.Result(true, null);
     boolean deposed;
-    boolean restless;
+    boolean passNeeded;
     try {
-      result = sender.send(d.addr(), t.token, d.session(), () -> stillWanted(t, d), d.timeoutMs());
+      result =
+          sender.send(
+              request.address(),
+              term.token,
+              request.epoch(),
+              () -> commandsToSend(term, request),
+              request.timeoutMs());
     } finally {
       // Whatever came of it: an order that is under way for ever holds its task's place, and the
       // job's cancellation.
-      synchronized (t) {
-        t.scheduler.certainUntil(leadership.soleUntilMs());
-        t.scheduler.directResult(
-            d.machine(), result.unknown(), result.report(), LeaderTerm.nowMs());
-        deposed = t.scheduler.deposed();
-        restless = t.scheduler.restless();
+      synchronized (term) {
+        term.scheduler.extendLeaseCertainty(elector.leaseCertainUntilMs());
+        term.scheduler.onCommandResult(
+            request.machineName(), result.outcomeUnknown(), result.heartbeat(), LeaderTerm.nowMs());
+        deposed = term.scheduler.deposed();
+        passNeeded = term.scheduler.passRequested();
       }
     }
     if (deposed) {
-      leadership.stepDown(t.token, "machine " + d.machine() + " has seen a higher token");
-    } else if (restless) {
-      stir();
+      elector.stepDown(term.token, "machine " + request.machineName() + " has seen a higher token");
+    } else if (passNeeded) {
+      requestPass();
     }
   }
 
@@ -457,45 +479,45 @@
    * one is looked at only here: a start decided before goes to nobody who may listen to the next
    * leader, however long the connection took or this process stood still.
    */
-  private List<Command> stillWanted(LeaderTerm t, Decision.SendCommands d) {
-    synchronized (t) {
-      return t.scheduler.stillWanted(d, valid(t));
+  private List<Command> commandsToSend(LeaderTerm term, Decision.SendCommands request) {
+    synchronized (term) {
+      return term.scheduler.commandsStillWanted(request, leaseCertain(term));
     }
   }
 
   // ---- records ----
 
   /** The end of a job was read. */
-  void overOnRecord(String id, RecordCodec.Ended end) {
-    jobEnds.overOnRecord(term, id, end);
+  void onEndRead(String jobId, RecordCodec.JobEnd end) {
+    completionWriter.onEndRead(currentTerm, jobId, end);
   }
 
   /** Makes the job's end durable, before anyone is told; null if that is not certain yet. */
-  RecordCodec.Ended finish(LeaderTerm t, String id, boolean cancelled, long patienceMs)
+  RecordCodec.JobEnd persistEnd(LeaderTerm term, String jobId, boolean cancelled, long timeoutMs)
       throws InterruptedException {
-    return jobEnds.finish(t, id, cancelled, patienceMs);
+    return completionWriter.persistEnd(term, jobId, cancelled, timeoutMs);
   }
 
-  private static void saveLoop(LeaderTerm t) throws InterruptedException {
-    while (!t.over()) {
-      Thread.sleep(Constants.SAVE_MS);
+  private static void progressLoop(LeaderTerm term) throws InterruptedException {
+    while (!term.ended()) {
+      Thread.sleep(Constants.PROGRESS_SAVE_INTERVAL_MS);
       try {
         Map<String, BitSet> unsaved;
-        synchronized (t) {
-          unsaved = t.scheduler.unsaved();
+        synchronized (term) {
+          unsaved = term.scheduler.drainUnpersistedProgress();
         }
-        unsaved.forEach((job, done) -> save(t, job, done));
+        unsaved.forEach((jobId, done) -> persistProgress(term, jobId, done));
       } catch (RuntimeException | Error e) {
         LOG.error("saving progress failed", e);
       }
     }
   }
 
-  private static void save(LeaderTerm t, String job, BitSet done) {
-    for (int i = 0; i < RecordCodec.segments(done.length()); i++) {
-      String key = RecordCodec.progress(job, i);
-      if (t.keeps(job)) { // not after its end: its progress would stay for ever
-        t.notes.put(LeaderRecords.RecordKind.PROGRESS, key, RecordCodec.segment(done, i), 0);
+  private static void persistProgress(LeaderTerm term, String jobId, BitSet done) {
+    for (int i = 0; i < RecordCodec.segmentCount(done.length()); i++) {
+      String key = RecordCodec.progressKey(jobId, i);
+      if (term.manages(jobId)) { // not after its end: its progress would stay for ever
+        term.records.put(LeaderRecords.RecordKind.PROGRESS, key, RecordCodec.segment(done, i), 0);
       }
     }
   }
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -22,25 +22,25 @@
  */
 public final class JobService {
   private static final Logger LOG = LoggerFactory.getLogger(JobService.class);
-  private final ControllerRuntime director;
+  private final ControllerRuntime runtime;
   private final StoreClient store;
-  private final EndedJobCache ended;
-  private final Map<String, PeerChannel> askers;
-  private final RequestCoalescer<JobAnswer> elsewhere = new RequestCoalescer<>(this::fromLeader);
-  private final RequestCoalescer<JobAnswer> read = new RequestCoalescer<>(this::fromStore);
+  private final EndedJobCache endedJobs;
+  private final Map<String, PeerChannel> peers;
+  private final RequestCoalescer<JobAnswer> leaderQueries =
+      new RequestCoalescer<>(this::queryLeader);
+  private final RequestCoalescer<JobAnswer> storeQueries = new RequestCoalescer<>(this::queryStore);
 
   /** A way to another node. */
   public interface PeerChannel {
-    JobAnswer ask(String op, String job, int timeoutMs) throws IOException;
+    JobAnswer call(String operation, String argument, int timeoutMs) throws IOException;
   }
 
-  /** {@code askers}: the other controllers, by name. */
-  public JobService(
-      ControllerRuntime director, StoreClient store, Map<String, PeerChannel> askers) {
-    this.director = director;
+  /** {@code peers}: the other controllers, by name. */
+  public JobService(ControllerRuntime runtime, StoreClient store, Map<String, PeerChannel> peers) {
+    this.runtime = runtime;
     this.store = store;
-    this.ended = director.ended();
-    this.askers = askers;
+    this.endedJobs = runtime.endedJobs();
+    this.peers = peers;
   }
 
   /** What became of a submission. */
@@ -48,11 +48,11 @@
 
   /** Accepts a job durably, on whatever node. */
   public SubmissionResult submit(JobSpec spec) throws InterruptedException {
-    RecordCodec.Ended end = ended.get(spec.id());
+    RecordCodec.JobEnd end = endedJobs.get(spec.id());
     if (end != null) {
-      return new SubmissionResult(200, answer(end));
+      return new SubmissionResult(200, toAnswer(end));
     }
-    if (store.lost()) {
+    if (store.unavailable()) {
       return new SubmissionResult(503, null);
     }
     String key = RecordCodec.JOB + spec.id();
@@ -61,18 +61,19 @@
         new StoreClient.Transaction()
             .when(key, 0)
             .when(RecordCodec.ENDED + spec.id(), 0)
-            .put(key, RecordCodec.job(record));
-    Outcome o = store.commit(txn, RateLimiter.Urgency.URGENT, Constants.ACCEPT_PATIENCE_MS);
-    if (o instanceof Outcome.Committed a) {
-      director.accepted(record, a.revision());
-      end = ended.get(spec.id());
+            .put(key, RecordCodec.encodeJob(record));
+    Outcome outcome =
+        store.commit(txn, RateLimiter.Urgency.INTERACTIVE, Constants.ACCEPT_RATE_WAIT_MS);
+    if (outcome instanceof Outcome.Committed committed) {
+      runtime.onJobAccepted(record, committed.revision());
+      end = endedJobs.get(spec.id());
       if (end != null) {
         return new SubmissionResult(
-            200, answer(end)); // the answer was slow, and its user was quicker
+            200, toAnswer(end)); // the answer was slow, and its user was quicker
       }
       return new SubmissionResult(201, new JobAnswer(200, "queued", 0, 0));
     }
-    if (o instanceof Outcome.Rejected) {
+    if (outcome instanceof Outcome.Rejected) {
       return new SubmissionResult(503, null);
     }
     JobAnswer known = poll(spec.id(), true);
@@ -81,168 +82,181 @@
         : new SubmissionResult(503, null);
   }
 
-  private static JobAnswer answer(RecordCodec.Ended end) {
+  private static JobAnswer toAnswer(RecordCodec.JobEnd end) {
     return new JobAnswer(200, end.cancelled() ? "withdrawn" : "done", end.done(), 0);
   }
 
   /** The state of a job, from where {@link JobQuery} lets it come. */
-  public JobAnswer poll(String id, boolean forward) throws InterruptedException {
-    RecordCodec.Ended end = ended.get(id);
-    LeaderTerm t = end == null ? director.term() : null;
-    Scheduler.JobProgress live = t == null ? null : t.told(id);
-    boolean sole = live != null && director.valid(t); // by now, so it was when that was looked at
-    JobQuery.View view = new JobQuery.View(end != null, t != null, live != null, sole, forward);
-    JobAnswer a =
+  public JobAnswer poll(String jobId, boolean mayForward) throws InterruptedException {
+    RecordCodec.JobEnd end = endedJobs.get(jobId);
+    LeaderTerm term = end == null ? runtime.currentTerm() : null;
+    Scheduler.JobProgress progress = term == null ? null : term.progressIfCurrent(jobId);
+    boolean leaseCertain =
+        progress != null && runtime.leaseCertain(term); // by now, so it was when that was looked at
+    JobQuery.View view =
+        new JobQuery.View(end != null, term != null, progress != null, leaseCertain, mayForward);
+    JobAnswer answer =
         switch (JobQuery.source(view)) {
-          case END -> answer(end);
-          case MEMORY ->
+          case KNOWN_END -> toAnswer(end);
+          case LEADER_MEMORY ->
               new JobAnswer(
-                  200, live.running() ? "running" : "queued", live.done(), live.runningTasks());
-          case LEADER -> elsewhere.ask(id);
-          case RECORD -> read.ask(id);
+                  200,
+                  progress.running() ? "running" : "queued",
+                  progress.doneTasks(),
+                  progress.runningTasks());
+          case REMOTE_LEADER -> leaderQueries.get(jobId);
+          case STORE -> storeQueries.get(jobId);
         };
-    return a == null ? JobAnswer.UNDECIDED : a;
+    return answer == null ? JobAnswer.UNDECIDED : answer;
   }
 
   /** What the leader says, or else the store. */
-  private JobAnswer fromLeader(String id) {
-    JobAnswer a = askLeader("poll", id);
-    if (a.status() == 503) {
-      return fromStore(id);
+  private JobAnswer queryLeader(String jobId) {
+    JobAnswer answer = callLeader("poll", jobId);
+    if (answer.status() == 503) {
+      return queryStore(jobId);
     }
-    remember(id, a);
-    return a;
+    cacheEnd(jobId, answer);
+    return answer;
   }
 
   /** Never older than the call: the live record first, since an ended job has lost it before. */
-  private JobAnswer fromStore(String id) {
-    if (store.lost()) {
+  private JobAnswer queryStore(String jobId) {
+    if (store.unavailable()) {
       return JobAnswer.UNDECIDED; // at once: nobody waits for the deadline of a read
     }
     try {
-      StoreClient.Entry live = store.get(RecordCodec.JOB + id);
-      if (live.data() != null) {
-        director.learnt(live);
+      StoreClient.Entry liveEntry = store.get(RecordCodec.JOB + jobId);
+      if (liveEntry.data() != null) {
+        runtime.onJobRecord(liveEntry);
         return new JobAnswer(200, "queued", 0, 0);
       }
-      StoreClient.Entry row = store.get(RecordCodec.ENDED + id);
-      if (row.data() == null) {
+      StoreClient.Entry endedEntry = store.get(RecordCodec.ENDED + jobId);
+      if (endedEntry.data() == null) {
         return JobAnswer.UNKNOWN;
       }
-      RecordCodec.Ended end = RecordCodec.ended(row.data());
-      director.overOnRecord(id, end);
-      return answer(end);
+      RecordCodec.JobEnd end = RecordCodec.decodeEnd(endedEntry.data());
+      runtime.onEndRead(jobId, end);
+      return toAnswer(end);
     } catch (IOException | Json.JsonFormatException e) {
-      LOG.debug("reading {}: {}", id, e.toString());
+      LOG.debug("reading {}: {}", jobId, e.toString());
       return JobAnswer.UNDECIDED;
     }
   }
 
   /** Cancels; answered only when it is durable and can be kept. */
-  public JobAnswer cancel(String id, boolean forward) throws InterruptedException {
-    LeaderTerm t = director.term();
+  public JobAnswer cancel(String jobId, boolean mayForward) throws InterruptedException {
+    LeaderTerm term = runtime.currentTerm();
     long arrivedMs = LeaderTerm.nowMs();
-    long deadline = arrivedMs + Constants.CANCEL_PATIENCE_MS;
-    boolean wanted = false;
-    JobAnswer read = null;
+    long deadlineMs = arrivedMs + Constants.CANCEL_WAIT_MS;
+    boolean cancelRequested = false;
+    JobAnswer storeAnswer = null;
     while (true) {
-      Cancellation.Action act =
-          Cancellation.next(view(id, t, forward, read != null, LeaderTerm.nowMs() >= deadline));
-      if (act.ofKept() && !wanted) {
-        wanted = true; // nothing of it starts from here on, however long the write takes
-        t.cancelWanted(id, arrivedMs);
-        director.stir();
+      Cancellation.Action action =
+          Cancellation.next(
+              cancellationView(
+                  jobId, term, mayForward, storeAnswer != null, LeaderTerm.nowMs() >= deadlineMs));
+      if (action.needsTerm() && !cancelRequested) {
+        cancelRequested = true; // nothing of it starts from here on, however long the write takes
+        term.requestCancel(jobId, arrivedMs);
+        runtime.requestPass();
       }
-      RecordCodec.Ended end = null;
-      switch (act) {
-        case TELL -> end = ended.get(id);
+      RecordCodec.JobEnd end = null;
+      switch (action) {
+        case REPLY_WITH_END -> end = endedJobs.get(jobId);
         case FORWARD -> {
-          JobAnswer a = askLeader("cancel", id);
-          remember(id, a);
-          return a;
+          JobAnswer answer = callLeader("cancel", jobId);
+          cacheEnd(jobId, answer);
+          return answer;
         }
-        case READ -> {
-          read = fromStore(id);
-          if (read.status() != 200) {
-            return read;
+        case READ_STORE -> {
+          storeAnswer = queryStore(jobId);
+          if (storeAnswer.status() != 200) {
+            return storeAnswer;
           }
         }
-        case WRITE_CANCELLED -> end = director.finish(t, id, true, leftMs(deadline));
-        case WRITE_DONE -> end = director.finish(t, id, false, leftMs(deadline));
+        case WRITE_CANCELLED ->
+            end = runtime.persistEnd(term, jobId, true, remainingMs(deadlineMs));
+        case WRITE_DONE -> end = runtime.persistEnd(term, jobId, false, remainingMs(deadlineMs));
         case WAIT -> {}
         default -> {
           return JobAnswer.UNDECIDED;
         }
       }
       if (end != null) {
-        return answer(end);
+        return toAnswer(end);
       }
-      if (act.ofKept()) {
-        Thread.sleep(Constants.CANCEL_LOOK_MS);
+      if (action.needsTerm()) {
+        Thread.sleep(Constants.CANCEL_POLL_INTERVAL_MS);
       }
     }
   }
 
-  private static long leftMs(long deadline) {
-    return Math.max(1, deadline - LeaderTerm.nowMs());
+  private static long remainingMs(long deadlineMs) {
+    return Math.max(1, deadlineMs - LeaderTerm.nowMs());
   }
 
-  private Cancellation.View view(
-      String id, LeaderTerm t, boolean forward, boolean read, boolean late) {
-    boolean over = ended.get(id) != null;
-    boolean kept = t != null && t.keeps(id);
-    boolean keepable = false;
-    boolean starting = false;
+  private Cancellation.View cancellationView(
+      String jobId,
+      LeaderTerm term,
+      boolean mayForward,
+      boolean storeRead,
+      boolean deadlinePassed) {
+    boolean ended = endedJobs.get(jobId) != null;
+    boolean managed = term != null && term.manages(jobId);
+    boolean fenced = false;
+    boolean startInFlight = false;
     boolean complete = false;
-    if (!over && kept) {
-      synchronized (t) {
-        Scheduler.JobProgress view = t.scheduler.view(id);
-        keepable = t.scheduler.cancelKeepable(id);
-        starting = t.scheduler.mayStart(id);
-        complete = view != null && view.complete();
+    if (!ended && managed) {
+      synchronized (term) {
+        Scheduler.JobProgress progress = term.scheduler.progress(jobId);
+        fenced = term.scheduler.canConfirmCancellation(jobId);
+        startInFlight = term.scheduler.mayStart(jobId);
+        complete = progress != null && progress.complete();
       }
     }
     return new Cancellation.View(
-        over,
-        forward,
-        t != null,
-        t != null && !t.over() && director.valid(t),
-        kept,
-        read,
-        keepable,
-        starting,
+        ended,
+        mayForward,
+        term != null,
+        term != null && !term.ended() && runtime.leaseCertain(term),
+        managed,
+        storeRead,
+        fenced,
+        startInFlight,
         complete,
-        late);
+        deadlinePassed);
   }
 
   /** Answers another node. */
-  public JobAnswer answer(String op, String job) throws InterruptedException {
-    return switch (op) {
-      case "poll" -> poll(job, false);
-      case "cancel" -> cancel(job, false);
-      case "state" -> director.reach().answer();
-      case "reach" -> director.reach().workers();
-      case "yield" -> director.reach().yielded(job);
-      case "witness" -> director.sampling().witness(job);
+  public JobAnswer answerPeer(String operation, String argument) throws InterruptedException {
+    return switch (operation) {
+      case "poll" -> poll(argument, false);
+      case "cancel" -> cancel(argument, false);
+      case "state" -> runtime.connectivity().answerStoreStatus();
+      case "reach" -> runtime.connectivity().answerWorkerReachability();
+      case "yield" -> runtime.connectivity().onTransferAnnounced(argument);
+      case "witness" -> runtime.prober().probeForPeer(argument);
       default -> JobAnswer.UNDECIDED;
     };
   }
 
-  private void remember(String id, JobAnswer a) {
-    if ("done".equals(a.phase()) || "withdrawn".equals(a.phase())) {
-      ended.put(id, new RecordCodec.Ended(a.phase().equals("withdrawn"), a.done()));
+  private void cacheEnd(String jobId, JobAnswer answer) {
+    if ("done".equals(answer.phase()) || "withdrawn".equals(answer.phase())) {
+      endedJobs.put(
+          jobId, new RecordCodec.JobEnd(answer.phase().equals("withdrawn"), answer.doneTasks()));
     }
   }
 
   /** Asks the leading node. */
-  private JobAnswer askLeader(String op, String id) {
-    String leader = director.otherLeader();
-    PeerChannel asker = leader == null ? null : askers.get(leader);
-    if (asker == null) {
+  private JobAnswer callLeader(String operation, String jobId) {
+    String leader = runtime.otherLeader();
+    PeerChannel peer = leader == null ? null : peers.get(leader);
+    if (peer == null) {
       return JobAnswer.UNDECIDED;
     }
     try {
-      return asker.ask(op, id, Constants.PEER_TIMEOUT_MS);
+      return peer.call(operation, jobId, Constants.PEER_TIMEOUT_MS);
     } catch (IOException e) {
       LOG.debug("asking {}: {}", leader, e.toString());
       return JobAnswer.UNDECIDED;
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -22,38 +22,38 @@
 
   private final String node;
   private final StoreClient store;
-  private final WatchCache mirror;
-  private final TermListener office;
-  private final Supplier<WorkerReachability.Measurement> workers;
+  private final WatchCache watchCache;
+  private final TermListener termListener;
+  private final Supplier<WorkerReachability.Measurement> workerReachability;
   private final Election election;
-  private final Object wake = new Object();
+  private final Object electionSignal = new Object();
 
   /** Takes up and lays down the leader's work. */
   public interface TermListener {
-    void begin(long token);
+    void onTermBegin(long token);
 
     /** Ends the term of this token, if it has begun. */
-    void end(long token, String why);
+    void onTermEnd(long token, String reason);
   }
 
-  /** {@code workers}: what this node reaches of the fleet. */
+  /** {@code workerReachability}: what this node reaches of the fleet. */
   public LeaderElector(
       String node,
       StoreClient store,
-      WatchCache mirror,
-      TermListener office,
+      WatchCache watchCache,
+      TermListener termListener,
       Candidacy candidacy,
-      Supplier<WorkerReachability.Measurement> workers) {
+      Supplier<WorkerReachability.Measurement> workerReachability) {
     this.node = node;
     this.store = store;
-    this.mirror = mirror;
-    this.office = office;
-    this.workers = workers;
+    this.watchCache = watchCache;
+    this.termListener = termListener;
+    this.workerReachability = workerReachability;
     this.election = new Election(node, candidacy);
   }
 
   public void start() {
-    Threads.startLoop("leadership", this::loop);
+    Threads.startLoop("leadership", this::electionLoop);
   }
 
   /** 0 if this node does not lead. */
@@ -62,55 +62,55 @@
   }
 
   /** Whether no other node can have become leader yet. */
-  public boolean valid(long ofToken) {
-    return election.valid(ofToken, LeaderTerm.nowMs());
+  public boolean leaseCertain(long termToken) {
+    return election.leaseCertain(termToken, LeaderTerm.nowMs());
   }
 
   /** Until when, on the steady clock, no other node can have become leader. */
-  long soleUntilMs() {
-    return election.soleUntilMs();
+  long leaseCertainUntilMs() {
+    return election.leaseCertainUntilMs();
   }
 
   /** The leader's key as far as known here, or null. */
-  StoreClient.Entry row() {
-    return mirror.row(RecordCodec.LEADER);
+  StoreClient.Entry leaderEntry() {
+    return watchCache.get(RecordCodec.LEADER);
   }
 
   /** The node that leads as far as known here, or null. */
   public String leader() {
-    StoreClient.Entry row = row();
-    return row == null ? null : String.valueOf(row.data().get("node"));
+    StoreClient.Entry entry = leaderEntry();
+    return entry == null ? null : String.valueOf(entry.data().get("node"));
   }
 
   /** The leader's key has changed, or a worker has shown a higher token. */
-  public void look() {
-    synchronized (wake) {
-      wake.notifyAll();
+  public void wakeLoop() {
+    synchronized (electionSignal) {
+      electionSignal.notifyAll();
     }
   }
 
   /** Another node says who leads: if that one came later, this one does no longer. */
-  void told(long otherToken) {
-    ended(election.told(otherToken));
+  void onLeaderObserved(long observedToken) {
+    executeAll(election.onLeaderObserved(observedToken));
   }
 
   /** Gives the leadership up: it is certain that another has it. */
-  public void stepDown(long ofToken, String why) {
-    ended(election.stepDown(ofToken, why));
+  public void stepDown(long termToken, String reason) {
+    executeAll(election.stepDown(termToken, reason));
   }
 
   /** Lets another node lead, because this one reaches too few workers. */
-  public void resign(long ofToken, String why) {
-    ended(election.resign(ofToken, why, LeaderTerm.nowMs()));
+  public void resign(long termToken, String reason) {
+    executeAll(election.resign(termToken, reason, LeaderTerm.nowMs()));
   }
 
-  private void ended(List<Action> acts) {
-    for (Action act : acts) {
-      if (act instanceof Action.EndTerm e) {
-        office.end(e.token(), e.why());
-        look();
-      } else if (act instanceof Action.RevokeLease r) {
-        revoke(r.lease());
+  private void executeAll(List<Action> actions) {
+    for (Action action : actions) {
+      if (action instanceof Action.EndTerm endTerm) {
+        termListener.onTermEnd(endTerm.token(), endTerm.reason());
+        wakeLoop();
+      } else if (action instanceof Action.RevokeLease revokeLease) {
+        revoke(revokeLease.lease());
       }
     }
   }
@@ -123,72 +123,79 @@
     }
   }
 
-  private void loop() throws InterruptedException {
+  private void electionLoop() throws InterruptedException {
     while (true) {
       try {
-        boolean rest = carryOut(election.next(view()));
-        if (rest) {
-          synchronized (wake) {
-            wake.wait(token() == 0 ? Constants.ELECTION_POLL_MS : Constants.LEADER_RENEW_MS);
+        boolean waitBeforeNext = execute(election.next(view()));
+        if (waitBeforeNext) {
+          synchronized (electionSignal) {
+            electionSignal.wait(
+                token() == 0
+                    ? Constants.ELECTION_POLL_INTERVAL_MS
+                    : Constants.LEADER_LEASE_RENEW_INTERVAL_MS);
           }
         }
       } catch (IOException | RuntimeException e) {
         LOG.debug("leadership: {}", e.toString());
-        Threads.pause();
+        Threads.backOff();
       }
     }
   }
 
   private Election.View view() {
-    StoreClient.Entry row = row();
+    StoreClient.Entry entry = leaderEntry();
     Election.Holder holder =
-        row == null
+        entry == null
             ? null
-            : new Election.Holder(String.valueOf(row.data().get("node")), row.revision());
+            : new Election.Holder(String.valueOf(entry.data().get("node")), entry.revision());
     return new Election.View(
-        LeaderTerm.nowMs(), mirror.loaded(), holder, workers.get(), store.silenceMs());
+        LeaderTerm.nowMs(),
+        watchCache.loaded(),
+        holder,
+        workerReachability.get(),
+        store.silenceMs());
   }
 
   /** Does what was decided and tells what came of it; true if a rest follows. */
-  private boolean carryOut(Action act) throws IOException, InterruptedException {
-    if (act instanceof Action.ReadKey) {
+  private boolean execute(Action action) throws IOException, InterruptedException {
+    if (action instanceof Action.ReadKey) {
       store.get(RecordCodec.LEADER); // so that this node notices if it is cut off
       return false;
-    } else if (act instanceof Action.Defer y) {
+    } else if (action instanceof Action.Defer defer) {
       LOG.info(
           "{} reaches {} of {} workers asked: the others may stand first",
           node,
-          y.workers().answered(),
-          y.workers().asked());
-    } else if (act instanceof Action.RemoveStaleKey r) {
+          defer.workerReachability().answered(),
+          defer.workerReachability().probed());
+    } else if (action instanceof Action.RemoveStaleKey r) {
       store.commit(
           new StoreClient.Transaction()
               .when(RecordCodec.LEADER, r.revision())
               .delete(RecordCodec.LEADER),
-          RateLimiter.Urgency.VITAL,
-          Constants.LEADER_CHANGE_MS);
-    } else if (act instanceof Action.GrantLease g) {
-      election.granted(store.grant(g.lifeMs()));
+          RateLimiter.Urgency.LEASE,
+          Constants.LEADER_KEY_TIMEOUT_MS);
+    } else if (action instanceof Action.GrantLease grant) {
+      election.onLeaseGranted(store.grant(grant.ttlMs()));
       return false;
-    } else if (act instanceof Action.CreateKey c) {
-      claim(c.lease());
+    } else if (action instanceof Action.CreateKey c) {
+      createKey(c.lease());
       return false;
-    } else if (act instanceof Action.VerifyKey v) {
-      election.verified(standing(v.lease()));
+    } else if (action instanceof Action.VerifyKey verify) {
+      election.onKeyVerified(revisionIfOnLease(verify.lease()));
       return false;
-    } else if (act instanceof Action.CatchUp c) {
-      boolean done = mirror.reach(c.revision(), Constants.LEADER_LEASE_MS);
-      if (!done) {
+    } else if (action instanceof Action.CatchUp c) {
+      boolean caughtUp = watchCache.awaitRevision(c.revision(), Constants.LEADER_LEASE_MS);
+      if (!caughtUp) {
         LOG.info("won token {} but could not read up to it: given up", c.revision());
       }
-      election.caughtUp(c.revision(), done);
+      election.onCaughtUp(c.revision(), caughtUp);
       return false;
-    } else if (act instanceof Action.BeginTerm b) {
-      begin(b.token());
-    } else if (act instanceof Action.RenewLease r) {
+    } else if (action instanceof Action.BeginTerm begin) {
+      startTermAsync(begin.token());
+    } else if (action instanceof Action.RenewLease r) {
       return renew(r.lease());
     } else {
-      ended(List.of(act));
+      executeAll(List.of(action));
     }
     return true;
   }
@@ -197,11 +204,11 @@
   private boolean renew(long lease) throws IOException {
     long sentMs = LeaderTerm.nowMs();
     try {
-      election.renewed(store.renew(lease));
+      election.onLeaseRenewed(store.renew(lease));
       return token() != 0;
     } catch (IOException e) {
-      election.renewed(null);
-      if (LeaderTerm.nowMs() - sentMs < Constants.LEASE_TIMEOUT_MS) {
+      election.onLeaseRenewed(null);
+      if (LeaderTerm.nowMs() - sentMs < Constants.LEADER_LEASE_RENEW_TIMEOUT_MS) {
         throw e;
       }
       LOG.debug("renewal of the lease: {}", e.toString());
@@ -209,53 +216,53 @@
     }
   }
 
-  private void claim(long lease) throws InterruptedException {
+  private void createKey(long lease) throws InterruptedException {
     StoreClient.Transaction txn =
         new StoreClient.Transaction()
             .when(RecordCodec.LEADER, 0)
-            .put(RecordCodec.LEADER, RecordCodec.leader(node), lease);
+            .put(RecordCodec.LEADER, RecordCodec.encodeLeader(node), lease);
     StoreClient.Outcome outcome =
-        store.commit(txn, RateLimiter.Urgency.VITAL, Constants.LEADER_CHANGE_MS);
-    if (outcome instanceof StoreClient.Outcome.Committed a) {
-      election.claimed(Election.KeyCreation.APPLIED, a.revision());
+        store.commit(txn, RateLimiter.Urgency.LEASE, Constants.LEADER_KEY_TIMEOUT_MS);
+    if (outcome instanceof StoreClient.Outcome.Committed committed) {
+      election.onKeyCreation(Election.KeyCreation.CREATED, committed.revision());
     } else if (outcome instanceof StoreClient.Outcome.Unknown) {
-      election.claimed(Election.KeyCreation.UNKNOWN, 0);
+      election.onKeyCreation(Election.KeyCreation.UNKNOWN, 0);
     } else {
-      election.claimed(Election.KeyCreation.REFUSED, 0);
+      election.onKeyCreation(Election.KeyCreation.REJECTED, 0);
     }
   }
 
   /** The revision of the key, if it stands on this lease and that could be prolonged; else 0. */
-  private long standing(long lease) {
+  private long revisionIfOnLease(long lease) {
     try {
-      return store.renew(lease) ? store.revisionOn(lease, RecordCodec.LEADER) : 0;
+      return store.renew(lease) ? store.revisionOnLease(lease, RecordCodec.LEADER) : 0;
     } catch (IOException e) {
       LOG.debug("whether a claim was carried out is not known: {}", e.toString());
       return 0;
     }
   }
 
-  private void begin(long ofToken) {
-    LOG.info("{} leads with token {}", node, ofToken);
+  private void startTermAsync(long termToken) {
+    LOG.info("{} leads with token {}", node, termToken);
     try {
       // Taking over a large fleet takes longer than the lease lives on a small share of a
       // processor: this loop renews meanwhile.
-      Threads.start("begin", () -> beginTerm(ofToken));
+      Threads.start("begin", () -> startTerm(termToken));
     } catch (Threads.ThreadUnavailableException e) {
-      giveUp(ofToken, e);
+      abandonTerm(termToken, e);
     }
   }
 
-  private void beginTerm(long ofToken) {
+  private void startTerm(long termToken) {
     try {
-      office.begin(ofToken);
+      termListener.onTermBegin(termToken);
     } catch (RuntimeException | Error e) {
-      giveUp(ofToken, e);
+      abandonTerm(termToken, e);
     }
   }
 
-  private void giveUp(long ofToken, Throwable why) {
-    LOG.error("a term could not begin", why);
-    ended(election.beginFailed(ofToken, LeaderTerm.nowMs()));
+  private void abandonTerm(long termToken, Throwable reason) {
+    LOG.error("a term could not begin", reason);
+    executeAll(election.onTermStartFailed(termToken, LeaderTerm.nowMs()));
   }
 }
--- a/src/main/java/org/astershift/controller/LeaderRecords.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -28,7 +28,7 @@
  */
 final class LeaderRecords {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecords.class);
-  private static final long CLEAN = Long.MAX_VALUE;
+  private static final long NEVER_MS = Long.MAX_VALUE;
 
   /** What an entry is about. Pages hold one kind, so that what changes often is written alone. */
   enum RecordKind {
@@ -46,95 +46,97 @@
 
   /** Told when an entry is durable as it was then; {@code value} null: removed. */
   interface Listener {
-    void durable(RecordKind kind, String key, Object value);
+    void onPersisted(RecordKind kind, String key, Object value);
   }
 
   private static final class Page {
     final RecordKind kind;
     final String key;
     final Map<String, Object> entries = new LinkedHashMap<>();
-    final Set<String> changed = new LinkedHashSet<>();
+    final Set<String> changedKeys = new LinkedHashSet<>();
     long revision;
     int bytes;
-    long dueMs = CLEAN;
+    long dueMs = NEVER_MS;
 
     /** Since when it holds changes that are not on record. */
-    long changedMs = CLEAN;
+    long oldestChangeMs = NEVER_MS;
 
     Page(RecordKind kind, int number) {
       this.kind = kind;
-      this.key = RecordCodec.NOTES + kind.letter + number;
+      this.key = RecordCodec.PAGES + kind.letter + number;
     }
   }
 
   /** A page as it goes out: later changes do not touch it. */
-  private record PageWrite(Page page, Map<String, Object> entries, Set<String> changed) {}
+  private record PageWrite(Page page, Map<String, Object> entries, Set<String> changedKeys) {}
 
   private final long token;
   private final StoreClient store;
   private final Listener listener;
-  private final int mostPages;
+  private final int maxPages;
 
   /** Fewer for a while after a transaction was refused as malformed. */
-  private int pagesAtOnce;
+  private int pageLimit;
 
-  private final int pageBytes;
+  private final int maxPageBytes;
   private final Map<RecordKind, List<Page>> pages = new EnumMap<>(RecordKind.class);
-  private final Map<RecordKind, Map<String, Page>> where = new EnumMap<>(RecordKind.class);
-  private boolean over;
+  private final Map<RecordKind, Map<String, Page>> pageByKey = new EnumMap<>(RecordKind.class);
+  private boolean closed;
 
   LeaderRecords(long token, StoreClient store, Settings.StoreLimits limits, Listener listener) {
     this.token = token;
     this.store = store;
     this.listener = listener;
-    this.mostPages = limits.txnOps();
-    this.pagesAtOnce = mostPages;
-    this.pageBytes =
-        (int) Math.min(Constants.PAGE_BYTES, limits.valueKb() * 1024 * Constants.PAGE_SHARE);
-    for (RecordKind k : RecordKind.values()) {
-      pages.put(k, new ArrayList<>());
-      where.put(k, new HashMap<>());
+    this.maxPages = limits.txnOps();
+    this.pageLimit = maxPages;
+    this.maxPageBytes =
+        (int)
+            Math.min(
+                Constants.MAX_PAGE_BYTES, limits.valueKb() * 1024 * Constants.PAGE_VALUE_SHARE);
+    for (RecordKind kind : RecordKind.values()) {
+      pages.put(kind, new ArrayList<>());
+      pageByKey.put(kind, new HashMap<>());
     }
   }
 
   /** Takes in what an earlier leader noted. */
-  synchronized void load(List<StoreClient.Entry> rows) {
-    for (StoreClient.Entry row : rows) {
-      String rest = row.key().substring(RecordCodec.NOTES.length());
+  synchronized void load(List<StoreClient.Entry> entries) {
+    for (StoreClient.Entry entry : entries) {
+      String suffix = entry.key().substring(RecordCodec.PAGES.length());
       for (RecordKind kind : RecordKind.values()) {
-        if (rest.charAt(0) == kind.letter && rest.substring(1).matches("[0-9]{1,6}")) {
-          Page page = page(kind, Integer.parseInt(rest.substring(1)));
-          page.revision = row.revision();
-          row.data().forEach((key, value) -> set(page, key, value));
+        if (suffix.charAt(0) == kind.letter && suffix.substring(1).matches("[0-9]{1,6}")) {
+          Page page = pageAt(kind, Integer.parseInt(suffix.substring(1)));
+          page.revision = entry.revision();
+          entry.data().forEach((key, value) -> setEntry(page, key, value));
         }
       }
     }
   }
 
-  private Page page(RecordKind kind, int number) {
-    List<Page> all = pages.get(kind);
-    while (all.size() <= number) {
-      all.add(new Page(kind, all.size()));
+  private Page pageAt(RecordKind kind, int number) {
+    List<Page> pagesOfKind = pages.get(kind);
+    while (pagesOfKind.size() <= number) {
+      pagesOfKind.add(new Page(kind, pagesOfKind.size()));
     }
-    return all.get(number);
+    return pagesOfKind.get(number);
   }
 
-  private void set(Page page, String key, Object value) {
-    Object before = page.entries.put(key, value);
-    page.bytes += size(key, value) - (before == null ? 0 : size(key, before));
-    where.get(page.kind).put(key, page);
+  private void setEntry(Page page, String key, Object value) {
+    Object previous = page.entries.put(key, value);
+    page.bytes += entryBytes(key, value) - (previous == null ? 0 : entryBytes(key, previous));
+    pageByKey.get(page.kind).put(key, page);
   }
 
-  private static int size(String key, Object value) {
+  private static int entryBytes(String key, Object value) {
     return key.length() + 4 + Json.bytes(value).length;
   }
 
   synchronized Map<String, Object> entries(RecordKind kind) {
-    Map<String, Object> out = new LinkedHashMap<>();
+    Map<String, Object> result = new LinkedHashMap<>();
     for (Page page : pages.get(kind)) {
-      out.putAll(page.entries);
+      result.putAll(page.entries);
     }
-    return out;
+    return result;
   }
 
   /**
@@ -142,21 +144,22 @@
    * needed must not grow a page beyond what the state service takes.
    */
   synchronized void replace(RecordKind kind, String key, Object value, long delayMs) {
-    Page page = where.get(kind).get(key);
-    int grown = page == null ? 0 : size(key, value) - size(key, page.entries.get(key));
-    if (page != null && page.bytes + grown <= pageBytes) {
+    Page page = pageByKey.get(kind).get(key);
+    int growthBytes =
+        page == null ? 0 : entryBytes(key, value) - entryBytes(key, page.entries.get(key));
+    if (page != null && page.bytes + growthBytes <= maxPageBytes) {
       put(kind, key, value, delayMs);
     }
   }
 
   /** The entry should have this value, written after {@code delayMs} at the latest. */
   synchronized void put(RecordKind kind, String key, Object value, long delayMs) {
-    Page page = where.get(kind).get(key);
+    Page page = pageByKey.get(kind).get(key);
     if (page == null) {
-      page = roomy(kind, size(key, value));
+      page = pageWithRoom(kind, entryBytes(key, value));
     }
-    set(page, key, value);
-    touch(page, key, delayMs);
+    setEntry(page, key, value);
+    markChanged(page, key, delayMs);
   }
 
   /**
@@ -164,115 +167,117 @@
    * answered may have tasks by then: noted as fresh once more, a successor took it to hold nothing.
    */
   synchronized void putNew(RecordKind kind, String key, Object value) {
-    if (!where.get(kind).containsKey(key)) {
+    if (!pageByKey.get(kind).containsKey(key)) {
       put(kind, key, value, 0);
     }
   }
 
-  private Page roomy(RecordKind kind, int size) {
+  private Page pageWithRoom(RecordKind kind, int size) {
     for (Page page : pages.get(kind)) {
-      if (page.bytes + size <= pageBytes) {
+      if (page.bytes + size <= maxPageBytes) {
         return page;
       }
     }
-    return page(kind, pages.get(kind).size());
+    return pageAt(kind, pages.get(kind).size());
   }
 
   synchronized void remove(RecordKind kind, String key, long delayMs) {
-    Page page = where.get(kind).remove(key);
+    Page page = pageByKey.get(kind).remove(key);
     if (page != null) {
-      page.bytes -= size(key, page.entries.remove(key));
-      touch(page, key, delayMs);
+      page.bytes -= entryBytes(key, page.entries.remove(key));
+      markChanged(page, key, delayMs);
     }
   }
 
   /** Keys of this kind that start so. */
-  synchronized List<String> keys(RecordKind kind, String prefix) {
-    List<String> out = new ArrayList<>();
-    for (String key : where.get(kind).keySet()) {
+  synchronized List<String> keysWithPrefix(RecordKind kind, String prefix) {
+    List<String> result = new ArrayList<>();
+    for (String key : pageByKey.get(kind).keySet()) {
       if (key.startsWith(prefix)) {
-        out.add(key);
+        result.add(key);
       }
     }
-    return out;
+    return result;
   }
 
-  private void touch(Page page, String key, long delayMs) {
-    page.changed.add(key);
+  private void markChanged(Page page, String key, long delayMs) {
+    page.changedKeys.add(key);
     page.dueMs = Math.min(page.dueMs, LeaderTerm.nowMs() + delayMs);
-    page.changedMs = Math.min(page.changedMs, LeaderTerm.nowMs());
+    page.oldestChangeMs = Math.min(page.oldestChangeMs, LeaderTerm.nowMs());
     notifyAll();
   }
 
-  synchronized void end() {
-    over = true;
+  synchronized void close() {
+    closed = true;
     notifyAll();
   }
 
   /** Writes what is due until the term is over. */
-  void loop(LeaderTerm term) throws InterruptedException {
+  void writeLoop(LeaderTerm term) throws InterruptedException {
     while (true) {
-      List<PageWrite> drafts = next();
-      if (drafts.isEmpty()) {
+      List<PageWrite> writes = takeDuePages();
+      if (writes.isEmpty()) {
         return;
       }
-      Outcome o;
+      Outcome outcome;
       try {
-        o = write(drafts);
+        outcome = commit(writes);
       } catch (RuntimeException | Error e) {
         LOG.error("notes could not be written", e); // and are not lost: they go out again
-        o = new Outcome.Unknown(e.toString());
+        outcome = new Outcome.Unknown(e.toString());
       }
-      if (o instanceof Outcome.Committed a) {
-        written(drafts, a.revision());
+      if (outcome instanceof Outcome.Committed committed) {
+        onCommitted(writes, committed.revision());
       } else {
-        again(drafts);
-        if (o instanceof Outcome.ConditionFailed c && c.keys().contains(RecordCodec.LEADER)) {
-          term.lost();
+        reschedule(writes);
+        if (outcome instanceof Outcome.ConditionFailed conflict
+            && conflict.keys().contains(RecordCodec.LEADER)) {
+          term.onLeadershipLost();
           return;
         }
-        if (o instanceof Outcome.ConditionFailed c) {
-          reread(drafts, c.keys());
+        if (outcome instanceof Outcome.ConditionFailed conflict) {
+          refreshRevisions(writes, conflict.keys());
         } else {
-          LOG.debug("notes are not written yet: {}", o);
-          if (o instanceof Outcome.Rejected r && r.why().equals(StoreClient.MALFORMED)) {
-            refused(drafts);
+          LOG.debug("notes are not written yet: {}", outcome);
+          if (outcome instanceof Outcome.Rejected rejected
+              && rejected.reason().equals(StoreClient.MALFORMED_REASON)) {
+            splitAfterRejection(writes);
           }
-          Thread.sleep(Constants.RETRY_MS);
+          Thread.sleep(Constants.RETRY_BACKOFF_MS);
         }
       }
     }
   }
 
   /** Waits for something due; empty once the term is over. */
-  private synchronized List<PageWrite> next() throws InterruptedException {
-    while (!over) {
-      long now = LeaderTerm.nowMs();
-      long first = CLEAN;
-      List<Page> due = new ArrayList<>();
-      for (List<Page> some : pages.values()) {
-        for (Page page : some) {
-          first = Math.min(first, page.dueMs);
-          if (page.dueMs <= now) {
-            due.add(page);
+  private synchronized List<PageWrite> takeDuePages() throws InterruptedException {
+    while (!closed) {
+      long nowMs = LeaderTerm.nowMs();
+      long earliestDueMs = NEVER_MS;
+      List<Page> duePages = new ArrayList<>();
+      for (List<Page> pagesOfKind : pages.values()) {
+        for (Page page : pagesOfKind) {
+          earliestDueMs = Math.min(earliestDueMs, page.dueMs);
+          if (page.dueMs <= nowMs) {
+            duePages.add(page);
           }
         }
       }
-      if (!due.isEmpty()) {
+      if (!duePages.isEmpty()) {
         // What waits for longest goes first: a rental is not struck before its machines are noted.
-        due.sort(Comparator.comparingLong(p -> p.dueMs));
-        List<PageWrite> drafts = new ArrayList<>();
-        int[] bytes = due.stream().mapToInt(p -> p.bytes).toArray();
-        for (Page page : due.subList(0, fitting(bytes, pagesAtOnce))) {
-          drafts.add(
+        duePages.sort(Comparator.comparingLong(p -> p.dueMs));
+        List<PageWrite> writes = new ArrayList<>();
+        int[] pageSizes = duePages.stream().mapToInt(p -> p.bytes).toArray();
+        for (Page page : duePages.subList(0, pagesPerTransaction(pageSizes, pageLimit))) {
+          writes.add(
               new PageWrite(
-                  page, new LinkedHashMap<>(page.entries), new LinkedHashSet<>(page.changed)));
-          page.changed.clear();
-          page.dueMs = CLEAN;
+                  page, new LinkedHashMap<>(page.entries), new LinkedHashSet<>(page.changedKeys)));
+          page.changedKeys.clear();
+          page.dueMs = NEVER_MS;
         }
-        return drafts;
+        return writes;
       }
-      wait(first == CLEAN ? 0 : Math.max(1, first - now));
+      wait(earliestDueMs == NEVER_MS ? 0 : Math.max(1, earliestDueMs - nowMs));
     }
     return List.of();
   }
@@ -282,71 +287,73 @@
    * bytes all the same. With 48 changes and full pages all of a large fleet's notes at once were
    * three times what the state service takes, which would have been refused again and again.
    */
-  static int fitting(int[] bytes, int most) {
-    int n = 0;
-    int sum = 0;
-    while (n < Math.min(bytes.length, most)) {
-      sum += bytes[n] + Constants.PAGE_FRAME_BYTES;
-      if (n > 0 && sum > Constants.TXN_BYTES) {
+  static int pagesPerTransaction(int[] pageSizes, int limit) {
+    int count = 0;
+    int totalBytes = 0;
+    while (count < Math.min(pageSizes.length, limit)) {
+      totalBytes += pageSizes[count] + Constants.PAGE_FRAME_BYTES;
+      if (count > 0 && totalBytes > Constants.MAX_TRANSACTION_BYTES) {
         break;
       }
-      n++;
+      count++;
     }
-    return n;
+    return count;
   }
 
   /** A transaction was refused for what it is: smaller ones next, and what is alone waits aside. */
-  private synchronized void refused(List<PageWrite> drafts) {
-    if (drafts.size() > 1) {
-      pagesAtOnce = Math.max(1, drafts.size() / 2);
+  private synchronized void splitAfterRejection(List<PageWrite> writes) {
+    if (writes.size() > 1) {
+      pageLimit = Math.max(1, writes.size() / 2);
       return;
     }
-    Page page = drafts.get(0).page();
+    Page page = writes.get(0).page();
     LOG.error("page {} of {} bytes is refused by the state service", page.key, page.bytes);
-    page.dueMs = LeaderTerm.nowMs() + Constants.PAGE_REFUSED_MS; // others go on
+    page.dueMs = LeaderTerm.nowMs() + Constants.PAGE_REJECTED_BACKOFF_MS; // others go on
   }
 
   /**
    * Conditional on the pages' revisions: an earlier try of ours that is applied late must not bring
    * back what has changed since.
    */
-  private Outcome write(List<PageWrite> drafts) throws InterruptedException {
+  private Outcome commit(List<PageWrite> writes) throws InterruptedException {
     StoreClient.Transaction txn = new StoreClient.Transaction().when(RecordCodec.LEADER, token);
-    RateLimiter.Urgency use = RateLimiter.Urgency.LAZY;
-    for (PageWrite d : drafts) {
-      txn.when(d.page().key, d.page().revision);
-      if (!d.entries().isEmpty()) {
-        txn.put(d.page().key, d.entries());
-      } else if (d.page().revision > 0) {
-        txn.delete(d.page().key);
+    RateLimiter.Urgency urgency = RateLimiter.Urgency.BACKGROUND;
+    for (PageWrite write : writes) {
+      txn.when(write.page().key, write.page().revision);
+      if (!write.entries().isEmpty()) {
+        txn.put(write.page().key, write.entries());
+      } else if (write.page().revision > 0) {
+        txn.delete(write.page().key);
       }
-      if (!mayWait(d.page())) {
-        use = RateLimiter.Urgency.URGENT;
+      if (!deferrable(write.page())) {
+        urgency = RateLimiter.Urgency.INTERACTIVE;
       }
     }
-    return store.commit(txn, use, Constants.STORE_PATIENCE_MS);
+    return store.commit(txn, urgency, Constants.STORE_RATE_WAIT_MS);
   }
 
   /** Progress may wait until there is time for it, but not for ever. */
-  private synchronized boolean mayWait(Page page) {
-    boolean late = LeaderTerm.nowMs() - page.changedMs > Constants.PROGRESS_LATEST_MS;
-    return page.kind == RecordKind.PROGRESS && !late;
+  private synchronized boolean deferrable(Page page) {
+    boolean overdue =
+        LeaderTerm.nowMs() - page.oldestChangeMs > Constants.PROGRESS_WRITE_MAX_DELAY_MS;
+    return page.kind == RecordKind.PROGRESS && !overdue;
   }
 
-  private void written(List<PageWrite> drafts, long revision) {
+  private void onCommitted(List<PageWrite> writes, long revision) {
     synchronized (this) {
-      pagesAtOnce = mostPages;
-      for (PageWrite d : drafts) {
-        d.page().changedMs = d.page().changed.isEmpty() ? CLEAN : LeaderTerm.nowMs();
+      pageLimit = maxPages;
+      for (PageWrite write : writes) {
+        write.page().oldestChangeMs =
+            write.page().changedKeys.isEmpty() ? NEVER_MS : LeaderTerm.nowMs();
       }
     }
-    for (PageWrite d : drafts) {
-      d.page().revision = d.entries().isEmpty() ? 0 : revision;
+    for (PageWrite write : writes) {
+      write.page().revision = write.entries().isEmpty() ? 0 : revision;
     }
-    for (PageWrite d : drafts) {
-      for (String key : d.changed()) {
+    for (PageWrite write : writes) {
+      for (String key : write.changedKeys()) {
         try {
-          listener.durable(d.page().kind, key, d.entries().get(key));
+          listener.onPersisted(write.page().kind, key, write.entries().get(key));
         } catch (RuntimeException | Error e) {
           // The note is on record. Passed on, this ended the loop, and a leader that lived on and
           // noted nothing more opened no job and rented nothing.
@@ -356,22 +363,23 @@
     }
   }
 
-  private synchronized void again(List<PageWrite> drafts) {
-    for (PageWrite d : drafts) {
-      d.page().changed.addAll(d.changed());
-      d.page().dueMs = 0;
+  private synchronized void reschedule(List<PageWrite> writes) {
+    for (PageWrite write : writes) {
+      write.page().changedKeys.addAll(write.changedKeys());
+      write.page().dueMs = 0;
     }
   }
 
   /** An earlier try without an answer was applied after all: only its revision is news. */
-  private void reread(List<PageWrite> drafts, Set<String> conflicts) throws InterruptedException {
-    for (PageWrite d : drafts) {
-      if (conflicts.contains(d.page().key)) {
+  private void refreshRevisions(List<PageWrite> writes, Set<String> conflicts)
+      throws InterruptedException {
+    for (PageWrite write : writes) {
+      if (conflicts.contains(write.page().key)) {
         try {
-          d.page().revision = store.get(d.page().key).revision();
+          write.page().revision = store.get(write.page().key).revision();
         } catch (IOException e) {
-          LOG.debug("reading {}: {}", d.page().key, e.toString());
-          Thread.sleep(Constants.RETRY_MS);
+          LOG.debug("reading {}: {}", write.page().key, e.toString());
+          Thread.sleep(Constants.RETRY_BACKOFF_MS);
         }
       }
     }
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -25,104 +25,104 @@
   /** Used by one thread at a time: under the lock of this object. */
   final Scheduler scheduler;
 
-  final LeaderRecords notes;
-  final CompletionQueue ends = new CompletionQueue();
+  final LeaderRecords records;
+  final CompletionQueue completions = new CompletionQueue();
   private final Runnable stepDown;
-  private volatile boolean over;
-  private final TermJobs ledger;
-  private final CancellationLatency cancellations = new CancellationLatency();
-  private long rentals;
+  private volatile boolean ended;
+  private final TermJobs termJobs;
+  private final CancellationLatency cancellationLatency = new CancellationLatency();
+  private long rentalCount;
 
   /** {@code stepDown} is called when it is certain that another leads. */
-  LeaderTerm(long token, Scheduler scheduler, LeaderRecords notes, Runnable stepDown) {
+  LeaderTerm(long token, Scheduler scheduler, LeaderRecords records, Runnable stepDown) {
     this.token = token;
     this.scheduler = scheduler;
-    this.notes = notes;
-    this.ledger = new TermJobs(token);
+    this.records = records;
+    this.termJobs = new TermJobs(token);
     this.stepDown = stepDown;
   }
 
-  boolean over() {
-    return over;
+  boolean ended() {
+    return ended;
   }
 
   void end() {
-    over = true;
-    notes.end();
-    ends.end();
+    ended = true;
+    records.close();
+    completions.close();
   }
 
   /** A write found another leader's key. */
-  void lost() {
+  void onLeadershipLost() {
     stepDown.run();
   }
 
   /** A transaction that fails when it is applied late, after another leader took over. */
-  StoreClient.Transaction txn() {
+  StoreClient.Transaction transaction() {
     return new StoreClient.Transaction().when(RecordCodec.LEADER, token);
   }
 
   /** Whether the outcome shows that another leads, which ends the term. */
-  boolean lostBy(StoreClient.Outcome o) {
-    if (o instanceof StoreClient.Outcome.ConditionFailed c
-        && c.keys().contains(RecordCodec.LEADER)) {
-      lost();
+  boolean checkLeadershipLost(StoreClient.Outcome outcome) {
+    if (outcome instanceof StoreClient.Outcome.ConditionFailed conflict
+        && conflict.keys().contains(RecordCodec.LEADER)) {
+      onLeadershipLost();
       return true;
     }
     return false;
   }
 
   /** Takes in all that the mirror holds: machines first, they decide what may be placed. */
-  synchronized void load(WatchCache mirror) {
-    notes.load(mirror.below(RecordCodec.NOTES));
-    long now = nowMs();
-    notes
+  synchronized void load(WatchCache watchCache) {
+    records.load(watchCache.entriesWithPrefix(RecordCodec.PAGES));
+    long nowMs = nowMs();
+    records
         .entries(LeaderRecords.RecordKind.MACHINE)
-        .forEach((name, value) -> loadMachine(name, value, now));
-    Map<String, Object> opened = notes.entries(LeaderRecords.RecordKind.OPENED);
-    Map<String, BitSet> done = new HashMap<>();
-    notes
+        .forEach((name, value) -> loadMachine(name, value, nowMs));
+    Map<String, Object> openedJobs = records.entries(LeaderRecords.RecordKind.OPENED);
+    Map<String, BitSet> doneTasks = new HashMap<>();
+    records
         .entries(LeaderRecords.RecordKind.PROGRESS)
         .forEach(
             (key, value) -> {
               try {
                 BitSet part = new BitSet();
-                String job = RecordCodec.merge(part, key, value);
-                done.computeIfAbsent(job, j -> new BitSet()).or(part);
+                String jobId = RecordCodec.mergeSegment(part, key, value);
+                doneTasks.computeIfAbsent(jobId, j -> new BitSet()).or(part);
               } catch (Json.JsonFormatException e) {
                 LOG.error(e.getMessage());
               }
             });
-    for (StoreClient.Entry row : mirror.below(RecordCodec.JOB)) {
-      String id = row.key().substring(RecordCodec.JOB.length());
-      add(row, opened.containsKey(id), done.getOrDefault(id, new BitSet()));
-      scheduler.remembered(id, RecordCodec.openedOn(opened.get(id)));
+    for (StoreClient.Entry entry : watchCache.entriesWithPrefix(RecordCodec.JOB)) {
+      String jobId = entry.key().substring(RecordCodec.JOB.length());
+      addJob(entry, openedJobs.containsKey(jobId), doneTasks.getOrDefault(jobId, new BitSet()));
+      scheduler.restorePlacement(jobId, RecordCodec.decodePlacement(openedJobs.get(jobId)));
     }
-    ledger.loaded();
+    termJobs.onLoaded();
     // Left by a leader that ended between a job's end and the striking of its notes.
-    for (String id : opened.keySet()) {
-      forget(id);
+    for (String jobId : openedJobs.keySet()) {
+      deleteRecordsIfUnmanaged(jobId);
     }
-    for (String id : done.keySet()) {
-      forget(id);
+    for (String jobId : doneTasks.keySet()) {
+      deleteRecordsIfUnmanaged(jobId);
     }
   }
 
-  private void forget(String id) {
-    if (!ledger.keeps(id)) {
-      strike(id);
+  private void deleteRecordsIfUnmanaged(String jobId) {
+    if (!termJobs.manages(jobId)) {
+      deleteRecords(jobId);
     }
   }
 
-  private void loadMachine(String name, Object value, long now) {
+  private void loadMachine(String name, Object value, long nowMs) {
     try {
-      Decision.RegisterMachine e = RecordCodec.machine(name, value);
-      if (e.fresh()) {
-        Decision.ProvisionMachines rent =
-            new Decision.ProvisionMachines(e.type(), e.zone(), e.spot(), 1);
-        scheduler.rented("", List.of(name), rent, now);
+      Decision.RegisterMachine e = RecordCodec.decodeMachine(name, value);
+      if (e.newlyProvisioned()) {
+        Decision.ProvisionMachines request =
+            new Decision.ProvisionMachines(e.typeName(), e.zone(), e.spot(), 1);
+        scheduler.onMachinesProvisioned("", List.of(name), request, nowMs);
       } else {
-        scheduler.inherit(name, e.addr(), e.type(), e.zone(), e.spot(), now);
+        scheduler.addInheritedMachine(name, e.address(), e.typeName(), e.zone(), e.spot(), nowMs);
       }
     } catch (Json.JsonFormatException e) {
       LOG.error("note of machine {} cannot be read: {}", name, e.getMessage());
@@ -130,79 +130,79 @@
   }
 
   /** A job whose live record was read. */
-  void add(StoreClient.Entry row) {
-    add(row, false, new BitSet());
+  void addJob(StoreClient.Entry entry) {
+    addJob(entry, false, new BitSet());
   }
 
-  private void add(StoreClient.Entry row, boolean opened, BitSet done) {
+  private void addJob(StoreClient.Entry entry, boolean opened, BitSet doneTasks) {
     try {
-      add(RecordCodec.job(row.key(), row.data()), row.revision(), opened, done);
+      addJob(RecordCodec.decodeJob(entry.key(), entry.data()), entry.revision(), opened, doneTasks);
     } catch (Json.JsonFormatException | RuntimeException e) {
-      LOG.error("record {} cannot be read: {}", row.key(), e.getMessage());
+      LOG.error("record {} cannot be read: {}", entry.key(), e.getMessage());
     }
   }
 
   /** A job that this node accepted, recorded at this revision. */
-  void add(RecordCodec.JobRecord record, long revision) {
-    add(record, revision, false, new BitSet());
+  void addJob(RecordCodec.JobRecord record, long revision) {
+    addJob(record, revision, false, new BitSet());
   }
 
-  private synchronized void add(
-      RecordCodec.JobRecord record, long revision, boolean opened, BitSet done) {
-    if (ledger.take(record.spec().id(), revision)) {
-      long ago = Math.max(0, System.currentTimeMillis() - record.submittedMs());
-      scheduler.addJob(record.spec(), opened, done, nowMs() - ago);
+  private synchronized void addJob(
+      RecordCodec.JobRecord record, long revision, boolean opened, BitSet doneTasks) {
+    if (termJobs.adopt(record.spec().id(), revision)) {
+      long ageMs = Math.max(0, System.currentTimeMillis() - record.submittedMs());
+      scheduler.addJob(record.spec(), opened, doneTasks, nowMs() - ageMs);
     }
   }
 
   /** Which jobs this term looks after, and what may be told of them. */
-  TermJobs ledger() {
-    return ledger;
+  TermJobs termJobs() {
+    return termJobs;
   }
 
   /**
    * A live job as its user may be told of it; null if this term does not look after it, or its end
    * may be on record already.
    */
-  synchronized Scheduler.JobProgress told(String id) {
-    return ledger.mayBeOver(id) ? null : scheduler.view(id);
+  synchronized Scheduler.JobProgress progressIfCurrent(String jobId) {
+    return termJobs.mayHaveEnded(jobId) ? null : scheduler.progress(jobId);
   }
 
   /** Whether this term looks after the job. */
-  boolean keeps(String id) {
-    return ledger.keeps(id);
+  boolean manages(String jobId) {
+    return termJobs.manages(jobId);
   }
 
   /** A user's wish to cancel the job came at {@code arrivedMs}; nothing of it starts any more. */
-  synchronized void cancelWanted(String id, long arrivedMs) {
-    if (ledger.keeps(id)) { // it may have ended a moment ago
-      cancellations.asked(id, arrivedMs);
-      scheduler.cancelWanted(id);
+  synchronized void requestCancel(String jobId, long arrivedMs) {
+    if (termJobs.manages(jobId)) { // it may have ended a moment ago
+      cancellationLatency.onCancelRequested(jobId, arrivedMs);
+      scheduler.requestCancellation(jobId);
     }
   }
 
   /** For the log: how long users wait for their cancellations; null if there are none. */
-  synchronized String cancellationTimes() {
-    return cancellations.line(nowMs());
+  synchronized String cancellationSummary() {
+    return cancellationLatency.summary(nowMs());
   }
 
-  synchronized void ended(String id, boolean cancelled) {
-    ledger.ended(id);
-    cancellations.ended(id, cancelled, nowMs());
-    scheduler.ended(id, cancelled, nowMs());
-    strike(id);
+  synchronized void onJobEnded(String jobId, boolean cancelled) {
+    termJobs.onEnded(jobId);
+    cancellationLatency.onJobEnded(jobId, cancelled, nowMs());
+    scheduler.onJobEnded(jobId, cancelled, nowMs());
+    deleteRecords(jobId);
   }
 
-  private void strike(String id) {
-    notes.remove(LeaderRecords.RecordKind.OPENED, id, Constants.STRIKE_MS);
-    for (String key : notes.keys(LeaderRecords.RecordKind.PROGRESS, id + "/")) {
-      notes.remove(LeaderRecords.RecordKind.PROGRESS, key, Constants.STRIKE_MS);
+  private void deleteRecords(String jobId) {
+    records.remove(LeaderRecords.RecordKind.OPENED, jobId, Constants.DEREGISTER_DELAY_MS);
+    for (String key : records.keysWithPrefix(LeaderRecords.RecordKind.PROGRESS, jobId + "/")) {
+      records.remove(LeaderRecords.RecordKind.PROGRESS, key, Constants.DEREGISTER_DELAY_MS);
     }
   }
 
   /** A name for a rental that no other node, and no other term, uses. */
-  synchronized String rentalName() {
-    return "as-" + token + "-" + ++rentals;
+  synchronized String nextRentalName() {
+    return "as-" + token + "-" + ++rentalCount;
   }
 
   /** The steady clock in milliseconds. */
--- a/src/main/java/org/astershift/controller/ReachabilityProber.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -35,105 +35,110 @@
   private static final Logger LOG = LoggerFactory.getLogger(ReachabilityProber.class);
   private static final char REACHED = 'y';
   private static final char UNREACHED = 'n';
-  private final WatchCache mirror;
+  private final WatchCache watchCache;
   private final CommandSender sender;
-  private final Threads.Pool questions;
-  private final Collection<JobService.PeerChannel> others;
-  private final WorkerReachability reach = new WorkerReachability();
+  private final Threads.Pool probePool;
+  private final Collection<JobService.PeerChannel> peers;
+  private final WorkerReachability workerReachability = new WorkerReachability();
 
   /** Of its own: a leader's many questions to silent machines must not make it look cut off. */
-  private final Threads.Pool samplePool = Threads.pool("sample", Constants.REACH_SAMPLE);
+  private final Threads.Pool samplePool =
+      Threads.pool("sample", Constants.REACHABILITY_SAMPLE_MACHINES);
 
-  private final Threads.Pool witnessPool = Threads.pool("witness", Constants.WITNESS_THREADS);
+  private final Threads.Pool peerProbePool = Threads.pool("witness", Constants.PEER_PROBE_THREADS);
 
   ReachabilityProber(
-      WatchCache mirror,
+      WatchCache watchCache,
       CommandSender sender,
-      Threads.Pool questions,
-      Collection<JobService.PeerChannel> others) {
-    this.mirror = mirror;
+      Threads.Pool probePool,
+      Collection<JobService.PeerChannel> peers) {
+    this.watchCache = watchCache;
     this.sender = sender;
-    this.questions = questions;
-    this.others = others;
+    this.probePool = probePool;
+    this.peers = peers;
   }
 
   void start() {
-    Threads.startLoop("sampling", this::loop);
+    Threads.startLoop("sampling", this::sampleLoop);
   }
 
-  void tend() {
-    witnessPool.tend();
+  void startQueuedTasks() {
+    peerProbePool.startWaitingWork();
   }
 
   /** What this node reaches of the machines that it asked lately. */
-  WorkerReachability.Measurement seen() {
-    return reach.seen(LeaderTerm.nowMs());
+  WorkerReachability.Measurement measurement() {
+    return workerReachability.measurement(LeaderTerm.nowMs());
   }
 
-  private void loop() throws InterruptedException {
-    boolean none = false;
+  private void sampleLoop() throws InterruptedException {
+    boolean lastSampleTimedOut = false;
     while (true) {
-      if (!none) {
-        Thread.sleep(Constants.REACH_SAMPLE_MS); // else the deadline of the last sample was a rest
+      if (!lastSampleTimedOut) {
+        // Without this wait the deadline of the last sample was a rest.
+        Thread.sleep(Constants.REACHABILITY_SAMPLE_INTERVAL_MS);
       }
-      samplePool.tend();
-      questions.tend();
-      List<String> addrs = pick();
-      long atMs = LeaderTerm.nowMs();
+      samplePool.startWaitingWork();
+      probePool.startWaitingWork();
+      List<String> addresses = pickAddresses();
+      long probedMs = LeaderTerm.nowMs();
       int answered = 0;
-      for (Boolean yes : ask(samplePool, addrs, Constants.PROBE_TIMEOUT_MS)) {
-        answered += Boolean.TRUE.equals(yes) ? 1 : 0;
+      for (Boolean reachable : probe(samplePool, addresses, Constants.MACHINE_PROBE_TIMEOUT_MS)) {
+        answered += Boolean.TRUE.equals(reachable) ? 1 : 0;
       }
-      reach.sampled(addrs.size(), answered, atMs);
-      none = answered == 0 && LeaderTerm.nowMs() - atMs >= Constants.PROBE_TIMEOUT_MS;
+      workerReachability.onSample(addresses.size(), answered, probedMs);
+      lastSampleTimedOut =
+          answered == 0 && LeaderTerm.nowMs() - probedMs >= Constants.MACHINE_PROBE_TIMEOUT_MS;
     }
   }
 
   /** Some machines of those that may hold tasks, at random. */
-  private List<String> pick() {
-    List<StoreClient.Entry> pages =
-        mirror.below(RecordCodec.NOTES + LeaderRecords.RecordKind.MACHINE.letter);
-    Set<String> out = new HashSet<>();
+  private List<String> pickAddresses() {
+    List<StoreClient.Entry> pageEntries =
+        watchCache.entriesWithPrefix(RecordCodec.PAGES + LeaderRecords.RecordKind.MACHINE.letter);
+    Set<String> picked = new HashSet<>();
     ThreadLocalRandom random = ThreadLocalRandom.current();
-    for (int i = 0; i < 2 * Constants.REACH_SAMPLE && !pages.isEmpty(); i++) {
-      Map<String, Object> page = pages.get(random.nextInt(pages.size())).data();
-      if (page.isEmpty() || out.size() == Constants.REACH_SAMPLE) {
+    for (int i = 0; i < 2 * Constants.REACHABILITY_SAMPLE_MACHINES && !pageEntries.isEmpty(); i++) {
+      Map<String, Object> page = pageEntries.get(random.nextInt(pageEntries.size())).data();
+      if (page.isEmpty() || picked.size() == Constants.REACHABILITY_SAMPLE_MACHINES) {
         continue;
       }
       String name = new ArrayList<>(page.keySet()).get(random.nextInt(page.size()));
       try {
-        Decision.RegisterMachine e = RecordCodec.machine(name, page.get(name));
-        if (!e.fresh() && e.addr() != null) {
-          out.add(e.addr());
+        Decision.RegisterMachine e = RecordCodec.decodeMachine(name, page.get(name));
+        if (!e.newlyProvisioned() && e.address() != null) {
+          picked.add(e.address());
         }
       } catch (Json.JsonFormatException e) {
         LOG.debug("note of machine {}: {}", name, e.getMessage());
       }
     }
-    return new ArrayList<>(out);
+    return new ArrayList<>(picked);
   }
 
   /** Asks all of them; null for those whose turn did not come, of which nothing is known. */
-  private List<Boolean> ask(Threads.Pool pool, List<String> addrs, int timeoutMs)
+  private List<Boolean> probe(Threads.Pool pool, List<String> addresses, int timeoutMs)
       throws InterruptedException {
-    Boolean[] answered = new Boolean[addrs.size()];
-    CountDownLatch left = new CountDownLatch(addrs.size());
-    long untilMs = LeaderTerm.nowMs() + timeoutMs;
+    Boolean[] answered = new Boolean[addresses.size()];
+    CountDownLatch pending = new CountDownLatch(addresses.size());
+    long deadlineMs = LeaderTerm.nowMs() + timeoutMs;
     for (int i = 0; i < answered.length; i++) {
-      int at = i;
+      int index = i;
       pool.execute(
           "question",
           () -> {
-            Boolean yes =
-                LeaderTerm.nowMs() > untilMs ? null : sender.answers(addrs.get(at), timeoutMs);
+            Boolean reachable =
+                LeaderTerm.nowMs() > deadlineMs
+                    ? null
+                    : sender.isReachable(addresses.get(index), timeoutMs);
             synchronized (answered) {
-              answered[at] = yes;
+              answered[index] = reachable;
             }
-            left.countDown();
+            pending.countDown();
           });
     }
-    if (!left.await(timeoutMs + Constants.SUSPECT_MS, TimeUnit.MILLISECONDS)) {
-      LOG.debug("{} of {} questions are not settled", left.getCount(), answered.length);
+    if (!pending.await(timeoutMs + Constants.SUSPECT_AFTER_MS, TimeUnit.MILLISECONDS)) {
+      LOG.debug("{} of {} questions are not settled", pending.getCount(), answered.length);
     }
     synchronized (answered) {
       return Arrays.asList(answered.clone());
@@ -143,68 +148,71 @@
   // ---- for the leader ----
 
   /**
-   * Has all other nodes ask these machines; {@code verdict} gets the answers of those that could.
+   * Has all other nodes ask these machines; {@code onResults} gets the answers of those that could.
    */
-  void haveAsked(Decision.ProbeThroughPeers w, Consumer<List<Decision.PeerProbeResult>> verdict) {
-    List<Decision.MachineAddress> all = new ArrayList<>(w.suspects());
-    all.addAll(w.controls());
-    StringJoiner addrs = new StringJoiner(" ");
-    all.forEach(m -> addrs.add(m.addr()));
-    Round round = new Round(verdict, others.size());
-    if (others.isEmpty()) {
-      verdict.accept(List.of());
+  void probeThroughPeers(
+      Decision.ProbeThroughPeers request, Consumer<List<Decision.PeerProbeResult>> onResults) {
+    List<Decision.MachineAddress> machines = new ArrayList<>(request.suspects());
+    machines.addAll(request.controls());
+    StringJoiner addresses = new StringJoiner(" ");
+    machines.forEach(m -> addresses.add(m.address()));
+    ProbeRound round = new ProbeRound(onResults, peers.size());
+    if (peers.isEmpty()) {
+      onResults.accept(List.of());
     }
-    for (JobService.PeerChannel other : others) {
-      witnessPool.execute(
+    for (JobService.PeerChannel peer : peers) {
+      peerProbePool.execute(
           "witness",
           () -> {
-            Decision.PeerProbeResult t = null;
+            Decision.PeerProbeResult result = null;
             try {
-              JobAnswer a = other.ask("witness", addrs.toString(), Constants.PEER_TIMEOUT_MS);
-              t = a.status() == 200 ? testimony(all, a.phase()) : null;
+              JobAnswer answer =
+                  peer.call("witness", addresses.toString(), Constants.PEER_TIMEOUT_MS);
+              result =
+                  answer.status() == 200 ? parsePeerProbeResult(machines, answer.phase()) : null;
             } catch (IOException | RuntimeException e) {
               LOG.debug("asking for a witness: {}", e.toString());
             }
-            round.add(t); // whatever came: the leader waits for the last one
+            round.add(result); // whatever came: the leader waits for the last one
           });
     }
   }
 
   /** The answers to one question to all the others. */
-  private static final class Round {
-    private final Consumer<List<Decision.PeerProbeResult>> verdict;
-    private final List<Decision.PeerProbeResult> told = new ArrayList<>();
-    private int left;
-
-    Round(Consumer<List<Decision.PeerProbeResult>> verdict, int others) {
-      this.verdict = verdict;
-      this.left = others;
+  private static final class ProbeRound {
+    private final Consumer<List<Decision.PeerProbeResult>> onResults;
+    private final List<Decision.PeerProbeResult> results = new ArrayList<>();
+    private int remaining;
+
+    ProbeRound(Consumer<List<Decision.PeerProbeResult>> onResults, int peerCount) {
+      this.onResults = onResults;
+      this.remaining = peerCount;
     }
 
-    synchronized void add(Decision.PeerProbeResult t) {
-      if (t != null) {
-        told.add(t);
+    synchronized void add(Decision.PeerProbeResult result) {
+      if (result != null) {
+        results.add(result);
       }
-      left--;
-      if (left == 0) {
-        verdict.accept(told);
+      remaining--;
+      if (remaining == 0) {
+        onResults.accept(results);
       }
     }
   }
 
   /** A sign for each machine asked, in the order asked. */
-  private static Decision.PeerProbeResult testimony(
-      List<Decision.MachineAddress> asked, String signs) throws IOException {
-    if (signs == null || signs.length() != asked.size()) {
+  private static Decision.PeerProbeResult parsePeerProbeResult(
+      List<Decision.MachineAddress> machines, String signs) throws IOException {
+    if (signs == null || signs.length() != machines.size()) {
       throw new IOException("an answer of a witness makes no sense: " + signs);
     }
     Set<String> reached = new HashSet<>();
     Set<String> unreached = new HashSet<>();
     for (int i = 0; i < signs.length(); i++) {
       if (signs.charAt(i) == REACHED) {
-        reached.add(asked.get(i).machine());
+        reached.add(machines.get(i).machineName());
       } else if (signs.charAt(i) == UNREACHED) {
-        unreached.add(asked.get(i).machine());
+        unreached.add(machines.get(i).machineName());
       }
     }
     return new Decision.PeerProbeResult(reached, unreached);
@@ -214,14 +222,14 @@
    * What this node tells a leader that asks it to try these machines: a sign for each. Also if it
    * reaches few itself, as far as it knows: what it does reach lives, whatever else it misses.
    */
-  JobAnswer witness(String addrs) throws InterruptedException {
+  JobAnswer probeForPeer(String addresses) throws InterruptedException {
     List<Boolean> answered =
-        ask(questions, List.of(addrs.split(" ")), Constants.WITNESS_TIMEOUT_MS);
+        probe(probePool, List.of(addresses.split(" ")), Constants.PEER_PROBE_TIMEOUT_MS);
     StringBuilder signs = new StringBuilder();
     int reached = 0;
-    for (Boolean yes : answered) {
-      signs.append(yes == null ? '?' : yes ? REACHED : UNREACHED);
-      reached += Boolean.TRUE.equals(yes) ? 1 : 0;
+    for (Boolean reachable : answered) {
+      signs.append(reachable == null ? '?' : reachable ? REACHED : UNREACHED);
+      reached += Boolean.TRUE.equals(reachable) ? 1 : 0;
     }
     LOG.debug("of {} machines that the leader asks about {} answer here", signs.length(), reached);
     return new JobAnswer(200, signs.toString(), reached, answered.size());
--- a/src/main/java/org/astershift/controller/RequestCoalescer.java
+++ b/src/main/java/org/astershift/controller/RequestCoalescer.java
@@ -12,54 +12,54 @@
 final class RequestCoalescer<A> {
   /** Finds the answer; each call begins after all who share it have asked. */
   interface Work<A> {
-    A find(String key) throws InterruptedException;
+    A compute(String key) throws InterruptedException;
   }
 
   private final Work<A> work;
-  private final CoalescerState<A> rounds = new CoalescerState<>();
+  private final CoalescerState<A> state = new CoalescerState<>();
 
   RequestCoalescer(Work<A> work) {
     this.work = work;
   }
 
   /** Null where the one who worked it out failed: whoever shared its answer asks again. */
-  A ask(String key) throws InterruptedException {
+  A get(String key) throws InterruptedException {
     synchronized (this) {
-      Ticket<A> place = rounds.asks(key);
-      if (place.part() == Role.SHARES) {
-        return await(place.round());
+      Ticket<A> ticket = state.join(key);
+      if (ticket.role() == Role.SHARE) {
+        return awaitAnswer(ticket.round());
       }
-      if (place.part() == Role.FOLLOWS) {
-        follow(key);
+      if (ticket.role() == Role.QUEUED) {
+        awaitTurn(key);
       }
     }
     A answer = null;
     try {
-      answer = work.find(key);
+      answer = work.compute(key);
       return answer;
     } finally {
       synchronized (this) {
-        rounds.ends(key, answer);
+        state.complete(key, answer);
         notifyAll();
       }
     }
   }
 
-  private void follow(String key) throws InterruptedException {
+  private void awaitTurn(String key) throws InterruptedException {
     try {
-      while (rounds.busy(key)) {
+      while (state.isComputing(key)) {
         wait();
       }
     } catch (InterruptedException e) {
-      rounds.leaves(key);
+      state.abandonQueued(key);
       notifyAll();
       throw e;
     }
-    rounds.begins(key);
+    state.beginQueued(key);
   }
 
-  private A await(Round<A> round) throws InterruptedException {
-    while (!round.over()) {
+  private A awaitAnswer(Round<A> round) throws InterruptedException {
+    while (!round.completed()) {
       wait();
     }
     return round.answer();
--- a/src/main/java/org/astershift/coordination/Cancellation.java
+++ b/src/main/java/org/astershift/coordination/Cancellation.java
@@ -14,13 +14,13 @@
   /** What to do next. */
   public enum Action {
     /** Tell the end that is known: it is on record and does not change any more. */
-    TELL,
+    REPLY_WITH_END,
     /** Ask the leader. */
     FORWARD,
     /** Not now: 503. */
-    REFUSE,
+    REJECT,
     /** Read the state service: the job is over, unknown, or not known here yet. */
-    READ,
+    READ_STORE,
     /** Look again shortly: machines are being claimed, tasks stopped. */
     WAIT,
     /** Write that it is cancelled, and tell that once it is certain. */
@@ -29,48 +29,48 @@
     WRITE_DONE;
 
     /** Whether the term keeps the job and works on its end: nothing of it may start any more. */
-    public boolean ofKept() {
+    public boolean needsTerm() {
       return this == WAIT || this == WRITE_CANCELLED || this == WRITE_DONE;
     }
   }
 
   /**
-   * What is known here. {@code over}: the job's end is known; {@code forward}: the leader may be
-   * asked; {@code leads}: this controller has a term, which is {@code sole} as long as no other can
-   * have begun; {@code kept}: the term looks after the job; {@code read}: the state service was
-   * asked about it; {@code keepable}: no machine that may hold a task of it can be renewed by an
-   * older leader; {@code starting}: a start of it is on its way; {@code complete}: all of its tasks
-   * are done; {@code late}: the patience is used up.
+   * What is known here. {@code ended}: the job's end is known; {@code mayForward}: the leader may
+   * be asked; {@code leading}: this controller has a term, which is {@code leaseCertain} as long as
+   * no other can have begun; {@code managed}: the term looks after the job; {@code storeRead}: the
+   * state service was asked about it; {@code fenced}: no machine that may hold a task of it can be
+   * renewed by an older leader; {@code startInFlight}: a start of it is on its way; {@code
+   * complete}: all of its tasks are done; {@code deadlinePassed}: the patience is used up.
    */
   public record View(
-      boolean over,
-      boolean forward,
-      boolean leads,
-      boolean sole,
-      boolean kept,
-      boolean read,
-      boolean keepable,
-      boolean starting,
+      boolean ended,
+      boolean mayForward,
+      boolean leading,
+      boolean leaseCertain,
+      boolean managed,
+      boolean storeRead,
+      boolean fenced,
+      boolean startInFlight,
       boolean complete,
-      boolean late) {}
+      boolean deadlinePassed) {}
 
   /** What to do next about a cancellation that stands so. */
-  public static Action next(View v) {
-    if (v.over()) {
-      return Action.TELL;
+  public static Action next(View view) {
+    if (view.ended()) {
+      return Action.REPLY_WITH_END;
     }
-    if (!v.leads()) {
-      return v.forward() ? Action.FORWARD : Action.REFUSE;
+    if (!view.leading()) {
+      return view.mayForward() ? Action.FORWARD : Action.REJECT;
     }
-    if (!v.sole() || v.late()) {
-      return Action.REFUSE;
+    if (!view.leaseCertain() || view.deadlinePassed()) {
+      return Action.REJECT;
     }
-    if (!v.kept()) {
-      return v.read() ? Action.REFUSE : Action.READ;
+    if (!view.managed()) {
+      return view.storeRead() ? Action.REJECT : Action.READ_STORE;
     }
-    if (v.complete()) {
+    if (view.complete()) {
       return Action.WRITE_DONE;
     }
-    return v.keepable() && !v.starting() ? Action.WRITE_CANCELLED : Action.WAIT;
+    return view.fenced() && !view.startInFlight() ? Action.WRITE_CANCELLED : Action.WAIT;
   }
 }
--- a/src/main/java/org/astershift/coordination/CancellationLatency.java
+++ b/src/main/java/org/astershift/coordination/CancellationLatency.java
@@ -13,46 +13,49 @@
  */
 public final class CancellationLatency {
   private static final double MEDIAN = 0.5;
-  private static final double NEARLY_ALL = 0.99;
-  private final Map<String, Long> waiting = new HashMap<>();
-  private final List<Long> confirmed = new ArrayList<>();
+  private static final double P99 = 0.99;
+  private final Map<String, Long> requestedMs = new HashMap<>();
+  private final List<Long> latenciesMs = new ArrayList<>();
 
   /** A user asks to cancel this job. */
-  public void asked(String job, long nowMs) {
-    waiting.putIfAbsent(job, nowMs);
+  public void onCancelRequested(String jobId, long nowMs) {
+    requestedMs.putIfAbsent(jobId, nowMs);
   }
 
   /** The job's end is on record; one that was done first is no confirmation. */
-  public void ended(String job, boolean cancelled, long nowMs) {
-    Long since = waiting.remove(job);
-    if (since != null && cancelled) {
-      confirmed.add(nowMs - since);
+  public void onJobEnded(String jobId, boolean cancelled, long nowMs) {
+    Long cancelRequestedMs = requestedMs.remove(jobId);
+    if (cancelRequestedMs != null && cancelled) {
+      latenciesMs.add(nowMs - cancelRequestedMs);
     }
   }
 
   /** A line for the log on what was confirmed since the last one; null if there is nothing. */
-  public String line(long nowMs) {
-    if (confirmed.isEmpty() && waiting.isEmpty()) {
+  public String summary(long nowMs) {
+    if (latenciesMs.isEmpty() && requestedMs.isEmpty()) {
       return null;
     }
-    Collections.sort(confirmed);
-    StringBuilder sb = new StringBuilder("cancellations: ").append(confirmed.size());
-    sb.append(" confirmed");
-    if (!confirmed.isEmpty()) {
-      sb.append(", median ").append(quantile(MEDIAN)).append(" ms, 99% ");
-      sb.append(quantile(NEARLY_ALL)).append(" ms, worst ").append(quantile(1)).append(" ms");
+    Collections.sort(latenciesMs);
+    StringBuilder text = new StringBuilder("cancellations: ").append(latenciesMs.size());
+    text.append(" confirmed");
+    if (!latenciesMs.isEmpty()) {
+      text.append(", median ").append(quantile(MEDIAN)).append(" ms, 99% ");
+      text.append(quantile(P99)).append(" ms, worst ").append(quantile(1)).append(" ms");
     }
-    confirmed.clear();
-    if (!waiting.isEmpty()) {
-      long longestMs = nowMs - Collections.min(waiting.values());
-      sb.append("; ").append(waiting.size()).append(" wait, the longest for ").append(longestMs);
-      sb.append(" ms");
+    latenciesMs.clear();
+    if (!requestedMs.isEmpty()) {
+      long longestMs = nowMs - Collections.min(requestedMs.values());
+      text.append("; ")
+          .append(requestedMs.size())
+          .append(" wait, the longest for ")
+          .append(longestMs);
+      text.append(" ms");
     }
-    return sb.toString();
+    return text.toString();
   }
 
   /** By the nearest rank: the least time within which so large a share was confirmed. */
   private long quantile(double share) {
-    return confirmed.get((int) Math.ceil(share * confirmed.size()) - 1);
+    return latenciesMs.get((int) Math.ceil(share * latenciesMs.size()) - 1);
   }
 }
