--- a/src/main/java/org/astershift/coordination/Candidacy.java
+++ b/src/main/java/org/astershift/coordination/Candidacy.java
@@ -19,62 +19,70 @@
  * nothing away.
  */
 public final class Candidacy {
-  private final Map<String, Long> ledMs = new HashMap<>();
+  private final Map<String, Long> lastLedMs = new HashMap<>();
   private long freeSinceMs = -1;
-  private long yieldedMs = Long.MIN_VALUE / 2;
+  private long deferredMs = Long.MIN_VALUE / 2;
 
-  /** What one other controller told of itself; {@code served}: the state service answers it. */
-  public record PeerStatus(String node, boolean served, Measurement workers) {}
+  /**
+   * What one other controller told of itself; {@code storeAvailable}: the state service answers it.
+   */
+  public record PeerStatus(String node, boolean storeAvailable, Measurement workerReachability) {}
 
-  /** A leader's wish to hand over to this controller, or to any where {@code to} is null. */
-  public record HandOver(String to) {}
+  /** A leader's wish to hand over to this controller, or to any where {@code successor} is null. */
+  public record LeadershipTransfer(String successor) {}
 
   /** The leadership is held by this controller, as far as known here. */
-  public synchronized void held(String node, long nowMs) {
+  public synchronized void onHolderObserved(String node, long nowMs) {
     freeSinceMs = -1;
-    ledMs.put(node, nowMs);
+    lastLedMs.put(node, nowMs);
   }
 
   /** The leadership is free: whether this controller, which reaches so much, stands for it now. */
-  public synchronized boolean stands(Measurement own, long nowMs) {
+  public synchronized boolean shouldStand(Measurement own, long nowMs) {
     if (freeSinceMs < 0) {
       freeSinceMs = nowMs;
     }
-    boolean yields = nowMs - yieldedMs < Constants.STAND_LATE_MS;
-    return !yields && nowMs - freeSinceMs >= (own.few() ? Constants.STAND_LATE_MS : 0);
+    boolean deferring = nowMs - deferredMs < Constants.CANDIDACY_DELAY_MS;
+    return !deferring
+        && nowMs - freeSinceMs >= (own.reachesFew() ? Constants.CANDIDACY_DELAY_MS : 0);
   }
 
   /** The leader is about to hand over to another controller than this one. */
-  public synchronized void yields(long nowMs) {
-    yieldedMs = nowMs;
+  public synchronized void deferToSuccessor(long nowMs) {
+    deferredMs = nowMs;
   }
 
   /**
-   * The wish of a leader that hears only {@code heard} of its machines; null: it stays. {@code
-   * told}: those of the {@code others} that answered; {@code beganMs}: when its term began, since a
-   * cut that comes and goes must not turn the leadership round with it.
+   * The wish of a leader that hears only {@code visibleShare} of its machines; null: it stays.
+   * {@code statuses}: those of the {@code peerCount} that answered; {@code termBeganMs}: when its
+   * term began, since a cut that comes and goes must not turn the leadership round with it.
    */
-  public synchronized HandOver handsOver(
-      double heard, List<PeerStatus> told, int others, long beganMs, long nowMs) {
-    if (others == 0 || nowMs - beganMs < Constants.HAND_OVER_AFTER_MS) {
+  public synchronized LeadershipTransfer handOverTarget(
+      double visibleShare, List<PeerStatus> statuses, int peerCount, long termBeganMs, long nowMs) {
+    if (peerCount == 0 || nowMs - termBeganMs < Constants.HANDOVER_MIN_TERM_MS) {
       return null;
     }
     PeerStatus best = null;
-    for (PeerStatus t : told) {
+    for (PeerStatus status : statuses) {
       boolean better =
-          t.served() && t.workers().able() && t.workers().share() >= heard + Constants.REACH_BETTER;
-      if (better && (best == null || t.workers().share() > best.workers().share())) {
-        best = t;
+          status.storeAvailable()
+              && status.workerReachability().reachesEnough()
+              && status.workerReachability().share()
+                  >= visibleShare + Constants.REACHABILITY_HANDOVER_SHARE;
+      if (better
+          && (best == null
+              || status.workerReachability().share() > best.workerReachability().share())) {
+        best = status;
       }
     }
     if (best != null) {
-      return new HandOver(best.node());
+      return new LeadershipTransfer(best.node());
     }
-    if (!told.isEmpty()) {
+    if (!statuses.isEmpty()) {
       return null;
     }
     // Nobody answers, so nothing is known of the others: each that has not led lately has its turn.
-    ledMs.values().removeIf(at -> nowMs - at > Constants.RESIGN_AGAIN_MS);
-    return ledMs.size() <= others ? new HandOver(null) : null;
+    lastLedMs.values().removeIf(lastLed -> nowMs - lastLed > Constants.RESIGN_MIN_INTERVAL_MS);
+    return lastLedMs.size() <= peerCount ? new LeadershipTransfer(null) : null;
   }
 }
--- a/src/main/java/org/astershift/coordination/CoalescerState.java
+++ b/src/main/java/org/astershift/coordination/CoalescerState.java
@@ -14,10 +14,10 @@
   /** Those who get one answer. */
   public static final class Round<A> {
     private A answer;
-    private boolean over;
+    private boolean completed;
 
-    public boolean over() {
-      return over;
+    public boolean completed() {
+      return completed;
     }
 
     /** Null before it is over, and where whoever worked it out failed. */
@@ -29,53 +29,53 @@
   /** What one who asks does. */
   public enum Role {
     /** Works the answer out, now. */
-    WORKS,
+    COMPUTE,
     /** Works it out once the present round is over, and begins then. */
-    FOLLOWS,
+    QUEUED,
     /** Waits until its round is over. */
-    SHARES
+    SHARE
   }
 
   /** The round of one who asks, and its part in it. */
-  public record Ticket<A>(Round<A> round, Role part) {}
+  public record Ticket<A>(Round<A> round, Role role) {}
 
-  private final Map<String, Round<A>> working = new HashMap<>();
-  private final Map<String, Round<A>> next = new HashMap<>();
+  private final Map<String, Round<A>> computing = new HashMap<>();
+  private final Map<String, Round<A>> queued = new HashMap<>();
 
   /** Somebody asks. */
-  public Ticket<A> asks(String key) {
-    Round<A> round = next.get(key);
+  public Ticket<A> join(String key) {
+    Round<A> round = queued.get(key);
     if (round != null) {
-      return new Ticket<>(round, Role.SHARES);
+      return new Ticket<>(round, Role.SHARE);
     }
     round = new Round<>();
-    if (busy(key)) {
-      next.put(key, round);
-      return new Ticket<>(round, Role.FOLLOWS);
+    if (isComputing(key)) {
+      queued.put(key, round);
+      return new Ticket<>(round, Role.QUEUED);
     }
-    working.put(key, round);
-    return new Ticket<>(round, Role.WORKS);
+    computing.put(key, round);
+    return new Ticket<>(round, Role.COMPUTE);
   }
 
   /** Whether an answer is being worked out: who follows begins when there is none. */
-  public boolean busy(String key) {
-    return working.containsKey(key);
+  public boolean isComputing(String key) {
+    return computing.containsKey(key);
   }
 
   /** Who follows begins its work: who asks from now on does not share it. */
-  public void begins(String key) {
-    working.put(key, next.remove(key));
+  public void beginQueued(String key) {
+    computing.put(key, queued.remove(key));
   }
 
   /** Who follows gives up before it began: nobody waits for its answer any more. */
-  public void leaves(String key) {
-    next.remove(key).over = true;
+  public void abandonQueued(String key) {
+    queued.remove(key).completed = true;
   }
 
   /** The work is over, with this answer; null if it failed. */
-  public void ends(String key, A answer) {
-    Round<A> round = working.remove(key);
+  public void complete(String key, A answer) {
+    Round<A> round = computing.remove(key);
     round.answer = answer;
-    round.over = true;
+    round.completed = true;
   }
 }
--- a/src/main/java/org/astershift/coordination/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -11,8 +11,8 @@
  * One controller's part in who leads: the holder of one key in the state service, on a lease. The
  * token is the revision of the key's creation, so a later holder always has a higher one. A process
  * never inherits the key of its predecessor. A leader whose lease may have run out is no longer
- * {@link #valid}, and answers nothing that another leader could contradict; it leads on until it
- * sees that there is another.
+ * {@link #leaseCertain}, and answers nothing that another leader could contradict; it leads on
+ * until it sees that there is another.
  *
  * <p>Its caller asks for the next {@link Action}, carries it out, tells what came of it, and asks
  * again. What ends a term may come at any time, from any thread. Times are milliseconds of the
@@ -21,31 +21,31 @@
 public final class Election {
   private final String node;
   private final Candidacy candidacy;
-  private final Deque<Action> pending = new ArrayDeque<>();
+  private final Deque<Action> pendingActions = new ArrayDeque<>();
   private long token;
   private long lease;
-  private long leaseSentMs;
-  private long wonRevision;
-  private Step step = Step.FOLLOWS;
-  private long validUntilMs = Long.MIN_VALUE / 2;
-  private long mayResignMs = Long.MIN_VALUE / 2;
-  private long contestMs = Long.MIN_VALUE / 2;
+  private long leaseRequestedMs;
+  private long createdRevision;
+  private Step step = Step.FOLLOWER;
+  private long leaseCertainUntilMs = Long.MIN_VALUE / 2;
+  private long resignAllowedMs = Long.MIN_VALUE / 2;
+  private long contestAllowedMs = Long.MIN_VALUE / 2;
 
   /** This process has tried to lead: a key with its node's name may be its own. */
-  private boolean tried;
+  private boolean triedToLead;
 
   /** Another controller has led since this one resigned. */
-  private boolean othersLed;
+  private boolean otherLedSinceResigning;
 
   /** It was said that this one lets others stand first. */
-  private boolean late;
+  private boolean deferralReported;
 
   private enum Step {
-    FOLLOWS,
-    GRANTED,
-    DOUBTS,
-    WON,
-    LEADS
+    FOLLOWER,
+    LEASE_GRANTED,
+    CREATION_UNKNOWN,
+    KEY_CREATED,
+    LEADER
   }
 
   /** What the caller should do. */
@@ -57,54 +57,58 @@
     record ReadKey() implements Action {}
 
     /** The others may stand first: this one reaches so few workers. */
-    record Defer(Measurement workers) implements Action {}
+    record Defer(Measurement workerReachability) implements Action {}
 
     /** Remove the key at this revision: it was left by this controller's predecessor. */
     record RemoveStaleKey(long revision) implements Action {}
 
-    /** Get a lease; told by {@link #granted}. */
-    record GrantLease(long lifeMs) implements Action {}
+    /** Get a lease; told by {@link #onLeaseGranted}. */
+    record GrantLease(long ttlMs) implements Action {}
 
-    /** Create the key, if absent, on this lease; told by {@link #claimed}. */
+    /** Create the key, if absent, on this lease; told by {@link #onKeyCreation}. */
     record CreateKey(long lease) implements Action {}
 
     /**
-     * Prolong the lease, and read whether the key stands on it; told by {@link #verified}. A claim
-     * had no answer.
+     * Prolong the lease, and read whether the key stands on it; told by {@link #onKeyVerified}. A
+     * claim had no answer.
      */
     record VerifyKey(long lease) implements Action {}
 
-    /** Bring the mirror up to this revision; told by {@link #caughtUp}. */
+    /** Bring the mirror up to this revision; told by {@link #onCaughtUp}. */
     record CatchUp(long revision) implements Action {}
 
-    /** Take up the leader's work; {@link #beginFailed} if that cannot be. */
+    /** Take up the leader's work; {@link #onTermStartFailed} if that cannot be. */
     record BeginTerm(long token) implements Action {}
 
-    /** Prolong the lease; told by {@link #renewed}. */
+    /** Prolong the lease; told by {@link #onLeaseRenewed}. */
     record RenewLease(long lease) implements Action {}
 
     /** End the lease at once, so that the key does not stand for this controller any more. */
     record RevokeLease(long lease) implements Action {}
 
     /** Lay the leader's work down. */
-    record EndTerm(long token, String why) implements Action {}
+    record EndTerm(long token, String reason) implements Action {}
   }
 
   /** Who holds the key, and its revision. */
   public record Holder(String node, long revision) {}
 
   /**
-   * What is known here at the moment. {@code loaded}: the mirror holds something; {@code holder}
-   * null: the key does not exist, as far as the mirror knows; {@code silenceMs}: since the state
-   * service last answered this controller.
+   * What is known here at the moment. {@code cacheLoaded}: the mirror holds something; {@code
+   * holder} null: the key does not exist, as far as the mirror knows; {@code storeSilenceMs}: since
+   * the state service last answered this controller.
    */
   public record View(
-      long nowMs, boolean loaded, Holder holder, Measurement workers, long silenceMs) {}
+      long nowMs,
+      boolean cacheLoaded,
+      Holder holder,
+      Measurement workerReachability,
+      long storeSilenceMs) {}
 
   /** What came of creating the key. */
   public enum KeyCreation {
-    APPLIED,
-    REFUSED,
+    CREATED,
+    REJECTED,
     UNKNOWN
   }
 
@@ -121,91 +125,93 @@
   }
 
   /** Whether no other controller can have become leader yet. */
-  public synchronized boolean valid(long ofToken, long nowMs) {
-    return token == ofToken && ofToken != 0 && nowMs < validUntilMs;
+  public synchronized boolean leaseCertain(long termToken, long nowMs) {
+    return token == termToken && termToken != 0 && nowMs < leaseCertainUntilMs;
   }
 
   /** Until when no other controller can have become leader. */
-  public synchronized long soleUntilMs() {
-    return validUntilMs;
+  public synchronized long leaseCertainUntilMs() {
+    return leaseCertainUntilMs;
   }
 
   // ---- what to do next ----
 
   /** What to do next, as things stand. */
-  public synchronized Action next(View v) {
-    if (!pending.isEmpty()) {
-      return pending.poll();
+  public synchronized Action next(View view) {
+    if (!pendingActions.isEmpty()) {
+      return pendingActions.poll();
     }
     return switch (step) {
-      case FOLLOWS -> contest(v);
-      case GRANTED -> {
-        tried = true;
+      case FOLLOWER -> contest(view);
+      case LEASE_GRANTED -> {
+        triedToLead = true;
         yield new Action.CreateKey(lease);
       }
-      case DOUBTS -> {
-        leaseSentMs = v.nowMs();
+      case CREATION_UNKNOWN -> {
+        leaseRequestedMs = view.nowMs();
         yield new Action.VerifyKey(lease);
       }
-      case WON -> new Action.CatchUp(wonRevision);
-      case LEADS -> renewal(v);
+      case KEY_CREATED -> new Action.CatchUp(createdRevision);
+      case LEADER -> renewal(view);
     };
   }
 
-  private Action contest(View v) {
-    if (v.silenceMs() > Constants.STORE_IDLE_MS) {
+  private Action contest(View view) {
+    if (view.storeSilenceMs() > Constants.STORE_KEEPALIVE_MS) {
       return new Action.ReadKey();
     }
-    if (!v.loaded() || v.nowMs() < contestMs) {
+    if (!view.cacheLoaded() || view.nowMs() < contestAllowedMs) {
       return new Action.Wait();
     }
-    if (v.holder() != null) {
-      boolean own = v.holder().node().equals(node);
-      candidacy.held(v.holder().node(), v.nowMs());
-      late = false;
-      othersLed |= !own;
+    if (view.holder() != null) {
+      boolean ownKey = view.holder().node().equals(node);
+      candidacy.onHolderObserved(view.holder().node(), view.nowMs());
+      deferralReported = false;
+      otherLedSinceResigning |= !ownKey;
       // Left by this controller's predecessor, which is dead since this process runs in its place.
-      return own && !tried ? new Action.RemoveStaleKey(v.holder().revision()) : new Action.Wait();
+      return ownKey && !triedToLead
+          ? new Action.RemoveStaleKey(view.holder().revision())
+          : new Action.Wait();
     }
-    if (!candidacy.stands(v.workers(), v.nowMs())) {
-      boolean said = late;
-      late = true;
-      return said ? new Action.Wait() : new Action.Defer(v.workers());
+    if (!candidacy.shouldStand(view.workerReachability(), view.nowMs())) {
+      boolean alreadyReported = deferralReported;
+      deferralReported = true;
+      return alreadyReported ? new Action.Wait() : new Action.Defer(view.workerReachability());
     }
     // Counted from here: the lease may have been granted as soon as it was asked for.
-    leaseSentMs = v.nowMs();
+    leaseRequestedMs = view.nowMs();
     return new Action.GrantLease(Constants.LEADER_LEASE_MS);
   }
 
-  private Action renewal(View v) {
-    if (v.holder() == null || v.holder().revision() != token) {
-      String why = v.holder() == null ? "its key is gone" : "another leads";
-      return end(token, why) ? pending.poll() : new Action.Wait();
+  private Action renewal(View view) {
+    if (view.holder() == null || view.holder().revision() != token) {
+      String reason = view.holder() == null ? "its key is gone" : "another leads";
+      return endTerm(token, reason) ? pendingActions.poll() : new Action.Wait();
     }
-    candidacy.held(node, v.nowMs());
-    leaseSentMs = v.nowMs();
+    candidacy.onHolderObserved(node, view.nowMs());
+    leaseRequestedMs = view.nowMs();
     return new Action.RenewLease(lease);
   }
 
   // ---- what came of it ----
 
   /** A lease was granted. */
-  public synchronized void granted(long granted) {
-    if (step == Step.FOLLOWS) {
-      lease = granted;
-      step = Step.GRANTED;
+  public synchronized void onLeaseGranted(long grantedLease) {
+    if (step == Step.FOLLOWER) {
+      lease = grantedLease;
+      step = Step.LEASE_GRANTED;
     }
   }
 
   /** {@code revision}: of the key, where it was created. */
-  public synchronized void claimed(KeyCreation outcome, long revision) {
-    if (step != Step.GRANTED) {
+  public synchronized void onKeyCreation(KeyCreation outcome, long revision) {
+    if (step != Step.LEASE_GRANTED) {
       return;
     }
     switch (outcome) {
-      case APPLIED -> won(revision);
-      case REFUSED -> step = Step.FOLLOWS;
-      case UNKNOWN -> step = Step.DOUBTS;
+      case CREATED -> onKeyCreated(revision);
+      case REJECTED -> step = Step.FOLLOWER;
+      case UNKNOWN -> step = Step.CREATION_UNKNOWN;
     }
   }
 
@@ -214,23 +220,23 @@
    * it does not, or nothing is known. Given up unread, claims that had been carried out were taken
    * back one after the other, and nobody led while the answers of most writes were lost.
    */
-  public synchronized void verified(long revision) {
-    if (step != Step.DOUBTS) {
+  public synchronized void onKeyVerified(long revision) {
+    if (step != Step.CREATION_UNKNOWN) {
       return;
     }
     if (revision > 0) {
-      won(revision);
+      onKeyCreated(revision);
       return;
     }
     // It may be carried out yet: the key, if it comes to exist, must not stand for this one.
-    step = Step.FOLLOWS;
-    pending.add(new Action.RevokeLease(lease));
+    step = Step.FOLLOWER;
+    pendingActions.add(new Action.RevokeLease(lease));
   }
 
-  private void won(long revision) {
-    wonRevision = revision;
-    validUntilMs = leaseSentMs + lifeMs();
-    step = Step.WON;
+  private void onKeyCreated(long revision) {
+    createdRevision = revision;
+    leaseCertainUntilMs = leaseRequestedMs + certainLeaseMs();
+    step = Step.KEY_CREATED;
   }
 
   /**
@@ -238,49 +244,49 @@
    * was won last counts: told late of an earlier one, a term began without what had been recorded
    * between the two, and refused the news of it as older than itself (seed 6643 of the swarm).
    */
-  public synchronized void caughtUp(long revision, boolean done) {
-    if (step != Step.WON || revision != wonRevision) {
+  public synchronized void onCaughtUp(long revision, boolean caughtUp) {
+    if (step != Step.KEY_CREATED || revision != createdRevision) {
       return;
     }
-    if (!done) {
-      step = Step.FOLLOWS;
-      pending.add(new Action.RevokeLease(lease));
+    if (!caughtUp) {
+      step = Step.FOLLOWER;
+      pendingActions.add(new Action.RevokeLease(lease));
       return;
     }
-    token = wonRevision;
-    step = Step.LEADS;
-    pending.add(new Action.BeginTerm(token));
+    token = createdRevision;
+    step = Step.LEADER;
+    pendingActions.add(new Action.BeginTerm(token));
   }
 
-  /** {@code ok} null: no answer, so nothing is known; false: the lease has ended. */
-  public synchronized void renewed(Boolean ok) {
-    if (step != Step.LEADS || ok == null) {
+  /** {@code renewed} null: no answer, so nothing is known; false: the lease has ended. */
+  public synchronized void onLeaseRenewed(Boolean renewed) {
+    if (step != Step.LEADER || renewed == null) {
       return;
     }
-    if (ok) {
-      validUntilMs = leaseSentMs + lifeMs();
+    if (renewed) {
+      leaseCertainUntilMs = leaseRequestedMs + certainLeaseMs();
     } else {
-      end(token, "its lease has ended");
+      endTerm(token, "its lease has ended");
     }
   }
 
   /** A term that cannot begin would hold the lease and place nothing: another is to try. */
-  public synchronized List<Action> beginFailed(long ofToken, long nowMs) {
-    contestMs = nowMs + Constants.RESIGN_PAUSE_MS;
-    return leave(ofToken, "it could not begin");
+  public synchronized List<Action> onTermStartFailed(long termToken, long nowMs) {
+    contestAllowedMs = nowMs + Constants.RESIGN_BACKOFF_MS;
+    return endAndRevoke(termToken, "it could not begin");
   }
 
   // ---- what ends a term ----
 
   /** It is certain that another leads. */
-  public synchronized List<Action> stepDown(long ofToken, String why) {
-    return end(ofToken, why) ? drain() : List.of();
+  public synchronized List<Action> stepDown(long termToken, String reason) {
+    return endTerm(termToken, reason) ? drainPending() : List.of();
   }
 
   /** Another controller says who leads: if that one came later, this one does no longer. */
-  public synchronized List<Action> told(long otherToken) {
-    return otherToken > token
-        ? stepDown(token, "another node says that a later one leads, with token " + otherToken)
+  public synchronized List<Action> onLeaderObserved(long observedToken) {
+    return observedToken > token
+        ? stepDown(token, "another node says that a later one leads, with token " + observedToken)
         : List.of();
   }
 
@@ -288,42 +294,44 @@
    * Lets another controller lead, because this one reaches too few workers; not twice in a short
    * time if nobody else took it, since then the others reach no more.
    */
-  public synchronized List<Action> resign(long ofToken, String why, long nowMs) {
-    if ((nowMs < mayResignMs && !othersLed) || token != ofToken || ofToken == 0) {
+  public synchronized List<Action> resign(long termToken, String reason, long nowMs) {
+    if ((nowMs < resignAllowedMs && !otherLedSinceResigning)
+        || token != termToken
+        || termToken == 0) {
       return List.of();
     }
-    othersLed = false;
-    mayResignMs = nowMs + Constants.RESIGN_AGAIN_MS;
-    contestMs = nowMs + Constants.RESIGN_PAUSE_MS;
-    return leave(ofToken, why);
+    otherLedSinceResigning = false;
+    resignAllowedMs = nowMs + Constants.RESIGN_MIN_INTERVAL_MS;
+    contestAllowedMs = nowMs + Constants.RESIGN_BACKOFF_MS;
+    return endAndRevoke(termToken, reason);
   }
 
-  private List<Action> leave(long ofToken, String why) {
-    if (end(ofToken, why)) {
-      pending.add(new Action.RevokeLease(lease));
+  private List<Action> endAndRevoke(long termToken, String reason) {
+    if (endTerm(termToken, reason)) {
+      pendingActions.add(new Action.RevokeLease(lease));
     }
-    return drain();
+    return drainPending();
   }
 
-  private boolean end(long ofToken, String why) {
-    if (ofToken == 0 || token != ofToken) {
+  private boolean endTerm(long termToken, String reason) {
+    if (termToken == 0 || token != termToken) {
       return false;
     }
     token = 0;
-    step = Step.FOLLOWS;
-    pending.removeIf(a -> a instanceof Action.BeginTerm); // over before it began
-    pending.add(new Action.EndTerm(ofToken, why));
+    step = Step.FOLLOWER;
+    pendingActions.removeIf(action -> action instanceof Action.BeginTerm); // over before it began
+    pendingActions.add(new Action.EndTerm(termToken, reason));
     return true;
   }
 
-  private List<Action> drain() {
-    List<Action> out = new ArrayList<>(pending);
-    pending.clear();
-    return out;
+  private List<Action> drainPending() {
+    List<Action> actions = new ArrayList<>(pendingActions);
+    pendingActions.clear();
+    return actions;
   }
 
-  private static long lifeMs() {
-    long ms = (long) (Constants.LEADER_LEASE_MS * (1 - 2 * Constants.CLOCK_DRIFT));
-    return ms - Constants.CLOCK_MARGIN_MS;
+  private static long certainLeaseMs() {
+    long driftedMs = (long) (Constants.LEADER_LEASE_MS * (1 - 2 * Constants.CLOCK_DRIFT_SHARE));
+    return driftedMs - Constants.CLOCK_MARGIN_MS;
   }
 }
--- a/src/main/java/org/astershift/coordination/JobQuery.java
+++ b/src/main/java/org/astershift/coordination/JobQuery.java
@@ -12,31 +12,38 @@
   /** Where the answer comes from. */
   public enum Source {
     /** The end that is known here: it is on record and does not change any more. */
-    END,
+    KNOWN_END,
     /** The leader's memory. */
-    MEMORY,
+    LEADER_MEMORY,
     /** The leader, another controller. */
-    LEADER,
+    REMOTE_LEADER,
     /** The state service. */
-    RECORD
+    STORE
   }
 
   /**
-   * What is known here. {@code over}: the job's end is known; {@code leads}: this controller has a
-   * term; {@code live}: the term looks after the job and has no end of it under way; {@code sole}:
-   * looked at after that, no other controller can have begun to lead; {@code forward}: the leader
-   * may be asked.
+   * What is known here. {@code ended}: the job's end is known; {@code leading}: this controller has
+   * a term; {@code answerableFromMemory}: the term looks after the job and has no end of it under
+   * way; {@code leaseCertain}: looked at after that, no other controller can have begun to lead;
+   * {@code mayForward}: the leader may be asked.
    */
-  public record View(boolean over, boolean leads, boolean live, boolean sole, boolean forward) {}
+  public record View(
+      boolean ended,
+      boolean leading,
+      boolean answerableFromMemory,
+      boolean leaseCertain,
+      boolean mayForward) {}
 
   /** Where the answer to a question about a job comes from. */
-  public static Source source(View v) {
-    if (v.over()) {
-      return Source.END;
+  public static Source source(View view) {
+    if (view.ended()) {
+      return Source.KNOWN_END;
     }
-    if (v.leads()) {
-      return v.live() && v.sole() ? Source.MEMORY : Source.RECORD;
+    if (view.leading()) {
+      return view.answerableFromMemory() && view.leaseCertain()
+          ? Source.LEADER_MEMORY
+          : Source.STORE;
     }
-    return v.forward() ? Source.LEADER : Source.RECORD;
+    return view.mayForward() ? Source.REMOTE_LEADER : Source.STORE;
   }
 }
--- a/src/main/java/org/astershift/coordination/StoreReachability.java
+++ b/src/main/java/org/astershift/coordination/StoreReachability.java
@@ -14,30 +14,32 @@
     /** Others are not served either, or it is too early to say. */
     OUTAGE,
     /** Another node is served. */
-    APART,
+    PARTITIONED,
     /** Neither the state service nor any other node has answered for a while. */
-    ALONE
+    ISOLATED
   }
 
-  private long answeredMs = -1;
+  private long lastAnsweredMs = -1;
 
   /** The state service answers this node. */
-  public void served() {
-    answeredMs = -1;
+  public void onServed() {
+    lastAnsweredMs = -1;
   }
 
   /**
-   * {@code others} were asked, {@code answered} of them answered, and one of these is served or
+   * {@code peerCount} were asked, {@code answered} of them answered, and one of these is served or
    * none is.
    */
-  public Verdict asked(int others, int answered, boolean served, long nowMs) {
-    if (served) {
-      answeredMs = nowMs;
-      return Verdict.APART;
+  public Verdict onPeersAsked(int peerCount, int answered, boolean peerServed, long nowMs) {
+    if (peerServed) {
+      lastAnsweredMs = nowMs;
+      return Verdict.PARTITIONED;
     }
-    if (answeredMs < 0 || answered > 0 || others == 0) {
-      answeredMs = nowMs;
+    if (lastAnsweredMs < 0 || answered > 0 || peerCount == 0) {
+      lastAnsweredMs = nowMs;
     }
-    return nowMs - answeredMs >= Constants.ALONE_MS ? Verdict.ALONE : Verdict.OUTAGE;
+    return nowMs - lastAnsweredMs >= Constants.ISOLATED_AFTER_MS
+        ? Verdict.ISOLATED
+        : Verdict.OUTAGE;
   }
 }
--- a/src/main/java/org/astershift/coordination/TermJobs.java
+++ b/src/main/java/org/astershift/coordination/TermJobs.java
@@ -15,13 +15,13 @@
  */
 public final class TermJobs {
   private final long token;
-  private final Set<String> kept = new HashSet<>();
+  private final Set<String> managed = new HashSet<>();
 
   /**
    * Jobs that ended in this term, the oldest first. What was read of a job before its end may
    * arrive after it, from another thread: taken in again, the job's tasks would start once more.
    */
-  private final Set<String> endedHere = new LinkedHashSet<>();
+  private final Set<String> endedInTerm = new LinkedHashSet<>();
 
   /**
    * Jobs whose end may be durable though this leader does not know it yet, by the tries under way
@@ -29,7 +29,7 @@
    * the state service tells that they are over, and on a node short of processor time seconds pass
    * between the write and the news of it (a user was told done, then queued).
    */
-  private final Map<String, Integer> ending = new HashMap<>();
+  private final Map<String, Integer> unconfirmedEnds = new HashMap<>();
 
   private boolean loaded;
 
@@ -39,7 +39,7 @@
   }
 
   /** All jobs that were live on record at the token have been taken in. */
-  public synchronized void loaded() {
+  public synchronized void onLoaded() {
     loaded = true;
   }
 
@@ -50,40 +50,40 @@
    * still while the node became leader. Its tasks would start though its user was told that it is
    * cancelled.
    */
-  public synchronized boolean take(String id, long revision) {
+  public synchronized boolean adopt(String jobId, long revision) {
     if (loaded && revision < token) {
       return false;
     }
-    return !endedHere.contains(id) && kept.add(id);
+    return !endedInTerm.contains(jobId) && managed.add(jobId);
   }
 
   /** Whether this term looks after the job. */
-  public synchronized boolean keeps(String id) {
-    return kept.contains(id);
+  public synchronized boolean manages(String jobId) {
+    return managed.contains(jobId);
   }
 
   /** A write of the job's end is about to go out. */
-  public synchronized void ending(String id) {
-    ending.merge(id, 1, Integer::sum);
+  public synchronized void onEndWriteStarted(String jobId) {
+    unconfirmedEnds.merge(jobId, 1, Integer::sum);
   }
 
   /** Such a write was certainly not applied, nor will be. */
-  public synchronized void notEnded(String id) {
-    ending.computeIfPresent(id, (i, tries) -> tries > 1 ? tries - 1 : null);
+  public synchronized void onEndWriteRejected(String jobId) {
+    unconfirmedEnds.computeIfPresent(jobId, (key, tries) -> tries > 1 ? tries - 1 : null);
   }
 
   /** Whether nothing may be told of the job from memory. */
-  public synchronized boolean mayBeOver(String id) {
-    return ending.containsKey(id);
+  public synchronized boolean mayHaveEnded(String jobId) {
+    return unconfirmedEnds.containsKey(jobId);
   }
 
   /** The job's end is on record. */
-  public synchronized void ended(String id) {
-    kept.remove(id);
-    ending.remove(id);
-    endedHere.add(id);
-    if (endedHere.size() > Constants.ENDED_IN_TERM) {
-      endedHere.remove(endedHere.iterator().next());
+  public synchronized void onEnded(String jobId) {
+    managed.remove(jobId);
+    unconfirmedEnds.remove(jobId);
+    endedInTerm.add(jobId);
+    if (endedInTerm.size() > Constants.ENDED_IN_TERM_JOBS) {
+      endedInTerm.remove(endedInTerm.iterator().next());
     }
   }
 }
--- a/src/main/java/org/astershift/coordination/WorkerReachability.java
+++ b/src/main/java/org/astershift/coordination/WorkerReachability.java
@@ -12,59 +12,59 @@
 public final class WorkerReachability {
   private final Deque<Sample> samples = new ArrayDeque<>();
 
-  private record Sample(int asked, int answered, long atMs) {}
+  private record Sample(int probed, int answered, long probedMs) {}
 
   /**
-   * What a controller reaches of the machines it asked lately; {@code asked} 0: nothing is known,
+   * What a controller reaches of the machines it asked lately; {@code probed} 0: nothing is known,
    * as on a node that has just started or a site without machines.
    */
-  public record Measurement(int asked, int answered) {
-    public static final Measurement NOTHING = new Measurement(0, 0);
+  public record Measurement(int probed, int answered) {
+    public static final Measurement UNKNOWN = new Measurement(0, 0);
 
     public boolean known() {
-      return asked >= Constants.REACH_LEAST;
+      return probed >= Constants.REACHABILITY_MIN_RESULTS;
     }
 
     /** Between 0 and 1. */
     public double share() {
-      return asked == 0 ? 0 : (double) answered / asked;
+      return probed == 0 ? 0 : (double) answered / probed;
     }
 
     /** It is known that next to no machine answers. */
-    public boolean few() {
-      return known() && share() < Constants.REACH_FEW;
+    public boolean reachesFew() {
+      return known() && share() < Constants.REACHABILITY_POOR_SHARE;
     }
 
     /** It is known that a fair part answers: who does not answer here either is probably gone. */
-    public boolean able() {
-      return known() && !few();
+    public boolean reachesEnough() {
+      return known() && !reachesFew();
     }
   }
 
-  /** One sample has come back; {@code atMs}: when it was asked. */
-  public synchronized void sampled(int asked, int answered, long atMs) {
-    if (asked > 0) {
-      samples.addLast(new Sample(asked, answered, atMs));
+  /** One sample has come back; {@code probedMs}: when it was asked. */
+  public synchronized void onSample(int probed, int answered, long probedMs) {
+    if (probed > 0) {
+      samples.addLast(new Sample(probed, answered, probedMs));
     }
-    while (samples.size() > Constants.REACH_SAMPLES) {
+    while (samples.size() > Constants.REACHABILITY_SAMPLES) {
       samples.removeFirst();
     }
   }
 
   /** How many of its machines this node reached lately. */
-  public synchronized Measurement seen(long nowMs) {
+  public synchronized Measurement measurement(long nowMs) {
     Sample last = samples.peekLast();
-    if (last != null && last.answered == 0 && last.asked >= Constants.REACH_LEAST) {
-      samples.removeIf(s -> s != last); // cut off since the one before
+    if (last != null && last.answered == 0 && last.probed >= Constants.REACHABILITY_MIN_RESULTS) {
+      samples.removeIf(sample -> sample != last); // cut off since the one before
     }
-    int asked = 0;
+    int probed = 0;
     int answered = 0;
-    for (Sample s : samples) {
-      if (nowMs - s.atMs <= Constants.REACH_FRESH_MS) {
-        asked += s.asked;
-        answered += s.answered;
+    for (Sample sample : samples) {
+      if (nowMs - sample.probedMs <= Constants.REACHABILITY_SAMPLE_VALID_MS) {
+        probed += sample.probed;
+        answered += sample.answered;
       }
     }
-    return new Measurement(asked, answered);
+    return new Measurement(probed, answered);
   }
 }
--- a/src/main/java/org/astershift/http/ConnectionSlots.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -20,17 +20,17 @@
  */
 public final class ConnectionSlots {
   /** Whose a connection is. */
-  private enum Side {
+  private enum ConnectionKind {
     NEW,
-    OTHER,
+    UNRESERVED,
     RESERVED
   }
 
   /** One connection as far as its place is concerned. */
   static final class Connection {
-    private Side side = Side.NEW;
+    private ConnectionKind side = ConnectionKind.NEW;
     private volatile long idleSinceNs;
-    private volatile boolean served;
+    private volatile boolean beingServed;
     private volatile boolean busy;
     private volatile long readingSinceNs;
     private volatile boolean reading;
@@ -40,153 +40,162 @@
     }
 
     /** It waits for its next request. */
-    void idleSince(long nowNs) {
+    void onIdle(long nowNs) {
       idleSinceNs = nowNs;
       busy = false;
     }
 
     /** A request of it is being read: it is not given up. */
-    void busy(long nowNs) {
+    void onRequestStarted(long nowNs) {
       readingSinceNs = nowNs;
       reading = true;
       busy = true;
     }
 
     /** Its request is there whole. */
-    void read() {
+    void onRequestRead() {
       reading = false;
     }
 
     /** It has been idle, or a request of it on its way, for too long. */
-    boolean overdue(long nowNs) {
+    boolean isOverdue(long nowNs) {
       return busy
           ? reading && nowNs - readingSinceNs > Constants.REQUEST_TIMEOUT_MS * 1_000_000L
-          : nowNs - idleSinceNs > Constants.IDLE_TIMEOUT_MS * 1_000_000L;
+          : nowNs - idleSinceNs > Constants.CONNECTION_IDLE_TIMEOUT_MS * 1_000_000L;
     }
 
     /** Whether a thread reads from it. */
-    boolean served() {
-      return served;
+    boolean isBeingServed() {
+      return beingServed;
     }
 
-    void served(boolean now) {
-      served = now;
+    void setBeingServed(boolean active) {
+      beingServed = active;
     }
   }
 
-  private final int most;
-  private final int others;
+  private final int capacity;
+  private final int unreservedCapacity;
 
   /** Places that are left free for connections that come. */
-  private final int spare;
+  private final int reservedFree;
 
   private final Set<Connection> all = new LinkedHashSet<>();
-  private int reservedNow;
-  private int othersNow;
+  private int reservedCount;
+  private int unreservedCount;
   private int peak;
-  private long givenUp;
+  private long evictedCount;
 
   /**
-   * {@code most} places in all, of which at most {@code others} for connections without a reserved
-   * place.
+   * {@code capacity} places in all, of which at most {@code unreservedCapacity} for connections
+   * without a reserved place.
    */
-  public ConnectionSlots(int most, int others) {
-    this.most = most;
-    this.others = others;
-    this.spare = (int) (most * Constants.SPARE_PLACES);
+  public ConnectionSlots(int capacity, int unreservedCapacity) {
+    this.capacity = capacity;
+    this.unreservedCapacity = unreservedCapacity;
+    this.reservedFree = (int) (capacity * Constants.RESERVED_FREE_CONNECTIONS_SHARE);
   }
 
   /** A connection comes; gives those to close, itself if no other can go. */
-  synchronized List<Connection> enter(Connection c) {
-    all.add(c);
-    List<Connection> over = new ArrayList<>(1);
-    if (all.size() > most) {
+  synchronized List<Connection> admit(Connection connection) {
+    all.add(connection);
+    List<Connection> evicted = new ArrayList<>(1);
+    if (all.size() > capacity) {
       // Users' and new connections go first: a worker's is only given up beyond the workers' part.
-      Connection idlest = idlest(c, Side.OTHER, Side.NEW);
-      if (idlest == null && reservedNow > most - others) {
-        idlest = idlest(c, Side.RESERVED, Side.RESERVED);
+      Connection longestIdle =
+          longestIdle(connection, ConnectionKind.UNRESERVED, ConnectionKind.NEW);
+      if (longestIdle == null && reservedCount > capacity - unreservedCapacity) {
+        longestIdle = longestIdle(connection, ConnectionKind.RESERVED, ConnectionKind.RESERVED);
       }
-      giveUp(idlest == null ? c : idlest, over);
+      evict(longestIdle == null ? connection : longestIdle, evicted);
     }
     peak = Math.max(peak, all.size());
-    return over;
+    return evicted;
   }
 
   /** Its request is for a reserved path, or not; gives those to close. */
-  synchronized List<Connection> asks(Connection c, boolean reserved) {
-    List<Connection> over = new ArrayList<>(0);
-    if (!all.contains(c)) {
-      return over; // given up a moment ago
+  synchronized List<Connection> onRequest(Connection connection, boolean reserved) {
+    List<Connection> evicted = new ArrayList<>(0);
+    if (!all.contains(connection)) {
+      return evicted; // given up a moment ago
     }
-    Side side = reserved ? Side.RESERVED : Side.OTHER;
-    if (c.side != side) {
-      count(c.side, -1);
-      c.side = side;
-      count(side, 1);
-      boolean beyond =
+    ConnectionKind side = reserved ? ConnectionKind.RESERVED : ConnectionKind.UNRESERVED;
+    if (connection.side != side) {
+      adjustCount(connection.side, -1);
+      connection.side = side;
+      adjustCount(side, 1);
+      boolean overShare =
           reserved
-              ? reservedNow > most - others && most - all.size() < spare / 2
-              : othersNow > others;
-      if (beyond) {
-        Connection idlest = idlest(c, side, side);
-        giveUp(idlest == null ? c : idlest, over);
+              ? reservedCount > capacity - unreservedCapacity
+                  && capacity - all.size() < reservedFree / 2
+              : unreservedCount > unreservedCapacity;
+      if (overShare) {
+        Connection longestIdle = longestIdle(connection, side, side);
+        evict(longestIdle == null ? connection : longestIdle, evicted);
       }
     }
-    return over;
+    return evicted;
   }
 
   /**
    * Whether the connection stays open after the answer that it gets now: not if too few places are
    * left for those that come, or the users' are nearly used up.
    */
-  synchronized boolean keeps(Connection c) {
-    return c.side == Side.RESERVED
-        ? most - all.size() >= spare
-        : othersNow <= others - (int) (others * Constants.SPARE_PLACES);
+  synchronized boolean mayKeepAlive(Connection connection) {
+    return connection.side == ConnectionKind.RESERVED
+        ? capacity - all.size() >= reservedFree
+        : unreservedCount
+            <= unreservedCapacity
+                - (int) (unreservedCapacity * Constants.RESERVED_FREE_CONNECTIONS_SHARE);
   }
 
   /** The connection is closed. */
-  synchronized void leave(Connection c) {
-    if (all.remove(c)) {
-      count(c.side, -1);
+  synchronized void release(Connection connection) {
+    if (all.remove(connection)) {
+      adjustCount(connection.side, -1);
     }
   }
 
-  private void giveUp(Connection c, List<Connection> over) {
-    leave(c);
-    givenUp++;
-    over.add(c);
+  private void evict(Connection connection, List<Connection> evicted) {
+    release(connection);
+    evictedCount++;
+    evicted.add(connection);
   }
 
-  private void count(Side side, int by) {
-    reservedNow += side == Side.RESERVED ? by : 0;
-    othersNow += side == Side.OTHER ? by : 0;
+  private void adjustCount(ConnectionKind side, int delta) {
+    reservedCount += side == ConnectionKind.RESERVED ? delta : 0;
+    unreservedCount += side == ConnectionKind.UNRESERVED ? delta : 0;
   }
 
-  private Connection idlest(Connection but, Side one, Side other) {
-    Connection idlest = null;
-    for (Connection c : all) {
-      boolean may = c != but && !c.busy && (c.side == one || c.side == other);
-      if (may && (idlest == null || c.idleSinceNs - idlest.idleSinceNs < 0)) {
-        idlest = c;
+  private Connection longestIdle(
+      Connection excluded, ConnectionKind firstSide, ConnectionKind secondSide) {
+    Connection longestIdle = null;
+    for (Connection connection : all) {
+      boolean evictable =
+          connection != excluded
+              && !connection.busy
+              && (connection.side == firstSide || connection.side == secondSide);
+      if (evictable
+          && (longestIdle == null || connection.idleSinceNs - longestIdle.idleSinceNs < 0)) {
+        longestIdle = connection;
       }
     }
-    return idlest;
+    return longestIdle;
   }
 
   @Override
   public synchronized String toString() {
-    return reservedNow
+    return reservedCount
         + " of workers, "
-        + othersNow
+        + unreservedCount
         + " of users, "
-        + (all.size() - reservedNow - othersNow)
+        + (all.size() - reservedCount - unreservedCount)
         + " new, at most "
         + peak
         + " of "
-        + most
+        + capacity
         + " at once, "
-        + givenUp
+        + evictedCount
         + " given up for want of places";
   }
 }
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -17,14 +17,14 @@
 public final class HttpClient implements AutoCloseable {
   private final String host;
   private final int port;
-  private final int keep;
+  private final int maxIdle;
   private final Deque<Connection> idle = new ArrayDeque<>();
   private boolean closed;
 
-  public HttpClient(String host, int port, int keep) {
+  public HttpClient(String host, int port, int maxIdle) {
     this.host = host;
     this.port = port;
-    this.keep = keep;
+    this.maxIdle = maxIdle;
   }
 
   /** Status and body of an answer. */
@@ -41,12 +41,12 @@
 
   private static final class Connection {
     final Socket socket;
-    final HttpMessageReader wire;
-    long lastNs;
+    final HttpMessageReader reader;
+    long lastUsedNs;
 
     Connection(Socket socket) throws IOException {
       this.socket = socket;
-      this.wire = new HttpMessageReader(socket);
+      this.reader = new HttpMessageReader(socket);
     }
   }
 
@@ -61,14 +61,14 @@
    * to who accepted that connection, or to nobody: a process that begins anew at that address does
    * not have it.
    */
-  public Response callConnected(String method, String path, Supplier<byte[]> late, int timeoutMs)
-      throws IOException {
-    long deadline = System.nanoTime() + timeoutMs * 1_000_000L;
-    Connection kept = take();
-    Connection c = kept == null ? connect(timeoutMs) : kept;
-    boolean ok = false;
+  public Response callConnected(
+      String method, String path, Supplier<byte[]> bodySupplier, int timeoutMs) throws IOException {
+    long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000L;
+    Connection reused = takeIdle();
+    Connection connection = reused == null ? connect(timeoutMs) : reused;
+    boolean reusable = false;
     try {
-      byte[] body = late.get();
+      byte[] body = bodySupplier.get();
       StringBuilder head = new StringBuilder(128);
       head.append(method).append(' ').append(path).append(" HTTP/1.1\r\nHost: ").append(host);
       head.append(':').append(port);
@@ -76,27 +76,28 @@
         head.append("\r\nContent-Type: application/json\r\nContent-Length: ").append(body.length);
       }
       head.append("\r\n\r\n");
-      write(c.socket, head.toString(), body == null ? new byte[0] : body);
-      int left = (int) Math.max(1, (deadline - System.nanoTime()) / 1_000_000);
-      HttpMessageReader.Message m = c.wire.response(left, Constants.RESPONSE_BYTES);
-      String[] start = m.start().split(" ", 3);
-      if (start.length < 2 || !start[1].matches("[0-9]{3}")) {
+      write(connection.socket, head.toString(), body == null ? new byte[0] : body);
+      int leftMs = (int) Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000);
+      HttpMessageReader.Message message =
+          connection.reader.readResponse(leftMs, Constants.MAX_RESPONSE_BYTES);
+      String[] statusLine = message.startLine().split(" ", 3);
+      if (statusLine.length < 2 || !statusLine[1].matches("[0-9]{3}")) {
         throw new IOException("bad status line");
       }
-      ok = !m.closes();
-      return new Response(Integer.parseInt(start[1]), m.body());
+      reusable = !message.closesConnection();
+      return new Response(Integer.parseInt(statusLine[1]), message.body());
     } catch (SocketTimeoutException e) {
       throw e;
     } catch (IOException e) {
-      if (kept != null) {
-        forget(kept.lastNs);
+      if (reused != null) {
+        closeIdleSince(reused.lastUsedNs);
       }
       throw e;
     } finally {
-      if (ok) {
-        give(c);
+      if (reusable) {
+        release(connection);
       } else {
-        c.socket.close();
+        connection.socket.close();
       }
     }
   }
@@ -110,22 +111,22 @@
     } catch (IOException e) {
       try {
         socket.close();
-      } catch (IOException again) {
-        e.addSuppressed(again);
+      } catch (IOException closeFailure) {
+        e.addSuppressed(closeFailure);
       }
       throw new RequestNotSentException(e);
     }
   }
 
-  private synchronized Connection take() {
+  private synchronized Connection takeIdle() {
     while (!idle.isEmpty()) {
-      Connection c = idle.pollLast();
+      Connection connection = idle.pollLast();
       // An old connection may be closed at the other end, and a failure there looks like an
       // unknown.
-      if (System.nanoTime() - c.lastNs < Constants.KEEP_CLIENT_NS) {
-        return c;
+      if (System.nanoTime() - connection.lastUsedNs < Constants.CLIENT_CONNECTION_IDLE_NS) {
+        return connection;
       }
-      closeQuietly(c);
+      closeQuietly(connection);
     }
     return null;
   }
@@ -134,21 +135,21 @@
    * A kept connection has ended at the other end, as when that begins anew: those that have not
    * been used since have, too, and each would fail one more request.
    */
-  private synchronized void forget(long unusedSinceNs) {
+  private synchronized void closeIdleSince(long unusedSinceNs) {
     idle.removeIf(
-        c -> {
-          boolean over = c.lastNs - unusedSinceNs <= 0;
-          if (over) {
-            closeQuietly(c);
+        connection -> {
+          boolean stale = connection.lastUsedNs - unusedSinceNs <= 0;
+          if (stale) {
+            closeQuietly(connection);
           }
-          return over;
+          return stale;
         });
   }
 
-  private synchronized void give(Connection c) {
-    c.lastNs = System.nanoTime();
-    idle.addLast(c);
-    if (closed || idle.size() > keep) {
+  private synchronized void release(Connection connection) {
+    connection.lastUsedNs = System.nanoTime();
+    idle.addLast(connection);
+    if (closed || idle.size() > maxIdle) {
       closeQuietly(idle.pollFirst());
     }
   }
@@ -162,9 +163,9 @@
     }
   }
 
-  private static void closeQuietly(Connection c) {
+  private static void closeQuietly(Connection connection) {
     try {
-      c.socket.close();
+      connection.socket.close();
     } catch (IOException e) {
       // it is given up either way
     }
@@ -172,10 +173,10 @@
 
   /** One write for head and body: each is a packet and a system call. */
   static void write(Socket socket, String head, byte[] body) throws IOException {
-    byte[] h = HttpMessageReader.ascii(head);
-    byte[] all = new byte[h.length + body.length];
-    System.arraycopy(h, 0, all, 0, h.length);
-    System.arraycopy(body, 0, all, h.length, body.length);
-    socket.getOutputStream().write(all);
+    byte[] headBytes = HttpMessageReader.latin1(head);
+    byte[] packet = new byte[headBytes.length + body.length];
+    System.arraycopy(headBytes, 0, packet, 0, headBytes.length);
+    System.arraycopy(body, 0, packet, headBytes.length, body.length);
+    socket.getOutputStream().write(packet);
   }
 }
--- a/src/main/java/org/astershift/http/HttpMessageReader.java
+++ b/src/main/java/org/astershift/http/HttpMessageReader.java
@@ -20,11 +20,11 @@
   private final Socket socket;
   private final InputStream in;
   private final byte[] buffer = new byte[4096];
-  private int position;
-  private int end;
-  private boolean timed;
+  private int bufferPosition;
+  private int bufferEnd;
+  private boolean hasDeadline;
   private long deadlineNs;
-  private int headLeft;
+  private int headBytesLeft;
 
   HttpMessageReader(Socket socket) throws IOException {
     this.socket = socket;
@@ -32,10 +32,11 @@
   }
 
   /** Start line, headers by lower-case name, and body. */
-  record Message(String start, Map<String, String> headers, byte[] body) {
-    boolean closes() {
-      String c = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
-      return c.contains("close") || (start.contains("HTTP/1.0") && !c.contains("keep-alive"));
+  record Message(String startLine, Map<String, String> headers, byte[] body) {
+    boolean closesConnection() {
+      String connectionHeader = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
+      return connectionHeader.contains("close")
+          || (startLine.contains("HTTP/1.0") && !connectionHeader.contains("keep-alive"));
     }
   }
 
@@ -44,47 +45,53 @@
    * to close the socket when it takes too long: a plain blocking read is one system call where one
    * with a timeout is three, and a leader has hundreds a second.
    */
-  boolean await() throws IOException {
-    timed = false;
-    return position < end || fillBuffer();
+  boolean awaitFirstByte() throws IOException {
+    hasDeadline = false;
+    return bufferPosition < bufferEnd || fillBuffer();
   }
 
-  /** Reads a request; as for {@link #await}, its time is limited by whoever closes the socket. */
-  Message request(int bodyLimit) throws IOException {
-    timed = false;
-    return read(bodyLimit, true);
+  /**
+   * Reads a request; as for {@link #awaitFirstByte}, its time is limited by whoever closes the
+   * socket.
+   */
+  Message readRequest(int bodyLimit) throws IOException {
+    hasDeadline = false;
+    return readMessage(bodyLimit, true);
   }
 
   /** Reads a response, which has to be there whole in so many milliseconds. */
-  Message response(int timeoutMs, int bodyLimit) throws IOException {
-    timed = true;
+  Message readResponse(int timeoutMs, int bodyLimit) throws IOException {
+    hasDeadline = true;
     deadlineNs = System.nanoTime() + timeoutMs * 1_000_000L;
-    return read(bodyLimit, false);
+    return readMessage(bodyLimit, false);
   }
 
-  private Message read(int bodyLimit, boolean request) throws IOException {
-    headLeft = Constants.HEAD_BYTES;
-    String start = line();
-    if (request && start.isEmpty()) {
-      start = line(); // one empty line before a request is allowed
+  private Message readMessage(int bodyLimit, boolean request) throws IOException {
+    headBytesLeft = Constants.MAX_HEAD_BYTES;
+    String startLine = readLine();
+    if (request && startLine.isEmpty()) {
+      startLine = readLine(); // one empty line before a request is allowed
     }
     Map<String, String> headers = new HashMap<>();
-    for (String l = line(); !l.isEmpty(); l = line()) {
-      int colon = l.indexOf(':');
-      if (colon <= 0 || l.charAt(0) == ' ' || l.charAt(0) == '\t' || l.charAt(colon - 1) == ' ') {
+    for (String line = readLine(); !line.isEmpty(); line = readLine()) {
+      int colon = line.indexOf(':');
+      if (colon <= 0
+          || line.charAt(0) == ' '
+          || line.charAt(0) == '\t'
+          || line.charAt(colon - 1) == ' ') {
         throw new HttpException(400, "bad header line");
       }
-      String name = l.substring(0, colon).toLowerCase(Locale.ROOT);
-      String value = l.substring(colon + 1).trim();
-      String before = headers.put(name, value);
-      if (before != null && name.equals("content-length") && !before.equals(value)) {
+      String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
+      String value = line.substring(colon + 1).trim();
+      String previous = headers.put(name, value);
+      if (previous != null && name.equals("content-length") && !previous.equals(value)) {
         throw new HttpException(400, "two lengths");
       }
     }
-    return new Message(start, headers, body(start, headers, bodyLimit, request));
+    return new Message(startLine, headers, readBody(startLine, headers, bodyLimit, request));
   }
 
-  private byte[] body(String start, Map<String, String> headers, int limit, boolean request)
+  private byte[] readBody(String startLine, Map<String, String> headers, int limit, boolean request)
       throws IOException {
     String encoding = headers.get("transfer-encoding");
     String length = headers.get("content-length");
@@ -95,123 +102,123 @@
       if (length != null) {
         throw new HttpException(400, "both a length and chunks");
       }
-      return chunks(limit);
+      return readChunkedBody(limit);
     }
     if (length != null) {
       if (!length.matches("[0-9]{1,18}")) {
         throw new HttpException(400, "bad content length");
       }
-      long n = Long.parseLong(length);
-      if (n > limit) {
+      long size = Long.parseLong(length);
+      if (size > limit) {
         throw new HttpException(413, "body too large");
       }
-      return bytes((int) n);
+      return readBytes((int) size);
     }
-    if (request || start.contains(" 204") || start.contains(" 304")) {
+    if (request || startLine.contains(" 204") || startLine.contains(" 304")) {
       return new byte[0];
     }
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    ByteArrayOutputStream body = new ByteArrayOutputStream();
     try {
-      for (int b = one(); ; b = one()) {
-        all.write(b);
-        if (all.size() > limit) {
+      for (int next = readByte(); ; next = readByte()) {
+        body.write(next);
+        if (body.size() > limit) {
           throw new HttpException(413, "body too large");
         }
       }
     } catch (EOFException e) {
       headers.put("connection", "close");
-      return all.toByteArray();
+      return body.toByteArray();
     }
   }
 
-  private byte[] chunks(int limit) throws IOException {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+  private byte[] readChunkedBody(int limit) throws IOException {
+    ByteArrayOutputStream body = new ByteArrayOutputStream();
     while (true) {
-      String size = line();
-      int semicolon = size.indexOf(';');
-      String hex = (semicolon < 0 ? size : size.substring(0, semicolon)).trim();
+      String sizeLine = readLine();
+      int semicolon = sizeLine.indexOf(';');
+      String hex = (semicolon < 0 ? sizeLine : sizeLine.substring(0, semicolon)).trim();
       if (!hex.matches("[0-9a-fA-F]{1,8}")) {
         throw new HttpException(400, "bad chunk size");
       }
-      long n = Long.parseLong(hex, 16);
-      if (all.size() + n > limit) {
+      long chunkSize = Long.parseLong(hex, 16);
+      if (body.size() + chunkSize > limit) {
         throw new HttpException(413, "body too large");
       }
-      headLeft = Constants.HEAD_BYTES;
-      if (n == 0) {
-        while (!line().isEmpty()) {
+      headBytesLeft = Constants.MAX_HEAD_BYTES;
+      if (chunkSize == 0) {
+        while (!readLine().isEmpty()) {
           // trailers say nothing that is used here
         }
-        return all.toByteArray();
+        return body.toByteArray();
       }
-      all.write(bytes((int) n));
-      if (!line().isEmpty()) {
+      body.write(readBytes((int) chunkSize));
+      if (!readLine().isEmpty()) {
         throw new HttpException(400, "bad chunk end");
       }
     }
   }
 
-  private byte[] bytes(int n) throws IOException {
-    byte[] out = new byte[n];
-    int got = 0;
-    while (got < n) {
-      if (position == end && !fillBuffer()) {
+  private byte[] readBytes(int size) throws IOException {
+    byte[] bytes = new byte[size];
+    int received = 0;
+    while (received < size) {
+      if (bufferPosition == bufferEnd && !fillBuffer()) {
         throw new EOFException("closed inside a body");
       }
-      int take = Math.min(n - got, end - position);
-      System.arraycopy(buffer, position, out, got, take);
-      position += take;
-      got += take;
+      int count = Math.min(size - received, bufferEnd - bufferPosition);
+      System.arraycopy(buffer, bufferPosition, bytes, received, count);
+      bufferPosition += count;
+      received += count;
     }
-    return out;
+    return bytes;
   }
 
-  private String line() throws IOException {
-    StringBuilder sb = new StringBuilder(64);
+  private String readLine() throws IOException {
+    StringBuilder line = new StringBuilder(64);
     while (true) {
-      int b = one();
-      if (--headLeft < 0) {
+      int next = readByte();
+      if (--headBytesLeft < 0) {
         throw new HttpException(431, "head too large");
       }
-      if (b == '\n') {
-        int n = sb.length();
-        if (n > 0 && sb.charAt(n - 1) == '\r') {
-          sb.setLength(n - 1);
+      if (next == '\n') {
+        int length = line.length();
+        if (length > 0 && line.charAt(length - 1) == '\r') {
+          line.setLength(length - 1);
         }
-        return sb.toString();
+        return line.toString();
       }
-      if (b == 0) {
+      if (next == 0) {
         throw new HttpException(400, "zero byte in the head");
       }
-      sb.append((char) b);
+      line.append((char) next);
     }
   }
 
-  private int one() throws IOException {
-    if (position == end && !fillBuffer()) {
+  private int readByte() throws IOException {
+    if (bufferPosition == bufferEnd && !fillBuffer()) {
       throw new EOFException("closed inside a message");
     }
-    return buffer[position++] & 0xff;
+    return buffer[bufferPosition++] & 0xff;
   }
 
   private boolean fillBuffer() throws IOException {
-    if (timed) {
+    if (hasDeadline) {
       long leftMs = (deadlineNs - System.nanoTime()) / 1_000_000;
       if (leftMs <= 0) {
         throw new SocketTimeoutException("deadline passed");
       }
       socket.setSoTimeout((int) Math.min(leftMs, Integer.MAX_VALUE));
     }
-    int n = in.read(buffer, 0, buffer.length);
-    if (n < 0) {
+    int count = in.read(buffer, 0, buffer.length);
+    if (count < 0) {
       return false;
     }
-    position = 0;
-    end = n;
+    bufferPosition = 0;
+    bufferEnd = count;
     return true;
   }
 
-  static byte[] ascii(String s) {
-    return s.getBytes(StandardCharsets.ISO_8859_1);
+  static byte[] latin1(String text) {
+    return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 }
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -32,64 +32,73 @@
       return new Response(status, Json.bytes(body), 0);
     }
 
-    public static Response error(int status, String why) {
+    public static Response error(int status, String message) {
       int retryAfterS = status == 503 ? Constants.RETRY_AFTER_S : 0;
-      return new Response(status, Json.bytes(Map.of("error", why)), retryAfterS);
+      return new Response(status, Json.bytes(Map.of("error", message)), retryAfterS);
     }
   }
 
-  private final ServerSocket server;
+  private final ServerSocket serverSocket;
   private final Handler handler;
-  private final ConnectionSlots places;
-  private final Predicate<String> reserved;
+  private final ConnectionSlots slots;
+  private final Predicate<String> isReservedPath;
   private final Threads.ConnectionThreads threads;
-  private final Map<Connection, Socket> open = new ConcurrentHashMap<>();
+  private final Map<Connection, Socket> openSockets = new ConcurrentHashMap<>();
   private volatile boolean closed;
-  private long toldNs = System.nanoTime();
+  private long lastLoggedNs = System.nanoTime();
 
-  /** {@code most} connections, none of them with a place of its own. */
-  public HttpServer(String host, int port, int most, Handler handler) throws IOException {
+  /** {@code capacity} connections, none of them with a place of its own. */
+  public HttpServer(String host, int port, int capacity, Handler handler) throws IOException {
     this(
-        host, port, new ConnectionSlots(most, most), path -> false, handler, Threads.connections());
+        host,
+        port,
+        new ConnectionSlots(capacity, capacity),
+        path -> false,
+        handler,
+        Threads.connectionThreadFactory());
   }
 
-  /** Connections that ask for a {@code reserved} path have places that others cannot take. */
+  /** Connections that ask for a {@code isReservedPath} path have places that others cannot take. */
   public HttpServer(
-      String host, int port, ConnectionSlots places, Predicate<String> reserved, Handler handler)
+      String host,
+      int port,
+      ConnectionSlots slots,
+      Predicate<String> isReservedPath,
+      Handler handler)
       throws IOException {
-    this(host, port, places, reserved, handler, Threads.connections());
+    this(host, port, slots, isReservedPath, handler, Threads.connectionThreadFactory());
   }
 
   HttpServer(
       String host,
       int port,
-      ConnectionSlots places,
-      Predicate<String> reserved,
+      ConnectionSlots slots,
+      Predicate<String> isReservedPath,
       Handler handler,
       ThreadFactory threads)
       throws IOException {
     this.handler = handler;
-    this.places = places;
-    this.reserved = reserved;
+    this.slots = slots;
+    this.isReservedPath = isReservedPath;
     this.threads = new Threads.ConnectionThreads(threads);
-    this.server = listen(host, port, Constants.BACKLOG);
+    this.serverSocket = listen(host, port, Constants.LISTEN_BACKLOG_CONNECTIONS);
   }
 
   /** Takes an address; nothing of it is left if that fails. */
   public static ServerSocket listen(String host, int port, int backlog) throws IOException {
-    ServerSocket server = new ServerSocket();
+    ServerSocket serverSocket = new ServerSocket();
     try {
-      server.setReuseAddress(true);
-      server.bind(new InetSocketAddress(InetAddress.getByName(host), port), backlog);
-      return server;
+      serverSocket.setReuseAddress(true);
+      serverSocket.bind(new InetSocketAddress(InetAddress.getByName(host), port), backlog);
+      return serverSocket;
     } catch (IOException e) {
-      server.close();
+      serverSocket.close();
       throw e;
     }
   }
 
   public int port() {
-    return server.getLocalPort();
+    return serverSocket.getLocalPort();
   }
 
   public void start() {
@@ -100,19 +109,19 @@
   /** Closes what is idle or slow for too long: reads have no timeouts of their own. */
   private void reapLoop() throws InterruptedException {
     while (!closed) {
-      Thread.sleep(Constants.REAP_MS);
-      long now = System.nanoTime();
-      for (Map.Entry<Connection, Socket> e : open.entrySet()) {
-        if (e.getKey().overdue(now)) {
+      Thread.sleep(Constants.CONNECTION_REAP_INTERVAL_MS);
+      long nowNs = System.nanoTime();
+      for (Map.Entry<Connection, Socket> entry : openSockets.entrySet()) {
+        if (entry.getKey().isOverdue(nowNs)) {
           LOG.debug("a connection was idle or slow for too long");
-          hangUp(e.getValue());
+          shutDownInput(entry.getValue());
         }
       }
     }
   }
 
   /** Ends what its thread reads from it; the thread then closes it. */
-  private static void hangUp(Socket socket) {
+  private static void shutDownInput(Socket socket) {
     try {
       socket.shutdownInput();
     } catch (IOException e) {
@@ -123,53 +132,53 @@
   @Override
   public void close() throws IOException {
     closed = true;
-    server.close();
-    for (Socket s : open.values()) {
-      s.close();
+    serverSocket.close();
+    for (Socket socket : openSockets.values()) {
+      socket.close();
     }
   }
 
   private void acceptLoop() {
     while (!closed) {
       try {
-        Socket socket = server.accept();
-        Connection c = new Connection(System.nanoTime());
-        open.put(c, socket);
-        take(c, socket);
-        tell();
+        Socket socket = serverSocket.accept();
+        Connection connection = new Connection(System.nanoTime());
+        openSockets.put(connection, socket);
+        admit(connection, socket);
+        logConnections();
       } catch (IOException | Threads.ThreadUnavailableException e) {
         if (!closed) {
           LOG.info("a connection could not be taken: {}", e.toString());
-          Threads.pause();
+          Threads.backOff();
         }
       }
     }
   }
 
-  private void take(Connection c, Socket socket) {
-    for (Connection over : places.enter(c)) {
-      drop(over);
+  private void admit(Connection connection, Socket socket) {
+    for (Connection evicted : slots.admit(connection)) {
+      closeWithoutSlot(evicted);
     }
-    if (!open.containsKey(c)) {
+    if (!openSockets.containsKey(connection)) {
       return; // all others were at work: it was told to come back
     }
     try {
-      c.served(true);
-      threads.execute(() -> serve(c, socket));
+      connection.setBeingServed(true);
+      threads.execute(() -> serve(connection, socket));
     } catch (Threads.ThreadUnavailableException e) {
       // Nobody will serve it: kept, it would hang for its user and count as open for ever.
-      places.leave(c);
-      c.served(false);
-      drop(c);
+      slots.release(connection);
+      connection.setBeingServed(false);
+      closeWithoutSlot(connection);
       throw e;
     }
   }
 
   /** Closes a connection that has no place: it was served and is idle, or nobody serves it. */
-  private void drop(Connection c) {
-    Socket socket = open.remove(c);
-    if (socket != null && c.served()) {
-      hangUp(socket);
+  private void closeWithoutSlot(Connection connection) {
+    Socket socket = openSockets.remove(connection);
+    if (socket != null && connection.isBeingServed()) {
+      shutDownInput(socket);
     } else if (socket != null) {
       try (socket) {
         send(socket, Response.error(503, "no place for more connections"), true);
@@ -179,26 +188,26 @@
     }
   }
 
-  private void tell() {
-    long now = System.nanoTime();
-    if (now - toldNs >= Constants.SUMMARY_MS * 1_000_000) {
-      toldNs = now;
-      LOG.info("connections: {}; {} threads", places, Thread.activeCount());
+  private void logConnections() {
+    long nowNs = System.nanoTime();
+    if (nowNs - lastLoggedNs >= Constants.SUMMARY_INTERVAL_MS * 1_000_000) {
+      lastLoggedNs = nowNs;
+      LOG.info("connections: {}; {} threads", slots, Thread.activeCount());
     }
   }
 
-  private void serve(Connection c, Socket socket) {
+  private void serve(Connection connection, Socket socket) {
     try (socket) {
       socket.setTcpNoDelay(true);
-      HttpMessageReader wire = new HttpMessageReader(socket);
+      HttpMessageReader reader = new HttpMessageReader(socket);
       while (!closed) {
-        c.idleSince(System.nanoTime());
-        if (!wire.await()) {
+        connection.onIdle(System.nanoTime());
+        if (!reader.awaitFirstByte()) {
           return;
         }
-        c.busy(System.nanoTime());
-        boolean keep = one(c, socket, wire);
-        if (!keep) {
+        connection.onRequestStarted(System.nanoTime());
+        boolean keepAlive = handleRequest(connection, socket, reader);
+        if (!keepAlive) {
           return;
         }
       }
@@ -207,59 +216,66 @@
     } catch (RuntimeException | Error e) {
       LOG.error("connection ended by", e);
     } finally {
-      open.remove(c);
-      places.leave(c);
+      openSockets.remove(connection);
+      slots.release(connection);
     }
   }
 
-  private boolean one(Connection c, Socket socket, HttpMessageReader wire) throws IOException {
-    HttpMessageReader.Message m;
-    String[] start;
+  private boolean handleRequest(Connection connection, Socket socket, HttpMessageReader reader)
+      throws IOException {
+    HttpMessageReader.Message message;
+    String[] requestLine;
     try {
-      m = wire.request(Constants.BODY_BYTES);
-      start = m.start().split(" ", -1);
-      if (start.length != 3 || !start[2].startsWith("HTTP/1.") || !start[1].startsWith("/")) {
+      message = reader.readRequest(Constants.MAX_REQUEST_BODY_BYTES);
+      requestLine = message.startLine().split(" ", -1);
+      if (requestLine.length != 3
+          || !requestLine[2].startsWith("HTTP/1.")
+          || !requestLine[1].startsWith("/")) {
         throw new HttpException(400, "bad request line");
       }
     } catch (HttpException e) {
       send(socket, Response.error(e.status(), e.getMessage()), true);
       return false;
     }
-    c.read();
-    int query = start[1].indexOf('?');
-    String path = query < 0 ? start[1] : start[1].substring(0, query);
-    String rest = query < 0 ? "" : start[1].substring(query + 1);
-    for (Connection over : places.asks(c, reserved.test(path))) {
-      if (over == c) {
+    connection.onRequestRead();
+    int queryIndex = requestLine[1].indexOf('?');
+    String path = queryIndex < 0 ? requestLine[1] : requestLine[1].substring(0, queryIndex);
+    String query = queryIndex < 0 ? "" : requestLine[1].substring(queryIndex + 1);
+    for (Connection evicted : slots.onRequest(connection, isReservedPath.test(path))) {
+      if (evicted == connection) {
         send(socket, Response.error(503, "no place for more connections"), true);
         return false;
       }
-      drop(over);
+      closeWithoutSlot(evicted);
     }
     Response response;
     try {
-      response = handler.handle(new Request(start[0], path, rest, m.body()));
+      response = handler.handle(new Request(requestLine[0], path, query, message.body()));
     } catch (Exception e) {
-      LOG.error("{} {} failed", start[0], path, e);
+      LOG.error("{} {} failed", requestLine[0], path, e);
       response = Response.error(503, "internal error");
     }
-    boolean close = m.closes() || !places.keeps(c);
+    boolean close = message.closesConnection() || !slots.mayKeepAlive(connection);
     send(socket, response, close);
     return !close;
   }
 
-  private static void send(Socket socket, Response r, boolean close) throws IOException {
+  private static void send(Socket socket, Response response, boolean close) throws IOException {
     StringBuilder head = new StringBuilder(128);
-    head.append("HTTP/1.1 ").append(r.status()).append(' ').append(reason(r.status()));
-    head.append("\r\nContent-Type: application/json\r\nContent-Length: ").append(r.body().length);
-    if (r.retryAfterS() > 0) {
-      head.append("\r\nRetry-After: ").append(r.retryAfterS());
+    head.append("HTTP/1.1 ")
+        .append(response.status())
+        .append(' ')
+        .append(reason(response.status()));
+    head.append("\r\nContent-Type: application/json\r\nContent-Length: ")
+        .append(response.body().length);
+    if (response.retryAfterS() > 0) {
+      head.append("\r\nRetry-After: ").append(response.retryAfterS());
     }
     if (close) {
       head.append("\r\nConnection: close");
     }
     head.append("\r\n\r\n");
-    HttpClient.write(socket, head.toString(), r.body());
+    HttpClient.write(socket, head.toString(), response.body());
   }
 
   private static String reason(int status) {
--- a/src/main/java/org/astershift/http/Json.java
+++ b/src/main/java/org/astershift/http/Json.java
@@ -12,11 +12,13 @@
 
 /** JSON as maps and lists, and checked access to their fields. */
 public final class Json {
-  private static final JSON JR =
+  private static final JSON JACKSON =
       JSON.builder(
               JsonFactory.builder()
                   .streamReadConstraints(
-                      StreamReadConstraints.builder().maxNestingDepth(Constants.JSON_DEPTH).build())
+                      StreamReadConstraints.builder()
+                          .maxNestingDepth(Constants.MAX_JSON_DEPTH)
+                          .build())
                   .build())
           .build();
 
@@ -34,7 +36,7 @@
   /** The value as JSON text in UTF-8. */
   public static byte[] bytes(Object value) {
     try {
-      return JR.asBytes(value);
+      return JACKSON.asBytes(value);
     } catch (IOException e) {
       throw new UncheckedIOException(e); // memory does not fail
     }
@@ -51,17 +53,18 @@
   }
 
   @SuppressWarnings("unchecked")
-  private static Map<String, Object> object(byte[] text, boolean more) throws JsonFormatException {
-    try (JsonParser p = JR.getStreamingFactory().createParser(text)) {
-      if (p.nextToken() == null) {
+  private static Map<String, Object> object(byte[] text, boolean allowTrailing)
+      throws JsonFormatException {
+    try (JsonParser parser = JACKSON.getStreamingFactory().createParser(text)) {
+      if (parser.nextToken() == null) {
         throw new JsonFormatException("not JSON");
       }
-      Object o = JR.anyFrom(p);
-      if (!more && p.nextToken() != null) {
+      Object parsed = JACKSON.anyFrom(parser);
+      if (!allowTrailing && parser.nextToken() != null) {
         throw new JsonFormatException("not JSON");
       }
-      if (o instanceof Map<?, ?> m) {
-        return (Map<String, Object>) m;
+      if (parsed instanceof Map<?, ?> map) {
+        return (Map<String, Object>) map;
       }
     } catch (IOException | RuntimeException e) {
       throw new JsonFormatException("not JSON");
@@ -72,70 +75,74 @@
   /** The value as an object; {@code what} names it in the error. */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> object(Object value, String what) throws JsonFormatException {
-    if (value instanceof Map<?, ?> m) {
-      return (Map<String, Object>) m;
+    if (value instanceof Map<?, ?> map) {
+      return (Map<String, Object>) map;
     }
     throw new JsonFormatException(what + " is not an object");
   }
 
   /** The list under a name; an empty one if there is none. */
-  public static List<?> list(Map<String, Object> m, String name) throws JsonFormatException {
-    Object v = m.get(name);
-    if (v == null) {
+  public static List<?> list(Map<String, Object> object, String name) throws JsonFormatException {
+    Object value = object.get(name);
+    if (value == null) {
       return List.of();
     }
-    if (v instanceof List<?> l) {
-      return l;
+    if (value instanceof List<?> list) {
+      return list;
     }
     throw new JsonFormatException(name + " is not a list");
   }
 
   /** The text under a name, which must be there. */
-  public static String text(Map<String, Object> m, String name) throws JsonFormatException {
-    if (m.get(name) instanceof String s) {
-      return s;
+  public static String string(Map<String, Object> object, String name) throws JsonFormatException {
+    if (object.get(name) instanceof String value) {
+      return value;
     }
     throw new JsonFormatException(name + " is missing or not a text");
   }
 
-  public static String textOrNull(Map<String, Object> m, String name) throws JsonFormatException {
-    return m.get(name) == null ? null : text(m, name);
+  public static String stringOrNull(Map<String, Object> object, String name)
+      throws JsonFormatException {
+    return object.get(name) == null ? null : string(object, name);
   }
 
   /** The finite number under a name, which must be there. */
-  public static double number(Map<String, Object> m, String name) throws JsonFormatException {
-    if (m.get(name) instanceof Number n && Double.isFinite(n.doubleValue())) {
-      return n.doubleValue();
+  public static double number(Map<String, Object> object, String name) throws JsonFormatException {
+    if (object.get(name) instanceof Number number && Double.isFinite(number.doubleValue())) {
+      return number.doubleValue();
     }
     throw new JsonFormatException(name + " is missing or not a number");
   }
 
-  public static Double numberOrNull(Map<String, Object> m, String name) throws JsonFormatException {
-    return m.get(name) == null ? null : number(m, name);
+  public static Double numberOrNull(Map<String, Object> object, String name)
+      throws JsonFormatException {
+    return object.get(name) == null ? null : number(object, name);
   }
 
   /** The whole number under a name, which must be there. */
-  public static long whole(Map<String, Object> m, String name) throws JsonFormatException {
-    Object v = m.get(name);
-    if (v instanceof Integer || v instanceof Long) {
-      return ((Number) v).longValue();
+  public static long integer(Map<String, Object> object, String name) throws JsonFormatException {
+    Object value = object.get(name);
+    if (value instanceof Integer || value instanceof Long) {
+      return ((Number) value).longValue();
     }
-    if (v instanceof java.math.BigInteger b && b.bitLength() <= 64 && b.signum() >= 0) {
-      return b.longValue();
+    if (value instanceof java.math.BigInteger unsigned
+        && unsigned.bitLength() <= 64
+        && unsigned.signum() >= 0) {
+      return unsigned.longValue();
     }
     throw new JsonFormatException(name + " is missing or not a whole number");
   }
 
   /** The truth value under a name, which must be there. */
-  public static boolean flag(Map<String, Object> m, String name) throws JsonFormatException {
-    if (m.get(name) instanceof Boolean b) {
-      return b;
+  public static boolean bool(Map<String, Object> object, String name) throws JsonFormatException {
+    if (object.get(name) instanceof Boolean value) {
+      return value;
     }
     throw new JsonFormatException(name + " is missing or not true or false");
   }
 
-  public static boolean flagOr(Map<String, Object> m, String name, boolean otherwise)
+  public static boolean boolOr(Map<String, Object> object, String name, boolean fallback)
       throws JsonFormatException {
-    return m.get(name) == null ? otherwise : flag(m, name);
+    return object.get(name) == null ? fallback : bool(object, name);
   }
 }
--- a/src/main/java/org/astershift/http/Threads.java
+++ b/src/main/java/org/astershift/http/Threads.java
@@ -35,27 +35,27 @@
    * there.
    */
   public static void start(String name, Task body) {
-    start(thread(name, guarded(name, body)));
+    start(thread(name, logFailures(name, body)));
   }
 
-  private static void start(Thread t) {
+  private static void start(Thread thread) {
     try {
-      t.start();
+      thread.start();
     } catch (OutOfMemoryError e) {
-      throw new ThreadUnavailableException(t.getName(), e);
+      throw new ThreadUnavailableException(thread.getName(), e);
     }
   }
 
   /** A loop that has to live as long as the process: whatever ends its body, it begins again. */
   public static void startLoop(String name, Task body) {
-    Runnable once = guarded(name, body);
+    Runnable once = logFailures(name, body);
     start(
         thread(
             name,
             () -> {
               while (!Thread.currentThread().isInterrupted()) {
                 once.run();
-                pause();
+                backOff();
               }
             }));
   }
@@ -68,7 +68,7 @@
   /**
    * A pool that never loses work because a thread could not be started: the plain one throws the
    * refusal at the caller and forgets the work, whose asker then waits for ever. Here it stays in
-   * line for the threads there are, or for {@link #tend}.
+   * line for the threads there are, or for {@link #startWaitingWork}.
    */
   public static final class Pool {
     private final ThreadPoolExecutor threads;
@@ -78,26 +78,26 @@
           new ThreadPoolExecutor(
               threads,
               threads,
-              Constants.POOL_IDLE_S,
+              Constants.THREAD_IDLE_S,
               TimeUnit.SECONDS,
               new LinkedBlockingQueue<>(),
               factory);
       this.threads.allowCoreThreadTimeOut(true);
     }
 
-    public void execute(String what, Task body) {
-      threads.getQueue().add(guarded(what, body));
-      grow();
+    public void execute(String name, Task body) {
+      threads.getQueue().add(logFailures(name, body));
+      startThread();
     }
 
     /** Starts a thread where work waits for the first one; called now and then by a loop. */
-    public void tend() {
+    public void startWaitingWork() {
       if (threads.getPoolSize() == 0 && !threads.getQueue().isEmpty()) {
-        grow();
+        startThread();
       }
     }
 
-    private void grow() {
+    private void startThread() {
       try {
         threads.prestartCoreThread();
       } catch (OutOfMemoryError e) {
@@ -118,7 +118,7 @@
           new ThreadPoolExecutor(
               0,
               Integer.MAX_VALUE,
-              Constants.POOL_IDLE_S,
+              Constants.THREAD_IDLE_S,
               TimeUnit.SECONDS,
               new SynchronousQueue<>(),
               factory);
@@ -130,7 +130,7 @@
      */
     void execute(Task body) {
       try {
-        threads.execute(guarded("connection", body));
+        threads.execute(logFailures("connection", body));
       } catch (OutOfMemoryError e) {
         throw new ThreadUnavailableException("a connection", e);
       }
@@ -138,33 +138,33 @@
   }
 
   /** Logs whatever ends this run of the body, errors included: nothing ends without a line. */
-  public static Runnable guarded(String what, Task body) {
+  public static Runnable logFailures(String name, Task body) {
     return () -> {
       try {
         body.run();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       } catch (Exception | Error e) {
-        LOG.error("{} failed", what, e);
+        LOG.error("{} failed", name, e);
       }
     };
   }
 
   /** Threads that serve a connection each. */
-  static ThreadFactory connections() {
+  static ThreadFactory connectionThreadFactory() {
     return r -> thread("http", r);
   }
 
   private static Thread thread(String name, Runnable body) {
-    Thread t = new Thread(null, body, name, Constants.STACK_BYTES);
-    t.setDaemon(true);
-    return t;
+    Thread thread = new Thread(null, body, name, Constants.STACK_BYTES);
+    thread.setDaemon(true);
+    return thread;
   }
 
   /** The short wait of every loop before it tries again. */
-  public static void pause() {
+  public static void backOff() {
     try {
-      Thread.sleep(Constants.RETRY_MS);
+      Thread.sleep(Constants.RETRY_BACKOFF_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/org/astershift/peer/PeerClient.java
+++ b/src/main/java/org/astershift/peer/PeerClient.java
@@ -19,11 +19,11 @@
 public final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
   private final Settings.Endpoint endpoint;
-  private final Deque<Kept> idle = new ArrayDeque<>();
-  private volatile long restUntilNs = System.nanoTime();
+  private final Deque<IdleConnection> idleConnections = new ArrayDeque<>();
+  private volatile long backoffUntilNs = System.nanoTime();
 
   /** A connection without a question on it. */
-  private record Kept(Socket socket, long sinceNs) {}
+  private record IdleConnection(Socket socket, long idleSinceNs) {}
 
   public PeerClient(Settings.Endpoint endpoint) {
     this.endpoint = endpoint;
@@ -33,15 +33,15 @@
    * A controller that did not answer in time is left alone for a while: its askers have other ways,
    * and each would wait for the whole deadline.
    */
-  public JobAnswer ask(String op, String job, int timeoutMs) throws IOException {
-    if (System.nanoTime() - restUntilNs < 0) {
+  public JobAnswer ask(String operation, String jobId, int timeoutMs) throws IOException {
+    if (System.nanoTime() - backoffUntilNs < 0) {
       throw new IOException("did not answer a moment ago");
     }
     try {
-      Socket kept = take();
-      if (kept != null) {
+      Socket reused = takeIdle();
+      if (reused != null) {
         try {
-          return call(kept, op, job, timeoutMs);
+          return call(reused, operation, jobId, timeoutMs);
         } catch (SocketTimeoutException e) {
           throw e;
         } catch (IOException e) {
@@ -51,16 +51,17 @@
           LOG.debug("a kept connection has ended: {}", e.toString());
         }
       }
-      return call(null, op, job, timeoutMs);
+      return call(null, operation, jobId, timeoutMs);
     } catch (SocketTimeoutException e) {
-      restUntilNs = System.nanoTime() + Constants.PEER_REST_MS * 1_000_000;
+      backoffUntilNs = System.nanoTime() + Constants.PEER_BACKOFF_MS * 1_000_000;
       throw e;
     }
   }
 
-  private JobAnswer call(Socket kept, String op, String job, int timeoutMs) throws IOException {
-    Socket socket = kept;
-    boolean ok = false;
+  private JobAnswer call(Socket reused, String operation, String jobId, int timeoutMs)
+      throws IOException {
+    Socket socket = reused;
+    boolean succeeded = false;
     try {
       if (socket == null) {
         socket = new Socket();
@@ -72,37 +73,37 @@
       socket.setSoTimeout(timeoutMs);
       DataOutputStream out =
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
-      PeerCodec.write(out, new PeerCodec.PeerRequest(op, job));
-      JobAnswer a = PeerCodec.answer(new DataInputStream(socket.getInputStream()));
-      ok = true;
-      return a;
+      PeerCodec.write(out, new PeerCodec.PeerRequest(operation, jobId));
+      JobAnswer answer = PeerCodec.readAnswer(new DataInputStream(socket.getInputStream()));
+      succeeded = true;
+      return answer;
     } catch (RuntimeException e) {
       throw new IOException("broken answer: " + e, e);
     } finally {
-      if (ok) {
-        give(socket);
+      if (succeeded) {
+        returnIdle(socket);
       } else if (socket != null) {
         socket.close();
       }
     }
   }
 
-  private synchronized Socket take() throws IOException {
-    while (!idle.isEmpty()) {
-      Kept kept = idle.pollLast();
-      if (System.nanoTime() - kept.sinceNs() < Constants.KEEP_CLIENT_NS) {
-        return kept.socket();
+  private synchronized Socket takeIdle() throws IOException {
+    while (!idleConnections.isEmpty()) {
+      IdleConnection connection = idleConnections.pollLast();
+      if (System.nanoTime() - connection.idleSinceNs() < Constants.CLIENT_CONNECTION_IDLE_NS) {
+        return connection.socket();
       }
-      kept.socket().close();
+      connection.socket().close();
     }
     return null;
   }
 
-  private synchronized void give(Socket socket) throws IOException {
-    if (idle.size() >= 4) {
+  private synchronized void returnIdle(Socket socket) throws IOException {
+    if (idleConnections.size() >= 4) {
       socket.close();
     } else {
-      idle.addLast(new Kept(socket, System.nanoTime()));
+      idleConnections.addLast(new IdleConnection(socket, System.nanoTime()));
     }
   }
 }
--- a/src/main/java/org/astershift/peer/PeerCodec.java
+++ b/src/main/java/org/astershift/peer/PeerCodec.java
@@ -9,66 +9,66 @@
 
 /** Frames between controllers: a length of four bytes, then one MessagePack array. */
 final class PeerCodec {
-  private static final int LIMIT = 64 * 1024;
+  private static final int MAX_FRAME_BYTES = 64 * 1024;
 
   private PeerCodec() {}
 
   /** A user's question that only the leader can answer. */
-  record PeerRequest(String op, String job) {}
+  record PeerRequest(String operation, String jobId) {}
 
-  static void write(DataOutputStream out, PeerRequest ask) throws IOException {
-    try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-      p.packArrayHeader(2).packString(ask.op()).packString(ask.job());
-      frame(out, p.toByteArray());
+  static void write(DataOutputStream out, PeerRequest request) throws IOException {
+    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+      packer.packArrayHeader(2).packString(request.operation()).packString(request.jobId());
+      writeFrame(out, packer.toByteArray());
     }
   }
 
-  static void write(DataOutputStream out, JobAnswer a) throws IOException {
-    try (MessageBufferPacker p = MessagePack.newDefaultBufferPacker()) {
-      p.packArrayHeader(4).packInt(a.status());
-      if (a.phase() == null) {
-        p.packNil();
+  static void write(DataOutputStream out, JobAnswer answer) throws IOException {
+    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+      packer.packArrayHeader(4).packInt(answer.status());
+      if (answer.phase() == null) {
+        packer.packNil();
       } else {
-        p.packString(a.phase());
+        packer.packString(answer.phase());
       }
-      p.packInt(a.done()).packInt(a.running());
-      frame(out, p.toByteArray());
+      packer.packInt(answer.doneTasks()).packInt(answer.runningTasks());
+      writeFrame(out, packer.toByteArray());
     }
   }
 
-  private static void frame(DataOutputStream out, byte[] body) throws IOException {
+  private static void writeFrame(DataOutputStream out, byte[] body) throws IOException {
     out.writeInt(body.length);
     out.write(body);
     out.flush();
   }
 
-  private static MessageUnpacker frame(DataInputStream in) throws IOException {
-    int n = in.readInt();
-    if (n <= 0 || n > LIMIT) {
-      throw new IOException("bad frame length " + n);
+  private static MessageUnpacker readFrame(DataInputStream in) throws IOException {
+    int length = in.readInt();
+    if (length <= 0 || length > MAX_FRAME_BYTES) {
+      throw new IOException("bad frame length " + length);
     }
-    byte[] body = new byte[n];
+    byte[] body = new byte[length];
     in.readFully(body);
     return MessagePack.newDefaultUnpacker(body);
   }
 
-  static PeerRequest ask(DataInputStream in) throws IOException {
-    try (MessageUnpacker u = frame(in)) {
-      if (u.unpackArrayHeader() < 2) {
+  static PeerRequest readRequest(DataInputStream in) throws IOException {
+    try (MessageUnpacker unpacker = readFrame(in)) {
+      if (unpacker.unpackArrayHeader() < 2) {
         throw new IOException("short question");
       }
-      return new PeerRequest(u.unpackString(), u.unpackString());
+      return new PeerRequest(unpacker.unpackString(), unpacker.unpackString());
     }
   }
 
-  static JobAnswer answer(DataInputStream in) throws IOException {
-    try (MessageUnpacker u = frame(in)) {
-      if (u.unpackArrayHeader() < 4) {
+  static JobAnswer readAnswer(DataInputStream in) throws IOException {
+    try (MessageUnpacker unpacker = readFrame(in)) {
+      if (unpacker.unpackArrayHeader() < 4) {
         throw new IOException("short answer");
       }
-      int status = u.unpackInt();
-      String phase = u.tryUnpackNil() ? null : u.unpackString();
-      return new JobAnswer(status, phase, u.unpackInt(), u.unpackInt());
+      int status = unpacker.unpackInt();
+      String phase = unpacker.tryUnpackNil() ? null : unpacker.unpackString();
+      return new JobAnswer(status, phase, unpacker.unpackInt(), unpacker.unpackInt());
     }
   }
 }
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -19,15 +19,15 @@
 
   /** Answers without forwarding again. */
   public interface RequestHandler {
-    JobAnswer answer(String op, String job) throws InterruptedException;
+    JobAnswer answer(String operation, String jobId) throws InterruptedException;
   }
 
   private final ServerSocket server;
-  private final RequestHandler desk;
-  private final Semaphore places = new Semaphore(Constants.PEER_CONNECTIONS);
+  private final RequestHandler handler;
+  private final Semaphore connectionSlots = new Semaphore(Constants.PEER_CONNECTIONS);
 
-  public PeerServer(String host, int port, RequestHandler desk) throws IOException {
-    this.desk = desk;
+  public PeerServer(String host, int port, RequestHandler handler) throws IOException {
+    this.handler = handler;
     this.server = HttpServer.listen(host, port, Constants.PEER_CONNECTIONS);
   }
 
@@ -39,20 +39,21 @@
     while (true) {
       try {
         Socket socket = server.accept();
-        if (!places.tryAcquire()) {
+        if (!connectionSlots.tryAcquire()) {
           socket.close();
           continue;
         }
         try {
           Threads.start("peer", () -> serve(socket));
         } catch (Threads.ThreadUnavailableException e) {
-          places.release(); // else the place is taken for ever by a connection that nobody serves
+          connectionSlots
+              .release(); // else the place is taken for ever by a connection that nobody serves
           socket.close();
           throw e;
         }
       } catch (IOException | Threads.ThreadUnavailableException e) {
         LOG.info("a peer's connection could not be taken: {}", e.toString());
-        Threads.pause();
+        Threads.backOff();
       }
     }
   }
@@ -60,20 +61,20 @@
   private void serve(Socket socket) {
     try (socket) {
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(Constants.IDLE_TIMEOUT_MS);
+      socket.setSoTimeout(Constants.CONNECTION_IDLE_TIMEOUT_MS);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       DataOutputStream out =
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
       while (true) {
-        PeerCodec.PeerRequest ask = PeerCodec.ask(in);
-        PeerCodec.write(out, desk.answer(ask.op(), ask.job()));
+        PeerCodec.PeerRequest request = PeerCodec.readRequest(in);
+        PeerCodec.write(out, handler.answer(request.operation(), request.jobId()));
       }
     } catch (IOException | RuntimeException e) {
       LOG.debug("peer connection: {}", e.toString());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      places.release();
+      connectionSlots.release();
     }
   }
 }
--- a/src/main/java/org/astershift/scheduler/ClusterState.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -25,153 +25,153 @@
 final class ClusterState {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
-  final DeploymentLimits facts;
+  final DeploymentLimits limits;
   final SchedulingPolicy policy;
-  final long token;
+  final long fencingToken;
   final Map<String, Job> jobs = new LinkedHashMap<>();
   final Map<String, Machine> machines = new LinkedHashMap<>();
 
   /** Jobs with tasks that are neither done nor held. */
-  final Set<Job> waiting = new LinkedHashSet<>();
+  final Set<Job> waitingJobs = new LinkedHashSet<>();
 
   /** Machines for which a command may be due that should not wait for their next report. */
-  final Set<Machine> stale = new LinkedHashSet<>();
+  final Set<Machine> commandsPending = new LinkedHashSet<>();
 
   /** Live machines that no record lets have tasks yet. */
-  final Set<Machine> unrecorded = new LinkedHashSet<>();
+  final Set<Machine> unregistered = new LinkedHashSet<>();
 
   /** Jobs with tasks placed that must be opened before the first start goes out. */
-  final Set<Job> unopened = new LinkedHashSet<>();
+  final Set<Job> jobsToOpen = new LinkedHashSet<>();
 
   /** Services of which a replica was placed since they were opened. */
-  final Set<Job> moved = new LinkedHashSet<>();
+  final Set<Job> placementsToPersist = new LinkedHashSet<>();
 
   /** Jobs that may have completed. */
-  final Set<Job> completing = new LinkedHashSet<>();
+  final Set<Job> completionCandidates = new LinkedHashSet<>();
 
   /** Jobs with done tasks that no record holds yet. */
-  final Set<Job> unsaved = new LinkedHashSet<>();
+  final Set<Job> unpersistedProgress = new LinkedHashSet<>();
 
-  final ServiceStatistics served = new ServiceStatistics();
+  final ServiceStatistics serviceStatistics = new ServiceStatistics();
   final IncarnationTracker incarnations;
-  final MinimumShare floor = new MinimumShare(this);
+  final MinimumShare minimumShare = new MinimumShare(this);
   final MachineTypeCatalog machineTypes = new MachineTypeCatalog();
   final Utilization utilization = new Utilization();
-  private final UnobservedUsage hidden = new UnobservedUsage();
+  private final UnobservedUsage unobservedUsage = new UnobservedUsage();
 
   /** Looks at a job for a machine, so that tests can count what a pass and a report cost. */
-  long looks;
+  long candidateChecks;
 
   private static final double TOLERANCE = 1e-6;
-  private static final TreeSet<Job> NONE = new TreeSet<>();
-  private static final Comparator<Job> EARLIER =
+  private static final TreeSet<Job> NO_JOBS = new TreeSet<>();
+  private static final Comparator<Job> BY_SUBMISSION =
       Comparator.comparingLong((Job j) -> j.submittedMs).thenComparing(j -> j.spec.id());
   private final Map<String, TreeSet<Job>> teamJobs = new HashMap<>();
-  private final Map<String, double[]> teamUse = new HashMap<>();
-  private final List<Decision.DeregisterMachine> struck = new ArrayList<>();
-  private final Map<String, DecayingRate> reuse = new HashMap<>();
-  private final Map<String, Long> goneMs = new LinkedHashMap<>();
-  private final Map<String, Long> cutZones = new HashMap<>();
-  private long attempts;
+  private final Map<String, double[]> teamUsage = new HashMap<>();
+  private final List<Decision.DeregisterMachine> deregistrations = new ArrayList<>();
+  private final Map<String, DecayingRate> reuseRates = new HashMap<>();
+  private final Map<String, Long> removedMs = new LinkedHashMap<>();
+  private final Map<String, Long> partitionedZones = new HashMap<>();
+  private long lastAttemptNumber;
   private long resumedMs = Long.MIN_VALUE / 2;
-  private int unheard;
-  private boolean restless;
+  private int unreconciledMachines;
+  private boolean passRequested;
 
-  ClusterState(DeploymentLimits facts, SchedulingPolicy policy, long token) {
-    this.facts = facts;
+  ClusterState(DeploymentLimits limits, SchedulingPolicy policy, long fencingToken) {
+    this.limits = limits;
     this.policy = policy;
-    this.token = token;
-    this.incarnations = new IncarnationTracker(token);
+    this.fencingToken = fencingToken;
+    this.incarnations = new IncarnationTracker(fencingToken);
   }
 
   // ---- what a pass has to look at ----
 
   /** Something happened that a pass may act on. */
-  void stir() {
-    restless = true;
+  void requestPass() {
+    passRequested = true;
   }
 
-  boolean restless() {
-    return restless;
+  boolean passRequested() {
+    return passRequested;
   }
 
-  void calm() {
-    restless = false;
+  void clearPassRequest() {
+    passRequested = false;
   }
 
   /** What machines said while this node stood still is not read yet: silence counts from now. */
-  void resumed(long nowMs) {
+  void onProcessResumed(long nowMs) {
     resumedMs = nowMs;
   }
 
   /** How long nothing at all has come from the machine, while this node listened. */
-  long silenceMs(Machine m, long nowMs) {
-    return nowMs - Math.max(resumedMs, m.saidMs());
+  long silenceMs(Machine machine, long nowMs) {
+    return nowMs - Math.max(resumedMs, machine.lastContactMs());
   }
 
   /** Its report is overdue. */
-  boolean overdue(Machine m, long nowMs) {
-    return silenceMs(m, nowMs) > suspectMs();
+  boolean heartbeatOverdue(Machine machine, long nowMs) {
+    return silenceMs(machine, nowMs) > suspicionTimeoutMs();
   }
 
   // ---- machine types ----
 
-  void types(Map<String, MachineType> known) {
-    machineTypes.become(known);
-    for (Machine m : machines.values()) {
-      m.kind = known.get(m.type);
+  void updateMachineTypes(Map<String, MachineType> knownTypes) {
+    machineTypes.update(knownTypes);
+    for (Machine machine : machines.values()) {
+      machine.type = knownTypes.get(machine.typeName);
     }
-    hidden.recount();
+    unobservedUsage.recompute();
     for (Job job : jobs.values()) {
-      machineTypes.fit(job);
+      machineTypes.resolveTypes(job);
     }
-    recount();
-    stir();
+    recomputeUtilization();
+    requestPass();
   }
 
   // ---- jobs ----
 
   void addJob(Job job) {
-    machineTypes.fit(job);
-    job.group = floor.group(job.spec);
+    machineTypes.resolveTypes(job);
+    job.shareGroup = minimumShare.groupOf(job.spec);
     jobs.put(job.spec.id(), job);
-    if (!job.waiting.isEmpty()) {
-      waiting.add(job);
+    if (!job.waitingTasks.isEmpty()) {
+      waitingJobs.add(job);
     }
-    teamJobs.computeIfAbsent(job.spec.team(), t -> new TreeSet<>(EARLIER)).add(job);
-    job.guaranteed = guaranteed(job);
-    completing.add(job);
-    served.accepted(job);
-    stir();
+    teamJobs.computeIfAbsent(job.spec.team(), t -> new TreeSet<>(BY_SUBMISSION)).add(job);
+    job.withinGuaranteedQuota = withinGuaranteedQuota(job);
+    completionCandidates.add(job);
+    serviceStatistics.onAccepted(job);
+    requestPass();
   }
 
   /** The job's end is durable: what was placed and never sent is let go, the rest is stopped. */
   void endJob(Job job, boolean cancelled) {
     jobs.remove(job.spec.id());
     teamJobs.get(job.spec.team()).remove(job);
-    waiting.remove(job);
-    unopened.remove(job);
-    completing.remove(job);
-    unsaved.remove(job);
-    served.ended(job, cancelled);
+    waitingJobs.remove(job);
+    jobsToOpen.remove(job);
+    completionCandidates.remove(job);
+    unpersistedProgress.remove(job);
+    serviceStatistics.onEnded(job, cancelled);
     if (!cancelled) {
-      MinimumShare.finished(job);
+      MinimumShare.onJobFinished(job);
     }
     job.state = cancelled ? Job.State.CANCELLED : Job.State.DONE;
-    for (TaskAttempt run : new ArrayList<>(job.runs.values())) {
-      if (run.ordered) {
-        run.hasten();
-        stale.add(run.machine);
+    for (TaskAttempt attempt : new ArrayList<>(job.attempts.values())) {
+      if (attempt.startSent) {
+        attempt.shortenGrace();
+        commandsPending.add(attempt.machine);
       } else {
-        drop(run);
+        dropAttempt(attempt);
       }
     }
-    stir();
+    requestPass();
   }
 
   /** The team's unfinished jobs in the order of their submission. */
-  Set<Job> unfinished(String team) {
-    return teamJobs.getOrDefault(team, NONE);
+  Set<Job> unfinishedJobs(String team) {
+    return teamJobs.getOrDefault(team, NO_JOBS);
   }
 
   /**
@@ -180,16 +180,17 @@
    * it gave the guarantee to whichever job was next, before other teams' jobs that could still be
    * in time.
    */
-  private boolean guaranteed(Job job) {
-    Team team = facts.teams().get(job.spec.team());
+  private boolean withinGuaranteedQuota(Job job) {
+    Team team = limits.teams().get(job.spec.team());
     if (team == null) {
       return false;
     }
-    double left = job.spec.gpus() > 0 ? team.gpus() : team.cpus();
+    double remaining = job.spec.gpus() > 0 ? team.guaranteedGpus() : team.guaranteedCpus();
     for (Job earlier : teamJobs.get(team.name()).headSet(job, true)) {
-      JobSpec s = earlier.spec;
-      left -= (job.spec.gpus() > 0 ? s.gpus() : s.cpus()) * team.atOnce(s);
-      if (left < -TOLERANCE) {
+      JobSpec spec = earlier.spec;
+      remaining -=
+          (job.spec.gpus() > 0 ? spec.gpus() : spec.cpus()) * team.maxConcurrentTasks(spec);
+      if (remaining < -TOLERANCE) {
         return false;
       }
     }
@@ -198,207 +199,213 @@
 
   void markDone(Job job, int index) {
     job.markDone(index);
-    if (job.waiting.isEmpty()) {
-      waiting.remove(job);
+    if (job.waitingTasks.isEmpty()) {
+      waitingJobs.remove(job);
     }
-    unsaved.add(job);
+    unpersistedProgress.add(job);
     if (job.complete()) {
-      completing.add(job);
-      stir();
+      completionCandidates.add(job);
+      requestPass();
     }
   }
 
   // ---- machines ----
 
-  void addMachine(Machine m) {
-    m.kind = machineTypes.all().get(m.type);
-    machines.put(m.name, m);
-    unheard += m.inherited && !m.claimed ? 1 : 0;
-    hidden.look(m, true);
-    enter(m, m.state);
+  void addMachine(Machine machine) {
+    machine.type = machineTypes.all().get(machine.typeName);
+    machines.put(machine.name, machine);
+    unreconciledMachines += machine.inherited && !machine.fenced ? 1 : 0;
+    unobservedUsage.update(machine, true);
+    enterState(machine, machine.state);
   }
 
   /**
    * The machine now belongs to this term's token. Up to now an older leader may have answered its
    * reports, so its lease counts from here.
    */
-  void claim(Machine m, long nowMs) {
-    if (m.claimed) {
+  void fence(Machine machine, long nowMs) {
+    if (machine.fenced) {
       return;
     }
-    m.claimed = true;
-    m.heardMs = nowMs;
-    m.renewedMs = nowMs;
-    m.unanswered = 0;
-    m.hearsay = false;
-    hidden.look(m, true);
-    if (m.inherited) {
-      LOG.debug("machine {} answers to token {}", m.name, token);
-      heard(m, nowMs);
+    machine.fenced = true;
+    machine.leaseFromMs = nowMs;
+    machine.leaseRenewedMs = nowMs;
+    machine.consecutiveUnanswered = 0;
+    machine.unverified = false;
+    unobservedUsage.update(machine, true);
+    if (machine.inherited) {
+      LOG.debug("machine {} answers to token {}", machine.name, fencingToken);
+      onReconciled(machine, nowMs);
     }
-    stir();
+    requestPass();
   }
 
-  private void heard(Machine m, long nowMs) {
-    unheard--;
-    if (unheard == 0) {
+  private void onReconciled(Machine machine, long nowMs) {
+    unreconciledMachines--;
+    if (unreconciledMachines == 0) {
       LOG.info(
           "all machines of earlier leaders answer to token {} or are gone, {} ms after its begin",
-          token,
-          nowMs - m.knownMs);
+          fencingToken,
+          nowMs - machine.firstKnownMs);
     }
   }
 
-  void enter(Machine m, Machine.State state) {
-    m.state = state;
+  void enterState(Machine machine, Machine.State state) {
+    machine.state = state;
     if (state == Machine.State.LIVE) {
-      if (!m.enrolled) {
-        unrecorded.add(m);
+      if (!machine.registered) {
+        unregistered.add(machine);
       }
-      stir();
+      requestPass();
     } else {
-      unrecorded.remove(m);
+      unregistered.remove(machine);
     }
   }
 
   /** Whether some machine may still hold what an earlier leader started. */
-  boolean unheard() {
-    return unheard > 0;
+  boolean anyUnreconciled() {
+    return unreconciledMachines > 0;
   }
 
   /** Whether only so few machines are left to be heard that the trouble is theirs. */
-  boolean fewUnheard() {
-    return unheard <= Math.max(Constants.SILENT_FEW, machines.size() * Constants.UNHEARD_SHARE);
+  boolean fewUnreconciled() {
+    return unreconciledMachines
+        <= Math.max(Constants.SILENT_FEW_MACHINES, machines.size() * Constants.UNRECONCILED_SHARE);
   }
 
   /**
    * The machine may have restarted, and nothing shows whether: what it had shown is taken from its
    * next message, and what is on its way to it stays held.
    */
-  void mayHaveRestarted(Machine m, long nowMs) {
-    for (TaskAttempt run : m.runs.values()) {
-      if (run.phase == null && run.answered) {
-        run.doubtful = true;
-        run.orderedIn = Math.max(1, m.session);
+  void onPossibleRestart(Machine machine, long nowMs) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (attempt.phase == null && attempt.startInHeartbeatResponse) {
+        attempt.startUnconfirmed = true;
+        attempt.startEpoch = Math.max(1, machine.epoch);
       }
     }
-    restarted(m, nowMs);
+    onMachineRestarted(machine, nowMs);
   }
 
   /**
    * A message may be of an incarnation that began while the lease was uncertain. Where none was
    * known in this term, the record is of an earlier one, too: it is written anew.
    */
-  void incarnationUnproven(Machine m) {
-    if (m.incarnation.isKnown()) {
-      LOG.debug("machine {} may have restarted while the lease is uncertain", m.name);
-      m.incarnation = new MachineIncarnation();
+  void onUnprovenIncarnation(Machine machine) {
+    if (machine.incarnation.isKnown()) {
+      LOG.debug("machine {} may have restarted while the lease is uncertain", machine.name);
+      machine.incarnation = new MachineIncarnation();
     } else {
-      LOG.debug("machine {} is first heard while the lease is uncertain", m.name);
-      m.enrolled = false;
-      enter(m, m.state);
+      LOG.debug("machine {} is first heard while the lease is uncertain", machine.name);
+      machine.registered = false;
+      enterState(machine, machine.state);
     }
   }
 
   /** The machine began anew: what it held is gone, and it has to be heard as any other. */
-  void restarted(Machine m, long nowMs) {
-    LOG.info("machine {} began anew: its {} tasks are gone", m.name, m.heldCount());
-    dropShown(m);
-    for (TaskAttempt run : m.runs.values()) {
-      run.ordered = false; // it is repeated, once the machine may have tasks again
-      run.lapsed = false; // and fits the new life
-      run.answered = false; // an answer ends with the connection of the life before
-    }
-    boolean counted = m.inherited && !m.claimed;
-    m.restarted();
-    m.heardMs = nowMs;
-    m.unheardMs = nowMs;
-    unheard += counted ? 0 : 1;
-    hidden.look(m, true);
-    enter(m, Machine.State.UNHEARD);
+  void onMachineRestarted(Machine machine, long nowMs) {
+    LOG.info(
+        "machine {} began anew: its {} tasks are gone", machine.name, machine.heldAttemptCount());
+    dropNonPendingAttempts(machine);
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      attempt.startSent = false; // it is repeated, once the machine may have tasks again
+      attempt.startLeaseExpired = false; // and fits the new life
+      attempt.startInHeartbeatResponse =
+          false; // an answer ends with the connection of the life before
+    }
+    boolean alreadyCounted = machine.inherited && !machine.fenced;
+    machine.resetAfterRestart();
+    machine.leaseFromMs = nowMs;
+    machine.unreconciledSinceMs = nowMs;
+    unreconciledMachines += alreadyCounted ? 0 : 1;
+    unobservedUsage.update(machine, true);
+    enterState(machine, Machine.State.UNRECONCILED);
   }
 
   /**
    * Whether the machine is one of a few that this leader cannot make listen, for so long that all
    * that waits for it is worth more than the machine, though other controllers may reach it.
    */
-  boolean holdsUp(Machine m, long nowMs) {
-    return m.state == Machine.State.UNHEARD
-        && fewUnheard()
-        && nowMs - Math.max(resumedMs, m.unheardMs) > Constants.HOLD_UP_MS;
+  boolean blocksReconciliation(Machine machine, long nowMs) {
+    return machine.state == Machine.State.UNRECONCILED
+        && fewUnreconciled()
+        && nowMs - Math.max(resumedMs, machine.unreconciledSinceMs) > Constants.UNFENCED_RELEASE_MS;
   }
 
   /** Proof that the machine and all on it are gone. */
-  void gone(String name, String why, long nowMs) {
-    Machine m = machines.remove(name);
-    if (m == null) {
+  void removeMachine(String machineName, String reason, long nowMs) {
+    Machine machine = machines.remove(machineName);
+    if (machine == null) {
       return;
     }
-    LOG.info("machine {} is gone ({}), with {} tasks", name, why, m.heldCount());
-    long keep = (long) (4 * facts.listLagS() * 1000) + Constants.LATE_REPORTS_MS;
-    goneMs.values().removeIf(at -> at + keep < nowMs);
-    goneMs.put(name, nowMs);
-    if (m.inherited && !m.claimed) {
-      heard(m, nowMs);
+    LOG.info(
+        "machine {} is gone ({}), with {} tasks", machineName, reason, machine.heldAttemptCount());
+    long keepMs = (long) (4 * limits.listLagS() * 1000) + Constants.LATE_HEARTBEAT_MS;
+    removedMs.values().removeIf(removedAtMs -> removedAtMs + keepMs < nowMs);
+    removedMs.put(machineName, nowMs);
+    if (machine.inherited && !machine.fenced) {
+      onReconciled(machine, nowMs);
     }
-    dropAll(m);
-    hidden.look(m, false);
-    stale.remove(m);
-    unrecorded.remove(m);
-    struck.add(new Decision.DeregisterMachine(name, m.addr));
-    stir();
+    dropAllAttempts(machine);
+    unobservedUsage.update(machine, false);
+    commandsPending.remove(machine);
+    unregistered.remove(machine);
+    deregistrations.add(new Decision.DeregisterMachine(machineName, machine.address));
+    requestPass();
   }
 
   /** Whether the machine is known to be gone: old lists and late reports may still speak of it. */
-  boolean goneRecently(String name) {
-    return goneMs.containsKey(name);
+  boolean removedRecently(String machineName) {
+    return removedMs.containsKey(machineName);
   }
 
   /** Machines gone since the last call. */
-  List<Decision.DeregisterMachine> struck() {
-    List<Decision.DeregisterMachine> out = new ArrayList<>(struck);
-    struck.clear();
-    return out;
+  List<Decision.DeregisterMachine> drainDeregistrations() {
+    List<Decision.DeregisterMachine> drained = new ArrayList<>(deregistrations);
+    deregistrations.clear();
+    return drained;
   }
 
   /** Whether new tasks may go there: not to a machine whose report is overdue. */
-  boolean usable(Machine m, long nowMs) {
-    return m.usable(nowMs)
-        && incarnations.usable(m, nowMs)
-        && !overdue(m, nowMs)
-        && !mute(m, nowMs);
+  boolean usable(Machine machine, long nowMs) {
+    return machine.usable(nowMs)
+        && incarnations.usable(machine, nowMs)
+        && !heartbeatOverdue(machine, nowMs)
+        && !outboundPartitioned(machine, nowMs);
   }
 
   /**
    * Its reports find no way here, though it may answer orders. These renew no lease, so what starts
    * there now ends with the lease that is half over.
    */
-  boolean mute(Machine m, long nowMs) {
-    long sinceMs = nowMs - Math.max(resumedMs, m.renewedMs);
-    return sinceMs > facts.leaseS() * 1000 * Constants.MUTE_LEASES;
+  boolean outboundPartitioned(Machine machine, long nowMs) {
+    long sinceMs = nowMs - Math.max(resumedMs, machine.leaseRenewedMs);
+    return sinceMs > limits.leaseS() * 1000 * Constants.OUTBOUND_PARTITION_LEASES;
   }
 
   /** Says in the log when a machine becomes mute, and when its reports come again. */
-  void tellMute(Machine m, long nowMs) {
-    boolean mute = mute(m, nowMs);
-    if (m.state == Machine.State.LIVE && mute != m.toldMute && !overdue(m, nowMs)) {
-      m.toldMute = mute;
+  void logOutboundPartition(Machine machine, long nowMs) {
+    boolean partitioned = outboundPartitioned(machine, nowMs);
+    if (machine.state == Machine.State.LIVE
+        && partitioned != machine.outboundPartitionLogged
+        && !heartbeatOverdue(machine, nowMs)) {
+      machine.outboundPartitionLogged = partitioned;
       LOG.info(
-          mute
+          partitioned
               ? "machine {} answers orders and its reports do not come: nothing new goes there"
               : "machine {} reports again",
-          m.name);
+          machine.name);
     }
   }
 
   /** Silence after which a machine is asked directly: its report is overdue. */
-  private long suspectMs() {
-    return latestReportMs() + Constants.SUSPECT_MS;
+  private long suspicionTimeoutMs() {
+    return maxHeartbeatIntervalMs() + Constants.SUSPECT_AFTER_MS;
   }
 
   /** Milliseconds from one report of a machine to the next, at most. */
-  private long latestReportMs() {
-    return (long) (facts.reportS() * 1000 * Constants.REPORT_LATEST);
+  private long maxHeartbeatIntervalMs() {
+    return (long) (limits.heartbeatIntervalS() * 1000 * Constants.HEARTBEAT_DELAY_FACTOR);
   }
 
   /**
@@ -406,36 +413,39 @@
    * Where no report was to be expected after that, since this leader is cut off from the machine or
    * hears its answers alone, it may also have begun until the others first failed to reach it.
    */
-  long noRestartFromMs(Machine m) {
-    if (m.saidMs() - m.renewedMs > latestReportMs() || m.peerFindings.reachedSince(m.saidMs())) {
-      return m.peerFindings.firstUnreachedMs()
-          + Constants.WITNESS_TIMEOUT_MS
-          + Constants.RESTART_MS;
+  long restartExcludedFromMs(Machine machine) {
+    if (machine.lastContactMs() - machine.leaseRenewedMs > maxHeartbeatIntervalMs()
+        || machine.peerProbeResults.reachedSince(machine.lastContactMs())) {
+      return machine.peerProbeResults.firstUnreachedMs()
+          + Constants.PEER_PROBE_TIMEOUT_MS
+          + Constants.MACHINE_RESTART_MS;
     }
-    return Math.max(resumedMs, m.saidMs()) + latestReportMs() + Constants.RESTART_MS;
+    return Math.max(resumedMs, machine.lastContactMs())
+        + maxHeartbeatIntervalMs()
+        + Constants.MACHINE_RESTART_MS;
   }
 
   /** Silence after which a machine that does not answer either is given back. */
-  long patienceMs() {
-    return suspectMs() + Constants.SILENT_MS;
+  long releaseTimeoutMs() {
+    return suspicionTimeoutMs() + Constants.SILENT_AFTER_MS;
   }
 
   /** So many machines of the zone fell silent that it must be cut off. */
-  void cutOff(String zone, long nowMs) {
-    if (cutZones.put(zone, nowMs) == null) {
+  void markZonePartitioned(String zone, long nowMs) {
+    if (partitionedZones.put(zone, nowMs) == null) {
       LOG.info("zone {} is taken to be cut off: its machines have fallen silent", zone);
     }
   }
 
   /** Whether nothing can be expected from the zone now. */
-  boolean isCutOff(String zone, long nowMs) {
-    Long at = cutZones.get(zone);
-    return at != null && nowMs - at < Constants.ZONE_CUT_MS;
+  boolean isZonePartitioned(String zone, long nowMs) {
+    Long markedMs = partitionedZones.get(zone);
+    return markedMs != null && nowMs - markedMs < Constants.ZONE_PARTITION_RETRY_MS;
   }
 
   /** A machine of the zone has spoken. */
-  void heardFrom(String zone) {
-    if (cutZones.remove(zone) != null) {
+  void clearZonePartition(String zone) {
+    if (partitionedZones.remove(zone) != null) {
       LOG.info("zone {} is heard again", zone);
     }
   }
@@ -443,134 +453,138 @@
   // ---- holding and releasing ----
 
   /** Attempt numbers are about to run out: only a new token brings new ones. */
-  boolean usedUp() {
-    return attempts >= (1L << Constants.ATTEMPT_BITS) - Constants.ATTEMPTS_LEFT;
+  boolean attemptNumbersExhausted() {
+    return lastAttemptNumber
+        >= (1L << Constants.ATTEMPT_COUNTER_BITS) - Constants.TERM_END_ATTEMPTS_LEFT;
   }
 
-  long nextAttempt() {
-    return (token << Constants.ATTEMPT_BITS) | ++attempts;
+  long nextAttemptNumber() {
+    return (fencingToken << Constants.ATTEMPT_COUNTER_BITS) | ++lastAttemptNumber;
   }
 
-  TaskAttempt place(Job job, int index, Machine m, long attempt, long nowMs) {
-    if (m.idle()) {
-      reuse.computeIfAbsent(m.type, t -> new DecayingRate(Constants.REUSE_WINDOW_S)).add(nowMs);
+  TaskAttempt place(Job job, int index, Machine machine, long attemptNumber, long nowMs) {
+    if (machine.idle()) {
+      reuseRates
+          .computeIfAbsent(machine.typeName, t -> new DecayingRate(Constants.REUSE_WINDOW_S))
+          .add(nowMs);
     }
-    TaskAttempt run = new TaskAttempt(job, index, attempt, m, nowMs);
-    m.add(run);
-    hold(run);
+    TaskAttempt attempt = new TaskAttempt(job, index, attemptNumber, machine, nowMs);
+    machine.add(attempt);
+    hold(attempt);
     job.lastPlacedMs = nowMs;
-    stale.add(m);
+    commandsPending.add(machine);
     if (!job.opened) {
-      unopened.add(job);
+      jobsToOpen.add(job);
     } else if (job.spec.kind() == JobKind.SERVICE) {
-      moved.add(job);
+      placementsToPersist.add(job);
     }
-    stir();
-    return run;
+    requestPass();
+    return attempt;
   }
 
   /** How many machines of a type are taken from idleness in a second, lately. */
-  double reusedPerS(String type, long nowMs) {
-    DecayingRate d = reuse.get(type);
-    return d == null ? 0 : d.perS(nowMs);
+  double reuseRatePerS(String typeName, long nowMs) {
+    DecayingRate rate = reuseRates.get(typeName);
+    return rate == null ? 0 : rate.perS(nowMs);
   }
 
   /** A task found on a machine; it is the job's unless another attempt is, or nobody wants it. */
-  void adopt(TaskAttempt run) {
-    run.machine.add(run);
-    if (!run.exited()) {
-      use(run, 1);
+  void adopt(TaskAttempt attempt) {
+    attempt.machine.add(attempt);
+    if (!attempt.exited()) {
+      addUsage(attempt, 1);
     }
   }
 
   /** Makes an adopted run the one that holds its task. */
-  void recognise(TaskAttempt run) {
-    run.job.hold(run);
-    if (run.job.waiting.isEmpty()) {
-      waiting.remove(run.job);
+  void holdTask(TaskAttempt attempt) {
+    attempt.job.hold(attempt);
+    if (attempt.job.waitingTasks.isEmpty()) {
+      waitingJobs.remove(attempt.job);
     }
   }
 
-  private void hold(TaskAttempt run) {
-    use(run, 1);
-    recognise(run);
+  private void hold(TaskAttempt attempt) {
+    addUsage(attempt, 1);
+    holdTask(attempt);
   }
 
-  private void use(TaskAttempt run, int sign) {
-    JobSpec s = run.job.spec;
-    run.machine.use(s, sign);
-    if (run.job.stranger) {
-      run.machine.strangers(sign);
-      hidden.look(run.machine, machines.get(run.machine.name) == run.machine);
+  private void addUsage(TaskAttempt attempt, int sign) {
+    JobSpec spec = attempt.job.spec;
+    attempt.machine.addUsage(spec, sign);
+    if (attempt.job.orphaned) {
+      attempt.machine.addOrphanedAttempts(sign);
+      unobservedUsage.update(
+          attempt.machine, machines.get(attempt.machine.name) == attempt.machine);
     }
-    utilization.use(run.machine, sign * s.cpus());
-    double[] u = teamUse.computeIfAbsent(s.team(), t -> new double[2]);
-    u[0] += sign * s.cpus();
-    u[1] += sign * s.gpus();
+    utilization.addUsedCpus(attempt.machine, sign * spec.cpus());
+    double[] usage = teamUsage.computeIfAbsent(spec.team(), t -> new double[2]);
+    usage[0] += sign * spec.cpus();
+    usage[1] += sign * spec.gpus();
   }
 
-  double[] teamUse(String team) {
-    return teamUse.getOrDefault(team, new double[2]);
+  double[] teamUsage(String team) {
+    return teamUsage.getOrDefault(team, new double[2]);
   }
 
   /** Whether the team may have one more task of the job. */
-  boolean teamAllows(Job job) {
-    return teamAllows(job, 1);
+  boolean teamQuotaAllows(Job job) {
+    return teamQuotaAllows(job, 1);
   }
 
   /** Whether the team may have so many more tasks of the job, whatever the unheard hold of it. */
-  boolean teamAllows(Job job, int tasks) {
-    Team team = facts.teams().get(job.spec.team());
+  boolean teamQuotaAllows(Job job, int tasks) {
+    Team team = limits.teams().get(job.spec.team());
     if (team == null) {
       return false;
     }
-    double[] use = teamUse(team.name());
-    JobSpec s = job.spec;
+    double[] usage = teamUsage(team.name());
+    JobSpec spec = job.spec;
     return team.allows(
-        use[0] + (s.cpus() > 0 ? tasks * s.cpus() + hidden.cpus() : 0),
-        use[1] + (s.gpus() > 0 ? tasks * s.gpus() + hidden.gpus() : 0));
+        usage[0] + (spec.cpus() > 0 ? tasks * spec.cpus() + unobservedUsage.cpus() : 0),
+        usage[1] + (spec.gpus() > 0 ? tasks * spec.gpus() + unobservedUsage.gpus() : 0));
   }
 
   /** Processors and accelerators that the team may still take, whatever the unheard hold of it. */
-  double[] teamLeft(String name) {
-    Team team = facts.teams().get(name);
+  double[] remainingTeamQuota(String teamName) {
+    Team team = limits.teams().get(teamName);
     if (team == null) {
       return new double[2];
     }
-    double[] use = teamUse(name);
+    double[] usage = teamUsage(teamName);
     return new double[] {
-      team.cpusMax() > 0 ? team.cpusMax() - use[0] - hidden.cpus() : Double.MAX_VALUE,
-      team.gpusMax() > 0 ? team.gpusMax() - use[1] - hidden.gpus() : Double.MAX_VALUE
+      team.maxCpus() > 0 ? team.maxCpus() - usage[0] - unobservedUsage.cpus() : Double.MAX_VALUE,
+      team.maxGpus() > 0 ? team.maxGpus() - usage[1] - unobservedUsage.gpus() : Double.MAX_VALUE
     };
   }
 
   /** The task is off its machine; its entry there may stay until the worker has forgotten it. */
-  void release(TaskAttempt run) {
-    use(run, -1);
-    Job job = run.job;
-    job.extras.remove(run);
-    if (job.release(run)) {
-      for (TaskAttempt extra : job.extras) {
-        if (extra.index == run.index) {
-          job.extras.remove(extra);
-          recognise(extra);
+  void release(TaskAttempt attempt) {
+    addUsage(attempt, -1);
+    Job job = attempt.job;
+    job.duplicateAttempts.remove(attempt);
+    if (job.release(attempt)) {
+      for (TaskAttempt duplicate : job.duplicateAttempts) {
+        if (duplicate.index == attempt.index) {
+          job.duplicateAttempts.remove(duplicate);
+          holdTask(duplicate);
           break;
         }
       }
-      if (job.state == Job.State.LIVE && !job.waiting.isEmpty()) {
-        waiting.add(job);
+      if (job.state == Job.State.LIVE && !job.waitingTasks.isEmpty()) {
+        waitingJobs.add(job);
       }
     }
   }
 
   /** Proof that the machine does not have the attempt, nor will. */
-  void drop(TaskAttempt run) {
-    if (!run.exited()) {
-      release(run);
-      run.job.restarts += run.ordered ? 1 : 0;
-      stir();
+  void dropAttempt(TaskAttempt attempt) {
+    if (!attempt.exited()) {
+      release(attempt);
+      attempt.job.unsuccessfulAttempts += attempt.startSent ? 1 : 0;
+      requestPass();
     }
-    run.machine.remove(run);
+    attempt.machine.remove(attempt);
   }
 
   /**
@@ -578,11 +592,11 @@
    * start: that stays held until the machine is heard in a later session, or is gone. Says how many
    * were dropped.
    */
-  int dropShown(Machine m) {
+  int dropNonPendingAttempts(Machine machine) {
     int dropped = 0;
-    for (TaskAttempt run : new ArrayList<>(m.runs.values())) {
-      if (!run.pending()) {
-        drop(run);
+    for (TaskAttempt attempt : new ArrayList<>(machine.attempts.values())) {
+      if (!attempt.startPending()) {
+        dropAttempt(attempt);
         dropped++;
       }
     }
@@ -590,46 +604,47 @@
   }
 
   /** Proof that nothing of what the machine held is left there, nor on its way. */
-  void dropAll(Machine m) {
-    for (TaskAttempt run : new ArrayList<>(m.runs.values())) {
-      drop(run);
+  void dropAllAttempts(Machine machine) {
+    for (TaskAttempt attempt : new ArrayList<>(machine.attempts.values())) {
+      dropAttempt(attempt);
     }
   }
 
   /** Stops a task in the way that saves most: a gang as a whole, with time to save. */
-  void stop(TaskAttempt run) {
-    if (run.job.spec.kind() == JobKind.GANG) {
-      for (TaskAttempt other : run.job.runs.values()) {
-        mark(other);
+  void stop(TaskAttempt attempt) {
+    if (attempt.job.spec.kind() == JobKind.GANG) {
+      for (TaskAttempt other : attempt.job.attempts.values()) {
+        markStopping(other);
       }
     } else {
-      mark(run);
+      markStopping(attempt);
     }
   }
 
   /** The attempt will never be complete: what waits under its number waits in vain. */
-  void stopAttempt(Job job, long attempt) {
-    for (TaskAttempt run : job.runs.values()) {
-      if (run.attempt == attempt) {
-        mark(run);
+  void stopAttempt(Job job, long attemptNumber) {
+    for (TaskAttempt attempt : job.attempts.values()) {
+      if (attempt.attemptNumber == attemptNumber) {
+        markStopping(attempt);
       }
     }
-    stir();
+    requestPass();
   }
 
-  private void mark(TaskAttempt run) {
-    run.stopping = true;
-    run.machine.stoppable = null;
-    run.stopGraceS = run.job.spec.checkpointS() > 0 ? run.job.spec.saveS() + 1 : 0;
-    stale.add(run.machine);
+  private void markStopping(TaskAttempt attempt) {
+    attempt.stopping = true;
+    attempt.machine.preemptible = null;
+    attempt.stopGraceS =
+        attempt.job.spec.checkpointIntervalS() > 0 ? attempt.job.spec.checkpointSaveS() + 1 : 0;
+    commandsPending.add(attempt.machine);
   }
 
   /** Sums up what is used anew; in between, holding and releasing keep it up. */
-  void recount() {
+  void recomputeUtilization() {
     utilization.recount(machines.values());
   }
 
-  Collection<Machine> all() {
+  Collection<Machine> allMachines() {
     return machines.values();
   }
 }
--- a/src/main/java/org/astershift/scheduler/Command.java
+++ b/src/main/java/org/astershift/scheduler/Command.java
@@ -1,7 +1,7 @@
 package org.astershift.scheduler;
 
 /** A command to a worker. */
-public record Command(Kind op, String job, int index, long attempt, double graceS) {
+public record Command(Kind kind, String jobId, int index, long attemptNumber, double graceS) {
 
   /** The commands there are. */
   public enum Kind {
@@ -10,15 +10,16 @@
     FORGET
   }
 
-  static Command start(TaskAttempt run) {
-    return new Command(Kind.START, run.job.spec.id(), run.index, run.attempt, 0);
+  static Command start(TaskAttempt attempt) {
+    return new Command(Kind.START, attempt.job.spec.id(), attempt.index, attempt.attemptNumber, 0);
   }
 
-  static Command stop(TaskAttempt run, double graceS) {
-    return new Command(Kind.STOP, run.job.spec.id(), run.index, run.attempt, graceS);
+  static Command stop(TaskAttempt attempt, double graceS) {
+    return new Command(
+        Kind.STOP, attempt.job.spec.id(), attempt.index, attempt.attemptNumber, graceS);
   }
 
-  static Command forget(TaskAttempt run) {
-    return new Command(Kind.FORGET, run.job.spec.id(), run.index, run.attempt, 0);
+  static Command forget(TaskAttempt attempt) {
+    return new Command(Kind.FORGET, attempt.job.spec.id(), attempt.index, attempt.attemptNumber, 0);
   }
 }
--- a/src/main/java/org/astershift/scheduler/CommandConcurrencyLimit.java
+++ b/src/main/java/org/astershift/scheduler/CommandConcurrencyLimit.java
@@ -13,41 +13,43 @@
  * to its machine's next report, which carries the same commands.
  */
 final class CommandConcurrencyLimit {
-  private final Map<String, Long> underWay = new HashMap<>();
-  private double most = Constants.ORDERS_AT_FIRST;
-  private long loweredMs = Long.MIN_VALUE / 2;
+  private final Map<String, Long> sentMsByMachine = new HashMap<>();
+  private double limit = Constants.CONCURRENT_COMMANDS_INITIAL;
+  private long lastDecreaseMs = Long.MIN_VALUE / 2;
 
   /** Whether one more may go out. */
-  boolean open() {
-    return underWay.size() < most;
+  boolean hasCapacity() {
+    return sentMsByMachine.size() < limit;
   }
 
-  void sent(String machine, long nowMs) {
-    underWay.put(machine, nowMs);
+  void onSent(String machineName, long nowMs) {
+    sentMsByMachine.put(machineName, nowMs);
   }
 
   /** The order, if one was under way, has its answer, or will get none. */
-  void settled(String machine, boolean answered, long nowMs) {
-    Long sentMs = underWay.remove(machine);
+  void onSettled(String machineName, boolean answered, long nowMs) {
+    Long sentMs = sentMsByMachine.remove(machineName);
     if (sentMs == null || !answered) {
       return; // a machine that does not answer says nothing of this node
     }
-    if (nowMs - sentMs <= Constants.ORDER_SLOW_MS) {
-      most = Math.min(Constants.ORDERS_MOST, most + Constants.ORDERS_MORE);
-    } else if (sentMs > loweredMs) {
+    if (nowMs - sentMs <= Constants.COMMAND_SLOW_MS) {
+      limit =
+          Math.min(
+              Constants.CONCURRENT_COMMANDS_MAX, limit + Constants.CONCURRENT_COMMANDS_INCREASE);
+    } else if (sentMs > lastDecreaseMs) {
       // Once for all that were under way together.
-      loweredMs = nowMs;
-      most = Math.max(Constants.ORDERS_LEAST, most / 2);
+      lastDecreaseMs = nowMs;
+      limit = Math.max(Constants.CONCURRENT_COMMANDS_MIN, limit / 2);
     }
   }
 
   /** Forgets those whose end was not told: none takes so long. */
-  void tidy(long nowMs) {
-    underWay.values().removeIf(sentMs -> nowMs - sentMs > Constants.ORDER_LOST_MS);
+  void removeLost(long nowMs) {
+    sentMsByMachine.values().removeIf(sentMs -> nowMs - sentMs > Constants.COMMAND_LOST_MS);
   }
 
   @Override
   public String toString() {
-    return underWay.size() + " of " + (int) most + " direct orders under way";
+    return sentMsByMachine.size() + " of " + (int) limit + " direct orders under way";
   }
 }
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -9,42 +9,42 @@
  * answer to its report, or straight to it where that should not wait.
  */
 final class CommandReconciler {
-  private final ClusterState c;
-  private final CommandConcurrencyLimit budget = new CommandConcurrencyLimit();
+  private final ClusterState cluster;
+  private final CommandConcurrencyLimit concurrencyLimit = new CommandConcurrencyLimit();
 
   CommandReconciler(ClusterState cluster) {
-    this.c = cluster;
+    this.cluster = cluster;
   }
 
   /** What to say in the answer to the newest report: everything wanted and not yet so. */
-  List<Command> answer(Machine m, long nowMs) {
-    List<Command> orders = new ArrayList<>(4);
-    for (TaskAttempt run : m.runs.values()) {
+  List<Command> heartbeatResponse(Machine machine, long nowMs) {
+    List<Command> commands = new ArrayList<>(4);
+    for (TaskAttempt attempt : machine.attempts.values()) {
       // One report is under way at a time: the answer to the one before arrived or never will.
-      run.answered = false;
+      attempt.startInHeartbeatResponse = false;
     }
-    dropNeverStarted(m);
-    boolean usable = c.incarnations.usable(m, nowMs);
-    for (TaskAttempt run : m.runs.values()) {
-      if (run.exited()) {
+    dropNeverStarted(machine);
+    boolean usable = cluster.incarnations.usable(machine, nowMs);
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (attempt.exited()) {
         // Forgetting an attempt whose start may still arrive would let that start run it again.
-        if (!run.doubtful && !run.inFlight && forgettable(run)) {
-          orders.add(Command.forget(run));
+        if (!attempt.startUnconfirmed && !attempt.startInFlight && forgettable(attempt)) {
+          commands.add(Command.forget(attempt));
         }
-      } else if (run.unwanted()) {
-        if (run.phase == null && usable) {
+      } else if (attempt.unwanted()) {
+        if (attempt.phase == null && usable) {
           // Make the worker remember the attempt, so that the late start has no effect.
-          run.answered = true;
-          orders.add(Command.start(run));
+          attempt.startInHeartbeatResponse = true;
+          commands.add(Command.start(attempt));
         }
-        orders.add(Command.stop(run, run.graceS()));
-      } else if (run.phase == null && run.job.opened && m.enrolled && usable) {
-        run.ordered = true;
-        run.answered = true;
-        orders.add(Command.start(run));
+        commands.add(Command.stop(attempt, attempt.graceS()));
+      } else if (attempt.phase == null && attempt.job.opened && machine.registered && usable) {
+        attempt.startSent = true;
+        attempt.startInHeartbeatResponse = true;
+        commands.add(Command.start(attempt));
       }
     }
-    return orders;
+    return commands;
   }
 
   /**
@@ -53,15 +53,18 @@
    * this term: a task stopped before its start went out stayed placed there for ever, beside room,
    * and held its team's limit (seed 1615 of the swarm, as old as the code).
    */
-  void dropNeverStarted(Machine m) {
-    List<TaskAttempt> never = new ArrayList<>(0);
-    for (TaskAttempt run : m.runs.values()) {
-      if (run.unwanted() && run.phase == null && !run.pending() && !run.answered) {
-        never.add(run);
+  void dropNeverStarted(Machine machine) {
+    List<TaskAttempt> neverStarted = new ArrayList<>(0);
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (attempt.unwanted()
+          && attempt.phase == null
+          && !attempt.startPending()
+          && !attempt.startInHeartbeatResponse) {
+        neverStarted.add(attempt);
       }
     }
-    for (TaskAttempt run : never) {
-      c.drop(run);
+    for (TaskAttempt attempt : neverStarted) {
+      cluster.dropAttempt(attempt);
     }
   }
 
@@ -70,30 +73,33 @@
    * machine's lease, also one to a report that proves nothing; so each carries these, or a task
    * whose user was told that it is cancelled would live on for as long as only such reports come.
    */
-  List<Command> ends(Heartbeat r) {
-    List<Command> orders = new ArrayList<>(0);
-    for (Heartbeat.TaskStatus item : r.tasks()) {
-      Job job = c.jobs.get(item.job());
-      if (item.phase() != Heartbeat.TaskPhase.EXITED && (job == null || job.cancelWanted)) {
-        orders.add(new Command(Command.Kind.STOP, item.job(), item.index(), item.attempt(), 0));
+  List<Command> stopsForEndedJobs(Heartbeat heartbeat) {
+    List<Command> commands = new ArrayList<>(0);
+    for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+      Job job = cluster.jobs.get(status.jobId());
+      if (status.phase() != Heartbeat.TaskPhase.EXITED
+          && (job == null || job.cancellationRequested)) {
+        commands.add(
+            new Command(
+                Command.Kind.STOP, status.jobId(), status.index(), status.attemptNumber(), 0));
       }
     }
-    return orders;
+    return commands;
   }
 
   /**
    * What a machine says is done is kept there until it is on record: a successor may ask for it.
    */
-  private static boolean forgettable(TaskAttempt run) {
-    return run.job.state != Job.State.LIVE
-        || !"done".equals(run.cause)
-        || run.job.doneDurable.get(run.index);
+  private static boolean forgettable(TaskAttempt attempt) {
+    return attempt.job.state != Job.State.LIVE
+        || !"done".equals(attempt.exitReason)
+        || attempt.job.persistedDoneTasks.get(attempt.index);
   }
 
   /** Whether a command waits that should not wait for the machine's next report. */
-  static boolean due(Machine m) {
-    for (TaskAttempt run : m.runs.values()) {
-      if (startDue(run) || stopDue(run)) {
+  static boolean urgentCommandDue(Machine machine) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (startDue(attempt) || stopDue(attempt)) {
         return true;
       }
     }
@@ -104,12 +110,12 @@
    * Whether its commands should go out now and not with the answer to its next report: stops at any
    * time, since those of a gang have to arrive together, starts as far as the budget goes.
    */
-  boolean mayGo(Machine m) {
-    if (budget.open()) {
+  boolean maySendNow(Machine machine) {
+    if (concurrencyLimit.hasCapacity()) {
       return true;
     }
-    for (TaskAttempt run : m.runs.values()) {
-      if (stopDue(run)) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (stopDue(attempt)) {
         return true;
       }
     }
@@ -117,67 +123,85 @@
   }
 
   /** The books of the direct orders under way. */
-  CommandConcurrencyLimit budget() {
-    return budget;
+  CommandConcurrencyLimit concurrencyLimit() {
+    return concurrencyLimit;
   }
 
   /** A machine that began anew may hold a start in doubt: not before it is on record again. */
-  private static boolean startDue(TaskAttempt run) {
-    return run.phase == null
-        && !run.ordered
-        && run.job.opened
-        && !run.unwanted()
-        && run.machine.enrolled;
+  private static boolean startDue(TaskAttempt attempt) {
+    return attempt.phase == null
+        && !attempt.startSent
+        && attempt.job.opened
+        && !attempt.unwanted()
+        && attempt.machine.registered;
   }
 
-  private static boolean stopDue(TaskAttempt run) {
-    return !run.exited() && run.unwanted() && run.ordered && !run.stopSent && run.phase != null;
+  private static boolean stopDue(TaskAttempt attempt) {
+    return !attempt.exited()
+        && attempt.unwanted()
+        && attempt.startSent
+        && !attempt.stopSent
+        && attempt.phase != null;
   }
 
   /**
    * Commands that should not wait for the machine's next report; null if there are none. Starts
-   * only while this leader is {@code sole}: a machine that has shown a later leader's token and
-   * begins anew has none, and executes a direct start of an earlier leader that stood still
+   * only while this leader is {@code leaseCertain}: a machine that has shown a later leader's token
+   * and begins anew has none, and executes a direct start of an earlier leader that stood still
    * meanwhile (seed 6651 of the swarm). In an answer it goes to who has just shown this token.
    */
-  Decision.SendCommands urgent(Machine m, boolean sole, long nowMs) {
-    if (m.orderInFlight || m.addr == null || m.session == 0 || m.state != Machine.State.LIVE) {
+  Decision.SendCommands urgentCommands(Machine machine, boolean leaseCertain, long nowMs) {
+    if (machine.commandInFlight
+        || machine.address == null
+        || machine.epoch == 0
+        || machine.state != Machine.State.LIVE) {
       return null;
     }
-    List<Command> orders = new ArrayList<>();
-    for (TaskAttempt run : m.runs.values()) {
-      if (stopDue(run)) {
-        orders.add(Command.stop(run, run.graceS()));
-        run.stopSent = true;
-      } else if (sole && startDue(run) && !c.mute(m, nowMs)) {
-        orders.add(directStart(run));
+    List<Command> commands = new ArrayList<>();
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (stopDue(attempt)) {
+        commands.add(Command.stop(attempt, attempt.graceS()));
+        attempt.stopSent = true;
+      } else if (leaseCertain
+          && startDue(attempt)
+          && !cluster.outboundPartitioned(machine, nowMs)) {
+        commands.add(directStart(attempt));
       }
     }
-    if (orders.isEmpty()) {
+    if (commands.isEmpty()) {
       return null;
     }
-    budget.sent(m.name, nowMs);
-    return direct(m, orders, Constants.ORDER_TIMEOUT_MS, nowMs);
+    concurrencyLimit.onSent(machine.name, nowMs);
+    return directCommands(machine, commands, Constants.COMMAND_TIMEOUT_MS, nowMs);
   }
 
   /**
    * The claim of an inherited machine, or the question whether a machine whose report is overdue is
    * still there; null if neither is due.
    */
-  Decision.SendCommands question(Machine m, boolean sole, long nowMs) {
-    if (m.orderInFlight
-        || m.addr == null
-        || m.state == Machine.State.BOOTING
-        || (m.state == Machine.State.LOST && !m.older && m.directFailures > 0)
-        || m.state == Machine.State.RETURNING
-        || nowMs - m.lastDirectMs < Constants.CLAIM_RETRY_MS) {
+  Decision.SendCommands fenceOrProbe(Machine machine, boolean leaseCertain, long nowMs) {
+    if (machine.commandInFlight
+        || machine.address == null
+        || machine.state == Machine.State.BOOTING
+        || (machine.state == Machine.State.LEASE_EXPIRED
+            && !machine.staleMessageSeen
+            && machine.directCommandFailures > 0)
+        || machine.state == Machine.State.RELEASING
+        || nowMs - machine.lastDirectCommandMs < Constants.FENCE_RETRY_INTERVAL_MS) {
       return null;
     }
-    boolean claim = claimDue(m, nowMs);
-    boolean probe = m.session > 0 && c.overdue(m, nowMs);
-    boolean puzzle = m.older || (m.deaf() && nowMs - m.lastDirectMs >= Constants.DEAF_ASK_MS);
-    return claim || probe || puzzle
-        ? direct(m, repeated(m, sole, nowMs), Constants.PROBE_TIMEOUT_MS, nowMs)
+    boolean fence = fenceDue(machine, nowMs);
+    boolean probe = machine.epoch > 0 && cluster.heartbeatOverdue(machine, nowMs);
+    boolean restartCheck =
+        machine.staleMessageSeen
+            || (machine.inboundPartitioned()
+                && nowMs - machine.lastDirectCommandMs >= Constants.PARTITION_PROBE_INTERVAL_MS);
+    return fence || probe || restartCheck
+        ? directCommands(
+            machine,
+            unacknowledgedCommands(machine, leaseCertain, nowMs),
+            Constants.MACHINE_PROBE_TIMEOUT_MS,
+            nowMs)
         : null;
   }
 
@@ -188,22 +212,30 @@
    * wanted any more goes with its stop, so that the machine remembers the attempt: a cancellation
    * waited for ever for a start in doubt of the life before (seeds 4939 and 7641 of the swarm).
    */
-  private List<Command> repeated(Machine m, boolean sole, long nowMs) {
-    List<Command> orders = new ArrayList<>(0);
-    boolean starts = sole && m.restartedInTerm && m.enrolled && m.state == Machine.State.LIVE;
-    for (TaskAttempt run : m.runs.values()) {
-      if (starts && run.phase == null && run.doubtful && run.job.state == Job.State.LIVE) {
-        if (run.unwanted() || (run.job.opened && !c.mute(m, nowMs))) {
-          orders.add(directStart(run));
-          if (run.unwanted()) {
-            orders.add(Command.stop(run, run.graceS()));
+  private List<Command> unacknowledgedCommands(Machine machine, boolean leaseCertain, long nowMs) {
+    List<Command> commands = new ArrayList<>(0);
+    boolean startsAllowed =
+        leaseCertain
+            && machine.restartedInTerm
+            && machine.registered
+            && machine.state == Machine.State.LIVE;
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (startsAllowed
+          && attempt.phase == null
+          && attempt.startUnconfirmed
+          && attempt.job.state == Job.State.LIVE) {
+        if (attempt.unwanted()
+            || (attempt.job.opened && !cluster.outboundPartitioned(machine, nowMs))) {
+          commands.add(directStart(attempt));
+          if (attempt.unwanted()) {
+            commands.add(Command.stop(attempt, attempt.graceS()));
           }
         }
-      } else if (!run.exited() && run.unwanted() && run.stopSent) {
-        orders.add(Command.stop(run, run.graceS()));
+      } else if (!attempt.exited() && attempt.unwanted() && attempt.stopSent) {
+        commands.add(Command.stop(attempt, attempt.graceS()));
       }
     }
-    return orders;
+    return commands;
   }
 
   /**
@@ -212,45 +244,54 @@
    * than all their reports. Counted from the first that was heard of it: copies of what it said
    * before, each newer than the last, put the question off for as long as they came.
    */
-  private static boolean claimDue(Machine m, long nowMs) {
-    boolean said = m.firstSaidMs >= 0;
-    long sinceMs = said ? m.firstSaidMs : Math.max(m.knownMs, m.seenMs);
-    long waitMs = said ? Constants.CLAIM_SEEN_MS : Constants.CLAIM_UNSEEN_MS;
-    return !m.claimed && m.inherited && nowMs - sinceMs >= waitMs;
+  private static boolean fenceDue(Machine machine, long nowMs) {
+    boolean messageSeen = machine.firstMessageMs >= 0;
+    long sinceMs =
+        messageSeen
+            ? machine.firstMessageMs
+            : Math.max(machine.firstKnownMs, machine.lastMessageMs);
+    long waitMs = messageSeen ? Constants.FENCE_SEEN_MS : Constants.FENCE_UNSEEN_MS;
+    return !machine.fenced && machine.inherited && nowMs - sinceMs >= waitMs;
   }
 
   /** Whether a question that has waited for its turn is still worth asking. */
-  boolean worthAsking(Machine m, long nowMs) {
-    return claimDue(m, nowMs) || m.older || m.deaf() || (m.claimed && c.overdue(m, nowMs));
+  boolean fenceOrProbeStillDue(Machine machine, long nowMs) {
+    return fenceDue(machine, nowMs)
+        || machine.staleMessageSeen
+        || machine.inboundPartitioned()
+        || (machine.fenced && cluster.heartbeatOverdue(machine, nowMs));
   }
 
   /**
    * A start in a direct order, which is under way from now on, and meant for the present session:
    * whoever sends one without noting both takes the attempt for gone while it may still start.
    */
-  private static Command directStart(TaskAttempt run) {
-    run.ordered = true;
-    run.inFlight = true;
-    run.orderedIn = Math.max(1, run.machine.session);
-    return Command.start(run);
+  private static Command directStart(TaskAttempt attempt) {
+    attempt.startSent = true;
+    attempt.startInFlight = true;
+    attempt.startEpoch = Math.max(1, attempt.machine.epoch);
+    return Command.start(attempt);
   }
 
-  private Decision.SendCommands direct(Machine m, List<Command> orders, int timeoutMs, long nowMs) {
-    m.orderInFlight = true;
-    m.askedWhileSilent = m.state == Machine.State.UNHEARD || c.overdue(m, nowMs);
-    m.lastDirectMs = nowMs;
-    m.askedSession = m.session;
-    m.askedSeq = m.seq;
-    return new Decision.SendCommands(m.name, m.addr, Math.max(1, m.session), orders, timeoutMs);
+  private Decision.SendCommands directCommands(
+      Machine machine, List<Command> commands, int timeoutMs, long nowMs) {
+    machine.commandInFlight = true;
+    machine.commandSentWhileSilent =
+        machine.state == Machine.State.UNRECONCILED || cluster.heartbeatOverdue(machine, nowMs);
+    machine.lastDirectCommandMs = nowMs;
+    machine.epochWhenCommandSent = machine.epoch;
+    machine.sequenceWhenCommandSent = machine.sequence;
+    return new Decision.SendCommands(
+        machine.name, machine.address, Math.max(1, machine.epoch), commands, timeoutMs);
   }
 
   /** A direct order has its answer, or will get none. */
-  static void settled(Machine m, boolean unknown) {
-    m.orderInFlight = false;
-    for (TaskAttempt run : m.runs.values()) {
-      if (run.inFlight) {
-        run.inFlight = false;
-        run.doubtful |= unknown;
+  static void onSettled(Machine machine, boolean outcomeUnknown) {
+    machine.commandInFlight = false;
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (attempt.startInFlight) {
+        attempt.startInFlight = false;
+        attempt.startUnconfirmed |= outcomeUnknown;
       }
     }
   }
--- a/src/main/java/org/astershift/scheduler/CostStatistics.java
+++ b/src/main/java/org/astershift/scheduler/CostStatistics.java
@@ -7,36 +7,38 @@
 final class CostStatistics {
   private static final double MS_PER_HOUR = 3_600_000;
   private long lastMs = -1;
-  private double booting;
-  private double idle;
-  private double unused;
-  private double used;
-  private double silent;
+  private double bootingCost;
+  private double idleCost;
+  private double unusedCost;
+  private double usedCost;
+  private double silentCost;
 
-  void add(Collection<Machine> machines, long nowMs) {
+  void accrue(Collection<Machine> machines, long nowMs) {
     double hours = lastMs < 0 ? 0 : (nowMs - lastMs) / MS_PER_HOUR;
     lastMs = nowMs;
-    for (Machine m : machines) {
-      MachineType t = m.kind;
-      if (t == null) {
+    for (Machine machine : machines) {
+      MachineType type = machine.type;
+      if (type == null) {
         continue;
       }
-      double cost = t.price(m.spot) * hours;
+      double cost = type.hourlyPrice(machine.spot) * hours;
       double share =
           Math.max(
-              m.usedCpus() / t.cpus(),
-              Math.max(m.usedMemory() / t.memoryGb(), t.gpus() > 0 ? m.usedGpus() / t.gpus() : 0));
-      switch (m.state) {
-        case BOOTING -> booting += cost;
+              machine.usedCpus() / type.cpus(),
+              Math.max(
+                  machine.usedMemoryGb() / type.memoryGb(),
+                  type.gpus() > 0 ? machine.usedGpus() / type.gpus() : 0));
+      switch (machine.state) {
+        case BOOTING -> bootingCost += cost;
         case LIVE -> {
-          if (!m.idle()) {
-            used += cost * share;
-            unused += cost * (1 - share);
+          if (!machine.idle()) {
+            usedCost += cost * share;
+            unusedCost += cost * (1 - share);
           } else {
-            idle += cost;
+            idleCost += cost;
           }
         }
-        default -> silent += cost;
+        default -> silentCost += cost;
       }
     }
   }
@@ -46,10 +48,10 @@
     return String.format(
         Locale.ROOT,
         "spent %.2f on tasks, %.2f beside tasks, %.2f idle, %.2f booting, %.2f silent or returning",
-        used,
-        unused,
-        idle,
-        booting,
-        silent);
+        usedCost,
+        unusedCost,
+        idleCost,
+        bootingCost,
+        silentCost);
   }
 }
--- a/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
+++ b/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
@@ -15,131 +15,146 @@
  * others.
  */
 final class DeadlineAdmission {
-  private final ClusterState c;
+  private final ClusterState cluster;
 
   DeadlineAdmission(ClusterState cluster) {
-    this.c = cluster;
+    this.cluster = cluster;
   }
 
   /** Sets the urgency of these waiting arrays of one priority, all with a deadline. */
-  void sort(Priority priority, List<Job> jobs, long nowMs) {
-    double processors = c.utilization.plainProcessors();
-    double load = 0;
-    for (Job job : c.jobs.values()) {
+  void assignUrgency(Priority priority, List<Job> jobs, long nowMs) {
+    double availableCpus = cluster.utilization.processorsWithoutAccelerators();
+    double loadCpuS = 0;
+    for (Job job : cluster.jobs.values()) {
       JobSpec spec = job.spec;
       if (spec.gpus() > 0) {
         continue;
       }
-      double held = job.runs.size() * spec.cpus();
+      double heldCpus = job.attempts.size() * spec.cpus();
       if (spec.priority().compareTo(priority) < 0) {
-        processors -= held;
+        availableCpus -= heldCpus;
       } else if (spec.priority() == priority) {
-        load += held * spec.estimateS() * Constants.RUN_LEFT;
+        loadCpuS += heldCpus * spec.estimateS() * Constants.REMAINING_RUN_SHARE;
       }
     }
-    double perMs = Math.max(processors, 1) / 1000;
-    List<Job> rest = new ArrayList<>(jobs.size());
+    double capacityPerMs = Math.max(availableCpus, 1) / 1000;
+    List<Job> undecided = new ArrayList<>(jobs.size());
     // What waits so long that its longer aims are in danger is put off no more.
     for (Job job : jobs) {
-      double rescueMs = job.rescueMs();
-      if (nowMs >= rescueMs && nowMs < job.rescuedMs()) {
-        job.urgencyMs = rescueMs;
-        load += work(job);
+      double objectiveRiskMs = job.objectiveAtRiskMs();
+      if (nowMs >= objectiveRiskMs && nowMs < job.objectiveMissedMs()) {
+        job.urgencyMs = objectiveRiskMs;
+        loadCpuS += waitingLoadCpuS(job);
       } else {
-        rest.add(job);
+        undecided.add(job);
       }
     }
-    rest.sort(Comparator.comparingDouble(Job::startMs));
-    double behind = 0;
-    for (double times : c.facts.deadlineTimes()) {
-      List<Job> late = new ArrayList<>();
-      load = choose(rest, times, load, perMs, late, nowMs);
-      for (Job job : rest) {
-        job.urgencyMs = job.startMs() + behind;
+    undecided.sort(Comparator.comparingDouble(Job::latestStartMs));
+    double delayMs = 0;
+    for (double deadlineFactor : cluster.limits.deadlineMultiples()) {
+      List<Job> postponed = new ArrayList<>();
+      loadCpuS = admit(undecided, deadlineFactor, loadCpuS, capacityPerMs, postponed, nowMs);
+      for (Job job : undecided) {
+        job.urgencyMs = job.latestStartMs() + delayMs;
       }
-      rest = late;
-      rest.sort(Comparator.comparingDouble(Job::startMs));
-      behind += Constants.OVERDUE_BEHIND_MS;
+      undecided = postponed;
+      undecided.sort(Comparator.comparingDouble(Job::latestStartMs));
+      delayMs += Constants.POSTPONED_DELAY_MS;
     }
-    for (Job job : rest) {
-      job.urgencyMs = job.startMs() + behind;
+    for (Job job : undecided) {
+      job.urgencyMs = job.latestStartMs() + delayMs;
     }
   }
 
   /**
-   * Moves jobs from {@code rest} to {@code late} until the others can be in time, each with what is
-   * due before it: on all machines, and on as many as its team's limit allows. Gives their load.
+   * Moves jobs from {@code undecided} to {@code postponed} until the others can be in time, each
+   * with what is due before it: on all machines, and on as many as its team's limit allows. Gives
+   * their load.
    */
-  private double choose(
-      List<Job> rest, double times, double before, double perMs, List<Job> late, long nowMs) {
-    Chosen all = new Chosen(perMs, before);
-    Map<String, Chosen> teams = new HashMap<>();
-    for (Job job : rest) {
-      Chosen team =
-          teams.computeIfAbsent(job.spec.team(), t -> new Chosen(limitPerMs(t, perMs), held(t)));
-      all.add(job);
+  private double admit(
+      List<Job> undecided,
+      double deadlineFactor,
+      double initialLoadCpuS,
+      double capacityPerMs,
+      List<Job> postponed,
+      long nowMs) {
+    AdmittedJobs fleet = new AdmittedJobs(capacityPerMs, initialLoadCpuS);
+    Map<String, AdmittedJobs> teams = new HashMap<>();
+    for (Job job : undecided) {
+      AdmittedJobs team =
+          teams.computeIfAbsent(
+              job.spec.team(),
+              t -> new AdmittedJobs(teamCapacityPerMs(t, capacityPerMs), heldLoadCpuS(t)));
+      fleet.add(job);
       team.add(job);
       double runMs = job.spec.estimateS() * 1000;
-      double dueMs = job.endMs(times) - nowMs + runMs * Constants.HOPEFUL_SHARE;
-      boolean overLimit = Math.max(runMs, team.needsMs()) > dueMs;
-      if (overLimit || Math.max(runMs, all.needsMs()) > dueMs) {
-        Job largest = (overLimit ? team : all).largest();
-        all.remove(largest);
+      double dueMs =
+          job.completionDueMs(deadlineFactor) - nowMs + runMs * Constants.LATENESS_TOLERANCE_SHARE;
+      boolean overTeamLimit = Math.max(runMs, team.requiredMs()) > dueMs;
+      if (overTeamLimit || Math.max(runMs, fleet.requiredMs()) > dueMs) {
+        Job largest = (overTeamLimit ? team : fleet).largest();
+        fleet.remove(largest);
         teams.get(largest.spec.team()).remove(largest);
-        late.add(largest);
+        postponed.add(largest);
       }
     }
-    rest.removeAll(late);
-    return all.load;
+    undecided.removeAll(postponed);
+    return fleet.loadCpuS;
   }
 
   /** Jobs that can be in time, and the processor seconds that they need. */
-  private static final class Chosen {
+  private static final class AdmittedJobs {
     private final PriorityQueue<Job> jobs =
-        new PriorityQueue<>(Comparator.comparingDouble(j -> -work(j)));
-    private final double perMs;
-    private double load;
+        new PriorityQueue<>(Comparator.comparingDouble(j -> -waitingLoadCpuS(j)));
+    private final double capacityPerMs;
+    private double loadCpuS;
 
-    Chosen(double perMs, double load) {
-      this.perMs = perMs;
-      this.load = load;
+    AdmittedJobs(double capacityPerMs, double loadCpuS) {
+      this.capacityPerMs = capacityPerMs;
+      this.loadCpuS = loadCpuS;
     }
 
     void add(Job job) {
       jobs.add(job);
-      load += work(job);
+      loadCpuS += waitingLoadCpuS(job);
     }
 
     void remove(Job job) {
       jobs.remove(job);
-      load -= work(job);
+      loadCpuS -= waitingLoadCpuS(job);
     }
 
     Job largest() {
       return jobs.peek();
     }
 
-    double needsMs() {
-      return load / perMs;
+    double requiredMs() {
+      return loadCpuS / capacityPerMs;
     }
   }
 
-  private double limitPerMs(String name, double perMs) {
-    Team team = c.facts.teams().get(name);
-    return team == null || team.cpusMax() <= 0 ? perMs : Math.min(perMs, team.cpusMax() / 1000);
+  private double teamCapacityPerMs(String teamName, double capacityPerMs) {
+    Team team = cluster.limits.teams().get(teamName);
+    return team == null || team.maxCpus() <= 0
+        ? capacityPerMs
+        : Math.min(capacityPerMs, team.maxCpus() / 1000);
   }
 
   /** Processor seconds that what the team's tasks hold is still taken for. */
-  private double held(String team) {
-    double load = 0;
-    for (Job job : c.unfinished(team)) {
-      load += job.runs.size() * job.spec.cpus() * job.spec.estimateS() * Constants.RUN_LEFT;
+  private double heldLoadCpuS(String teamName) {
+    double loadCpuS = 0;
+    for (Job job : cluster.unfinishedJobs(teamName)) {
+      loadCpuS +=
+          job.attempts.size()
+              * job.spec.cpus()
+              * job.spec.estimateS()
+              * Constants.REMAINING_RUN_SHARE;
     }
-    return load;
+    return loadCpuS;
   }
 
   /** Processor seconds that its waiting tasks need. */
-  private static double work(Job job) {
+  private static double waitingLoadCpuS(Job job) {
     return job.waitingCount() * job.spec.cpus() * Math.max(job.spec.estimateS(), 1);
   }
 }
--- a/src/main/java/org/astershift/scheduler/Demand.java
+++ b/src/main/java/org/astershift/scheduler/Demand.java
@@ -11,58 +11,60 @@
  */
 final class Demand {
   final Job job;
-  private int left;
-  private String only;
-  private final Map<String, Integer> taken = new HashMap<>();
+  private int remaining;
+  private String onlyZone;
+  private final Map<String, Integer> takenByZone = new HashMap<>();
 
   Demand(Job job, int tasks) {
     this.job = job;
-    this.left = tasks;
+    this.remaining = tasks;
   }
 
-  int left() {
-    return left;
+  int remaining() {
+    return remaining;
   }
 
   /** Only this zone's room counts from now on. */
-  void only(String zone) {
-    only = zone;
+  void restrictToZone(String zone) {
+    onlyZone = zone;
   }
 
   /** How many more tasks this zone may take. */
-  int allowed(String zone) {
-    if ((only != null && !only.equals(zone)) || !job.zoneAllowed(zone)) {
+  int allowedIn(String zone) {
+    if ((onlyZone != null && !onlyZone.equals(zone)) || !job.zoneAllowed(zone)) {
       return 0;
     }
     return job.spec.spread()
-        ? Math.min(left, job.spec.spreadLimit() - job.inZone(zone) - taken.getOrDefault(zone, 0))
-        : left;
+        ? Math.min(
+            remaining,
+            job.spec.spreadLimit() - job.attemptsInZone(zone) - takenByZone.getOrDefault(zone, 0))
+        : remaining;
   }
 
-  void fill(List<PlannedMachine> bins) {
-    for (PlannedMachine bin : bins) {
-      if (left == 0) {
+  void fill(List<PlannedMachine> machines) {
+    for (PlannedMachine machine : machines) {
+      if (remaining == 0) {
         return;
       }
-      if (!bin.holds(job.spec)) {
+      if (!machine.hasRoomFor(job.spec)) {
         continue; // most are full: this is asked for each job and machine
       }
-      for (int n = allowed(bin.zone); n > 0 && bin.take(job.spec); n--) {
-        taken.merge(bin.zone, 1, Integer::sum);
-        left--;
+      for (int n = allowedIn(machine.zone); n > 0 && machine.take(job.spec); n--) {
+        takenByZone.merge(machine.zone, 1, Integer::sum);
+        remaining--;
       }
     }
   }
 
   /** How many of the tasks find room in this zone. */
-  int fits(List<PlannedMachine> bins, String zone) {
-    int n = 0;
-    int most = allowed(zone);
-    for (PlannedMachine bin : bins) {
-      if (n < most && bin.zone.equals(zone)) {
-        n += bin.fits(job.spec, most - n);
+  int fittingTasks(List<PlannedMachine> machines, String zone) {
+    int fitting = 0;
+    int limit = allowedIn(zone);
+    for (PlannedMachine machine : machines) {
+      if (fitting < limit && machine.zone.equals(zone)) {
+        fitting += machine.fittingTasks(job.spec, limit - fitting);
       }
     }
-    return n;
+    return fitting;
   }
 }
--- a/src/main/java/org/astershift/scheduler/DeploymentLimits.java
+++ b/src/main/java/org/astershift/scheduler/DeploymentLimits.java
@@ -9,41 +9,41 @@
 public record DeploymentLimits(
     Map<String, Team> teams,
     List<ServiceLevelObjective> objectives,
-    double reportS,
+    double heartbeatIntervalS,
     double leaseS,
     double gangWaitS,
     double gangPeerS,
-    double cancelS,
+    double cancellationS,
     double listLagS) {
 
   /** What is aimed at for this class. */
-  public ClassObjectives aims(String jobClass) {
+  public ClassObjectives objectivesFor(String jobClass) {
     Double startS = null;
     Double finishS = null;
-    boolean any = false;
-    for (ServiceLevelObjective o : objectives) {
-      if (o.jobClass().equals(jobClass)) {
-        any = true;
-        if (o.kind().equals("wait")) {
-          startS = startS == null ? o.withinS() : Math.min(startS, o.withinS());
-        } else if (o.kind().equals("finished")) {
-          finishS = finishS == null ? o.withinS() : Math.min(finishS, o.withinS());
+    boolean anyObjective = false;
+    for (ServiceLevelObjective objective : objectives) {
+      if (objective.jobClass().equals(jobClass)) {
+        anyObjective = true;
+        if (objective.kind().equals("wait")) {
+          startS = startS == null ? objective.withinS() : Math.min(startS, objective.withinS());
+        } else if (objective.kind().equals("finished")) {
+          finishS = finishS == null ? objective.withinS() : Math.min(finishS, objective.withinS());
         }
       }
     }
-    return new ClassObjectives(startS, finishS, any);
+    return new ClassObjectives(startS, finishS, anyObjective);
   }
 
   /**
    * By how many times its deadline a job should be done, as far as the operators care; ascending.
    */
-  public Set<Double> deadlineTimes() {
-    Set<Double> times = new TreeSet<>(Set.of(1.0));
-    for (ServiceLevelObjective o : objectives) {
-      if (o.kind().equals("deadline")) {
-        times.add(o.times());
+  public Set<Double> deadlineMultiples() {
+    Set<Double> multiples = new TreeSet<>(Set.of(1.0));
+    for (ServiceLevelObjective objective : objectives) {
+      if (objective.kind().equals("deadline")) {
+        multiples.add(objective.deadlineMultiple());
       }
     }
-    return times;
+    return multiples;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Eligibility.java
+++ b/src/main/java/org/astershift/scheduler/Eligibility.java
@@ -28,35 +28,35 @@
    * Why the job can never run on machines of these types, or null; {@code team} null if there is no
    * such team.
    */
-  public static String neverRuns(JobSpec spec, Collection<MachineType> types, Team team) {
+  public static String rejectionReason(JobSpec spec, Collection<MachineType> types, Team team) {
     if (team == null) {
       return "unknown team";
     }
-    int n = together(spec);
-    return team.allows(n * spec.cpus(), n * spec.gpus())
-        ? noPlace(spec, types)
+    int tasks = concurrentTasks(spec);
+    return team.allows(tasks * spec.cpus(), tasks * spec.gpus())
+        ? noPlacementReason(spec, types)
         : "more than the team's limit";
   }
 
   /** The same whatever its team may have. */
-  static String noPlace(JobSpec spec, Collection<MachineType> types) {
+  static String noPlacementReason(JobSpec spec, Collection<MachineType> types) {
     Set<String> zones = new HashSet<>();
-    for (MachineType t : types) {
-      if (spec.fits(t)) {
-        zones.addAll(spec.zone() == null ? t.zones() : Set.of(spec.zone()));
+    for (MachineType type : types) {
+      if (spec.fits(type)) {
+        zones.addAll(spec.zone() == null ? type.zones() : Set.of(spec.zone()));
       }
     }
     if (zones.isEmpty()) {
       return "a task fits no allowed machine type";
     }
     boolean oneZone = spec.oneZone() || zones.size() == 1;
-    return spec.spread() && oneZone && together(spec) > spec.spreadLimit()
+    return spec.spread() && oneZone && concurrentTasks(spec) > spec.spreadLimit()
         ? "its tasks have to be in two zones, and may be in one only"
         : null;
   }
 
   /** Tasks that have to be held at the same time. */
-  private static int together(JobSpec spec) {
+  private static int concurrentTasks(JobSpec spec) {
     return spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
   }
 }
