--- a/src/main/java/org/astershift/scheduler/FailureDetector.java
+++ b/src/main/java/org/astershift/scheduler/FailureDetector.java
@@ -23,123 +23,126 @@
 final class FailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
-  private final ClusterState c;
+  private final ClusterState cluster;
 
   /** When machines were given up as silent, outside zones that are cut off; the oldest first. */
-  private final ArrayDeque<Long> scattered = new ArrayDeque<>();
+  private final ArrayDeque<Long> scatteredReleasesMs = new ArrayDeque<>();
 
   /** When any machines were given up as silent: what bounds how many may follow. */
-  private final ArrayDeque<Long> givenUp = new ArrayDeque<>();
+  private final ArrayDeque<Long> releasesMs = new ArrayDeque<>();
 
   private Map<String, Zone> zones = new HashMap<>();
-  private long surveyedMs = Long.MIN_VALUE;
-  private int all;
-  private int overdue;
-  private boolean few;
+  private long assessedMs = Long.MIN_VALUE;
+  private int fleetSize;
+  private int overdueCount;
+  private boolean fewOverdue;
 
-  /** So many machines may be given up as silent within {@link Constants#GIVEN_UP_MS}. */
-  private double mayGo;
+  /**
+   * So many machines may be given up as silent within {@link Constants#RELEASED_SILENT_WINDOW_MS}.
+   */
+  private double releaseBudget;
 
-  private boolean lonePattern;
-  private boolean asking;
+  private boolean localEvidenceConclusive;
+  private boolean peerProbeInFlight;
 
   /** When the others were last asked and none of them could tell; none yet: long ago. */
-  private long nobodyMs = Long.MIN_VALUE / 2;
+  private long lastInconclusiveMs = Long.MIN_VALUE / 2;
 
   /** When they were last asked and none of them answered at all. */
-  private long noneMs = Long.MIN_VALUE / 2;
+  private long lastUnansweredMs = Long.MIN_VALUE / 2;
 
   /** When they were last asked and one of them could tell. */
-  private long answeredMs = Long.MIN_VALUE / 2;
+  private long lastConclusiveMs = Long.MIN_VALUE / 2;
 
-  private long toldMs = Long.MIN_VALUE / 2;
-  private int keptAnswering;
-  private int keptUnjudged;
-  private int keptBeyond;
+  private long lastLoggedMs = Long.MIN_VALUE / 2;
+  private int retainedReachable;
+  private int retainedUndecided;
+  private int retainedOverBudget;
 
   FailureDetector(ClusterState cluster) {
-    this.c = cluster;
+    this.cluster = cluster;
   }
 
   /** Machines of one zone that should report, and what is known of those that do not. */
   private static final class Zone {
-    int all;
-    int overdue;
-    int silent;
+    int machineCount;
+    int overdueCount;
+    int silentCount;
 
     /** Heard by this leader before, overdue, and asked in vain; those on their way back too. */
-    int unanswered;
+    int unansweredKnown;
 
     /** The same of machines that this leader has never heard. */
     int unansweredNew;
 
     /** Silent, and another controller asked it lately in vain, or with an answer. */
-    int unreached;
+    int unreachedCount;
 
-    int reached;
+    int reachedCount;
 
     /** Most of it is silent. */
     boolean mostlySilent() {
-      return silent > Constants.SILENT_FEW && silent >= all * Constants.ZONE_CUT_SHARE;
+      return silentCount > Constants.SILENT_FEW_MACHINES
+          && silentCount >= machineCount * Constants.ZONE_PARTITION_SHARE;
     }
 
     /** Enough of its machines were asked by others, and not one answered. */
-    boolean witnessed() {
+    boolean confirmedByPeers() {
       return mostlySilent()
-          && reached == 0
-          && unreached >= Math.min(silent, Constants.WITNESS_SAMPLE);
+          && reachedCount == 0
+          && unreachedCount >= Math.min(silentCount, Constants.PEER_PROBE_ZONE_SAMPLE_MACHINES);
     }
   }
 
-  private Map<String, Zone> look(long nowMs) {
-    Map<String, Zone> out = new HashMap<>();
-    for (Machine m : c.all()) {
-      Zone zone = out.computeIfAbsent(m.zone, z -> new Zone());
-      boolean late = c.overdue(m, nowMs);
-      if (late && m.directFailures > 0) {
-        zone.unanswered += m.session > 0 ? 1 : 0;
-        zone.unansweredNew += m.session > 0 ? 0 : 1;
+  private Map<String, Zone> countByZone(long nowMs) {
+    Map<String, Zone> zonesByName = new HashMap<>();
+    for (Machine machine : cluster.allMachines()) {
+      Zone zone = zonesByName.computeIfAbsent(machine.zone, zoneName -> new Zone());
+      boolean overdue = cluster.heartbeatOverdue(machine, nowMs);
+      if (overdue && machine.directCommandFailures > 0) {
+        zone.unansweredKnown += machine.epoch > 0 ? 1 : 0;
+        zone.unansweredNew += machine.epoch > 0 ? 0 : 1;
       }
-      if (m.state != Machine.State.BOOTING && m.state != Machine.State.RETURNING) {
-        zone.all++;
-        zone.overdue += late ? 1 : 0;
-        if (late && unreached(m, nowMs)) {
-          zone.unreached++;
+      if (machine.state != Machine.State.BOOTING && machine.state != Machine.State.RELEASING) {
+        zone.machineCount++;
+        zone.overdueCount += overdue ? 1 : 0;
+        if (overdue && unreachedByPeers(machine, nowMs)) {
+          zone.unreachedCount++;
         }
-        if (late && reached(m, nowMs)) {
-          zone.reached++;
+        if (overdue && reachedByPeers(machine, nowMs)) {
+          zone.reachedCount++;
         }
-        zone.silent += silent(m, nowMs) ? 1 : 0;
+        zone.silentCount += isSilent(machine, nowMs) ? 1 : 0;
       }
     }
-    return out;
+    return zonesByName;
   }
 
-  private static boolean reached(Machine m, long nowMs) {
-    return m.peerFindings.isReached(m.saidMs(), nowMs);
+  private static boolean reachedByPeers(Machine machine, long nowMs) {
+    return machine.peerProbeResults.isReached(machine.lastContactMs(), nowMs);
   }
 
   /**
    * Not before no restart explains it: a machine that restarted when both this leader and the
    * others asked it, and was then cut off from this leader, was given back.
    */
-  private boolean unreached(Machine m, long nowMs) {
-    return m.peerFindings.isUnreached(c.noRestartFromMs(m), nowMs);
+  private boolean unreachedByPeers(Machine machine, long nowMs) {
+    return machine.peerProbeResults.isUnreached(cluster.restartExcludedFromMs(machine), nowMs);
   }
 
   /** Whether the machine says nothing for longer than it may, though it was asked. */
-  boolean silent(Machine m, long nowMs) {
-    if (m.state == Machine.State.UNHEARD
-        && m.directFailures >= Constants.CLAIM_TRIES
-        && c.silenceMs(m, nowMs) > Constants.CLAIM_PATIENCE_MS
-        && c.fewUnheard()) {
+  boolean isSilent(Machine machine, long nowMs) {
+    if (machine.state == Machine.State.UNRECONCILED
+        && machine.directCommandFailures >= Constants.FENCE_TRIES
+        && cluster.silenceMs(machine, nowMs) > Constants.FENCE_TIMEOUT_MS
+        && cluster.fewUnreconciled()) {
       return true; // all jobs opened before wait for it
     }
     // Not before it was asked: a busy node may not have come to that, and 40 healthy machines of a
     // thousand were given back after a takeover for nothing else.
-    return m.state != Machine.State.BOOTING
-        && c.silenceMs(m, nowMs) > c.patienceMs()
-        && (asked(m, nowMs) || m.addr == null);
+    return machine.state != Machine.State.BOOTING
+        && cluster.silenceMs(machine, nowMs) > cluster.releaseTimeoutMs()
+        && (probedInVain(machine, nowMs) || machine.address == null);
   }
 
   /**
@@ -147,135 +150,154 @@
    * answer while its reports still came is no such question: one was lost as its machine restarted,
    * and a leader that was cut off gave back a healthy machine.
    */
-  private boolean asked(Machine m, long nowMs) {
-    return c.incarnations.leaseUncertain(nowMs) ? m.askedInVain : m.directFailures > 0;
+  private boolean probedInVain(Machine machine, long nowMs) {
+    return cluster.incarnations.leaseUncertain(nowMs)
+        ? machine.silentCommandUnanswered
+        : machine.directCommandFailures > 0;
   }
 
   // ---- does this leader hear its fleet ----
 
   /**
    * What this leader hears of its fleet. {@code isolated}: most machines are overdue, and of those
-   * that it had heard some were asked in vain; {@code deaf}: the same counting machines that it
-   * never heard, most of which it has asked in vain. A busy new leader is neither: it has not asked
-   * yet.
+   * that it had heard some were asked in vain; {@code inboundPartitioned}: the same counting
+   * machines that it never heard, most of which it has asked in vain. A busy new leader is neither:
+   * it has not asked yet.
    */
-  record FleetVisibility(int all, int overdue, boolean isolated, boolean deaf) {}
+  record FleetVisibility(int machines, int overdue, boolean isolated, boolean inboundPartitioned) {}
 
-  FleetVisibility hearing() {
+  FleetVisibility fleetVisibility() {
     int machines = 0;
-    int late = 0;
+    int overdue = 0;
     int unanswered = 0;
     int unansweredNew = 0;
     for (Zone zone : zones.values()) {
-      machines += zone.all;
-      late += zone.overdue;
-      unanswered += zone.unanswered;
+      machines += zone.machineCount;
+      overdue += zone.overdueCount;
+      unanswered += zone.unansweredKnown;
       unansweredNew += zone.unansweredNew;
     }
-    boolean most = late > Constants.SILENT_FEW && late * 2 > machines;
-    boolean isolated = most && unanswered > Constants.SILENT_FEW;
-    boolean deaf = most && (unanswered + unansweredNew) * 2 > late;
-    return new FleetVisibility(machines, late, isolated, deaf);
+    boolean mostOverdue = overdue > Constants.SILENT_FEW_MACHINES && overdue * 2 > machines;
+    boolean isolated = mostOverdue && unanswered > Constants.SILENT_FEW_MACHINES;
+    boolean inboundPartitioned = mostOverdue && (unanswered + unansweredNew) * 2 > overdue;
+    return new FleetVisibility(machines, overdue, isolated, inboundPartitioned);
   }
 
   // ---- which silent machines may go ----
 
   /** Looks at the fleet before machines are judged one by one. */
-  void survey(long nowMs) {
-    if (nowMs == surveyedMs) {
+  void assessFleet(long nowMs) {
+    if (nowMs == assessedMs) {
       return; // a plan in the same pass as a sweep: one walk over the fleet serves both
     }
-    surveyedMs = nowMs;
-    forget(scattered, nowMs, Constants.SILENCE_MS);
-    forget(givenUp, nowMs, Constants.GIVEN_UP_MS);
-    zones = look(nowMs);
-    all = scattered.size();
-    overdue = scattered.size();
-    int outside = scattered.size();
+    assessedMs = nowMs;
+    removeOlderThan(scatteredReleasesMs, nowMs, Constants.RELEASED_SILENT_COUNTED_MS);
+    removeOlderThan(releasesMs, nowMs, Constants.RELEASED_SILENT_WINDOW_MS);
+    zones = countByZone(nowMs);
+    fleetSize = scatteredReleasesMs.size();
+    overdueCount = scatteredReleasesMs.size();
+    int overdueElsewhere = scatteredReleasesMs.size();
     int unanswered = 0;
-    int reporting = 0;
-    for (Map.Entry<String, Zone> e : zones.entrySet()) {
-      Zone zone = e.getValue();
-      reporting += zone.all;
-      all += zone.all;
-      overdue += zone.overdue;
-      unanswered += zone.unanswered;
+    int reportingMachines = 0;
+    for (Map.Entry<String, Zone> entry : zones.entrySet()) {
+      Zone zone = entry.getValue();
+      reportingMachines += zone.machineCount;
+      fleetSize += zone.machineCount;
+      overdueCount += zone.overdueCount;
+      unanswered += zone.unansweredKnown;
       if (!zone.mostlySilent()) {
-        outside += zone.overdue;
+        overdueElsewhere += zone.overdueCount;
       }
     }
     // What was given up may still be on its way, or gone: it counts as part of the fleet it was of.
-    mayGo = Math.max(Constants.SILENT_FEW, (reporting + givenUp.size()) * Constants.GIVEN_UP_SHARE);
-    few = overdue <= Math.max(Constants.SILENT_FEW, all * Constants.OWN_EARS_SHARE);
+    releaseBudget =
+        Math.max(
+            Constants.SILENT_FEW_MACHINES,
+            (reportingMachines + releasesMs.size()) * Constants.RELEASED_SILENT_SHARE);
+    fewOverdue =
+        overdueCount
+            <= Math.max(Constants.SILENT_FEW_MACHINES, fleetSize * Constants.LOCAL_EVIDENCE_SHARE);
     boolean isolated =
-        overdue > Constants.SILENT_FEW && overdue * 2 > all && unanswered > Constants.SILENT_FEW;
-    lonePattern =
-        hearsEnough()
+        overdueCount > Constants.SILENT_FEW_MACHINES
+            && overdueCount * 2 > fleetSize
+            && unanswered > Constants.SILENT_FEW_MACHINES;
+    localEvidenceConclusive =
+        observesEnough()
             && !isolated
-            && outside <= Math.max(Constants.SILENT_FEW, all * Constants.SILENT_SHARE);
-    for (Map.Entry<String, Zone> e : zones.entrySet()) {
-      if (e.getValue().mostlySilent() && (e.getValue().witnessed() || lonePattern)) {
-        c.cutOff(e.getKey(), nowMs);
+            && overdueElsewhere
+                <= Math.max(
+                    Constants.SILENT_FEW_MACHINES, fleetSize * Constants.SILENT_FLEET_SHARE);
+    for (Map.Entry<String, Zone> entry : zones.entrySet()) {
+      if (entry.getValue().mostlySilent()
+          && (entry.getValue().confirmedByPeers() || localEvidenceConclusive)) {
+        cluster.markZonePartitioned(entry.getKey(), nowMs);
       }
     }
-    keptAnswering = 0;
-    keptUnjudged = 0;
-    keptBeyond = 0;
+    retainedReachable = 0;
+    retainedUndecided = 0;
+    retainedOverBudget = 0;
   }
 
-  private static void forget(ArrayDeque<Long> times, long nowMs, long keepMs) {
+  private static void removeOlderThan(ArrayDeque<Long> times, long nowMs, long keepMs) {
     while (!times.isEmpty() && nowMs - times.peekFirst() > keepMs) {
       times.removeFirst();
     }
   }
 
   /** A leader that hears next to nobody cannot tell dead machines from its own deafness. */
-  private boolean hearsEnough() {
-    return all - overdue >= all * Constants.LONE_EARS_SHARE;
+  private boolean observesEnough() {
+    return fleetSize - overdueCount >= fleetSize * Constants.LONE_OBSERVER_SHARE;
   }
 
   /** Whether this silent machine may be given back; counted against what may go in a time. */
-  boolean giveUp(Machine m, long nowMs) {
-    boolean holdsUp = c.holdsUp(m, nowMs);
-    if (reached(m, nowMs) && !holdsUp) {
-      keptAnswering++;
+  boolean tryRelease(Machine machine, long nowMs) {
+    boolean blocksReconciliation = cluster.blocksReconciliation(machine, nowMs);
+    if (reachedByPeers(machine, nowMs) && !blocksReconciliation) {
+      retainedReachable++;
       return false;
     }
-    boolean speaks = few ? alone(m, nowMs) : hearsEnough() && judged(m, nowMs);
-    if (!speaks && !holdsUp) {
-      keptUnjudged++;
+    boolean conclusive =
+        fewOverdue
+            ? conclusiveAlone(machine, nowMs)
+            : observesEnough() && conclusiveForMany(machine, nowMs);
+    if (!conclusive && !blocksReconciliation) {
+      retainedUndecided++;
       return false;
     }
-    if (givenUp.size() >= mayGo) {
-      keptBeyond++;
+    if (releasesMs.size() >= releaseBudget) {
+      retainedOverBudget++;
       return false;
     }
-    givenUp.addLast(nowMs);
-    if (!c.isCutOff(m.zone, nowMs)) {
-      scattered.addLast(nowMs);
+    releasesMs.addLast(nowMs);
+    if (!cluster.isZonePartitioned(machine.zone, nowMs)) {
+      scatteredReleasesMs.addLast(nowMs);
     }
     return true;
   }
 
   /** One of a few: its silence counts, unless others can be asked and have not answered yet. */
-  private boolean alone(Machine m, long nowMs) {
-    return m.addr == null
-        || unreached(m, nowMs)
-        || nowMs - noneMs <= Constants.REACHED_FRESH_MS
-        || m.peerFindings.isUntold(m.saidMs(), nowMs)
-        || (nowMs - answeredMs > Constants.REACHED_FRESH_MS
-            && c.silenceMs(m, nowMs) > c.patienceMs() + Constants.WITNESS_WAIT_MS);
+  private boolean conclusiveAlone(Machine machine, long nowMs) {
+    return machine.address == null
+        || unreachedByPeers(machine, nowMs)
+        || nowMs - lastUnansweredMs <= Constants.PEER_PROBE_REACHED_VALID_MS
+        || machine.peerProbeResults.isInconclusive(machine.lastContactMs(), nowMs)
+        || (nowMs - lastConclusiveMs > Constants.PEER_PROBE_REACHED_VALID_MS
+            && cluster.silenceMs(machine, nowMs)
+                > cluster.releaseTimeoutMs() + Constants.PEER_PROBE_WAIT_MS);
   }
 
   /** Others asked it in vain; or nobody can tell, and what this leader sees speaks for it. */
-  private boolean judged(Machine m, long nowMs) {
-    if (unreached(m, nowMs) || zones.get(m.zone).witnessed()) {
+  private boolean conclusiveForMany(Machine machine, long nowMs) {
+    if (unreachedByPeers(machine, nowMs) || zones.get(machine.zone).confirmedByPeers()) {
       return true;
     }
     // Where others reach a machine of the zone, that they could not tell of this one says nothing.
-    boolean nobody =
-        nowMs - nobodyMs <= Constants.REACHED_FRESH_MS && zones.get(m.zone).reached == 0;
-    return nobody && ((lonePattern && !maybeReached(m, nowMs)) || pastLease(m, nowMs));
+    boolean peersInconclusive =
+        nowMs - lastInconclusiveMs <= Constants.PEER_PROBE_REACHED_VALID_MS
+            && zones.get(machine.zone).reachedCount == 0;
+    return peersInconclusive
+        && ((localEvidenceConclusive && !mayBeReachable(machine, nowMs))
+            || pastLease(machine, nowMs));
   }
 
   /**
@@ -283,46 +305,49 @@
    * could tell for less time than a controller that crashed takes to be back: zones were given away
    * a moment before one that was just starting reached them (seed 5632 of the swarm).
    */
-  private boolean maybeReached(Machine m, long nowMs) {
-    return zones.get(m.zone).mostlySilent()
-        && c.silenceMs(m, nowMs) <= c.patienceMs() + Constants.OTHERS_BACK_MS;
+  private boolean mayBeReachable(Machine machine, long nowMs) {
+    return zones.get(machine.zone).mostlySilent()
+        && cluster.silenceMs(machine, nowMs)
+            <= cluster.releaseTimeoutMs() + Constants.PEER_RECOVERY_WAIT_MS;
   }
 
   /** Nothing it held can be alive any more, so that giving it back loses nothing. */
-  private boolean pastLease(Machine m, long nowMs) {
-    return c.silenceMs(m, nowMs) > 1.5 * c.facts.leaseS() * 1000;
+  private boolean pastLease(Machine machine, long nowMs) {
+    return cluster.silenceMs(machine, nowMs) > 1.5 * cluster.limits.leaseS() * 1000;
   }
 
   /** Says now and then what is held back, and why. */
-  void tell(long nowMs) {
-    int kept = keptAnswering + keptUnjudged + keptBeyond;
-    if (kept > 0 && nowMs - toldMs > Constants.SUMMARY_MS) {
-      toldMs = nowMs;
+  void logRetained(long nowMs) {
+    int retained = retainedReachable + retainedUndecided + retainedOverBudget;
+    if (retained > 0 && nowMs - lastLoggedMs > Constants.SUMMARY_INTERVAL_MS) {
+      lastLoggedMs = nowMs;
       LOG.info(
           "{} silent machines are not given back: {} answer another controller, {} nobody able to"
               + " tell has asked, {} more than may go in {} s; {} of {} are heard here",
-          kept,
-          keptAnswering,
-          keptUnjudged,
-          keptBeyond,
-          Constants.GIVEN_UP_MS / 1000,
-          all - overdue,
-          all);
+          retained,
+          retainedReachable,
+          retainedUndecided,
+          retainedOverBudget,
+          Constants.RELEASED_SILENT_WINDOW_MS / 1000,
+          fleetSize - overdueCount,
+          fleetSize);
     }
   }
 
   // ---- witnesses ----
 
   /** Whether it may have to be given up soon. */
-  private boolean suspect(Machine m, long nowMs) {
-    if (m.state == Machine.State.BOOTING || m.state == Machine.State.RETURNING) {
+  private boolean isSuspect(Machine machine, long nowMs) {
+    if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.RELEASING) {
       return false;
     }
-    if (c.overdue(m, nowMs)) {
-      return few || m.directFailures > 0;
+    if (cluster.heartbeatOverdue(machine, nowMs)) {
+      return fewOverdue || machine.directCommandFailures > 0;
     }
     // One of the last unheard: asked at the same time as by this leader for the second time.
-    return m.state == Machine.State.UNHEARD && m.directFailures > 0 && c.fewUnheard();
+    return machine.state == Machine.State.UNRECONCILED
+        && machine.directCommandFailures > 0
+        && cluster.fewUnreconciled();
   }
 
   /**
@@ -330,39 +355,48 @@
    * that the answer is there when patience ends. First a sample of each zone, which is enough where
    * a zone is cut off as a whole.
    */
-  Decision.ProbeThroughPeers ask(long nowMs) {
+  Decision.ProbeThroughPeers nextPeerProbe(long nowMs) {
     // Who hears next to nobody gives nothing back whatever the others say, and need not ask.
-    if (asking || !(few || hearsEnough())) {
+    if (peerProbeInFlight || !(fewOverdue || observesEnough())) {
       return null;
     }
     Map<String, Integer> sampled = new HashMap<>();
     List<Machine> sample = new ArrayList<>();
-    List<Machine> rest = new ArrayList<>();
-    for (Machine m : c.all()) {
-      if (m.addr == null || !suspect(m, nowMs) || known(m, nowMs)) {
+    List<Machine> remaining = new ArrayList<>();
+    for (Machine machine : cluster.allMachines()) {
+      if (machine.address == null
+          || !isSuspect(machine, nowMs)
+          || peerResultsCurrent(machine, nowMs)) {
         continue;
       }
-      Zone zone = zones.get(m.zone);
-      int before = zone == null ? 0 : zone.unreached + zone.reached;
-      if (before + sampled.merge(m.zone, 1, Integer::sum) <= Constants.WITNESS_SAMPLE) {
-        sample.add(m);
-      } else if (zone == null || !zone.witnessed()) {
-        rest.add(m);
+      Zone zone = zones.get(machine.zone);
+      int probedBefore = zone == null ? 0 : zone.unreachedCount + zone.reachedCount;
+      if (probedBefore + sampled.merge(machine.zone, 1, Integer::sum)
+          <= Constants.PEER_PROBE_ZONE_SAMPLE_MACHINES) {
+        sample.add(machine);
+      } else if (zone == null || !zone.confirmedByPeers()) {
+        remaining.add(machine);
       }
     }
-    sample.addAll(rest);
+    sample.addAll(remaining);
     if (sample.isEmpty()) {
       return null;
     }
-    asking = true;
-    List<Machine> heard = new ArrayList<>(c.all());
-    heard.removeIf(m -> m.addr == null || m.seenMs == m.knownMs || c.overdue(m, nowMs));
+    peerProbeInFlight = true;
+    List<Machine> controls = new ArrayList<>(cluster.allMachines());
+    controls.removeIf(
+        machine ->
+            machine.address == null
+                || machine.lastMessageMs == machine.firstKnownMs
+                || cluster.heartbeatOverdue(machine, nowMs));
     // What reports and answers nothing would make each of the others look cut off.
-    heard.sort(
-        Comparator.comparing((Machine m) -> m.unanswered > 0).thenComparingLong(m -> -m.seenMs));
-    List<Decision.MachineAddress> suspects = named(sample, Constants.WITNESS_BATCH);
+    controls.sort(
+        Comparator.comparing((Machine machine) -> machine.consecutiveUnanswered > 0)
+            .thenComparingLong(machine -> -machine.lastMessageMs));
+    List<Decision.MachineAddress> suspects =
+        addressesOf(sample, Constants.PEER_PROBE_BATCH_MACHINES);
     return new Decision.ProbeThroughPeers(
-        suspects, named(heard, Constants.WITNESS_CONTROLS), nowMs);
+        suspects, addressesOf(controls, Constants.PEER_PROBE_CONTROL_MACHINES), nowMs);
   }
 
   /**
@@ -370,19 +404,19 @@
    * old: where one of them was slow to answer healthy machines were given back between the one
    * answer and the next. And once more when a restart does not explain any more that they failed.
    */
-  private boolean known(Machine m, long nowMs) {
-    boolean askedTooEarly = m.peerFindings.isUnreached(m.saidMs(), nowMs);
-    return unreached(m, nowMs)
-        || (askedTooEarly && nowMs < c.noRestartFromMs(m))
-        || m.peerFindings.isReachedForLong(m.saidMs(), nowMs);
+  private boolean peerResultsCurrent(Machine machine, long nowMs) {
+    boolean askedTooEarly = machine.peerProbeResults.isUnreached(machine.lastContactMs(), nowMs);
+    return unreachedByPeers(machine, nowMs)
+        || (askedTooEarly && nowMs < cluster.restartExcludedFromMs(machine))
+        || machine.peerProbeResults.isFreshlyReached(machine.lastContactMs(), nowMs);
   }
 
-  private static List<Decision.MachineAddress> named(List<Machine> machines, int most) {
-    List<Decision.MachineAddress> out = new ArrayList<>();
-    for (Machine m : machines.subList(0, Math.min(machines.size(), most))) {
-      out.add(new Decision.MachineAddress(m.name, m.addr));
+  private static List<Decision.MachineAddress> addressesOf(List<Machine> machines, int limit) {
+    List<Decision.MachineAddress> addresses = new ArrayList<>();
+    for (Machine machine : machines.subList(0, Math.min(machines.size(), limit))) {
+      addresses.add(new Decision.MachineAddress(machine.name, machine.address));
     }
-    return out;
+    return addresses;
   }
 
   /**
@@ -390,52 +424,54 @@
    * leader, does not know it yet; the controls show it. What somebody reached stays; what nobody
    * reached, and somebody asked, is gone.
    */
-  void witnessed(Decision.ProbeThroughPeers w, List<Decision.PeerProbeResult> told) {
-    asking = false;
+  void onPeerProbeResults(
+      Decision.ProbeThroughPeers probe, List<Decision.PeerProbeResult> results) {
+    peerProbeInFlight = false;
     Set<String> reached = new HashSet<>();
     Set<String> unreached = new HashSet<>();
-    int able = 0;
-    for (Decision.PeerProbeResult t : told) {
-      reached.addAll(t.reached());
-      if (reachesControls(w, t)) {
-        able++;
-        unreached.addAll(t.unreached());
+    int conclusiveCount = 0;
+    for (Decision.PeerProbeResult result : results) {
+      reached.addAll(result.reached());
+      if (reachesControls(probe, result)) {
+        conclusiveCount++;
+        unreached.addAll(result.unreached());
       }
     }
-    answeredMs = able == 0 ? answeredMs : w.askedMs();
-    nobodyMs = able == 0 ? w.askedMs() : Long.MIN_VALUE / 2;
-    noneMs = told.isEmpty() ? w.askedMs() : Long.MIN_VALUE / 2;
-    int answering = 0;
-    for (Decision.MachineAddress s : w.suspects()) {
-      Machine m = c.machines.get(s.machine());
-      if (m == null) {
+    lastConclusiveMs = conclusiveCount == 0 ? lastConclusiveMs : probe.probedMs();
+    lastInconclusiveMs = conclusiveCount == 0 ? probe.probedMs() : Long.MIN_VALUE / 2;
+    lastUnansweredMs = results.isEmpty() ? probe.probedMs() : Long.MIN_VALUE / 2;
+    int reachableCount = 0;
+    for (Decision.MachineAddress suspect : probe.suspects()) {
+      Machine machine = cluster.machines.get(suspect.machineName());
+      if (machine == null) {
         continue;
       }
-      if (reached.contains(s.machine())) {
-        m.peerFindings.reached(w.askedMs());
-        answering++;
-      } else if (unreached.contains(s.machine())) {
-        m.peerFindings.unreached(w.askedMs(), m.saidMs());
-      } else if (able == 0 && !told.isEmpty()) {
+      if (reached.contains(suspect.machineName())) {
+        machine.peerProbeResults.onReached(probe.probedMs());
+        reachableCount++;
+      } else if (unreached.contains(suspect.machineName())) {
+        machine.peerProbeResults.onUnreached(probe.probedMs(), machine.lastContactMs());
+      } else if (conclusiveCount == 0 && !results.isEmpty()) {
         // Nobody could tell of this one. Of those that were not among the asked they may: one was
         // given back a moment before its turn came to be asked.
-        m.peerFindings.untold(w.askedMs());
+        machine.peerProbeResults.onInconclusive(probe.probedMs());
       }
     }
     LOG.debug(
         "of {} machines not heard here {} answer another controller; {} of {} could tell",
-        w.suspects().size(),
-        answering,
-        able,
-        told.size());
-    c.stir();
+        probe.suspects().size(),
+        reachableCount,
+        conclusiveCount,
+        results.size());
+    cluster.requestPass();
   }
 
-  private static boolean reachesControls(Decision.ProbeThroughPeers w, Decision.PeerProbeResult t) {
+  private static boolean reachesControls(
+      Decision.ProbeThroughPeers probe, Decision.PeerProbeResult result) {
     int answered = 0;
-    for (Decision.MachineAddress control : w.controls()) {
-      answered += t.reached().contains(control.machine()) ? 1 : 0;
+    for (Decision.MachineAddress control : probe.controls()) {
+      answered += result.reached().contains(control.machineName()) ? 1 : 0;
     }
-    return answered * 2 >= w.controls().size();
+    return answered * 2 >= probe.controls().size();
   }
 }
--- a/src/main/java/org/astershift/scheduler/FaultAttribution.java
+++ b/src/main/java/org/astershift/scheduler/FaultAttribution.java
@@ -12,58 +12,60 @@
  */
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
-  private final ClusterState c;
+  private final ClusterState cluster;
 
   FaultAttribution(ClusterState cluster) {
-    this.c = cluster;
+    this.cluster = cluster;
   }
 
   /** A task failed on its machine. */
-  void failed(TaskAttempt run, long nowMs) {
-    c.stir();
-    Job job = run.job;
-    Machine m = run.machine;
-    if (m.condemned) {
+  void onTaskFailed(TaskAttempt attempt, long nowMs) {
+    cluster.requestPass();
+    Job job = attempt.job;
+    Machine machine = attempt.machine;
+    if (machine.quarantined) {
       return; // explained already
     }
-    job.failedOn.put(m.name, nowMs);
-    boolean proven = proven(job, nowMs);
-    if (proven) {
-      m.failedProven++;
-    } else if (!job.suspect()) {
-      m.failedJobs.add(job);
+    job.lastFailureMsByMachine.put(machine.name, nowMs);
+    boolean provenSound = isProvenSound(job, nowMs);
+    if (provenSound) {
+      machine.provenJobFailures++;
+    } else if (!job.isSuspect()) {
+      machine.failedJobs.add(job);
     }
-    if (m.failedProven + m.failedJobs.size() >= Constants.FAILURES_TO_CONDEMN) {
-      condemn(m);
-    } else if (!proven && (job.suspect() || job.failedOn.size() >= Constants.MACHINES_TO_SUSPECT)) {
-      suspect(job, nowMs);
+    if (machine.provenJobFailures + machine.failedJobs.size() >= Constants.FAILURES_TO_QUARANTINE) {
+      quarantine(machine);
+    } else if (!provenSound
+        && (job.isSuspect()
+            || job.lastFailureMsByMachine.size() >= Constants.FAILED_MACHINES_TO_SUSPECT)) {
+      suspectJob(job, nowMs);
     } else {
-      m.holdUntilMs = nowMs + Constants.FAILED_HOLD_MS;
+      machine.cordonedUntilMs = nowMs + Constants.TASK_FAILED_BACKOFF_MS;
     }
   }
 
   /** A task of the job completed there: neither is broken. */
-  void succeeded(Job job, Machine m) {
-    m.failedProven = 0;
-    m.failedJobs.clear();
-    if (!job.everRan) {
-      job.everRan = true;
-      if (job.suspect()) {
-        LOG.info("job {} is sound after all: a task completed on {}", job.spec.id(), m.name);
-        clear(job);
+  void onTaskCompleted(Job job, Machine machine) {
+    machine.provenJobFailures = 0;
+    machine.failedJobs.clear();
+    if (!job.hasCompletedTask) {
+      job.hasCompletedTask = true;
+      if (job.isSuspect()) {
+        LOG.info("job {} is sound after all: a task completed on {}", job.spec.id(), machine.name);
+        clearSuspicion(job);
       }
     }
   }
 
   /** A task of it has completed, or runs for so long that it is no job that fails at once. */
-  private static boolean proven(Job job, long nowMs) {
-    if (job.everRan) {
+  private static boolean isProvenSound(Job job, long nowMs) {
+    if (job.hasCompletedTask) {
       return true;
     }
-    for (TaskAttempt run : job.runs.values()) {
-      if (run.phase == Heartbeat.TaskPhase.RUNNING
-          && run.runningSinceMs >= 0
-          && nowMs - run.runningSinceMs >= Constants.PROVEN_MS) {
+    for (TaskAttempt attempt : job.attempts.values()) {
+      if (attempt.phase == Heartbeat.TaskPhase.RUNNING
+          && attempt.runningSinceMs >= 0
+          && nowMs - attempt.runningSinceMs >= Constants.PROVEN_RUN_MS) {
         return true;
       }
     }
@@ -71,48 +73,51 @@
   }
 
   /** The job is probed from now on: a task at a time (a gang as a whole), with growing pauses. */
-  private void suspect(Job job, long nowMs) {
-    boolean first = !job.suspect();
+  private void suspectJob(Job job, long nowMs) {
+    boolean first = !job.isSuspect();
     if (first) {
       LOG.info(
           "job {} ({}) failed on {} machines and nowhere completed a task: taken to be broken,"
               + " probed with growing pauses",
           job.spec.id(),
           job.spec.jobClass(),
-          job.failedOn.size());
-      for (Machine m : c.all()) {
-        if (m.failedJobs.remove(job) && !m.doubted()) {
-          m.holdUntilMs = 0;
+          job.lastFailureMsByMachine.size());
+      for (Machine machine : cluster.allMachines()) {
+        if (machine.failedJobs.remove(job) && !machine.hasRecentFailures()) {
+          machine.cordonedUntilMs = 0;
         }
       }
       if (job.spec.kind() != JobKind.GANG) {
-        for (TaskAttempt run : new ArrayList<>(job.runs.values())) {
-          if (!run.exited() && run.runningSinceMs < 0) {
-            c.stop(run);
+        for (TaskAttempt attempt : new ArrayList<>(job.attempts.values())) {
+          if (!attempt.exited() && attempt.runningSinceMs < 0) {
+            cluster.stop(attempt);
           }
         }
       }
     }
     // What fails together is one probe.
     if (nowMs >= job.pausedUntilMs) {
-      int doublings = Math.min(job.probes++, Constants.PROBE_DOUBLINGS);
-      job.pausedUntilMs = nowMs + (Constants.PROBE_PAUSE_MS << doublings);
+      int doublings = Math.min(job.probeCount++, Constants.JOB_PROBE_MAX_DOUBLINGS);
+      job.pausedUntilMs = nowMs + (Constants.JOB_PROBE_INTERVAL_MS << doublings);
     }
   }
 
-  private void condemn(Machine m) {
-    m.condemned = true;
+  private void quarantine(Machine machine) {
+    machine.quarantined = true;
     LOG.info(
         "machine {} ({} in {}) fails tasks of several jobs: no more work, to be returned",
-        m.name,
-        m.type,
-        m.zone);
-    for (Job job : c.jobs.values()) {
-      if (job.failedOn.remove(m.name) != null
-          && job.suspect()
-          && job.failedOn.size() < Constants.MACHINES_TO_SUSPECT) {
-        LOG.info("job {} is taken to be sound again: machine {} was faulty", job.spec.id(), m.name);
-        clear(job);
+        machine.name,
+        machine.typeName,
+        machine.zone);
+    for (Job job : cluster.jobs.values()) {
+      if (job.lastFailureMsByMachine.remove(machine.name) != null
+          && job.isSuspect()
+          && job.lastFailureMsByMachine.size() < Constants.FAILED_MACHINES_TO_SUSPECT) {
+        LOG.info(
+            "job {} is taken to be sound again: machine {} was faulty",
+            job.spec.id(),
+            machine.name);
+        clearSuspicion(job);
       }
     }
   }
@@ -121,15 +126,15 @@
    * Whether its probe shows the job to be sound: it runs for longer than what fails at once does. A
    * replica never completes, and one that ran for good kept all others of its service waiting.
    */
-  static void lookAt(Job job, long nowMs) {
-    if (job.suspect() && proven(job, nowMs)) {
+  static void checkProbe(Job job, long nowMs) {
+    if (job.isSuspect() && isProvenSound(job, nowMs)) {
       LOG.info("job {} is sound after all: its probe runs", job.spec.id());
-      clear(job);
+      clearSuspicion(job);
     }
   }
 
-  private static void clear(Job job) {
-    job.probes = 0;
+  private static void clearSuspicion(Job job) {
+    job.probeCount = 0;
     job.pausedUntilMs = 0;
   }
 }
--- a/src/main/java/org/astershift/scheduler/GangScheduler.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -17,25 +17,25 @@
  */
 final class GangScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
-  private final ClusterState c;
+  private final ClusterState cluster;
   private final Placement placement;
 
   GangScheduler(ClusterState cluster, Placement placement) {
-    this.c = cluster;
+    this.cluster = cluster;
     this.placement = placement;
   }
 
   void place(List<Job> jobs, List<Machine> usable, long nowMs) {
-    boolean keeps = false;
+    boolean roomReserved = false;
     for (Job job : jobs) {
       if (mayStart(job)) {
-        Map<String, Part> parts = parts(job, usable, nowMs);
-        if (!place(job, parts, nowMs)
-            && !keeps
-            && !job.suspect()
-            && starves(job, nowMs)
-            && withinLimit(job)) {
-          keeps = keep(job, parts, nowMs);
+        Map<String, PlacementDomain> domains = findPlacementDomains(job, usable, nowMs);
+        if (!place(job, domains, nowMs)
+            && !roomReserved
+            && !job.isSuspect()
+            && isStarved(job, nowMs)
+            && withinTeamLimit(job)) {
+          roomReserved = reserveRoom(job, domains, nowMs);
         }
       }
     }
@@ -45,17 +45,17 @@
    * The same for gangs of a class that is served too little: the first that finds no room has it
    * kept.
    */
-  void placeStarved(MinimumShare.Group group, List<Machine> usable, long nowMs) {
-    for (Job job : group.old()) {
-      if (!group.hungry()) {
+  void placeStarved(MinimumShare.ShareGroup group, List<Machine> usable, long nowMs) {
+    for (Job job : group.agedJobs()) {
+      if (!group.isStarved()) {
         return;
       }
-      if (mayStart(job) && withinLimit(job)) {
+      if (mayStart(job) && withinTeamLimit(job)) {
         int tasks = job.waitingCount();
-        Map<String, Part> parts = parts(job, usable, nowMs);
-        if (place(job, parts, nowMs)) {
-          group.took(job, tasks);
-        } else if (keep(job, parts, nowMs)) {
+        Map<String, PlacementDomain> domains = findPlacementDomains(job, usable, nowMs);
+        if (place(job, domains, nowMs)) {
+          group.onPlaced(job, tasks);
+        } else if (reserveRoom(job, domains, nowMs)) {
           return;
         }
       }
@@ -63,161 +63,177 @@
   }
 
   /** Seats this gang if it finds room as it is. */
-  void placeNow(Job job, List<Machine> usable, long nowMs) {
-    if (mayStart(job) && withinLimit(job)) {
-      place(job, parts(job, usable, nowMs), nowMs);
+  void placeIfRoom(Job job, List<Machine> usable, long nowMs) {
+    if (mayStart(job) && withinTeamLimit(job)) {
+      place(job, findPlacementDomains(job, usable, nowMs), nowMs);
     }
   }
 
   private static boolean mayStart(Job job) {
-    return job.spec.kind() == JobKind.GANG && !job.waiting.isEmpty() && !oldAttemptLeft(job);
+    return job.spec.kind() == JobKind.GANG
+        && !job.waitingTasks.isEmpty()
+        && !earlierAttemptRemains(job);
   }
 
   /** The old attempt has to be gone everywhere before the next one starts. */
-  private static boolean oldAttemptLeft(Job job) {
-    return !job.runs.isEmpty() && (job.gangRan() || anyStopping(job));
+  private static boolean earlierAttemptRemains(Job job) {
+    return !job.attempts.isEmpty() && (job.gangAttemptClosed() || hasStoppingTask(job));
   }
 
   /** Keeping room empty costs others their aims, so it begins late; but nobody waits for ever. */
-  private static boolean starves(Job job, long nowMs) {
-    double aimS = job.startAimS == null ? Constants.GANG_AIM_S : job.startAimS;
-    return nowMs - job.submittedMs >= aimS * 1000 * Constants.KEEP_AFTER;
+  private static boolean isStarved(Job job, long nowMs) {
+    double objectiveS =
+        job.startObjectiveS == null ? Constants.GANG_START_OBJECTIVE_S : job.startObjectiveS;
+    return nowMs - job.submittedMs
+        >= objectiveS * 1000 * Constants.GANG_RESERVATION_OBJECTIVE_FACTOR;
   }
 
-  private boolean withinLimit(Job job) {
-    return c.teamAllows(job, job.waitingCount());
+  private boolean withinTeamLimit(Job job) {
+    return cluster.teamQuotaAllows(job, job.waitingCount());
   }
 
   /** Machines among which all tasks of a gang have to find room: one zone's, or all. */
-  private static final class Part {
+  private static final class PlacementDomain {
     /** With room now, and with the image where that counts. */
     final List<Machine> candidates = new ArrayList<>();
 
     /** With room now. */
-    final List<Machine> free = new ArrayList<>();
+    final List<Machine> freeMachines = new ArrayList<>();
 
     /** Tasks that the candidates can take. */
-    int room;
+    int taskRoom;
 
     /** Tasks that all machines here could take if they were empty. */
-    int capacity;
+    int taskCapacity;
   }
 
-  private Map<String, Part> parts(Job job, List<Machine> usable, long nowMs) {
-    Map<String, Part> parts = new LinkedHashMap<>();
-    boolean old = placement.pastAge(job, nowMs);
-    for (Machine m : usable) {
-      if (!job.usableTypes.contains(m.type) || !placement.allowed(m, job, nowMs)) {
+  private Map<String, PlacementDomain> findPlacementDomains(
+      Job job, List<Machine> usable, long nowMs) {
+    Map<String, PlacementDomain> domains = new LinkedHashMap<>();
+    boolean pastWaitingAge = placement.pastWaitingAge(job, nowMs);
+    for (Machine machine : usable) {
+      if (!job.usableTypes.contains(machine.typeName)
+          || !placement.isMachineAllowed(machine, job, nowMs)) {
         continue;
       }
-      Part part = parts.computeIfAbsent(job.spec.oneZone() ? m.zone : "", z -> new Part());
-      part.capacity += m.kind.capacity(job.spec);
-      int fits = m.room(job.spec, job.waitingCount());
-      if (fits > 0) {
-        part.free.add(m);
-        if (old || m.score(job.spec.image()) > 0 || c.utilization.of(m) < c.policy.utilization()) {
-          part.candidates.add(m);
-          part.room += fits;
+      PlacementDomain domain =
+          domains.computeIfAbsent(
+              job.spec.oneZone() ? machine.zone : "", zone -> new PlacementDomain());
+      domain.taskCapacity += machine.type.capacity(job.spec);
+      int fittingTasks = machine.fitCount(job.spec, job.waitingCount());
+      if (fittingTasks > 0) {
+        domain.freeMachines.add(machine);
+        if (pastWaitingAge
+            || machine.imageLocality(job.spec.image()) > 0
+            || cluster.utilization.of(machine) < cluster.policy.utilizationThreshold()) {
+          domain.candidates.add(machine);
+          domain.taskRoom += fittingTasks;
         }
       }
     }
-    return parts;
+    return domains;
   }
 
   /** Seats the gang where it finds most images, and among these where least room is left over. */
-  private boolean place(Job job, Map<String, Part> parts, long nowMs) {
-    Map<Integer, Machine> best = null;
-    int bestHits = -1;
+  private boolean place(Job job, Map<String, PlacementDomain> domains, long nowMs) {
+    Map<Integer, Machine> bestPlan = null;
+    int bestImageHits = -1;
     int bestRoom = 0;
-    for (Part part : parts.values()) {
-      if (part.room < job.waitingCount()) {
+    for (PlacementDomain domain : domains.values()) {
+      if (domain.taskRoom < job.waitingCount()) {
         continue;
       }
       Map<Integer, Machine> plan = new LinkedHashMap<>();
-      int hits = seat(job, part.candidates, plan);
+      int imageHits = assignTasks(job, domain.candidates, plan);
       if (plan.size() == job.waitingCount()
-          && (hits > bestHits || (hits == bestHits && part.room < bestRoom))) {
-        best = plan;
-        bestHits = hits;
-        bestRoom = part.room;
+          && (imageHits > bestImageHits
+              || (imageHits == bestImageHits && domain.taskRoom < bestRoom))) {
+        bestPlan = plan;
+        bestImageHits = imageHits;
+        bestRoom = domain.taskRoom;
       }
     }
-    if (best == null) {
+    if (bestPlan == null) {
       return false;
     }
-    if (job.runs.isEmpty()) {
-      job.gangAttempt = c.nextAttempt();
+    if (job.attempts.isEmpty()) {
+      job.gangAttemptNumber = cluster.nextAttemptNumber();
     }
-    job.keptIn = null;
-    for (Map.Entry<Integer, Machine> e : best.entrySet()) {
-      c.place(job, e.getKey(), e.getValue(), job.gangAttempt, nowMs);
-      LOG.debug("gang task {}/{} placed on {}", job.spec.id(), e.getKey(), e.getValue().name);
+    job.reservedZone = null;
+    for (Map.Entry<Integer, Machine> entry : bestPlan.entrySet()) {
+      cluster.place(job, entry.getKey(), entry.getValue(), job.gangAttemptNumber, nowMs);
+      LOG.debug(
+          "gang task {}/{} placed on {}", job.spec.id(), entry.getKey(), entry.getValue().name);
     }
     return true;
   }
 
   /** Keeps what is free for this gang in one zone. */
-  private boolean keep(Job job, Map<String, Part> parts, long nowMs) {
-    String best = null;
-    for (Map.Entry<String, Part> e : parts.entrySet()) {
-      if (e.getValue().capacity >= job.waitingCount()
-          && (best == null
-              || e.getKey().equals(job.keptIn)
-              || (!best.equals(job.keptIn)
-                  && e.getValue().free.size() > parts.get(best).free.size()))) {
-        best = e.getKey();
+  private boolean reserveRoom(Job job, Map<String, PlacementDomain> domains, long nowMs) {
+    String bestZone = null;
+    for (Map.Entry<String, PlacementDomain> entry : domains.entrySet()) {
+      if (entry.getValue().taskCapacity >= job.waitingCount()
+          && (bestZone == null
+              || entry.getKey().equals(job.reservedZone)
+              || (!bestZone.equals(job.reservedZone)
+                  && entry.getValue().freeMachines.size()
+                      > domains.get(bestZone).freeMachines.size()))) {
+        bestZone = entry.getKey();
       }
     }
-    if (best == null) {
+    if (bestZone == null) {
       return false;
     }
-    if (!best.equals(job.keptIn)) {
+    if (!bestZone.equals(job.reservedZone)) {
       LOG.info(
           "gang {} of {} finds no room for all: what becomes free in {} is kept for it",
           job.spec.id(),
           job.spec.tasks(),
-          best.isEmpty() ? "any zone" : best);
-      job.keptIn = best;
+          bestZone.isEmpty() ? "any zone" : bestZone);
+      job.reservedZone = bestZone;
     }
-    for (Machine m : parts.get(best).free) {
-      m.reserve(job.spec, m.room(job.spec, job.waitingCount()));
-      m.idleSinceMs = nowMs;
+    for (Machine machine : domains.get(bestZone).freeMachines) {
+      machine.reserve(job.spec, machine.fitCount(job.spec, job.waitingCount()));
+      machine.idleSinceMs = nowMs;
     }
     return true;
   }
 
-  private static boolean anyStopping(Job job) {
-    for (TaskAttempt run : job.runs.values()) {
-      if (run.unwanted()) {
+  private static boolean hasStoppingTask(Job job) {
+    for (TaskAttempt attempt : job.attempts.values()) {
+      if (attempt.unwanted()) {
         return true;
       }
     }
     return false;
   }
 
-  private int seat(Job job, List<Machine> candidates, Map<Integer, Machine> plan) {
+  private int assignTasks(Job job, List<Machine> candidates, Map<Integer, Machine> plan) {
     String image = job.spec.image();
-    candidates.sort(Comparator.comparingDouble(m -> -m.score(image)));
-    Map<String, Integer> zoneUse = new HashMap<>();
-    int hits = 0;
+    candidates.sort(Comparator.comparingDouble(machine -> -machine.imageLocality(image)));
+    Map<String, Integer> tasksByZone = new HashMap<>();
+    int imageHits = 0;
     int placed = 0;
-    int index = job.waiting.nextSetBit(0);
-    for (Machine m : candidates) {
-      int room = m.room(job.spec, job.waitingCount());
-      for (int here = 0; here < room && index >= 0; here++) {
-        boolean spread =
+    int index = job.waitingTasks.nextSetBit(0);
+    for (Machine machine : candidates) {
+      int room = machine.fitCount(job.spec, job.waitingCount());
+      for (int assignedHere = 0; assignedHere < room && index >= 0; assignedHere++) {
+        boolean withinSpreadLimit =
             !job.spec.spread()
-                || job.inZone(m.zone) + zoneUse.getOrDefault(m.zone, 0) < job.spec.spreadLimit();
-        if (!spread || Placement.onMachine(m, job, index) || !c.teamAllows(job, placed + 1)) {
+                || job.attemptsInZone(machine.zone) + tasksByZone.getOrDefault(machine.zone, 0)
+                    < job.spec.spreadLimit();
+        if (!withinSpreadLimit
+            || Placement.hasAttemptOnMachine(machine, job, index)
+            || !cluster.teamQuotaAllows(job, placed + 1)) {
           break;
         }
-        plan.put(index, m);
-        zoneUse.merge(m.zone, 1, Integer::sum);
+        plan.put(index, machine);
+        tasksByZone.merge(machine.zone, 1, Integer::sum);
         placed++;
-        hits += m.score(image) == 1 ? 1 : 0;
-        index = job.waiting.nextSetBit(index + 1);
+        imageHits += machine.imageLocality(image) == 1 ? 1 : 0;
+        index = job.waitingTasks.nextSetBit(index + 1);
       }
     }
-    return hits;
+    return imageHits;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Heartbeat.java
+++ b/src/main/java/org/astershift/scheduler/Heartbeat.java
@@ -4,30 +4,31 @@
 
 /** What a worker said of its machine. The larger (session, seq) is the newer one. */
 public record Heartbeat(
-    String machine,
-    String addr,
-    String type,
+    String machineName,
+    String address,
+    String typeName,
     String zone,
     boolean spot,
-    long session,
-    long seq,
-    long token,
-    Double noticeS,
+    long epoch,
+    long sequence,
+    long fencingToken,
+    Double preemptionNoticeS,
     List<TaskStatus> tasks) {
 
   /** One task on the machine. */
-  public record TaskStatus(String job, int index, long attempt, TaskPhase phase, String cause) {
+  public record TaskStatus(
+      String jobId, int index, long attemptNumber, TaskPhase phase, String exitReason) {
 
     /**
      * Whether this shows that the attempt can take no more tasks: the task, and so all of its gang,
      * has run, or it gave up waiting for the others.
      */
-    boolean begun() {
+    boolean closesAttempt() {
       return phase == TaskPhase.RUNNING
           || phase == TaskPhase.SAVING
-          || "peers".equals(cause)
-          || "incomplete".equals(cause)
-          || "done".equals(cause);
+          || "peers".equals(exitReason)
+          || "incomplete".equals(exitReason)
+          || "done".equals(exitReason);
     }
   }
 
@@ -41,11 +42,11 @@
   }
 
   /** Whether it names this attempt, in whatever state. */
-  boolean shows(TaskAttempt.Key key) {
-    for (TaskStatus item : tasks) {
-      if (item.index() == key.index()
-          && item.attempt() == key.attempt()
-          && item.job().equals(key.job())) {
+  boolean showsAttempt(TaskAttempt.Key key) {
+    for (TaskStatus status : tasks) {
+      if (status.index() == key.index()
+          && status.attemptNumber() == key.attemptNumber()
+          && status.jobId().equals(key.jobId())) {
         return true;
       }
     }
@@ -53,7 +54,7 @@
   }
 
   /** Whether this report is newer than the given position. */
-  public boolean newerThan(long otherSession, long otherSeq) {
-    return session > otherSession || (session == otherSession && seq > otherSeq);
+  public boolean newerThan(long otherEpoch, long otherSequence) {
+    return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
   }
 }
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -10,13 +10,13 @@
 /** Brings what is known of machines and tasks up to what workers say of themselves. */
 final class HeartbeatReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
-  private final ClusterState c;
-  private final FaultAttribution blame;
+  private final ClusterState cluster;
+  private final FaultAttribution faultAttribution;
   private boolean deposed;
 
   HeartbeatReconciler(ClusterState cluster) {
-    this.c = cluster;
-    this.blame = new FaultAttribution(cluster);
+    this.cluster = cluster;
+    this.faultAttribution = new FaultAttribution(cluster);
   }
 
   /** A worker showed a higher token: another leader has taken over. */
@@ -29,39 +29,48 @@
    * any copy; a machine that nobody knows is taken in, and used once more than hearsay speaks for
    * it.
    */
-  Machine from(Heartbeat r, long nowMs) {
-    if (r.token() > c.token) {
+  Machine senderOf(Heartbeat heartbeat, long nowMs) {
+    if (heartbeat.fencingToken() > cluster.fencingToken) {
       deposed = true;
     }
-    Machine m = c.machines.get(r.machine());
-    if (m == null) {
-      m =
+    Machine machine = cluster.machines.get(heartbeat.machineName());
+    if (machine == null) {
+      machine =
           new Machine(
-              r.machine(), r.addr(), r.type(), r.zone(), r.spot(), Machine.State.LIVE, nowMs);
-      m.hearsay = true;
-      c.addMachine(m);
+              heartbeat.machineName(),
+              heartbeat.address(),
+              heartbeat.typeName(),
+              heartbeat.zone(),
+              heartbeat.spot(),
+              Machine.State.LIVE,
+              nowMs);
+      machine.unverified = true;
+      cluster.addMachine(machine);
       LOG.info(
-          "machine {} ({} in {}) reports and was not asked for: taken in", m.name, m.type, m.zone);
+          "machine {} ({} in {}) reports and was not asked for: taken in",
+          machine.name,
+          machine.typeName,
+          machine.zone);
     }
-    return m;
+    return machine;
   }
 
   /** What a message that came as a report proves. */
   enum Evidence {
     /** The machine said this, and after all that is known of it. */
-    ALL,
+    CURRENT,
     /**
      * A copy, or what the worker gave up: one report is under way at a time, and a newer one came.
      * No answer to it reaches anybody, so it renews no lease.
      */
-    NOTHING,
+    STALE,
     /** Of this life of the machine or of an earlier one: only its answer to a question tells. */
-    LIFE,
+    LIVENESS_ONLY,
     /**
      * The same, and it says that what is held there is gone. It is not answered: if the machine is
      * asked in vain, its lease runs out by this leader's clock.
      */
-    DOUBT
+    CONTRADICTORY
   }
 
   /**
@@ -70,30 +79,42 @@
    * copy with a higher session dropped tasks that ran, which then ran twice (seeds 516 and 3143 of
    * the swarm).
    */
-  Evidence worth(Machine m, Heartbeat r) {
-    boolean lostToken = m.claimed && r.token() < c.token;
-    boolean lostSession = m.claimed && r.session() > m.session && m.session > 0 && m.holdsAny();
-    boolean lostTask = !m.restartedInTerm && r.session() == m.session && lacksTask(m, r);
-    m.restartSuspected |= lostToken || lostTask;
-    if (lostToken || lostSession || lostTask) {
-      return Evidence.DOUBT;
-    }
-    if (!r.newerThan(m.reportSession, m.reportSeq) || r.session() < m.session) {
-      return Evidence.NOTHING;
-    }
-    return m.restartedInTerm ? Evidence.LIFE : Evidence.ALL;
+  Evidence classify(Machine machine, Heartbeat heartbeat) {
+    boolean lowerFencingToken = machine.fenced && heartbeat.fencingToken() < cluster.fencingToken;
+    boolean higherEpoch =
+        machine.fenced
+            && heartbeat.epoch() > machine.epoch
+            && machine.epoch > 0
+            && machine.hasAttempts();
+    boolean attemptMissing =
+        !machine.restartedInTerm
+            && heartbeat.epoch() == machine.epoch
+            && lacksShownAttempt(machine, heartbeat);
+    machine.restartSuspected |= lowerFencingToken || attemptMissing;
+    if (lowerFencingToken || higherEpoch || attemptMissing) {
+      return Evidence.CONTRADICTORY;
+    }
+    if (!heartbeat.newerThan(machine.heartbeatEpoch, machine.heartbeatSequence)
+        || heartbeat.epoch() < machine.epoch) {
+      return Evidence.STALE;
+    }
+    return machine.restartedInTerm ? Evidence.LIVENESS_ONLY : Evidence.CURRENT;
   }
 
-  /** Notes of which incarnation a message is; {@code answer}: to a direct order of this leader. */
-  void identify(Machine m, Heartbeat r, boolean answer, long nowMs) {
-    if (!r.newerThan(m.session, m.seq)) {
+  /**
+   * Notes of which incarnation a message is; {@code directResponse}: to a direct order of this
+   * leader.
+   */
+  void trackIncarnation(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
+    if (!heartbeat.newerThan(machine.epoch, machine.sequence)) {
       return;
     }
-    boolean uncertain = c.incarnations.leaseUncertain(nowMs);
-    if (uncertain && !c.incarnations.continues(m, r, answer, nowMs)) {
-      c.incarnationUnproven(m);
+    boolean leaseUncertain = cluster.incarnations.leaseUncertain(nowMs);
+    if (leaseUncertain
+        && !cluster.incarnations.isSameIncarnation(machine, heartbeat, directResponse, nowMs)) {
+      cluster.onUnprovenIncarnation(machine);
     }
-    c.incarnations.seen(m, r, answer, nowMs);
+    cluster.incarnations.onMessage(machine, heartbeat, directResponse, nowMs);
   }
 
   /**
@@ -101,12 +122,12 @@
    * in its machine's reports until it is cleared, so this one is of another incarnation: it was
    * held back on its way, or the machine restarted and has sent more by now than before.
    */
-  private static boolean lacksTask(Machine m, Heartbeat r) {
-    if (!r.newerThan(m.session, m.seq)) {
+  private static boolean lacksShownAttempt(Machine machine, Heartbeat heartbeat) {
+    if (!heartbeat.newerThan(machine.epoch, machine.sequence)) {
       return false;
     }
-    for (TaskAttempt run : m.runs.values()) {
-      if (run.phase != null && !run.exited() && !r.shows(run.key)) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (attempt.phase != null && !attempt.exited() && !heartbeat.showsAttempt(attempt.key)) {
         return true;
       }
     }
@@ -117,218 +138,232 @@
    * Notes that the machine spoke. A copy of an old report may come any time later, from before its
    * return, its loss or a change of leaders: what is not newer moves no clock and revives nothing.
    */
-  void heard(Machine m, Heartbeat r, long nowMs) {
-    if (!r.newerThan(m.session, m.seq)) {
+  void recordContact(Machine machine, Heartbeat heartbeat, long nowMs) {
+    if (!heartbeat.newerThan(machine.epoch, machine.sequence)) {
       return;
     }
-    m.addr = r.addr();
-    m.seenMs = nowMs;
-    m.firstSaidMs = m.firstSaidMs < 0 ? nowMs : m.firstSaidMs;
-    c.heardFrom(m.zone);
-    if (r.token() == c.token) {
-      c.claim(m, nowMs);
+    machine.address = heartbeat.address();
+    machine.lastMessageMs = nowMs;
+    machine.firstMessageMs = machine.firstMessageMs < 0 ? nowMs : machine.firstMessageMs;
+    cluster.clearZonePartition(machine.zone);
+    if (heartbeat.fencingToken() == cluster.fencingToken) {
+      cluster.fence(machine, nowMs);
     }
-    if (m.state == Machine.State.BOOTING || m.state == Machine.State.LOST) {
+    if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.LEASE_EXPIRED) {
       LOG.info(
-          "machine {} ({} in {}) is up after {} ms", m.name, m.type, m.zone, nowMs - m.knownMs);
-      m.idleSinceMs = nowMs;
-      c.enter(m, Machine.State.LIVE);
-    } else if (m.state == Machine.State.UNHEARD && m.claimed) {
-      m.idleSinceMs = nowMs;
-      c.enter(m, Machine.State.LIVE);
+          "machine {} ({} in {}) is up after {} ms",
+          machine.name,
+          machine.typeName,
+          machine.zone,
+          nowMs - machine.firstKnownMs);
+      machine.idleSinceMs = nowMs;
+      cluster.enterState(machine, Machine.State.LIVE);
+    } else if (machine.state == Machine.State.UNRECONCILED && machine.fenced) {
+      machine.idleSinceMs = nowMs;
+      cluster.enterState(machine, Machine.State.LIVE);
     }
   }
 
   /**
    * Brings what is known of the machine up to this report; false if the report is not newer. {@code
-   * wasAnswered}: the one before it was answered well within a lease.
+   * previousAnswered}: the one before it was answered well within a lease.
    */
-  boolean absorb(Machine m, Heartbeat r, boolean wasAnswered, long nowMs) {
-    if (!r.newerThan(m.session, m.seq)) {
+  boolean reconcile(Machine machine, Heartbeat heartbeat, boolean previousAnswered, long nowMs) {
+    if (!heartbeat.newerThan(machine.epoch, machine.sequence)) {
       return false;
     }
-    if (r.session() > m.session) {
-      if (m.session > 0 && wasAnswered) {
-        m.older = true; // its lease ran out all the same: do answers reach it?
+    if (heartbeat.epoch() > machine.epoch) {
+      if (machine.epoch > 0 && previousAnswered) {
+        machine.staleMessageSeen = true; // its lease ran out all the same: do answers reach it?
       }
-      for (TaskAttempt run : new ArrayList<>(m.runs.values())) {
-        if (run.pending() && run.orderedIn >= r.session()) {
+      for (TaskAttempt attempt : new ArrayList<>(machine.attempts.values())) {
+        if (attempt.startPending() && attempt.startEpoch >= heartbeat.epoch()) {
           continue; // of a life before: the order may be meant for this session, too
         }
-        LOG.info("task {} on {} ended with its session", run.name(), m.name);
-        c.drop(run);
+        LOG.info("task {} on {} ended with its session", attempt.name(), machine.name);
+        cluster.dropAttempt(attempt);
       }
       // A session's lease counts from its own beginning, which may be long after the last report
       // that found its way here: told by the answer to an order, it was taken for run out by that
       // report's time, and what had been started in it ran twice.
-      m.heardMs = Math.max(m.heardMs, nowMs);
-    }
-    m.session = r.session();
-    m.seq = r.seq();
-    m.directFailures = m.deafAnew() ? m.directFailures : 0;
-    m.askedInVain &= m.deafAnew();
-    if (r.noticeS() != null && m.noticeS == null) {
-      LOG.info("machine {} will be taken back in {} s", m.name, r.noticeS());
-      c.stir();
-    }
-    m.noticeS = r.noticeS();
-    List<Heartbeat.TaskStatus> strange = new ArrayList<>(0);
-    for (Heartbeat.TaskStatus item : r.tasks()) {
-      TaskAttempt run = m.runs.get(new TaskAttempt.Key(item.job(), item.index(), item.attempt()));
-      if (run == null) {
-        strange.add(item);
+      machine.leaseFromMs = Math.max(machine.leaseFromMs, nowMs);
+    }
+    machine.epoch = heartbeat.epoch();
+    machine.sequence = heartbeat.sequence();
+    machine.directCommandFailures =
+        machine.inboundPartitionedUnreconciled() ? machine.directCommandFailures : 0;
+    machine.silentCommandUnanswered &= machine.inboundPartitionedUnreconciled();
+    if (heartbeat.preemptionNoticeS() != null && machine.preemptionNoticeS == null) {
+      LOG.info(
+          "machine {} will be taken back in {} s", machine.name, heartbeat.preemptionNoticeS());
+      cluster.requestPass();
+    }
+    machine.preemptionNoticeS = heartbeat.preemptionNoticeS();
+    List<Heartbeat.TaskStatus> unknownTasks = new ArrayList<>(0);
+    for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+      TaskAttempt attempt =
+          machine.attempts.get(
+              new TaskAttempt.Key(status.jobId(), status.index(), status.attemptNumber()));
+      if (attempt == null) {
+        unknownTasks.add(status);
       } else {
-        run.shownSeq = r.seq();
-        update(run, item, nowMs);
+        attempt.lastShownSequence = heartbeat.sequence();
+        updateAttempt(attempt, status, nowMs);
       }
     }
-    List<TaskAttempt> absent = new ArrayList<>(0);
-    for (TaskAttempt run : m.runs.values()) {
-      if (run.phase != null && run.shownSeq != r.seq()) {
-        absent.add(run);
+    List<TaskAttempt> absentAttempts = new ArrayList<>(0);
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (attempt.phase != null && attempt.lastShownSequence != heartbeat.sequence()) {
+        absentAttempts.add(attempt);
       }
     }
-    for (TaskAttempt run : absent) {
-      c.drop(run);
+    for (TaskAttempt attempt : absentAttempts) {
+      cluster.dropAttempt(attempt);
     }
-    for (Heartbeat.TaskStatus item : strange) {
-      adopt(m, item, r.seq(), nowMs);
+    for (Heartbeat.TaskStatus status : unknownTasks) {
+      adoptAttempt(machine, status, heartbeat.sequence(), nowMs);
     }
-    if (!m.idle()) {
-      m.idleSinceMs = nowMs;
+    if (!machine.idle()) {
+      machine.idleSinceMs = nowMs;
     }
     return true;
   }
 
-  private void update(TaskAttempt run, Heartbeat.TaskStatus item, long nowMs) {
-    if (run.exited() || run.phase == item.phase()) {
+  private void updateAttempt(TaskAttempt attempt, Heartbeat.TaskStatus status, long nowMs) {
+    if (attempt.exited() || attempt.phase == status.phase()) {
       return;
     }
-    Job job = run.job;
-    Machine m = run.machine;
-    run.ordered = true;
-    if (item.begun()) {
-      job.begun(run.attempt);
+    Job job = attempt.job;
+    Machine machine = attempt.machine;
+    attempt.startSent = true;
+    if (status.closesAttempt()) {
+      job.closeAttempt(attempt.attemptNumber);
     }
-    if (run.phase == null) {
-      m.unanswered = 0; // an order of ours has reached it
+    if (attempt.phase == null) {
+      machine.consecutiveUnanswered = 0; // an order of ours has reached it
     }
-    if (item.phase() != Heartbeat.TaskPhase.FETCHING
-        && item.phase() != Heartbeat.TaskPhase.EXITED) {
-      if (run.phase == null || run.phase == Heartbeat.TaskPhase.FETCHING) {
-        m.touchImage(job.spec.image(), job.spec.imageGb());
+    if (status.phase() != Heartbeat.TaskPhase.FETCHING
+        && status.phase() != Heartbeat.TaskPhase.EXITED) {
+      if (attempt.phase == null || attempt.phase == Heartbeat.TaskPhase.FETCHING) {
+        machine.touchImage(job.spec.image(), job.spec.imageGb());
       }
-      if (item.phase() == Heartbeat.TaskPhase.RUNNING && run.runningSinceMs < 0) {
-        run.runningSinceMs = nowMs;
-        c.served.started(job, nowMs);
+      if (status.phase() == Heartbeat.TaskPhase.RUNNING && attempt.runningSinceMs < 0) {
+        attempt.runningSinceMs = nowMs;
+        cluster.serviceStatistics.onStarted(job, nowMs);
         LOG.debug(
             "task {} runs on {}, {} ms after it was placed",
-            run.name(),
-            m.name,
-            nowMs - run.placedMs);
+            attempt.name(),
+            machine.name,
+            nowMs - attempt.placedMs);
       }
     }
-    if (item.phase() != Heartbeat.TaskPhase.EXITED) {
-      job.phase(run, item.phase());
-      completeStop(run);
+    if (status.phase() != Heartbeat.TaskPhase.EXITED) {
+      job.updatePhase(attempt, status.phase());
+      completeGangStop(attempt);
       return;
     }
-    c.release(run);
-    if (!"done".equals(item.cause())) {
-      job.restarts++;
+    cluster.release(attempt);
+    if (!"done".equals(status.exitReason())) {
+      job.unsuccessfulAttempts++;
     }
-    run.phase = Heartbeat.TaskPhase.EXITED;
-    run.cause = item.cause();
-    exited(run, nowMs);
+    attempt.phase = Heartbeat.TaskPhase.EXITED;
+    attempt.exitReason = status.exitReason();
+    onExited(attempt, nowMs);
   }
 
-  private void exited(TaskAttempt run, long nowMs) {
-    Job job = run.job;
-    Machine m = run.machine;
-    String cause = run.cause == null ? "?" : run.cause;
+  private void onExited(TaskAttempt attempt, long nowMs) {
+    Job job = attempt.job;
+    Machine machine = attempt.machine;
+    String exitReason = attempt.exitReason == null ? "?" : attempt.exitReason;
     if (job.state != Job.State.LIVE) {
       return;
     }
-    switch (cause) {
+    switch (exitReason) {
       case "done" -> {
-        blame.succeeded(job, m);
+        faultAttribution.onTaskCompleted(job, machine);
         if (job.spec.kind() != JobKind.SERVICE) {
-          c.markDone(job, run.index);
+          cluster.markDone(job, attempt.index);
         }
       }
       case "error" -> {
-        LOG.info("task {} failed on {}", run.name(), m.name);
-        blame.failed(run, nowMs);
+        LOG.info("task {} failed on {}", attempt.name(), machine.name);
+        faultAttribution.onTaskFailed(attempt, nowMs);
       }
       case "no_room", "in_use", "unknown" -> {
-        LOG.info("start of {} refused by {}: {}", run.name(), m.name, cause);
-        m.holdUntilMs = nowMs + Constants.REFUSED_HOLD_MS;
-        if (cause.equals("unknown")) {
-          job.pausedUntilMs = nowMs + Constants.UNKNOWN_PAUSE_MS;
+        LOG.info("start of {} refused by {}: {}", attempt.name(), machine.name, exitReason);
+        machine.cordonedUntilMs = nowMs + Constants.START_REJECTED_BACKOFF_MS;
+        if (exitReason.equals("unknown")) {
+          job.pausedUntilMs = nowMs + Constants.UNKNOWN_JOB_BACKOFF_MS;
         }
       }
       case "incomplete" -> {
-        LOG.info("gang task {} on {} gave up waiting for the others", run.name(), m.name);
-        c.stopAttempt(job, run.attempt);
+        LOG.info("gang task {} on {} gave up waiting for the others", attempt.name(), machine.name);
+        cluster.stopAttempt(job, attempt.attemptNumber);
       }
       default -> {
-        LOG.debug("task {} on {} exited: {}", run.name(), m.name, cause);
-        c.stir();
+        LOG.debug("task {} on {} exited: {}", attempt.name(), machine.name, exitReason);
+        cluster.requestPass();
       }
     }
   }
 
-  private void adopt(Machine m, Heartbeat.TaskStatus item, long seq, long nowMs) {
-    Job job = c.jobs.get(item.job());
-    if (job == null || item.index() >= job.spec.tasks()) {
-      job = stub(item);
-    }
-    TaskAttempt run = new TaskAttempt(job, item.index(), item.attempt(), m, nowMs);
-    run.ordered = true;
-    run.phase = item.phase();
-    run.cause = item.cause();
-    run.shownSeq = seq;
-    c.adopt(run);
-    if (item.begun()) {
-      job.begun(run.attempt);
-    }
-    if (run.exited()) {
-      exited(run, nowMs);
+  private void adoptAttempt(
+      Machine machine, Heartbeat.TaskStatus status, long sequence, long nowMs) {
+    Job job = cluster.jobs.get(status.jobId());
+    if (job == null || status.index() >= job.spec.tasks()) {
+      job = orphanedJob(status);
+    }
+    TaskAttempt attempt =
+        new TaskAttempt(job, status.index(), status.attemptNumber(), machine, nowMs);
+    attempt.startSent = true;
+    attempt.phase = status.phase();
+    attempt.exitReason = status.exitReason();
+    attempt.lastShownSequence = sequence;
+    cluster.adopt(attempt);
+    if (status.closesAttempt()) {
+      job.closeAttempt(attempt.attemptNumber);
+    }
+    if (attempt.exited()) {
+      onExited(attempt, nowMs);
       return;
     }
-    if (item.phase() == Heartbeat.TaskPhase.RUNNING) {
-      run.runningSinceMs = nowMs;
+    if (status.phase() == Heartbeat.TaskPhase.RUNNING) {
+      attempt.runningSinceMs = nowMs;
     }
-    if (item.phase() != Heartbeat.TaskPhase.FETCHING) {
-      m.touchImage(job.spec.image(), job.spec.imageGb());
+    if (status.phase() != Heartbeat.TaskPhase.FETCHING) {
+      machine.touchImage(job.spec.image(), job.spec.imageGb());
     }
-    TaskAttempt other = job.runs.get(run.index);
-    if (other != null && !other.ordered && !other.pending()) {
-      c.drop(other);
+    TaskAttempt other = job.attempts.get(attempt.index);
+    if (other != null && !other.startSent && !other.startPending()) {
+      cluster.dropAttempt(other);
       other = null;
     }
-    if (other != null && m.claimed && !other.machine.claimed && job.state == Job.State.LIVE) {
+    if (other != null && machine.fenced && !other.machine.fenced && job.state == Job.State.LIVE) {
       // What the other said may be a copy of an old report, this leader's first word of it. This
       // one shows the token, so it has the task now, and a task is never on two machines.
-      LOG.info("task {} is on {} and not on {}", run.name(), m.name, other.machine.name);
+      LOG.info("task {} is on {} and not on {}", attempt.name(), machine.name, other.machine.name);
       job.release(other);
-      job.extras.add(other);
+      job.duplicateAttempts.add(other);
       other.stopping = true;
       other = null;
     }
-    if (job.state != Job.State.LIVE || job.done.get(run.index) || other != null) {
-      LOG.info("task {} attempt {} on {} is not wanted: stopped", run.name(), run.attempt, m.name);
-      run.stopping = true;
+    if (job.state != Job.State.LIVE || job.doneTasks.get(attempt.index) || other != null) {
+      LOG.info(
+          "task {} attempt {} on {} is not wanted: stopped",
+          attempt.name(),
+          attempt.attemptNumber,
+          machine.name);
+      attempt.stopping = true;
       if (other != null) {
-        job.extras.add(run);
+        job.duplicateAttempts.add(attempt);
       }
       return;
     }
-    c.recognise(run);
-    completeStop(run);
+    cluster.holdTask(attempt);
+    completeGangStop(attempt);
     job.opened = true;
-    if (item.phase() == Heartbeat.TaskPhase.RUNNING) {
-      c.served.started(job, nowMs);
+    if (status.phase() == Heartbeat.TaskPhase.RUNNING) {
+      cluster.serviceStatistics.onStarted(job, nowMs);
     }
   }
 
@@ -336,30 +371,30 @@
    * An earlier leader began to stop this gang. Tasks that are not told within {@code gang_peer_s}
    * of the first fail its save, and those told end all the same: so the others are told at once.
    */
-  private void completeStop(TaskAttempt run) {
-    Job job = run.job;
+  private void completeGangStop(TaskAttempt attempt) {
+    Job job = attempt.job;
     if (job.spec.kind() != JobKind.GANG || job.state != Job.State.LIVE) {
       return;
     }
-    boolean begun = false;
-    boolean left = false;
-    for (TaskAttempt other : job.runs.values()) {
-      boolean same = other.attempt == run.attempt && !other.exited();
-      begun |= same && other.phase == Heartbeat.TaskPhase.SAVING;
-      left |= same && !other.stopping;
+    boolean stopBegun = false;
+    boolean someNotStopping = false;
+    for (TaskAttempt other : job.attempts.values()) {
+      boolean sameAttempt = other.attemptNumber == attempt.attemptNumber && !other.exited();
+      stopBegun |= sameAttempt && other.phase == Heartbeat.TaskPhase.SAVING;
+      someNotStopping |= sameAttempt && !other.stopping;
     }
-    if (begun && left) {
-      c.stop(run);
-      c.stir();
+    if (stopBegun && someNotStopping) {
+      cluster.stop(attempt);
+      cluster.requestPass();
     }
   }
 
   /** Stands for a job this leader does not look after (any more): its tasks are only stopped. */
-  private static Job stub(Heartbeat.TaskStatus item) {
+  private static Job orphanedJob(Heartbeat.TaskStatus status) {
     Job job =
         new Job(
             new JobSpec(
-                item.job(),
+                status.jobId(),
                 "",
                 "",
                 JobKind.ARRAY,
@@ -384,7 +419,7 @@
             new BitSet(),
             ClassObjectives.NONE);
     job.state = Job.State.CANCELLED;
-    job.stranger = true;
+    job.orphaned = true;
     return job;
   }
 }
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -18,32 +18,32 @@
 final class IncarnationTracker {
   private static final Logger LOG = LoggerFactory.getLogger(IncarnationTracker.class);
 
-  private final long token;
-  private long certainUntilMs = Long.MAX_VALUE;
+  private final long fencingToken;
+  private long leaseCertainUntilMs = Long.MAX_VALUE;
   private long lastCertainMs = Long.MIN_VALUE;
 
-  IncarnationTracker(long token) {
-    this.token = token;
+  IncarnationTracker(long fencingToken) {
+    this.fencingToken = fencingToken;
   }
 
   /** Up to then no other node can have led; it grows with each renewal of the lease. */
-  void certainUntil(long untilMs) {
-    certainUntilMs = untilMs;
+  void extendLeaseCertainty(long untilMs) {
+    leaseCertainUntilMs = untilMs;
   }
 
   /** Whether another node may lead by now. */
   boolean leaseUncertain(long nowMs) {
-    return nowMs >= certainUntilMs;
+    return nowMs >= leaseCertainUntilMs;
   }
 
   /** Whether tasks may start on the machine as it is: the one predicate for all commands. */
-  boolean usable(Machine m, long nowMs) {
-    return !leaseUncertain(nowMs) || m.incarnation.seenBy(lastCertainMs(nowMs));
+  boolean usable(Machine machine, long nowMs) {
+    return !leaseUncertain(nowMs) || machine.incarnation.hadMessageBy(lastCertainMs(nowMs));
   }
 
   /** The latest time known at which no other node can have led. */
   private long lastCertainMs(long nowMs) {
-    lastCertainMs = Math.max(lastCertainMs, Math.min(nowMs, certainUntilMs));
+    lastCertainMs = Math.max(lastCertainMs, Math.min(nowMs, leaseCertainUntilMs));
     return lastCertainMs;
   }
 
@@ -54,59 +54,71 @@
    * report with this token, of a machine to which no such order is on its way, is of the
    * incarnation that was claimed.
    */
-  boolean continues(Machine m, Heartbeat r, boolean answer, long nowMs) {
-    boolean traced = !answer && !m.orderInFlight && !m.directLost;
-    return (traced && m.claimed && r.token() == token) || provenToContinue(m, r, nowMs);
+  boolean isSameIncarnation(
+      Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
+    boolean noUnansweredCommand =
+        !directResponse && !machine.commandInFlight && !machine.directCommandLost;
+    return (noUnansweredCommand && machine.fenced && heartbeat.fencingToken() == fencingToken)
+        || isProvenSameIncarnation(machine, heartbeat, nowMs);
   }
 
   /**
    * Whether a message is of the incarnation known, whatever may have reached another: it shows a
    * task that only this one has, or it has sent more messages than one could that began since.
    */
-  boolean provenToContinue(Machine m, Heartbeat r, long nowMs) {
-    return m.incarnation.isKnown() && (showsKnownTask(m, r) || olderThanKnown(m, r, nowMs));
+  boolean isProvenSameIncarnation(Machine machine, Heartbeat heartbeat, long nowMs) {
+    return machine.incarnation.isKnown()
+        && (showsKnownAttempt(machine, heartbeat)
+            || sequenceExcludesRestart(machine, heartbeat, nowMs));
   }
 
   /** A task shown before, whose start cannot have reached another incarnation as well. */
-  private static boolean showsKnownTask(Machine m, Heartbeat r) {
-    for (Heartbeat.TaskStatus item : r.tasks()) {
-      TaskAttempt run = m.runs.get(new TaskAttempt.Key(item.job(), item.index(), item.attempt()));
-      if (run != null && run.phase != null && !run.doubtful && !run.inFlight) {
+  private static boolean showsKnownAttempt(Machine machine, Heartbeat heartbeat) {
+    for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+      TaskAttempt attempt =
+          machine.attempts.get(
+              new TaskAttempt.Key(status.jobId(), status.index(), status.attemptNumber()));
+      if (attempt != null
+          && attempt.phase != null
+          && !attempt.startUnconfirmed
+          && !attempt.startInFlight) {
         return true;
       }
     }
     return false;
   }
 
-  private static boolean olderThanKnown(Machine m, Heartbeat r, long nowMs) {
-    if (!m.incarnation.hasExisted()) {
+  private static boolean sequenceExcludesRestart(Machine machine, Heartbeat heartbeat, long nowMs) {
+    if (!machine.incarnation.existenceConfirmed()) {
       return false;
     }
-    double sinceS = (nowMs - m.incarnation.existedMs()) / 1000.0;
-    return r.seq() > Constants.MESSAGES_AT_ONCE + sinceS * Constants.MESSAGES_PER_S;
+    double sinceS = (nowMs - machine.incarnation.lastConfirmedMs()) / 1000.0;
+    return heartbeat.sequence()
+        > Constants.MACHINE_MESSAGE_BURST + sinceS * Constants.MACHINE_MESSAGES_PER_S;
   }
 
   /** Notes what a newer message proves: that its incarnation is there, and since when. */
-  void seen(Machine m, Heartbeat r, boolean answer, long nowMs) {
-    boolean first = !m.incarnation.isKnown();
-    m.incarnation.seen(nowMs);
+  void onMessage(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
+    boolean first = !machine.incarnation.isKnown();
+    machine.incarnation.onMessage(nowMs);
     lastCertainMs(nowMs);
-    if (answer) {
-      m.incarnation.existed(m.lastDirectMs); // it was asked then, or later
-    } else if (r.token() == token) {
-      m.incarnation.existed(m.knownMs); // it has heard of this term
+    if (directResponse) {
+      machine.incarnation.confirmExistence(
+          machine.lastDirectCommandMs); // it was asked then, or later
+    } else if (heartbeat.fencingToken() == fencingToken) {
+      machine.incarnation.confirmExistence(machine.firstKnownMs); // it has heard of this term
     }
     if (first) {
       LOG.debug(
           "machine {} has an incarnation not seen before: session {}, sequence {}, token {},"
               + " {}, in {}; the lease is {}",
-          m.name,
-          r.session(),
-          r.seq(),
-          r.token(),
-          m.enrolled ? "on record" : "to be recorded",
-          answer ? "an answer" : "a report",
-          leaseUncertain(nowMs) ? "uncertain since " + certainUntilMs : "certain");
+          machine.name,
+          heartbeat.epoch(),
+          heartbeat.sequence(),
+          heartbeat.fencingToken(),
+          machine.registered ? "on record" : "to be recorded",
+          directResponse ? "an answer" : "a report",
+          leaseUncertain(nowMs) ? "uncertain since " + leaseCertainUntilMs : "certain");
     }
   }
 }
--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -21,10 +21,10 @@
   final long submittedMs;
 
   /** The tightest aim on starting its tasks, seconds; null if there is none. */
-  final Double startAimS;
+  final Double startObjectiveS;
 
   /** The tightest aim on finishing it, seconds; null if there is none. */
-  final Double finishAimS;
+  final Double finishObjectiveS;
 
   /**
    * Its deadline or what is aimed at for its class, whichever is sooner; null if there is neither.
@@ -33,7 +33,7 @@
   final Double dueS;
 
   /** The operators aim at something for its class. */
-  final boolean aimed;
+  final boolean hasObjective;
 
   State state = State.LIVE;
 
@@ -43,34 +43,34 @@
   /** Opened by an earlier leader: its tasks may sit on any machine not heard yet. */
   boolean inherited;
 
-  boolean cancelWanted;
+  boolean cancellationRequested;
 
   /** Stands for a job that this leader does not look after: what its tasks take is not known. */
-  boolean stranger;
+  boolean orphaned;
 
-  final BitSet done;
+  final BitSet doneTasks;
 
   /** Those of them that are on record. */
-  final BitSet doneDurable;
+  final BitSet persistedDoneTasks;
 
   /** Tasks neither done nor held by a machine. */
-  final BitSet waiting;
+  final BitSet waitingTasks;
 
   /** Where each task is held; exited attempts are not here. */
-  final Map<Integer, TaskAttempt> runs = new HashMap<>();
+  final Map<Integer, TaskAttempt> attempts = new HashMap<>();
 
   /**
    * Runs of tasks that another run holds, until they are off their machines. When that one goes,
    * one of these holds the task: what a copy of an old report showed went, the true run was still
    * being stopped, and the task was started a second time (seed 20001 of the swarm).
    */
-  final List<TaskAttempt> extras = new ArrayList<>(0);
+  final List<TaskAttempt> duplicateAttempts = new ArrayList<>(0);
 
   /** Types of machines that its tasks may go to. */
   Set<String> usableTypes = Set.of();
 
   /** What a machine has to be and to have for its tasks; set together with the types. */
-  PlacementConstraints place;
+  PlacementConstraints placementConstraints;
 
   /** Jobs with the same find room on the same machines. */
   record PlacementConstraints(
@@ -79,16 +79,16 @@
   /**
    * Types with accelerators that its tasks need not: they may have what others leave over there.
    */
-  Set<String> spareTypes = Set.of();
+  Set<String> backfillTypes = Set.of();
 
   /** What it is counted with for the least that each class is served; set when it is taken in. */
-  MinimumShare.Group group;
+  MinimumShare.ShareGroup shareGroup;
 
   /** The machine on which room is kept for a task of it; null while it waits for none. */
-  Machine keptOn;
+  Machine reservedMachine;
 
   /** Within a pass: waiting tasks for which room is being made. */
-  int covered;
+  int tasksAwaitingPreemption;
 
   /** Within a sort of the queue: what it is sorted by. */
   double urgencyMs;
@@ -97,96 +97,103 @@
    * When it was taken in it fitted into its team's guarantee together with the team's earlier
    * unfinished jobs: it need not wait for other teams.
    */
-  boolean guaranteed;
+  boolean withinGuaranteedQuota;
 
   /** Within a sort of the queue: nobody aims at anything for it, nor is it guaranteed anything. */
-  boolean spare;
+  boolean bestEffort;
 
   /** The zone in which free room is kept for this gang; null while it waits for none. */
-  String keptIn;
+  String reservedZone;
 
   /**
    * Of a gang, the attempt that its tasks have; numbers rise from one to the next, across leaders
    * too.
    */
-  long gangAttempt;
+  long gangAttemptNumber;
 
   /** The newest attempt that is known to have begun; 0: none is. */
-  private long begunAttempt;
+  private long closedAttemptNumber;
 
   /** What the largest jobs of its class got is counted by this; set when it is taken in. */
-  ServiceStatistics.JobOutcome fate;
+  ServiceStatistics.JobOutcome outcome;
 
   /** The operators were told that it has not begun. */
-  boolean warned;
+  boolean startWarningLogged;
 
   /** A task of it ran in this term. */
-  boolean begun;
+  boolean started;
 
   /** Runs that ended without completing their task. */
-  int restarts;
+  int unsuccessfulAttempts;
 
   long lastPlacedMs;
 
   /** A task of it has completed, so it is no job that fails everywhere. */
-  boolean everRan;
+  boolean hasCompletedTask;
 
   /** Machines on which its tasks failed, and when; faulty machines are taken out again. */
-  final Map<String, Long> failedOn = new HashMap<>();
+  final Map<String, Long> lastFailureMsByMachine = new HashMap<>();
 
   /** How often it has failed since it was taken to be broken; 0: it is not. */
-  int probes;
+  int probeCount;
 
   long pausedUntilMs;
 
-  private final Map<String, Integer> zones = new HashMap<>();
+  private final Map<String, Integer> attemptsByZone = new HashMap<>();
   private int doneCount;
   private int waitingCount;
-  private int running;
-
-  Job(JobSpec spec, long submittedMs, boolean opened, BitSet done, ClassObjectives aims) {
+  private int runningCount;
+
+  Job(
+      JobSpec spec,
+      long submittedMs,
+      boolean opened,
+      BitSet doneTasks,
+      ClassObjectives objectives) {
     this.spec = spec;
     this.submittedMs = submittedMs;
-    this.startAimS = aims.startS();
-    this.finishAimS = aims.finishS();
-    this.dueS = sooner(spec.deadlineS(), aims.finishS());
-    this.aimed = aims.any();
+    this.startObjectiveS = objectives.startS();
+    this.finishObjectiveS = objectives.finishS();
+    this.dueS = earlier(spec.deadlineS(), objectives.finishS());
+    this.hasObjective = objectives.anyObjective();
     this.opened = opened;
-    this.done = done;
-    this.doneDurable = (BitSet) done.clone();
-    this.doneCount = done.cardinality();
-    this.waiting = new BitSet(spec.tasks());
-    this.waiting.set(0, spec.tasks());
-    this.waiting.andNot(done);
-    this.waitingCount = waiting.cardinality();
-    this.everRan = doneCount > 0;
+    this.doneTasks = doneTasks;
+    this.persistedDoneTasks = (BitSet) doneTasks.clone();
+    this.doneCount = doneTasks.cardinality();
+    this.waitingTasks = new BitSet(spec.tasks());
+    this.waitingTasks.set(0, spec.tasks());
+    this.waitingTasks.andNot(doneTasks);
+    this.waitingCount = waitingTasks.cardinality();
+    this.hasCompletedTask = doneCount > 0;
   }
 
-  private static Double sooner(Double a, Double b) {
-    return a == null || b == null ? (a == null ? b : a) : (Double) Math.min(a, b);
+  private static Double earlier(Double first, Double second) {
+    return first == null || second == null
+        ? (first == null ? second : first)
+        : (Double) Math.min(first, second);
   }
 
   /**
    * It failed on several machines and never completed a task: probably submitted with a mistake.
    */
-  boolean suspect() {
-    return probes > 0;
+  boolean isSuspect() {
+    return probeCount > 0;
   }
 
   /** Whether a task of it may be on a machine, as far as known here. */
-  boolean holdsAny() {
-    return !runs.isEmpty() || !extras.isEmpty();
+  boolean hasAttempts() {
+    return !attempts.isEmpty() || !duplicateAttempts.isEmpty();
   }
 
   /** Whether a task of it may still start, though no further command is sent for it. */
   boolean mayStart() {
-    for (TaskAttempt run : runs.values()) {
-      if (run.mayStart()) {
+    for (TaskAttempt attempt : attempts.values()) {
+      if (attempt.mayStart()) {
         return true;
       }
     }
-    for (TaskAttempt run : extras) {
-      if (run.mayStart()) {
+    for (TaskAttempt attempt : duplicateAttempts) {
+      if (attempt.mayStart()) {
         return true;
       }
     }
@@ -194,14 +201,14 @@
   }
 
   /** Its probe is out: no further task of it starts. */
-  boolean beingProbed() {
-    return suspect() && !runs.isEmpty();
+  boolean probeInProgress() {
+    return isSuspect() && !attempts.isEmpty();
   }
 
   /** Whether it failed there so lately that another machine should have it. */
-  boolean avoids(Machine m, long nowMs) {
-    Long at = failedOn.get(m.name);
-    return at != null && !suspect() && nowMs - at < Constants.FAILED_AVOID_MS;
+  boolean avoids(Machine machine, long nowMs) {
+    Long failedMs = lastFailureMsByMachine.get(machine.name);
+    return failedMs != null && !isSuspect() && nowMs - failedMs < Constants.FAILED_MACHINE_AVOID_MS;
   }
 
   /**
@@ -209,12 +216,13 @@
    * deadline says when it is served. An aim of minutes on starting is a limit for those that come
    * late, and no reason to serve a class in the order of arrival.
    */
-  boolean timed() {
-    return spec.kind() == JobKind.ARRAY && (dueFirst() || longStart());
+  boolean isDeadlineDriven() {
+    return spec.kind() == JobKind.ARRAY
+        && (deadlineBeforeStartObjective() || hasLongStartObjective());
   }
 
-  private boolean dueFirst() {
-    return dueS != null && (startAimS == null || dueS - spec.estimateS() < startAimS);
+  private boolean deadlineBeforeStartObjective() {
+    return dueS != null && (startObjectiveS == null || dueS - spec.estimateS() < startObjectiveS);
   }
 
   /**
@@ -223,46 +231,56 @@
    * where 120 were aimed at); so this aim too is a time by which some are in time and others are
    * put off.
    */
-  boolean longStart() {
-    return startAimS != null && startAimS >= Constants.LONG_START_S;
+  boolean hasLongStartObjective() {
+    return startObjectiveS != null && startObjectiveS >= Constants.LONG_START_OBJECTIVE_S;
   }
 
   /** For a timed job: seconds after its submission by which it is to be done; else its deadline. */
-  Double endS() {
-    return timed() && !dueFirst() ? (Double) (startAimS + spec.estimateS()) : dueS;
+  Double completionDueS() {
+    return isDeadlineDriven() && !deadlineBeforeStartObjective()
+        ? (Double) (startObjectiveS + spec.estimateS())
+        : dueS;
   }
 
-  /** When it is to be done if {@code times} the time for it may be taken, on the steady clock. */
-  double endMs(double times) {
-    return submittedMs + times * endS() * 1000;
+  /**
+   * When it is to be done if {@code deadlineMultiple} the time for it may be taken, on the steady
+   * clock.
+   */
+  double completionDueMs(double deadlineMultiple) {
+    return submittedMs + deadlineMultiple * completionDueS() * 1000;
   }
 
   /** When its tasks should start, on the steady clock. */
-  double startMs() {
-    Double end = endS();
-    double s = end != null ? end : Constants.NO_DEADLINE_S;
-    return submittedMs + (s - spec.estimateS()) * 1000;
+  double latestStartMs() {
+    Double completionS = completionDueS();
+    double seconds = completionS != null ? completionS : Constants.DEFAULT_DEADLINE_S;
+    return submittedMs + (seconds - spec.estimateS()) * 1000;
   }
 
   /**
    * From when on the longer aims of a timed job are in danger, on the steady clock: its tasks have
    * to start, and to end, within these however late its deadline finds it.
    */
-  double rescueMs() {
-    double s = Double.MAX_VALUE;
-    if (startAimS != null && dueFirst()) {
-      s = startAimS * Constants.RESCUE_SHARE;
+  double objectiveAtRiskMs() {
+    double seconds = Double.MAX_VALUE;
+    if (startObjectiveS != null && deadlineBeforeStartObjective()) {
+      seconds = startObjectiveS * Constants.OBJECTIVE_RISK_START_SHARE;
     }
-    if (finishAimS != null && spec.deadlineS() != null) {
-      s = Math.min(s, finishAimS * Constants.RESCUE_END_SHARE - spec.estimateS());
+    if (finishObjectiveS != null && spec.deadlineS() != null) {
+      seconds =
+          Math.min(
+              seconds, finishObjectiveS * Constants.OBJECTIVE_RISK_END_SHARE - spec.estimateS());
     }
-    return s == Double.MAX_VALUE ? s : submittedMs + s * 1000;
+    return seconds == Double.MAX_VALUE ? seconds : submittedMs + seconds * 1000;
   }
 
   /** When the last of these aims is missed: from then on haste helps it no more. */
-  double rescuedMs() {
-    double s = Math.max(startAimS == null ? 0 : startAimS, finishAimS == null ? 0 : finishAimS);
-    return submittedMs + s * 1000;
+  double objectiveMissedMs() {
+    double seconds =
+        Math.max(
+            startObjectiveS == null ? 0 : startObjectiveS,
+            finishObjectiveS == null ? 0 : finishObjectiveS);
+    return submittedMs + seconds * 1000;
   }
 
   boolean complete() {
@@ -270,16 +288,16 @@
   }
 
   /** For a service, the machines that hold its replicas; of others nobody asks. */
-  List<String> machines() {
-    List<String> out = new ArrayList<>(0);
+  List<String> replicaMachineNames() {
+    List<String> names = new ArrayList<>(0);
     if (spec.kind() == JobKind.SERVICE) {
-      for (TaskAttempt run : runs.values()) {
-        if (!out.contains(run.machine.name)) {
-          out.add(run.machine.name);
+      for (TaskAttempt attempt : attempts.values()) {
+        if (!names.contains(attempt.machine.name)) {
+          names.add(attempt.machine.name);
         }
       }
     }
-    return out;
+    return names;
   }
 
   int waitingCount() {
@@ -290,44 +308,44 @@
     return doneCount;
   }
 
-  int running() {
-    return running;
+  int runningCount() {
+    return runningCount;
   }
 
   void markDone(int index) {
-    if (!done.get(index)) {
-      done.set(index);
+    if (!doneTasks.get(index)) {
+      doneTasks.set(index);
       doneCount++;
     }
     setWaiting(index, false);
   }
 
-  private void setWaiting(int index, boolean waits) {
-    if (waiting.get(index) != waits) {
-      waiting.set(index, waits);
-      waitingCount += waits ? 1 : -1;
+  private void setWaiting(int index, boolean nowWaiting) {
+    if (waitingTasks.get(index) != nowWaiting) {
+      waitingTasks.set(index, nowWaiting);
+      waitingCount += nowWaiting ? 1 : -1;
     }
   }
 
   /** The run now holds its task. */
-  void hold(TaskAttempt run) {
-    runs.put(run.index, run);
-    gangAttempt = run.attempt;
-    zones.merge(run.machine.zone, 1, Integer::sum);
-    running += run.works() ? 1 : 0;
-    setWaiting(run.index, false);
+  void hold(TaskAttempt attempt) {
+    attempts.put(attempt.index, attempt);
+    gangAttemptNumber = attempt.attemptNumber;
+    attemptsByZone.merge(attempt.machine.zone, 1, Integer::sum);
+    runningCount += attempt.isRunning() ? 1 : 0;
+    setWaiting(attempt.index, false);
   }
 
   /** Lets the task go if this run holds it; it waits again unless it is done. */
-  boolean release(TaskAttempt run) {
-    boolean held = runs.get(run.index) == run;
-    if (held) {
-      runs.remove(run.index);
-      zones.computeIfPresent(run.machine.zone, (z, n) -> n > 1 ? n - 1 : null);
-      running -= run.works() ? 1 : 0;
-      setWaiting(run.index, !done.get(run.index));
+  boolean release(TaskAttempt attempt) {
+    boolean holdsTask = attempts.get(attempt.index) == attempt;
+    if (holdsTask) {
+      attempts.remove(attempt.index);
+      attemptsByZone.computeIfPresent(attempt.machine.zone, (z, n) -> n > 1 ? n - 1 : null);
+      runningCount -= attempt.isRunning() ? 1 : 0;
+      setWaiting(attempt.index, !doneTasks.get(attempt.index));
     }
-    return held;
+    return holdsTask;
   }
 
   /**
@@ -336,24 +354,24 @@
    * running only; a leader that began while a gang was saving, or had just lost a task, gave the
    * number out again, and the gang never ran any more.
    */
-  void begun(long attempt) {
-    begunAttempt = Math.max(begunAttempt, attempt);
+  void closeAttempt(long attemptNumber) {
+    closedAttemptNumber = Math.max(closedAttemptNumber, attemptNumber);
   }
 
-  boolean gangRan() {
-    return begunAttempt >= gangAttempt;
+  boolean gangAttemptClosed() {
+    return closedAttemptNumber >= gangAttemptNumber;
   }
 
   /** Moves a run to its reported phase. */
-  void phase(TaskAttempt run, Heartbeat.TaskPhase phase) {
-    boolean counts = runs.get(run.index) == run;
-    running -= counts && run.works() ? 1 : 0;
-    run.phase = phase;
-    running += counts && run.works() ? 1 : 0;
+  void updatePhase(TaskAttempt attempt, Heartbeat.TaskPhase phase) {
+    boolean holdsTask = attempts.get(attempt.index) == attempt;
+    runningCount -= holdsTask && attempt.isRunning() ? 1 : 0;
+    attempt.phase = phase;
+    runningCount += holdsTask && attempt.isRunning() ? 1 : 0;
   }
 
   /** For the log: what became of it and how long that took. */
-  String story(long nowMs) {
+  String endSummary(long nowMs) {
     return spec.jobClass()
         + ", "
         + spec.tasks()
@@ -367,12 +385,12 @@
         + (lastPlacedMs == 0
             ? "before this term, "
             : "after " + (lastPlacedMs - submittedMs) / 1000 + " s, ")
-        + restarts
+        + unsuccessfulAttempts
         + " runs lost";
   }
 
-  int inZone(String zone) {
-    return zones.getOrDefault(zone, 0);
+  int attemptsInZone(String zone) {
+    return attemptsByZone.getOrDefault(zone, 0);
   }
 
   /** Zone that the rules allow for one more task, given the others held now. */
@@ -380,9 +398,11 @@
     if (spec.zone() != null && !spec.zone().equals(zone)) {
       return false;
     }
-    if (spec.oneZone() && !zones.isEmpty() && (zones.size() > 1 || !zones.containsKey(zone))) {
+    if (spec.oneZone()
+        && !attemptsByZone.isEmpty()
+        && (attemptsByZone.size() > 1 || !attemptsByZone.containsKey(zone))) {
       return false;
     }
-    return !spec.spread() || inZone(zone) < spec.spreadLimit();
+    return !spec.spread() || attemptsInZone(zone) < spec.spreadLimit();
   }
 }
--- a/src/main/java/org/astershift/scheduler/JobSpec.java
+++ b/src/main/java/org/astershift/scheduler/JobSpec.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A job as its user described it. {@code types} null means any machine type, {@code zone} null any
- * zone, {@code deadlineS} null no deadline.
+ * A job as its user described it. {@code machineTypes} null means any machine type, {@code zone}
+ * null any zone, {@code deadlineS} null no deadline.
  */
 public record JobSpec(
     String id,
@@ -18,19 +18,19 @@
     double memoryGb,
     String image,
     double imageGb,
-    List<String> types,
+    List<String> machineTypes,
     String zone,
     boolean oneZone,
     boolean spread,
-    boolean spot,
+    boolean spotAllowed,
     double estimateS,
-    double checkpointS,
-    double saveS,
+    double checkpointIntervalS,
+    double checkpointSaveS,
     Double deadlineS) {
 
   /** Whether one task could ever run on an empty machine of this type. */
   public boolean fits(MachineType type) {
-    return (types == null || types.contains(type.name()))
+    return (machineTypes == null || machineTypes.contains(type.name()))
         && cpus <= type.cpus() + 1e-9
         && gpus <= type.gpus() + 1e-9
         && memoryGb <= type.memoryGb() + 1e-9
@@ -38,8 +38,8 @@
   }
 
   /** Kinds of machines that it may use: spot ones, if at all, first. */
-  public List<Boolean> spotOrNot() {
-    return spot ? List.of(true, false) : List.of(false);
+  public List<Boolean> spotChoices() {
+    return spotAllowed ? List.of(true, false) : List.of(false);
   }
 
   /** How many tasks a spread job may have in one zone: half of them, rounded up. */
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -16,94 +16,94 @@
     /** Rented, its worker has not reported yet, and it was never given a task. */
     BOOTING,
     /** Named by an earlier leader; may hold anything until it answers to this token. */
-    UNHEARD,
+    UNRECONCILED,
     /** Answers to this leader's token. */
     LIVE,
     /** Its lease with this leader has run out: it holds nothing, but may come back. */
-    LOST,
+    LEASE_EXPIRED,
     /** To be given back; repeated until the cloud says it is gone. */
-    RETURNING
+    RELEASING
   }
 
   private static final double TOLERANCE = 1e-6;
 
   final String name;
-  final String type;
+  final String typeName;
   final String zone;
   final boolean spot;
-  String addr;
+  String address;
   State state;
 
   /** Its type, once that is known. */
-  MachineType kind;
+  MachineType type;
 
   /** Its name is durable, so tasks may be placed on it. */
-  boolean enrolled;
+  boolean registered;
 
-  /** It has shown this leader's token in {@link #session}: no older leader can renew its lease. */
-  boolean claimed;
+  /** It has shown this leader's token in {@link #epoch}: no older leader can renew its lease. */
+  boolean fenced;
 
   /** Named by an earlier leader: until it is claimed it may hold that leader's tasks. */
   boolean inherited;
 
   /** Tasks here, not exited, of jobs that this leader does not look after. */
-  private int strangers;
+  private int orphanedAttempts;
 
-  long session;
-  long seq;
-  final long knownMs;
+  long epoch;
+  long sequence;
+  final long firstKnownMs;
 
   /**
    * From when its lease with this leader counts: a report answered, the first sight of its token,
    * or of a new session, whichever came last. What came later may be alive for a whole lease.
    */
-  long heardMs;
+  long leaseFromMs;
 
   /** When it last said anything, be it in answer to an order. */
-  long seenMs;
+  long lastMessageMs;
 
   /** When a report of it was last answered, or since when this leader may do that. */
-  long renewedMs;
+  long leaseRenewedMs;
 
   /** It was said in the log that it is mute. */
-  boolean toldMute;
+  boolean outboundPartitionLogged;
 
-  int directFailures;
+  int directCommandFailures;
 
   /** The direct order under way was sent while its report was overdue, or it was never heard. */
-  boolean askedWhileSilent;
+  boolean commandSentWhileSilent;
 
   /** Such an order got no answer, and nothing was heard since. */
-  boolean askedInVain;
+  boolean silentCommandUnanswered;
 
   /**
    * Direct orders and questions in a row that it left unanswered, whatever it reported meanwhile;
    * none once something shows that it receives.
    */
-  int unanswered;
+  int consecutiveUnanswered;
 
   /**
    * Since when it may hold what this leader does not know of: the begin of the term, or of its
    * life.
    */
-  long unheardMs;
+  long unreconciledSinceMs;
 
   /** When it was first said to be there since then; -1: it was not yet. */
-  long firstSaidMs = -1;
+  long firstMessageMs = -1;
 
   /** Reports without this leader's token that came after another one was answered with it. */
-  int inVain;
+  int unfencedHeartbeats;
 
   /** Position of the newest message that came as a report, which an answer may have renewed. */
-  long reportSession;
+  long heartbeatEpoch;
 
-  long reportSeq;
+  long heartbeatSequence;
 
   /** What is known of its present incarnation. */
   MachineIncarnation incarnation = new MachineIncarnation();
 
   /** The incarnation for which the record was asked that is being written; null: none was. */
-  MachineIncarnation recordAskedFor;
+  MachineIncarnation registeringIncarnation;
 
   /**
    * A report showed a lower token than it had, or lacked a task that was there: it may have
@@ -112,115 +112,125 @@
   boolean restartSuspected;
 
   /** A direct order got no answer in this term, so it may reach a later incarnation. */
-  boolean directLost;
+  boolean directCommandLost;
 
   /** It began anew in this term: of which life a report is nobody can tell any more. */
   boolean restartedInTerm;
 
   /** What was known of it when the question under way was decided: its answer is younger. */
-  long askedSession;
+  long epochWhenCommandSent;
 
-  long askedSeq;
+  long sequenceWhenCommandSent;
 
   /** A message came that is older than what it said before: only its own answer tells why. */
-  boolean older;
+  boolean staleMessageSeen;
 
   /**
    * Nothing but a report speaks for it, which may be as old as any: neither record nor list, nor a
    * report that shows this leader's token.
    */
-  boolean hearsay;
+  boolean unverified;
 
   /** What other controllers found when they were asked to reach it. */
-  final PeerProbeResults peerFindings = new PeerProbeResults();
+  final PeerProbeResults peerProbeResults = new PeerProbeResults();
 
   /**
    * When it was last known to exist for the cloud: listed, rented, reported, or on record when the
    * term began. A list that is certainly younger and lacks it proves that it is gone.
    */
-  long listedMs;
+  long lastListedMs;
 
-  Double noticeS;
+  Double preemptionNoticeS;
 
   /** Jobs not known to be sound that failed here since a task last completed here. */
   final Set<Job> failedJobs = new HashSet<>();
 
   /** Failures here since then of jobs that are sound elsewhere. */
-  int failedProven;
+  int provenJobFailures;
 
-  boolean condemned;
+  boolean quarantined;
 
   /** Given back because nothing was heard of it. */
-  boolean givenUp;
+  boolean releasedAsSilent;
 
   long idleSinceMs;
-  long holdUntilMs;
-  boolean orderInFlight;
-  long lastDirectMs = -1_000_000;
+  long cordonedUntilMs;
+  boolean commandInFlight;
+  long lastDirectCommandMs = -1_000_000;
 
   /** Held attempts, and exited ones until the worker has forgotten them. */
-  final Map<TaskAttempt.Key, TaskAttempt> runs = new LinkedHashMap<>();
+  final Map<TaskAttempt.Key, TaskAttempt> attempts = new LinkedHashMap<>();
 
   /** Images believed to be here, least recently used first: the worker does not report them. */
-  final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
+  final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(16, 0.75f, true);
 
   /** Within a pass: room made for tasks that wait for it. */
   private Reservation reserved = Reservation.NONE;
 
   /** Within a pass: what it could give up, as far as that was asked; null once that changes. */
-  Preemption.Stoppable stoppable;
+  Preemption.Stoppable preemptible;
 
   /** Within a pass: tasks given to it. */
-  int taken;
+  int placedInPass;
 
   /** Tasks held here, by image. */
-  private final Map<String, Integer> needed = new HashMap<>();
+  private final Map<String, Integer> attemptsByImage = new HashMap<>();
 
   private double usedCpus;
   private double usedGpus;
-  private double usedMemory;
+  private double usedMemoryGb;
   private double replicaCpus;
-  private double plainCpus;
-  private double plainMemory;
-  private int held;
+  private double nonGpuCpus;
+  private double nonGpuMemoryGb;
+  private int heldAttemptCount;
 
   Machine(
-      String name, String addr, String type, String zone, boolean spot, State state, long nowMs) {
+      String name,
+      String address,
+      String typeName,
+      String zone,
+      boolean spot,
+      State state,
+      long nowMs) {
     this.name = name;
-    this.addr = addr;
-    this.type = type;
+    this.address = address;
+    this.typeName = typeName;
     this.zone = zone;
     this.spot = spot;
     this.state = state;
-    this.knownMs = nowMs;
-    this.unheardMs = nowMs;
-    this.listedMs = nowMs;
-    this.heardMs = nowMs;
-    this.seenMs = nowMs;
-    this.renewedMs = nowMs;
+    this.firstKnownMs = nowMs;
+    this.unreconciledSinceMs = nowMs;
+    this.lastListedMs = nowMs;
+    this.leaseFromMs = nowMs;
+    this.lastMessageMs = nowMs;
+    this.leaseRenewedMs = nowMs;
     this.idleSinceMs = nowMs;
   }
 
   /** Tasks failed here lately, so it gets one at a time until one completes. */
-  boolean doubted() {
-    return failedProven > 0 || !failedJobs.isEmpty();
+  boolean hasRecentFailures() {
+    return provenJobFailures > 0 || !failedJobs.isEmpty();
   }
 
   /** Its reports arrive and nothing that is said to it does. */
-  boolean deaf() {
-    return unanswered >= Constants.DEAF_TRIES;
+  boolean inboundPartitioned() {
+    return consecutiveUnanswered >= Constants.INBOUND_PARTITION_TRIES;
   }
 
   /** The same of one that an earlier leader named: it goes on showing that leader's token. */
-  boolean deafAnew() {
-    return state == State.UNHEARD && deaf() && inVain >= Constants.DEAF_TRIES;
+  boolean inboundPartitionedUnreconciled() {
+    return state == State.UNRECONCILED
+        && inboundPartitioned()
+        && unfencedHeartbeats >= Constants.INBOUND_PARTITION_TRIES;
   }
 
   /**
    * When it last said anything that counts: of one that answers nothing, only until it was known.
    */
-  long saidMs() {
-    return deafAnew() ? unheardMs : Math.max(seenMs, heardMs);
+  long lastContactMs() {
+    return inboundPartitionedUnreconciled()
+        ? unreconciledSinceMs
+        : Math.max(lastMessageMs, leaseFromMs);
   }
 
   /**
@@ -228,64 +238,64 @@
    * heard, and not to be used before this is on record, so that no leader it may have listened to
    * meanwhile can take it for its own.
    */
-  void restarted() {
+  void resetAfterRestart() {
     restartedInTerm = true;
     incarnation = new MachineIncarnation();
-    session = 0;
-    seq = 0;
-    reportSession = 0;
-    reportSeq = 0;
-    firstSaidMs = -1;
-    inVain = 0;
-    claimed = false;
+    epoch = 0;
+    sequence = 0;
+    heartbeatEpoch = 0;
+    heartbeatSequence = 0;
+    firstMessageMs = -1;
+    unfencedHeartbeats = 0;
+    fenced = false;
     inherited = true;
-    enrolled = false;
-    noticeS = null;
-    images.clear();
+    registered = false;
+    preemptionNoticeS = null;
+    cachedImages.clear();
   }
 
   boolean usable(long nowMs) {
     return state == State.LIVE
-        && enrolled
-        && !deaf()
-        && !hearsay
-        && !condemned
-        && noticeS == null
-        && nowMs >= holdUntilMs
-        && kind != null;
+        && registered
+        && !inboundPartitioned()
+        && !unverified
+        && !quarantined
+        && preemptionNoticeS == null
+        && nowMs >= cordonedUntilMs
+        && type != null;
   }
 
-  void add(TaskAttempt run) {
-    runs.put(run.key, run);
-    stoppable = null;
+  void add(TaskAttempt attempt) {
+    attempts.put(attempt.key, attempt);
+    preemptible = null;
   }
 
-  void remove(TaskAttempt run) {
-    runs.remove(run.key);
-    stoppable = null;
+  void remove(TaskAttempt attempt) {
+    attempts.remove(attempt.key);
+    preemptible = null;
   }
 
   /** Takes or gives back what a task of this job needs. */
-  void use(JobSpec s, int sign) {
-    stoppable = null;
-    usedCpus += sign * s.cpus();
-    usedGpus += sign * s.gpus();
-    usedMemory += sign * s.memoryGb();
-    replicaCpus += s.kind() == JobKind.SERVICE ? sign * s.cpus() : 0;
-    if (s.gpus() == 0) {
-      plainCpus += sign * s.cpus();
-      plainMemory += sign * s.memoryGb();
+  void addUsage(JobSpec spec, int sign) {
+    preemptible = null;
+    usedCpus += sign * spec.cpus();
+    usedGpus += sign * spec.gpus();
+    usedMemoryGb += sign * spec.memoryGb();
+    replicaCpus += spec.kind() == JobKind.SERVICE ? sign * spec.cpus() : 0;
+    if (spec.gpus() == 0) {
+      nonGpuCpus += sign * spec.cpus();
+      nonGpuMemoryGb += sign * spec.memoryGb();
     }
-    held += sign;
-    needed.merge(s.image(), sign, (a, b) -> a + b == 0 ? null : a + b);
-    if (held == 0) {
+    heldAttemptCount += sign;
+    attemptsByImage.merge(spec.image(), sign, (a, b) -> a + b == 0 ? null : a + b);
+    if (heldAttemptCount == 0) {
       // Sums of fractions drift: an empty machine is exactly empty.
       usedCpus = 0;
       usedGpus = 0;
-      usedMemory = 0;
+      usedMemoryGb = 0;
       replicaCpus = 0;
-      plainCpus = 0;
-      plainMemory = 0;
+      nonGpuCpus = 0;
+      nonGpuMemoryGb = 0;
     }
   }
 
@@ -297,27 +307,27 @@
     return usedGpus;
   }
 
-  double usedMemory() {
-    return usedMemory;
+  double usedMemoryGb() {
+    return usedMemoryGb;
   }
 
   /** Processors that tasks without accelerators take. */
-  double plainCpus() {
-    return plainCpus;
+  double nonGpuCpus() {
+    return nonGpuCpus;
   }
 
-  double plainMemory() {
-    return plainMemory;
+  double nonGpuMemoryGb() {
+    return nonGpuMemoryGb;
   }
 
   /** Whether it may hold tasks of which this leader does not know what they take. */
-  boolean inTheDark() {
-    return (inherited && !claimed) || strangers > 0;
+  boolean mayHoldUnobservedUsage() {
+    return (inherited && !fenced) || orphanedAttempts > 0;
   }
 
   /** Tasks here, not exited, of jobs that this leader does not look after: more or fewer. */
-  void strangers(int more) {
-    strangers += more;
+  void addOrphanedAttempts(int delta) {
+    orphanedAttempts += delta;
   }
 
   /**
@@ -325,11 +335,11 @@
    * them nor work that no other type is enough for. What only fills its gaps does not keep it.
    */
   boolean idle() {
-    if (held == 0 || kind == null || kind.gpus() == 0 || usedGpus > TOLERANCE) {
-      return held == 0;
+    if (heldAttemptCount == 0 || type == null || type.gpus() == 0 || usedGpus > TOLERANCE) {
+      return heldAttemptCount == 0;
     }
-    for (TaskAttempt run : runs.values()) {
-      if (!run.exited() && run.job.usableTypes.contains(type)) {
+    for (TaskAttempt attempt : attempts.values()) {
+      if (!attempt.exited() && attempt.job.usableTypes.contains(typeName)) {
         return false;
       }
     }
@@ -341,42 +351,42 @@
     return replicaCpus;
   }
 
-  boolean hasRoom(double cpus, double gpus, double memory) {
-    return freeTasks() > 0
+  boolean fits(double cpus, double gpus, double memoryGb) {
+    return freeTaskSlots() > 0
         && freeCpus() + TOLERANCE >= cpus
         && freeGpus() + TOLERANCE >= gpus
-        && freeMemory() + TOLERANCE >= memory;
+        && freeMemoryGb() + TOLERANCE >= memoryGb;
   }
 
   /** Whether one task of this kind finds room. */
-  boolean hasRoom(JobSpec s) {
-    return hasRoom(s.cpus(), s.gpus(), s.memoryGb());
+  boolean fits(JobSpec spec) {
+    return fits(spec.cpus(), spec.gpus(), spec.memoryGb());
   }
 
-  /** How many tasks of this kind find room, at most {@code most}. */
-  int room(JobSpec s, int most) {
-    if (!hasRoom(s)) {
+  /** How many tasks of this kind find room, at most {@code limit}. */
+  int fitCount(JobSpec spec, int limit) {
+    if (!fits(spec)) {
       return 0;
     }
-    double n = Math.min(most, freeTasks());
-    if (s.cpus() > 0) {
-      n = Math.min(n, (freeCpus() + TOLERANCE) / s.cpus());
+    double count = Math.min(limit, freeTaskSlots());
+    if (spec.cpus() > 0) {
+      count = Math.min(count, (freeCpus() + TOLERANCE) / spec.cpus());
     }
-    if (s.gpus() > 0) {
-      n = Math.min(n, (freeGpus() + TOLERANCE) / s.gpus());
+    if (spec.gpus() > 0) {
+      count = Math.min(count, (freeGpus() + TOLERANCE) / spec.gpus());
     }
-    if (s.memoryGb() > 0) {
-      n = Math.min(n, (freeMemory() + TOLERANCE) / s.memoryGb());
+    if (spec.memoryGb() > 0) {
+      count = Math.min(count, (freeMemoryGb() + TOLERANCE) / spec.memoryGb());
     }
-    return (int) n;
+    return (int) count;
   }
 
   /** Nothing is kept from anybody any more; gives what was, for {@link #reserve(Reservation)}. */
-  Reservation clearReserved() {
-    stoppable = null;
-    Reservation before = reserved;
+  Reservation clearReservation() {
+    preemptible = null;
+    Reservation previous = reserved;
     reserved = Reservation.NONE;
-    return before;
+    return previous;
   }
 
   boolean reserved() {
@@ -384,72 +394,72 @@
   }
 
   double freeCpus() {
-    return kind.cpus() - usedCpus - reserved.cpus();
+    return type.cpus() - usedCpus - reserved.cpus();
   }
 
   double freeGpus() {
-    return kind.gpus() - usedGpus - reserved.gpus();
+    return type.gpus() - usedGpus - reserved.gpus();
   }
 
-  double freeMemory() {
-    return kind.memoryGb() - usedMemory - reserved.memoryGb();
+  double freeMemoryGb() {
+    return type.memoryGb() - usedMemoryGb - reserved.memoryGb();
   }
 
   /** How many more tasks its reports can name. */
-  int freeTasks() {
-    return Constants.TASKS_A_MACHINE - runs.size() - reserved.tasks();
+  int freeTaskSlots() {
+    return Constants.MAX_TASKS_PER_MACHINE - attempts.size() - reserved.tasks();
   }
 
   /** Keeps room for so many tasks from others, until the next pass. */
-  void reserve(JobSpec s, int tasks) {
-    reserved = reserved.plus(s, tasks);
+  void reserve(JobSpec spec, int tasks) {
+    reserved = reserved.plus(spec, tasks);
   }
 
   /** Keeps this room from others, until the next pass. */
-  void reserve(Reservation room) {
-    reserved = room;
+  void reserve(Reservation reservation) {
+    reserved = reservation;
   }
 
-  boolean holdsAny() {
-    return held > 0;
+  boolean hasAttempts() {
+    return heldAttemptCount > 0;
   }
 
-  int heldCount() {
-    return held;
+  int heldAttemptCount() {
+    return heldAttemptCount;
   }
 
-  List<TaskAttempt> held() {
-    List<TaskAttempt> out = new ArrayList<>();
-    for (TaskAttempt r : runs.values()) {
-      if (!r.exited()) {
-        out.add(r);
+  List<TaskAttempt> heldAttempts() {
+    List<TaskAttempt> unexited = new ArrayList<>();
+    for (TaskAttempt attempt : attempts.values()) {
+      if (!attempt.exited()) {
+        unexited.add(attempt);
       }
     }
-    return out;
+    return unexited;
   }
 
   /** 1 if the image is there, less if it is being fetched, 0 otherwise. */
-  double score(String image) {
-    if (images.containsKey(image)) {
+  double imageLocality(String image) {
+    if (cachedImages.containsKey(image)) {
       return 1;
     }
-    return needed.containsKey(image) ? 0.5 : 0;
+    return attemptsByImage.containsKey(image) ? 0.5 : 0;
   }
 
   /** Notes that a task with this image had its image here. */
-  void touchImage(String image, double gb) {
-    images.put(image, gb);
-    if (kind == null) {
+  void touchImage(String image, double sizeGb) {
+    cachedImages.put(image, sizeGb);
+    if (type == null) {
       return;
     }
-    double total = 0;
-    for (double g : images.values()) {
-      total += g;
+    double totalGb = 0;
+    for (double imageGb : cachedImages.values()) {
+      totalGb += imageGb;
     }
-    var it = images.entrySet().iterator();
-    while (total > kind.cacheGb() && images.size() > 1 && it.hasNext()) {
-      total -= it.next().getValue();
-      it.remove();
+    var leastRecentlyUsed = cachedImages.entrySet().iterator();
+    while (totalGb > type.cacheGb() && cachedImages.size() > 1 && leastRecentlyUsed.hasNext()) {
+      totalGb -= leastRecentlyUsed.next().getValue();
+      leastRecentlyUsed.remove();
     }
   }
 }
--- a/src/main/java/org/astershift/scheduler/MachineIncarnation.java
+++ b/src/main/java/org/astershift/scheduler/MachineIncarnation.java
@@ -8,36 +8,36 @@
 final class MachineIncarnation {
   private static final long NEVER = Long.MAX_VALUE;
 
-  private long firstSeenMs = NEVER;
-  private long existedMs = NEVER;
+  private long firstMessageMs = NEVER;
+  private long lastConfirmedMs = NEVER;
 
   /** A message of it arrived. */
-  void seen(long nowMs) {
-    firstSeenMs = Math.min(firstSeenMs, nowMs);
+  void onMessage(long nowMs) {
+    firstMessageMs = Math.min(firstMessageMs, nowMs);
   }
 
   /** It certainly existed at this time or later. */
-  void existed(long atMs) {
-    existedMs = existedMs == NEVER ? atMs : Math.max(existedMs, atMs);
+  void confirmExistence(long atMs) {
+    lastConfirmedMs = lastConfirmedMs == NEVER ? atMs : Math.max(lastConfirmedMs, atMs);
   }
 
   /** Whether anything was heard of it. */
   boolean isKnown() {
-    return firstSeenMs != NEVER;
+    return firstMessageMs != NEVER;
   }
 
   /** Whether it was there by then: a message of it had arrived. */
-  boolean seenBy(long timeMs) {
-    return firstSeenMs <= timeMs;
+  boolean hadMessageBy(long timeMs) {
+    return firstMessageMs <= timeMs;
   }
 
   /** Whether it is known that it existed at some time. */
-  boolean hasExisted() {
-    return existedMs != NEVER;
+  boolean existenceConfirmed() {
+    return lastConfirmedMs != NEVER;
   }
 
   /** The latest time by which it certainly existed. */
-  long existedMs() {
-    return existedMs;
+  long lastConfirmedMs() {
+    return lastConfirmedMs;
   }
 }
--- a/src/main/java/org/astershift/scheduler/MachineType.java
+++ b/src/main/java/org/astershift/scheduler/MachineType.java
@@ -11,22 +11,22 @@
     double memoryGb,
     double cacheGb,
     double fetchGbPerS,
-    double price,
-    double spotPrice,
+    double hourlyPrice,
+    double spotHourlyPrice,
     double bootS,
     List<String> zones) {
 
   /** Price an hour of one kind of this type. */
-  public double price(boolean spot) {
-    return spot ? spotPrice : price;
+  public double hourlyPrice(boolean spot) {
+    return spot ? spotHourlyPrice : hourlyPrice;
   }
 
   /** How many such tasks an empty machine can take. */
-  public int capacity(JobSpec s) {
-    double n = Constants.TASKS_A_MACHINE;
-    n = s.cpus() > 0 ? Math.min(n, cpus / s.cpus()) : n;
-    n = s.gpus() > 0 ? Math.min(n, gpus / s.gpus()) : n;
-    n = s.memoryGb() > 0 ? Math.min(n, memoryGb / s.memoryGb()) : n;
-    return (int) (n + 1e-6);
+  public int capacity(JobSpec spec) {
+    double count = Constants.MAX_TASKS_PER_MACHINE;
+    count = spec.cpus() > 0 ? Math.min(count, cpus / spec.cpus()) : count;
+    count = spec.gpus() > 0 ? Math.min(count, gpus / spec.gpus()) : count;
+    count = spec.memoryGb() > 0 ? Math.min(count, memoryGb / spec.memoryGb()) : count;
+    return (int) (count + 1e-6);
   }
 }
--- a/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
+++ b/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
@@ -13,22 +13,22 @@
   private static final double TOLERANCE = 1e-6;
 
   private Map<String, MachineType> types = Map.of();
-  private final Map<String, Spare> spare = new HashMap<>();
+  private final Map<String, UnusedCapacity> unusedBesideAccelerators = new HashMap<>();
 
   /** What is left of a machine with accelerators by the work that needs these. */
-  private static final class Spare {
+  private static final class UnusedCapacity {
     private double cpus;
-    private double memory;
+    private double memoryGb;
 
-    Spare(MachineType t) {
-      cpus = t.cpus();
-      memory = t.memoryGb();
+    UnusedCapacity(MachineType type) {
+      cpus = type.cpus();
+      memoryGb = type.memoryGb();
     }
 
-    void leave(MachineType t, JobSpec s) {
-      int n = t.capacity(s);
-      cpus = Math.min(cpus, t.cpus() - n * s.cpus());
-      memory = Math.min(memory, t.memoryGb() - n * s.memoryGb());
+    void reduceBy(MachineType type, JobSpec spec) {
+      int count = type.capacity(spec);
+      cpus = Math.min(cpus, type.cpus() - count * spec.cpus());
+      memoryGb = Math.min(memoryGb, type.memoryGb() - count * spec.memoryGb());
     }
   }
 
@@ -38,25 +38,32 @@
   }
 
   /** The types are known now, or have changed: jobs have to be fitted anew. */
-  void become(Map<String, MachineType> known) {
-    types = known;
-    spare.clear();
+  void update(Map<String, MachineType> newTypes) {
+    types = newTypes;
+    unusedBesideAccelerators.clear();
   }
 
   /** Finds the types for the job, and what it leaves over on those with accelerators. */
-  void fit(Job job) {
+  void resolveTypes(Job job) {
     JobSpec spec = job.spec;
     job.usableTypes = usableTypes(spec);
-    job.place =
+    job.placementConstraints =
         new Job.PlacementConstraints(
-            job.usableTypes, spec.zone(), spec.spot(), spec.cpus(), spec.gpus(), spec.memoryGb());
-    job.spareTypes = new LinkedHashSet<>();
-    for (MachineType t : types.values()) {
-      if (t.gpus() > 0 && job.spec.fits(t)) {
+            job.usableTypes,
+            spec.zone(),
+            spec.spotAllowed(),
+            spec.cpus(),
+            spec.gpus(),
+            spec.memoryGb());
+    job.backfillTypes = new LinkedHashSet<>();
+    for (MachineType type : types.values()) {
+      if (type.gpus() > 0 && job.spec.fits(type)) {
         if (job.spec.gpus() > 0) {
-          spare.computeIfAbsent(t.name(), n -> new Spare(t)).leave(t, job.spec);
-        } else if (job.spec.kind() == JobKind.ARRAY && !job.usableTypes.contains(t.name())) {
-          job.spareTypes.add(t.name());
+          unusedBesideAccelerators
+              .computeIfAbsent(type.name(), n -> new UnusedCapacity(type))
+              .reduceBy(type, job.spec);
+        } else if (job.spec.kind() == JobKind.ARRAY && !job.usableTypes.contains(type.name())) {
+          job.backfillTypes.add(type.name());
         }
       }
     }
@@ -66,20 +73,20 @@
    * Whether a task without accelerators fits beside those with, on what these cannot use anyway: it
    * never keeps one of them from the machine. Only while one is there, so that it may go when idle.
    */
-  boolean spareHolds(Machine m, Job job) {
-    Spare s = spare.get(m.type);
-    return s != null
-        && m.usedGpus() > 0
-        && job.spareTypes.contains(m.type)
-        && m.plainCpus() + job.spec.cpus() <= s.cpus + TOLERANCE
-        && m.plainMemory() + job.spec.memoryGb() <= s.memory + TOLERANCE;
+  boolean fitsBesideAccelerators(Machine machine, Job job) {
+    UnusedCapacity unused = unusedBesideAccelerators.get(machine.typeName);
+    return unused != null
+        && machine.usedGpus() > 0
+        && job.backfillTypes.contains(machine.typeName)
+        && machine.nonGpuCpus() + job.spec.cpus() <= unused.cpus + TOLERANCE
+        && machine.nonGpuMemoryGb() + job.spec.memoryGb() <= unused.memoryGb + TOLERANCE;
   }
 
   /** Zones in which the cloud has machines. */
   Set<String> zones() {
     Set<String> zones = new TreeSet<>();
-    for (MachineType t : types.values()) {
-      zones.addAll(t.zones());
+    for (MachineType type : types.values()) {
+      zones.addAll(type.zones());
     }
     return zones;
   }
@@ -87,18 +94,18 @@
   /** Types that a task of the job may go to; those with accelerators only if it needs them. */
   private Set<String> usableTypes(JobSpec spec) {
     Set<String> fitting = new LinkedHashSet<>();
-    List<MachineType> plain = new ArrayList<>();
-    for (MachineType t : types.values()) {
-      if (spec.fits(t)) {
-        fitting.add(t.name());
-        if (t.gpus() == 0) {
-          plain.add(t);
+    List<MachineType> withoutAccelerators = new ArrayList<>();
+    for (MachineType type : types.values()) {
+      if (spec.fits(type)) {
+        fitting.add(type.name());
+        if (type.gpus() == 0) {
+          withoutAccelerators.add(type);
         }
       }
     }
     // Work without accelerators stays off machines with them, where others are enough for it.
-    if (spec.gpus() == 0 && Eligibility.noPlace(spec, plain) == null) {
-      fitting.retainAll(plain.stream().map(MachineType::name).toList());
+    if (spec.gpus() == 0 && Eligibility.noPlacementReason(spec, withoutAccelerators) == null) {
+      fitting.retainAll(withoutAccelerators.stream().map(MachineType::name).toList());
     }
     return fitting;
   }
--- a/src/main/java/org/astershift/scheduler/MinimumRequirements.java
+++ b/src/main/java/org/astershift/scheduler/MinimumRequirements.java
@@ -12,21 +12,21 @@
   private final Set<String> types = new HashSet<>();
   private double cpus = Double.MAX_VALUE;
   private double gpus = Double.MAX_VALUE;
-  private double memory = Double.MAX_VALUE;
+  private double memoryGb = Double.MAX_VALUE;
 
   MinimumRequirements(List<Job> jobs) {
     for (Job job : jobs) {
-      if (!job.waiting.isEmpty()) {
+      if (!job.waitingTasks.isEmpty()) {
         cpus = Math.min(cpus, job.spec.cpus());
         gpus = Math.min(gpus, job.spec.gpus());
-        memory = Math.min(memory, job.spec.memoryGb());
+        memoryGb = Math.min(memoryGb, job.spec.memoryGb());
         types.addAll(job.usableTypes);
-        types.addAll(job.spareTypes);
+        types.addAll(job.backfillTypes);
       }
     }
   }
 
-  boolean fits(Machine m) {
-    return m.hasRoom(cpus, gpus, memory) && types.contains(m.type);
+  boolean satisfiedBy(Machine machine) {
+    return machine.fits(cpus, gpus, memoryGb) && types.contains(machine.typeName);
   }
 }
--- a/src/main/java/org/astershift/scheduler/MinimumShare.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShare.java
@@ -21,115 +21,119 @@
  */
 final class MinimumShare {
   private static final Logger LOG = LoggerFactory.getLogger(MinimumShare.class);
-  private final ClusterState c;
-  private final Map<String, Group> groups = new HashMap<>();
-  private final Map<String, Set<Group>> classes = new HashMap<>();
-  private final List<Group> starved = new ArrayList<>();
+  private final ClusterState cluster;
+  private final Map<String, ShareGroup> groups = new HashMap<>();
+  private final Map<String, Set<ShareGroup>> groupsByClass = new HashMap<>();
+  private final List<ShareGroup> starved = new ArrayList<>();
 
   /** One class of one team, apart by whether it needs accelerators. */
-  static final class Group {
+  static final class ShareGroup {
     private final String name;
 
     /** Teams that share the class, and with it its floor. */
-    private final Set<Group> sharers;
+    private final Set<ShareGroup> classGroups;
 
     private final boolean accelerated;
 
     /** It has live jobs. */
-    private boolean present;
+    private boolean hasLiveJobs;
 
     /** Waiting for longer than its age, the oldest first. */
-    private final List<Job> old = new ArrayList<>();
+    private final List<Job> agedJobs = new ArrayList<>();
 
     /** Those of them whose tasks have to start now: the least that is served first. */
-    private final List<Job> overdue = new ArrayList<>();
+    private final List<Job> overdueJobs = new ArrayList<>();
 
     /** Processors, or accelerators, that tasks of these hold. */
-    private double overdueHeld;
+    private double heldByOverdueJobs;
 
     /** Its jobs that were done in this term. */
-    private int finished;
+    private int finishedJobs;
 
     /** Processors, or accelerators, that its tasks hold. */
     private double held;
 
     /** The least it should hold while it has old jobs. */
-    private double floor;
+    private double minimum;
 
     /** Within a pass: what it may take of that. */
-    private double left;
+    private double allowance;
 
-    private boolean said;
+    private boolean starvationLogged;
 
-    private Group(String name, Set<Group> sharers, boolean accelerated) {
+    private ShareGroup(String name, Set<ShareGroup> classGroups, boolean accelerated) {
       this.name = name;
-      this.sharers = sharers;
-      sharers.add(this);
+      this.classGroups = classGroups;
+      classGroups.add(this);
       this.accelerated = accelerated;
     }
 
-    List<Job> old() {
-      return old;
+    List<Job> agedJobs() {
+      return agedJobs;
     }
 
-    boolean hungry() {
-      return left > 0;
+    boolean isStarved() {
+      return allowance > 0;
     }
 
     /** So many tasks of the job were placed. */
-    void took(Job job, int tasks) {
-      left -= tasks * amount(job);
+    void onPlaced(Job job, int tasks) {
+      allowance -= tasks * amountPerTask(job);
     }
 
     /**
      * Too few of its jobs are done for those that wait too long. A class that serves most of its
      * jobs and puts off a few that are too late for their deadlines does so for good reasons.
      */
-    private boolean neglected() {
-      return old.size() > finished * Constants.FLOOR_LEFT;
+    private boolean hasTooFewFinishedJobs() {
+      return agedJobs.size() > finishedJobs * Constants.MINIMUM_SHARE_WAITING_RATIO;
     }
 
     /** What it may take now beyond what it has. */
-    private double lacks() {
+    private double shortfall() {
       // Those that have to start do so however much the rest of their class holds.
-      return Math.max(0, neglected() ? floor - held : overdue.isEmpty() ? 0 : floor - overdueHeld);
+      return Math.max(
+          0,
+          hasTooFewFinishedJobs()
+              ? minimum - held
+              : overdueJobs.isEmpty() ? 0 : minimum - heldByOverdueJobs);
     }
 
-    private int present() {
-      int n = 0;
-      for (Group g : sharers) {
-        n += g.present ? 1 : 0;
+    private int presentGroupCount() {
+      int presentGroups = 0;
+      for (ShareGroup group : classGroups) {
+        presentGroups += group.hasLiveJobs ? 1 : 0;
       }
-      return Math.max(1, n);
+      return Math.max(1, presentGroups);
     }
 
-    private double amount(Job job) {
+    private double amountPerTask(Job job) {
       return accelerated ? job.spec.gpus() : job.spec.cpus();
     }
   }
 
   MinimumShare(ClusterState cluster) {
-    this.c = cluster;
+    this.cluster = cluster;
   }
 
   /** The group that a new job belongs to. */
-  Group group(JobSpec spec) {
+  ShareGroup groupOf(JobSpec spec) {
     boolean accelerated = spec.gpus() > 0;
-    String kind = accelerated ? " (accelerated)" : "";
+    String suffix = accelerated ? " (accelerated)" : "";
     return groups.computeIfAbsent(
-        spec.jobClass() + " of " + spec.team() + kind,
+        spec.jobClass() + " of " + spec.team() + suffix,
         name ->
-            new Group(
+            new ShareGroup(
                 name,
-                classes.computeIfAbsent(spec.jobClass() + kind, n -> new HashSet<>()),
+                groupsByClass.computeIfAbsent(spec.jobClass() + suffix, key -> new HashSet<>()),
                 accelerated));
   }
 
   /** Whether the job waits, or waited, for longer than its class should without being served. */
-  static boolean old(Job job, long nowMs) {
-    double s = Constants.FLOOR_AGE_S;
-    s = job.startAimS == null ? s : Math.max(s, job.startAimS);
-    return job.spec.kind() != JobKind.SERVICE && nowMs - job.submittedMs >= s * 1000;
+  static boolean isPastServiceAge(Job job, long nowMs) {
+    double ageS = Constants.MINIMUM_SHARE_AGE_S;
+    ageS = job.startObjectiveS == null ? ageS : Math.max(ageS, job.startObjectiveS);
+    return job.spec.kind() != JobKind.SERVICE && nowMs - job.submittedMs >= ageS * 1000;
   }
 
   /**
@@ -137,88 +141,95 @@
    * largest jobs are put off for as long as others can be in time; but they too have to begin, with
    * all their tasks, within four minutes, and a boot, a fetch and their turn are still to come.
    */
-  static boolean overdue(Job job, long nowMs) {
+  static boolean isOverdue(Job job, long nowMs) {
     return job.spec.kind() != JobKind.SERVICE
-        && nowMs - job.submittedMs >= Constants.FLOOR_BEGIN_S * 1000;
+        && nowMs - job.submittedMs >= Constants.MINIMUM_SHARE_OVERDUE_AGE_S * 1000;
   }
 
   /** Whether the task belongs to what its class is to have whoever else wants the room. */
-  static boolean keeps(Job job, long nowMs) {
-    Group g = job.group;
-    return g != null && g.held <= g.floor * Constants.FLOOR_KEPT && old(job, nowMs);
+  static boolean isProtected(Job job, long nowMs) {
+    ShareGroup group = job.shareGroup;
+    return group != null
+        && group.held <= group.minimum * Constants.MINIMUM_SHARE_PROTECTION_FACTOR
+        && isPastServiceAge(job, nowMs);
   }
 
   /** Looks at who got what; {@code startable}: the jobs with tasks that may be placed now. */
   void refresh(List<Job> startable, long nowMs) {
     starved.clear();
-    for (Group g : groups.values()) {
-      g.old.clear();
-      g.overdue.clear();
-      g.overdueHeld = 0;
-      g.held = 0;
-      g.present = false;
-      g.left = 0;
+    for (ShareGroup group : groups.values()) {
+      group.agedJobs.clear();
+      group.overdueJobs.clear();
+      group.heldByOverdueJobs = 0;
+      group.held = 0;
+      group.hasLiveJobs = false;
+      group.allowance = 0;
     }
     for (Job job : startable) {
-      if (!job.suspect() && old(job, nowMs)) {
-        job.group.old.add(job);
+      if (!job.isSuspect() && isPastServiceAge(job, nowMs)) {
+        job.shareGroup.agedJobs.add(job);
       }
-      if (!job.suspect() && overdue(job, nowMs)) {
-        job.group.overdue.add(job);
-        job.group.overdueHeld += job.runs.size() * job.group.amount(job);
+      if (!job.isSuspect() && isOverdue(job, nowMs)) {
+        job.shareGroup.overdueJobs.add(job);
+        job.shareGroup.heldByOverdueJobs += job.attempts.size() * job.shareGroup.amountPerTask(job);
       }
     }
-    int neglected = 0;
-    for (Group g : groups.values()) {
-      if (!g.neglected() && !g.overdue.isEmpty()) {
-        g.old.clear();
-        g.old.addAll(g.overdue);
+    int groupsToServe = 0;
+    for (ShareGroup group : groups.values()) {
+      if (!group.hasTooFewFinishedJobs() && !group.overdueJobs.isEmpty()) {
+        group.agedJobs.clear();
+        group.agedJobs.addAll(group.overdueJobs);
       }
-      neglected += g.neglected() || !g.overdue.isEmpty() ? 1 : 0;
+      groupsToServe += group.hasTooFewFinishedJobs() || !group.overdueJobs.isEmpty() ? 1 : 0;
     }
-    for (Job job : c.jobs.values()) {
-      job.group.present = true;
-      job.group.held += job.runs.size() * job.group.amount(job);
+    for (Job job : cluster.jobs.values()) {
+      job.shareGroup.hasLiveJobs = true;
+      job.shareGroup.held += job.attempts.size() * job.shareGroup.amountPerTask(job);
     }
-    double share = Math.min(Constants.FLOOR_SHARE, Constants.FLOOR_ALL / Math.max(1, neglected));
-    for (Group g : groups.values()) {
+    double groupShare =
+        Math.min(
+            Constants.MINIMUM_SHARE_PER_CLASS,
+            Constants.MINIMUM_SHARE_ALL_CLASSES / Math.max(1, groupsToServe));
+    for (ShareGroup group : groups.values()) {
       // A class that several teams share has one floor: with one each, classes that were served
       // well in sum had late jobs served before those that could still be in time.
-      g.floor =
-          share
-              * (g.accelerated ? c.utilization.accelerators() : c.utilization.processors())
-              / g.present();
-      g.left = g.lacks();
-      if (g.left > 0) {
-        g.old.sort(Comparator.comparingLong(j -> j.submittedMs));
-        starved.add(g);
+      group.minimum =
+          groupShare
+              * (group.accelerated
+                  ? cluster.utilization.accelerators()
+                  : cluster.utilization.processors())
+              / group.presentGroupCount();
+      group.allowance = group.shortfall();
+      if (group.allowance > 0) {
+        group.agedJobs.sort(Comparator.comparingLong(j -> j.submittedMs));
+        starved.add(group);
       }
-      tell(g, nowMs);
+      logStarvation(group, nowMs);
     }
-    starved.sort(Comparator.comparingDouble((Group g) -> g.held / g.floor));
+    starved.sort(Comparator.comparingDouble((ShareGroup group) -> group.held / group.minimum));
   }
 
-  private static void tell(Group g, long nowMs) {
-    boolean hungry = g.left > 0;
-    if (hungry && !g.said) {
+  private static void logStarvation(ShareGroup group, long nowMs) {
+    boolean starved = group.allowance > 0;
+    if (starved && !group.starvationLogged) {
       LOG.info(
           "{} waits since {} s and holds {} of the {} {} it is to have: its oldest jobs go first",
-          g.name,
-          (nowMs - g.old.get(0).submittedMs) / 1000,
-          Math.round(g.held),
-          Math.round(g.floor),
-          g.accelerated ? "accelerators" : "processors");
+          group.name,
+          (nowMs - group.agedJobs.get(0).submittedMs) / 1000,
+          Math.round(group.held),
+          Math.round(group.minimum),
+          group.accelerated ? "accelerators" : "processors");
     }
-    g.said = hungry || (g.said && !g.old.isEmpty());
+    group.starvationLogged = starved || (group.starvationLogged && !group.agedJobs.isEmpty());
   }
 
   /** A job of the group is done. */
-  static void finished(Job job) {
-    job.group.finished++;
+  static void onJobFinished(Job job) {
+    job.shareGroup.finishedJobs++;
   }
 
   /** Groups below their floor, those that got least first. */
-  List<Group> starved() {
+  List<ShareGroup> starved() {
     return starved;
   }
 }
--- a/src/main/java/org/astershift/scheduler/OutstandingDecisions.java
+++ b/src/main/java/org/astershift/scheduler/OutstandingDecisions.java
@@ -12,7 +12,7 @@
   enum Kind {
     OPEN_JOB,
     FINISH_JOB,
-    RECORD_MACHINE
+    REGISTER_MACHINE
   }
 
   /** A decision by what it asks for and the job or machine that it is about. */
@@ -26,25 +26,25 @@
   }
 
   /** The decision was carried out, has failed, or is about what is gone. */
-  void settled(Kind kind, String subject) {
+  void onSettled(Kind kind, String subject) {
     outstanding.remove(new Key(kind, subject));
   }
 
   /** The same for a decision as it was given; one that is never noted here is ignored. */
-  void failed(Decision decision) {
-    if (decision instanceof Decision.OpenJob o) {
-      settled(Kind.OPEN_JOB, o.job());
-    } else if (decision instanceof Decision.FinishJob f) {
-      settled(Kind.FINISH_JOB, f.job());
-    } else if (decision instanceof Decision.RegisterMachine e) {
-      settled(Kind.RECORD_MACHINE, e.machine());
+  void onFailed(Decision decision) {
+    if (decision instanceof Decision.OpenJob openJob) {
+      onSettled(Kind.OPEN_JOB, openJob.jobId());
+    } else if (decision instanceof Decision.FinishJob finishJob) {
+      onSettled(Kind.FINISH_JOB, finishJob.jobId());
+    } else if (decision instanceof Decision.RegisterMachine registerMachine) {
+      onSettled(Kind.REGISTER_MACHINE, registerMachine.machineName());
     }
   }
 
   /** The job is over. */
-  void jobEnded(String job) {
-    settled(Kind.OPEN_JOB, job);
-    settled(Kind.FINISH_JOB, job);
+  void onJobEnded(String jobId) {
+    onSettled(Kind.OPEN_JOB, jobId);
+    onSettled(Kind.FINISH_JOB, jobId);
   }
 
   int size() {
--- a/src/main/java/org/astershift/scheduler/PeerProbeResults.java
+++ b/src/main/java/org/astershift/scheduler/PeerProbeResults.java
@@ -19,40 +19,43 @@
   private long firstUnreachedMs = NEVER;
 
   /** When they were last asked and none of them could tell. */
-  private long untoldMs = NEVER;
+  private long inconclusiveMs = NEVER;
 
   /** One of them had an answer. */
-  void reached(long askedMs) {
-    reachedMs = askedMs;
+  void onReached(long probedMs) {
+    reachedMs = probedMs;
     unreachedMs = NEVER;
   }
 
-  /** All that could tell failed; {@code saidMs}: when the machine last said anything. */
-  void unreached(long askedMs, long saidMs) {
-    if (unreachedMs <= saidMs) {
-      firstUnreachedMs = askedMs;
+  /** All that could tell failed; {@code lastContactMs}: when the machine last said anything. */
+  void onUnreached(long probedMs, long lastContactMs) {
+    if (unreachedMs <= lastContactMs) {
+      firstUnreachedMs = probedMs;
     }
-    unreachedMs = askedMs;
+    unreachedMs = probedMs;
   }
 
   /** None of them could tell. */
-  void untold(long askedMs) {
-    untoldMs = askedMs;
+  void onInconclusive(long probedMs) {
+    inconclusiveMs = probedMs;
   }
 
-  /** Whether it counts that one of them reached it; {@code saidMs}: when it last said anything. */
-  boolean isReached(long saidMs, long nowMs) {
-    return reachedMs > saidMs && nowMs - reachedMs <= Constants.REACHED_FRESH_MS;
+  /**
+   * Whether it counts that one of them reached it; {@code lastContactMs}: when it last said
+   * anything.
+   */
+  boolean isReached(long lastContactMs, long nowMs) {
+    return reachedMs > lastContactMs && nowMs - reachedMs <= Constants.PEER_PROBE_REACHED_VALID_MS;
   }
 
   /** Whether one of them reached it after it last said anything here, however long ago. */
-  boolean reachedSince(long saidMs) {
-    return reachedMs > saidMs;
+  boolean reachedSince(long lastContactMs) {
+    return reachedMs > lastContactMs;
   }
 
   /** Whether that counts for longer than another answer may take. */
-  boolean isReachedForLong(long saidMs, long nowMs) {
-    return isReached(saidMs, nowMs + Constants.WITNESS_WAIT_MS);
+  boolean isFreshlyReached(long lastContactMs, long nowMs) {
+    return isReached(lastContactMs, nowMs + Constants.PEER_PROBE_WAIT_MS);
   }
 
   /**
@@ -60,7 +63,7 @@
    * answer, since a cut may just have ended.
    */
   boolean isUnreached(long sinceMs, long nowMs) {
-    return unreachedMs > sinceMs && nowMs - unreachedMs <= Constants.UNREACHED_FRESH_MS;
+    return unreachedMs > sinceMs && nowMs - unreachedMs <= Constants.PEER_PROBE_UNREACHED_VALID_MS;
   }
 
   /** When none reached it for the first time in a row. */
@@ -69,7 +72,8 @@
   }
 
   /** Whether it counts that none of them could tell. */
-  boolean isUntold(long saidMs, long nowMs) {
-    return untoldMs > saidMs && nowMs - untoldMs <= Constants.REACHED_FRESH_MS;
+  boolean isInconclusive(long lastContactMs, long nowMs) {
+    return inconclusiveMs > lastContactMs
+        && nowMs - inconclusiveMs <= Constants.PEER_PROBE_REACHED_VALID_MS;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -22,162 +22,166 @@
   private static final Logger LOG = LoggerFactory.getLogger(Placement.class);
 
   /** Cached images first, then those being fetched, then none. */
-  private static final double[] BY_SCORE = {1, 0.1, 0};
+  private static final double[] SCORE_THRESHOLDS = {1, 0.1, 0};
 
-  private final ClusterState c;
+  private final ClusterState cluster;
   private final WaitQueue queue;
   private final GangScheduler gangs;
   private final Preemption preemption;
 
   /** Since when jobs have been kept from room that others wait for, by what they need. */
-  private final Map<Job.PlacementConstraints, Long> heldBackMs = new HashMap<>();
+  private final Map<Job.PlacementConstraints, Long> deferredSinceMs = new HashMap<>();
 
   /** Those of them that found room since the last pass began, and those that may have it. */
-  private final Set<Job.PlacementConstraints> heldBackNow = new HashSet<>();
+  private final Set<Job.PlacementConstraints> deferredNow = new HashSet<>();
 
-  private final Set<Job.PlacementConstraints> letThrough = new HashSet<>();
+  private final Set<Job.PlacementConstraints> admittedNow = new HashSet<>();
 
   /** A pass is under way, which looks at all machines. */
-  private boolean passing;
+  private boolean passInProgress;
 
   Placement(ClusterState cluster) {
-    this.c = cluster;
+    this.cluster = cluster;
     this.queue = new WaitQueue(cluster);
     this.gangs = new GangScheduler(cluster, this);
     this.preemption = new Preemption(cluster, this);
   }
 
   /** All free machines and the whole window. */
-  void pass(long nowMs) {
-    c.recount();
-    holdBackAnew();
+  void runPass(long nowMs) {
+    cluster.recomputeUtilization();
+    resetDeferrals();
     queue.refresh(nowMs);
     if (queue.isEmpty()) {
       return;
     }
     List<Machine> usable = new ArrayList<>();
-    for (Machine m : c.all()) {
-      m.clearReserved();
-      m.taken = 0;
-      if (c.usable(m, nowMs)) {
-        usable.add(m);
+    for (Machine machine : cluster.allMachines()) {
+      machine.clearReservation();
+      machine.placedInPass = 0;
+      if (cluster.usable(machine, nowMs)) {
+        usable.add(machine);
       }
     }
-    passing = true;
+    passInProgress = true;
     for (Priority priority : Priority.values()) {
-      pass(queue.tier(priority), usable, nowMs);
+      runPass(queue.tier(priority), usable, nowMs);
       if (priority == Priority.PRODUCTION) {
-        c.floor.starved().forEach(g -> starved(g, usable, nowMs));
+        cluster.minimumShare.starved().forEach(group -> placeStarved(group, usable, nowMs));
       }
     }
-    placeBesideReserved(usable, nowMs);
-    passing = false;
+    placeInReservedRoom(usable, nowMs);
+    passInProgress = false;
   }
 
   /**
    * Lets those have reserved room who waited beside it for too long. What it is kept for cannot
    * start yet, maybe for minutes, since something else on the machine runs on.
    */
-  private void placeBesideReserved(List<Machine> usable, long nowMs) {
+  private void placeInReservedRoom(List<Machine> usable, long nowMs) {
     Map<Machine, Reservation> reserved = new LinkedHashMap<>();
-    for (Machine m : usable) {
-      if (m.reserved()) {
-        reserved.put(m, m.clearReserved());
+    for (Machine machine : usable) {
+      if (machine.reserved()) {
+        reserved.put(machine, machine.clearReservation());
       }
     }
     if (reserved.isEmpty()) {
       return;
     }
     List<Machine> machines = new ArrayList<>(reserved.keySet());
-    Map<Job.PlacementConstraints, Boolean> room = new HashMap<>();
+    Map<Job.PlacementConstraints, Boolean> roomByConstraints = new HashMap<>();
     for (Priority priority : Priority.values()) {
       for (Job job : queue.tier(priority)) {
-        if (!job.waiting.isEmpty()
-            && !job.suspect()
-            && room.computeIfAbsent(job.place, p -> fitsAny(machines, job))
-            && heldBackForLong(job, nowMs)) {
-          placeOn(machines, usable, job, nowMs);
+        if (!job.waitingTasks.isEmpty()
+            && !job.isSuspect()
+            && roomByConstraints.computeIfAbsent(
+                job.placementConstraints, p -> anyHasRoomFor(machines, job))
+            && deferralExpired(job, nowMs)) {
+          placeJob(machines, usable, job, nowMs);
         }
       }
     }
     reserved.forEach(Machine::reserve);
   }
 
-  private boolean fitsAny(List<Machine> machines, Job job) {
-    for (Machine m : machines) {
-      if (fits(m, job)) {
+  private boolean anyHasRoomFor(List<Machine> machines, Job job) {
+    for (Machine machine : machines) {
+      if (hasRoomFor(machine, job)) {
         return true;
       }
     }
     return false;
   }
 
-  private void placeOn(List<Machine> machines, List<Machine> usable, Job job, long nowMs) {
+  private void placeJob(List<Machine> machines, List<Machine> usable, Job job, long nowMs) {
     if (job.spec.kind() == JobKind.GANG) {
-      gangs.placeNow(job, usable, nowMs);
+      gangs.placeIfRoom(job, usable, nowMs);
       return;
     }
-    for (double least : BY_SCORE) {
-      for (Machine m : machines) {
-        fill(m, job, least, false, null, nowMs);
+    for (double minimumScore : SCORE_THRESHOLDS) {
+      for (Machine machine : machines) {
+        fill(machine, job, minimumScore, false, null, nowMs);
       }
     }
   }
 
-  private void pass(List<Job> jobs, List<Machine> usable, long nowMs) {
+  private void runPass(List<Job> jobs, List<Machine> usable, long nowMs) {
     if (jobs.isEmpty()) {
       return;
     }
     gangs.place(jobs, usable, nowMs);
-    List<Job> singles = singles(jobs);
-    if (singles.isEmpty()) {
+    List<Job> nonGangJobs = nonGangJobs(jobs);
+    if (nonGangJobs.isEmpty()) {
       return;
     }
-    List<Machine> free = free(usable, singles);
-    fill(free, singles, 1, true, nowMs);
-    fill(free, singles, 1, false, nowMs);
-    preemption.makeRoom(singles, usable, true, nowMs);
-    fill(free, singles, 0.1, false, nowMs);
-    fill(free, singles, 0, false, nowMs);
-    preemption.makeRoom(singles, usable, false, nowMs);
+    List<Machine> candidates = machinesWithRoom(usable, nonGangJobs);
+    fill(candidates, nonGangJobs, 1, true, nowMs);
+    fill(candidates, nonGangJobs, 1, false, nowMs);
+    preemption.makeRoom(nonGangJobs, usable, true, nowMs);
+    fill(candidates, nonGangJobs, 0.1, false, nowMs);
+    fill(candidates, nonGangJobs, 0, false, nowMs);
+    preemption.makeRoom(nonGangJobs, usable, false, nowMs);
   }
 
   /** The oldest jobs of a class that is served too little, up to the least that it should hold. */
-  private void starved(MinimumShare.Group group, List<Machine> usable, long nowMs) {
+  private void placeStarved(MinimumShare.ShareGroup group, List<Machine> usable, long nowMs) {
     gangs.placeStarved(group, usable, nowMs);
-    List<Job> singles = singles(group.old());
-    if (singles.isEmpty() || !group.hungry()) {
+    List<Job> nonGangJobs = nonGangJobs(group.agedJobs());
+    if (nonGangJobs.isEmpty() || !group.isStarved()) {
       return;
     }
-    List<Machine> free = free(usable, singles);
-    for (double least : BY_SCORE) {
-      fill(free, singles, least, false, group, nowMs);
+    List<Machine> candidates = machinesWithRoom(usable, nonGangJobs);
+    for (double minimumScore : SCORE_THRESHOLDS) {
+      fill(candidates, nonGangJobs, minimumScore, false, group, nowMs);
     }
-    if (group.hungry()) {
-      keepRoom(singles, usable, nowMs);
+    if (group.isStarved()) {
+      reserveRoom(nonGangJobs, usable, nowMs);
     }
   }
 
   /** Small tasks take each processor that becomes free, and a large one would wait for ever. */
-  private void keepRoom(List<Job> singles, List<Machine> usable, long nowMs) {
-    for (Job job : singles) {
-      if (job.waiting.isEmpty() || !c.teamAllows(job)) {
+  private void reserveRoom(List<Job> nonGangJobs, List<Machine> usable, long nowMs) {
+    for (Job job : nonGangJobs) {
+      if (job.waitingTasks.isEmpty() || !cluster.teamQuotaAllows(job)) {
         continue;
       }
       Machine best = null;
-      for (Machine m : usable) {
-        boolean may =
-            job.usableTypes.contains(m.type)
-                && allowed(m, job, nowMs)
-                && m.kind.capacity(job.spec) > 0;
-        if (may && (m == job.keptOn || best == null || m.freeCpus() > best.freeCpus())) {
-          best = m;
-          if (m == job.keptOn) {
+      for (Machine machine : usable) {
+        boolean eligible =
+            job.usableTypes.contains(machine.typeName)
+                && isMachineAllowed(machine, job, nowMs)
+                && machine.type.capacity(job.spec) > 0;
+        if (eligible
+            && (machine == job.reservedMachine
+                || best == null
+                || machine.freeCpus() > best.freeCpus())) {
+          best = machine;
+          if (machine == job.reservedMachine) {
             break;
           }
         }
       }
-      job.keptOn = best;
+      job.reservedMachine = best;
       if (best != null) {
         best.reserve(job.spec, 1);
         return;
@@ -186,139 +190,157 @@
   }
 
   /** One machine that has just reported: what it freed is filled by the answer to its report. */
-  void serve(Machine m, long nowMs) {
-    if (queue.isEmpty() || !m.usable(nowMs)) {
+  void placeOnMachine(Machine machine, long nowMs) {
+    if (queue.isEmpty() || !machine.usable(nowMs)) {
       return;
     }
-    if (m.reserved()) {
-      c.stir(); // room kept for some task is given out by a pass, which knows for which
+    if (machine.reserved()) {
+      cluster
+          .requestPass(); // room kept for some task is given out by a pass, which knows for which
       return;
     }
-    if (!queue.mayUse(m)) {
+    if (!queue.hasRoomForAny(machine)) {
       return; // most reports come from full machines, and there are hundreds a second
     }
-    m.taken = 0;
-    List<Machine> only = List.of(m);
+    machine.placedInPass = 0;
+    List<Machine> machineOnly = List.of(machine);
     for (Priority priority : Priority.values()) {
-      serve(m, only, queue.tier(priority), null, nowMs);
+      placeOnMachine(machine, machineOnly, queue.tier(priority), null, nowMs);
       if (priority == Priority.PRODUCTION) {
-        for (MinimumShare.Group group : c.floor.starved()) {
-          if (group.hungry()) {
-            serve(m, only, group.old(), group, nowMs);
+        for (MinimumShare.ShareGroup group : cluster.minimumShare.starved()) {
+          if (group.isStarved()) {
+            placeOnMachine(machine, machineOnly, group.agedJobs(), group, nowMs);
           }
         }
       }
     }
   }
 
-  private void serve(
-      Machine m, List<Machine> only, List<Job> tier, MinimumShare.Group starved, long nowMs) {
-    List<Job> jobs = singles(tier);
-    jobs.removeIf(job -> !queue.startable(job, nowMs) || !fits(m, job));
+  private void placeOnMachine(
+      Machine machine,
+      List<Machine> machineOnly,
+      List<Job> tier,
+      MinimumShare.ShareGroup starvedGroup,
+      long nowMs) {
+    List<Job> jobs = nonGangJobs(tier);
+    jobs.removeIf(job -> !queue.isStartable(job, nowMs) || !hasRoomFor(machine, job));
     if (!jobs.isEmpty()) {
-      for (double least : BY_SCORE) {
-        fill(only, jobs, least, true, starved, nowMs);
+      for (double minimumScore : SCORE_THRESHOLDS) {
+        fill(machineOnly, jobs, minimumScore, true, starvedGroup, nowMs);
       }
     }
   }
 
   /** Whether a gang waits that could use this machine. */
-  boolean gangWaits(Machine m) {
-    for (Job job : c.waiting) {
-      if (job.spec.kind() == JobKind.GANG && job.usableTypes.contains(m.type)) {
+  boolean hasWaitingGang(Machine machine) {
+    for (Job job : cluster.waitingJobs) {
+      if (job.spec.kind() == JobKind.GANG && job.usableTypes.contains(machine.typeName)) {
         return true;
       }
     }
     return false;
   }
 
-  private static List<Job> singles(List<Job> jobs) {
-    List<Job> out = new ArrayList<>(jobs.size());
+  private static List<Job> nonGangJobs(List<Job> jobs) {
+    List<Job> nonGangJobs = new ArrayList<>(jobs.size());
     for (Job job : jobs) {
-      if (job.spec.kind() != JobKind.GANG && !job.waiting.isEmpty()) {
-        out.add(job);
+      if (job.spec.kind() != JobKind.GANG && !job.waitingTasks.isEmpty()) {
+        nonGangJobs.add(job);
       }
     }
-    return out;
+    return nonGangJobs;
   }
 
   /** Machines with room for any of the jobs: cheap ones and fuller ones first, so others empty. */
-  private static List<Machine> free(List<Machine> usable, List<Job> jobs) {
-    MinimumRequirements smallest = new MinimumRequirements(jobs);
-    List<Machine> free = new ArrayList<>();
-    for (Machine m : usable) {
-      if (smallest.fits(m)) {
-        free.add(m);
+  private static List<Machine> machinesWithRoom(List<Machine> usable, List<Job> jobs) {
+    MinimumRequirements minimum = new MinimumRequirements(jobs);
+    List<Machine> candidates = new ArrayList<>();
+    for (Machine machine : usable) {
+      if (minimum.satisfiedBy(machine)) {
+        candidates.add(machine);
       }
     }
-    free.sort(
-        Comparator.comparing((Machine m) -> !m.spot)
-            .thenComparingDouble(m -> -m.usedCpus() / m.kind.cpus()));
-    return free;
+    candidates.sort(
+        Comparator.comparing((Machine machine) -> !machine.spot)
+            .thenComparingDouble(machine -> -machine.usedCpus() / machine.type.cpus()));
+    return candidates;
   }
 
-  private void fill(List<Machine> free, List<Job> jobs, double least, boolean thin, long nowMs) {
-    fill(free, jobs, least, thin, null, nowMs);
+  private void fill(
+      List<Machine> candidates,
+      List<Job> jobs,
+      double minimumScore,
+      boolean spreadReplicas,
+      long nowMs) {
+    fill(candidates, jobs, minimumScore, spreadReplicas, null, nowMs);
   }
 
-  /** {@code starved}: the group whose jobs these are, if that is why they are served now. */
+  /** {@code starvedGroup}: the group whose jobs these are, if that is why they are served now. */
   private void fill(
-      List<Machine> free,
+      List<Machine> candidates,
       List<Job> jobs,
-      double least,
-      boolean thin,
-      MinimumShare.Group starved,
+      double minimumScore,
+      boolean spreadReplicas,
+      MinimumShare.ShareGroup starvedGroup,
       long nowMs) {
-    MinimumRequirements smallest = new MinimumRequirements(jobs);
-    for (Machine m : free) {
-      if (smallest.fits(m)) {
+    MinimumRequirements minimum = new MinimumRequirements(jobs);
+    for (Machine machine : candidates) {
+      if (minimum.satisfiedBy(machine)) {
         for (Job job : jobs) {
-          if (starved != null && !starved.hungry()) {
+          if (starvedGroup != null && !starvedGroup.isStarved()) {
             return;
           }
-          fill(m, job, least, thin, starved, nowMs);
+          fill(machine, job, minimumScore, spreadReplicas, starvedGroup, nowMs);
         }
       }
     }
   }
 
   private void fill(
-      Machine m, Job job, double least, boolean thin, MinimumShare.Group starved, long nowMs) {
-    c.looks++;
-    if (job.waiting.isEmpty()
-        || !fits(m, job)
-        || !allowed(m, job, nowMs)
-        || (starved == null && heldBack(m, job, nowMs))
-        || (job.suspect() && probedElsewhere(m, job, nowMs))) {
+      Machine machine,
+      Job job,
+      double minimumScore,
+      boolean spreadReplicas,
+      MinimumShare.ShareGroup starvedGroup,
+      long nowMs) {
+    cluster.candidateChecks++;
+    if (job.waitingTasks.isEmpty()
+        || !hasRoomFor(machine, job)
+        || !isMachineAllowed(machine, job, nowMs)
+        || (starvedGroup == null && isDeferred(machine, job, nowMs))
+        || (job.isSuspect() && shouldProbeElsewhere(machine, job, nowMs))) {
       return;
     }
-    double score = m.score(job.spec.image());
-    if (score < least || (least == 0 && score > 0)) {
+    double score = machine.imageLocality(job.spec.image());
+    if (score < minimumScore || (minimumScore == 0 && score > 0)) {
       return;
     }
-    int index = job.waiting.nextSetBit(0);
+    int index = job.waitingTasks.nextSetBit(0);
     while (index >= 0
-        && (starved == null || starved.hungry())
-        && (score == 1 || job.waitingCount() > job.covered)
-        && !(thin && crowded(m, job))
-        && m.taken < (m.doubted() ? 1 : c.policy.batch())
-        && !job.beingProbed()
-        && fits(m, job)) {
-      if (score == 0 && !pastAge(job, nowMs) && c.utilization.of(m) >= c.policy.utilization()) {
+        && (starvedGroup == null || starvedGroup.isStarved())
+        && (score == 1 || job.waitingCount() > job.tasksAwaitingPreemption)
+        && !(spreadReplicas && exceedsReplicaShare(machine, job))
+        && machine.placedInPass
+            < (machine.hasRecentFailures() ? 1 : cluster.policy.machineBatchTasks())
+        && !job.probeInProgress()
+        && hasRoomFor(machine, job)) {
+      if (score == 0
+          && !pastWaitingAge(job, nowMs)
+          && cluster.utilization.of(machine) >= cluster.policy.utilizationThreshold()) {
         return;
       }
-      if (!job.zoneAllowed(m.zone) || !c.teamAllows(job)) {
+      if (!job.zoneAllowed(machine.zone) || !cluster.teamQuotaAllows(job)) {
         return;
       }
-      if (!onMachine(m, job, index)) {
-        c.place(job, index, m, c.nextAttempt(), nowMs);
-        m.taken++;
-        if (starved != null) {
-          starved.took(job, 1);
+      if (!hasAttemptOnMachine(machine, job, index)) {
+        cluster.place(job, index, machine, cluster.nextAttemptNumber(), nowMs);
+        machine.placedInPass++;
+        if (starvedGroup != null) {
+          starvedGroup.onPlaced(job, 1);
         }
-        LOG.debug("task {}/{} placed on {} (score {})", job.spec.id(), index, m.name, score);
+        LOG.debug("task {}/{} placed on {} (score {})", job.spec.id(), index, machine.name, score);
       }
-      index = job.waiting.nextSetBit(index + 1);
+      index = job.waitingTasks.nextSetBit(index + 1);
     }
   }
 
@@ -328,48 +350,48 @@
    * may have what there is, in one pass, and then room is kept from them anew: for as long as
    * larger work waited they stood beside a processor that was free on each machine.
    */
-  private boolean heldBack(Machine m, Job job, long nowMs) {
-    if (!job.spare || !queue.aimedWaits(m)) {
+  private boolean isDeferred(Machine machine, Job job, long nowMs) {
+    if (!job.bestEffort || !queue.hasWaitingObjectiveWork(machine)) {
       return false;
     }
-    return !heldBackForLong(job, nowMs);
+    return !deferralExpired(job, nowMs);
   }
 
   /**
    * Notes that room is kept from the job; true once that lasted for so long that it may have it.
    */
-  private boolean heldBackForLong(Job job, long nowMs) {
-    heldBackNow.add(job.place);
-    long sinceMs = heldBackMs.computeIfAbsent(job.place, p -> nowMs);
+  private boolean deferralExpired(Job job, long nowMs) {
+    deferredNow.add(job.placementConstraints);
+    long sinceMs = deferredSinceMs.computeIfAbsent(job.placementConstraints, p -> nowMs);
     // Between passes there is one machine to be had, and with it the turn would be over.
-    if (!passing || nowMs - sinceMs < Constants.HELD_BACK_MS) {
+    if (!passInProgress || nowMs - sinceMs < Constants.DEFERRAL_LIMIT_MS) {
       return false;
     }
-    letThrough.add(job.place);
+    admittedNow.add(job.placementConstraints);
     return true;
   }
 
   /** What found no room in the pass before, or was let through there, waits anew. */
-  private void holdBackAnew() {
-    heldBackMs.keySet().retainAll(heldBackNow);
-    heldBackMs.keySet().removeAll(letThrough);
-    heldBackNow.clear();
-    letThrough.clear();
+  private void resetDeferrals() {
+    deferredSinceMs.keySet().retainAll(deferredNow);
+    deferredSinceMs.keySet().removeAll(admittedNow);
+    deferredNow.clear();
+    admittedNow.clear();
   }
 
   /**
    * Whether a probe should rather go to another machine: it failed here and not there. Faulty
    * machines have its image by then, so each probe of a sound job went to one of them again.
    */
-  private boolean probedElsewhere(Machine m, Job job, long nowMs) {
-    if (!job.failedOn.containsKey(m.name)) {
+  private boolean shouldProbeElsewhere(Machine machine, Job job, long nowMs) {
+    if (!job.lastFailureMsByMachine.containsKey(machine.name)) {
       return false;
     }
-    for (Machine other : c.all()) {
-      if (!job.failedOn.containsKey(other.name)
-          && c.usable(other, nowMs)
-          && fits(other, job)
-          && allowed(other, job, nowMs)) {
+    for (Machine other : cluster.allMachines()) {
+      if (!job.lastFailureMsByMachine.containsKey(other.name)
+          && cluster.usable(other, nowMs)
+          && hasRoomFor(other, job)
+          && isMachineAllowed(other, job, nowMs)) {
         return true;
       }
     }
@@ -377,42 +399,46 @@
   }
 
   /** Whether there is room for one more task of the job on a machine that it may use. */
-  private boolean fits(Machine m, Job job) {
-    return m.hasRoom(job.spec)
-        && (job.usableTypes.contains(m.type) || c.machineTypes.spareHolds(m, job));
+  private boolean hasRoomFor(Machine machine, Job job) {
+    return machine.fits(job.spec)
+        && (job.usableTypes.contains(machine.typeName)
+            || cluster.machineTypes.fitsBesideAccelerators(machine, job));
   }
 
-  boolean pastAge(Job job, long nowMs) {
-    double age = c.policy.waitingAgeS();
-    if (job.startAimS != null) {
-      age =
-          job.startAimS <= Constants.TIGHT_START_S
+  boolean pastWaitingAge(Job job, long nowMs) {
+    double ageS = cluster.policy.waitingAgeS();
+    if (job.startObjectiveS != null) {
+      ageS =
+          job.startObjectiveS <= Constants.TIGHT_START_OBJECTIVE_S
               ? 0
-              : Math.min(age, job.startAimS * Constants.WAITING_AGE_SHARE);
+              : Math.min(ageS, job.startObjectiveS * Constants.WAITING_AGE_OBJECTIVE_SHARE);
     }
-    return nowMs - job.submittedMs >= age * 1000;
+    return nowMs - job.submittedMs >= ageS * 1000;
   }
 
   /**
    * Whether replicas would take more than their share of the machine: with its end all of them are
    * down at once, so they spread over machines as long as others have room.
    */
-  boolean crowded(Machine m, Job job) {
+  boolean exceedsReplicaShare(Machine machine, Job job) {
     return job.spec.kind() == JobKind.SERVICE
-        && m.replicaCpus() + job.spec.cpus() > Constants.REPLICA_SHARE * m.kind.cpus();
+        && machine.replicaCpus() + job.spec.cpus()
+            > Constants.REPLICA_CPU_SHARE * machine.type.cpus();
   }
 
   /** An older attempt of the task is still known there: the start would be refused. */
-  static boolean onMachine(Machine m, Job job, int index) {
-    for (TaskAttempt run : m.runs.values()) {
-      if (run.index == index && run.job == job) {
+  static boolean hasAttemptOnMachine(Machine machine, Job job, int index) {
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      if (attempt.index == index && attempt.job == job) {
         return true;
       }
     }
     return false;
   }
 
-  boolean allowed(Machine m, Job job, long nowMs) {
-    return (!m.spot || job.spec.spot()) && job.zoneAllowed(m.zone) && !job.avoids(m, nowMs);
+  boolean isMachineAllowed(Machine machine, Job job, long nowMs) {
+    return (!machine.spot || job.spec.spotAllowed())
+        && job.zoneAllowed(machine.zone)
+        && !job.avoids(machine, nowMs);
   }
 }
--- a/src/main/java/org/astershift/scheduler/PlannedMachine.java
+++ b/src/main/java/org/astershift/scheduler/PlannedMachine.java
@@ -8,81 +8,82 @@
   final String zone;
   private final MachineType type;
   private final boolean spot;
-  private double cpus;
-  private double gpus;
-  private double memory;
-  private int tasks = Constants.TASKS_A_MACHINE;
+  private double freeCpus;
+  private double freeGpus;
+  private double freeMemoryGb;
+  private int freeTasks = Constants.MAX_TASKS_PER_MACHINE;
 
   /** An empty machine. */
   PlannedMachine(MachineType type, String zone, boolean spot) {
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.cpus = type.cpus();
-    this.gpus = type.gpus();
-    this.memory = type.memoryGb();
+    this.freeCpus = type.cpus();
+    this.freeGpus = type.gpus();
+    this.freeMemoryGb = type.memoryGb();
   }
 
   /** What is free on a machine now. */
-  PlannedMachine(Machine m) {
-    this(m.kind, m.zone, m.spot);
-    cpus -= m.usedCpus();
-    gpus -= m.usedGpus();
-    memory -= m.usedMemory();
-    tasks -= m.runs.size();
+  PlannedMachine(Machine machine) {
+    this(machine.type, machine.zone, machine.spot);
+    freeCpus -= machine.usedCpus();
+    freeGpus -= machine.usedGpus();
+    freeMemoryGb -= machine.usedMemoryGb();
+    freeTasks -= machine.attempts.size();
   }
 
   /** With what its array tasks will have left at a time, as far as their estimates tell. */
-  static PlannedMachine soon(Machine m, long atMs) {
-    PlannedMachine bin = new PlannedMachine(m);
-    for (TaskAttempt run : m.runs.values()) {
-      JobSpec spec = run.job.spec;
-      if (run.overBy(atMs)) {
-        bin.cpus += spec.cpus();
-        bin.gpus += spec.gpus();
-        bin.memory += spec.memoryGb();
-        bin.tasks++;
+  static PlannedMachine withExpectedReleases(Machine machine, long atMs) {
+    PlannedMachine planned = new PlannedMachine(machine);
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      JobSpec spec = attempt.job.spec;
+      if (attempt.expectedDoneBy(atMs)) {
+        planned.freeCpus += spec.cpus();
+        planned.freeGpus += spec.gpus();
+        planned.freeMemoryGb += spec.memoryGb();
+        planned.freeTasks++;
       }
     }
-    return bin;
+    return planned;
   }
 
-  /** How many tasks like this find room, at most {@code most}. */
-  int fits(JobSpec spec, int most) {
-    if (!holds(spec) || !allows(spec)) {
+  /** How many tasks like this find room, at most {@code limit}. */
+  int fittingTasks(JobSpec spec, int limit) {
+    if (!hasRoomFor(spec) || !allows(spec)) {
       return 0;
     }
-    double n = Math.min(most, tasks);
-    n = spec.cpus() > 0 ? Math.min(n, (cpus + TOLERANCE) / spec.cpus()) : n;
-    n = spec.gpus() > 0 ? Math.min(n, (gpus + TOLERANCE) / spec.gpus()) : n;
-    n = spec.memoryGb() > 0 ? Math.min(n, (memory + TOLERANCE) / spec.memoryGb()) : n;
-    return Math.max(0, (int) n);
+    double count = Math.min(limit, freeTasks);
+    count = spec.cpus() > 0 ? Math.min(count, (freeCpus + TOLERANCE) / spec.cpus()) : count;
+    count = spec.gpus() > 0 ? Math.min(count, (freeGpus + TOLERANCE) / spec.gpus()) : count;
+    count =
+        spec.memoryGb() > 0 ? Math.min(count, (freeMemoryGb + TOLERANCE) / spec.memoryGb()) : count;
+    return Math.max(0, (int) count);
   }
 
   private boolean allows(JobSpec spec) {
-    return (!spot || spec.spot())
+    return (!spot || spec.spotAllowed())
         && (type.gpus() == 0 || spec.gpus() > 0)
-        && (spec.types() == null || spec.types().contains(type.name()))
+        && (spec.machineTypes() == null || spec.machineTypes().contains(type.name()))
         && (spec.zone() == null || spec.zone().equals(zone));
   }
 
   /** Whether there is room for one task, be it allowed or not. */
-  boolean holds(JobSpec spec) {
-    return tasks > 0
-        && cpus + TOLERANCE >= spec.cpus()
-        && gpus + TOLERANCE >= spec.gpus()
-        && memory + TOLERANCE >= spec.memoryGb();
+  boolean hasRoomFor(JobSpec spec) {
+    return freeTasks > 0
+        && freeCpus + TOLERANCE >= spec.cpus()
+        && freeGpus + TOLERANCE >= spec.gpus()
+        && freeMemoryGb + TOLERANCE >= spec.memoryGb();
   }
 
   /** Takes one task, if it may and can. */
   boolean take(JobSpec spec) {
-    if (!holds(spec) || !allows(spec)) {
+    if (!hasRoomFor(spec) || !allows(spec)) {
       return false;
     }
-    cpus -= spec.cpus();
-    gpus -= spec.gpus();
-    memory -= spec.memoryGb();
-    tasks--;
+    freeCpus -= spec.cpus();
+    freeGpus -= spec.gpus();
+    freeMemoryGb -= spec.memoryGb();
+    freeTasks--;
     return true;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -18,48 +18,48 @@
   private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
   private static final double TOLERANCE = 1e-6;
   private static final Comparator<Choice> CHEAPEST =
-      Comparator.comparingDouble(Choice::loss).thenComparingInt(Choice::order);
-  private final ClusterState c;
+      Comparator.comparingDouble(Choice::lossCpuS).thenComparingInt(Choice::order);
+  private final ClusterState cluster;
   private final Placement placement;
 
   /** Room on a machine, free already or freed by what stops, less what other tasks wait for. */
   private static final class Room {
     double cpus;
     double gpus;
-    double memory;
+    double memoryGb;
     int tasks;
 
-    void add(Room r) {
-      tasks += r.tasks;
-      cpus += r.cpus;
-      gpus += r.gpus;
-      memory += r.memory;
+    void add(Room other) {
+      tasks += other.tasks;
+      cpus += other.cpus;
+      gpus += other.gpus;
+      memoryGb += other.memoryGb;
     }
 
-    void addFree(Machine m) {
-      tasks += m.freeTasks();
-      cpus += m.freeCpus();
-      gpus += m.freeGpus();
-      memory += m.freeMemory();
+    void addFree(Machine machine) {
+      tasks += machine.freeTaskSlots();
+      cpus += machine.freeCpus();
+      gpus += machine.freeGpus();
+      memoryGb += machine.freeMemoryGb();
     }
 
-    void add(JobSpec s) {
+    void add(JobSpec spec) {
       tasks++;
-      cpus += s.cpus();
-      gpus += s.gpus();
-      memory += s.memoryGb();
+      cpus += spec.cpus();
+      gpus += spec.gpus();
+      memoryGb += spec.memoryGb();
     }
 
-    boolean holds(JobSpec s) {
+    boolean hasRoomFor(JobSpec spec) {
       return tasks > 0
-          && cpus + TOLERANCE >= s.cpus()
-          && gpus + TOLERANCE >= s.gpus()
-          && memory + TOLERANCE >= s.memoryGb();
+          && cpus + TOLERANCE >= spec.cpus()
+          && gpus + TOLERANCE >= spec.gpus()
+          && memoryGb + TOLERANCE >= spec.memoryGb();
     }
   }
 
   /** What to stop on one machine, and what that loses; {@code order} decides between equal ones. */
-  private record Choice(Machine machine, List<TaskAttempt> victims, double loss, int order) {}
+  private record Choice(Machine machine, List<TaskAttempt> victims, double lossCpuS, int order) {}
 
   /**
    * What a machine could give up for jobs of one priority, found once a pass: many jobs ask it of
@@ -67,191 +67,202 @@
    */
   static final class Stoppable {
     private final Priority priority;
-    private final boolean tight;
+    private final boolean forTightObjective;
 
     /** Freed by what stops already. */
-    private final Room ending = new Room();
+    private final Room stopping = new Room();
 
     /** Freed by these and if all candidates stop. */
-    private final Room most = new Room();
+    private final Room maximum = new Room();
 
     /** The cheapest first. */
     private final List<TaskAttempt> candidates = new ArrayList<>();
 
-    private Stoppable(Machine m, Priority priority, boolean tight, long nowMs) {
+    private Stoppable(Machine machine, Priority priority, boolean tightObjective, long nowMs) {
       this.priority = priority;
-      this.tight = tight;
-      for (TaskAttempt run : m.runs.values()) {
-        if (run.exited()) {
+      this.forTightObjective = tightObjective;
+      for (TaskAttempt attempt : machine.attempts.values()) {
+        if (attempt.exited()) {
           continue;
         }
-        if (run.unwanted()) {
-          ending.add(run.job.spec);
-          most.add(run.job.spec);
-        } else if (run.job.spec.kind() != JobKind.SERVICE
-            && (tight || !run.job.aimed)
-            && run.job.spec.priority().compareTo(priority) > 0
-            && (priority == Priority.PRODUCTION || !MinimumShare.keeps(run.job, nowMs))) {
-          candidates.add(run);
-          most.add(run.job.spec);
+        if (attempt.unwanted()) {
+          stopping.add(attempt.job.spec);
+          maximum.add(attempt.job.spec);
+        } else if (attempt.job.spec.kind() != JobKind.SERVICE
+            && (tightObjective || !attempt.job.hasObjective)
+            && attempt.job.spec.priority().compareTo(priority) > 0
+            && (priority == Priority.PRODUCTION || !MinimumShare.isProtected(attempt.job, nowMs))) {
+          candidates.add(attempt);
+          maximum.add(attempt.job.spec);
         }
       }
       if (candidates.size() > 1) {
-        candidates.sort(Comparator.comparingDouble(r -> lost(r, nowMs)));
+        candidates.sort(Comparator.comparingDouble(r -> lostCpuS(r, nowMs)));
       }
     }
 
     /** Whether there would be room for a task if all candidates stopped. */
-    private boolean mayHold(Machine m, JobSpec s) {
-      return m.freeTasks() + most.tasks > 0
-          && m.freeCpus() + most.cpus + TOLERANCE >= s.cpus()
-          && m.freeGpus() + most.gpus + TOLERANCE >= s.gpus()
-          && m.freeMemory() + most.memory + TOLERANCE >= s.memoryGb();
+    private boolean canMakeRoomFor(Machine machine, JobSpec spec) {
+      return machine.freeTaskSlots() + maximum.tasks > 0
+          && machine.freeCpus() + maximum.cpus + TOLERANCE >= spec.cpus()
+          && machine.freeGpus() + maximum.gpus + TOLERANCE >= spec.gpus()
+          && machine.freeMemoryGb() + maximum.memoryGb + TOLERANCE >= spec.memoryGb();
     }
 
-    private static Stoppable of(Machine m, Job job, long nowMs) {
-      boolean tight = tight(job);
+    private static Stoppable of(Machine machine, Job job, long nowMs) {
+      boolean tightObjective = hasTightObjective(job);
       Priority priority = job.spec.priority();
-      Stoppable s = m.stoppable;
-      if (s == null || s.tight != tight || s.priority != priority) {
-        s = new Stoppable(m, priority, tight, nowMs);
-        m.stoppable = s;
+      Stoppable stoppable = machine.preemptible;
+      if (stoppable == null
+          || stoppable.forTightObjective != tightObjective
+          || stoppable.priority != priority) {
+        stoppable = new Stoppable(machine, priority, tightObjective, nowMs);
+        machine.preemptible = stoppable;
       }
-      return s;
+      return stoppable;
     }
   }
 
   Preemption(ClusterState cluster, Placement placement) {
-    this.c = cluster;
+    this.cluster = cluster;
     this.placement = placement;
   }
 
-  void makeRoom(List<Job> jobs, List<Machine> usable, boolean onlyHits, long nowMs) {
-    List<Machine> filled = null;
+  void makeRoom(List<Job> jobs, List<Machine> usable, boolean imageHitsOnly, long nowMs) {
+    List<Machine> hosts = null;
     for (Job job : jobs) {
-      if (onlyHits) {
-        job.covered = 0;
+      if (imageHitsOnly) {
+        job.tasksAwaitingPreemption = 0;
       }
-      if (job.waiting.isEmpty() || job.suspect() || !job.aimed || !c.teamAllows(job)) {
+      if (job.waitingTasks.isEmpty()
+          || job.isSuspect()
+          || !job.hasObjective
+          || !cluster.teamQuotaAllows(job)) {
         continue;
       }
-      if (!tight(job) && filled == null) {
-        filled = filled(usable);
+      if (!hasTightObjective(job) && hosts == null) {
+        hosts = hostsOfWorkWithoutObjective(usable);
       }
-      List<Machine> where = tight(job) ? usable : filled;
-      int need = job.waitingCount() - job.covered;
-      if (need > 0 && !where.isEmpty()) {
-        job.covered += makeRoom(job, need, where, onlyHits, nowMs);
+      List<Machine> candidates = hasTightObjective(job) ? usable : hosts;
+      int needed = job.waitingCount() - job.tasksAwaitingPreemption;
+      if (needed > 0 && !candidates.isEmpty()) {
+        job.tasksAwaitingPreemption += makeRoom(job, needed, candidates, imageHitsOnly, nowMs);
       }
     }
   }
 
-  private static boolean tight(Job job) {
-    return job.startAimS != null && job.startAimS <= Constants.TIGHT_START_S;
+  private static boolean hasTightObjective(Job job) {
+    return job.startObjectiveS != null && job.startObjectiveS <= Constants.TIGHT_START_OBJECTIVE_S;
   }
 
   /** Machines with tasks at which nobody aims. */
-  private List<Machine> filled(List<Machine> usable) {
-    boolean any = false;
-    for (Job job : c.jobs.values()) {
-      any |= !job.aimed && !job.runs.isEmpty();
+  private List<Machine> hostsOfWorkWithoutObjective(List<Machine> usable) {
+    boolean anyWithoutObjective = false;
+    for (Job job : cluster.jobs.values()) {
+      anyWithoutObjective |= !job.hasObjective && !job.attempts.isEmpty();
     }
-    List<Machine> filled = new ArrayList<>();
-    if (any) {
-      for (Machine m : usable) {
-        for (TaskAttempt run : m.runs.values()) {
-          if (!run.exited() && !run.job.aimed) {
-            filled.add(m);
+    List<Machine> hosts = new ArrayList<>();
+    if (anyWithoutObjective) {
+      for (Machine machine : usable) {
+        for (TaskAttempt attempt : machine.attempts.values()) {
+          if (!attempt.exited() && !attempt.job.hasObjective) {
+            hosts.add(machine);
             break;
           }
         }
       }
     }
-    return filled;
+    return hosts;
   }
 
-  /** Makes room for up to {@code need} tasks where it loses least; says for how many. */
-  private int makeRoom(Job job, int need, List<Machine> usable, boolean onlyHits, long nowMs) {
+  /** Makes room for up to {@code needed} tasks where it loses least; says for how many. */
+  private int makeRoom(
+      Job job, int needed, List<Machine> usable, boolean imageHitsOnly, long nowMs) {
     PriorityQueue<Choice> choices = new PriorityQueue<>(CHEAPEST);
     int order = 0;
-    for (Machine m : usable) {
-      Choice choice = choice(m, job, onlyHits, order++, nowMs);
+    for (Machine machine : usable) {
+      Choice choice = cheapestChoice(machine, job, imageHitsOnly, order++, nowMs);
       if (choice != null) {
         choices.add(choice);
       }
     }
-    int made = 0;
-    while (made < need && !choices.isEmpty()) {
+    int roomsMade = 0;
+    while (roomsMade < needed && !choices.isEmpty()) {
       Choice best = choices.remove();
-      take(best, job);
-      made++;
-      Choice again = choice(best.machine(), job, onlyHits, order++, nowMs);
-      if (again != null) {
-        choices.add(again);
+      reserveAndPreempt(best, job);
+      roomsMade++;
+      Choice next = cheapestChoice(best.machine(), job, imageHitsOnly, order++, nowMs);
+      if (next != null) {
+        choices.add(next);
       }
     }
-    return made;
+    return roomsMade;
   }
 
   /** The cheapest way to make room for one task on this machine; null if there is none. */
-  private Choice choice(Machine m, Job job, boolean onlyHits, int order, long nowMs) {
-    c.looks++;
+  private Choice cheapestChoice(
+      Machine machine, Job job, boolean imageHitsOnly, int order, long nowMs) {
+    cluster.candidateChecks++;
     JobSpec spec = job.spec;
-    if (!job.usableTypes.contains(m.type)) {
+    if (!job.usableTypes.contains(machine.typeName)) {
       return null;
     }
-    Stoppable stoppable = Stoppable.of(m, job, nowMs);
-    if (!stoppable.mayHold(m, spec)) {
+    Stoppable stoppable = Stoppable.of(machine, job, nowMs);
+    if (!stoppable.canMakeRoomFor(machine, spec)) {
       return null;
     }
-    boolean hit = m.images.containsKey(spec.image());
-    if ((onlyHits && !hit) || !placement.allowed(m, job, nowMs)) {
+    boolean imageHit = machine.cachedImages.containsKey(spec.image());
+    if ((imageHitsOnly && !imageHit) || !placement.isMachineAllowed(machine, job, nowMs)) {
       return null;
     }
-    List<TaskAttempt> victims = victims(m, spec, stoppable);
+    List<TaskAttempt> victims = victims(machine, spec, stoppable);
     if (victims == null) {
       return null;
     }
-    double loss = hit ? 0 : Constants.FETCH_LOSS * spec.imageGb() / m.kind.fetchGbPerS();
-    loss += placement.crowded(m, job) ? Constants.CROWDED_LOSS : 0;
-    for (TaskAttempt run : victims) {
-      loss += lost(run, nowMs);
+    double lossCpuS =
+        imageHit
+            ? 0
+            : Constants.IMAGE_FETCH_LOSS_CPU_S_PER_S * spec.imageGb() / machine.type.fetchGbPerS();
+    lossCpuS +=
+        placement.exceedsReplicaShare(machine, job) ? Constants.REPLICA_CROWDING_LOSS_CPU_S : 0;
+    for (TaskAttempt attempt : victims) {
+      lossCpuS += lostCpuS(attempt, nowMs);
     }
-    return new Choice(m, victims, loss, order);
+    return new Choice(machine, victims, lossCpuS, order);
   }
 
   /** What has to stop for one task, the cheapest first; null if that would not be enough. */
-  private static List<TaskAttempt> victims(Machine m, JobSpec spec, Stoppable s) {
+  private static List<TaskAttempt> victims(Machine machine, JobSpec spec, Stoppable stoppable) {
     Room room = new Room();
-    room.addFree(m);
-    room.add(s.ending);
-    if (room.holds(spec)) {
+    room.addFree(machine);
+    room.add(stoppable.stopping);
+    if (room.hasRoomFor(spec)) {
       return List.of();
     }
     List<TaskAttempt> victims = new ArrayList<>();
-    for (TaskAttempt run : s.candidates) {
-      victims.add(run);
-      room.add(run.job.spec);
-      if (room.holds(spec)) {
+    for (TaskAttempt attempt : stoppable.candidates) {
+      victims.add(attempt);
+      room.add(attempt.job.spec);
+      if (room.hasRoomFor(spec)) {
         return victims;
       }
     }
     return null;
   }
 
-  private void take(Choice choice, Job job) {
-    Machine m = choice.machine();
+  private void reserveAndPreempt(Choice choice, Job job) {
+    Machine machine = choice.machine();
     JobSpec spec = job.spec;
-    m.reserve(spec, 1);
-    for (TaskAttempt run : choice.victims()) {
-      c.stop(run);
-      LOG.debug("task {} on {} stops for {}", run.name(), m.name, spec.id());
+    machine.reserve(spec, 1);
+    for (TaskAttempt attempt : choice.victims()) {
+      cluster.stop(attempt);
+      LOG.debug("task {} on {} stops for {}", attempt.name(), machine.name, spec.id());
     }
   }
 
   /** Work lost if the task stops now, in processor seconds. */
-  private static double lost(TaskAttempt run, long nowMs) {
-    double ran = run.runningSinceMs < 0 ? 0 : (nowMs - run.runningSinceMs) / 1000.0;
-    return 1 + ran * Math.max(run.job.spec.cpus(), 1);
+  private static double lostCpuS(TaskAttempt attempt, long nowMs) {
+    double ranS = attempt.runningSinceMs < 0 ? 0 : (nowMs - attempt.runningSinceMs) / 1000.0;
+    return 1 + ranS * Math.max(attempt.job.spec.cpus(), 1);
   }
 }
--- a/src/main/java/org/astershift/scheduler/Reservation.java
+++ b/src/main/java/org/astershift/scheduler/Reservation.java
@@ -5,11 +5,11 @@
   static final Reservation NONE = new Reservation(0, 0, 0, 0);
 
   /** The same with room for so many tasks of this kind more. */
-  Reservation plus(JobSpec spec, int more) {
+  Reservation plus(JobSpec spec, int additionalTasks) {
     return new Reservation(
-        cpus + more * spec.cpus(),
-        gpus + more * spec.gpus(),
-        memoryGb + more * spec.memoryGb(),
-        tasks + more);
+        cpus + additionalTasks * spec.cpus(),
+        gpus + additionalTasks * spec.gpus(),
+        memoryGb + additionalTasks * spec.memoryGb(),
+        tasks + additionalTasks);
   }
 }
