--- a/src/main/java/org/astershift/scheduler/ScaleIn.java
+++ b/src/main/java/org/astershift/scheduler/ScaleIn.java
@@ -17,105 +17,117 @@
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
   /** The cloud takes no more names in one call. */
-  private static final int NAMES_A_CALL = 100;
+  private static final int RELEASE_BATCH_MACHINES = 100;
 
-  private final ClusterState c;
-  private final FailureDetector silence;
-  private final Set<String> failedNames = new HashSet<>();
-  private final Set<String> asked = new HashSet<>();
+  private final ClusterState cluster;
+  private final FailureDetector failureDetector;
+  private final Set<String> failedMachines = new HashSet<>();
+  private final Set<String> releaseRequested = new HashSet<>();
 
   /** By type, how many machines were idle at the least lately. */
-  private final Map<String, WindowMinimum> leastIdle = new HashMap<>();
+  private final Map<String, WindowMinimum> minimumIdle = new HashMap<>();
 
-  ScaleIn(ClusterState cluster, FailureDetector silence) {
-    this.c = cluster;
-    this.silence = silence;
+  ScaleIn(ClusterState cluster, FailureDetector failureDetector) {
+    this.cluster = cluster;
+    this.failureDetector = failureDetector;
   }
 
   /** A failed machine stays listed until it is deleted. */
-  void failed(String name) {
-    failedNames.add(name);
+  void onFailed(String name) {
+    failedMachines.add(name);
   }
 
   /** The cloud answered 200 to the return of these. */
-  void returned(List<String> names, long nowMs) {
+  void onReleased(List<String> names, long nowMs) {
     for (String name : names) {
-      asked.remove(name);
-      failedNames.remove(name);
-      c.gone(name, "returned", nowMs);
+      releaseRequested.remove(name);
+      failedMachines.remove(name);
+      cluster.removeMachine(name, "returned", nowMs);
     }
   }
 
   /** A return did not get its answer: it is asked for again by a later plan. */
-  void notReturned(List<String> names) {
-    asked.removeAll(names);
+  void onReleaseFailed(List<String> names) {
+    releaseRequested.removeAll(names);
   }
 
   /**
-   * {@code sole}: no other node can lead. Otherwise another leader may use what seems needless
-   * here, and only silence counts, which it may be that nobody else can end.
+   * {@code leaseCertainlyHeld}: no other node can lead. Otherwise another leader may use what seems
+   * needless here, and only silence counts, which it may be that nobody else can end.
    */
-  void plan(List<Decision> out, boolean sole, long nowMs) {
-    List<String> names = new ArrayList<>();
-    List<String> silent = new ArrayList<>();
-    for (String name : failedNames) {
-      if (asked.add(name)) {
-        names.add(name);
+  void plan(List<Decision> decisions, boolean leaseCertainlyHeld, long nowMs) {
+    List<String> toRelease = new ArrayList<>();
+    List<String> silentToRelease = new ArrayList<>();
+    for (String name : failedMachines) {
+      if (releaseRequested.add(name)) {
+        toRelease.add(name);
       }
     }
-    silence.survey(nowMs);
-    Set<Machine> needless = needless(nowMs);
-    for (Machine m : c.all()) {
-      String why = null;
-      if (m.state != Machine.State.RETURNING) {
-        if (silence.silent(m, nowMs)) {
-          m.givenUp = silence.giveUp(m, nowMs);
-          why = m.givenUp ? "silent with " + m.heldCount() + " tasks" : null;
-        } else if (sole) {
-          why = whyReturn(m, needless, nowMs);
+    failureDetector.assessFleet(nowMs);
+    Set<Machine> surplus = surplusMachines(nowMs);
+    for (Machine machine : cluster.allMachines()) {
+      String reason = null;
+      if (machine.state != Machine.State.RELEASING) {
+        if (failureDetector.isSilent(machine, nowMs)) {
+          machine.releasedAsSilent = failureDetector.tryRelease(machine, nowMs);
+          reason =
+              machine.releasedAsSilent
+                  ? "silent with " + machine.heldAttemptCount() + " tasks"
+                  : null;
+        } else if (leaseCertainlyHeld) {
+          reason = releaseReason(machine, surplus, nowMs);
         }
       }
-      if (why != null) {
-        LOG.info("machine {} ({} in {}) is returned: {}", m.name, m.type, m.zone, why);
-        c.enter(m, Machine.State.RETURNING);
+      if (reason != null) {
+        LOG.info(
+            "machine {} ({} in {}) is returned: {}",
+            machine.name,
+            machine.typeName,
+            machine.zone,
+            reason);
+        cluster.enterState(machine, Machine.State.RELEASING);
       }
-      if (m.state == Machine.State.RETURNING && asked.add(m.name)) {
-        (m.givenUp ? silent : names).add(m.name);
+      if (machine.state == Machine.State.RELEASING && releaseRequested.add(machine.name)) {
+        (machine.releasedAsSilent ? silentToRelease : toRelease).add(machine.name);
       }
     }
-    silence.tell(nowMs);
-    calls(out, names, false);
-    calls(out, silent, true);
+    failureDetector.logRetained(nowMs);
+    addReleases(decisions, toRelease, false);
+    addReleases(decisions, silentToRelease, true);
   }
 
-  private static void calls(List<Decision> out, List<String> names, boolean silent) {
-    for (int i = 0; i < names.size(); i += NAMES_A_CALL) {
-      List<String> call = names.subList(i, Math.min(names.size(), i + NAMES_A_CALL));
-      out.add(new Decision.ReleaseMachines(call, silent));
+  private static void addReleases(List<Decision> decisions, List<String> names, boolean silent) {
+    for (int i = 0; i < names.size(); i += RELEASE_BATCH_MACHINES) {
+      List<String> batch = names.subList(i, Math.min(names.size(), i + RELEASE_BATCH_MACHINES));
+      decisions.add(new Decision.ReleaseMachines(batch, silent));
     }
   }
 
-  private String whyReturn(Machine m, Set<Machine> needless, long nowMs) {
-    MachineType t = m.kind;
-    switch (m.state) {
+  private String releaseReason(Machine machine, Set<Machine> surplus, long nowMs) {
+    MachineType type = machine.type;
+    switch (machine.state) {
       case BOOTING -> {
-        double limit =
-            t == null
-                ? Constants.BOOT_UNKNOWN_MS
-                : t.bootS() * 1000 * Constants.BOOT_PATIENCE + Constants.BOOT_PATIENCE_MS;
-        return nowMs - m.knownMs > limit ? "not up after " + (nowMs - m.knownMs) + " ms" : null;
+        double limitMs =
+            type == null
+                ? Constants.BOOT_TIMEOUT_UNKNOWN_TYPE_MS
+                : type.bootS() * 1000 * Constants.BOOT_TIMEOUT_FACTOR
+                    + Constants.BOOT_TIMEOUT_MARGIN_MS;
+        return nowMs - machine.firstKnownMs > limitMs
+            ? "not up after " + (nowMs - machine.firstKnownMs) + " ms"
+            : null;
       }
       case LIVE -> {
-        if (m.condemned) {
-          for (TaskAttempt run : m.held()) {
-            c.stop(run);
+        if (machine.quarantined) {
+          for (TaskAttempt attempt : machine.heldAttempts()) {
+            cluster.stop(attempt);
           }
-          return m.holdsAny() ? null : "faulty";
+          return machine.hasAttempts() ? null : "faulty";
         }
         boolean idle =
-            m.idle()
-                && (nowMs - m.idleSinceMs > idleReleaseMs(m) || needless.contains(m))
-                && nowMs - m.knownMs > Constants.CHARGED_LEAST_MS;
+            machine.idle()
+                && (nowMs - machine.idleSinceMs > idleTimeoutMs(machine)
+                    || surplus.contains(machine))
+                && nowMs - machine.firstKnownMs > Constants.MIN_CHARGE_MS;
         return idle ? "idle" : null;
       }
       default -> {
@@ -128,10 +140,10 @@
    * How long an idle machine is kept: about as long as one takes to come back, since that is what
    * giving it back too early costs; longer where it is spot and its replacement may not be.
    */
-  private double idleReleaseMs(Machine m) {
-    double boot = m.kind == null ? 0 : m.kind.bootS() * Constants.IDLE_BOOTS;
-    double keep = Math.max(c.policy.idleReleaseS(), boot);
-    return keep * (m.spot ? Constants.IDLE_SPOT : 1) * 1000;
+  private double idleTimeoutMs(Machine machine) {
+    double bootS = machine.type == null ? 0 : machine.type.bootS() * Constants.IDLE_BOOT_FACTOR;
+    double keepS = Math.max(cluster.policy.idleReleaseS(), bootS);
+    return keepS * (machine.spot ? Constants.IDLE_SPOT_FACTOR : 1) * 1000;
   }
 
   /**
@@ -141,44 +153,48 @@
    * times over, though, and then as many are needless as were idle at every moment of that time.
    * The cheap ones among them may stay as long as all together cost little beside the fleet.
    */
-  private Set<Machine> needless(long nowMs) {
-    Map<String, List<Machine>> idle = new HashMap<>();
-    double allowance = 0;
-    for (Machine m : c.all()) {
-      if (m.state == Machine.State.LIVE && m.kind != null) {
-        allowance += m.kind.price(m.spot) * Constants.IDLE_SHARE;
-        List<Machine> same = idle.computeIfAbsent(m.type, t -> new ArrayList<>());
-        if (m.idle()) {
-          same.add(m);
+  private Set<Machine> surplusMachines(long nowMs) {
+    Map<String, List<Machine>> idleByType = new HashMap<>();
+    double costAllowance = 0;
+    for (Machine machine : cluster.allMachines()) {
+      if (machine.state == Machine.State.LIVE && machine.type != null) {
+        costAllowance += machine.type.hourlyPrice(machine.spot) * Constants.IDLE_COST_SHARE;
+        List<Machine> idleOfType =
+            idleByType.computeIfAbsent(machine.typeName, t -> new ArrayList<>());
+        if (machine.idle()) {
+          idleOfType.add(machine);
         }
       }
     }
-    leastIdle.keySet().retainAll(idle.keySet());
-    List<Machine> surplus = new ArrayList<>();
-    for (Map.Entry<String, List<Machine>> e : idle.entrySet()) {
-      List<Machine> machines = e.getValue();
-      MachineType type = c.machineTypes.all().get(e.getKey());
-      double boots = type.bootS() * Constants.IDLE_BOOTS;
-      long windowMs = (long) (1000 * Math.max(c.policy.idleReleaseS(), boots));
-      int least =
-          leastIdle
-              .computeIfAbsent(e.getKey(), t -> new WindowMinimum())
-              .of(machines.size(), nowMs, windowMs);
+    minimumIdle.keySet().retainAll(idleByType.keySet());
+    List<Machine> surplusMachines = new ArrayList<>();
+    for (Map.Entry<String, List<Machine>> entry : idleByType.entrySet()) {
+      List<Machine> machines = entry.getValue();
+      MachineType type = cluster.machineTypes.all().get(entry.getKey());
+      double bootsS = type.bootS() * Constants.IDLE_BOOT_FACTOR;
+      long windowMs = (long) (1000 * Math.max(cluster.policy.idleReleaseS(), bootsS));
+      int leastIdle =
+          minimumIdle
+              .computeIfAbsent(entry.getKey(), t -> new WindowMinimum())
+              .add(machines.size(), nowMs, windowMs);
       machines.sort(
-          Comparator.comparing((Machine m) -> m.spot).thenComparingLong(m -> m.idleSinceMs));
-      double wanted = c.reusedPerS(e.getKey(), nowMs) * boots;
-      int needless = Math.max(least, machines.size() - (int) Math.min(wanted, machines.size()));
-      surplus.addAll(machines.subList(0, needless));
+          Comparator.comparing((Machine machine) -> machine.spot)
+              .thenComparingLong(machine -> machine.idleSinceMs));
+      double expectedReuse = cluster.reuseRatePerS(entry.getKey(), nowMs) * bootsS;
+      int surplusCount =
+          Math.max(leastIdle, machines.size() - (int) Math.min(expectedReuse, machines.size()));
+      surplusMachines.addAll(machines.subList(0, surplusCount));
     }
-    surplus.sort(Comparator.comparingDouble(m -> m.kind.price(m.spot)));
-    Set<Machine> out = new HashSet<>();
-    for (Machine m : surplus) {
-      allowance -= m.kind.price(m.spot);
-      if (allowance < 0 && nowMs - m.idleSinceMs > Constants.IDLE_LEAST_MS) {
-        out.add(m);
+    surplusMachines.sort(
+        Comparator.comparingDouble(machine -> machine.type.hourlyPrice(machine.spot)));
+    Set<Machine> releasable = new HashSet<>();
+    for (Machine machine : surplusMachines) {
+      costAllowance -= machine.type.hourlyPrice(machine.spot);
+      if (costAllowance < 0 && nowMs - machine.idleSinceMs > Constants.IDLE_MIN_MS) {
+        releasable.add(machine);
       }
     }
-    return out;
+    return releasable;
   }
 
   /** The least of a number within a window of time; nothing before the window is full. */
@@ -188,7 +204,7 @@
 
     private long fromMs = -1;
 
-    int of(int value, long nowMs, long windowMs) {
+    int add(int value, long nowMs, long windowMs) {
       fromMs = fromMs < 0 ? nowMs : fromMs;
       while (!values.isEmpty() && values.peekLast()[1] >= value) {
         values.removeLast();
--- a/src/main/java/org/astershift/scheduler/ScaleOut.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOut.java
@@ -19,150 +19,170 @@
  */
 final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
-  private final ClusterState c;
-  private final Map<String, Decision.ProvisionMachines> underWay = new LinkedHashMap<>();
-  private final Map<CapacityPool, Long> paused = new HashMap<>();
-  private final Map<String, Integer> inZone = new HashMap<>();
+  private final ClusterState cluster;
+  private final Map<String, Decision.ProvisionMachines> pendingRequests = new LinkedHashMap<>();
+  private final Map<CapacityPool, Long> noCapacityUntilMs = new HashMap<>();
+  private final Map<String, Integer> machinesByZone = new HashMap<>();
 
   /** Within a plan: zones in which a machine boots or is asked for. */
-  private final Set<String> awaited = new HashSet<>();
+  private final Set<String> zonesWithPendingMachines = new HashSet<>();
 
-  private boolean ready;
+  private boolean planDue;
 
   /** Machines that the cloud gives or refuses together. */
   private record CapacityPool(String type, String zone, boolean spot) {
-    static CapacityPool of(Decision.ProvisionMachines r) {
-      return new CapacityPool(r.type(), r.zone(), r.spot());
+    static CapacityPool of(Decision.ProvisionMachines request) {
+      return new CapacityPool(request.typeName(), request.zone(), request.spot());
     }
   }
 
   ScaleOut(ClusterState cluster) {
-    this.c = cluster;
+    this.cluster = cluster;
   }
 
-  void underWay(String rental, Decision.ProvisionMachines rent) {
-    underWay.put(rental, rent);
+  void onRequested(String requestId, Decision.ProvisionMachines request) {
+    pendingRequests.put(requestId, request);
   }
 
-  void settled(String rental) {
-    ready |= underWay.remove(rental) != null;
+  void onSettled(String requestId) {
+    planDue |= pendingRequests.remove(requestId) != null;
   }
 
-  void refused(Decision.ProvisionMachines rent, long nowMs) {
-    paused.put(CapacityPool.of(rent), nowMs + Constants.NO_CAPACITY_MS);
+  void onNoCapacity(Decision.ProvisionMachines request, long nowMs) {
+    noCapacityUntilMs.put(CapacityPool.of(request), nowMs + Constants.NO_CAPACITY_BACKOFF_MS);
   }
 
   /** Whether a call to the cloud has ended since the last plan, so that the next may go out. */
-  boolean ready() {
-    return ready;
+  boolean planDue() {
+    return planDue;
   }
 
   /**
    * The calls to the cloud are few: while some are under way, demand gathers, and then each call
    * asks for as many machines as it may.
    */
-  void plan(List<Decision> out, long nowMs) {
-    ready = false;
-    int calls = Constants.RENT_THREADS - underWay.size();
+  void plan(List<Decision> decisions, long nowMs) {
+    planDue = false;
+    int calls = Constants.PROVISION_THREADS - pendingRequests.size();
     if (calls <= 0) {
       return;
     }
-    for (Decision.ProvisionMachines r : wanted(nowMs)) {
+    for (Decision.ProvisionMachines request : requestsForDemand(nowMs)) {
       if (calls-- == 0) {
         return;
       }
-      int n = Math.min(r.count(), Constants.RENT_BATCH);
-      out.add(new Decision.ProvisionMachines(r.type(), r.zone(), r.spot(), n));
-      LOG.info("renting {} {} in {}{}", n, r.type(), r.zone(), r.spot() ? ", spot" : "");
+      int count = Math.min(request.count(), Constants.PROVISION_BATCH_MACHINES);
+      decisions.add(
+          new Decision.ProvisionMachines(
+              request.typeName(), request.zone(), request.spot(), count));
+      LOG.info(
+          "renting {} {} in {}{}",
+          count,
+          request.typeName(),
+          request.zone(),
+          request.spot() ? ", spot" : "");
     }
   }
 
-  private Collection<Decision.ProvisionMachines> wanted(long nowMs) {
-    List<PlannedMachine> coming = new ArrayList<>();
-    List<PlannedMachine> free = new ArrayList<>();
-    List<PlannedMachine> soon = new ArrayList<>();
-    long soonMs = nowMs + soonMs();
-    inZone.clear();
-    awaited.clear();
-    RemainingQuota allowance = new RemainingQuota(c);
-    for (Machine m : c.all()) {
-      inZone.merge(m.zone, 1, Integer::sum);
-      if (m.state == Machine.State.BOOTING) {
-        awaited.add(m.zone);
+  private Collection<Decision.ProvisionMachines> requestsForDemand(long nowMs) {
+    List<PlannedMachine> pendingMachines = new ArrayList<>();
+    List<PlannedMachine> freeMachines = new ArrayList<>();
+    List<PlannedMachine> soonFreeMachines = new ArrayList<>();
+    long soonAtMs = nowMs + fastestBootMs();
+    machinesByZone.clear();
+    zonesWithPendingMachines.clear();
+    RemainingQuota remainingQuota = new RemainingQuota(cluster);
+    for (Machine machine : cluster.allMachines()) {
+      machinesByZone.merge(machine.zone, 1, Integer::sum);
+      if (machine.state == Machine.State.BOOTING) {
+        zonesWithPendingMachines.add(machine.zone);
       }
-      if (m.kind != null && m.state == Machine.State.BOOTING && !c.isCutOff(m.zone, nowMs)) {
-        coming.add(new PlannedMachine(m.kind, m.zone, m.spot));
-      } else if (c.usable(m, nowMs)) {
-        free.add(new PlannedMachine(m));
-        soon.add(PlannedMachine.soon(m, soonMs));
-        for (TaskAttempt run : m.runs.values()) {
-          if (run.overBy(soonMs)) {
-            allowance.soonOver(run);
+      if (machine.type != null
+          && machine.state == Machine.State.BOOTING
+          && !cluster.isZonePartitioned(machine.zone, nowMs)) {
+        pendingMachines.add(new PlannedMachine(machine.type, machine.zone, machine.spot));
+      } else if (cluster.usable(machine, nowMs)) {
+        freeMachines.add(new PlannedMachine(machine));
+        soonFreeMachines.add(PlannedMachine.withExpectedReleases(machine, soonAtMs));
+        for (TaskAttempt attempt : machine.attempts.values()) {
+          if (attempt.expectedDoneBy(soonAtMs)) {
+            remainingQuota.expectRelease(attempt);
           }
         }
       }
     }
-    for (Decision.ProvisionMachines r : underWay.values()) {
-      add(r, coming);
+    for (Decision.ProvisionMachines request : pendingRequests.values()) {
+      addPending(request, pendingMachines);
     }
-    Map<CapacityPool, Decision.ProvisionMachines> wanted = new LinkedHashMap<>();
-    for (Job job : queue(nowMs)) {
+    Map<CapacityPool, Decision.ProvisionMachines> requests = new LinkedHashMap<>();
+    for (Job job : waitingJobs(nowMs)) {
       // What is free before a new machine could be up needs no new machine.
-      boolean waits =
+      boolean mayUseSoonFree =
           job.spec.kind() != JobKind.GANG
-              && (job.startAimS == null || job.startAimS * 1000 > soonMs - nowMs);
-      int most = concurrency(job, nowMs);
+              && (job.startObjectiveS == null || job.startObjectiveS * 1000 > soonAtMs - nowMs);
+      int maxTasks = desiredConcurrency(job, nowMs);
       // What leaves room soon leaves as much of its team's limit. Counted as room alone, it covered
       // all that the limits still allowed: nothing was rented however many waited, with the teams
       // far below their limits (own day full-teams-hukkalampo).
-      int n = waits ? allowance.takeSoon(job, most) : allowance.take(job, most);
-      Demand need = new Demand(job, n);
+      int tasks =
+          mayUseSoonFree
+              ? remainingQuota.takeIncludingSoonReleased(job, maxTasks)
+              : remainingQuota.take(job, maxTasks);
+      Demand demand = new Demand(job, tasks);
       if (job.spec.oneZone()) {
-        need.only(zone(need, free, coming, nowMs));
+        demand.restrictToZone(cheapestZone(demand, freeMachines, pendingMachines, nowMs));
       }
       if (job.spec.kind() == JobKind.GANG) {
-        need.fill(free);
-      } else if (waits) {
-        need.fill(soon);
+        demand.fill(freeMachines);
+      } else if (mayUseSoonFree) {
+        demand.fill(soonFreeMachines);
       }
-      need.fill(coming);
-      for (int i = 0; need.left() > 0 && i < Constants.POOLS_A_JOB; i++) {
-        Decision.ProvisionMachines r = cheapest(need, false, nowMs);
-        r = r == null ? cheapest(need, true, nowMs) : r;
-        if (r == null) {
+      demand.fill(pendingMachines);
+      for (int i = 0; demand.remaining() > 0 && i < Constants.POOLS_PER_JOB; i++) {
+        Decision.ProvisionMachines request = cheapestRequest(demand, false, nowMs);
+        request = request == null ? cheapestRequest(demand, true, nowMs) : request;
+        if (request == null) {
           break;
         }
-        int from = coming.size();
-        add(r, coming);
-        need.fill(coming.subList(from, coming.size()));
-        wanted.merge(
-            CapacityPool.of(r),
-            r,
+        int firstNew = pendingMachines.size();
+        addPending(request, pendingMachines);
+        demand.fill(pendingMachines.subList(firstNew, pendingMachines.size()));
+        requests.merge(
+            CapacityPool.of(request),
+            request,
             (a, b) ->
                 new Decision.ProvisionMachines(
-                    a.type(), a.zone(), a.spot(), a.count() + b.count()));
+                    a.typeName(), a.zone(), a.spot(), a.count() + b.count()));
       }
     }
-    return wanted.values();
+    return requests.values();
   }
 
   /** The zone that lacks least of what the job needs, among those where the rest can be had. */
-  private String zone(
-      Demand need, List<PlannedMachine> free, List<PlannedMachine> coming, long nowMs) {
+  private String cheapestZone(
+      Demand demand,
+      List<PlannedMachine> freeMachines,
+      List<PlannedMachine> pendingMachines,
+      long nowMs) {
     String best = "";
     String fallback = "";
     double bestCost = Double.MAX_VALUE;
-    for (String zone : c.machineTypes.zones()) {
-      int most = need.allowed(zone);
+    for (String zone : cluster.machineTypes.zones()) {
+      int maxTasks = demand.allowedIn(zone);
       // Of an array that is spread as well a part runs there after the other.
-      boolean inParts = need.job.spec.kind() == JobKind.ARRAY && most > 0;
-      if (most < need.left() && !inParts) {
+      boolean mayRunInParts = demand.job.spec.kind() == JobKind.ARRAY && maxTasks > 0;
+      if (maxTasks < demand.remaining() && !mayRunInParts) {
         continue;
       }
       fallback = zone;
-      int lacking = Math.max(0, most - need.fits(free, zone) - need.fits(coming, zone));
-      double price = lacking == 0 ? 0 : lowestPrice(need.job, zone, nowMs);
-      double cost = lacking * price;
+      int missingTasks =
+          Math.max(
+              0,
+              maxTasks
+                  - demand.fittingTasks(freeMachines, zone)
+                  - demand.fittingTasks(pendingMachines, zone));
+      double price = missingTasks == 0 ? 0 : lowestPrice(demand.job, zone, nowMs);
+      double cost = missingTasks * price;
       if (cost < bestCost) {
         best = zone;
         bestCost = cost;
@@ -172,120 +192,128 @@
   }
 
   private double lowestPrice(Job job, String zone, long nowMs) {
-    double least = Double.MAX_VALUE;
+    double lowest = Double.MAX_VALUE;
     for (String name : job.usableTypes) {
-      MachineType t = c.machineTypes.all().get(name);
-      for (boolean spot : job.spec.spotOrNot()) {
-        if (t.zones().contains(zone) && !paused(new CapacityPool(name, zone, spot), nowMs)) {
-          least = Math.min(least, t.price(spot));
+      MachineType type = cluster.machineTypes.all().get(name);
+      for (boolean spot : job.spec.spotChoices()) {
+        if (type.zones().contains(zone) && !isPaused(new CapacityPool(name, zone, spot), nowMs)) {
+          lowest = Math.min(lowest, type.hourlyPrice(spot));
         }
       }
     }
-    return least;
+    return lowest;
   }
 
-  private boolean paused(CapacityPool pool, long nowMs) {
+  private boolean isPaused(CapacityPool pool, long nowMs) {
     // What is rented in a zone that is cut off does not come up.
-    return refusedLately(pool, nowMs) || c.isCutOff(pool.zone(), nowMs);
+    return recentlyRefused(pool, nowMs) || cluster.isZonePartitioned(pool.zone(), nowMs);
   }
 
-  private boolean refusedLately(CapacityPool pool, long nowMs) {
-    return paused.getOrDefault(pool, Long.MIN_VALUE) > nowMs;
+  private boolean recentlyRefused(CapacityPool pool, long nowMs) {
+    return noCapacityUntilMs.getOrDefault(pool, Long.MIN_VALUE) > nowMs;
   }
 
-  private void add(Decision.ProvisionMachines r, List<PlannedMachine> coming) {
-    MachineType t = c.machineTypes.all().get(r.type());
-    for (int i = 0; t != null && i < r.count(); i++) {
-      coming.add(new PlannedMachine(t, r.zone(), r.spot()));
+  private void addPending(
+      Decision.ProvisionMachines request, List<PlannedMachine> pendingMachines) {
+    MachineType type = cluster.machineTypes.all().get(request.typeName());
+    for (int i = 0; type != null && i < request.count(); i++) {
+      pendingMachines.add(new PlannedMachine(type, request.zone(), request.spot()));
     }
-    inZone.merge(r.zone(), r.count(), Integer::sum);
-    awaited.add(r.zone());
+    machinesByZone.merge(request.zone(), request.count(), Integer::sum);
+    zonesWithPendingMachines.add(request.zone());
   }
 
-  private List<Job> queue(long nowMs) {
-    List<Job> queue = new ArrayList<>();
-    for (Job job : c.waiting) {
+  private List<Job> waitingJobs(long nowMs) {
+    List<Job> jobs = new ArrayList<>();
+    for (Job job : cluster.waitingJobs) {
       // What may run on a machine not heard yet needs no other.
-      boolean hidden = c.unheard() && job.inherited;
-      if (!hidden && !job.cancelWanted && nowMs >= job.pausedUntilMs) {
-        queue.add(job);
+      boolean mayBeRunningUnobserved = cluster.anyUnreconciled() && job.inherited;
+      if (!mayBeRunningUnobserved && !job.cancellationRequested && nowMs >= job.pausedUntilMs) {
+        jobs.add(job);
       }
     }
-    queue.sort(Comparator.comparing((Job j) -> j.spec.priority()).thenComparing(j -> !j.aimed));
-    return queue;
+    jobs.sort(
+        Comparator.comparing((Job j) -> j.spec.priority()).thenComparing(j -> !j.hasObjective));
+    return jobs;
   }
 
   /** Room that is left before the fastest new machine could be up counts as free. */
-  private long soonMs() {
-    double least = Double.MAX_VALUE;
-    for (MachineType t : c.machineTypes.all().values()) {
-      least = Math.min(least, t.bootS());
+  private long fastestBootMs() {
+    double fastestS = Double.MAX_VALUE;
+    for (MachineType type : cluster.machineTypes.all().values()) {
+      fastestS = Math.min(fastestS, type.bootS());
     }
-    return (long) (least * 1000);
+    return (long) (fastestS * 1000);
   }
 
   /** How many of the waiting tasks should run at once for the job to be in time. */
-  private int concurrency(Job job, long nowMs) {
+  private int desiredConcurrency(Job job, long nowMs) {
     JobSpec spec = job.spec;
-    if (job.suspect()) {
+    if (job.isSuspect()) {
       // A probe needs no more; a gang that is probably broken waits for what is there.
-      return spec.kind() == JobKind.GANG || job.beingProbed() ? 0 : 1;
+      return spec.kind() == JobKind.GANG || job.probeInProgress() ? 0 : 1;
     }
-    int n = job.waitingCount();
-    Double endS = job.endS();
+    int tasks = job.waitingCount();
+    Double endS = job.completionDueS();
     if (spec.kind() == JobKind.ARRAY && endS != null && spec.estimateS() > 0) {
-      double left = endS - (nowMs - job.submittedMs) / 1000.0 - spec.estimateS() / 2;
-      left -= job.longStart() ? notYetS(job) : 0;
-      double rounds = Math.max(1, left / spec.estimateS());
-      n = (int) Math.min(n, Math.ceil(n / rounds));
+      double leftS = endS - (nowMs - job.submittedMs) / 1000.0 - spec.estimateS() / 2;
+      leftS -= job.hasLongStartObjective() ? startupDelayS(job) : 0;
+      double rounds = Math.max(1, leftS / spec.estimateS());
+      tasks = (int) Math.min(tasks, Math.ceil(tasks / rounds));
     }
-    return n;
+    return tasks;
   }
 
   /** Seconds until a machine rented now could run a task of the job: its boot and its fetch. */
-  private double notYetS(Job job) {
-    double least = Double.MAX_VALUE;
+  private double startupDelayS(Job job) {
+    double fastestS = Double.MAX_VALUE;
     for (String name : job.usableTypes) {
-      MachineType t = c.machineTypes.all().get(name);
-      least = Math.min(least, t.bootS() + job.spec.imageGb() / t.fetchGbPerS());
+      MachineType type = cluster.machineTypes.all().get(name);
+      fastestS = Math.min(fastestS, type.bootS() + job.spec.imageGb() / type.fetchGbPerS());
     }
-    return least == Double.MAX_VALUE ? 0 : least;
+    return fastestS == Double.MAX_VALUE ? 0 : fastestS;
   }
 
   /**
-   * The cheapest machines for what is left of the need; null if none can be had now. {@code lost}:
-   * one machine in a zone that is cut off, for what may go nowhere else. It shows when the zone is
-   * back: where nothing was left in it to do that, such jobs waited for a minute more.
+   * The cheapest machines for what is left of the need; null if none can be had now. {@code
+   * inPartitionedZone}: one machine in a zone that is cut off, for what may go nowhere else. It
+   * shows when the zone is back: where nothing was left in it to do that, such jobs waited for a
+   * minute more.
    */
-  private Decision.ProvisionMachines cheapest(Demand need, boolean lost, long nowMs) {
-    JobSpec spec = need.job.spec;
+  private Decision.ProvisionMachines cheapestRequest(
+      Demand demand, boolean inPartitionedZone, long nowMs) {
+    JobSpec spec = demand.job.spec;
     Decision.ProvisionMachines best = null;
     double bestCost = Double.MAX_VALUE;
-    for (String name : need.job.usableTypes) {
-      MachineType t = c.machineTypes.all().get(name);
-      int per = Math.max(1, t.capacity(spec));
-      int count = (need.left() + per - 1) / per;
-      for (boolean spot : spec.spotOrNot()) {
-        for (String zone : t.zones()) {
-          int allowed = need.allowed(zone);
+    for (String name : demand.job.usableTypes) {
+      MachineType type = cluster.machineTypes.all().get(name);
+      int tasksPerMachine = Math.max(1, type.capacity(spec));
+      int machinesNeeded = (demand.remaining() + tasksPerMachine - 1) / tasksPerMachine;
+      for (boolean spot : spec.spotChoices()) {
+        for (String zone : type.zones()) {
+          int allowedTasks = demand.allowedIn(zone);
           CapacityPool pool = new CapacityPool(name, zone, spot);
-          boolean not =
-              lost
-                  ? refusedLately(pool, nowMs) || !c.isCutOff(zone, nowMs) || awaited.contains(zone)
-                  : paused(pool, nowMs);
-          if (allowed <= 0 || not) {
+          boolean unavailable =
+              inPartitionedZone
+                  ? recentlyRefused(pool, nowMs)
+                      || !cluster.isZonePartitioned(zone, nowMs)
+                      || zonesWithPendingMachines.contains(zone)
+                  : isPaused(pool, nowMs);
+          if (allowedTasks <= 0 || unavailable) {
             continue;
           }
-          int n = Math.min(count, (allowed + per - 1) / per);
-          n = spec.oneZone() ? n : Math.min(n, zoneShare(count, t));
-          n = lost ? 1 : n;
+          int count =
+              Math.min(machinesNeeded, (allowedTasks + tasksPerMachine - 1) / tasksPerMachine);
+          count = spec.oneZone() ? count : Math.min(count, zoneShare(machinesNeeded, type));
+          count = inPartitionedZone ? 1 : count;
           // A tie goes to the zone with the fewest machines, which spreads the fleet.
           // Its boot is paid for, too.
-          double price = t.price(spot) * (1 + t.bootS() / Constants.RENTED_S);
-          double cost = count * price * (1 + 0.001 * inZone.getOrDefault(zone, 0));
+          double price =
+              type.hourlyPrice(spot) * (1 + type.bootS() / Constants.EXPECTED_MACHINE_LIFETIME_S);
+          double cost = machinesNeeded * price * (1 + 0.001 * machinesByZone.getOrDefault(zone, 0));
           if (cost < bestCost) {
             bestCost = cost;
-            best = new Decision.ProvisionMachines(name, zone, spot, n);
+            best = new Decision.ProvisionMachines(name, zone, spot, count);
           }
         }
       }
@@ -293,7 +321,7 @@
     return best;
   }
 
-  private static int zoneShare(int count, MachineType t) {
-    return Math.max(1, (count + t.zones().size() - 1) / t.zones().size());
+  private static int zoneShare(int count, MachineType type) {
+    return Math.max(1, (count + type.zones().size() - 1) / type.zones().size());
   }
 }
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -22,156 +22,166 @@
 public final class Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
-  private final ClusterState c;
-  private final HeartbeatReconciler reports;
-  private final CommandReconciler commands;
+  private final ClusterState cluster;
+  private final HeartbeatReconciler heartbeatReconciler;
+  private final CommandReconciler commandReconciler;
   private final Placement placement;
-  private final FailureDetector silence;
-  private final ScaleIn returning;
-  private final ScaleOut renting;
-  private final CostStatistics spending = new CostStatistics();
-  private final OutstandingDecisions outstanding = new OutstandingDecisions();
+  private final FailureDetector failureDetector;
+  private final ScaleIn scaleIn;
+  private final ScaleOut scaleOut;
+  private final CostStatistics costStatistics = new CostStatistics();
+  private final OutstandingDecisions outstandingDecisions = new OutstandingDecisions();
   private long lastSweepMs = Long.MIN_VALUE / 2;
   private long lastPlanMs = Long.MIN_VALUE / 2;
   private long firstPlanMs = -1;
-  private FailureDetector.FleetVisibility hearing =
+  private FailureDetector.FleetVisibility fleetVisibility =
       new FailureDetector.FleetVisibility(0, 0, false, false);
 
   /** The scheduler of one term, whose token this is. */
-  public Scheduler(DeploymentLimits facts, SchedulingPolicy policy, long token) {
-    this.c = new ClusterState(facts, policy, token);
-    this.reports = new HeartbeatReconciler(c);
-    this.commands = new CommandReconciler(c);
-    this.placement = new Placement(c);
-    this.silence = new FailureDetector(c);
-    this.returning = new ScaleIn(c, silence);
-    this.renting = new ScaleOut(c);
+  public Scheduler(DeploymentLimits limits, SchedulingPolicy policy, long fencingToken) {
+    this.cluster = new ClusterState(limits, policy, fencingToken);
+    this.heartbeatReconciler = new HeartbeatReconciler(cluster);
+    this.commandReconciler = new CommandReconciler(cluster);
+    this.placement = new Placement(cluster);
+    this.failureDetector = new FailureDetector(cluster);
+    this.scaleIn = new ScaleIn(cluster, failureDetector);
+    this.scaleOut = new ScaleOut(cluster);
   }
 
   // ---- what the loops around it tell ----
 
   /** The cloud's machine types, with current prices. */
-  public void types(Map<String, MachineType> known) {
-    c.types(known);
+  public void updateMachineTypes(Map<String, MachineType> knownTypes) {
+    cluster.updateMachineTypes(knownTypes);
   }
 
   /** Takes in a job; a job known already is left as it is. */
-  public void addJob(JobSpec spec, boolean opened, BitSet done, long submittedMs) {
-    if (c.jobs.containsKey(spec.id())) {
+  public void addJob(JobSpec spec, boolean opened, BitSet doneTasks, long submittedMs) {
+    if (cluster.jobs.containsKey(spec.id())) {
       return;
     }
-    Job job = new Job(spec, submittedMs, opened, done, c.facts.aims(spec.jobClass()));
+    Job job =
+        new Job(
+            spec, submittedMs, opened, doneTasks, cluster.limits.objectivesFor(spec.jobClass()));
     job.inherited = opened;
-    c.addJob(job);
+    cluster.addJob(job);
   }
 
   /** A machine that an earlier leader named: it may hold anything until it is heard. */
-  public void inherit(
-      String name, String addr, String type, String zone, boolean spot, long nowMs) {
-    Machine m = new Machine(name, addr, type, zone, spot, Machine.State.UNHEARD, nowMs);
-    m.enrolled = true;
-    m.inherited = true;
-    c.addMachine(m);
+  public void addInheritedMachine(
+      String machineName, String address, String typeName, String zone, boolean spot, long nowMs) {
+    Machine machine =
+        new Machine(machineName, address, typeName, zone, spot, Machine.State.UNRECONCILED, nowMs);
+    machine.registered = true;
+    machine.inherited = true;
+    cluster.addMachine(machine);
   }
 
   /** Machines a rental brought, still booting; fewer than asked for: there are no more now. */
-  public void rented(
-      String rental, List<String> names, Decision.ProvisionMachines rent, long nowMs) {
-    renting.settled(rental);
-    if (names.size() < rent.count()) {
-      renting.refused(rent, nowMs);
-    }
-    c.stir();
-    for (String name : names) {
-      if (!c.machines.containsKey(name)) {
-        c.addMachine(
+  public void onMachinesProvisioned(
+      String rentalId, List<String> machineNames, Decision.ProvisionMachines request, long nowMs) {
+    scaleOut.onSettled(rentalId);
+    if (machineNames.size() < request.count()) {
+      scaleOut.onNoCapacity(request, nowMs);
+    }
+    cluster.requestPass();
+    for (String machineName : machineNames) {
+      if (!cluster.machines.containsKey(machineName)) {
+        cluster.addMachine(
             new Machine(
-                name, null, rent.type(), rent.zone(), rent.spot(), Machine.State.BOOTING, nowMs));
+                machineName,
+                null,
+                request.typeName(),
+                request.zone(),
+                request.spot(),
+                Machine.State.BOOTING,
+                nowMs));
       }
     }
   }
 
   /** A rental was refused or failed. */
-  public void notRented(
-      String rental, Decision.ProvisionMachines rent, boolean noCapacity, long nowMs) {
-    renting.settled(rental);
+  public void onProvisioningFailed(
+      String rentalId, Decision.ProvisionMachines request, boolean noCapacity, long nowMs) {
+    scaleOut.onSettled(rentalId);
     if (noCapacity) {
-      renting.refused(rent, nowMs);
+      scaleOut.onNoCapacity(request, nowMs);
     }
-    c.stir();
+    cluster.requestPass();
   }
 
   /** A rental under this name is under way. */
-  public void renting(String rental, Decision.ProvisionMachines rent) {
-    renting.underWay(rental, rent);
+  public void onProvisioningStarted(String rentalId, Decision.ProvisionMachines request) {
+    scaleOut.onRequested(rentalId, request);
   }
 
   /** Where the replicas of a service were, as an earlier leader noted: these have its image. */
-  public void remembered(String id, List<String> where) {
-    Job job = c.jobs.get(id);
-    for (String name : where) {
-      Machine m = c.machines.get(name);
-      if (job != null && m != null) {
-        m.touchImage(job.spec.image(), job.spec.imageGb());
+  public void restorePlacement(String jobId, List<String> replicaMachineNames) {
+    Job job = cluster.jobs.get(jobId);
+    for (String machineName : replicaMachineNames) {
+      Machine machine = cluster.machines.get(machineName);
+      if (job != null && machine != null) {
+        machine.touchImage(job.spec.image(), job.spec.imageGb());
       }
     }
   }
 
   /** From now on commands for the job may go out. */
-  public void opened(String id) {
-    outstanding.settled(Kind.OPEN_JOB, id);
-    Job job = c.jobs.get(id);
+  public void onJobOpened(String jobId) {
+    outstandingDecisions.onSettled(Kind.OPEN_JOB, jobId);
+    Job job = cluster.jobs.get(jobId);
     if (job != null) {
       job.opened = true;
-      c.unopened.remove(job);
-      for (TaskAttempt run : job.runs.values()) {
-        c.stale.add(run.machine);
+      cluster.jobsToOpen.remove(job);
+      for (TaskAttempt attempt : job.attempts.values()) {
+        cluster.commandsPending.add(attempt.machine);
       }
-      c.stir();
+      cluster.requestPass();
     }
   }
 
   /** The machine's record is durable: the incarnation for which it was asked may get tasks. */
-  public void enrolled(String name) {
-    outstanding.settled(Kind.RECORD_MACHINE, name);
-    Machine m = c.machines.get(name);
-    if (m == null) {
+  public void onMachineRegistered(String machineName) {
+    outstandingDecisions.onSettled(Kind.REGISTER_MACHINE, machineName);
+    Machine machine = cluster.machines.get(machineName);
+    if (machine == null) {
       return;
     }
-    c.stir();
-    if (m.recordAskedFor != null && m.recordAskedFor != m.incarnation) {
+    cluster.requestPass();
+    if (machine.registeringIncarnation != null
+        && machine.registeringIncarnation != machine.incarnation) {
       return; // it restarted while the write was under way, and is asked for anew
     }
-    m.enrolled = true;
-    c.unrecorded.remove(m);
+    machine.registered = true;
+    cluster.unregistered.remove(machine);
   }
 
   /** A decision could not be carried out; a later pass repeats it. */
-  public void failed(Decision decision) {
-    outstanding.failed(decision);
-    c.stir();
+  public void onDecisionFailed(Decision decision) {
+    outstandingDecisions.onFailed(decision);
+    cluster.requestPass();
   }
 
   /** The job's end is durable. */
-  public void ended(String id, boolean cancelled, long nowMs) {
-    outstanding.jobEnded(id);
-    Job job = c.jobs.get(id);
+  public void onJobEnded(String jobId, boolean cancelled, long nowMs) {
+    outstandingDecisions.onJobEnded(jobId);
+    Job job = cluster.jobs.get(jobId);
     if (job != null) {
-      LOG.info("job {} is {}: {}", id, cancelled ? "cancelled" : "done", job.story(nowMs));
-      c.endJob(job, cancelled);
+      LOG.info("job {} is {}: {}", jobId, cancelled ? "cancelled" : "done", job.endSummary(nowMs));
+      cluster.endJob(job, cancelled);
     }
   }
 
   /** The user asked to cancel: nothing of it starts any more, though the end is not durable yet. */
-  public void cancelWanted(String id) {
-    Job job = c.jobs.get(id);
-    if (job != null && !job.cancelWanted) {
-      job.cancelWanted = true;
-      for (TaskAttempt run : job.runs.values()) {
-        run.hasten();
-        c.stale.add(run.machine);
+  public void requestCancellation(String jobId) {
+    Job job = cluster.jobs.get(jobId);
+    if (job != null && !job.cancellationRequested) {
+      job.cancellationRequested = true;
+      for (TaskAttempt attempt : job.attempts.values()) {
+        attempt.shortenGrace();
+        cluster.commandsPending.add(attempt.machine);
       }
-      c.stir();
+      cluster.requestPass();
     }
   }
 
@@ -181,13 +191,16 @@
    * renews one from then on stops the task in the same answer, so it lives for a lease at most;
    * where users are promised less than that, none may be left.
    */
-  public boolean cancelKeepable(String id) {
-    Job job = c.jobs.get(id);
+  public boolean canConfirmCancellation(String jobId) {
+    Job job = cluster.jobs.get(jobId);
     if (job == null) {
       return true;
     }
-    boolean left = !leaseWithin(c.facts) && job.holdsAny();
-    return !(job.inherited && c.unheard()) && !heldUnclaimed(job) && !left;
+    boolean mayOutliveConfirmation =
+        !leaseFitsCancellationTime(cluster.limits) && job.hasAttempts();
+    return !(job.inherited && cluster.anyUnreconciled())
+        && !heldOnUnfencedMachine(job)
+        && !mayOutliveConfirmation;
   }
 
   /**
@@ -195,19 +208,19 @@
    * way or in doubt, or an image is being fetched. So until the machine shows what became of it, is
    * gone, or its lease has run out.
    */
-  public boolean mayStart(String id) {
-    Job job = c.jobs.get(id);
+  public boolean mayStart(String jobId) {
+    Job job = cluster.jobs.get(jobId);
     return job != null && job.mayStart();
   }
 
   /** Whether a lease that nobody renews is over within the time promised for a cancellation. */
-  public static boolean leaseWithin(DeploymentLimits facts) {
-    return leaseMs(facts) <= facts.cancelS() * 1000;
+  public static boolean leaseFitsCancellationTime(DeploymentLimits limits) {
+    return leaseMs(limits) <= limits.cancellationS() * 1000;
   }
 
-  private static boolean heldUnclaimed(Job job) {
-    for (TaskAttempt run : job.runs.values()) {
-      if (run.ordered && !run.machine.claimed && run.machine.inherited) {
+  private static boolean heldOnUnfencedMachine(Job job) {
+    for (TaskAttempt attempt : job.attempts.values()) {
+      if (attempt.startSent && !attempt.machine.fenced && attempt.machine.inherited) {
         return true;
       }
     }
@@ -216,7 +229,7 @@
 
   /** A worker showed a higher token: another leader has taken over. */
   public boolean deposed() {
-    return reports.deposed();
+    return heartbeatReconciler.deposed();
   }
 
   /**
@@ -224,40 +237,43 @@
    * of all that it has asked.
    */
   public boolean isolated() {
-    return hearing.isolated() || hearing.deaf();
+    return fleetVisibility.isolated() || fleetVisibility.inboundPartitioned();
   }
 
   /** Share of the machines that should report whose reports are not overdue here; 1 without any. */
-  public double heardShare() {
-    return hearing.all() == 0 ? 1 : 1 - (double) hearing.overdue() / hearing.all();
+  public double observedShare() {
+    return fleetVisibility.machines() == 0
+        ? 1
+        : 1 - (double) fleetVisibility.overdue() / fleetVisibility.machines();
   }
 
   /** What those other controllers said that were asked and reach workers, as far as they know. */
-  public void witnessed(Decision.ProbeThroughPeers witness, List<Decision.PeerProbeResult> told) {
-    silence.witnessed(witness, told);
-    if (!told.isEmpty()) {
+  public void onPeerProbeResults(
+      Decision.ProbeThroughPeers peerProbe, List<Decision.PeerProbeResult> results) {
+    failureDetector.onPeerProbeResults(peerProbe, results);
+    if (!results.isEmpty()) {
       lastPlanMs = Long.MIN_VALUE / 2; // what may go now should not wait for the next plan
     }
   }
 
   /** Whether this term has no attempt numbers left, so that it has to end. */
-  public boolean usedUp() {
-    return c.usedUp();
+  public boolean attemptNumbersExhausted() {
+    return cluster.attemptNumbersExhausted();
   }
 
   /** Whether machines of earlier leaders are still to be heard or proved gone. */
-  public boolean starting() {
-    return c.unheard();
+  public boolean reconciling() {
+    return cluster.anyUnreconciled();
   }
 
   /** Whether something happened that a pass may act on. */
-  public boolean restless() {
-    return c.restless();
+  public boolean passRequested() {
+    return cluster.passRequested();
   }
 
   /** This node did nothing for a while, though clocks ran on. */
-  public void resumed(long nowMs) {
-    c.resumed(nowMs);
+  public void onProcessResumed(long nowMs) {
+    cluster.onProcessResumed(nowMs);
   }
 
   // ---- workers ----
@@ -266,66 +282,74 @@
    * Up to then no other node can lead beside this one, as far as is known now: what workers say is
    * judged by it.
    */
-  public void certainUntil(long soleUntilMs) {
-    c.incarnations.certainUntil(soleUntilMs);
+  public void extendLeaseCertainty(long leaseCertainUntilMs) {
+    cluster.incarnations.extendLeaseCertainty(leaseCertainUntilMs);
   }
 
   /**
    * A report that is being answered under this token; gives the commands for the answer, or null if
    * it must not be answered, since that would renew a lease of which nothing is known.
    */
-  public List<Command> report(Heartbeat r, long nowMs) {
-    if (c.goneRecently(r.machine())) {
-      return commands.ends(r); // a late report of a machine that is gone
+  public List<Command> onHeartbeat(Heartbeat heartbeat, long nowMs) {
+    if (cluster.removedRecently(heartbeat.machineName())) {
+      return commandReconciler.stopsForEndedJobs(
+          heartbeat); // a late report of a machine that is gone
     }
-    Machine m = reports.from(r, nowMs);
-    if (reports.deposed()) {
+    Machine machine = heartbeatReconciler.senderOf(heartbeat, nowMs);
+    if (heartbeatReconciler.deposed()) {
       return List.of();
     }
-    switch (reports.worth(m, r)) {
-      case NOTHING -> {
-        m.older = true;
-        return commands.ends(r);
+    switch (heartbeatReconciler.classify(machine, heartbeat)) {
+      case STALE -> {
+        machine.staleMessageSeen = true;
+        return commandReconciler.stopsForEndedJobs(heartbeat);
       }
-      case DOUBT -> {
-        m.older = true;
+      case CONTRADICTORY -> {
+        machine.staleMessageSeen = true;
         return null;
       }
-      case LIFE -> {
-        m.older = true;
-        m.heardMs = nowMs;
-        m.renewedMs = nowMs;
-        return commands.ends(r);
+      case LIVENESS_ONLY -> {
+        machine.staleMessageSeen = true;
+        machine.leaseFromMs = nowMs;
+        machine.leaseRenewedMs = nowMs;
+        return commandReconciler.stopsForEndedJobs(heartbeat);
       }
       default -> {}
     }
-    m.inVain += !m.claimed && m.reportSession > 0 && r.token() < c.token ? 1 : 0;
-    m.reportSession = r.session();
-    m.reportSeq = r.seq();
-    reports.identify(m, r, false, nowMs);
-    reports.heard(m, r, nowMs);
-    boolean wasAnswered = nowMs - m.heardMs < c.facts.leaseS() * 500;
-    m.heardMs = nowMs;
-    m.renewedMs = nowMs;
-    int before = m.heldCount();
-    if (!reports.absorb(m, r, wasAnswered, nowMs)) {
-      return commands.ends(r);
-    }
-    placement.serve(m, nowMs);
-    if (m.heldCount() < before && placement.gangWaits(m)) {
-      c.stir();
-    }
-    return commands.answer(m, nowMs);
+    machine.unfencedHeartbeats +=
+        !machine.fenced
+                && machine.heartbeatEpoch > 0
+                && heartbeat.fencingToken() < cluster.fencingToken
+            ? 1
+            : 0;
+    machine.heartbeatEpoch = heartbeat.epoch();
+    machine.heartbeatSequence = heartbeat.sequence();
+    heartbeatReconciler.trackIncarnation(machine, heartbeat, false, nowMs);
+    heartbeatReconciler.recordContact(machine, heartbeat, nowMs);
+    boolean previousAnswered = nowMs - machine.leaseFromMs < cluster.limits.leaseS() * 500;
+    machine.leaseFromMs = nowMs;
+    machine.leaseRenewedMs = nowMs;
+    int heldBefore = machine.heldAttemptCount();
+    if (!heartbeatReconciler.reconcile(machine, heartbeat, previousAnswered, nowMs)) {
+      return commandReconciler.stopsForEndedJobs(heartbeat);
+    }
+    placement.placeOnMachine(machine, nowMs);
+    if (machine.heldAttemptCount() < heldBefore && placement.hasWaitingGang(machine)) {
+      cluster.requestPass();
+    }
+    return commandReconciler.heartbeatResponse(machine, nowMs);
   }
 
   /** Whether a direct order whose turn has come should still go out; if not it is settled. */
-  public boolean stillDue(Decision.SendCommands d, long nowMs) {
-    Machine m = c.machines.get(d.machine());
-    if (m == null || !d.orders().isEmpty() || commands.worthAsking(m, nowMs)) {
+  public boolean directCommandsStillDue(Decision.SendCommands decision, long nowMs) {
+    Machine machine = cluster.machines.get(decision.machineName());
+    if (machine == null
+        || !decision.commands().isEmpty()
+        || commandReconciler.fenceOrProbeStillDue(machine, nowMs)) {
       return true;
     }
-    CommandReconciler.settled(m, false);
-    again(m);
+    CommandReconciler.onSettled(machine, false);
+    requeueUrgentCommands(machine);
     return false;
   }
 
@@ -338,71 +362,80 @@
    * not have the connection, before starting the task elsewhere. What is left out goes with
    * answers.
    */
-  public List<Command> stillWanted(Decision.SendCommands d, boolean sole) {
-    return d.orders().stream()
-        .filter(o -> o.op() != Command.Kind.START || (sole && (wanted(o.job()) || stops(d, o))))
+  public List<Command> commandsStillWanted(Decision.SendCommands decision, boolean leaseCertain) {
+    return decision.commands().stream()
+        .filter(
+            command ->
+                command.kind() != Command.Kind.START
+                    || (leaseCertain
+                        && (startWanted(command.jobId()) || accompaniedByStop(decision, command))))
         .toList();
   }
 
   /** Whether a start goes with its stop, of a job that is not over: nobody was told so yet. */
-  private boolean stops(Decision.SendCommands d, Command start) {
-    return c.jobs.containsKey(start.job())
-        && d.orders().stream()
-            .filter(o -> o.op() == Command.Kind.STOP)
-            .anyMatch(o -> o.job().equals(start.job()) && o.index() == start.index());
+  private boolean accompaniedByStop(Decision.SendCommands decision, Command start) {
+    return cluster.jobs.containsKey(start.jobId())
+        && decision.commands().stream()
+            .filter(command -> command.kind() == Command.Kind.STOP)
+            .anyMatch(
+                command ->
+                    command.jobId().equals(start.jobId()) && command.index() == start.index());
   }
 
-  private boolean wanted(String id) {
-    Job job = c.jobs.get(id);
-    return job != null && job.state == Job.State.LIVE && !job.cancelWanted;
+  private boolean startWanted(String jobId) {
+    Job job = cluster.jobs.get(jobId);
+    return job != null && job.state == Job.State.LIVE && !job.cancellationRequested;
   }
 
   /** Sends what was decided while a direct order to the machine waited or was under way. */
-  private void again(Machine m) {
-    if (CommandReconciler.due(m)) {
-      c.stale.add(m);
-      c.stir();
+  private void requeueUrgentCommands(Machine machine) {
+    if (CommandReconciler.urgentCommandDue(machine)) {
+      cluster.commandsPending.add(machine);
+      cluster.requestPass();
     }
   }
 
-  /** Result of a direct order. {@code report} is null without an answer. */
-  public void directResult(String name, boolean unknown, Heartbeat report, long nowMs) {
-    commands.budget().settled(name, report != null, nowMs);
-    Machine m = c.machines.get(name);
-    if (m == null) {
+  /** Result of a direct order. {@code heartbeat} is null without an answer. */
+  public void onCommandResult(
+      String machineName, boolean outcomeUnknown, Heartbeat heartbeat, long nowMs) {
+    commandReconciler.concurrencyLimit().onSettled(machineName, heartbeat != null, nowMs);
+    Machine machine = cluster.machines.get(machineName);
+    if (machine == null) {
       return;
     }
-    CommandReconciler.settled(m, unknown);
-    int before = m.heldCount();
-    if (report != null && report.machine().equals(name)) {
-      reports.from(report, nowMs);
-      if (!reports.deposed()) {
-        m.unanswered = 0;
-        m.older = false;
+    CommandReconciler.onSettled(machine, outcomeUnknown);
+    int heldBefore = machine.heldAttemptCount();
+    if (heartbeat != null && heartbeat.machineName().equals(machineName)) {
+      heartbeatReconciler.senderOf(heartbeat, nowMs);
+      if (!heartbeatReconciler.deposed()) {
+        machine.consecutiveUnanswered = 0;
+        machine.staleMessageSeen = false;
         // What it says now is younger than all that was known when it was asked.
-        if (!report.newerThan(m.askedSession, m.askedSeq)) {
-          c.restarted(m, nowMs);
-        } else if (m.restartSuspected && !c.incarnations.provenToContinue(m, report, nowMs)) {
-          c.mayHaveRestarted(m, nowMs);
+        if (!heartbeat.newerThan(machine.epochWhenCommandSent, machine.sequenceWhenCommandSent)) {
+          cluster.onMachineRestarted(machine, nowMs);
+        } else if (machine.restartSuspected
+            && !cluster.incarnations.isProvenSameIncarnation(machine, heartbeat, nowMs)) {
+          cluster.onPossibleRestart(machine, nowMs);
         }
-        m.restartSuspected = false;
-        reports.identify(m, report, true, nowMs);
-        reports.heard(m, report, nowMs);
-        reports.absorb(m, report, false, nowMs);
-        commands.dropNeverStarted(m);
+        machine.restartSuspected = false;
+        heartbeatReconciler.trackIncarnation(machine, heartbeat, true, nowMs);
+        heartbeatReconciler.recordContact(machine, heartbeat, nowMs);
+        heartbeatReconciler.reconcile(machine, heartbeat, false, nowMs);
+        commandReconciler.dropNeverStarted(machine);
       }
-    } else if (m.session > 0 || m.state == Machine.State.UNHEARD) {
-      m.directLost |= unknown;
-      m.directFailures++;
-      m.askedInVain |= m.askedWhileSilent;
-      m.unanswered++;
-      if (m.unanswered == Constants.DEAF_TRIES && !c.overdue(m, nowMs)) {
-        LOG.info("machine {} reports and answers nothing: nothing new goes there", m.name);
+    } else if (machine.epoch > 0 || machine.state == Machine.State.UNRECONCILED) {
+      machine.directCommandLost |= outcomeUnknown;
+      machine.directCommandFailures++;
+      machine.silentCommandUnanswered |= machine.commandSentWhileSilent;
+      machine.consecutiveUnanswered++;
+      if (machine.consecutiveUnanswered == Constants.INBOUND_PARTITION_TRIES
+          && !cluster.heartbeatOverdue(machine, nowMs)) {
+        LOG.info("machine {} reports and answers nothing: nothing new goes there", machine.name);
       }
     }
-    again(m);
-    if (m.heldCount() < before) {
-      c.stir();
+    requeueUrgentCommands(machine);
+    if (machine.heldAttemptCount() < heldBefore) {
+      cluster.requestPass();
     }
   }
 
@@ -411,162 +444,177 @@
   /** One machine of a list. */
   public record ListedMachine(
       String name,
-      String addr,
-      String type,
+      String address,
+      String typeName,
       String zone,
       boolean spot,
       String state,
       double ageS) {}
 
-  /** A complete list that was asked for at {@code askedMs} and arrived at {@code nowMs}. */
-  public void list(Collection<ListedMachine> listed, long askedMs, long nowMs) {
-    Set<String> names = new HashSet<>();
-    for (ListedMachine l : listed) {
-      names.add(l.name());
-      Machine m = c.machines.get(l.name());
-      if (l.state().equals("failed")) {
-        c.gone(l.name(), "listed as failed", nowMs);
-        returning.failed(l.name());
+  /** A complete list that was asked for at {@code requestedMs} and arrived at {@code nowMs}. */
+  public void onMachineList(
+      Collection<ListedMachine> listedMachines, long requestedMs, long nowMs) {
+    Set<String> listedNames = new HashSet<>();
+    for (ListedMachine listedMachine : listedMachines) {
+      listedNames.add(listedMachine.name());
+      Machine machine = cluster.machines.get(listedMachine.name());
+      if (listedMachine.state().equals("failed")) {
+        cluster.removeMachine(listedMachine.name(), "listed as failed", nowMs);
+        scaleIn.onFailed(listedMachine.name());
         continue;
       }
-      if (m == null) {
-        if (c.goneRecently(l.name())) {
+      if (machine == null) {
+        if (cluster.removedRecently(listedMachine.name())) {
           continue;
         }
-        m =
+        machine =
             new Machine(
-                l.name(),
-                l.addr(),
-                l.type(),
-                l.zone(),
-                l.spot(),
+                listedMachine.name(),
+                listedMachine.address(),
+                listedMachine.typeName(),
+                listedMachine.zone(),
+                listedMachine.spot(),
                 Machine.State.BOOTING,
                 // One that is up has its time to report from now on, however old it is.
-                l.state().equals("running") ? nowMs : nowMs - (long) (l.ageS() * 1000));
-        c.addMachine(m);
+                listedMachine.state().equals("running")
+                    ? nowMs
+                    : nowMs - (long) (listedMachine.ageS() * 1000));
+        cluster.addMachine(machine);
         LOG.info(
             "machine {} ({} in {}) is listed and was not asked for: taken in",
-            l.name(),
-            l.type(),
-            l.zone());
+            listedMachine.name(),
+            listedMachine.typeName(),
+            listedMachine.zone());
       }
-      m.listedMs = nowMs;
-      m.hearsay = false;
-      if (m.addr == null) {
-        m.addr = l.addr();
+      machine.lastListedMs = nowMs;
+      machine.unverified = false;
+      if (machine.address == null) {
+        machine.address = listedMachine.address();
       }
     }
-    long lag = (long) (2 * c.facts.listLagS() * 1000) + Constants.CLOCK_MARGIN_MS;
-    for (Machine m : new ArrayList<>(c.all())) {
+    long lagMs = (long) (2 * cluster.limits.listLagS() * 1000) + Constants.CLOCK_MARGIN_MS;
+    for (Machine machine : new ArrayList<>(cluster.allMachines())) {
       // Once listed, a machine stays listed until it is gone, and it is listed at the latest when
       // twice the lag has passed since it was there; but a list may be older than the last.
-      if (!names.contains(m.name) && askedMs > m.listedMs + lag) {
-        c.gone(m.name, "no longer listed", nowMs);
+      if (!listedNames.contains(machine.name) && requestedMs > machine.lastListedMs + lagMs) {
+        cluster.removeMachine(machine.name, "no longer listed", nowMs);
       }
     }
   }
 
   /** The cloud answered 200 to the return of these. */
-  public void returned(List<String> names, long nowMs) {
-    returning.returned(names, nowMs);
+  public void onMachinesReleased(List<String> machineNames, long nowMs) {
+    scaleIn.onReleased(machineNames, nowMs);
   }
 
   /** A return did not get its answer: it is asked for again by a later pass. */
-  public void notReturned(List<String> names) {
-    returning.notReturned(names);
+  public void onReleaseFailed(List<String> machineNames) {
+    scaleIn.onReleaseFailed(machineNames);
   }
 
   // ---- the pass ----
 
   /**
    * One pass: placement, commands, records, and from time to time what is due by the clock. Up to
-   * {@code soleUntilMs} no other node can have led beside this one.
+   * {@code leaseCertainUntilMs} no other node can have led beside this one.
    */
-  public List<Decision> pass(long nowMs, long soleUntilMs) {
-    c.calm();
-    c.incarnations.certainUntil(soleUntilMs);
-    List<Decision> out = new ArrayList<>();
-    boolean sweep = nowMs - lastSweepMs >= Constants.SWEEP_MS;
+  public List<Decision> pass(long nowMs, long leaseCertainUntilMs) {
+    cluster.clearPassRequest();
+    cluster.incarnations.extendLeaseCertainty(leaseCertainUntilMs);
+    List<Decision> decisions = new ArrayList<>();
+    boolean sweep = nowMs - lastSweepMs >= Constants.SWEEP_INTERVAL_MS;
     if (sweep) {
       lastSweepMs = nowMs;
-      for (Machine m : c.all()) {
-        expire(m, Math.min(nowMs, soleUntilMs));
-        c.tellMute(m, nowMs);
+      for (Machine machine : cluster.allMachines()) {
+        expireLease(machine, Math.min(nowMs, leaseCertainUntilMs));
+        cluster.logOutboundPartition(machine, nowMs);
       }
-      silence.survey(nowMs);
-      hearing = silence.hearing();
-      Decision.ProbeThroughPeers witness = silence.ask(nowMs);
-      if (witness != null) {
-        out.add(witness);
+      failureDetector.assessFleet(nowMs);
+      fleetVisibility = failureDetector.fleetVisibility();
+      Decision.ProbeThroughPeers peerProbe = failureDetector.nextPeerProbe(nowMs);
+      if (peerProbe != null) {
+        decisions.add(peerProbe);
       }
     }
-    placement.pass(nowMs);
-    List<Machine> due = new ArrayList<>(c.stale);
-    c.stale.clear();
-    for (Machine m : due) {
-      if (!commands.mayGo(m)) {
-        c.stale.add(m);
+    placement.runPass(nowMs);
+    List<Machine> machinesWithCommands = new ArrayList<>(cluster.commandsPending);
+    cluster.commandsPending.clear();
+    for (Machine machine : machinesWithCommands) {
+      if (!commandReconciler.maySendNow(machine)) {
+        cluster.commandsPending.add(machine);
         continue;
       }
-      Decision.SendCommands direct = commands.urgent(m, nowMs < soleUntilMs, nowMs);
-      if (direct != null) {
-        out.add(direct);
-      } else if (m.orderInFlight) {
-        c.stale.add(m);
+      Decision.SendCommands urgentCommands =
+          commandReconciler.urgentCommands(machine, nowMs < leaseCertainUntilMs, nowMs);
+      if (urgentCommands != null) {
+        decisions.add(urgentCommands);
+      } else if (machine.commandInFlight) {
+        cluster.commandsPending.add(machine);
       }
     }
     if (sweep) {
-      commands.budget().tidy(nowMs);
-      for (Machine m : c.all()) {
-        Decision.SendCommands question = commands.question(m, nowMs < soleUntilMs, nowMs);
-        if (question != null) {
-          out.add(question);
+      commandReconciler.concurrencyLimit().removeLost(nowMs);
+      for (Machine machine : cluster.allMachines()) {
+        Decision.SendCommands fenceOrProbe =
+            commandReconciler.fenceOrProbe(machine, nowMs < leaseCertainUntilMs, nowMs);
+        if (fenceOrProbe != null) {
+          decisions.add(fenceOrProbe);
         }
       }
     }
-    for (Machine m : c.unrecorded) {
-      if (!m.hearsay && outstanding.add(Kind.RECORD_MACHINE, m.name)) {
-        out.add(new Decision.RegisterMachine(m.name, m.addr, m.type, m.zone, m.spot, false));
-        m.recordAskedFor = m.incarnation;
+    for (Machine machine : cluster.unregistered) {
+      if (!machine.unverified && outstandingDecisions.add(Kind.REGISTER_MACHINE, machine.name)) {
+        decisions.add(
+            new Decision.RegisterMachine(
+                machine.name,
+                machine.address,
+                machine.typeName,
+                machine.zone,
+                machine.spot,
+                false));
+        machine.registeringIncarnation = machine.incarnation;
       }
     }
-    for (Job job : c.unopened) {
-      if (!job.cancelWanted
-          && !job.runs.isEmpty()
-          && outstanding.add(Kind.OPEN_JOB, job.spec.id())) {
-        out.add(new Decision.OpenJob(job.spec.id(), job.machines()));
+    for (Job job : cluster.jobsToOpen) {
+      if (!job.cancellationRequested
+          && !job.attempts.isEmpty()
+          && outstandingDecisions.add(Kind.OPEN_JOB, job.spec.id())) {
+        decisions.add(new Decision.OpenJob(job.spec.id(), job.replicaMachineNames()));
       }
     }
-    for (Job job : c.moved) {
-      if (job.state == Job.State.LIVE && !job.runs.isEmpty()) {
-        out.add(new Decision.PersistPlacement(job.spec.id(), job.machines()));
+    for (Job job : cluster.placementsToPersist) {
+      if (job.state == Job.State.LIVE && !job.attempts.isEmpty()) {
+        decisions.add(new Decision.PersistPlacement(job.spec.id(), job.replicaMachineNames()));
       }
     }
-    c.moved.clear();
-    c.completing.removeIf(job -> !job.complete());
-    for (Job job : c.completing) {
-      if (outstanding.add(Kind.FINISH_JOB, job.spec.id())) {
-        out.add(new Decision.FinishJob(job.spec.id()));
+    cluster.placementsToPersist.clear();
+    cluster.completionCandidates.removeIf(job -> !job.complete());
+    for (Job job : cluster.completionCandidates) {
+      if (outstandingDecisions.add(Kind.FINISH_JOB, job.spec.id())) {
+        decisions.add(new Decision.FinishJob(job.spec.id()));
       }
     }
-    boolean planDue = nowMs - lastPlanMs >= Constants.RENT_PLAN_MS || renting.ready();
-    if (planDue && !c.machineTypes.all().isEmpty()) {
+    boolean planDue =
+        nowMs - lastPlanMs >= Constants.PROVISION_PLAN_INTERVAL_MS || scaleOut.planDue();
+    if (planDue && !cluster.machineTypes.all().isEmpty()) {
       lastPlanMs = nowMs;
-      plan(out, nowMs, nowMs < soleUntilMs);
+      plan(decisions, nowMs, nowMs < leaseCertainUntilMs);
     }
-    List<Decision.DeregisterMachine> struck = c.struck();
-    struck.forEach(s -> outstanding.settled(Kind.RECORD_MACHINE, s.machine()));
-    out.addAll(struck);
-    return out;
+    List<Decision.DeregisterMachine> deregistrations = cluster.drainDeregistrations();
+    deregistrations.forEach(
+        deregistration ->
+            outstandingDecisions.onSettled(Kind.REGISTER_MACHINE, deregistration.machineName()));
+    decisions.addAll(deregistrations);
+    return decisions;
   }
 
-  private void plan(List<Decision> out, long nowMs, boolean sole) {
-    spending.add(c.all(), nowMs);
-    returning.plan(out, sole, nowMs);
+  private void plan(List<Decision> decisions, long nowMs, boolean leaseCertain) {
+    costStatistics.accrue(cluster.allMachines(), nowMs);
+    scaleIn.plan(decisions, leaseCertain, nowMs);
     firstPlanMs = firstPlanMs < 0 ? nowMs : firstPlanMs;
     // What is still to be heard of will take most of the queue, or runs it already.
-    if (!c.unheard() || nowMs - firstPlanMs > Constants.RENT_AFTER_TAKEOVER_MS) {
-      renting.plan(out, nowMs);
+    if (!cluster.anyUnreconciled() || nowMs - firstPlanMs > Constants.PROVISION_AFTER_FAILOVER_MS) {
+      scaleOut.plan(decisions, nowMs);
     }
   }
 
@@ -575,22 +623,23 @@
    * which this node alone can have answered its reports: a leader that was cut off or stood still
    * must not take its own silence for the silence of all.
    */
-  private void expire(Machine m, long soleMs) {
-    boolean counts = m.state == Machine.State.LIVE || m.state == Machine.State.RETURNING;
-    long silentMs = soleMs - m.heardMs;
-    if (!counts || !m.claimed || silentMs <= leaseMs(c.facts)) {
+  private void expireLease(Machine machine, long leaseCertainMs) {
+    boolean leaseMatters =
+        machine.state == Machine.State.LIVE || machine.state == Machine.State.RELEASING;
+    long silentMs = leaseCertainMs - machine.leaseFromMs;
+    if (!leaseMatters || !machine.fenced || silentMs <= leaseMs(cluster.limits)) {
       return;
     }
-    int dropped = c.dropShown(m);
-    for (TaskAttempt run : m.runs.values()) {
-      run.lapsed = true;
+    int dropped = cluster.dropNonPendingAttempts(machine);
+    for (TaskAttempt attempt : machine.attempts.values()) {
+      attempt.startLeaseExpired = true;
     }
-    if (m.state == Machine.State.LIVE || dropped > 0) {
-      LOG.info("machine {} was not heard for {} ms: its lease has run out", m.name, silentMs);
+    if (machine.state == Machine.State.LIVE || dropped > 0) {
+      LOG.info("machine {} was not heard for {} ms: its lease has run out", machine.name, silentMs);
     }
     // A machine that is being returned is no more to be used, also while the cloud is away.
-    if (m.state == Machine.State.LIVE) {
-      c.enter(m, Machine.State.LOST);
+    if (machine.state == Machine.State.LIVE) {
+      cluster.enterState(machine, Machine.State.LEASE_EXPIRED);
     }
   }
 
@@ -599,43 +648,43 @@
    * the first word of a new session, which is later than its beginning, plus the drift between
    * steady clocks and a margin.
    */
-  private static long leaseMs(DeploymentLimits facts) {
-    return (long) (facts.leaseS() * 1000 * (1 + 2 * Constants.CLOCK_DRIFT))
+  private static long leaseMs(DeploymentLimits limits) {
+    return (long) (limits.leaseS() * 1000 * (1 + 2 * Constants.CLOCK_DRIFT_SHARE))
         + Constants.CLOCK_MARGIN_MS;
   }
 
   // ---- what users and operators see ----
 
   /** State of a live job for its user; null if this leader does not look after it. */
-  public JobProgress view(String id) {
-    Job job = c.jobs.get(id);
+  public JobProgress progress(String jobId) {
+    Job job = cluster.jobs.get(jobId);
     if (job == null) {
       return null;
     }
-    int running = job.running();
+    int running = job.runningCount();
     return new JobProgress(running > 0, job.doneCount(), running, job.complete());
   }
 
   /** A live job as its user sees it. */
-  public record JobProgress(boolean running, int done, int runningTasks, boolean complete) {}
+  public record JobProgress(boolean running, int doneTasks, int runningTasks, boolean complete) {}
 
   /** The done tasks of jobs whose record lags behind. */
-  public Map<String, BitSet> unsaved() {
-    Map<String, BitSet> out = new LinkedHashMap<>();
-    for (Job job : c.unsaved) {
+  public Map<String, BitSet> drainUnpersistedProgress() {
+    Map<String, BitSet> doneTasksByJob = new LinkedHashMap<>();
+    for (Job job : cluster.unpersistedProgress) {
       if (!job.complete()) {
-        out.put(job.spec.id(), (BitSet) job.done.clone());
+        doneTasksByJob.put(job.spec.id(), (BitSet) job.doneTasks.clone());
       }
     }
-    c.unsaved.clear();
-    return out;
+    cluster.unpersistedProgress.clear();
+    return doneTasksByJob;
   }
 
   /** These tasks of the job are done on record. */
-  public void saved(String id, BitSet done) {
-    Job job = c.jobs.get(id);
+  public void onProgressPersisted(String jobId, BitSet doneTasks) {
+    Job job = cluster.jobs.get(jobId);
     if (job != null) {
-      job.doneDurable.or(done);
+      job.persistedDoneTasks.or(doneTasks);
     }
   }
 
@@ -644,14 +693,14 @@
     int live = 0;
     int booting = 0;
     int waiting = 0;
-    for (Machine m : c.all()) {
-      live += m.state == Machine.State.LIVE ? 1 : 0;
-      booting += m.state == Machine.State.BOOTING ? 1 : 0;
+    for (Machine machine : cluster.allMachines()) {
+      live += machine.state == Machine.State.LIVE ? 1 : 0;
+      booting += machine.state == Machine.State.BOOTING ? 1 : 0;
     }
-    for (Job job : c.waiting) {
+    for (Job job : cluster.waitingJobs) {
       waiting += job.waitingCount();
     }
-    return c.jobs.size()
+    return cluster.jobs.size()
         + " jobs, "
         + waiting
         + " tasks wait, "
@@ -659,41 +708,42 @@
         + " machines live, "
         + booting
         + " booting, "
-        + (c.machines.size() - live - booting)
+        + (cluster.machines.size() - live - booting)
         + " other, "
-        + c.utilization.summary()
+        + cluster.utilization.summary()
         + ", "
-        + commands.budget()
+        + commandReconciler.concurrencyLimit()
         + "; "
-        + spending;
+        + costStatistics;
   }
 
   /** A line for the log: what each class and team got; warns of one that gets nothing. */
-  public String served(long nowMs) {
+  public String serviceSummary(long nowMs) {
     // What runs on machines not heard yet seems to wait.
-    if (!c.unheard()) {
-      c.served.unbegun(c.waiting, c::teamAllows, nowMs);
+    if (!cluster.anyUnreconciled()) {
+      cluster.serviceStatistics.warnOfUnstarted(
+          cluster.waitingJobs, cluster::teamQuotaAllows, nowMs);
     }
-    return c.served.summary(c.jobs.values(), nowMs);
+    return cluster.serviceStatistics.summary(cluster.jobs.values(), nowMs);
   }
 
   /** For tests: looks at a job for a machine so far. */
-  long looks() {
-    return c.looks;
+  long candidateChecks() {
+    return cluster.candidateChecks;
   }
 
   /** For tests: decisions asked for once that have not been carried out yet. */
-  int outstanding() {
-    return outstanding.size();
+  int outstandingDecisionCount() {
+    return outstandingDecisions.size();
   }
 
   /** For tests, which sum its books up anew. */
   ClusterState cluster() {
-    return c;
+    return cluster;
   }
 
   /** For traces: a job as it stands. */
-  Job job(String id) {
-    return c.jobs.get(id);
+  Job job(String jobId) {
+    return cluster.jobs.get(jobId);
   }
 }
--- a/src/main/java/org/astershift/scheduler/ServiceStatistics.java
+++ b/src/main/java/org/astershift/scheduler/ServiceStatistics.java
@@ -19,7 +19,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ServiceStatistics.class);
 
   /** One of so many of a class's jobs counts among its largest. */
-  private static final int LARGEST = 10;
+  private static final int LARGEST_ONE_IN = 10;
 
   private final Map<String, Group> classes = new TreeMap<>();
   private final Map<String, Group> teams = new TreeMap<>();
@@ -43,22 +43,22 @@
     int finished;
 
     /** Of the latest jobs, without those that were cancelled. */
-    private final ArrayDeque<JobOutcome> fates = new ArrayDeque<>();
+    private final ArrayDeque<JobOutcome> outcomes = new ArrayDeque<>();
 
     long lastStartMs = Long.MIN_VALUE / 2;
 
     /** For the present look: replicas of services that run, and that should. */
-    int up;
+    int replicasUp;
 
-    int replicas;
+    int replicasDesired;
 
     /** For the present look: since when the oldest job with waiting tasks waits; -1: none does. */
-    long waitingMs = -1;
+    long waitingSinceMs = -1;
 
     /** It was warned of, until it gets something again. */
-    boolean warned;
+    boolean starvationWarned;
 
-    String line(String name, long nowMs) {
+    String summaryLine(String name, long nowMs) {
       return name
           + " "
           + accepted
@@ -67,25 +67,34 @@
           + " started "
           + finished
           + " finished"
-          + (replicas > 0 ? ", " + up + " of " + replicas + " replicas up" : "")
-          + (waitingMs < 0 ? "" : ", waits " + (nowMs - waitingMs) / 1000 + " s")
+          + (replicasDesired > 0
+              ? ", " + replicasUp + " of " + replicasDesired + " replicas up"
+              : "")
+          + (waitingSinceMs < 0 ? "" : ", waits " + (nowMs - waitingSinceMs) / 1000 + " s")
           + largest();
     }
 
     /** What the largest tenth of its jobs got. */
     private String largest() {
-      List<JobOutcome> sorted = new ArrayList<>(fates);
-      sorted.sort(Comparator.comparingDouble((JobOutcome f) -> -f.size));
-      List<JobOutcome> most = sorted.subList(0, (sorted.size() + LARGEST - 1) / LARGEST);
-      int begun = 0;
-      int over = 0;
-      for (JobOutcome f : most) {
-        begun += f.started ? 1 : 0;
-        over += f.finished ? 1 : 0;
+      List<JobOutcome> sorted = new ArrayList<>(outcomes);
+      sorted.sort(Comparator.comparingDouble((JobOutcome outcome) -> -outcome.size));
+      List<JobOutcome> largest =
+          sorted.subList(0, (sorted.size() + LARGEST_ONE_IN - 1) / LARGEST_ONE_IN);
+      int startedJobs = 0;
+      int finishedJobs = 0;
+      for (JobOutcome outcome : largest) {
+        startedJobs += outcome.started ? 1 : 0;
+        finishedJobs += outcome.finished ? 1 : 0;
       }
-      return most.size() < 2
+      return largest.size() < 2
           ? ""
-          : ", of its " + most.size() + " largest " + begun + " started " + over + " finished";
+          : ", of its "
+              + largest.size()
+              + " largest "
+              + startedJobs
+              + " started "
+              + finishedJobs
+              + " finished";
     }
   }
 
@@ -95,39 +104,39 @@
         teams.computeIfAbsent(job.spec.team(), n -> new Group()));
   }
 
-  void accepted(Job job) {
-    for (Group g : groups(job)) {
-      g.accepted++;
+  void onAccepted(Job job) {
+    for (Group group : groups(job)) {
+      group.accepted++;
     }
-    Group own = classes.get(job.spec.jobClass());
-    job.fate = new JobOutcome(job.spec.tasks() * Math.max(job.spec.cpus(), job.spec.gpus()));
-    own.fates.addLast(job.fate);
-    if (own.fates.size() > Constants.FATES_KEPT) {
-      own.fates.removeFirst();
+    Group classGroup = classes.get(job.spec.jobClass());
+    job.outcome = new JobOutcome(job.spec.tasks() * Math.max(job.spec.cpus(), job.spec.gpus()));
+    classGroup.outcomes.addLast(job.outcome);
+    if (classGroup.outcomes.size() > Constants.JOB_OUTCOMES_KEPT) {
+      classGroup.outcomes.removeFirst();
     }
   }
 
   /** A task of the job runs. */
-  void started(Job job, long nowMs) {
+  void onStarted(Job job, long nowMs) {
     if (job.state != Job.State.LIVE) {
       return;
     }
     lastStartMs = Math.max(lastStartMs, nowMs);
-    for (Group g : groups(job)) {
-      g.started += job.begun ? 0 : 1;
-      g.lastStartMs = nowMs;
+    for (Group group : groups(job)) {
+      group.started += job.started ? 0 : 1;
+      group.lastStartMs = nowMs;
     }
-    job.begun = true;
-    job.fate.started = true;
+    job.started = true;
+    job.outcome.started = true;
   }
 
-  void ended(Job job, boolean cancelled) {
-    for (Group g : groups(job)) {
-      g.finished += cancelled ? 0 : 1;
+  void onEnded(Job job, boolean cancelled) {
+    for (Group group : groups(job)) {
+      group.finished += cancelled ? 0 : 1;
     }
-    job.fate.finished = !cancelled;
+    job.outcome.finished = !cancelled;
     if (cancelled) {
-      classes.get(job.spec.jobClass()).fates.remove(job.fate);
+      classes.get(job.spec.jobClass()).outcomes.remove(job.outcome);
     }
   }
 
@@ -135,16 +144,16 @@
    * Warns once of each large job that should have begun and has not, with what keeps it: what its
    * team's own earlier work or a mistake in it keeps is no want of machines.
    */
-  void unbegun(Iterable<Job> waiting, Predicate<Job> withinLimit, long nowMs) {
+  void warnOfUnstarted(Iterable<Job> waiting, Predicate<Job> withinLimit, long nowMs) {
     for (Job job : waiting) {
-      boolean late = nowMs - job.submittedMs >= Constants.UNBEGUN_WARN_MS;
-      boolean begun = job.begun || job.doneCount() > 0;
-      if (!late || begun || job.warned || job.spec.kind() == JobKind.SERVICE) {
+      boolean late = nowMs - job.submittedMs >= Constants.UNSTARTED_WARN_MS;
+      boolean hasStarted = job.started || job.doneCount() > 0;
+      if (!late || hasStarted || job.startWarningLogged || job.spec.kind() == JobKind.SERVICE) {
         continue;
       }
-      job.warned = true;
-      String why =
-          job.suspect()
+      job.startWarningLogged = true;
+      String reason =
+          job.isSuspect()
               ? "it fails on every machine"
               : job.usableTypes.isEmpty()
                   ? "no machine type takes its tasks"
@@ -155,61 +164,61 @@
           job.spec.jobClass(),
           job.spec.tasks(),
           (nowMs - job.submittedMs) / 1000,
-          why);
+          reason);
     }
   }
 
   /** One line for the log; warns of a class or team that gets nothing though others do. */
   String summary(Iterable<Job> jobs, long nowMs) {
-    for (Map<String, Group> some : List.of(classes, teams)) {
-      for (Group g : some.values()) {
-        g.up = 0;
-        g.replicas = 0;
-        g.waitingMs = -1;
+    for (Map<String, Group> statistics : List.of(classes, teams)) {
+      for (Group group : statistics.values()) {
+        group.replicasUp = 0;
+        group.replicasDesired = 0;
+        group.waitingSinceMs = -1;
       }
     }
     for (Job job : jobs) {
-      for (Group g : groups(job)) {
+      for (Group group : groups(job)) {
         if (job.spec.kind() == JobKind.SERVICE) {
-          g.up += job.running();
-          g.replicas += job.spec.tasks();
+          group.replicasUp += job.runningCount();
+          group.replicasDesired += job.spec.tasks();
         }
-        boolean waits = job.waitingCount() > 0 && !job.cancelWanted && !job.suspect();
-        if (waits && (g.waitingMs < 0 || job.submittedMs < g.waitingMs)) {
-          g.waitingMs = job.submittedMs;
+        boolean waiting = job.waitingCount() > 0 && !job.cancellationRequested && !job.isSuspect();
+        if (waiting && (group.waitingSinceMs < 0 || job.submittedMs < group.waitingSinceMs)) {
+          group.waitingSinceMs = job.submittedMs;
         }
       }
     }
-    List<String> out = new ArrayList<>();
-    for (Map.Entry<String, Group> e : classes.entrySet()) {
-      out.add(e.getValue().line(e.getKey(), nowMs));
-      warn("class", e.getKey(), e.getValue(), nowMs);
+    List<String> lines = new ArrayList<>();
+    for (Map.Entry<String, Group> entry : classes.entrySet()) {
+      lines.add(entry.getValue().summaryLine(entry.getKey(), nowMs));
+      warnIfStarved("class", entry.getKey(), entry.getValue(), nowMs);
     }
     // A team of one class says the same again.
     if (teams.size() > 1) {
-      for (Map.Entry<String, Group> e : teams.entrySet()) {
-        out.add(e.getValue().line("team " + e.getKey(), nowMs));
-        warn("team", e.getKey(), e.getValue(), nowMs);
+      for (Map.Entry<String, Group> entry : teams.entrySet()) {
+        lines.add(entry.getValue().summaryLine("team " + entry.getKey(), nowMs));
+        warnIfStarved("team", entry.getKey(), entry.getValue(), nowMs);
       }
     }
-    out.sort(Comparator.comparing(l -> l.startsWith("team ")));
-    return "served in this term: " + String.join("; ", out);
+    lines.sort(Comparator.comparing(line -> line.startsWith("team ")));
+    return "served in this term: " + String.join("; ", lines);
   }
 
-  private void warn(String what, String name, Group g, long nowMs) {
-    long since = Math.max(g.lastStartMs, g.waitingMs);
+  private void warnIfStarved(String kind, String name, Group group, long nowMs) {
+    long sinceMs = Math.max(group.lastStartMs, group.waitingSinceMs);
     boolean starved =
-        g.waitingMs >= 0
-            && nowMs - since > Constants.STARVED_MS
-            && nowMs - lastStartMs < Constants.STARVED_MS / 2;
-    if (starved && !g.warned) {
+        group.waitingSinceMs >= 0
+            && nowMs - sinceMs > Constants.STARVED_WARN_MS
+            && nowMs - lastStartMs < Constants.STARVED_WARN_MS / 2;
+    if (starved && !group.starvationWarned) {
       LOG.warn(
           "{} {} got nothing for {} s, though others did, and waits since {} s",
-          what,
+          kind,
           name,
-          (nowMs - since) / 1000,
-          (nowMs - g.waitingMs) / 1000);
+          (nowMs - sinceMs) / 1000,
+          (nowMs - group.waitingSinceMs) / 1000);
     }
-    g.warned = starved;
+    group.starvationWarned = starved;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Team.java
+++ b/src/main/java/org/astershift/scheduler/Team.java
@@ -1,26 +1,27 @@
 package org.astershift.scheduler;
 
 /** A team's guarantee and limit; 0 means none. */
-public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
+public record Team(
+    String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
 
   /** Whether anything limits what the team's tasks use at any time. */
-  public boolean limited() {
-    return cpusMax > 0 || gpusMax > 0;
+  public boolean isLimited() {
+    return maxCpus > 0 || maxGpus > 0;
   }
 
   /** Tasks of the job that may run at once: of an array as many as the limit allows. */
-  public int atOnce(JobSpec s) {
-    double n = s.tasks();
-    if (s.kind() == JobKind.ARRAY) {
-      n = cpusMax > 0 && s.cpus() > 0 ? Math.min(n, cpusMax / s.cpus()) : n;
-      n = gpusMax > 0 && s.gpus() > 0 ? Math.min(n, gpusMax / s.gpus()) : n;
+  public int maxConcurrentTasks(JobSpec spec) {
+    double tasks = spec.tasks();
+    if (spec.kind() == JobKind.ARRAY) {
+      tasks = maxCpus > 0 && spec.cpus() > 0 ? Math.min(tasks, maxCpus / spec.cpus()) : tasks;
+      tasks = maxGpus > 0 && spec.gpus() > 0 ? Math.min(tasks, maxGpus / spec.gpus()) : tasks;
     }
-    return (int) n;
+    return (int) tasks;
   }
 
   /** Whether use may grow to these amounts. */
   public boolean allows(double usedCpus, double usedGpus) {
-    return (cpusMax <= 0 || usedCpus <= cpusMax + 1e-9)
-        && (gpusMax <= 0 || usedGpus <= gpusMax + 1e-9);
+    return (maxCpus <= 0 || usedCpus <= maxCpus + 1e-9)
+        && (maxGpus <= 0 || usedGpus <= maxGpus + 1e-9);
   }
 }
--- a/src/main/java/org/astershift/scheduler/UnobservedUsage.java
+++ b/src/main/java/org/astershift/scheduler/UnobservedUsage.java
@@ -21,22 +21,22 @@
   private double gpus;
 
   /** Machines among them whose type is not known: nothing bounds what they hold. */
-  private int unbounded;
+  private int machinesOfUnknownType;
 
   /** Brings the sums up to what is known of the machine now. */
-  void look(Machine m, boolean there) {
-    boolean dark = there && m.inTheDark();
-    if (dark ? machines.add(m) : machines.remove(m)) {
-      add(m, dark ? 1 : -1);
+  void update(Machine machine, boolean present) {
+    boolean unobserved = present && machine.mayHoldUnobservedUsage();
+    if (unobserved ? machines.add(machine) : machines.remove(machine)) {
+      add(machine, unobserved ? 1 : -1);
     }
   }
 
-  private void add(Machine m, int sign) {
-    if (m.kind == null) {
-      unbounded += sign;
+  private void add(Machine machine, int sign) {
+    if (machine.type == null) {
+      machinesOfUnknownType += sign;
     } else {
-      cpus += sign * m.kind.cpus();
-      gpus += sign * m.kind.gpus();
+      cpus += sign * machine.type.cpus();
+      gpus += sign * machine.type.gpus();
     }
     if (machines.isEmpty()) {
       cpus = 0; // sums of fractions drift
@@ -45,22 +45,22 @@
   }
 
   /** The machines' types have changed. */
-  void recount() {
+  void recompute() {
     cpus = 0;
     gpus = 0;
-    unbounded = 0;
-    for (Machine m : machines) {
-      add(m, 1);
+    machinesOfUnknownType = 0;
+    for (Machine machine : machines) {
+      add(machine, 1);
     }
   }
 
   /** Processors that unknown tasks of any one team may take. */
   double cpus() {
-    return unbounded > 0 ? Double.MAX_VALUE : cpus;
+    return machinesOfUnknownType > 0 ? Double.MAX_VALUE : cpus;
   }
 
   /** The same for accelerators. */
   double gpus() {
-    return unbounded > 0 ? Double.MAX_VALUE : gpus;
+    return machinesOfUnknownType > 0 ? Double.MAX_VALUE : gpus;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Utilization.java
+++ b/src/main/java/org/astershift/scheduler/Utilization.java
@@ -6,65 +6,67 @@
 
 /** Busy and allocated processors, of machines with and without accelerators. */
 final class Utilization {
-  private final Pool plain = new Pool();
-  private final Pool accelerated = new Pool();
+  private final Pool withoutAccelerators = new Pool();
+  private final Pool withAccelerators = new Pool();
 
   /** Machines that can stand in for each other. */
   private static final class Pool {
-    double used;
-    double all;
-    double booting;
-    double gpus;
+    double usedCpus;
+    double liveCpus;
+    double bootingCpus;
+    double liveGpus;
   }
 
-  private Pool pool(Machine m) {
-    return m.kind != null && m.kind.gpus() > 0 ? accelerated : plain;
+  private Pool pool(Machine machine) {
+    return machine.type != null && machine.type.gpus() > 0 ? withAccelerators : withoutAccelerators;
   }
 
   /** Processors of the machine come into use, or are free again where there are fewer than 0. */
-  void use(Machine m, double cpus) {
-    pool(m).used += cpus;
+  void addUsedCpus(Machine machine, double cpus) {
+    pool(machine).usedCpus += cpus;
   }
 
-  /** Sums up anew; in between, {@link #use} keeps up what is used. */
+  /** Sums up anew; in between, {@link #addUsedCpus} keeps up what is used. */
   void recount(Collection<Machine> machines) {
-    for (Pool p : List.of(plain, accelerated)) {
-      p.used = 0;
-      p.all = 0;
-      p.booting = 0;
-      p.gpus = 0;
+    for (Pool pool : List.of(withoutAccelerators, withAccelerators)) {
+      pool.usedCpus = 0;
+      pool.liveCpus = 0;
+      pool.bootingCpus = 0;
+      pool.liveGpus = 0;
     }
-    for (Machine m : machines) {
-      if (m.state == Machine.State.LIVE && m.kind != null) {
-        Pool p = pool(m);
-        p.used += m.usedCpus();
-        p.all += m.kind.cpus();
-        p.gpus += m.kind.gpus();
-      } else if (m.state == Machine.State.BOOTING && m.kind != null) {
-        pool(m).booting += m.kind.cpus();
+    for (Machine machine : machines) {
+      if (machine.state == Machine.State.LIVE && machine.type != null) {
+        Pool pool = pool(machine);
+        pool.usedCpus += machine.usedCpus();
+        pool.liveCpus += machine.type.cpus();
+        pool.liveGpus += machine.type.gpus();
+      } else if (machine.state == Machine.State.BOOTING && machine.type != null) {
+        pool(machine).bootingCpus += machine.type.cpus();
       }
     }
   }
 
   /** Processors of machines without accelerators, there or on their way. */
-  double plainProcessors() {
-    return plain.all + plain.booting;
+  double processorsWithoutAccelerators() {
+    return withoutAccelerators.liveCpus + withoutAccelerators.bootingCpus;
   }
 
   /** Accelerators of live machines. */
   double accelerators() {
-    return accelerated.gpus;
+    return withAccelerators.liveGpus;
   }
 
   /** Processors of live machines for work without accelerators. */
   double processors() {
-    return plain.all > 0 ? plain.all : accelerated.all;
+    return withoutAccelerators.liveCpus > 0
+        ? withoutAccelerators.liveCpus
+        : withAccelerators.liveCpus;
   }
 
   /** Busy over allocated processors, of the machines that can stand in for this one. */
-  double of(Machine m) {
-    Pool p = pool(m);
-    return p.all == 0 ? 0 : p.used / p.all;
+  double of(Machine machine) {
+    Pool pool = pool(machine);
+    return pool.liveCpus == 0 ? 0 : pool.usedCpus / pool.liveCpus;
   }
 
   /** For the log: what is used of machines without and with accelerators. */
@@ -72,9 +74,9 @@
     return String.format(
         Locale.ROOT,
         "%.0f of %.0f processors used, beside accelerators %.0f of %.0f",
-        plain.used,
-        plain.all,
-        accelerated.used,
-        accelerated.all);
+        withoutAccelerators.usedCpus,
+        withoutAccelerators.liveCpus,
+        withAccelerators.usedCpus,
+        withAccelerators.liveCpus);
   }
 }
--- a/src/main/java/org/astershift/store/RateLimiter.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -17,99 +17,100 @@
      * behind users' questions a renewal was refused for as long as there were more of them than the
      * limit allows, and whoever led next lost its lease, too.
      */
-    VITAL,
+    LEASE,
     /** Somebody waits for it. */
-    URGENT,
+    INTERACTIVE,
     /** Better soon than late. */
-    LAZY
+    BACKGROUND
   }
 
-  private final double limit;
-  private double rate;
+  private final double limitPerS;
+  private double ratePerS;
 
   /** Most that may be spent at once. */
-  private double depth;
+  private double burst;
 
-  private double have;
-  private long lastNs;
+  private double available;
+  private long refilledNs;
 
   /** Askers that somebody waits for, the first to serve first. */
-  private final Deque<Object> line = new ArrayDeque<>();
+  private final Deque<Object> queue = new ArrayDeque<>();
 
-  /** The whole limit is this node's until {@link #share} says otherwise. */
-  public RateLimiter(double limit) {
-    this.limit = limit;
-    this.lastNs = System.nanoTime();
-    share(1, 1);
-    this.have = depth;
+  /** The whole limit is this node's until {@link #setShare} says otherwise. */
+  public RateLimiter(double limitPerS) {
+    this.limitPerS = limitPerS;
+    this.refilledNs = System.nanoTime();
+    setShare(1, 1);
+    this.available = burst;
   }
 
   /**
    * Changes this node's share of the limit, and how many seconds of it may be spent at once: others
    * rarely spend at the same time, and the service says so when they do.
    */
-  public synchronized void share(double share, double depthS) {
+  public synchronized void setShare(double share, double burstS) {
     refill();
-    rate = limit * share;
-    depth = Math.max(rate * depthS, 1);
-    have = Math.min(have, depth);
+    ratePerS = limitPerS * share;
+    burst = Math.max(ratePerS * burstS, 1);
+    available = Math.min(available, burst);
     notifyAll();
   }
 
   private void refill() {
-    long now = System.nanoTime();
-    have = Math.min(depth, have + rate * (now - lastNs) / 1e9);
-    lastNs = now;
+    long nowNs = System.nanoTime();
+    available = Math.min(burst, available + ratePerS * (nowNs - refilledNs) / 1e9);
+    refilledNs = nowNs;
   }
 
   /** The limit proved to be spent, so what was thought left is not there: waits a little. */
-  public synchronized void exhausted() {
+  public synchronized void drain() {
     refill();
-    have = Math.min(have, 1 - rate * Constants.EXHAUSTED_S);
+    available = Math.min(available, 1 - ratePerS * Constants.STORE_EXHAUSTED_PAUSE_S);
   }
 
   /**
-   * Waits until {@code n} may be spent; false, as soon as that is known, if it would take longer
-   * than allowed.
+   * Waits until {@code permits} may be spent; false, as soon as that is known, if it would take
+   * longer than allowed.
    */
-  public synchronized boolean acquire(Urgency use, int n, long timeoutMs)
+  public synchronized boolean acquire(Urgency urgency, int permits, long timeoutMs)
       throws InterruptedException {
-    long deadline = System.nanoTime() + timeoutMs * 1_000_000;
-    Object me = new Object();
-    if (use == Urgency.URGENT) {
-      line.addLast(me);
-    } else if (use == Urgency.VITAL) {
-      line.addFirst(me);
+    long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+    Object waiter = new Object();
+    if (urgency == Urgency.INTERACTIVE) {
+      queue.addLast(waiter);
+    } else if (urgency == Urgency.LEASE) {
+      queue.addFirst(waiter);
     }
     try {
       while (true) {
         refill();
         // More than one may go into debt: a batch must not wait behind all that asks for little.
-        double need =
-            use == Urgency.LAZY
-                ? Math.min(depth, n + line.size() + Constants.LAZY_LEAVES * depth)
-                : 1 + ahead(me);
-        if (have >= need) {
-          have -= n;
+        double required =
+            urgency == Urgency.BACKGROUND
+                ? Math.min(
+                    burst, permits + queue.size() + Constants.DEFERRABLE_RESERVE_SHARE * burst)
+                : 1 + positionOf(waiter);
+        if (available >= required) {
+          available -= permits;
           return true;
         }
-        long waitMs = Math.max(1, (long) Math.ceil((need - have) / rate * 1000));
-        if (System.nanoTime() + waitMs * 1_000_000 > deadline) {
+        long waitMs = Math.max(1, (long) Math.ceil((required - available) / ratePerS * 1000));
+        if (System.nanoTime() + waitMs * 1_000_000 > deadlineNs) {
           return false;
         }
         wait(waitMs);
       }
     } finally {
-      if (line.remove(me)) {
+      if (queue.remove(waiter)) {
         notifyAll();
       }
     }
   }
 
-  private int ahead(Object me) {
+  private int positionOf(Object waiter) {
     int n = 0;
-    for (Object other : line) {
-      if (other == me) {
+    for (Object other : queue) {
+      if (other == waiter) {
         return n;
       }
       n++;
--- a/src/main/java/org/astershift/store/RecordCodec.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -26,12 +26,12 @@
   public static final String JOB = LIVE + "j/";
 
   /** What a leader notes for its successor, many entries to a record; see the leader's notes. */
-  public static final String NOTES = LIVE + "n/";
+  public static final String PAGES = LIVE + "n/";
 
   /** Ended jobs stay for ever, out of the way of a takeover. */
   public static final String ENDED = "d/";
 
-  public static Map<String, Object> leader(String node) {
+  public static Map<String, Object> encodeLeader(String node) {
     return Map.of("node", node);
   }
 
@@ -41,86 +41,87 @@
   public record JobRecord(JobSpec spec, long submittedMs) {}
 
   /** A job as its record holds it. */
-  public static Map<String, Object> job(JobRecord r) {
-    JobSpec s = r.spec();
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("c", s.jobClass());
-    m.put("t", s.team());
-    m.put("k", s.kind().ordinal());
-    m.put("p", s.priority().ordinal());
-    m.put("n", s.tasks());
-    m.put("cpu", s.cpus());
-    m.put("gpu", s.gpus());
-    m.put("mem", s.memoryGb());
-    m.put("img", s.image());
-    m.put("gb", s.imageGb());
-    if (s.types() != null) {
-      m.put("types", s.types());
+  public static Map<String, Object> encodeJob(JobRecord record) {
+    JobSpec spec = record.spec();
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("c", spec.jobClass());
+    fields.put("t", spec.team());
+    fields.put("k", spec.kind().ordinal());
+    fields.put("p", spec.priority().ordinal());
+    fields.put("n", spec.tasks());
+    fields.put("cpu", spec.cpus());
+    fields.put("gpu", spec.gpus());
+    fields.put("mem", spec.memoryGb());
+    fields.put("img", spec.image());
+    fields.put("gb", spec.imageGb());
+    if (spec.machineTypes() != null) {
+      fields.put("types", spec.machineTypes());
     }
-    if (s.zone() != null) {
-      m.put("zone", s.zone());
+    if (spec.zone() != null) {
+      fields.put("zone", spec.zone());
     }
-    m.put("one", s.oneZone());
-    m.put("apart", s.spread());
-    m.put("spot", s.spot());
-    m.put("est", s.estimateS());
-    m.put("ckpt", s.checkpointS());
-    m.put("save", s.saveS());
-    if (s.deadlineS() != null) {
-      m.put("due", s.deadlineS());
+    fields.put("one", spec.oneZone());
+    fields.put("apart", spec.spread());
+    fields.put("spot", spec.spotAllowed());
+    fields.put("est", spec.estimateS());
+    fields.put("ckpt", spec.checkpointIntervalS());
+    fields.put("save", spec.checkpointSaveS());
+    if (spec.deadlineS() != null) {
+      fields.put("due", spec.deadlineS());
     }
-    m.put("at", r.submittedMs());
-    return m;
+    fields.put("at", record.submittedMs());
+    return fields;
   }
 
   /** The job in a record; {@code key} is the key of the record. */
-  public static JobRecord job(String key, Map<String, Object> m) throws Json.JsonFormatException {
+  public static JobRecord decodeJob(String key, Map<String, Object> fields)
+      throws Json.JsonFormatException {
     List<String> types = null;
-    if (m.get("types") != null) {
+    if (fields.get("types") != null) {
       types = new ArrayList<>();
-      for (Object o : Json.list(m, "types")) {
-        types.add(String.valueOf(o));
+      for (Object type : Json.list(fields, "types")) {
+        types.add(String.valueOf(type));
       }
     }
     JobSpec spec =
         new JobSpec(
             key.substring(JOB.length()),
-            Json.text(m, "c"),
-            Json.text(m, "t"),
-            JobKind.values()[(int) Json.whole(m, "k")],
-            Priority.values()[(int) Json.whole(m, "p")],
-            (int) Json.whole(m, "n"),
-            Json.number(m, "cpu"),
-            Json.number(m, "gpu"),
-            Json.number(m, "mem"),
-            Json.text(m, "img"),
-            Json.number(m, "gb"),
+            Json.string(fields, "c"),
+            Json.string(fields, "t"),
+            JobKind.values()[(int) Json.integer(fields, "k")],
+            Priority.values()[(int) Json.integer(fields, "p")],
+            (int) Json.integer(fields, "n"),
+            Json.number(fields, "cpu"),
+            Json.number(fields, "gpu"),
+            Json.number(fields, "mem"),
+            Json.string(fields, "img"),
+            Json.number(fields, "gb"),
             types,
-            Json.textOrNull(m, "zone"),
-            Json.flag(m, "one"),
-            Json.flag(m, "apart"),
-            Json.flag(m, "spot"),
-            Json.number(m, "est"),
-            Json.number(m, "ckpt"),
-            Json.number(m, "save"),
-            Json.numberOrNull(m, "due"));
-    return new JobRecord(spec, Json.whole(m, "at"));
+            Json.stringOrNull(fields, "zone"),
+            Json.bool(fields, "one"),
+            Json.bool(fields, "apart"),
+            Json.bool(fields, "spot"),
+            Json.number(fields, "est"),
+            Json.number(fields, "ckpt"),
+            Json.number(fields, "save"),
+            Json.numberOrNull(fields, "due"));
+    return new JobRecord(spec, Json.integer(fields, "at"));
   }
 
   /** How a job ended. */
-  public record Ended(boolean cancelled, int done) {}
+  public record JobEnd(boolean cancelled, int done) {}
 
-  public static Map<String, Object> ended(Ended e) {
-    return Map.of("cancelled", e.cancelled(), "done", e.done());
+  public static Map<String, Object> encodeEnd(JobEnd end) {
+    return Map.of("cancelled", end.cancelled(), "done", end.done());
   }
 
-  public static Ended ended(Map<String, Object> m) throws Json.JsonFormatException {
-    return new Ended(Json.flag(m, "cancelled"), (int) Json.whole(m, "done"));
+  public static JobEnd decodeEnd(Map<String, Object> fields) throws Json.JsonFormatException {
+    return new JobEnd(Json.bool(fields, "cancelled"), (int) Json.integer(fields, "done"));
   }
 
   // ---- progress: a bit a task, so that any pattern of 100,000 fits ----
 
-  public static int segments(int tasks) {
+  public static int segmentCount(int tasks) {
     return (tasks + Constants.SEGMENT_TASKS - 1) / Constants.SEGMENT_TASKS;
   }
 
@@ -130,12 +131,12 @@
     return Base64.getEncoder().encodeToString(part.toByteArray());
   }
 
-  public static String progress(String job, int segment) {
-    return job + "/" + segment;
+  public static String progressKey(String jobId, int segment) {
+    return jobId + "/" + segment;
   }
 
   /** Adds one note of done tasks; gives the job that it is about. */
-  public static String merge(BitSet done, String key, Object value)
+  public static String mergeSegment(BitSet done, String key, Object value)
       throws Json.JsonFormatException {
     int slash = key.lastIndexOf('/');
     try {
@@ -153,40 +154,44 @@
   // ---- machines and rentals: short, since many share a record ----
 
   /** A machine as a page of machines holds it. */
-  public static List<Object> machine(Decision.RegisterMachine e) {
-    List<Object> l = new ArrayList<>(List.of(e.type(), e.zone(), e.spot(), e.fresh()));
-    if (e.addr() != null) {
-      l.add(e.addr());
+  public static List<Object> encodeMachine(Decision.RegisterMachine machine) {
+    List<Object> values =
+        new ArrayList<>(
+            List.of(
+                machine.typeName(), machine.zone(), machine.spot(), machine.newlyProvisioned()));
+    if (machine.address() != null) {
+      values.add(machine.address());
     }
-    return l;
+    return values;
   }
 
   /** The machine in an entry of a page of machines. */
-  public static Decision.RegisterMachine machine(String name, Object value)
+  public static Decision.RegisterMachine decodeMachine(String name, Object value)
       throws Json.JsonFormatException {
-    if (value instanceof List<?> l
-        && l.size() >= 4
-        && l.get(2) instanceof Boolean spot
-        && l.get(3) instanceof Boolean fresh) {
-      String addr = l.size() > 4 ? String.valueOf(l.get(4)) : null;
+    if (value instanceof List<?> values
+        && values.size() >= 4
+        && values.get(2) instanceof Boolean spot
+        && values.get(3) instanceof Boolean fresh) {
+      String addr = values.size() > 4 ? String.valueOf(values.get(4)) : null;
       return new Decision.RegisterMachine(
-          name, addr, String.valueOf(l.get(0)), String.valueOf(l.get(1)), spot, fresh);
+          name, addr, String.valueOf(values.get(0)), String.valueOf(values.get(1)), spot, fresh);
     }
     throw new Json.JsonFormatException("not a machine");
   }
 
-  public static List<Object> rental(Decision.ProvisionMachines r) {
-    return List.of(r.type(), r.zone(), r.spot(), r.count());
+  public static List<Object> encodeRental(Decision.ProvisionMachines request) {
+    return List.of(request.typeName(), request.zone(), request.spot(), request.count());
   }
 
   /** The rental in an entry of a page of rentals. */
-  public static Decision.ProvisionMachines rental(Object value) throws Json.JsonFormatException {
-    if (value instanceof List<?> l
-        && l.size() >= 4
-        && l.get(2) instanceof Boolean spot
-        && l.get(3) instanceof Number count) {
+  public static Decision.ProvisionMachines decodeRental(Object value)
+      throws Json.JsonFormatException {
+    if (value instanceof List<?> values
+        && values.size() >= 4
+        && values.get(2) instanceof Boolean spot
+        && values.get(3) instanceof Number count) {
       return new Decision.ProvisionMachines(
-          String.valueOf(l.get(0)), String.valueOf(l.get(1)), spot, count.intValue());
+          String.valueOf(values.get(0)), String.valueOf(values.get(1)), spot, count.intValue());
     }
     throw new Json.JsonFormatException("not a rental");
   }
@@ -194,61 +199,73 @@
   // ---- machine types ----
 
   /** Machine types as their record holds them. */
-  public static Map<String, Object> types(Map<String, MachineType> types) {
+  public static Map<String, Object> encodeTypes(Map<String, MachineType> types) {
     List<Object> rows = new ArrayList<>();
-    for (MachineType t : types.values()) {
-      Map<String, Object> m = new LinkedHashMap<>();
-      m.put("name", t.name());
-      m.put(
+    for (MachineType type : types.values()) {
+      Map<String, Object> fields = new LinkedHashMap<>();
+      fields.put("name", type.name());
+      fields.put(
           "n",
           List.of(
-              t.cpus(),
-              t.gpus(),
-              t.memoryGb(),
-              t.cacheGb(),
-              t.fetchGbPerS(),
-              t.price(),
-              t.spotPrice(),
-              t.bootS()));
-      m.put("zones", t.zones());
-      rows.add(m);
+              type.cpus(),
+              type.gpus(),
+              type.memoryGb(),
+              type.cacheGb(),
+              type.fetchGbPerS(),
+              type.hourlyPrice(),
+              type.spotHourlyPrice(),
+              type.bootS()));
+      fields.put("zones", type.zones());
+      rows.add(fields);
     }
     return Map.of("types", rows);
   }
 
   /** The machine types in their record, by name. */
-  public static Map<String, MachineType> readTypes(Map<String, Object> value)
+  public static Map<String, MachineType> decodeTypes(Map<String, Object> value)
       throws Json.JsonFormatException {
-    Map<String, MachineType> out = new LinkedHashMap<>();
-    for (Object o : Json.list(value, "types")) {
-      Map<String, Object> m = Json.object(o, "type");
+    Map<String, MachineType> types = new LinkedHashMap<>();
+    for (Object row : Json.list(value, "types")) {
+      Map<String, Object> fields = Json.object(row, "type");
       List<String> zones = new ArrayList<>();
-      for (Object z : Json.list(m, "zones")) {
-        zones.add(String.valueOf(z));
+      for (Object zone : Json.list(fields, "zones")) {
+        zones.add(String.valueOf(zone));
       }
-      List<?> n = Json.list(m, "n");
-      double[] v = new double[8];
-      for (int i = 0; i < v.length; i++) {
-        if (n.size() <= i || !(n.get(i) instanceof Number x)) {
+      List<?> rawNumbers = Json.list(fields, "n");
+      double[] numbers = new double[8];
+      for (int i = 0; i < numbers.length; i++) {
+        if (rawNumbers.size() <= i || !(rawNumbers.get(i) instanceof Number number)) {
           throw new Json.JsonFormatException("a machine type lacks its numbers");
         }
-        v[i] = x.doubleValue();
+        numbers[i] = number.doubleValue();
       }
-      String name = Json.text(m, "name");
-      out.put(name, new MachineType(name, v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7], zones));
+      String name = Json.string(fields, "name");
+      types.put(
+          name,
+          new MachineType(
+              name,
+              numbers[0],
+              numbers[1],
+              numbers[2],
+              numbers[3],
+              numbers[4],
+              numbers[5],
+              numbers[6],
+              numbers[7],
+              zones));
     }
-    return out;
+    return types;
   }
 
   /**
    * The note that a job is opened, with the machines that its replicas are on, if any are named.
    */
-  public static Object opened(List<String> where) {
-    return where.isEmpty() ? (Object) 1 : String.join(" ", where);
+  public static Object encodePlacement(List<String> machines) {
+    return machines.isEmpty() ? (Object) 1 : String.join(" ", machines);
   }
 
   /** Machines named by such a note; null is no note. */
-  public static List<String> openedOn(Object value) {
+  public static List<String> decodePlacement(Object value) {
     return value instanceof String s ? List.of(s.split(" ")) : List.of();
   }
 }
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -15,70 +15,74 @@
 /** Speaks the state service's protocol, within this node's share of its limits. */
 public final class StoreClient {
   private static final int OVER_LIMIT_STATUS = 429;
-  private static final String OVER_LIMIT = "status " + OVER_LIMIT_STATUS;
+  private static final String OVER_LIMIT_REASON = "status " + OVER_LIMIT_STATUS;
   private final HttpClient http;
-  private final HttpClient watching;
+  private final HttpClient watchHttp;
   private final RateLimiter requests;
   private final RateLimiter writes;
-  private final int others;
-  private volatile long answeredNs = System.nanoTime();
+  private final int peerCount;
+  private volatile long lastServedNs = System.nanoTime();
 
   /** A client of the state service that the settings name. */
   public StoreClient(Settings settings) {
     String host = settings.store().host();
     int port = settings.store().port();
     this.http = new HttpClient(host, port, 6);
-    this.watching = new HttpClient(host, port, 1);
+    this.watchHttp = new HttpClient(host, port, 1);
     this.requests = new RateLimiter(settings.storeLimits().rps());
     this.writes = new RateLimiter(settings.storeLimits().writeRps());
-    this.others = settings.peers().size();
-    leading(false);
+    this.peerCount = settings.peers().size();
+    setLeading(false);
   }
 
   /**
    * Whether this node spends as leader or as one of the others. Together the shares are more than
    * one: jobs come to some nodes more than to others, and the service says when it is too much.
    */
-  public void leading(boolean leader) {
-    if (others > 0) {
+  public void setLeading(boolean leading) {
+    if (peerCount > 0) {
       double share =
-          leader
-              ? Constants.LEADER_BUDGET
-              : Math.min(1, Constants.FOLLOWERS_AT_ONCE * (1 - Constants.LEADER_BUDGET) / others);
-      double depthS = leader ? 1 : Constants.FOLLOWER_DEPTH_S;
-      requests.share(share, depthS);
-      writes.share(share, depthS);
+          leading
+              ? Constants.LEADER_STORE_SHARE
+              : Math.min(
+                  1,
+                  Constants.FOLLOWER_OVERCOMMIT_FACTOR
+                      * (1 - Constants.LEADER_STORE_SHARE)
+                      / peerCount);
+      double burstS = leading ? 1 : Constants.FOLLOWER_BURST_S;
+      requests.setShare(share, burstS);
+      writes.setShare(share, burstS);
     }
   }
 
   /** Whether the service has not served this node for a while. */
-  public boolean lost() {
-    return silenceMs() > Constants.STORE_LOST_MS;
+  public boolean unavailable() {
+    return silenceMs() > Constants.STORE_OUTAGE_CHECK_AFTER_MS;
   }
 
   /** Milliseconds since it last served this node. */
   public long silenceMs() {
-    return (System.nanoTime() - answeredNs) / 1_000_000;
+    return (System.nanoTime() - lastServedNs) / 1_000_000;
   }
 
-  private HttpClient.Response noted(HttpClient.Response a) {
-    if (a.status() != 503) {
-      answeredNs = System.nanoTime();
+  private HttpClient.Response recordAnswer(HttpClient.Response response) {
+    if (response.status() != 503) {
+      lastServedNs = System.nanoTime();
     }
-    return a;
+    return response;
   }
 
   /** Why a transaction was refused that will be refused again as it is: too large, too many. */
-  public static final String MALFORMED = "status 400";
+  public static final String MALFORMED_REASON = "status 400";
 
   /** One key; {@code data} null if it does not exist. */
   public record Entry(String key, Map<String, Object> data, long revision) {}
 
   /** Part of the keys below a prefix. */
-  public record Page(List<Entry> rows, boolean more, long revision) {}
+  public record Page(List<Entry> entries, boolean hasMore, long revision) {}
 
-  /** Changes since a revision; {@code data} null for a removal. {@code tooOld}: read again. */
-  public record WatchResponse(List<Entry> rows, long revision, boolean tooOld) {}
+  /** Changes since a revision; {@code data} null for a removal. {@code compacted}: read again. */
+  public record WatchResponse(List<Entry> entries, long revision, boolean compacted) {}
 
   /** The service did not answer as it should; nothing is known of the effect of a change. */
   public static final class StoreException extends IOException {
@@ -98,10 +102,10 @@
     record ConditionFailed(Set<String> keys) implements Outcome {}
 
     /** Not applied and never will be: refused, or not even sent. */
-    record Rejected(String why) implements Outcome {}
+    record Rejected(String reason) implements Outcome {}
 
     /** No answer: applied, or not, or applied later. */
-    record Unknown(String why) implements Outcome {}
+    record Unknown(String reason) implements Outcome {}
   }
 
   /** A transaction in the making. */
@@ -111,10 +115,10 @@
 
     /** Applied only if the key has this revision. */
     public Transaction when(String key, long revision) {
-      Map<String, Object> c = new LinkedHashMap<>();
-      c.put("k", key);
-      c.put("stamp", revision);
-      conditions.add(c);
+      Map<String, Object> condition = new LinkedHashMap<>();
+      condition.put("k", key);
+      condition.put("stamp", revision);
+      conditions.add(condition);
       return this;
     }
 
@@ -124,13 +128,13 @@
 
     /** A lease of 0 attaches the key to none. */
     public Transaction put(String key, Map<String, Object> value, long lease) {
-      Map<String, Object> p = new LinkedHashMap<>();
-      p.put("set", key);
-      p.put("data", value);
+      Map<String, Object> change = new LinkedHashMap<>();
+      change.put("set", key);
+      change.put("data", value);
       if (lease != 0) {
-        p.put("mooring", lease);
+        change.put("mooring", lease);
       }
-      changes.add(p);
+      changes.add(change);
       return this;
     }
 
@@ -146,28 +150,28 @@
 
   /** Reads a key; its row has no data if there is none. */
   public Entry get(String key) throws IOException {
-    HttpClient.Response a = call("GET", "/store/" + key, null);
-    if (a.status() == 404) {
+    HttpClient.Response response = call("GET", "/store/" + key, null);
+    if (response.status() == 404) {
       return new Entry(key, null, 0);
     }
     try {
-      Map<String, Object> m = Json.object(expect(a));
-      return new Entry(key, Json.object(m.get("data"), "data"), Json.whole(m, "stamp"));
+      Map<String, Object> fields = Json.object(requireOk(response));
+      return new Entry(key, Json.object(fields.get("data"), "data"), Json.integer(fields, "stamp"));
     } catch (Json.JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
   }
 
   /** The revision of the key if it hangs on this lease; 0 if it is not there, or does not. */
-  public long revisionOn(long lease, String key) throws IOException {
-    HttpClient.Response a = call(RateLimiter.Urgency.VITAL, "GET", "/store/" + key, null);
-    if (a.status() == 404) {
+  public long revisionOnLease(long lease, String key) throws IOException {
+    HttpClient.Response response = call(RateLimiter.Urgency.LEASE, "GET", "/store/" + key, null);
+    if (response.status() == 404) {
       return 0;
     }
     try {
-      Map<String, Object> m = Json.object(expect(a));
-      boolean on = m.get("mooring") != null && Json.whole(m, "mooring") == lease;
-      return on ? Json.whole(m, "stamp") : 0;
+      Map<String, Object> fields = Json.object(requireOk(response));
+      boolean attached = fields.get("mooring") != null && Json.integer(fields, "mooring") == lease;
+      return attached ? Json.integer(fields, "stamp") : 0;
     } catch (Json.JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
@@ -175,20 +179,22 @@
 
   /** One page of the rows below a prefix, after a key or from the first. */
   public Page list(String prefix, String after) throws IOException {
-    String path = "/store?starts=" + prefix + "&limit=" + Constants.LIST_ROWS;
+    String path = "/store?starts=" + prefix + "&limit=" + Constants.MAX_LIST_ROWS;
     if (after != null) {
       path += "&from=" + after;
     }
     try {
-      Map<String, Object> m = Json.object(expect(call("GET", path, null)));
-      List<Entry> rows = new ArrayList<>();
-      for (Object o : Json.list(m, "rows")) {
-        Map<String, Object> r = Json.object(o, "row");
-        rows.add(
+      Map<String, Object> body = Json.object(requireOk(call("GET", path, null)));
+      List<Entry> entries = new ArrayList<>();
+      for (Object row : Json.list(body, "rows")) {
+        Map<String, Object> fields = Json.object(row, "row");
+        entries.add(
             new Entry(
-                Json.text(r, "k"), Json.object(r.get("data"), "data"), Json.whole(r, "stamp")));
+                Json.string(fields, "k"),
+                Json.object(fields.get("data"), "data"),
+                Json.integer(fields, "stamp")));
       }
-      return new Page(rows, Json.flagOr(m, "more", false), Json.whole(m, "epoch"));
+      return new Page(entries, Json.boolOr(body, "more", false), Json.integer(body, "epoch"));
     } catch (Json.JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
@@ -198,69 +204,72 @@
   public WatchResponse watch(String prefix, long after) throws IOException {
     String path =
         "/watch?starts=" + prefix + "&from=" + after + "&block_ms=" + Constants.WATCH_BLOCK_MS;
-    acquire(requests, RateLimiter.Urgency.URGENT);
-    HttpClient.Response a =
-        noted(
-            watching.call(
+    acquire(requests, RateLimiter.Urgency.INTERACTIVE);
+    HttpClient.Response response =
+        recordAnswer(
+            watchHttp.call(
                 "GET", path, null, Constants.WATCH_BLOCK_MS + Constants.STORE_TIMEOUT_MS));
-    standBack(a);
-    if (a.status() == 410) {
+    backOffIfOverLimit(response);
+    if (response.status() == 410) {
       return new WatchResponse(List.of(), after, true);
     }
     try {
-      Map<String, Object> m = Json.object(expect(a));
-      List<Entry> rows = new ArrayList<>();
-      for (Object o : Json.list(m, "news")) {
-        Map<String, Object> r = Json.object(o, "change");
-        String set = Json.textOrNull(r, "set");
-        rows.add(
-            set != null
-                ? new Entry(set, Json.object(r.get("data"), "data"), Json.whole(r, "stamp"))
-                : new Entry(Json.text(r, "remove"), null, Json.whole(r, "stamp")));
+      Map<String, Object> body = Json.object(requireOk(response));
+      List<Entry> entries = new ArrayList<>();
+      for (Object change : Json.list(body, "news")) {
+        Map<String, Object> fields = Json.object(change, "change");
+        String setKey = Json.stringOrNull(fields, "set");
+        entries.add(
+            setKey != null
+                ? new Entry(
+                    setKey, Json.object(fields.get("data"), "data"), Json.integer(fields, "stamp"))
+                : new Entry(Json.string(fields, "remove"), null, Json.integer(fields, "stamp")));
       }
-      return new WatchResponse(rows, Json.whole(m, "epoch"), false);
+      return new WatchResponse(entries, Json.integer(body, "epoch"), false);
     } catch (Json.JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
   }
 
   /** Applies a transaction, if this node's share of the limits allows it within its patience. */
-  public Outcome commit(Transaction txn, RateLimiter.Urgency use, long patienceMs)
+  public Outcome commit(Transaction txn, RateLimiter.Urgency urgency, long timeoutMs)
       throws InterruptedException {
-    long deadline = System.nanoTime() + patienceMs * 1_000_000;
+    long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
     Map<String, Object> body = new LinkedHashMap<>();
     body.put("if", txn.conditions);
     body.put("writes", txn.changes);
     while (true) {
-      long leftMs = (deadline - System.nanoTime()) / 1_000_000;
-      if (!writes.acquire(use, txn.size(), leftMs) || !requests.acquire(use, 1, leftMs)) {
+      long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+      if (!writes.acquire(urgency, txn.size(), remainingMs)
+          || !requests.acquire(urgency, 1, remainingMs)) {
         return new Outcome.Rejected("over this node's share of the limits");
       }
-      Outcome o = once(body);
-      if (!(o instanceof Outcome.Rejected r && r.why().equals(OVER_LIMIT))) {
-        return o;
+      Outcome outcome = sendOnce(body);
+      if (!(outcome instanceof Outcome.Rejected rejected
+          && rejected.reason().equals(OVER_LIMIT_REASON))) {
+        return outcome;
       }
-      writes.exhausted(); // the nodes' shares were spent at once: this one stands back
+      writes.drain(); // the nodes' shares were spent at once: this one stands back
     }
   }
 
-  private Outcome once(Map<String, Object> body) {
+  private Outcome sendOnce(Map<String, Object> body) {
     try {
-      HttpClient.Response a =
-          noted(http.call("POST", "/multi", Json.bytes(body), Constants.STORE_TIMEOUT_MS));
-      switch (a.status()) {
+      HttpClient.Response response =
+          recordAnswer(http.call("POST", "/multi", Json.bytes(body), Constants.STORE_TIMEOUT_MS));
+      switch (response.status()) {
         case 200 -> {
-          return new Outcome.Committed(Json.whole(Json.object(a.body()), "epoch"));
+          return new Outcome.Committed(Json.integer(Json.object(response.body()), "epoch"));
         }
         case 409 -> {
           Set<String> failed = new TreeSet<>();
-          for (Object k : Json.list(Json.object(a.body()), "failed")) {
-            failed.add(String.valueOf(k));
+          for (Object key : Json.list(Json.object(response.body()), "failed")) {
+            failed.add(String.valueOf(key));
           }
           return new Outcome.ConditionFailed(failed);
         }
         default -> {
-          return new Outcome.Rejected("status " + a.status());
+          return new Outcome.Rejected("status " + response.status());
         }
       }
     } catch (HttpClient.RequestNotSentException e) {
@@ -274,8 +283,8 @@
   public long grant(long ttlMs) throws IOException {
     try {
       byte[] body = Json.bytes(Map.of("life_ms", ttlMs));
-      HttpClient.Response a = call(RateLimiter.Urgency.VITAL, "POST", "/grants", body);
-      return Json.whole(Json.object(expect(a)), "mooring");
+      HttpClient.Response response = call(RateLimiter.Urgency.LEASE, "POST", "/grants", body);
+      return Json.integer(Json.object(requireOk(response)), "mooring");
     } catch (Json.JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
@@ -284,47 +293,52 @@
   /** False if the lease is over. */
   public boolean renew(long lease) throws IOException {
     String path = "/grants/" + lease + "/renew";
-    HttpClient.Response a =
-        call(RateLimiter.Urgency.VITAL, "POST", path, new byte[0], Constants.LEASE_TIMEOUT_MS);
-    if (a.status() == 404) {
+    HttpClient.Response response =
+        call(
+            RateLimiter.Urgency.LEASE,
+            "POST",
+            path,
+            new byte[0],
+            Constants.LEADER_LEASE_RENEW_TIMEOUT_MS);
+    if (response.status() == 404) {
       return false;
     }
-    expect(a);
+    requireOk(response);
     return true;
   }
 
   public void revoke(long lease) throws IOException {
-    expect(call(RateLimiter.Urgency.VITAL, "DELETE", "/grants/" + lease, null));
+    requireOk(call(RateLimiter.Urgency.LEASE, "DELETE", "/grants/" + lease, null));
   }
 
   private HttpClient.Response call(String method, String path, byte[] body) throws IOException {
-    return call(RateLimiter.Urgency.URGENT, method, path, body);
+    return call(RateLimiter.Urgency.INTERACTIVE, method, path, body);
   }
 
-  private HttpClient.Response call(RateLimiter.Urgency use, String method, String path, byte[] body)
-      throws IOException {
-    return call(use, method, path, body, Constants.STORE_TIMEOUT_MS);
+  private HttpClient.Response call(
+      RateLimiter.Urgency urgency, String method, String path, byte[] body) throws IOException {
+    return call(urgency, method, path, body, Constants.STORE_TIMEOUT_MS);
   }
 
   private HttpClient.Response call(
-      RateLimiter.Urgency use, String method, String path, byte[] body, int timeoutMs)
+      RateLimiter.Urgency urgency, String method, String path, byte[] body, int timeoutMs)
       throws IOException {
-    acquire(requests, use);
-    HttpClient.Response a = noted(http.call(method, path, body, timeoutMs));
-    standBack(a);
-    return a;
+    acquire(requests, urgency);
+    HttpClient.Response response = recordAnswer(http.call(method, path, body, timeoutMs));
+    backOffIfOverLimit(response);
+    return response;
   }
 
   /** The nodes' shares were spent at once: this one waits a little before its next request. */
-  private void standBack(HttpClient.Response a) {
-    if (a.status() == OVER_LIMIT_STATUS) {
-      requests.exhausted();
+  private void backOffIfOverLimit(HttpClient.Response response) {
+    if (response.status() == OVER_LIMIT_STATUS) {
+      requests.drain();
     }
   }
 
-  private static void acquire(RateLimiter budget, RateLimiter.Urgency use) throws IOException {
+  private static void acquire(RateLimiter limiter, RateLimiter.Urgency urgency) throws IOException {
     try {
-      if (!budget.acquire(use, 1, Constants.STORE_TIMEOUT_MS)) {
+      if (!limiter.acquire(urgency, 1, Constants.STORE_TIMEOUT_MS)) {
         throw new StoreException("over this node's share of the limits");
       }
     } catch (InterruptedException e) {
@@ -333,10 +347,10 @@
     }
   }
 
-  private static byte[] expect(HttpClient.Response a) throws StoreException {
-    if (a.status() != 200) {
-      throw new StoreException("status " + a.status());
+  private static byte[] requireOk(HttpClient.Response response) throws StoreException {
+    if (response.status() != 200) {
+      throw new StoreException("status " + response.status());
     }
-    return a.body();
+    return response.body();
   }
 }
--- a/src/main/java/org/astershift/store/WatchCache.java
+++ b/src/main/java/org/astershift/store/WatchCache.java
@@ -18,124 +18,125 @@
 public class WatchCache {
   private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
   private final StoreClient store;
-  private final TreeMap<String, StoreClient.Entry> rows = new TreeMap<>();
+  private final TreeMap<String, StoreClient.Entry> entries = new TreeMap<>();
   private long revision = -1;
   private Listener listener = changes -> {};
 
   /** Told of changes, in order, by the thread that applies them. */
   public interface Listener {
-    void changed(List<StoreClient.Entry> changes);
+    void onChanges(List<StoreClient.Entry> changes);
   }
 
   public WatchCache(StoreClient store) {
     this.store = store;
   }
 
-  public void start(Listener l) {
-    this.listener = l;
-    Threads.startLoop("mirror", this::loop);
+  public void start(Listener listener) {
+    this.listener = listener;
+    Threads.startLoop("mirror", this::watchLoop);
   }
 
   public synchronized boolean loaded() {
     return revision >= 0;
   }
 
-  public synchronized StoreClient.Entry row(String key) {
-    return rows.get(key);
+  public synchronized StoreClient.Entry get(String key) {
+    return entries.get(key);
   }
 
-  public synchronized List<StoreClient.Entry> below(String prefix) {
-    return new ArrayList<>(rows.subMap(prefix, prefix + Character.MAX_VALUE).values());
+  public synchronized List<StoreClient.Entry> entriesWithPrefix(String prefix) {
+    return new ArrayList<>(entries.subMap(prefix, prefix + Character.MAX_VALUE).values());
   }
 
   /** Waits until changes up to this revision are in. */
-  public synchronized boolean reach(long wanted, long timeoutMs) throws InterruptedException {
-    long deadline = System.nanoTime() + timeoutMs * 1_000_000;
-    while (revision < wanted) {
-      long left = (deadline - System.nanoTime()) / 1_000_000;
-      if (left <= 0) {
+  public synchronized boolean awaitRevision(long targetRevision, long timeoutMs)
+      throws InterruptedException {
+    long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
+    while (revision < targetRevision) {
+      long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+      if (remainingMs <= 0) {
         return false;
       }
-      wait(left);
+      wait(remainingMs);
     }
     return true;
   }
 
-  private void loop() throws InterruptedException {
+  private void watchLoop() throws InterruptedException {
     while (true) {
       try {
         if (!loaded()) {
-          load();
+          reload();
         }
-        StoreClient.WatchResponse c = store.watch(RecordCodec.LIVE, revision);
-        if (c.tooOld()) {
+        StoreClient.WatchResponse response = store.watch(RecordCodec.LIVE, revision);
+        if (response.compacted()) {
           LOG.info("the watch fell too far behind: reading everything again");
-          load();
-        } else if (c.revision() > revision) {
-          apply(c.rows(), c.revision());
+          reload();
+        } else if (response.revision() > revision) {
+          apply(response.entries(), response.revision());
           // Each answer to a watch costs a request: changes close together come in one.
           Thread.sleep(Constants.WATCH_GAP_MS);
         }
       } catch (IOException | RuntimeException e) {
         LOG.debug("mirror: {}", e.toString());
-        Threads.pause();
+        Threads.backOff();
       }
     }
   }
 
   /** Reads all pages. Later pages may be newer than the first: the watch goes on from the first. */
-  private void load() throws IOException {
-    Map<String, StoreClient.Entry> all = new HashMap<>();
-    long first = -1;
+  private void reload() throws IOException {
+    Map<String, StoreClient.Entry> latest = new HashMap<>();
+    long firstRevision = -1;
     String after = null;
     boolean more = true;
     while (more) {
       StoreClient.Page page = store.list(RecordCodec.LIVE, after);
-      first = first < 0 ? page.revision() : first;
-      for (StoreClient.Entry r : page.rows()) {
-        all.put(r.key(), r);
-        after = r.key();
+      firstRevision = firstRevision < 0 ? page.revision() : firstRevision;
+      for (StoreClient.Entry entry : page.entries()) {
+        latest.put(entry.key(), entry);
+        after = entry.key();
       }
-      more = page.more() && !page.rows().isEmpty();
+      more = page.hasMore() && !page.entries().isEmpty();
     }
     List<StoreClient.Entry> changes = new ArrayList<>();
     synchronized (this) {
-      for (StoreClient.Entry old : rows.values()) {
-        if (!all.containsKey(old.key())) {
-          changes.add(new StoreClient.Entry(old.key(), null, first));
+      for (StoreClient.Entry previous : entries.values()) {
+        if (!latest.containsKey(previous.key())) {
+          changes.add(new StoreClient.Entry(previous.key(), null, firstRevision));
         }
       }
-      for (StoreClient.Entry r : all.values()) {
-        StoreClient.Entry old = rows.get(r.key());
-        if (old == null || old.revision() != r.revision()) {
-          changes.add(r);
+      for (StoreClient.Entry entry : latest.values()) {
+        StoreClient.Entry previous = entries.get(entry.key());
+        if (previous == null || previous.revision() != entry.revision()) {
+          changes.add(entry);
         }
       }
-      rows.clear();
-      rows.putAll(all);
-      revision = first;
+      entries.clear();
+      entries.putAll(latest);
+      revision = firstRevision;
       notifyAll();
     }
-    LOG.info("read {} records at revision {}", all.size(), first);
-    listener.changed(changes);
+    LOG.info("read {} records at revision {}", latest.size(), firstRevision);
+    listener.onChanges(changes);
   }
 
-  private void apply(List<StoreClient.Entry> changes, long upTo) {
+  private void apply(List<StoreClient.Entry> changes, long newRevision) {
     synchronized (this) {
-      for (StoreClient.Entry c : changes) {
-        StoreClient.Entry old = rows.get(c.key());
-        if (old != null && old.revision() > c.revision()) {
+      for (StoreClient.Entry change : changes) {
+        StoreClient.Entry previous = entries.get(change.key());
+        if (previous != null && previous.revision() > change.revision()) {
           continue;
         }
-        if (c.data() == null) {
-          rows.remove(c.key());
+        if (change.data() == null) {
+          entries.remove(change.key());
         } else {
-          rows.put(c.key(), c);
+          entries.put(change.key(), change);
         }
       }
-      revision = upTo;
+      revision = newRevision;
       notifyAll();
     }
-    listener.changed(changes);
+    listener.onChanges(changes);
   }
 }
--- a/src/main/java/org/astershift/worker/CommandSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -17,7 +17,7 @@
 public final class CommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
 
-  private static final int MOST_PORT = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   /** The clients used last keep their connections; the others' sockets are for incoming ones. */
   private final Map<String, HttpClient> clients =
@@ -26,80 +26,89 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, HttpClient> eldest) {
-          boolean over = size() > Constants.KEPT_WORKERS;
-          if (over) {
+          boolean overLimit = size() > Constants.KEPT_WORKER_CONNECTIONS;
+          if (overLimit) {
             eldest.getValue().close();
           }
-          return over;
+          return overLimit;
         }
       };
 
-  /** What came of an order. {@code unknown}: it may have been executed, or may be later. */
-  public record Result(boolean unknown, Heartbeat report) {}
+  /** What came of an order. {@code outcomeUnknown}: it may have been executed, or may be later. */
+  public record Result(boolean outcomeUnknown, Heartbeat heartbeat) {}
 
   /** Whether the worker answers a question that needs no token and changes nothing. */
-  public boolean answers(String addr, int timeoutMs) {
-    int colon = port(addr);
-    if (colon < 0) {
+  public boolean isReachable(String address, int timeoutMs) {
+    int separator = portSeparator(address);
+    if (separator < 0) {
       return false;
     }
     try {
-      return client(addr, colon).call("GET", "/show", null, timeoutMs).status() == 200;
+      return client(address, separator).call("GET", "/show", null, timeoutMs).status() == 200;
     } catch (IOException e) {
-      LOG.debug("asking {}: {}", addr, e.toString());
+      LOG.debug("asking {}: {}", address, e.toString());
       return false;
     }
   }
 
   /** Where the port begins; -1 if this is no address. */
-  private static int port(String addr) {
-    int colon = addr.lastIndexOf(':');
-    String port = addr.substring(colon + 1);
-    if (colon <= 0 || !port.matches("[0-9]{1,5}") || Integer.parseInt(port) > MOST_PORT) {
-      LOG.info("not a worker's address: {}", addr);
+  private static int portSeparator(String address) {
+    int separator = address.lastIndexOf(':');
+    String port = address.substring(separator + 1);
+    if (separator <= 0 || !port.matches("[0-9]{1,5}") || Integer.parseInt(port) > MAX_PORT) {
+      LOG.info("not a worker's address: {}", address);
       return -1;
     }
-    return colon;
+    return separator;
   }
 
-  /** {@code orders}: those still to be sent once there is a connection; not asked for without. */
+  /** {@code commands}: those still to be sent once there is a connection; not asked for without. */
   public Result send(
-      String addr, long token, long session, Supplier<List<Command>> orders, int timeoutMs) {
-    int colon = port(addr);
-    if (colon < 0) {
+      String address,
+      long fencingToken,
+      long epoch,
+      Supplier<List<Command>> commands,
+      int timeoutMs) {
+    int separator = portSeparator(address);
+    if (separator < 0) {
       return new Result(false, null);
     }
-    HttpClient client = client(addr, colon);
+    HttpClient client = client(address, separator);
     try {
-      HttpClient.Response a =
+      HttpClient.Response response =
           client.callConnected(
-              "POST", "/orders", () -> WorkerCodec.direct(token, session, orders.get()), timeoutMs);
-      if (a.status() != 200 && a.status() != 409) {
-        LOG.info("orders to {} got status {}", addr, a.status());
-        return new Result(a.status() != 400, null);
+              "POST",
+              "/orders",
+              () -> WorkerCodec.directCommands(fencingToken, epoch, commands.get()),
+              timeoutMs);
+      if (response.status() != 200 && response.status() != 409) {
+        LOG.info("orders to {} got status {}", address, response.status());
+        return new Result(response.status() != 400, null);
       }
-      return new Result(false, WorkerCodec.report(a.body()));
+      return new Result(false, WorkerCodec.readHeartbeat(response.body()));
     } catch (HttpClient.RequestNotSentException e) {
-      LOG.debug("orders to {}: {}", addr, e.toString());
+      LOG.debug("orders to {}: {}", address, e.toString());
       return new Result(false, null);
     } catch (IOException | Json.JsonFormatException e) {
-      LOG.info("orders to {} without an answer: {}", addr, e.toString());
+      LOG.info("orders to {} without an answer: {}", address, e.toString());
       return new Result(true, null);
     }
   }
 
-  private HttpClient client(String addr, int colon) {
+  private HttpClient client(String address, int separator) {
     synchronized (clients) {
       return clients.computeIfAbsent(
-          addr,
-          a -> new HttpClient(a.substring(0, colon), Integer.parseInt(a.substring(colon + 1)), 1));
+          address,
+          key ->
+              new HttpClient(
+                  key.substring(0, separator), Integer.parseInt(key.substring(separator + 1)), 1));
     }
   }
 
   /** Forgets the connections to a machine that is gone. */
-  public void forget(String addr) {
+  public void disconnect(String address) {
     synchronized (clients) {
-      HttpClient client = clients.remove(addr);
+      HttpClient client = clients.remove(address);
       if (client != null) {
         client.close();
       }
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -19,164 +19,178 @@
  */
 public final class WorkerCodec {
   private static final JsonFactory JSON = new JsonFactory();
-  private static final int MOST_DIGITS = 9;
+  private static final int MAX_DIGITS = 9;
 
   private WorkerCodec() {}
 
   /** Reads a report; nonsense in it makes the whole report bad, since a part would mislead. */
-  public static Heartbeat report(byte[] text) throws Json.JsonFormatException {
-    try (JsonParser p = JSON.createParser(text)) {
-      if (p.nextToken() != JsonToken.START_OBJECT) {
+  public static Heartbeat readHeartbeat(byte[] text) throws Json.JsonFormatException {
+    try (JsonParser parser = JSON.createParser(text)) {
+      if (parser.nextToken() != JsonToken.START_OBJECT) {
         throw new Json.JsonFormatException("not an object");
       }
-      Draft d = new Draft();
-      while (p.nextToken() == JsonToken.FIELD_NAME) {
-        String field = p.currentName();
-        p.nextToken();
-        d.read(field, p);
+      HeartbeatBuilder builder = new HeartbeatBuilder();
+      while (parser.nextToken() == JsonToken.FIELD_NAME) {
+        String field = parser.currentName();
+        parser.nextToken();
+        builder.read(field, parser);
       }
-      if (p.nextToken() != null) {
+      if (parser.nextToken() != null) {
         throw new Json.JsonFormatException("something follows the object");
       }
-      return d.report();
+      return builder.build();
     } catch (IOException e) {
       throw new Json.JsonFormatException("not JSON");
     }
   }
 
   /** A report as far as it is read. */
-  private static final class Draft {
-    private String machine;
-    private String addr;
-    private String type;
+  private static final class HeartbeatBuilder {
+    private String machineName;
+    private String address;
+    private String typeName;
     private String zone;
     private boolean spot;
-    private long session = -1;
-    private long seq = -1;
-    private long token;
-    private Double noticeS;
+    private long epoch = -1;
+    private long sequence = -1;
+    private long fencingToken;
+    private Double preemptionNoticeS;
     private List<Heartbeat.TaskStatus> tasks = List.of();
 
-    void read(String field, JsonParser p) throws IOException, Json.JsonFormatException {
+    void read(String field, JsonParser parser) throws IOException, Json.JsonFormatException {
       switch (field) {
-        case "vessel" -> machine = text(field, p);
-        case "addr" -> addr = text(field, p);
-        case "hull" -> type = text(field, p);
-        case "harbor" -> zone = text(field, p);
-        case "ebbtide" -> spot = flag(field, p);
-        case "watch" -> session = whole(field, p);
-        case "tick" -> seq = whole(field, p);
-        case "helm" -> token = isNull(p) ? 0 : whole(field, p);
-        case "recall_s" -> noticeS = isNull(p) ? null : number(field, p);
-        case "shards" -> tasks = isNull(p) ? List.of() : tasks(p);
-        default -> p.skipChildren();
+        case "vessel" -> machineName = text(field, parser);
+        case "addr" -> address = text(field, parser);
+        case "hull" -> typeName = text(field, parser);
+        case "harbor" -> zone = text(field, parser);
+        case "ebbtide" -> spot = flag(field, parser);
+        case "watch" -> epoch = wholeNumber(field, parser);
+        case "tick" -> sequence = wholeNumber(field, parser);
+        case "helm" -> fencingToken = isNull(parser) ? 0 : wholeNumber(field, parser);
+        case "recall_s" -> preemptionNoticeS = isNull(parser) ? null : number(field, parser);
+        case "shards" -> tasks = isNull(parser) ? List.of() : tasks(parser);
+        default -> parser.skipChildren();
       }
     }
 
-    Heartbeat report() throws Json.JsonFormatException {
-      if (machine == null || addr == null || type == null || zone == null) {
+    Heartbeat build() throws Json.JsonFormatException {
+      if (machineName == null || address == null || typeName == null || zone == null) {
         throw new Json.JsonFormatException("vessel, addr, hull or harbor is missing");
       }
-      if (session < 0 || seq < 0) {
+      if (epoch < 0 || sequence < 0) {
         throw new Json.JsonFormatException("watch or tick is missing or out of range");
       }
-      return new Heartbeat(machine, addr, type, zone, spot, session, seq, token, noticeS, tasks);
+      return new Heartbeat(
+          machineName,
+          address,
+          typeName,
+          zone,
+          spot,
+          epoch,
+          sequence,
+          fencingToken,
+          preemptionNoticeS,
+          tasks);
     }
   }
 
-  private static List<Heartbeat.TaskStatus> tasks(JsonParser p)
+  private static List<Heartbeat.TaskStatus> tasks(JsonParser parser)
       throws IOException, Json.JsonFormatException {
-    if (p.currentToken() != JsonToken.START_ARRAY) {
+    if (parser.currentToken() != JsonToken.START_ARRAY) {
       throw new Json.JsonFormatException("shards is not a list");
     }
-    List<Heartbeat.TaskStatus> items = new ArrayList<>();
-    while (p.nextToken() != JsonToken.END_ARRAY) {
-      if (p.currentToken() != JsonToken.START_OBJECT) {
+    List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      if (parser.currentToken() != JsonToken.START_OBJECT) {
         throw new Json.JsonFormatException("task is not an object");
       }
-      items.add(task(p));
+      statuses.add(task(parser));
     }
-    return items;
+    return statuses;
   }
 
-  private static Heartbeat.TaskStatus task(JsonParser p)
+  private static Heartbeat.TaskStatus task(JsonParser parser)
       throws IOException, Json.JsonFormatException {
-    String name = null;
-    long attempt = -1;
+    String taskName = null;
+    long attemptNumber = -1;
     Heartbeat.TaskPhase phase = null;
-    String cause = null;
-    while (p.nextToken() == JsonToken.FIELD_NAME) {
-      String field = p.currentName();
-      p.nextToken();
+    String exitReason = null;
+    while (parser.nextToken() == JsonToken.FIELD_NAME) {
+      String field = parser.currentName();
+      parser.nextToken();
       switch (field) {
-        case "shard" -> name = text(field, p);
-        case "launch" -> attempt = whole(field, p);
-        case "phase" -> phase = phase(text(field, p));
-        case "cause" -> cause = isNull(p) ? null : cause(text(field, p));
-        default -> p.skipChildren();
+        case "shard" -> taskName = text(field, parser);
+        case "launch" -> attemptNumber = wholeNumber(field, parser);
+        case "phase" -> phase = phase(text(field, parser));
+        case "cause" -> exitReason = isNull(parser) ? null : exitReason(text(field, parser));
+        default -> parser.skipChildren();
       }
     }
-    if (name == null || attempt < 0 || phase == null) {
+    if (taskName == null || attemptNumber < 0 || phase == null) {
       throw new Json.JsonFormatException("shard, launch or phase is missing or out of range");
     }
-    int slash = name.lastIndexOf('/');
+    int slash = taskName.lastIndexOf('/');
     return new Heartbeat.TaskStatus(
-        name.substring(0, Math.max(slash, 0)), index(name, slash), attempt, phase, cause);
+        taskName.substring(0, Math.max(slash, 0)),
+        index(taskName, slash),
+        attemptNumber,
+        phase,
+        exitReason);
   }
 
-  private static int index(String name, int slash) throws Json.JsonFormatException {
-    int digits = name.length() - slash - 1;
-    if (slash <= 0 || digits < 1 || digits > MOST_DIGITS) {
-      throw new Json.JsonFormatException("not a task: " + name);
+  private static int index(String taskName, int slash) throws Json.JsonFormatException {
+    int digits = taskName.length() - slash - 1;
+    if (slash <= 0 || digits < 1 || digits > MAX_DIGITS) {
+      throw new Json.JsonFormatException("not a task: " + taskName);
     }
-    int n = 0;
-    for (int i = slash + 1; i < name.length(); i++) {
-      char c = name.charAt(i);
-      if (c < '0' || c > '9') {
-        throw new Json.JsonFormatException("not a task: " + name);
+    int value = 0;
+    for (int i = slash + 1; i < taskName.length(); i++) {
+      char digit = taskName.charAt(i);
+      if (digit < '0' || digit > '9') {
+        throw new Json.JsonFormatException("not a task: " + taskName);
       }
-      n = n * 10 + c - '0';
+      value = value * 10 + digit - '0';
     }
-    return n;
+    return value;
   }
 
-  private static boolean isNull(JsonParser p) {
-    return p.currentToken() == JsonToken.VALUE_NULL;
+  private static boolean isNull(JsonParser parser) {
+    return parser.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  private static String text(String field, JsonParser p)
+  private static String text(String field, JsonParser parser)
       throws IOException, Json.JsonFormatException {
-    if (p.currentToken() != JsonToken.VALUE_STRING) {
+    if (parser.currentToken() != JsonToken.VALUE_STRING) {
       throw new Json.JsonFormatException(field + " is not a text");
     }
-    return p.getText();
+    return parser.getText();
   }
 
-  private static long whole(String field, JsonParser p)
+  private static long wholeNumber(String field, JsonParser parser)
       throws IOException, Json.JsonFormatException {
-    if (p.currentToken() != JsonToken.VALUE_NUMBER_INT) {
+    if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT) {
       throw new Json.JsonFormatException(field + " is not a whole number");
     }
-    return p.getLongValue();
+    return parser.getLongValue();
   }
 
-  private static double number(String field, JsonParser p)
+  private static double number(String field, JsonParser parser)
       throws IOException, Json.JsonFormatException {
-    if (!p.currentToken().isNumeric()) {
+    if (!parser.currentToken().isNumeric()) {
       throw new Json.JsonFormatException(field + " is not a number");
     }
-    return p.getDoubleValue();
+    return parser.getDoubleValue();
   }
 
-  private static boolean flag(String field, JsonParser p)
+  private static boolean flag(String field, JsonParser parser)
       throws IOException, Json.JsonFormatException {
-    if (isNull(p)) {
+    if (isNull(parser)) {
       return false;
     }
-    if (!p.currentToken().isBoolean()) {
+    if (!parser.currentToken().isBoolean()) {
       throw new Json.JsonFormatException(field + " is not true or false");
     }
-    return p.getBooleanValue();
+    return parser.getBooleanValue();
   }
 
   private static Heartbeat.TaskPhase phase(String word) throws Json.JsonFormatException {
@@ -190,49 +204,49 @@
     };
   }
 
-  private static String cause(String word) {
+  private static String exitReason(String word) {
     return word.equals("halted") ? "stopped" : word;
   }
 
   /** The answer to a report. */
-  public static byte[] answer(long token, List<Command> orders) {
-    return write(token, -1, orders);
+  public static byte[] heartbeatResponse(long fencingToken, List<Command> commands) {
+    return write(fencingToken, -1, commands);
   }
 
   /** The body of a direct order; it holds for one session of the worker. */
-  public static byte[] direct(long token, long session, List<Command> orders) {
-    return write(token, session, orders);
+  public static byte[] directCommands(long fencingToken, long epoch, List<Command> commands) {
+    return write(fencingToken, epoch, commands);
   }
 
-  private static byte[] write(long token, long session, List<Command> orders) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream(64 + 96 * orders.size());
-    try (JsonGenerator g = JSON.createGenerator(out)) {
-      g.writeStartObject();
-      g.writeNumberField("helm", token);
-      if (session >= 0) {
-        g.writeNumberField("watch", session);
+  private static byte[] write(long fencingToken, long epoch, List<Command> commands) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream(64 + 96 * commands.size());
+    try (JsonGenerator generator = JSON.createGenerator(out)) {
+      generator.writeStartObject();
+      generator.writeNumberField("helm", fencingToken);
+      if (epoch >= 0) {
+        generator.writeNumberField("watch", epoch);
       }
-      g.writeArrayFieldStart("orders");
-      for (Command o : orders) {
-        g.writeStartObject();
-        g.writeStringField("verb", verb(o.op()));
-        g.writeStringField("shard", o.job() + "/" + o.index());
-        g.writeNumberField("launch", o.attempt());
-        if (o.op() == Command.Kind.STOP) {
-          g.writeNumberField("leeway_s", o.graceS());
+      generator.writeArrayFieldStart("orders");
+      for (Command command : commands) {
+        generator.writeStartObject();
+        generator.writeStringField("verb", verb(command.kind()));
+        generator.writeStringField("shard", command.jobId() + "/" + command.index());
+        generator.writeNumberField("launch", command.attemptNumber());
+        if (command.kind() == Command.Kind.STOP) {
+          generator.writeNumberField("leeway_s", command.graceS());
         }
-        g.writeEndObject();
+        generator.writeEndObject();
       }
-      g.writeEndArray();
-      g.writeEndObject();
+      generator.writeEndArray();
+      generator.writeEndObject();
     } catch (IOException e) {
       throw new UncheckedIOException(e); // memory does not fail
     }
     return out.toByteArray();
   }
 
-  private static String verb(Command.Kind op) {
-    return switch (op) {
+  private static String verb(Command.Kind kind) {
+    return switch (kind) {
       case START -> "run";
       case STOP -> "stop";
       case FORGET -> "clear";
--- a/src/test/java/org/astershift/ConcurrentUsers.java
+++ b/src/test/java/org/astershift/ConcurrentUsers.java
@@ -287,7 +287,7 @@
       return Known.NOTHING;
     }
     try {
-      return switch (Json.text(Json.object(a.body()), "phase")) {
+      return switch (Json.string(Json.object(a.body()), "phase")) {
         case "done" -> Known.DONE;
         case "withdrawn" -> Known.CANCELLED;
         default -> Known.ACCEPTED;
--- a/src/test/java/org/astershift/EventDigest.java
+++ b/src/test/java/org/astershift/EventDigest.java
@@ -76,26 +76,26 @@
 
   private void decision(Decision decision) {
     if (decision instanceof Decision.OpenJob d) {
-      number(1).text(d.job()).texts(d.where());
+      number(1).text(d.jobId()).texts(d.replicaMachineNames());
     } else if (decision instanceof Decision.PersistPlacement d) {
-      number(2).text(d.job()).texts(d.where());
+      number(2).text(d.jobId()).texts(d.replicaMachineNames());
     } else if (decision instanceof Decision.SendCommands d) {
-      number(3).text(d.machine()).text(d.addr()).number(d.session()).number(d.timeoutMs());
-      number(d.orders().size());
-      d.orders().forEach(this::order);
+      number(3).text(d.machineName()).text(d.address()).number(d.epoch()).number(d.timeoutMs());
+      number(d.commands().size());
+      d.commands().forEach(this::order);
     } else if (decision instanceof Decision.FinishJob d) {
-      number(4).text(d.job());
+      number(4).text(d.jobId());
     } else if (decision instanceof Decision.ProvisionMachines d) {
-      number(5).text(d.type()).text(d.zone()).flag(d.spot()).number(d.count());
+      number(5).text(d.typeName()).text(d.zone()).flag(d.spot()).number(d.count());
     } else if (decision instanceof Decision.ReleaseMachines d) {
-      number(6).texts(d.machines()).flag(d.silent());
+      number(6).texts(d.machineNames()).flag(d.silent());
     } else if (decision instanceof Decision.RegisterMachine d) {
-      number(7).text(d.machine()).text(d.addr()).text(d.type()).text(d.zone());
-      flag(d.spot()).flag(d.fresh());
+      number(7).text(d.machineName()).text(d.address()).text(d.typeName()).text(d.zone());
+      flag(d.spot()).flag(d.newlyProvisioned());
     } else if (decision instanceof Decision.DeregisterMachine d) {
-      number(8).text(d.machine()).text(d.addr());
+      number(8).text(d.machineName()).text(d.address());
     } else if (decision instanceof Decision.ProbeThroughPeers d) {
-      number(9).number(d.askedMs()).named(d.suspects()).named(d.controls());
+      number(9).number(d.probedMs()).named(d.suspects()).named(d.controls());
     } else {
       throw new IllegalArgumentException("a decision without a code: " + decision);
     }
@@ -103,7 +103,7 @@
 
   private EventDigest named(List<Decision.MachineAddress> machines) {
     number(machines.size());
-    machines.forEach(machine -> text(machine.machine()).text(machine.addr()));
+    machines.forEach(machine -> text(machine.machineName()).text(machine.address()));
     return this;
   }
 
@@ -141,7 +141,10 @@
   }
 
   private void order(Command order) {
-    number(code(order.op())).text(order.job()).number(order.index()).number(order.attempt());
+    number(code(order.kind()))
+        .text(order.jobId())
+        .number(order.index())
+        .number(order.attemptNumber());
     number(Double.doubleToLongBits(order.graceS()));
   }
 
--- a/src/test/java/org/astershift/api/ConcurrencyGateTest.java
+++ b/src/test/java/org/astershift/api/ConcurrencyGateTest.java
@@ -12,12 +12,12 @@
   @Test
   void whoWaitedTooLongGetsNoTurn() throws Exception {
     ConcurrencyGate turns = new ConcurrencyGate(2, 1);
-    assertTrue(turns.take());
-    assertTrue(turns.take());
-    assertFalse(turns.take(), "two are at work");
-    turns.done();
-    assertTrue(turns.take(), "the one that gave up holds no turn");
-    turns.done();
-    turns.done();
+    assertTrue(turns.tryEnter());
+    assertTrue(turns.tryEnter());
+    assertFalse(turns.tryEnter(), "two are at work");
+    turns.leave();
+    assertTrue(turns.tryEnter(), "the one that gave up holds no turn");
+    turns.leave();
+    turns.leave();
   }
 }
--- a/src/test/java/org/astershift/api/JobCodecTest.java
+++ b/src/test/java/org/astershift/api/JobCodecTest.java
@@ -21,7 +21,7 @@
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
   private static JobSpec read(String text) throws Json.JsonFormatException {
-    return JobCodec.spec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
+    return JobCodec.decodeSpec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -281,7 +281,7 @@
             "set",
             RecordCodec.JOB + id,
             "data",
-            RecordCodec.job(new RecordCodec.JobRecord(spec, System.currentTimeMillis())));
+            RecordCodec.encodeJob(new RecordCodec.JobRecord(spec, System.currentTimeMillis())));
     try (HttpClient client = new HttpClient("127.0.0.1", store.port(), 1)) {
       byte[] body = Json.bytes(Map.of("writes", List.of(row)));
       assertEquals(200, client.call("POST", "/multi", body, 5000).status());
--- a/src/test/java/org/astershift/controller/CompletionQueueTest.java
+++ b/src/test/java/org/astershift/controller/CompletionQueueTest.java
@@ -13,10 +13,10 @@
     for (String job : List.of("a", "b", "c", "d", "e")) {
       ends.add(job);
     }
-    assertEquals(List.of("a", "b", "c", "d"), ends.next(4));
-    assertEquals(List.of("e"), ends.next(4));
+    assertEquals(List.of("a", "b", "c", "d"), ends.takeBatch(4));
+    assertEquals(List.of("e"), ends.takeBatch(4));
     ends.add("f");
-    ends.end();
-    assertEquals(List.of(), ends.next(4), "a term that is over ends nothing");
+    ends.close();
+    assertEquals(List.of(), ends.takeBatch(4), "a term that is over ends nothing");
   }
 }
--- a/src/test/java/org/astershift/controller/FailoverFencingTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -24,7 +24,7 @@
   private static final String VM = "vm-000007";
 
   private static Object machine(String name, boolean fresh) {
-    return RecordCodec.machine(
+    return RecordCodec.encodeMachine(
         new Decision.RegisterMachine(name, "127.0.0.1:1", "small", "a", false, fresh));
   }
 
@@ -35,17 +35,18 @@
     done.set(0);
     // Of two tasks one is left: of a job that is complete nothing is told from memory any more.
     StoreClient.Transaction notes = new StoreClient.Transaction().put(LIVE, record(job(2)));
-    notes.put(RecordCodec.NOTES + "o0", Map.of(ID, RecordCodec.opened(List.of())));
-    notes.put(RecordCodec.NOTES + "m0", Map.of(VM, machine(VM, false)));
+    notes.put(RecordCodec.PAGES + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of())));
+    notes.put(RecordCodec.PAGES + "m0", Map.of(VM, machine(VM, false)));
     notes.put(
-        RecordCodec.NOTES + "p0",
-        Map.of(RecordCodec.progress(ID, 0), RecordCodec.segment(done, 0)));
+        RecordCodec.PAGES + "p0",
+        Map.of(RecordCodec.progressKey(ID, 0), RecordCodec.segment(done, 0)));
     write(notes);
     node.start();
     LeaderTerm term = node.leads();
-    assertEquals(1, term.told(ID).done());
+    assertEquals(1, term.progressIfCurrent(ID).doneTasks());
     synchronized (term) {
-      assertFalse(term.scheduler.cancelKeepable(ID), "a machine that may hold it is unheard");
+      assertFalse(
+          term.scheduler.canConfirmCancellation(ID), "a machine that may hold it is unheard");
     }
   }
 
@@ -58,10 +59,10 @@
           if (prefix.equals(RecordCodec.JOB) && once.compareAndSet(false, true)) {
             try {
               write(new StoreClient.Transaction().put(LIVE, record()));
-              Await.until("the job", () -> node.mirror.row(LIVE) != null);
+              Await.until("the job", () -> node.mirror.get(LIVE) != null);
               // The next news is applied after the listeners were told of this.
               write(new StoreClient.Transaction().put(RecordCodec.LIVE + "x", Map.of()));
-              Await.until("the next news", () -> node.mirror.row(RecordCodec.LIVE + "x") != null);
+              Await.until("the next news", () -> node.mirror.get(RecordCodec.LIVE + "x") != null);
             } catch (Exception e) {
               throw new IllegalStateException(e);
             }
@@ -70,7 +71,7 @@
     node.start();
     LeaderTerm term = node.leads();
     assertTrue(once.get());
-    Await.until("the job to be kept", () -> term.keeps(ID));
+    Await.until("the job to be kept", () -> term.manages(ID));
   }
 
   /** It is told of a later leader while it still takes in what there is. */
@@ -81,20 +82,20 @@
     node.loaded =
         prefix -> {
           if (prefix.equals(RecordCodec.JOB) && overToken.get() == 0) {
-            overToken.set(node.mirror.row(RecordCodec.LEADER).revision());
-            node.director.leaderTold(Long.MAX_VALUE);
+            overToken.set(node.mirror.get(RecordCodec.LEADER).revision());
+            node.director.onLeaderObserved(Long.MAX_VALUE);
           }
         };
     node.start();
-    Await.until("a term", () -> node.director.term() != null);
+    Await.until("a term", () -> node.director.currentTerm() != null);
     assertNotEquals(0, overToken.get());
-    assertTrue(node.director.term().token > overToken.get(), "the one that was over leads");
+    assertTrue(node.director.currentTerm().token > overToken.get(), "the one that was over leads");
   }
 
   /** Its own key, left by the process before it, is removed; one that is not the same stays. */
   @Test
   void onlyThePredecessorsKeyIsRemoved() throws Exception {
-    write(new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.leader("one")));
+    write(new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.encodeLeader("one")));
     AtomicBoolean once = new AtomicBoolean();
     AtomicBoolean answered = new AtomicBoolean();
     door.watched(
@@ -177,13 +178,13 @@
     Await.until(
         "it to give up or to lead",
         () -> {
-          early[0] = node.director.term();
+          early[0] = node.director.currentTerm();
           return early[0] != null || read(RecordCodec.LEADER).data() == null;
         });
     assertEquals(null, early[0], "it leads and has not read the jobs");
     hangs.set(false);
     assertTrue(node.leads().token > won.get());
-    assertTrue(node.director.term().keeps(ID));
+    assertTrue(node.director.currentTerm().manages(ID));
   }
 
   /** Only what is on record is rented, so that a successor asks for it under the same name. */
@@ -193,7 +194,7 @@
     AtomicBoolean refuses = new AtomicBoolean(true);
     door.watched(
         (r, done) -> {
-          if (!done && says(r, "\"" + RecordCodec.NOTES + "i") && refuses.get()) {
+          if (!done && says(r, "\"" + RecordCodec.PAGES + "i") && refuses.get()) {
             tries.incrementAndGet();
             throw new IllegalStateException("refused");
           }
@@ -212,18 +213,19 @@
   void aMachineThatWasNotedBeforeItsRentalWasAnsweredIsNotFresh() throws Exception {
     node.start();
     LeaderTerm term = node.leads();
-    cloud.rented(m -> term.notes.put(LeaderRecords.RecordKind.MACHINE, m, machine(m, false), 0));
+    cloud.rented(m -> term.records.put(LeaderRecords.RecordKind.MACHINE, m, machine(m, false), 0));
     accept();
     Await.until(
         "the rental to be settled",
         () -> {
           boolean rented = !cloud.everRented().isEmpty();
-          return rented && term.notes.entries(LeaderRecords.RecordKind.RENTAL).isEmpty();
+          return rented && term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty();
         });
-    Map<String, Object> machines = term.notes.entries(LeaderRecords.RecordKind.MACHINE);
+    Map<String, Object> machines = term.records.entries(LeaderRecords.RecordKind.MACHINE);
     assertFalse(machines.isEmpty());
     for (Map.Entry<String, Object> m : machines.entrySet()) {
-      assertFalse(RecordCodec.machine(m.getKey(), m.getValue()).fresh(), m.getKey());
+      assertFalse(
+          RecordCodec.decodeMachine(m.getKey(), m.getValue()).newlyProvisioned(), m.getKey());
     }
   }
 }
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -49,16 +49,16 @@
     node.start();
     LeaderTerm term = node.leads();
     accept();
-    assertNotNull(term.told(ID));
+    assertNotNull(term.progressIfCurrent(ID));
     assertEquals("queued", node.desk.poll(ID, false).phase());
     door.refuse(true);
     service.leasesEndLate(0);
-    Await.until("the lease to be over", () -> !node.director.valid(term));
+    Await.until("the lease to be over", () -> !node.director.leaseCertain(term));
     Await.until("its key to be gone", () -> read(RecordCodec.LEADER).data() == null);
     anotherLeads();
     endElsewhere(true);
-    assertSame(term, node.director.term(), "it still leads, as far as it knows");
-    assertNotNull(term.told(ID), "and has the job in memory");
+    assertSame(term, node.director.currentTerm(), "it still leads, as far as it knows");
+    assertNotNull(term.progressIfCurrent(ID), "and has the job in memory");
     assertEquals(503, node.desk.poll(ID, true).status());
     AtomicInteger promises = new AtomicInteger();
     door.watched((r, done) -> promises.addAndGet(says(r, OVER) ? 1 : 0));
@@ -133,7 +133,7 @@
     assertEquals(503, node.desk.cancel(ID, true).status());
     assertNull(read(OVER).data());
     assertNotNull(read(LIVE).data());
-    Await.until("the term to be over", () -> term.over() && node.director.term() == null);
+    Await.until("the term to be over", () -> term.ended() && node.director.currentTerm() == null);
   }
 
   /** The same for notes: those of an earlier leader do not replace a later one's. */
@@ -150,10 +150,10 @@
           }
           answered.addAndGet(done && says(r, "late-note") ? 1 : 0);
         });
-    term.notes.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
     Await.until("the late note to be decided on", () -> answered.get() > 0);
-    assertFalse(service.has(RecordCodec.NOTES + "o0"));
-    Await.until("the term to be over", term::over);
+    assertFalse(service.has(RecordCodec.PAGES + "o0"));
+    Await.until("the term to be over", term::ended);
   }
 
   /**
@@ -164,12 +164,12 @@
   void aPageOfNotesIsWrittenFromTheRevisionThatItHas() throws Exception {
     node.start();
     LeaderTerm term = node.leads();
-    String page = RecordCodec.NOTES + "o0";
+    String page = RecordCodec.PAGES + "o0";
     service.loseAnswers(1);
-    term.notes.put(LeaderRecords.RecordKind.OPENED, "first", true, 0);
-    Await.until("a note without an answer", () -> service.lost(RecordCodec.NOTES) > 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED, "first", true, 0);
+    Await.until("a note without an answer", () -> service.lost(RecordCodec.PAGES) > 0);
     service.loseAnswers(0);
-    term.notes.put(LeaderRecords.RecordKind.OPENED, "second", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED, "second", true, 0);
     Await.until("both notes", () -> notes(page) == 2);
     long revision = read(page).revision();
     List<String> conditions = new ArrayList<>();
@@ -179,7 +179,7 @@
             conditions.add(new String(r.body(), StandardCharsets.UTF_8));
           }
         });
-    term.notes.put(LeaderRecords.RecordKind.OPENED, "third", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED, "third", true, 0);
     Await.until("the third note", () -> notes(page) == 3);
     assertTrue(conditions.get(0).contains("{\"k\":\"" + page + "\",\"stamp\":" + revision + "}"));
   }
@@ -194,20 +194,21 @@
   void otherTermsDoNotTouchThisOne() throws Exception {
     node.start();
     LeaderTerm term = node.leads();
-    node.director.end(term.token - 1, "told late");
-    assertSame(term, node.director.term());
-    assertFalse(term.over());
-    node.director.begin(term.token + 1);
-    assertSame(term, node.director.term(), "a term that is not won does not begin");
+    node.director.onTermEnd(term.token - 1, "told late");
+    assertSame(term, node.director.currentTerm());
+    assertFalse(term.ended());
+    node.director.onTermBegin(term.token + 1);
+    assertSame(term, node.director.currentTerm(), "a term that is not won does not begin");
     Heartbeat report =
         new Heartbeat("vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, 0, null, List.of());
-    assertNotNull(node.director.report(report, term.token));
-    assertNull(node.director.report(report, term.token - 1), "its answer would show that token");
-    node.director.handOver(term, "a test");
-    Await.until("the term to be over", term::over);
-    assertNull(node.director.report(report, term.token));
-    node.director.begin(term.token);
-    LeaderTerm next = node.director.term();
+    assertNotNull(node.director.onHeartbeat(report, term.token));
+    assertNull(
+        node.director.onHeartbeat(report, term.token - 1), "its answer would show that token");
+    node.director.transferLeadership(term, "a test");
+    Await.until("the term to be over", term::ended);
+    assertNull(node.director.onHeartbeat(report, term.token));
+    node.director.onTermBegin(term.token);
+    LeaderTerm next = node.director.currentTerm();
     assertTrue(next == null || next.token > term.token, "a term that is over does not begin again");
   }
 
@@ -228,7 +229,7 @@
     Await.until("a claim that came too late to be answered", () -> answered.get() > 0);
     assertEquals("another", read(RecordCodec.LEADER).data().get("node"));
     Await.until("the leader to be known", () -> "another".equals(node.director.otherLeader()));
-    assertNull(node.director.term());
+    assertNull(node.director.currentTerm());
     assertEquals(0, node.director.token());
   }
 
@@ -240,8 +241,8 @@
     Heartbeat later =
         new Heartbeat(
             "vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, term.token + 5, null, List.of());
-    assertNull(node.director.report(later, term.token));
-    assertTrue(term.over());
+    assertNull(node.director.onHeartbeat(later, term.token));
+    assertTrue(term.ended());
   }
 
   /** A cancellation is refused and repeated: its user waits from the first time on. */
@@ -258,18 +259,18 @@
         });
     final long beganMs = LeaderTerm.nowMs();
     assertEquals(503, node.desk.cancel(ID, true).status());
-    assertTrue(term.cancellationTimes().contains(" 0 confirmed; 1 wait, the longest for "));
+    assertTrue(term.cancellationSummary().contains(" 0 confirmed; 1 wait, the longest for "));
     door.watched((r, done) -> {});
     String line;
     synchronized (term) { // or its own summary might tell it first
       assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
-      line = term.cancellationTimes();
+      line = term.cancellationSummary();
     }
     final long tookMs = LeaderTerm.nowMs() - beganMs;
     long saidMs = Long.parseLong(line.replaceAll(".* worst ([0-9]+) ms", "$1"));
     assertTrue(line.contains(" 1 confirmed, median " + saidMs + " ms"), line);
-    assertTrue(saidMs >= Constants.CANCEL_PATIENCE_MS && saidMs <= tookMs, line);
-    assertNull(term.cancellationTimes());
+    assertTrue(saidMs >= Constants.CANCEL_WAIT_MS && saidMs <= tookMs, line);
+    assertNull(term.cancellationSummary());
   }
 
   /** Nothing of a job whose end is on its way in a cancellation is told from memory. */
@@ -287,7 +288,7 @@
         });
     assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
     assertEquals("withdrawn", told[0], "on record, and its writer has no answer yet");
-    assertFalse(term.keeps(ID));
+    assertFalse(term.manages(ID));
   }
 
   /**
@@ -314,17 +315,17 @@
     if (cancelled) {
       assertEquals(503, node.desk.cancel(ID, true).status());
     } else {
-      term.ends.add(ID); // as for a job whose tasks are all done
+      term.completions.add(ID); // as for a job whose tasks are all done
       Await.until("the end on record", over::get);
     }
     long untilNs = System.nanoTime() + LOOK_NS;
     do {
-      assertNull(term.told(ID), "it is over on record");
+      assertNull(term.progressIfCurrent(ID), "it is over on record");
     } while (System.nanoTime() < untilNs);
-    assertTrue(term.keeps(ID), "the leader does not know it");
+    assertTrue(term.manages(ID), "the leader does not know it");
     assertEquals(cancelled ? "withdrawn" : "done", node.desk.poll(ID, true).phase());
-    assertFalse(term.keeps(ID), "what is over on record is laid down");
-    assertNull(term.scheduler.view(ID));
+    assertFalse(term.manages(ID), "what is over on record is laid down");
+    assertNull(term.scheduler.progress(ID));
   }
 
   /** A job that its node learns of by accepting it late, after it was cancelled by that leader. */
@@ -335,9 +336,9 @@
     accept();
     StoreClient.Entry live = read(LIVE);
     assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
-    node.director.learnt(live);
-    node.director.accepted(new RecordCodec.JobRecord(job(), 0), live.revision());
-    assertFalse(term.keeps(ID));
+    node.director.onJobRecord(live);
+    node.director.onJobAccepted(new RecordCodec.JobRecord(job(), 0), live.revision());
+    assertFalse(term.manages(ID));
     assertEquals("withdrawn", node.desk.poll(ID, true).phase());
   }
 
@@ -354,7 +355,7 @@
           }
         });
     assertEquals("done", node.desk.cancel(ID, true).phase());
-    assertFalse(RecordCodec.ended(read(OVER).data()).cancelled());
+    assertFalse(RecordCodec.decodeEnd(read(OVER).data()).cancelled());
   }
 
   /** The same by the answer to a direct order: the machine has seen a later leader. */
@@ -366,7 +367,7 @@
     Await.until("the job to run", () -> started().contains(ID + "/0"));
     cloud.everRented().forEach(w -> w.seenUnsaid(term.token + 1000));
     node.desk.cancel(ID, true); // its stop goes out directly
-    Await.until("the term to be over", term::over);
+    Await.until("the term to be over", term::ended);
   }
 
   /** While the end of a cancelled job is being written, and machines come, it is not started. */
@@ -384,10 +385,10 @@
     write(
         new StoreClient.Transaction()
             .put(LIVE, record())
-            .put(RecordCodec.NOTES + "o0", Map.of(ID, RecordCodec.opened(List.of()))));
+            .put(RecordCodec.PAGES + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of()))));
     node.listens(ports.ports(1).get(0)).start();
     final LeaderTerm term = node.leads();
-    assertTrue(term.keeps(ID));
+    assertTrue(term.manages(ID));
     AtomicInteger ends = new AtomicInteger();
     door.watched(
         (r, done) -> {
@@ -416,7 +417,7 @@
     WorkerEmulator worker = cloud.everRented().get(0);
     Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
     String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
-    node.director.direct(
+    node.director.sendCommands(
         term, new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000));
     assertEquals(List.of(ID + "/0"), started());
   }
@@ -438,14 +439,14 @@
     Decision.SendCommands direct =
         new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000);
     door.refuse(true);
-    Await.until("the lease to be over", () -> !node.director.valid(term));
-    node.director.direct(term, direct);
-    assertTrue(term.keeps(ID), "the job is wanted");
-    assertSame(term, node.director.term(), "and this node leads on, in doubt");
+    Await.until("the lease to be over", () -> !node.director.leaseCertain(term));
+    node.director.sendCommands(term, direct);
+    assertTrue(term.manages(ID), "the job is wanted");
+    assertSame(term, node.director.currentTerm(), "and this node leads on, in doubt");
     assertEquals(List.of(ID + "/0"), started());
     door.refuse(false);
-    Await.until("the lease to be its own again", () -> node.director.valid(term));
-    node.director.direct(term, direct);
+    Await.until("the lease to be its own again", () -> node.director.leaseCertain(term));
+    node.director.sendCommands(term, direct);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
   }
 
@@ -488,7 +489,7 @@
         term, 2); // with the token; the start follows directly, once what it needs is on record
     Await.until(
         "what the start needs to be on record",
-        () -> notes(RecordCodec.NOTES + "o0") == 1 && !fresh(RecordCodec.NOTES + "m0"));
+        () -> notes(RecordCodec.PAGES + "o0") == 1 && !fresh(RecordCodec.PAGES + "m0"));
     long untilNs = System.nanoTime() + LOOK_NS;
     boolean underWay;
     do {
@@ -507,7 +508,7 @@
   private boolean fresh(String page) throws Exception {
     StoreClient.Entry row = read(page);
     for (Map.Entry<String, Object> e : row.data().entrySet()) {
-      if (!RecordCodec.machine(e.getKey(), e.getValue()).fresh()) {
+      if (!RecordCodec.decodeMachine(e.getKey(), e.getValue()).newlyProvisioned()) {
         return false;
       }
     }
@@ -519,7 +520,7 @@
     String machine = cloud.everRented().get(0).name();
     String addr = "127.0.0.1:70000";
     long token = tick > 1 ? term.token : 0;
-    node.director.report(
+    node.director.onHeartbeat(
         new Heartbeat(machine, addr, "small", "a", false, 1, tick, token, null, List.of()),
         term.token);
   }
@@ -530,7 +531,7 @@
   @Test
   void notesAreWrittenWhateverOneOfThemBringsAbout() throws Exception {
     StoreClient.Transaction key =
-        new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.leader("one"));
+        new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.encodeLeader("one"));
     long token = ((Outcome.Committed) write(key)).revision();
     ConcurrentLinkedQueue<String> durable = new ConcurrentLinkedQueue<>();
     LeaderRecords notes =
@@ -546,13 +547,13 @@
             });
     notes.put(LeaderRecords.RecordKind.OPENED, "bad", 1, 0);
     notes.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
-    Thread loop = new Thread(Threads.guarded("notes", () -> notes.loop(null)));
+    Thread loop = new Thread(Threads.logFailures("notes", () -> notes.writeLoop(null)));
     loop.start();
-    Await.until("the first page", () -> notes(RecordCodec.NOTES + "o0") == 2);
+    Await.until("the first page", () -> notes(RecordCodec.PAGES + "o0") == 2);
     notes.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
     Await.until("the later note", () -> durable.contains("later"));
     assertEquals(List.of("beside it", "later"), List.copyOf(durable));
-    notes.end();
+    notes.close();
     loop.join();
   }
 
@@ -569,7 +570,7 @@
     WorkerEmulator worker = cloud.everRented().get(0);
     String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
     synchronized (term) {
-      term.scheduler.cancelWanted(ID);
+      term.scheduler.requestCancellation(ID);
     }
     Command start = new Command(Command.Kind.START, ID, 0, 77, 0);
     Command stop = new Command(Command.Kind.STOP, ID, 0, 77, 0);
@@ -582,12 +583,12 @@
         new Decision.SendCommands(worker.name(), addr, 1, List.of(start), 5000);
     Decision.SendCommands both =
         new Decision.SendCommands(worker.name(), addr, 1, List.of(start, stop), 5000);
-    node.director.direct(term, alone);
+    node.director.sendCommands(term, alone);
     assertEquals(List.of(ID + "/0"), started());
-    node.director.direct(term, both);
+    node.director.sendCommands(term, both);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
     Await.until("it to be cancelled", () -> node.desk.cancel(ID, true).status() == 200);
-    node.director.direct(term, again);
+    node.director.sendCommands(term, again);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
   }
 
--- a/src/test/java/org/astershift/controller/FencingTestCase.java
+++ b/src/test/java/org/astershift/controller/FencingTestCase.java
@@ -76,7 +76,7 @@
   }
 
   static Map<String, Object> record(JobSpec job) {
-    return RecordCodec.job(new RecordCodec.JobRecord(job, System.currentTimeMillis()));
+    return RecordCodec.encodeJob(new RecordCodec.JobRecord(job, System.currentTimeMillis()));
   }
 
   /** A row as it is on record, however busy the machine. */
@@ -96,7 +96,7 @@
   }
 
   Outcome write(StoreClient.Transaction txn) throws InterruptedException {
-    return other.commit(txn, RateLimiter.Urgency.URGENT, 10_000);
+    return other.commit(txn, RateLimiter.Urgency.INTERACTIVE, 10_000);
   }
 
   void accept() throws Exception {
@@ -104,16 +104,16 @@
   }
 
   void endElsewhere(boolean cancelled) throws InterruptedException {
-    RecordCodec.Ended end = new RecordCodec.Ended(cancelled, 1);
+    RecordCodec.JobEnd end = new RecordCodec.JobEnd(cancelled, 1);
     StoreClient.Transaction txn =
-        new StoreClient.Transaction().delete(LIVE).put(OVER, RecordCodec.ended(end));
+        new StoreClient.Transaction().delete(LIVE).put(OVER, RecordCodec.encodeEnd(end));
     assertTrue(write(txn) instanceof Outcome.Committed);
   }
 
   /** Another node is recorded as leader, as it may be as soon as the lease is over. */
   void anotherLeads() throws InterruptedException {
     StoreClient.Transaction txn = new StoreClient.Transaction();
-    txn.delete(RecordCodec.LEADER).put(RecordCodec.LEADER, RecordCodec.leader("another"));
+    txn.delete(RecordCodec.LEADER).put(RecordCodec.LEADER, RecordCodec.encodeLeader("another"));
     assertTrue(write(txn) instanceof Outcome.Committed);
   }
 
--- a/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
+++ b/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
@@ -34,15 +34,16 @@
     Map<String, Entry> out = new LinkedHashMap<>();
     out.put(
         "opened",
-        new Entry(LeaderRecords.RecordKind.OPENED, "wk-1", RecordCodec.opened(List.of())));
+        new Entry(LeaderRecords.RecordKind.OPENED, "wk-1", RecordCodec.encodePlacement(List.of())));
     out.put(
-        "rental", new Entry(LeaderRecords.RecordKind.RENTAL, "as-41-1", RecordCodec.rental(rent)));
+        "rental",
+        new Entry(LeaderRecords.RecordKind.RENTAL, "as-41-1", RecordCodec.encodeRental(rent)));
     out.put(
         "machine",
-        new Entry(LeaderRecords.RecordKind.MACHINE, "m-1", RecordCodec.machine(machine)));
+        new Entry(LeaderRecords.RecordKind.MACHINE, "m-1", RecordCodec.encodeMachine(machine)));
     out.put(
         "progress",
-        new Entry(LeaderRecords.RecordKind.PROGRESS, RecordCodec.progress("wk-1", 2), "AQ=="));
+        new Entry(LeaderRecords.RecordKind.PROGRESS, RecordCodec.progressKey("wk-1", 2), "AQ=="));
     return out;
   }
 
@@ -54,16 +55,16 @@
       LeaderRecords[] notes = new LeaderRecords[1];
       notes[0] =
           new LeaderRecords(
-              TOKEN, store, settings.storeLimits(), (kind, key, value) -> notes[0].end());
+              TOKEN, store, settings.storeLimits(), (kind, key, value) -> notes[0].close());
       if (removed) {
-        String page = RecordCodec.NOTES + e.kind().letter + "0";
+        String page = RecordCodec.PAGES + e.kind().letter + "0";
         notes[0].load(List.of(new StoreClient.Entry(page, Map.of(e.key(), e.value()), 17)));
         notes[0].remove(e.kind(), e.key(), 0);
       } else {
         notes[0].put(e.kind(), e.key(), e.value(), 0);
       }
       recorder.answer(200, "{\"epoch\":50}");
-      notes[0].loop(null); // the term is asked only if another leads
+      notes[0].writeLoop(null); // the term is asked only if another leads
       return recorder.taken();
     }
   }
@@ -88,7 +89,7 @@
         LeaderRecords notes =
             new LeaderRecords(
                 TOKEN, new StoreClient(settings), settings.storeLimits(), (k, y, v) -> {});
-        notes.load(List.of(new StoreClient.Entry(Json.text(set, "set"), data, 50)));
+        notes.load(List.of(new StoreClient.Entry(Json.string(set, "set"), data, 50)));
         for (LeaderRecords.RecordKind kind : LeaderRecords.RecordKind.values()) {
           Map<String, Object> expected =
               kind == entry.kind() ? Map.of(entry.key(), entry.value()) : Map.of();
--- a/src/test/java/org/astershift/controller/LeaderRecordsTest.java
+++ b/src/test/java/org/astershift/controller/LeaderRecordsTest.java
@@ -16,29 +16,30 @@
   void noTransactionIsLargerThanTheStateServiceTakes() {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 10_000; i++) {
-      int[] bytes = random.ints(random.nextInt(1, 200), 0, Constants.PAGE_BYTES + 1).toArray();
+      int[] bytes = random.ints(random.nextInt(1, 200), 0, Constants.MAX_PAGE_BYTES + 1).toArray();
       int most = random.nextInt(2, 1000);
-      int n = LeaderRecords.fitting(bytes, most);
+      int n = LeaderRecords.pagesPerTransaction(bytes, most);
       int sum = Arrays.stream(bytes, 0, n).map(b -> b + Constants.PAGE_FRAME_BYTES).sum();
       assertTrue(n >= 1 && n <= most && sum <= PROTOCOL_BYTES, n + " pages, " + sum + " bytes");
       boolean room = n < Math.min(bytes.length, most);
       int next = room ? bytes[n] + Constants.PAGE_FRAME_BYTES : 0;
       assertTrue(
-          !room || sum + next > Constants.TXN_BYTES, "no more than needed is left for later");
+          !room || sum + next > Constants.MAX_TRANSACTION_BYTES,
+          "no more than needed is left for later");
     }
   }
 
   @Test
   void fullPagesOfALargeFleetNeedSeveralOfThem() {
     int[] full = new int[48];
-    Arrays.fill(full, Constants.PAGE_BYTES);
-    assertEquals(11, LeaderRecords.fitting(full, 48));
-    assertEquals(8, LeaderRecords.fitting(full, 8));
+    Arrays.fill(full, Constants.MAX_PAGE_BYTES);
+    assertEquals(11, LeaderRecords.pagesPerTransaction(full, 48));
+    assertEquals(8, LeaderRecords.pagesPerTransaction(full, 8));
   }
 
   /** One that is larger than all goes alone, and is refused alone. */
   @Test
   void onePageAlwaysGoes() {
-    assertEquals(1, LeaderRecords.fitting(new int[] {10 * PROTOCOL_BYTES, 10}, 8));
+    assertEquals(1, LeaderRecords.pagesPerTransaction(new int[] {10 * PROTOCOL_BYTES, 10}, 8));
   }
 }
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -45,30 +45,31 @@
   @Test
   void nothingIsToldFromMemoryWhileAnEndIsOnItsWay() {
     LeaderTerm term = term();
-    term.add(job(), 6);
-    assertNotNull(term.told("wk-1"));
-    term.ledger().ending("wk-1"); // a try that gets no answer: it may be applied at any time
-    assertNull(term.told("wk-1"));
-    term.ledger().ending("wk-1"); // the next try, which is refused
-    term.ledger().notEnded("wk-1");
-    assertNull(term.told("wk-1"), "the first may still be applied");
-    term.ledger().notEnded("wk-1");
-    assertNotNull(term.told("wk-1"));
-    term.ledger().ending("wk-1");
-    term.ended("wk-1", false);
-    assertNull(term.told("wk-1"));
+    term.addJob(job(), 6);
+    assertNotNull(term.progressIfCurrent("wk-1"));
+    term.termJobs()
+        .onEndWriteStarted("wk-1"); // a try that gets no answer: it may be applied at any time
+    assertNull(term.progressIfCurrent("wk-1"));
+    term.termJobs().onEndWriteStarted("wk-1"); // the next try, which is refused
+    term.termJobs().onEndWriteRejected("wk-1");
+    assertNull(term.progressIfCurrent("wk-1"), "the first may still be applied");
+    term.termJobs().onEndWriteRejected("wk-1");
+    assertNotNull(term.progressIfCurrent("wk-1"));
+    term.termJobs().onEndWriteStarted("wk-1");
+    term.onJobEnded("wk-1", false);
+    assertNull(term.progressIfCurrent("wk-1"));
   }
 
   @Test
   void lateNewsOfAnEndedJobIsIgnored() {
     LeaderTerm term = term();
     RecordCodec.JobRecord record = job();
-    term.add(record, 6);
-    assertNotNull(term.scheduler.view("wk-1"));
-    term.ended("wk-1", true);
-    term.add(record, 6);
-    assertNull(term.scheduler.view("wk-1"));
-    assertFalse(term.keeps("wk-1"));
+    term.addJob(record, 6);
+    assertNotNull(term.scheduler.progress("wk-1"));
+    term.onJobEnded("wk-1", true);
+    term.addJob(record, 6);
+    assertNull(term.scheduler.progress("wk-1"));
+    assertFalse(term.manages("wk-1"));
   }
 
   /**
@@ -80,14 +81,14 @@
   void newsOfAJobFromBeforeTheTokenIsIgnored() {
     LeaderTerm term = term();
     RecordCodec.JobRecord record = job();
-    Map<String, Object> data = RecordCodec.job(record);
+    Map<String, Object> data = RecordCodec.encodeJob(record);
     term.load(new WatchCache(null));
-    term.add(record, 4);
-    term.add(new StoreClient.Entry(RecordCodec.JOB + "wk-1", data, 4));
-    assertFalse(term.keeps("wk-1"));
-    assertNull(term.scheduler.view("wk-1"));
-    term.add(new StoreClient.Entry(RecordCodec.JOB + "wk-1", data, 6));
-    assertTrue(term.keeps("wk-1"), "recorded after the token: live until this term ends it");
+    term.addJob(record, 4);
+    term.addJob(new StoreClient.Entry(RecordCodec.JOB + "wk-1", data, 4));
+    assertFalse(term.manages("wk-1"));
+    assertNull(term.scheduler.progress("wk-1"));
+    term.addJob(new StoreClient.Entry(RecordCodec.JOB + "wk-1", data, 6));
+    assertTrue(term.manages("wk-1"), "recorded after the token: live until this term ends it");
   }
 
   /**
@@ -99,12 +100,12 @@
     for (long aheadMs : new long[] {-10_000, -1000, 0, 1000, 10_000}) {
       LeaderTerm term = term();
       RecordCodec.JobRecord record = job(aheadMs);
-      term.add(record, 6);
-      assertFalse(term.told("wk-1").running());
-      term.add(job(-aheadMs), 6); // read again, as another node saw it
-      term.ended("wk-1", false);
-      term.add(record, 6);
-      assertNull(term.told("wk-1"));
+      term.addJob(record, 6);
+      assertFalse(term.progressIfCurrent("wk-1").running());
+      term.addJob(job(-aheadMs), 6); // read again, as another node saw it
+      term.onJobEnded("wk-1", false);
+      term.addJob(record, 6);
+      assertNull(term.progressIfCurrent("wk-1"));
     }
   }
 }
--- a/src/test/java/org/astershift/controller/ProgressRecordsTest.java
+++ b/src/test/java/org/astershift/controller/ProgressRecordsTest.java
@@ -48,11 +48,11 @@
         done.set(0);
         notes.put(
             LeaderRecords.RecordKind.PROGRESS,
-            RecordCodec.progress(JOB, 0),
+            RecordCodec.progressKey(JOB, 0),
             RecordCodec.segment(done, 0),
             0);
         Await.until("the progress to be on record", durable::get);
-        notes.end();
+        notes.close();
         loop.join();
       } finally {
         over.set(true);
@@ -65,8 +65,8 @@
 
   private static long lead(StoreClient store) throws Exception {
     StoreClient.Transaction txn =
-        new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.leader("n"));
-    StoreClient.Outcome o = store.commit(txn, RateLimiter.Urgency.VITAL, 10_000);
+        new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.encodeLeader("n"));
+    StoreClient.Outcome o = store.commit(txn, RateLimiter.Urgency.LEASE, 10_000);
     return ((StoreClient.Outcome.Committed) o).revision();
   }
 
@@ -86,7 +86,9 @@
     try {
       while (!over.get()) {
         store.commit(
-            new StoreClient.Transaction().put(key, Map.of()), RateLimiter.Urgency.URGENT, 10_000);
+            new StoreClient.Transaction().put(key, Map.of()),
+            RateLimiter.Urgency.INTERACTIVE,
+            10_000);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -95,7 +97,7 @@
 
   private static void run(LeaderRecords notes) {
     try {
-      notes.loop(null);
+      notes.writeLoop(null);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/test/java/org/astershift/controller/RentalRejectedTest.java
+++ b/src/test/java/org/astershift/controller/RentalRejectedTest.java
@@ -22,6 +22,6 @@
     Await.until("a machine", () -> !cloud.everRented().isEmpty());
     Await.until(
         "no rental to be open",
-        () -> term.notes.entries(LeaderRecords.RecordKind.RENTAL).isEmpty());
+        () -> term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty());
   }
 }
--- a/src/test/java/org/astershift/controller/RequestCoalescerTest.java
+++ b/src/test/java/org/astershift/controller/RequestCoalescerTest.java
@@ -30,7 +30,7 @@
   }
 
   private static FutureTask<String> ask(RequestCoalescer<String> shared, String job) {
-    FutureTask<String> task = new FutureTask<>(() -> shared.ask(job));
+    FutureTask<String> task = new FutureTask<>(() -> shared.get(job));
     Thread t = new Thread(task);
     t.setDaemon(true);
     t.start();
