--- a/src/test/java/org/astershift/controller/SingleController.java
+++ b/src/test/java/org/astershift/controller/SingleController.java
@@ -38,8 +38,8 @@
     mirror =
         new WatchCache(store) {
           @Override
-          public List<StoreClient.Entry> below(String prefix) {
-            List<StoreClient.Entry> rows = super.below(prefix);
+          public List<StoreClient.Entry> entriesWithPrefix(String prefix) {
+            List<StoreClient.Entry> rows = super.entriesWithPrefix(prefix);
             loaded.accept(prefix);
             return rows;
           }
@@ -67,8 +67,9 @@
   /** Its term, once it certainly leads. */
   LeaderTerm leads() throws Exception {
     Await.until(
-        "the node to lead", () -> director.term() != null && director.valid(director.term()));
-    return director.term();
+        "the node to lead",
+        () -> director.currentTerm() != null && director.leaseCertain(director.currentTerm()));
+    return director.currentTerm();
   }
 
   @Override
@@ -76,9 +77,9 @@
     if (http != null) {
       http.close();
     }
-    LeaderTerm term = director.term();
+    LeaderTerm term = director.currentTerm();
     if (term != null) {
-      director.end(term.token, "the test is over");
+      director.onTermEnd(term.token, "the test is over");
     }
     threads.interrupt();
   }
--- a/src/test/java/org/astershift/coordination/CancellationLatencyTest.java
+++ b/src/test/java/org/astershift/coordination/CancellationLatencyTest.java
@@ -11,31 +11,33 @@
 
   @Test
   void medianNearlyAllAndWorst() {
-    assertNull(times.line(0), "nothing happened");
+    assertNull(times.summary(0), "nothing happened");
     for (int i = 1; i <= 200; i++) {
-      times.asked("wk-" + i, 1000);
+      times.onCancelRequested("wk-" + i, 1000);
     }
     for (int i = 200; i >= 1; i--) {
-      times.ended("wk-" + i, true, 1000 + i);
+      times.onJobEnded("wk-" + i, true, 1000 + i);
     }
     assertEquals(
-        "cancellations: 200 confirmed, median 100 ms, 99% 198 ms, worst 200 ms", times.line(2000));
-    assertNull(times.line(3000), "told once");
+        "cancellations: 200 confirmed, median 100 ms, 99% 198 ms, worst 200 ms",
+        times.summary(2000));
+    assertNull(times.summary(3000), "told once");
   }
 
   @Test
   void countedFromTheFirstTimeThatItWasAsked() {
-    times.asked("wk-1", 1000);
-    times.asked("wk-1", 2500); // refused and repeated
-    times.asked("wk-2", 2000);
-    times.asked("wk-3", 2900);
-    times.ended("wk-3", false, 2950); // done before it was cancelled
-    times.ended("wk-4", true, 2950); // of which this leader was not asked
-    assertEquals("cancellations: 0 confirmed; 2 wait, the longest for 2000 ms", times.line(3000));
-    times.ended("wk-1", true, 3100);
+    times.onCancelRequested("wk-1", 1000);
+    times.onCancelRequested("wk-1", 2500); // refused and repeated
+    times.onCancelRequested("wk-2", 2000);
+    times.onCancelRequested("wk-3", 2900);
+    times.onJobEnded("wk-3", false, 2950); // done before it was cancelled
+    times.onJobEnded("wk-4", true, 2950); // of which this leader was not asked
+    assertEquals(
+        "cancellations: 0 confirmed; 2 wait, the longest for 2000 ms", times.summary(3000));
+    times.onJobEnded("wk-1", true, 3100);
     assertEquals(
         "cancellations: 1 confirmed, median 2100 ms, 99% 2100 ms, worst 2100 ms;"
             + " 1 wait, the longest for 2000 ms",
-        times.line(4000));
+        times.summary(4000));
   }
 }
--- a/src/test/java/org/astershift/coordination/CoalescerStateTest.java
+++ b/src/test/java/org/astershift/coordination/CoalescerStateTest.java
@@ -24,24 +24,24 @@
 
   @Test
   void whoComesWhileAnAnswerIsWorkedOutSharesTheNext() {
-    Ticket<Integer> first = rounds.asks("a");
-    Ticket<Integer> second = rounds.asks("a");
-    assertEquals(Role.WORKS, first.part());
-    assertEquals(Role.FOLLOWS, second.part());
-    assertEquals(new Ticket<>(second.round(), Role.SHARES), rounds.asks("a"));
-    assertEquals(Role.WORKS, rounds.asks("b").part(), "another job is another matter");
-    rounds.ends("a", 1);
+    Ticket<Integer> first = rounds.join("a");
+    Ticket<Integer> second = rounds.join("a");
+    assertEquals(Role.COMPUTE, first.role());
+    assertEquals(Role.QUEUED, second.role());
+    assertEquals(new Ticket<>(second.round(), Role.SHARE), rounds.join("a"));
+    assertEquals(Role.COMPUTE, rounds.join("b").role(), "another job is another matter");
+    rounds.complete("a", 1);
     assertEquals(1, first.round().answer());
-    assertFalse(second.round().over());
-    rounds.begins("a");
-    Ticket<Integer> late = rounds.asks("a");
-    assertEquals(Role.FOLLOWS, late.part(), "its answer began before this one asked");
-    rounds.ends("a", 2);
+    assertFalse(second.round().completed());
+    rounds.beginQueued("a");
+    Ticket<Integer> late = rounds.join("a");
+    assertEquals(Role.QUEUED, late.role(), "its answer began before this one asked");
+    rounds.complete("a", 2);
     assertEquals(2, second.round().answer());
-    rounds.leaves("a");
-    assertTrue(late.round().over());
+    rounds.abandonQueued("a");
+    assertTrue(late.round().completed());
     assertNull(late.round().answer(), "nobody waits for who gave up");
-    assertEquals(Role.WORKS, rounds.asks("a").part());
+    assertEquals(Role.COMPUTE, rounds.join("a").role());
   }
 
   /**
@@ -62,24 +62,24 @@
         boolean ending = now > 380;
         int draw = ending ? 5 + random.nextInt(3) : random.nextInt(8);
         if (draw < 5) {
-          Ticket<Integer> place = rounds.asks(job);
+          Ticket<Integer> place = rounds.join(job);
           askers.add(new Asker(place, now));
-          assertEquals(place.part() == Role.WORKS, !began.containsKey(job), "one in work");
-          switch (place.part()) {
-            case WORKS -> began.put(job, now);
-            case FOLLOWS -> assertNull(follows.put(job, true), "one follows");
+          assertEquals(place.role() == Role.COMPUTE, !began.containsKey(job), "one in work");
+          switch (place.role()) {
+            case COMPUTE -> began.put(job, now);
+            case QUEUED -> assertNull(follows.put(job, true), "one follows");
             default -> shared++;
           }
         } else if (began.containsKey(job)) {
           // The answer is the moment at which its work began.
-          rounds.ends(job, random.nextInt(9) == 0 ? null : began.get(job));
+          rounds.complete(job, random.nextInt(9) == 0 ? null : began.get(job));
           began.remove(job);
-          assertFalse(rounds.busy(job));
+          assertFalse(rounds.isComputing(job));
           if (follows.remove(job) != null) {
             if (random.nextInt(9) == 0) {
-              rounds.leaves(job);
+              rounds.abandonQueued(job);
             } else {
-              rounds.begins(job);
+              rounds.beginQueued(job);
               began.put(job, now);
             }
           }
@@ -87,15 +87,15 @@
       }
       for (String job : JOBS) {
         while (began.remove(job) != null) {
-          rounds.ends(job, 400);
+          rounds.complete(job, 400);
           if (follows.remove(job) != null) {
-            rounds.begins(job);
+            rounds.beginQueued(job);
             began.put(job, 400);
           }
         }
       }
       for (Asker a : askers) {
-        assertTrue(a.place().round().over(), "seed " + seed + ": nobody waits for ever");
+        assertTrue(a.place().round().completed(), "seed " + seed + ": nobody waits for ever");
         Integer answer = a.place().round().answer();
         assertTrue(answer == null || answer >= a.at(), "seed " + seed + ": an older answer");
       }
--- a/src/test/java/org/astershift/coordination/ElectionTest.java
+++ b/src/test/java/org/astershift/coordination/ElectionTest.java
@@ -17,22 +17,22 @@
   /** Stands and creates the key, which gets this revision. */
   private void wins(long lease, long revision) {
     nowMs += 100;
-    View free = new View(nowMs, true, null, WorkerReachability.Measurement.NOTHING, 0);
+    View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
     assertInstanceOf(Action.GrantLease.class, election.next(free));
-    election.granted(lease);
+    election.onLeaseGranted(lease);
     assertEquals(new Action.CreateKey(lease), election.next(free));
-    election.claimed(KeyCreation.APPLIED, revision);
+    election.onKeyCreation(KeyCreation.CREATED, revision);
     assertEquals(new Action.CatchUp(revision), election.next(free));
   }
 
   /** Stands, and has no answer to its claim. */
   private View doubts(long lease) {
-    View free = new View(nowMs, true, null, WorkerReachability.Measurement.NOTHING, 0);
+    View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
     assertInstanceOf(Action.GrantLease.class, election.next(free));
-    election.granted(lease);
+    election.onLeaseGranted(lease);
     assertEquals(new Action.CreateKey(lease), election.next(free));
-    election.claimed(KeyCreation.UNKNOWN, 0);
-    View later = new View(nowMs + 1500, true, null, WorkerReachability.Measurement.NOTHING, 0);
+    election.onKeyCreation(KeyCreation.UNKNOWN, 0);
+    View later = new View(nowMs + 1500, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
     assertEquals(new Action.VerifyKey(lease), election.next(later));
     return later;
   }
@@ -42,36 +42,36 @@
   void aClaimWithoutAnAnswerHoldsIfItsKeyStands() {
     View v = doubts(1);
     assertEquals(0, election.token());
-    election.verified(61);
+    election.onKeyVerified(61);
     assertEquals(new Action.CatchUp(61), election.next(v));
-    election.caughtUp(61, true);
+    election.onCaughtUp(61, true);
     assertEquals(new Action.BeginTerm(61), election.next(v));
-    assertTrue(election.valid(61, nowMs + 1500 + 1500), "counted from the renewal");
+    assertTrue(election.leaseCertain(61, nowMs + 1500 + 1500), "counted from the renewal");
   }
 
   /** If it does not stand it may be carried out yet, and must not then. */
   @Test
   void aClaimWithoutAnAnswerIsTakenBackIfItsKeyDoesNotStand() {
     View v = doubts(1);
-    election.verified(0);
+    election.onKeyVerified(0);
     assertEquals(new Action.RevokeLease(1), election.next(v));
     assertEquals(0, election.token());
-    election.verified(61); // told late
+    election.onKeyVerified(61); // told late
     assertInstanceOf(Action.GrantLease.class, election.next(v));
   }
 
   /** The mirror was too slow for one key, and a second was won before that is told once more. */
   @Test
   void aTermBeginsOnlyOnAMirrorThatHasReachedItsOwnKey() {
-    View free = new View(nowMs, true, null, WorkerReachability.Measurement.NOTHING, 0);
+    View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
     wins(1, 61);
-    election.caughtUp(61, false);
+    election.onCaughtUp(61, false);
     assertEquals(new Action.RevokeLease(1), election.next(free));
     wins(2, 65);
-    election.caughtUp(61, true);
+    election.onCaughtUp(61, true);
     assertEquals(0, election.token());
     assertEquals(new Action.CatchUp(65), election.next(free));
-    election.caughtUp(65, true);
+    election.onCaughtUp(65, true);
     assertEquals(65, election.token());
     assertEquals(new Action.BeginTerm(65), election.next(free));
   }
--- a/src/test/java/org/astershift/coordination/JobQueryTest.java
+++ b/src/test/java/org/astershift/coordination/JobQueryTest.java
@@ -43,9 +43,9 @@
         b[i] = (bits >> i & 1) == 1;
       }
       Source source = JobQuery.source(new View(b[0], b[1], b[2], b[3], b[4]));
-      assertEquals(!b[0] && b[1] && b[2] && b[3], source == Source.MEMORY, "" + bits);
-      assertEquals(b[0], source == Source.END, "" + bits);
-      assertEquals(!b[0] && !b[1] && b[4], source == Source.LEADER, "" + bits);
+      assertEquals(!b[0] && b[1] && b[2] && b[3], source == Source.LEADER_MEMORY, "" + bits);
+      assertEquals(b[0], source == Source.KNOWN_END, "" + bits);
+      assertEquals(!b[0] && !b[1] && b[4], source == Source.REMOTE_LEADER, "" + bits);
     }
   }
 }
--- a/src/test/java/org/astershift/coordination/TermJobsTest.java
+++ b/src/test/java/org/astershift/coordination/TermJobsTest.java
@@ -17,20 +17,20 @@
    */
   @Test
   void newsOfEndedJobsIsRefusedForLongerThanARequestLives() {
-    for (double endsPerS : new double[] {4, 180 * Constants.LEADER_BUDGET / CHANGES_AN_END}) {
+    for (double endsPerS : new double[] {4, 180 * Constants.LEADER_STORE_SHARE / CHANGES_AN_END}) {
       TermJobs ledger = new TermJobs(5);
-      ledger.loaded();
-      double oldestS = Constants.ENDED_IN_TERM / endsPerS;
+      ledger.onLoaded();
+      double oldestS = Constants.ENDED_IN_TERM_JOBS / endsPerS;
       long requestMs = Constants.WATCH_BLOCK_MS + Constants.STORE_TIMEOUT_MS;
       assertTrue(oldestS * 1000 > 10 * requestMs, oldestS + " s");
       int ends = (int) (endsPerS * 10 * requestMs / 1000);
       for (int i = 0; i < ends; i++) {
-        assertTrue(ledger.take("wk-" + i, 6 + i));
-        ledger.ending("wk-" + i);
-        ledger.ended("wk-" + i);
+        assertTrue(ledger.adopt("wk-" + i, 6 + i));
+        ledger.onEndWriteStarted("wk-" + i);
+        ledger.onEnded("wk-" + i);
       }
-      assertFalse(ledger.take("wk-0", 6), "the oldest of " + ends);
-      assertFalse(ledger.take("wk-" + (ends - 1), 6));
+      assertFalse(ledger.adopt("wk-0", 6), "the oldest of " + ends);
+      assertFalse(ledger.adopt("wk-" + (ends - 1), 6));
     }
   }
 }
--- a/src/test/java/org/astershift/emulator/CloudEmulator.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulator.java
@@ -122,7 +122,7 @@
   }
 
   private Response rent(Map<String, Object> m) throws Exception {
-    String rental = Json.text(m, "charter");
+    String rental = Json.string(m, "charter");
     if (refusal != 0) {
       refused.add(rental);
       return Response.error(refusal, "malformed");
@@ -130,9 +130,9 @@
     List<String> names = rentals.get(rental);
     if (names == null) {
       names = new ArrayList<>();
-      for (long i = Json.whole(m, "number"); i > 0; i--) {
+      for (long i = Json.integer(m, "number"); i > 0; i--) {
         String name = String.format("vm-%06d", ++made);
-        WorkerEmulator w = new WorkerEmulator(name, Json.text(m, "harbor"), controllers, taskMs);
+        WorkerEmulator w = new WorkerEmulator(name, Json.string(m, "harbor"), controllers, taskMs);
         machines.put(name, w);
         ever.add(w);
         beforeAnswer.accept(name);
--- a/src/test/java/org/astershift/emulator/InProcessControllers.java
+++ b/src/test/java/org/astershift/emulator/InProcessControllers.java
@@ -86,16 +86,16 @@
     StoreClient store = new StoreClient(settings);
     Map<String, JobService.PeerChannel> askers = new HashMap<>();
     for (Settings.Peer p : settings.peers()) {
-      askers.put(p.node(), (op, job, timeoutMs) -> asked(p.node(), op, job));
+      askers.put(p.nodeName(), (op, job, timeoutMs) -> asked(p.nodeName(), op, job));
     }
     ControllerRuntime director =
         new ControllerRuntime(
             settings, OperatorSettings.defaults(), store, new WatchCache(store), askers);
     JobService desk = new JobService(director, store, askers);
     synchronized (desks) {
-      desks.put(settings.node(), desk);
+      desks.put(settings.nodeName(), desk);
     }
-    PublicApi api = new PublicApi(director, desk, settings.facts().teams());
+    PublicApi api = new PublicApi(director, desk, settings.limits().teams());
     HttpServer http = new HttpServer("127.0.0.1", 0, 100, api);
     servers.add(http);
     director.start();
@@ -111,7 +111,7 @@
       throw new IOException("not up yet");
     }
     try {
-      return desk.answer(op, job);
+      return desk.answerPeer(op, job);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("ends");
--- a/src/test/java/org/astershift/emulator/StoreEmulator.java
+++ b/src/test/java/org/astershift/emulator/StoreEmulator.java
@@ -211,7 +211,7 @@
     } else if (path.equals("/watch")) {
       return watch(q);
     } else if (path.equals("/grants")) {
-      leases.put(++lastLease, new long[] {Json.whole(Json.object(r.body()), "life_ms"), 0});
+      leases.put(++lastLease, new long[] {Json.integer(Json.object(r.body()), "life_ms"), 0});
       leases.get(lastLease)[1] = now() + leases.get(lastLease)[0];
       return Response.of(200, Map.of("mooring", lastLease));
     } else if (path.endsWith("/renew")) {
@@ -289,8 +289,8 @@
     List<Object> failed = new ArrayList<>();
     for (Object o : Json.list(body, "if")) {
       Map<String, Object> c = Json.object(o, "condition");
-      Value v = rows.get(Json.text(c, "k"));
-      if ((v == null ? 0 : v.revision()) != Json.whole(c, "stamp")) {
+      Value v = rows.get(Json.string(c, "k"));
+      if ((v == null ? 0 : v.revision()) != Json.integer(c, "stamp")) {
         failed.add(c.get("k"));
       }
     }
@@ -300,19 +300,19 @@
     List<?> changes = Json.list(body, "writes");
     for (Object o : changes) {
       Map<String, Object> c = Json.object(o, "change");
-      if (c.get("mooring") != null && !leases.containsKey(Json.whole(c, "mooring"))) {
+      if (c.get("mooring") != null && !leases.containsKey(Json.integer(c, "mooring"))) {
         return Response.error(400, "no such lease");
       }
     }
     revision++;
     for (Object o : changes) {
       Map<String, Object> c = Json.object(o, "change");
-      String key = Json.textOrNull(c, "set");
+      String key = Json.stringOrNull(c, "set");
       if (key == null) {
-        remove(Json.text(c, "remove"));
+        remove(Json.string(c, "remove"));
         continue;
       }
-      long lease = c.get("mooring") == null ? 0 : Json.whole(c, "mooring");
+      long lease = c.get("mooring") == null ? 0 : Json.integer(c, "mooring");
       rows.put(key, new Value(c.get("data"), revision, lease));
       Map<String, Object> news = new LinkedHashMap<>();
       news.put("set", key);
@@ -329,7 +329,7 @@
   private Response lost(List<?> changes, Response answer) throws Exception {
     List<String> keys = new ArrayList<>();
     for (Object o : changes) {
-      String key = Json.textOrNull(Json.object(o, "change"), "set");
+      String key = Json.stringOrNull(Json.object(o, "change"), "set");
       if (key != null) {
         keys.add(key);
         lost.merge(key.substring(0, key.lastIndexOf('/') + 1), 1, Integer::sum);
--- a/src/test/java/org/astershift/emulator/WorkerEmulator.java
+++ b/src/test/java/org/astershift/emulator/WorkerEmulator.java
@@ -176,7 +176,7 @@
       return Response.of(200, report());
     }
     Map<String, Object> m = Json.object(r.body());
-    if (Json.whole(m, "helm") < token || Json.whole(m, "watch") != 1) {
+    if (Json.integer(m, "helm") < token || Json.integer(m, "watch") != 1) {
       return Response.of(409, report());
     }
     obey(m);
@@ -184,15 +184,15 @@
   }
 
   private synchronized void obey(Map<String, Object> m) throws Json.JsonFormatException {
-    if (m.get("helm") == null || Json.whole(m, "helm") < token) {
+    if (m.get("helm") == null || Json.integer(m, "helm") < token) {
       return;
     }
-    token = Json.whole(m, "helm");
+    token = Json.integer(m, "helm");
     for (Object o : Json.list(m, "orders")) {
       Map<String, Object> order = Json.object(o, "order");
-      String task = Json.text(order, "shard");
-      String key = task + "@" + Json.whole(order, "launch");
-      switch (Json.text(order, "verb")) {
+      String task = Json.string(order, "shard");
+      String key = task + "@" + Json.integer(order, "launch");
+      switch (Json.string(order, "verb")) {
         case "run" -> {
           if (!tasks.containsKey(key)) {
             Map<String, Object> t = new LinkedHashMap<>();
--- a/src/test/java/org/astershift/golden/CloudCallsTest.java
+++ b/src/test/java/org/astershift/golden/CloudCallsTest.java
@@ -45,7 +45,8 @@
     try {
       result = call.make();
     } catch (CloudClient.CloudRejectedException e) {
-      result = "refused: " + e.getMessage() + ", " + why(e.reason()) + ", " + e.reason().isFinal();
+      result =
+          "refused: " + e.getMessage() + ", " + why(e.reason()) + ", " + e.reason().isPermanent();
     } catch (IOException e) {
       result = "error: " + e.getMessage();
     }
@@ -58,7 +59,7 @@
     return switch (reason) {
       case NO_CAPACITY -> "none to be had";
       case MALFORMED -> "never";
-      case TROUBLE -> "maybe later";
+      case RETRYABLE -> "maybe later";
     };
   }
 
@@ -71,8 +72,8 @@
       t.memoryGb(),
       t.cacheGb(),
       t.fetchGbPerS(),
-      t.price(),
-      t.spotPrice(),
+      t.hourlyPrice(),
+      t.spotHourlyPrice(),
       t.bootS()
     };
     for (double n : numbers) {
@@ -82,7 +83,7 @@
   }
 
   private static String text(Scheduler.ListedMachine l) {
-    return String.join(" ", l.name(), l.addr(), l.type(), l.zone(), l.state())
+    return String.join(" ", l.name(), l.address(), l.typeName(), l.zone(), l.state())
         + (l.spot() ? " spot " : " no spot ")
         + l.ageS();
   }
@@ -93,7 +94,7 @@
     Call types =
         () -> {
           StringJoiner out = new StringJoiner("; ");
-          cloud.types().forEach((name, t) -> out.add(name + ": " + text(t)));
+          cloud.listMachineTypes().forEach((name, t) -> out.add(name + ": " + text(t)));
           return out.toString();
         };
     String small =
@@ -121,9 +122,14 @@
     Golden g = new Golden("cloud-rentals");
     Decision.ProvisionMachines spot = new Decision.ProvisionMachines("g8", "z1", true, 3);
     Decision.ProvisionMachines other = new Decision.ProvisionMachines("c4", "z2", false, 1);
-    Call rent = () -> String.join(" ", cloud.rent("as-7-1", spot));
+    Call rent = () -> String.join(" ", cloud.provisionMachines("as-7-1", spot));
     one(g, "spot", 200, "{\"vessels\":[\"m-1\",\"m-2\",\"m-3\"]}", rent);
-    one(g, "no spot", 200, "{\"vessels\":[]}", () -> String.join(" ", cloud.rent("as-7-2", other)));
+    one(
+        g,
+        "no spot",
+        200,
+        "{\"vessels\":[]}",
+        () -> String.join(" ", cloud.provisionMachines("as-7-2", other)));
     one(g, "nonsense", 200, "no", rent);
     one(g, "no list", 200, "{\"vessels\":7}", rent);
     one(g, "no capacity", 503, "{\"error\":\"no capacity\"}", rent);
@@ -140,7 +146,7 @@
     Golden g = new Golden("cloud-returns");
     Call back =
         () -> {
-          cloud.giveBack(List.of("m-1", "m-2"));
+          cloud.releaseMachines(List.of("m-1", "m-2"));
           return "done";
         };
     one(g, "two", 200, EMPTY, back);
@@ -155,7 +161,7 @@
     Call list =
         () -> {
           StringJoiner out = new StringJoiner("; ");
-          cloud.list().forEach(l -> out.add(text(l)));
+          cloud.listMachines().forEach(l -> out.add(text(l)));
           return out.toString();
         };
     String full =
--- a/src/test/java/org/astershift/golden/CommandCallsTest.java
+++ b/src/test/java/org/astershift/golden/CommandCallsTest.java
@@ -31,14 +31,14 @@
 
   @AfterEach
   void stop() throws Exception {
-    sender.forget(addr);
+    sender.disconnect(addr);
     recorder.close();
   }
 
   private String send(String to, List<Command> orders) {
     CommandSender.Result r = sender.send(to, 42, 5, () -> orders, 5000);
-    String told = r.report() == null ? "no report" : "report " + r.report().seq();
-    return (r.unknown() ? "maybe executed, " : "known, ") + told;
+    String told = r.heartbeat() == null ? "no report" : "report " + r.heartbeat().sequence();
+    return (r.outcomeUnknown() ? "maybe executed, " : "known, ") + told;
   }
 
   @Test
@@ -60,11 +60,11 @@
     g.add("no report, request", recorder.taken());
     for (int status : new int[] {200, 404, 503}) {
       recorder.answer(status, REPORT);
-      g.add("question " + status + ", result", String.valueOf(sender.answers(addr, 5000)));
+      g.add("question " + status + ", result", String.valueOf(sender.isReachable(addr, 5000)));
       g.add("question " + status + ", request", recorder.taken());
     }
     for (String no : new String[] {"", "host", ":7", "host:", "host:x", "host:65536"}) {
-      g.add("address <" + no + ">", send(no, orders) + ", " + sender.answers(no, 5000));
+      g.add("address <" + no + ">", send(no, orders) + ", " + sender.isReachable(no, 5000));
     }
     g.check();
   }
--- a/src/test/java/org/astershift/golden/OperatorFormsTest.java
+++ b/src/test/java/org/astershift/golden/OperatorFormsTest.java
@@ -25,11 +25,11 @@
   }
 
   private static String text(SchedulingPolicy p) {
-    return p.window()
+    return p.windowTasks()
         + " "
-        + p.utilization()
+        + p.utilizationThreshold()
         + " "
-        + p.batch()
+        + p.machineBatchTasks()
         + " "
         + p.waitingAgeS()
         + " "
--- a/src/test/java/org/astershift/golden/PeerRequestsTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -55,12 +55,12 @@
     worker = new HttpServer("127.0.0.1", 0, 10, r -> Response.of(200, Map.of()));
     worker.start();
     Map<String, Object> job =
-        RecordCodec.job(
+        RecordCodec.encodeJob(
             new RecordCodec.JobRecord(
                 JobDraft.array(JOB, 9).kind(JobKind.ARRAY).in("c", Priority.LOW).spec(), 1));
     List<Object> rows =
         List.of(
-            Map.of("set", RecordCodec.LEADER, "data", RecordCodec.leader("n2")),
+            Map.of("set", RecordCodec.LEADER, "data", RecordCodec.encodeLeader("n2")),
             Map.of("set", RecordCodec.JOB + JOB, "data", job));
     try (HttpClient client = new HttpClient("127.0.0.1", store.port(), 1)) {
       byte[] body = Json.bytes(Map.of("writes", rows));
@@ -99,16 +99,16 @@
   }
 
   private static String text(JobAnswer a) {
-    return a.status() + " <" + a.phase() + "> " + a.done() + " " + a.running();
+    return a.status() + " <" + a.phase() + "> " + a.doneTasks() + " " + a.runningTasks();
   }
 
   private void add(Golden g, String label, String op, String job) throws Exception {
-    g.add(label, text(desk.answer(op, job)));
+    g.add(label, text(desk.answerPeer(op, job)));
   }
 
   /** Asks until the node has read what is on record. */
   private void ready() throws Exception {
-    while (desk.poll(JOB, true).status() != 200 || desk.answer("state", "").phase().isEmpty()) {
+    while (desk.poll(JOB, true).status() != 200 || desk.answerPeer("state", "").phase().isEmpty()) {
       Thread.sleep(20);
     }
   }
--- a/src/test/java/org/astershift/golden/ServiceCallsTest.java
+++ b/src/test/java/org/astershift/golden/ServiceCallsTest.java
@@ -69,11 +69,11 @@
   }
 
   private static String text(StoreClient.Page page) {
-    return text(page.rows()) + " more " + page.more() + " at " + page.revision();
+    return text(page.entries()) + " more " + page.hasMore() + " at " + page.revision();
   }
 
   private static String text(StoreClient.WatchResponse c) {
-    return text(c.rows()) + " at " + c.revision() + " too old " + c.tooOld();
+    return text(c.entries()) + " at " + c.revision() + " too old " + c.compacted();
   }
 
   private static String text(Outcome o) {
@@ -83,7 +83,7 @@
     if (o instanceof Outcome.ConditionFailed c) {
       return "conflict of " + String.join(" ", c.keys());
     }
-    return o instanceof Outcome.Rejected r ? "refused: " + r.why() : "nothing is known";
+    return o instanceof Outcome.Rejected r ? "refused: " + r.reason() : "nothing is known";
   }
 
   @Test
@@ -98,7 +98,7 @@
     for (int status : TROUBLE) {
       one(g, "get " + status, status, "{\"error\":\"x\"}", get);
     }
-    Call on = () -> String.valueOf(store.revisionOn(12, "l/leader"));
+    Call on = () -> String.valueOf(store.revisionOnLease(12, "l/leader"));
     one(g, "on its lease", 200, row, on);
     one(g, "on another lease", 200, row.replace("12", "13"), on);
     one(g, "on no lease", 200, "{\"data\":{},\"stamp\":7}", on);
@@ -158,7 +158,7 @@
   @Test
   void committing() throws Exception {
     Golden g = new Golden("store-commits");
-    Call commit = () -> text(store.commit(transaction(), RateLimiter.Urgency.URGENT, 5000));
+    Call commit = () -> text(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
     one(g, "applied", 200, "{\"epoch\":99}", commit);
     one(g, "conflict", 409, "{\"failed\":[\"l/n/o0\",\"l/leader\"]}", commit);
     one(g, "conflict of none", 409, "{}", commit);
@@ -173,8 +173,8 @@
         "empty",
         200,
         "{\"epoch\":100}",
-        () -> text(store.commit(empty, RateLimiter.Urgency.LAZY, 5000)));
-    g.add("malformed", StoreClient.MALFORMED);
+        () -> text(store.commit(empty, RateLimiter.Urgency.BACKGROUND, 5000)));
+    g.add("malformed", StoreClient.MALFORMED_REASON);
     g.add("changes of one", String.valueOf(transaction().size()));
     g.check();
   }
@@ -184,7 +184,7 @@
   void committingOverTheLimit() throws Exception {
     Golden g = new Golden("store-commits-again");
     recorder.answer(429, "{}");
-    Call commit = () -> text(store.commit(transaction(), RateLimiter.Urgency.URGENT, 5000));
+    Call commit = () -> text(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
     one(g, "second", 200, "{\"epoch\":99}", commit);
     g.check();
   }
@@ -215,7 +215,7 @@
   void nobodyListens() throws Exception {
     recorder.close();
     assertThrows(IOException.class, () -> store.get("l/leader"));
-    String said = text(store.commit(transaction(), RateLimiter.Urgency.URGENT, 5000));
+    String said = text(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
     new Golden("store-nobody").add("commit", said.split(":")[0]).check();
   }
 }
--- a/src/test/java/org/astershift/golden/SettingsFormsTest.java
+++ b/src/test/java/org/astershift/golden/SettingsFormsTest.java
@@ -104,12 +104,12 @@
   }
 
   private static void add(Golden g, String label, Settings s) {
-    g.add(label + ", node", text(s.node(), s.zone()));
+    g.add(label + ", node", text(s.nodeName(), s.zone()));
     g.add(label + ", listens", text(s.listen()));
     g.add(label + ", for others", text(s.peerListen()));
     g.add(label + ", others", String.valueOf(s.peers().size()));
     for (Settings.Peer p : s.peers()) {
-      g.add(label + ", other " + p.node(), text(p.node(), p.zone(), text(p.endpoint())));
+      g.add(label + ", other " + p.nodeName(), text(p.nodeName(), p.zone(), text(p.endpoint())));
     }
     g.add(label + ", cloud", text(s.cloud()));
     g.add(label + ", state", text(s.store()));
@@ -117,17 +117,19 @@
     g.add(label + ", state's limits", text(l.rps(), l.writeRps(), l.valueKb(), l.txnOps()));
     g.add(label + ", cloud's limit", text(s.cloudRps()));
     g.add(label + ", sockets", text(s.sockets()));
-    DeploymentLimits f = s.facts();
-    g.add(label + ", workers", text(f.reportS(), f.leaseS(), f.gangWaitS(), f.gangPeerS()));
-    g.add(label + ", times", text(f.cancelS(), f.listLagS()));
+    DeploymentLimits f = s.limits();
+    g.add(
+        label + ", workers",
+        text(f.heartbeatIntervalS(), f.leaseS(), f.gangWaitS(), f.gangPeerS()));
+    g.add(label + ", times", text(f.cancellationS(), f.listLagS()));
     g.add(label + ", teams", String.join(" ", f.teams().keySet()));
     for (Team t : f.teams().values()) {
-      String amounts = text(t.cpus(), t.cpusMax(), t.gpus(), t.gpusMax());
+      String amounts = text(t.guaranteedCpus(), t.maxCpus(), t.guaranteedGpus(), t.maxGpus());
       g.add(label + ", team " + t.name(), amounts);
     }
     g.add(label + ", objectives", String.valueOf(f.objectives().size()));
     for (ServiceLevelObjective o : f.objectives()) {
-      String rest = text(o.withinS(), o.share(), o.times());
+      String rest = text(o.withinS(), o.share(), o.deadlineMultiple());
       g.add(label + ", objective " + o.kind(), text("<" + o.jobClass() + ">", rest));
     }
   }
--- a/src/test/java/org/astershift/golden/StoredRecordsTest.java
+++ b/src/test/java/org/astershift/golden/StoredRecordsTest.java
@@ -94,12 +94,13 @@
     for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
       g.add(
           e.getKey(),
-          Json.bytes(RecordCodec.job(new RecordCodec.JobRecord(e.getValue(), 1700000000123L))));
+          Json.bytes(
+              RecordCodec.encodeJob(new RecordCodec.JobRecord(e.getValue(), 1700000000123L))));
     }
     g.check();
     for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
       RecordCodec.JobRecord back =
-          RecordCodec.job(RecordCodec.JOB + ID, object(g.kept(e.getKey())));
+          RecordCodec.decodeJob(RecordCodec.JOB + ID, object(g.kept(e.getKey())));
       assertEquals(new RecordCodec.JobRecord(e.getValue(), 1700000000123L), back, e.getKey());
     }
   }
@@ -111,27 +112,27 @@
         .add("leader", RecordCodec.LEADER)
         .add("types", RecordCodec.TYPES)
         .add("job", RecordCodec.JOB)
-        .add("notes", RecordCodec.NOTES)
+        .add("notes", RecordCodec.PAGES)
         .add("ended", RecordCodec.ENDED)
-        .add("progress", RecordCodec.progress(ID, 3))
+        .add("progress", RecordCodec.progressKey(ID, 3))
         .add("tasks of a segment", String.valueOf(Constants.SEGMENT_TASKS))
-        .add("segments of 1", String.valueOf(RecordCodec.segments(1)))
-        .add("segments of 100000", String.valueOf(RecordCodec.segments(100_000)))
+        .add("segments of 1", String.valueOf(RecordCodec.segmentCount(1)))
+        .add("segments of 100000", String.valueOf(RecordCodec.segmentCount(100_000)))
         .check();
   }
 
   @Test
   void leaderAndEnded() throws Exception {
     Golden g = new Golden("records-ended");
-    g.add("leader", Json.bytes(RecordCodec.leader("n1")));
-    Map<String, RecordCodec.Ended> ended = new LinkedHashMap<>();
-    ended.put("done", new RecordCodec.Ended(false, 100_000));
-    ended.put("cancelled", new RecordCodec.Ended(true, 0));
-    ended.put("cancelled in part", new RecordCodec.Ended(true, 7));
-    ended.forEach((label, e) -> g.add(label, sorted(RecordCodec.ended(e))));
+    g.add("leader", Json.bytes(RecordCodec.encodeLeader("n1")));
+    Map<String, RecordCodec.JobEnd> ended = new LinkedHashMap<>();
+    ended.put("done", new RecordCodec.JobEnd(false, 100_000));
+    ended.put("cancelled", new RecordCodec.JobEnd(true, 0));
+    ended.put("cancelled in part", new RecordCodec.JobEnd(true, 7));
+    ended.forEach((label, e) -> g.add(label, sorted(RecordCodec.encodeEnd(e))));
     g.check();
-    for (Map.Entry<String, RecordCodec.Ended> e : ended.entrySet()) {
-      assertEquals(e.getValue(), RecordCodec.ended(object(g.kept(e.getKey()))));
+    for (Map.Entry<String, RecordCodec.JobEnd> e : ended.entrySet()) {
+      assertEquals(e.getValue(), RecordCodec.decodeEnd(object(g.kept(e.getKey()))));
     }
   }
 
@@ -147,17 +148,18 @@
             label + " other", new Decision.RegisterMachine("m-1", addr, "g8", "z1", !fresh, fresh));
       }
     }
-    machines.forEach((label, m) -> g.add(label, Json.bytes(RecordCodec.machine(m))));
+    machines.forEach((label, m) -> g.add(label, Json.bytes(RecordCodec.encodeMachine(m))));
     Decision.ProvisionMachines spot = new Decision.ProvisionMachines("g8", "z1", true, 1);
     Decision.ProvisionMachines many = new Decision.ProvisionMachines("c4", "z2", false, 500);
-    g.add("rental spot", Json.bytes(RecordCodec.rental(spot)));
-    g.add("rental many", Json.bytes(RecordCodec.rental(many)));
+    g.add("rental spot", Json.bytes(RecordCodec.encodeRental(spot)));
+    g.add("rental many", Json.bytes(RecordCodec.encodeRental(many)));
     g.check();
     for (Map.Entry<String, Decision.RegisterMachine> m : machines.entrySet()) {
-      assertEquals(m.getValue(), RecordCodec.machine("m-1", value(g.kept(m.getKey()))), m.getKey());
+      assertEquals(
+          m.getValue(), RecordCodec.decodeMachine("m-1", value(g.kept(m.getKey()))), m.getKey());
     }
-    assertEquals(spot, RecordCodec.rental(value(g.kept("rental spot"))));
-    assertEquals(many, RecordCodec.rental(value(g.kept("rental many"))));
+    assertEquals(spot, RecordCodec.decodeRental(value(g.kept("rental spot"))));
+    assertEquals(many, RecordCodec.decodeRental(value(g.kept("rental many"))));
   }
 
   @Test
@@ -167,27 +169,27 @@
         "g8", new MachineType("g8", 64, 8, 512.5, 900, 0.25, 12.5, 3.75, 90, List.of("a", "b")));
     types.put("c4", new MachineType("c4", 4, 0, 16, 100, 1, 0.2, 0.05, 30.5, List.of()));
     Golden g = new Golden("records-types");
-    g.add("two types", Json.bytes(RecordCodec.types(types)));
-    g.add("none", Json.bytes(RecordCodec.types(Map.of())));
+    g.add("two types", Json.bytes(RecordCodec.encodeTypes(types)));
+    g.add("none", Json.bytes(RecordCodec.encodeTypes(Map.of())));
     g.check();
-    Map<String, MachineType> back = RecordCodec.readTypes(object(g.kept("two types")));
+    Map<String, MachineType> back = RecordCodec.decodeTypes(object(g.kept("two types")));
     assertEquals(new ArrayList<>(types.values()), new ArrayList<>(back.values()));
     assertEquals(new ArrayList<>(types.keySet()), new ArrayList<>(back.keySet()));
-    assertEquals(Map.of(), RecordCodec.readTypes(object(g.kept("none"))));
+    assertEquals(Map.of(), RecordCodec.decodeTypes(object(g.kept("none"))));
   }
 
   @Test
   void opened() throws Exception {
     Golden g = new Golden("records-opened");
     List<String> places = List.of("m-1", "m-2");
-    g.add("no place", Json.bytes(RecordCodec.opened(List.of())));
-    g.add("one place", Json.bytes(RecordCodec.opened(List.of("m-1"))));
-    g.add("two places", Json.bytes(RecordCodec.opened(places)));
+    g.add("no place", Json.bytes(RecordCodec.encodePlacement(List.of())));
+    g.add("one place", Json.bytes(RecordCodec.encodePlacement(List.of("m-1"))));
+    g.add("two places", Json.bytes(RecordCodec.encodePlacement(places)));
     g.check();
-    assertEquals(List.of(), RecordCodec.openedOn(value(g.kept("no place"))));
-    assertEquals(List.of("m-1"), RecordCodec.openedOn(value(g.kept("one place"))));
-    assertEquals(places, RecordCodec.openedOn(value(g.kept("two places"))));
-    assertEquals(List.of(), RecordCodec.openedOn(null));
+    assertEquals(List.of(), RecordCodec.decodePlacement(value(g.kept("no place"))));
+    assertEquals(List.of("m-1"), RecordCodec.decodePlacement(value(g.kept("one place"))));
+    assertEquals(places, RecordCodec.decodePlacement(value(g.kept("two places"))));
+    assertEquals(List.of(), RecordCodec.decodePlacement(null));
   }
 
   @Test
@@ -199,13 +201,13 @@
     done.set(2 * Constants.SEGMENT_TASKS + 77);
     Golden g = new Golden("records-progress");
     for (int segment = 0; segment < 4; segment++) {
-      g.add(RecordCodec.progress(ID, segment), Json.bytes(RecordCodec.segment(done, segment)));
+      g.add(RecordCodec.progressKey(ID, segment), Json.bytes(RecordCodec.segment(done, segment)));
     }
     g.check();
     BitSet back = new BitSet();
     for (int segment = 0; segment < 4; segment++) {
       String key = ID + "/" + segment;
-      assertEquals(ID, RecordCodec.merge(back, key, value(g.kept(key))));
+      assertEquals(ID, RecordCodec.mergeSegment(back, key, value(g.kept(key))));
     }
     assertEquals(done, back);
   }
@@ -222,20 +224,20 @@
   @Test
   void whatIsNoRecord() throws Exception {
     Golden g = new Golden("records-errors");
-    bad(g, "machine 1", () -> RecordCodec.machine("m", 1));
-    bad(g, "machine short", () -> RecordCodec.machine("m", List.of("g8", "z1", true)));
-    bad(g, "machine flag", () -> RecordCodec.machine("m", List.of("g8", "z1", 1, true)));
-    bad(g, "rental text", () -> RecordCodec.rental("x"));
-    bad(g, "rental count", () -> RecordCodec.rental(List.of("g8", "z1", true, "2")));
-    bad(g, "progress text", () -> RecordCodec.merge(new BitSet(), ID + "/0", "?"));
-    bad(g, "progress key", () -> RecordCodec.merge(new BitSet(), ID, "AQ=="));
-    bad(g, "ended", () -> RecordCodec.ended(Map.of("cancelled", true)));
-    bad(g, "job", () -> RecordCodec.job(RecordCodec.JOB + ID, Map.of()));
+    bad(g, "machine 1", () -> RecordCodec.decodeMachine("m", 1));
+    bad(g, "machine short", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", true)));
+    bad(g, "machine flag", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", 1, true)));
+    bad(g, "rental text", () -> RecordCodec.decodeRental("x"));
+    bad(g, "rental count", () -> RecordCodec.decodeRental(List.of("g8", "z1", true, "2")));
+    bad(g, "progress text", () -> RecordCodec.mergeSegment(new BitSet(), ID + "/0", "?"));
+    bad(g, "progress key", () -> RecordCodec.mergeSegment(new BitSet(), ID, "AQ=="));
+    bad(g, "ended", () -> RecordCodec.decodeEnd(Map.of("cancelled", true)));
+    bad(g, "job", () -> RecordCodec.decodeJob(RecordCodec.JOB + ID, Map.of()));
     bad(
         g,
         "types",
-        () -> RecordCodec.readTypes(object("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
-    bad(g, "types text", () -> RecordCodec.readTypes(object("{\"types\":[\"a\"]}")));
+        () -> RecordCodec.decodeTypes(object("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
+    bad(g, "types text", () -> RecordCodec.decodeTypes(object("{\"types\":[\"a\"]}")));
     g.check();
   }
 }
--- a/src/test/java/org/astershift/golden/SubmissionFormsTest.java
+++ b/src/test/java/org/astershift/golden/SubmissionFormsTest.java
@@ -19,7 +19,7 @@
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
   private static JobSpec read(String text) throws Json.JsonFormatException {
-    return JobCodec.spec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
+    return JobCodec.decodeSpec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
   }
 
   /** Its values in a fixed order; kinds and priorities as the numbers that records hold. */
@@ -36,14 +36,14 @@
       s.memoryGb(),
       s.image(),
       s.imageGb(),
-      s.types(),
+      s.machineTypes(),
       s.zone(),
       s.oneZone(),
       s.spread(),
-      s.spot(),
+      s.spotAllowed(),
       s.estimateS(),
-      s.checkpointS(),
-      s.saveS(),
+      s.checkpointIntervalS(),
+      s.checkpointSaveS(),
       s.deadlineS()
     };
     StringBuilder out = new StringBuilder();
@@ -82,7 +82,7 @@
       "wk-000412", "wk-z", "wk-" + "9".repeat(40), "wk-" + "9".repeat(41), "wk-", "wk-A", "wk_1", ""
     };
     for (String id : ids) {
-      g.add("<" + id + ">", String.valueOf(JobCodec.isId(id)));
+      g.add("<" + id + ">", String.valueOf(JobCodec.isJobId(id)));
     }
     g.check();
   }
@@ -100,7 +100,7 @@
     Golden g = new Golden("submission-accepted-before");
     for (Map.Entry<String, String> e : cases.entrySet()) {
       byte[] text = e.getValue().getBytes(StandardCharsets.UTF_8);
-      g.add(e.getKey(), String.valueOf(JobCodec.acceptedBefore(text)));
+      g.add(e.getKey(), String.valueOf(JobCodec.earlierAcceptedId(text)));
     }
     g.check();
   }
@@ -110,7 +110,7 @@
     Golden g = new Golden("submission-states");
     for (String phase : new String[] {"queued", "running", "done", "withdrawn", null}) {
       JobAnswer a = new JobAnswer(200, phase, 100_000, 37);
-      g.add(String.valueOf(phase), Json.bytes(JobCodec.state("wk-000412", a)));
+      g.add(String.valueOf(phase), Json.bytes(JobCodec.encodeState("wk-000412", a)));
     }
     g.check();
   }
--- a/src/test/java/org/astershift/golden/WorkerFormsTest.java
+++ b/src/test/java/org/astershift/golden/WorkerFormsTest.java
@@ -22,7 +22,7 @@
   private static final String TASK = "\"shard\":\"wk-1/0\",\"launch\":4,\"phase\":\"running\"";
 
   private static Heartbeat read(String text) throws Json.JsonFormatException {
-    return WorkerCodec.report(text.getBytes(StandardCharsets.UTF_8));
+    return WorkerCodec.readHeartbeat(text.getBytes(StandardCharsets.UTF_8));
   }
 
   private static String with(String more) {
@@ -58,13 +58,22 @@
   /** The values of a report in a fixed order; phases by their place among all. */
   private static String values(Heartbeat r) {
     StringBuilder out = new StringBuilder();
-    out.append(r.machine()).append(' ').append(r.addr()).append(' ').append(r.type()).append(' ');
-    out.append(r.zone()).append(' ').append(r.spot()).append(' ').append(r.session()).append(' ');
-    out.append(r.seq()).append(' ').append(r.token()).append(' ').append(r.noticeS());
+    out.append(r.machineName())
+        .append(' ')
+        .append(r.address())
+        .append(' ')
+        .append(r.typeName())
+        .append(' ');
+    out.append(r.zone()).append(' ').append(r.spot()).append(' ').append(r.epoch()).append(' ');
+    out.append(r.sequence())
+        .append(' ')
+        .append(r.fencingToken())
+        .append(' ')
+        .append(r.preemptionNoticeS());
     for (Heartbeat.TaskStatus i : r.tasks()) {
-      out.append(" [").append(i.job()).append(' ').append(i.index()).append(' ');
-      out.append(i.attempt()).append(' ').append(phase(i.phase())).append(' ');
-      out.append(i.cause()).append(']');
+      out.append(" [").append(i.jobId()).append(' ').append(i.index()).append(' ');
+      out.append(i.attemptNumber()).append(' ').append(phase(i.phase())).append(' ');
+      out.append(i.exitReason()).append(']');
     }
     return out.toString();
   }
@@ -170,11 +179,11 @@
     Golden g = new Golden("worker-orders");
     cases.forEach(
         (label, orders) -> {
-          g.add(label + ", answer", WorkerCodec.answer(42, orders));
-          g.add(label + ", direct", WorkerCodec.direct(42, 5, orders));
+          g.add(label + ", answer", WorkerCodec.heartbeatResponse(42, orders));
+          g.add(label + ", direct", WorkerCodec.directCommands(42, 5, orders));
         });
-    g.add("without a leader, answer", WorkerCodec.answer(0, List.of()));
-    g.add("first session, direct", WorkerCodec.direct(42, 0, List.of(start)));
+    g.add("without a leader, answer", WorkerCodec.heartbeatResponse(0, List.of()));
+    g.add("first session, direct", WorkerCodec.directCommands(42, 0, List.of(start)));
     g.check();
   }
 }
--- a/src/test/java/org/astershift/http/ConnectionSlotsTest.java
+++ b/src/test/java/org/astershift/http/ConnectionSlotsTest.java
@@ -17,15 +17,15 @@
 
   private Connection come(ConnectionSlots places, List<Connection> closed) {
     Connection c = new Connection(++now);
-    closed.addAll(places.enter(c));
+    closed.addAll(places.admit(c));
     return c;
   }
 
   private Connection come(ConnectionSlots places, boolean worker, List<Connection> closed) {
     Connection c = come(places, closed);
-    c.busy(now);
-    closed.addAll(places.asks(c, worker));
-    c.idleSince(++now);
+    c.onRequestStarted(now);
+    closed.addAll(places.onRequest(c, worker));
+    c.onIdle(++now);
     return c;
   }
 
@@ -79,12 +79,12 @@
   /** One report on its connection, or on a new one; null if it ends with the answer. */
   private Connection report(ConnectionSlots places, Connection open, List<Connection> closed) {
     Connection c = open == null ? come(places, closed) : open;
-    c.busy(++now);
-    closed.addAll(places.asks(c, true));
-    boolean stays = places.keeps(c);
-    c.idleSince(++now);
+    c.onRequestStarted(++now);
+    closed.addAll(places.onRequest(c, true));
+    boolean stays = places.mayKeepAlive(c);
+    c.onIdle(++now);
     if (!stays) {
-      places.leave(c);
+      places.release(c);
     }
     return stays ? c : null;
   }
@@ -123,15 +123,15 @@
     List<Connection> refused = new ArrayList<>();
     for (int i = 0; i < 170; i++) {
       Connection c = come(places, closed);
-      c.busy(++now);
-      for (Connection over : places.asks(c, true)) {
+      c.onRequestStarted(++now);
+      for (Connection over : places.onRequest(c, true)) {
         refused.add(over);
         assertEquals(c, over, "a report at work is not given up for another");
       }
     }
     assertTrue(refused.size() <= 170 - 90, refused.size() + " refused");
     for (int i = 0; i < 5; i++) {
-      come(places, false, closed).busy(++now);
+      come(places, false, closed).onRequestStarted(++now);
     }
     assertEquals(List.of(), closed);
   }
@@ -147,8 +147,8 @@
     }
     for (int i = 0; i < 90; i++) {
       Connection c = come(places, closed);
-      c.busy(++now);
-      closed.addAll(places.asks(c, true));
+      c.onRequestStarted(++now);
+      closed.addAll(places.onRequest(c, true));
     }
     assertTrue(closed.size() > 50, closed.size() + " closed");
     assertEquals(dead.subList(0, closed.size()), closed);
@@ -159,8 +159,8 @@
   void nobodyAtWorkIsGivenUp() {
     ConnectionSlots places = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
-    come(places, false, closed).busy(now);
-    come(places, false, closed).busy(now);
+    come(places, false, closed).onRequestStarted(now);
+    come(places, false, closed).onRequestStarted(now);
     Connection third = come(places, closed);
     assertEquals(List.of(third), closed);
   }
@@ -172,8 +172,8 @@
     List<Connection> closed = new ArrayList<>();
     Connection first = come(places, false, closed);
     come(places, false, closed);
-    places.leave(first);
-    places.leave(first);
+    places.release(first);
+    places.release(first);
     come(places, false, closed);
     assertEquals(List.of(), closed);
     come(places, false, closed);
@@ -184,14 +184,14 @@
   @ParameterizedTest
   @ValueSource(ints = {16, 1200, 1500, 2411, 3473, 1_000_000})
   void threadsStayWithinTheirLimit(int sockets) {
-    int connections = Constants.connections(sockets);
+    int connections = Constants.maxConnections(sockets);
     int pools =
-        Constants.ORDER_THREADS
-            + Constants.QUESTION_THREADS
-            + Constants.RENT_THREADS
-            + Constants.RETURN_THREADS;
+        Constants.COMMAND_THREADS
+            + Constants.MACHINE_PROBE_THREADS
+            + Constants.PROVISION_THREADS
+            + Constants.RELEASE_THREADS;
     int rest = Constants.PEER_CONNECTIONS + Constants.LOOP_THREADS + Constants.RUNTIME_THREADS;
     assertTrue(connections > 0 && connections <= sockets);
-    assertTrue(connections + pools + rest <= 0.9 * Constants.THREADS_ALLOWED);
+    assertTrue(connections + pools + rest <= 0.9 * Constants.MAX_THREADS);
   }
 }
--- a/src/test/java/org/astershift/http/HostileInputTest.java
+++ b/src/test/java/org/astershift/http/HostileInputTest.java
@@ -42,7 +42,7 @@
 
   @org.junit.jupiter.api.Test
   void endlessHeadersAreRefused() throws Exception {
-    String head = "GET / HTTP/1.1\r\nA: " + "x".repeat(Constants.HEAD_BYTES) + "\r\n\r\n";
+    String head = "GET / HTTP/1.1\r\nA: " + "x".repeat(Constants.MAX_HEAD_BYTES) + "\r\n\r\n";
     assertEquals("HTTP/1.1 431", exchange(head).substring(0, 12));
   }
 
--- a/src/test/java/org/astershift/http/HttpClientTest.java
+++ b/src/test/java/org/astershift/http/HttpClientTest.java
@@ -67,7 +67,7 @@
         synchronized (open) {
           open.add(s);
         }
-        new Thread(Threads.guarded("connection", () -> serve(s))).start();
+        new Thread(Threads.logFailures("connection", () -> serve(s))).start();
       } catch (IOException e) {
         return; // the test is over
       }
@@ -77,8 +77,8 @@
   private void serve(Socket socket) throws InterruptedException {
     try (socket) {
       HttpMessageReader wire = new HttpMessageReader(socket);
-      while (wire.await()) {
-        wire.request(Constants.BODY_BYTES);
+      while (wire.awaitFirstByte()) {
+        wire.readRequest(Constants.MAX_REQUEST_BODY_BYTES);
         all.countDown();
         all.await();
         socket.getOutputStream().write(OK);
--- a/src/test/java/org/astershift/http/HttpServerTest.java
+++ b/src/test/java/org/astershift/http/HttpServerTest.java
@@ -63,7 +63,10 @@
   void connectionWhoseThreadCannotStartIsClosed() throws Exception {
     AtomicInteger refused = new AtomicInteger(5);
     ThreadFactory scarce =
-        r -> refused.getAndDecrement() > 0 ? new Unstartable() : Threads.connections().newThread(r);
+        r ->
+            refused.getAndDecrement() > 0
+                ? new Unstartable()
+                : Threads.connectionThreadFactory().newThread(r);
     try (HttpServer server =
         new HttpServer(
             "127.0.0.1", 0, new ConnectionSlots(2, 2), p -> false, HttpServerTest::ok, scarce)) {
@@ -127,11 +130,11 @@
             r ->
                 refused.getAndDecrement() > 0
                     ? new Unstartable()
-                    : Threads.connections().newThread(r));
+                    : Threads.connectionThreadFactory().newThread(r));
     CountDownLatch done = new CountDownLatch(1);
     pool.execute("work", done::countDown);
     assertEquals(1, done.getCount());
-    pool.tend();
+    pool.startWaitingWork();
     done.await();
   }
 }
--- a/src/test/java/org/astershift/peer/GoldenFramesTest.java
+++ b/src/test/java/org/astershift/peer/GoldenFramesTest.java
@@ -38,7 +38,7 @@
     }
     g.check();
     for (Map.Entry<String, PeerCodec.PeerRequest> e : asks.entrySet()) {
-      assertEquals(e.getValue(), PeerCodec.ask(in(g.kept(e.getKey()))));
+      assertEquals(e.getValue(), PeerCodec.readRequest(in(g.kept(e.getKey()))));
     }
   }
 
@@ -59,24 +59,27 @@
     }
     g.check();
     for (Map.Entry<String, JobAnswer> e : answers.entrySet()) {
-      assertEquals(e.getValue(), PeerCodec.answer(in(g.kept(e.getKey()))));
+      assertEquals(e.getValue(), PeerCodec.readAnswer(in(g.kept(e.getKey()))));
     }
   }
 
   /** A later version may say more: what it says besides is passed over. */
   @Test
   void longerFramesAreReadAndOthersRefused() throws Exception {
-    assertEquals(new PeerCodec.PeerRequest("a", "b"), PeerCodec.ask(in("0000000793a161a162a163")));
-    assertEquals(new JobAnswer(200, null, 1, 2), PeerCodec.answer(in("0000000895ccc8c00102a178")));
+    assertEquals(
+        new PeerCodec.PeerRequest("a", "b"), PeerCodec.readRequest(in("0000000793a161a162a163")));
+    assertEquals(
+        new JobAnswer(200, null, 1, 2), PeerCodec.readAnswer(in("0000000895ccc8c00102a178")));
     Golden g = new Golden("peer-errors");
     for (String hex : new String[] {"00000000", "ffffffff", "00010001", "0000000391a161"}) {
-      String said = assertThrows(IOException.class, () -> PeerCodec.ask(in(hex))).getMessage();
+      String said =
+          assertThrows(IOException.class, () -> PeerCodec.readRequest(in(hex))).getMessage();
       g.add("question " + hex, said);
     }
     String shortAnswer = "0000000593ccc8c001";
     g.add(
         "answer " + shortAnswer,
-        assertThrows(IOException.class, () -> PeerCodec.answer(in(shortAnswer))).getMessage());
+        assertThrows(IOException.class, () -> PeerCodec.readAnswer(in(shortAnswer))).getMessage());
     g.check();
   }
 }
--- a/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
+++ b/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
@@ -21,7 +21,7 @@
     double dark = 0;
     double darkGpus = 0;
     boolean unbounded = false;
-    for (Machine m : c.all()) {
+    for (Machine m : c.allMachines()) {
       double cpus = 0;
       double gpus = 0;
       double memory = 0;
@@ -29,12 +29,12 @@
       double plain = 0;
       int held = 0;
       boolean strangers = false;
-      for (TaskAttempt run : m.runs.values()) {
+      for (TaskAttempt run : m.attempts.values()) {
         check(out, run.machine == m, run.name() + " is in the books of another machine");
-        check(out, m.runs.get(run.key) == run, run.name() + " under another key");
+        check(out, m.attempts.get(run.key) == run, run.name() + " under another key");
         if (run.exited()) {
-          check(out, !run.job.extras.contains(run), run.name() + " exited and extra");
-          check(out, run.job.runs.get(run.index) != run, run.name() + " exited and held");
+          check(out, !run.job.duplicateAttempts.contains(run), run.name() + " exited and extra");
+          check(out, run.job.attempts.get(run.index) != run, run.name() + " exited and held");
           continue;
         }
         JobSpec s = run.job.spec;
@@ -44,15 +44,15 @@
         memory += s.memoryGb();
         replicas += s.kind() == JobKind.SERVICE ? s.cpus() : 0;
         plain += s.gpus() == 0 ? s.cpus() : 0;
-        strangers |= run.job.stranger;
+        strangers |= run.job.orphaned;
         double[] u = teams.computeIfAbsent(s.team(), t -> new double[2]);
         u[0] += s.cpus();
         u[1] += s.gpus();
         byJob.computeIfAbsent(run.job, j -> new HashSet<>()).add(run);
         boolean known =
-            run.job.runs.get(run.index) == run
-                || run.job.extras.contains(run)
-                || (run.unwanted() && run.job.runs.get(run.index) == null);
+            run.job.attempts.get(run.index) == run
+                || run.job.duplicateAttempts.contains(run)
+                || (run.unwanted() && run.job.attempts.get(run.index) == null);
         check(out, known, run.name() + " on " + m.name + " is nobody's");
         check(
             out,
@@ -60,49 +60,52 @@
             run.name() + " is of a job that is live and not known");
         boolean counts =
             run.job.state != Job.State.LIVE
-                || run.job.done.get(run.index)
-                || !run.job.waiting.get(run.index);
+                || run.job.doneTasks.get(run.index)
+                || !run.job.waitingTasks.get(run.index);
         check(out, counts, run.name() + " on " + m.name + " is held and waits");
       }
-      check(out, held == m.heldCount(), m.name + " holds " + held + ", not " + m.heldCount());
+      check(
+          out,
+          held == m.heldAttemptCount(),
+          m.name + " holds " + held + ", not " + m.heldAttemptCount());
       same(out, m.name + " cpus", cpus, m.usedCpus());
       same(out, m.name + " gpus", gpus, m.usedGpus());
-      same(out, m.name + " memory", memory, m.usedMemory());
+      same(out, m.name + " memory", memory, m.usedMemoryGb());
       same(out, m.name + " replicas", replicas, m.replicaCpus());
-      same(out, m.name + " plain", plain, m.plainCpus());
-      boolean hidden = (m.inherited && !m.claimed) || strangers;
-      check(out, hidden == m.inTheDark(), m.name + " in the dark: " + hidden);
+      same(out, m.name + " plain", plain, m.nonGpuCpus());
+      boolean hidden = (m.inherited && !m.fenced) || strangers;
+      check(out, hidden == m.mayHoldUnobservedUsage(), m.name + " in the dark: " + hidden);
       if (hidden) {
-        unbounded |= m.kind == null;
-        dark += m.kind == null ? 0 : m.kind.cpus();
-        darkGpus += m.kind == null ? 0 : m.kind.gpus();
+        unbounded |= m.type == null;
+        dark += m.type == null ? 0 : m.type.cpus();
+        darkGpus += m.type == null ? 0 : m.type.gpus();
       }
-      unheard += m.inherited && !m.claimed ? 1 : 0;
-      boolean unrecorded = m.state == Machine.State.LIVE && !m.enrolled;
-      check(out, unrecorded == c.unrecorded.contains(m), m.name + " unrecorded: " + unrecorded);
+      unheard += m.inherited && !m.fenced ? 1 : 0;
+      boolean unrecorded = m.state == Machine.State.LIVE && !m.registered;
+      check(out, unrecorded == c.unregistered.contains(m), m.name + " unrecorded: " + unrecorded);
     }
-    check(out, c.unheard() == unheard > 0, unheard + " machines are unheard");
-    for (Team team : c.facts.teams().values()) {
+    check(out, c.anyUnreconciled() == unheard > 0, unheard + " machines are unheard");
+    for (Team team : c.limits.teams().values()) {
       double[] u = teams.getOrDefault(team.name(), new double[2]);
-      double[] use = c.teamUse(team.name());
+      double[] use = c.teamUsage(team.name());
       same(out, team.name() + " cpus", u[0], use[0]);
       same(out, team.name() + " gpus", u[1], use[1]);
-      double[] left = c.teamLeft(team.name());
-      if (team.cpusMax() > 0 && !unbounded) {
-        same(out, team.name() + " cpus left", team.cpusMax() - u[0] - dark, left[0]);
+      double[] left = c.remainingTeamQuota(team.name());
+      if (team.maxCpus() > 0 && !unbounded) {
+        same(out, team.name() + " cpus left", team.maxCpus() - u[0] - dark, left[0]);
       }
-      if (team.gpusMax() > 0 && !unbounded) {
-        same(out, team.name() + " gpus left", team.gpusMax() - u[1] - darkGpus, left[1]);
+      if (team.maxGpus() > 0 && !unbounded) {
+        same(out, team.name() + " gpus left", team.maxGpus() - u[1] - darkGpus, left[1]);
       }
-      check(out, !unbounded || !team.limited() || left[0] < 0 || left[1] < 0, "unbounded");
+      check(out, !unbounded || !team.isLimited() || left[0] < 0 || left[1] < 0, "unbounded");
     }
     for (Job job : c.jobs.values()) {
       job(c, out, job, byJob.getOrDefault(job, Set.of()));
     }
-    for (Job job : c.waiting) {
+    for (Job job : c.waitingJobs) {
       check(out, c.jobs.get(job.spec.id()) == job, job.spec.id() + " is over and waits");
     }
-    for (Job job : c.unopened) {
+    for (Job job : c.jobsToOpen) {
       check(out, c.jobs.get(job.spec.id()) == job, job.spec.id() + " is over and to be opened");
     }
     return out;
@@ -114,32 +117,35 @@
     int running = 0;
     Map<String, Integer> zones = new HashMap<>();
     for (int i = 0; i < job.spec.tasks(); i++) {
-      TaskAttempt run = job.runs.get(i);
-      boolean waits = run == null && !job.done.get(i);
+      TaskAttempt run = job.attempts.get(i);
+      boolean waits = run == null && !job.doneTasks.get(i);
       waiting += waits ? 1 : 0;
-      check(out, waits == job.waiting.get(i), id + "/" + i + " waits: " + waits);
+      check(out, waits == job.waitingTasks.get(i), id + "/" + i + " waits: " + waits);
       if (run != null) {
         check(out, runs.contains(run), run.name() + " is on no machine");
-        running += run.works() ? 1 : 0;
+        running += run.isRunning() ? 1 : 0;
         zones.merge(run.machine.zone, 1, Integer::sum);
       }
     }
-    for (TaskAttempt extra : job.extras) {
+    for (TaskAttempt extra : job.duplicateAttempts) {
       check(out, runs.contains(extra), extra.name() + ", extra, is on no machine");
-      check(out, job.runs.get(extra.index) != extra, extra.name() + " is extra and held");
-      check(out, job.runs.containsKey(extra.index), extra.name() + " is extra beside nothing");
+      check(out, job.attempts.get(extra.index) != extra, extra.name() + " is extra and held");
+      check(out, job.attempts.containsKey(extra.index), extra.name() + " is extra beside nothing");
     }
     check(out, waiting == job.waitingCount(), id + " waiting " + waiting);
-    check(out, job.done.cardinality() == job.doneCount(), id + " done");
-    check(out, running == job.running(), id + " running " + running + ", not " + job.running());
+    check(out, job.doneTasks.cardinality() == job.doneCount(), id + " done");
+    check(
+        out,
+        running == job.runningCount(),
+        id + " running " + running + ", not " + job.runningCount());
     for (String zone : List.of("a", "b")) {
-      check(out, zones.getOrDefault(zone, 0) == job.inZone(zone), id + " in zone " + zone);
+      check(out, zones.getOrDefault(zone, 0) == job.attemptsInZone(zone), id + " in zone " + zone);
     }
-    check(out, waiting > 0 == c.waiting.contains(job), id + " among the waiting: " + waiting);
-    check(out, c.unfinished(job.spec.team()).contains(job), id + " not among its team's");
-    boolean unopened = !job.opened && !job.runs.isEmpty();
-    check(out, !unopened || c.unopened.contains(job), id + " is not to be opened");
-    check(out, !job.complete() || c.completing.contains(job), id + " is complete");
+    check(out, waiting > 0 == c.waitingJobs.contains(job), id + " among the waiting: " + waiting);
+    check(out, c.unfinishedJobs(job.spec.team()).contains(job), id + " not among its team's");
+    boolean unopened = !job.opened && !job.attempts.isEmpty();
+    check(out, !unopened || c.jobsToOpen.contains(job), id + " is not to be opened");
+    check(out, !job.complete() || c.completionCandidates.contains(job), id + " is complete");
   }
 
   private static void same(List<String> out, String what, double expected, double kept) {
--- a/src/test/java/org/astershift/scheduler/EligibilityTest.java
+++ b/src/test/java/org/astershift/scheduler/EligibilityTest.java
@@ -98,7 +98,7 @@
     Team team = new Team("t", 0, Double.parseDouble(l[0]), 0, Double.parseDouble(l[1]));
     List<MachineType> types =
         List.of(type("small", 0, "ab"), type("fast", 4, "b"), type("gone", 4, ""));
-    String never = Eligibility.neverRuns(spec, types, team);
+    String never = Eligibility.rejectionReason(spec, types, team);
     String said = never == null ? "runs" : never;
     assertTrue(said.contains(verdict), said);
   }
@@ -108,8 +108,9 @@
     JobSpec spec = job(JobKind.ARRAY, 1, 1, 4, 1, List.of("gone"), null, false, false, false);
     Team team = new Team("t", 0, 0, 0, 0);
     List<MachineType> types = List.of(type("small", 0, "a"), type("gone", 4, ""));
-    assertEquals("a task fits no allowed machine type", Eligibility.neverRuns(spec, types, team));
-    assertEquals("unknown team", Eligibility.neverRuns(spec, types, null));
+    assertEquals(
+        "a task fits no allowed machine type", Eligibility.rejectionReason(spec, types, team));
+    assertEquals("unknown team", Eligibility.rejectionReason(spec, types, null));
   }
 
   /**
@@ -144,7 +145,7 @@
       double cpusMax = exact ? tasks * cpus : pick(random, 0.0, 0.0, 0.9, 4.0, 20.0);
       Team team = new Team("t", 0, cpusMax, 0, pick(random, 0.0, 0.0, 3.0));
 
-      String never = Eligibility.neverRuns(spec, types.values(), team);
+      String never = Eligibility.rejectionReason(spec, types.values(), team);
       verdicts.merge(never == null ? "runs as " + kind : never, 1, Integer::sum);
       boolean ran = new Deployment(types, team).runs(spec, never == null ? 120 : 30);
       assertEquals(never == null, ran, "seed " + seed + ": " + never + ", " + spec + types + team);
@@ -176,7 +177,7 @@
       DeploymentLimits facts =
           new DeploymentLimits(Map.of("t", team), List.of(), 2, 14, 30, 4, 40, 3);
       this.scheduler = new Scheduler(facts, org.astershift.config.OperatorSettings.defaults(), 7);
-      scheduler.types(types);
+      scheduler.updateMachineTypes(types);
     }
 
     private static final class Task {
@@ -187,7 +188,7 @@
       Heartbeat.TaskStatus item() {
         Heartbeat.TaskPhase phase = done ? Heartbeat.TaskPhase.EXITED : Heartbeat.TaskPhase.RUNNING;
         return new Heartbeat.TaskStatus(
-            start.job(), start.index(), start.attempt(), phase, done ? "done" : null);
+            start.jobId(), start.index(), start.attemptNumber(), phase, done ? "done" : null);
       }
     }
 
@@ -221,45 +222,45 @@
 
     private void carryOut(Decision d, long now) {
       if (d instanceof Decision.OpenJob o) {
-        scheduler.opened(o.job());
+        scheduler.onJobOpened(o.jobId());
       } else if (d instanceof Decision.FinishJob f) {
-        scheduler.ended(f.job(), false, now);
+        scheduler.onJobEnded(f.jobId(), false, now);
         finished = true;
       } else if (d instanceof Decision.RegisterMachine e) {
-        scheduler.enrolled(e.machine());
+        scheduler.onMachineRegistered(e.machineName());
       } else if (d instanceof Decision.ProvisionMachines r) {
         assertTrue(r.count() > 0, () -> r + " for " + spec);
         if (boxes.size() + r.count() > MACHINES) {
-          scheduler.notRented("r", r, true, now);
+          scheduler.onProvisioningFailed("r", r, true, now);
           return;
         }
-        scheduler.renting("r", r);
+        scheduler.onProvisioningStarted("r", r);
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < Math.min(r.count(), Constants.RENT_BATCH); i++) {
+        for (int i = 0; i < Math.min(r.count(), Constants.PROVISION_BATCH_MACHINES); i++) {
           String name = "vm-" + ++made;
           Box box = new Box();
-          box.type = types.get(r.type());
+          box.type = types.get(r.typeName());
           box.zone = r.zone();
           box.spot = r.spot();
           boxes.put(name, box);
           names.add(name);
         }
-        scheduler.rented("r", names, r, now);
+        scheduler.onMachinesProvisioned("r", names, r, now);
       } else if (d instanceof Decision.ReleaseMachines r) {
-        for (String name : r.machines()) {
+        for (String name : r.machineNames()) {
           assertEquals(0, boxes.remove(name).running(), () -> "given back under " + spec);
         }
-        scheduler.returned(r.machines(), now);
+        scheduler.onMachinesReleased(r.machineNames(), now);
       } else if (d instanceof Decision.SendCommands o) {
-        Box box = boxes.get(o.machine());
-        obey(box, o.orders(), now);
-        scheduler.directResult(o.machine(), false, report(o.machine(), box), now);
+        Box box = boxes.get(o.machineName());
+        obey(box, o.commands(), now);
+        scheduler.onCommandResult(o.machineName(), false, report(o.machineName(), box), now);
       }
     }
 
     private void obey(Box box, List<Command> orders, long now) {
       for (Command o : orders) {
-        switch (o.op()) {
+        switch (o.kind()) {
           case START -> {
             Task t = new Task();
             t.start = o;
@@ -292,10 +293,10 @@
           boolean ends = spec.kind() != JobKind.SERVICE && together;
           t.done |= ends && now - t.sinceMs >= 1000;
         }
-        List<Command> orders = scheduler.report(report(e.getKey(), e.getValue()), now);
+        List<Command> orders = scheduler.onHeartbeat(report(e.getKey(), e.getValue()), now);
         obey(e.getValue(), orders, now);
       }
-      scheduler.unsaved().forEach(scheduler::saved);
+      scheduler.drainUnpersistedProgress().forEach(scheduler::onProgressPersisted);
     }
 
     /** The rules, and what a report may hold. */
@@ -310,10 +311,11 @@
         assertTrue(n * spec.cpus() <= box.type.cpus() + tolerance, spec::toString);
         assertTrue(n * spec.gpus() <= box.type.gpus() + tolerance, spec::toString);
         assertTrue(n * spec.memoryGb() <= box.type.memoryGb() + tolerance, spec::toString);
-        assertTrue(box.tasks.size() <= Constants.TASKS_A_MACHINE, spec::toString);
-        assertTrue(n == 0 || spec.types() == null || spec.types().contains(box.type.name()));
+        assertTrue(box.tasks.size() <= Constants.MAX_TASKS_PER_MACHINE, spec::toString);
+        assertTrue(
+            n == 0 || spec.machineTypes() == null || spec.machineTypes().contains(box.type.name()));
         assertTrue(n == 0 || spec.zone() == null || spec.zone().equals(box.zone));
-        assertTrue(n == 0 || spec.spot() || !box.spot);
+        assertTrue(n == 0 || spec.spotAllowed() || !box.spot);
       }
       zones.values().removeIf(n -> n == 0);
       assertTrue(!spec.oneZone() || zones.size() <= 1, () -> spec + ": " + zones);
--- a/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
+++ b/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
@@ -47,13 +47,13 @@
   /** Jobs are cancelled while the write that opens them is under way, and machines go. */
   @Test
   void nothingIsLeftOfJobsThatAreOverAndMachinesThatAreGone() {
-    scheduler.types(Map.of("small", small));
+    scheduler.updateMachineTypes(Map.of("small", small));
     Decision.ProvisionMachines rent = new Decision.ProvisionMachines("small", "a", false, 1);
-    scheduler.rented("r", List.of("vm-1"), rent, 0);
-    scheduler.enrolled("vm-1");
-    scheduler.rented("s", List.of("vm-2"), rent, 0);
+    scheduler.onMachinesProvisioned("r", List.of("vm-1"), rent, 0);
+    scheduler.onMachineRegistered("vm-1");
+    scheduler.onMachinesProvisioned("s", List.of("vm-2"), rent, 0);
     for (String machine : List.of("vm-1", "vm-2")) {
-      scheduler.report(
+      scheduler.onHeartbeat(
           new Heartbeat(machine, "x", "small", "a", false, 1, 1, 7, null, List.of()), 0);
     }
     for (int i = 0; i < JOBS; i++) {
@@ -62,12 +62,13 @@
     for (int pass = 1; pass <= 4; pass++) { // so many starts a pass go to one machine
       scheduler.pass(pass, Long.MAX_VALUE);
     }
-    assertEquals(JOBS + 1, scheduler.outstanding(), "records of jobs, and of a machine");
+    assertEquals(
+        JOBS + 1, scheduler.outstandingDecisionCount(), "records of jobs, and of a machine");
     for (int i = 0; i < JOBS; i++) {
-      scheduler.ended("wk-" + i, true, 5);
+      scheduler.onJobEnded("wk-" + i, true, 5);
     }
-    scheduler.returned(List.of("vm-1", "vm-2"), 5);
+    scheduler.onMachinesReleased(List.of("vm-1", "vm-2"), 5);
     scheduler.pass(6, Long.MAX_VALUE);
-    assertEquals(0, scheduler.outstanding());
+    assertEquals(0, scheduler.outstandingDecisionCount());
   }
 }
--- a/src/test/java/org/astershift/scheduler/PassCostTest.java
+++ b/src/test/java/org/astershift/scheduler/PassCostTest.java
@@ -34,7 +34,7 @@
     scheduler = new Scheduler(facts, OperatorSettings.defaults(), 7);
     MachineType type =
         new MachineType("small", 4, 0, 16, 50, 1, 0.2, 0.1, 15, List.of("a", "b", "c", "d"));
-    scheduler.types(Map.of("small", type));
+    scheduler.updateMachineTypes(Map.of("small", type));
   }
 
   private void add(int number, String jobClass, Priority priority, int tasks) {
@@ -64,7 +64,7 @@
   }
 
   private void report(int machine, long seq, List<Heartbeat.TaskStatus> tasks) {
-    scheduler.report(
+    scheduler.onHeartbeat(
         new Heartbeat(
             "vm-" + machine,
             "10.0.0.1:" + machine,
@@ -82,7 +82,8 @@
   /** A fleet that is full, with all reports in; gives what runs where. */
   private List<List<Heartbeat.TaskStatus>> full() {
     for (int i = 0; i < MACHINES; i++) {
-      scheduler.inherit("vm-" + i, "10.0.0.1:" + i, "small", "abcd".charAt(i % 4) + "", false, now);
+      scheduler.addInheritedMachine(
+          "vm-" + i, "10.0.0.1:" + i, "small", "abcd".charAt(i % 4) + "", false, now);
     }
     for (int i = 0; i < JOBS; i++) {
       add(i, "bulk", Priority.LOW, 1000);
@@ -98,19 +99,19 @@
       now += 250;
       for (Decision d : scheduler.pass(now, Long.MAX_VALUE)) {
         if (d instanceof Decision.SendCommands o) {
-          int machine = Integer.parseInt(o.machine().substring(3));
-          for (Command order : o.orders()) {
+          int machine = Integer.parseInt(o.machineName().substring(3));
+          for (Command order : o.commands()) {
             running
                 .get(machine)
                 .add(
                     new Heartbeat.TaskStatus(
-                        order.job(),
+                        order.jobId(),
                         order.index(),
-                        order.attempt(),
+                        order.attemptNumber(),
                         Heartbeat.TaskPhase.RUNNING,
                         null));
           }
-          scheduler.directResult(o.machine(), false, null, now);
+          scheduler.onCommandResult(o.machineName(), false, null, now);
           report(machine, 2 + pass, running.get(machine));
         }
       }
@@ -128,15 +129,16 @@
     List<List<Heartbeat.TaskStatus>> running = full();
     assertEquals(
         MACHINES * 4, running.stream().mapToInt(List::size).sum(), "the fleet is not full");
-    long before = scheduler.looks();
+    long before = scheduler.candidateChecks();
     now += 250;
     scheduler.pass(now, Long.MAX_VALUE);
-    assertEquals(0, scheduler.looks() - before, "a pass in which nothing could be placed");
-    before = scheduler.looks();
+    assertEquals(
+        0, scheduler.candidateChecks() - before, "a pass in which nothing could be placed");
+    before = scheduler.candidateChecks();
     for (int i = 0; i < MACHINES; i++) {
       report(i, 101, running.get(i));
     }
-    assertEquals(0, scheduler.looks() - before, "reports in which nothing changed");
+    assertEquals(0, scheduler.candidateChecks() - before, "reports in which nothing changed");
   }
 
   /** Tight work looks at each machine once and then takes the best, however much waits. */
@@ -144,10 +146,10 @@
   void tightWorkLooksAtEachMachineAFewTimes() {
     full();
     add(JOBS, "urgent", Priority.HIGH, 50);
-    long before = scheduler.looks();
+    long before = scheduler.candidateChecks();
     now += 250;
     scheduler.pass(now, Long.MAX_VALUE);
-    long looks = scheduler.looks() - before;
+    long looks = scheduler.candidateChecks() - before;
     assertTrue(looks >= MACHINES && looks <= 3 * MACHINES + 200, looks + " looks");
   }
 }
--- a/src/test/java/org/astershift/scheduler/ReferenceRules.java
+++ b/src/test/java/org/astershift/scheduler/ReferenceRules.java
@@ -51,9 +51,9 @@
     if (!places.isEmpty() && !places.containsKey(where.machine())) {
       fail("ran_twice", nowMs, task + " starts on " + where + " and is on " + places.values());
     }
-    boolean type = spec.types() == null || spec.types().contains(where.type());
+    boolean type = spec.machineTypes() == null || spec.machineTypes().contains(where.type());
     boolean zone = spec.zone() == null || spec.zone().equals(where.zone());
-    if (!type || !zone || (where.spot() && !spec.spot())) {
+    if (!type || !zone || (where.spot() && !spec.spotAllowed())) {
       fail("wrong_place", nowMs, task + " on " + where);
     }
     int inZone = 0;
@@ -89,8 +89,8 @@
       }
     }
     Team team = teams.get(name);
-    if ((team.cpusMax() > 0 && cpus > team.cpusMax() + 1e-6)
-        || (team.gpusMax() > 0 && gpus > team.gpusMax() + 1e-6)) {
+    if ((team.maxCpus() > 0 && cpus > team.maxCpus() + 1e-6)
+        || (team.maxGpus() > 0 && gpus > team.maxGpus() + 1e-6)) {
       fail("quota", nowMs, name + " uses " + cpus + " and " + gpus);
     }
   }
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -198,24 +198,31 @@
     if (job == null) {
       return "not known";
     }
-    StringBuilder sb = new StringBuilder("waiting " + job.waiting + " of " + job.spec + ", done ");
-    sb.append(job.done).append(", opened ").append(job.opened);
-    for (TaskAttempt run : job.runs.values()) {
+    StringBuilder sb =
+        new StringBuilder("waiting " + job.waitingTasks + " of " + job.spec + ", done ");
+    sb.append(job.doneTasks).append(", opened ").append(job.opened);
+    for (TaskAttempt run : job.attempts.values()) {
       Machine m = run.machine;
       sb.append("; ").append(run.key).append(" on ").append(m.name).append(' ').append(m.state);
-      sb.append(" anew=").append(m.restartedInTerm).append(" claimed=").append(m.claimed);
-      sb.append(" phase=").append(run.phase).append(" ordered=").append(run.ordered);
-      sb.append(" doubtful=").append(run.doubtful).append(" stopping=").append(run.stopping);
-    }
-    for (Machine m : store.holder.scheduler.cluster().all()) {
-      sb.append("; ").append(m.name).append(' ').append(m.type).append(m.zone).append(m.state);
-      sb.append(" anew=").append(m.restartedInTerm).append(" enrolled=").append(m.enrolled);
+      sb.append(" anew=").append(m.restartedInTerm).append(" claimed=").append(m.fenced);
+      sb.append(" phase=").append(run.phase).append(" ordered=").append(run.startSent);
+      sb.append(" doubtful=")
+          .append(run.startUnconfirmed)
+          .append(" stopping=")
+          .append(run.stopping);
+    }
+    for (Machine m : store.holder.scheduler.cluster().allMachines()) {
+      sb.append("; ").append(m.name).append(' ').append(m.typeName).append(m.zone).append(m.state);
+      sb.append(" anew=").append(m.restartedInTerm).append(" enrolled=").append(m.registered);
       sb.append(" usable=")
           .append(m.usable(store.holder.clock()))
           .append(" deaf=")
-          .append(m.deaf());
-      sb.append(" condemned=").append(m.condemned).append(" hearsay=").append(m.hearsay);
-      sb.append(" notice=").append(m.noticeS).append(" holds ").append(m.runs.keySet());
+          .append(m.inboundPartitioned());
+      sb.append(" condemned=").append(m.quarantined).append(" hearsay=").append(m.unverified);
+      sb.append(" notice=")
+          .append(m.preemptionNoticeS)
+          .append(" holds ")
+          .append(m.attempts.keySet());
     }
     return sb.toString();
   }
@@ -266,7 +273,7 @@
             saves ? 3 : 0,
             saves ? 1 : 0,
             random.nextInt(3) == 0 ? 60.0 : null);
-    if (Eligibility.neverRuns(spec, types.values(), teams.get(team)) != null) {
+    if (Eligibility.rejectionReason(spec, types.values(), teams.get(team)) != null) {
       jobNumber--;
       return;
     }
@@ -323,12 +330,12 @@
   private void cancelling(Controller ctl, String id, long untilMs) {
     ctl.handle(
         () -> {
-          boolean kept = ctl.ledger.keeps(id);
+          boolean kept = ctl.ledger.manages(id);
           Scheduler s = ctl.scheduler;
           if (kept && ctl.clock() < ctl.soleUntilMs) {
-            s.cancelWanted(id);
+            s.requestCancellation(id);
           }
-          Scheduler.JobProgress view = s.view(id);
+          Scheduler.JobProgress view = s.progress(id);
           Cancellation.Action act =
               Cancellation.next(
                   new Cancellation.View(
@@ -338,7 +345,7 @@
                       ctl.clock() < ctl.soleUntilMs,
                       kept,
                       true,
-                      kept && s.cancelKeepable(id),
+                      kept && s.canConfirmCancellation(id),
                       kept && s.mayStart(id),
                       view != null && view.complete(),
                       now > untilMs));
@@ -431,7 +438,7 @@
     final long token;
     final Scheduler scheduler;
     final TermJobs ledger;
-    final double rate = 1 + (random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT;
+    final double rate = 1 + (random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT_SHARE;
     final long offset = random.nextInt(1_000_000);
     final Map<String, Long> cutUntil = new HashMap<>();
     final Map<String, Boolean> held = new HashMap<>();
@@ -483,20 +490,21 @@
     }
 
     void take(String job, long revision, boolean opened, BitSet done, long submitted) {
-      if (ledger.take(job, revision)) {
+      if (ledger.adopt(job, revision)) {
         scheduler.addJob(specs.get(job), opened, done, clock() - (now - submitted));
       }
     }
 
     void load() {
-      scheduler.types(types);
+      scheduler.updateMachineTypes(types);
       for (Decision.RegisterMachine e : store.machines.values()) {
-        if (e.fresh()) {
+        if (e.newlyProvisioned()) {
           Decision.ProvisionMachines r =
-              new Decision.ProvisionMachines(e.type(), e.zone(), e.spot(), 1);
-          scheduler.rented("", List.of(e.machine()), r, clock());
+              new Decision.ProvisionMachines(e.typeName(), e.zone(), e.spot(), 1);
+          scheduler.onMachinesProvisioned("", List.of(e.machineName()), r, clock());
         } else {
-          scheduler.inherit(e.machine(), e.addr(), e.type(), e.zone(), e.spot(), clock());
+          scheduler.addInheritedMachine(
+              e.machineName(), e.address(), e.typeName(), e.zone(), e.spot(), clock());
         }
       }
       store.live.forEach(
@@ -507,10 +515,10 @@
                   store.opened.contains(job),
                   (BitSet) store.progress.getOrDefault(job, new BitSet()).clone(),
                   store.submitted.get(job)));
-      ledger.loaded();
+      ledger.onLoaded();
       store.rentals.forEach(
           (name, r) -> {
-            scheduler.renting(name, r);
+            scheduler.onProvisioningStarted(name, r);
             rent(this, name, r);
           });
       note("controller " + id + " begins with token " + token);
@@ -526,7 +534,7 @@
       }
       if (!outage && !storeCut && !paused && store.holder == this) {
         store.keyEndsMs = now + KEY_MS;
-        long sole = clock() + (long) (KEY_MS * (1 - 2 * Constants.CLOCK_DRIFT)) - 50;
+        long sole = clock() + (long) (KEY_MS * (1 - 2 * Constants.CLOCK_DRIFT_SHARE)) - 50;
         after(random.nextInt(20), () -> handle(() -> soleUntilMs = Math.max(soleUntilMs, sole)));
       }
       after(300, this::renew);
@@ -541,7 +549,7 @@
             if (resumed) {
               resumed = false;
               if (random.nextBoolean()) {
-                scheduler.resumed(clock());
+                scheduler.onProcessResumed(clock());
               }
             }
             List<Decision> decisions = scheduler.pass(clock(), soleUntilMs);
@@ -550,17 +558,17 @@
               carryOut(d);
             }
           });
-      after(50 + random.nextInt(scheduler.restless() ? 60 : 250), this::pass);
+      after(50 + random.nextInt(scheduler.passRequested() ? 60 : 250), this::pass);
     }
 
     void save() {
       handle(
           () ->
               scheduler
-                  .unsaved()
+                  .drainUnpersistedProgress()
                   .forEach(
                       (job, done) -> {
-                        if (ledger.keeps(job)) {
+                        if (ledger.manages(job)) {
                           saveOne(job, done);
                         }
                       }));
@@ -575,8 +583,8 @@
           () -> store.progress.computeIfAbsent(job, j -> new BitSet()).or(done),
           ok -> {
             if (ok != null && ok) {
-              scheduler.saved(job, done);
-            } else if (!over && ledger.keeps(job)) {
+              scheduler.onProgressPersisted(job, done);
+            } else if (!over && ledger.manages(job)) {
               after(500, () -> handle(() -> saveOne(job, done)));
             }
           },
@@ -593,8 +601,8 @@
           () -> store.opened.add(job),
           ok -> {
             if (ok != null && ok) {
-              scheduler.opened(job);
-            } else if (ledger.keeps(job)) {
+              scheduler.onJobOpened(job);
+            } else if (ledger.manages(job)) {
               repeat(() -> open(job));
             }
           },
@@ -604,15 +612,15 @@
     private void enrol(Decision.RegisterMachine e) {
       store.write(
           this,
-          () -> store.machines.put(e.machine(), e),
+          () -> store.machines.put(e.machineName(), e),
           ok -> {
             if (ok != null && ok) {
-              scheduler.enrolled(e.machine());
+              scheduler.onMachineRegistered(e.machineName());
             } else {
               repeat(() -> enrol(e));
             }
           },
-          "m" + e.machine());
+          "m" + e.machineName());
     }
 
     private void strike(String name) {
@@ -620,7 +628,7 @@
     }
 
     void end(String job, boolean cancelled) {
-      if (!ledger.keeps(job)) {
+      if (!ledger.manages(job)) {
         return;
       }
       store.write(
@@ -635,13 +643,13 @@
           },
           ok -> {
             Boolean end = ok == null ? null : store.ended.get(job);
-            if (end != null && ledger.keeps(job)) {
-              ledger.ended(job);
-              scheduler.ended(job, end, clock());
+            if (end != null && ledger.manages(job)) {
+              ledger.onEnded(job);
+              scheduler.onJobEnded(job, end, clock());
               store.opened.remove(job);
               store.progress.remove(job);
-            } else if (!over && ledger.keeps(job)) {
-              scheduler.failed(new Decision.FinishJob(job));
+            } else if (!over && ledger.manages(job)) {
+              scheduler.onDecisionFailed(new Decision.FinishJob(job));
             }
           },
           "d" + job + "/" + (++order));
@@ -652,16 +660,16 @@
         long ms = chance(slow) ? random.nextInt(2500) : random.nextInt(30);
         after(ms, () -> direct(this, o));
       } else if (d instanceof Decision.OpenJob o) {
-        open(o.job());
+        open(o.jobId());
       } else if (d instanceof Decision.FinishJob f) {
-        end(f.job(), false);
+        end(f.jobId(), false);
       } else if (d instanceof Decision.RegisterMachine e) {
         enrol(e);
       } else if (d instanceof Decision.DeregisterMachine s) {
-        strike(s.machine());
+        strike(s.machineName());
       } else if (d instanceof Decision.ProvisionMachines r) {
         String name = token + "-" + ++rentals;
-        scheduler.renting(name, r);
+        scheduler.onProvisioningStarted(name, r);
         store.write(
             this,
             () -> store.rentals.put(name, r),
@@ -669,14 +677,14 @@
               if (ok != null && ok) {
                 rent(this, name, r);
               } else {
-                scheduler.notRented(name, r, false, clock());
+                scheduler.onProvisioningFailed(name, r, false, clock());
               }
             },
             "i" + name);
       } else if (d instanceof Decision.ReleaseMachines r) {
-        giveBack(this, r.machines());
+        giveBack(this, r.machineNames());
       } else if (d instanceof Decision.ProbeThroughPeers w) {
-        after(200, () -> handle(() -> scheduler.witnessed(w, testimony(w))));
+        after(200, () -> handle(() -> scheduler.onPeerProbeResults(w, testimony(w))));
       }
     }
 
@@ -689,8 +697,8 @@
       List<Decision.MachineAddress> all = new ArrayList<>(w.suspects());
       all.addAll(w.controls());
       for (Decision.MachineAddress n : all) {
-        Worker m = workers.get(n.machine());
-        (m != null && m.alive && !m.hung ? reached : unreached).add(n.machine());
+        Worker m = workers.get(n.machineName());
+        (m != null && m.alive && !m.hung ? reached : unreached).add(n.machineName());
       }
       return List.of(new Decision.PeerProbeResult(reached, unreached));
     }
@@ -721,7 +729,7 @@
     digest.term(now, Long.toString(ctl.token), ctl.token);
     ctl.handle(ctl::load);
     for (Heartbeat r : kept) {
-      after(random.nextInt(300), () -> ctl.handle(() -> ctl.scheduler.report(r, ctl.clock())));
+      after(random.nextInt(300), () -> ctl.handle(() -> ctl.scheduler.onHeartbeat(r, ctl.clock())));
     }
     kept.clear();
     // What another thread of it had read before.
@@ -761,7 +769,7 @@
                       boolean quick = random.nextInt(4) == 0;
                       long ms = quick ? random.nextInt(2000) : 5000 + random.nextInt(9000);
                       long boot = random.nextInt(20) == 0 ? 1_000_000 : ms;
-                      out.add(create(r.type(), r.zone(), r.spot(), boot).name);
+                      out.add(create(r.typeName(), r.zone(), r.spot(), boot).name);
                     }
                     return out;
                   });
@@ -773,14 +781,14 @@
                         for (String m : names) {
                           Decision.RegisterMachine e =
                               new Decision.RegisterMachine(
-                                  m, null, r.type(), r.zone(), r.spot(), true);
+                                  m, null, r.typeName(), r.zone(), r.spot(), true);
                           store.write(
                               ctl, () -> store.machines.putIfAbsent(m, e), ok -> {}, "f" + m);
                         }
                         if (names.isEmpty()) {
-                          ctl.scheduler.notRented(name, r, true, ctl.clock());
+                          ctl.scheduler.onProvisioningFailed(name, r, true, ctl.clock());
                         } else {
-                          ctl.scheduler.rented(name, names, r, ctl.clock());
+                          ctl.scheduler.onMachinesProvisioned(name, names, r, ctl.clock());
                         }
                         store.write(ctl, () -> store.rentals.remove(name), ok -> {}, "i" + name);
                       }));
@@ -808,9 +816,9 @@
                   ctl.handle(
                       () -> {
                         if (lost) {
-                          ctl.scheduler.notReturned(names);
+                          ctl.scheduler.onReleaseFailed(names);
                         } else {
-                          ctl.scheduler.returned(names, ctl.clock());
+                          ctl.scheduler.onMachinesReleased(names, ctl.clock());
                         }
                       }));
         });
@@ -841,7 +849,7 @@
             }
             after(
                 random.nextInt(chance(slow) ? 4000 : 50),
-                () -> ctl.handle(() -> ctl.scheduler.list(out, asked, ctl.clock())));
+                () -> ctl.handle(() -> ctl.scheduler.onMachineList(out, asked, ctl.clock())));
           });
     }
     after(1500 + random.nextInt(1500), () -> list(ctl));
@@ -852,18 +860,21 @@
   private void direct(Controller ctl, Decision.SendCommands d) {
     ctl.handle(
         () -> {
-          if (!ctl.scheduler.stillDue(d, ctl.clock())) {
+          if (!ctl.scheduler.directCommandsStillDue(d, ctl.clock())) {
             return;
           }
-          List<Command> orders = ctl.scheduler.stillWanted(d, ctl.clock() < ctl.soleUntilMs);
-          Worker w = workers.get(d.machine());
+          List<Command> orders =
+              ctl.scheduler.commandsStillWanted(d, ctl.clock() < ctl.soleUntilMs);
+          Worker w = workers.get(d.machineName());
           boolean[] settled = {false};
           if (w == null || !w.alive) {
             after(
                 random.nextInt(d.timeoutMs()),
                 () ->
                     ctl.handle(
-                        () -> ctl.scheduler.directResult(d.machine(), false, null, ctl.clock())));
+                        () ->
+                            ctl.scheduler.onCommandResult(
+                                d.machineName(), false, null, ctl.clock())));
             return;
           }
           int life = w.life;
@@ -875,7 +886,8 @@
                   settled[0] = true;
                   did("order in vain");
                   ctl.handle(
-                      () -> ctl.scheduler.directResult(d.machine(), true, null, ctl.clock()));
+                      () ->
+                          ctl.scheduler.onCommandResult(d.machineName(), true, null, ctl.clock()));
                 }
               });
           long ms = ctl.way(w.name, "down");
@@ -895,7 +907,7 @@
                       if (now - sentMs > d.timeoutMs()) {
                         did("late order");
                       }
-                      Heartbeat r = w.orders(ctl.token, d.session(), orders);
+                      Heartbeat r = w.orders(ctl.token, d.epoch(), orders);
                       long back = ctl.way(w.name, "up");
                       if (back >= 0) {
                         after(
@@ -905,8 +917,8 @@
                                 settled[0] = true;
                                 ctl.handle(
                                     () ->
-                                        ctl.scheduler.directResult(
-                                            d.machine(), false, r, ctl.clock()));
+                                        ctl.scheduler.onCommandResult(
+                                            d.machineName(), false, r, ctl.clock()));
                               }
                             });
                       }
@@ -954,7 +966,7 @@
     final String name;
     final String type;
     final boolean spot;
-    final double rate = 1 + (random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT;
+    final double rate = 1 + (random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT_SHARE;
     final String zone;
     boolean faulty;
     long createdMs;
@@ -1175,7 +1187,7 @@
           () ->
               to.handle(
                   () -> {
-                    List<Command> orders = to.scheduler.report(r, to.clock());
+                    List<Command> orders = to.scheduler.onHeartbeat(r, to.clock());
                     boolean ok = orders != null && !to.scheduler.deposed();
                     long back = to.way(name, "down");
                     if (back >= 0) {
@@ -1193,7 +1205,7 @@
     private void anywhere(Heartbeat r) {
       if (!controllers.isEmpty()) {
         Controller to = controllers.get(random.nextInt(controllers.size()));
-        to.handle(() -> to.scheduler.report(r, to.clock()));
+        to.handle(() -> to.scheduler.onHeartbeat(r, to.clock()));
       }
     }
 
@@ -1249,12 +1261,12 @@
 
     private void execute(Command o) {
       digest.command(now, name, o);
-      String key = o.job() + "/" + o.index() + "@" + o.attempt();
+      String key = o.jobId() + "/" + o.index() + "@" + o.attemptNumber();
       Task t = tasks.get(key);
-      switch (o.op()) {
+      switch (o.kind()) {
         case START -> {
           if (t == null) {
-            start(key, new Task(o.job(), o.index(), o.attempt()));
+            start(key, new Task(o.jobId(), o.index(), o.attemptNumber()));
           }
         }
         case STOP -> {
@@ -1364,13 +1376,13 @@
 
     private void stop(Task t, double graceS) {
       JobSpec spec = specs.get(t.job);
-      boolean saves = spec.checkpointS() > 0 && graceS >= spec.saveS();
+      boolean saves = spec.checkpointIntervalS() > 0 && graceS >= spec.checkpointSaveS();
       if (saves && t.phase == Heartbeat.TaskPhase.RUNNING) {
         if (!t.stopped) {
           t.stopped = true;
           t.phase = Heartbeat.TaskPhase.SAVING;
           changed = true;
-          later((long) (spec.saveS() * 1000), () -> exit(t, "halted"));
+          later((long) (spec.checkpointSaveS() * 1000), () -> exit(t, "halted"));
         }
       } else if (!saves || t.phase != Heartbeat.TaskPhase.SAVING) {
         exit(t, "halted");
--- a/src/test/java/org/astershift/scheduler/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -67,9 +67,9 @@
       case "policy" ->
           policy =
               new SchedulingPolicy(
-                  (int) w.num("window", policy.window()),
-                  w.num("utilization", policy.utilization()),
-                  (int) w.num("batch", policy.batch()),
+                  (int) w.num("window", policy.windowTasks()),
+                  w.num("utilization", policy.utilizationThreshold()),
+                  (int) w.num("batch", policy.machineBatchTasks()),
                   w.num("age", policy.waitingAgeS()),
                   w.num("idle", policy.idleReleaseS()));
       case "type" ->
@@ -88,7 +88,9 @@
                   List.of(w.text("zones", "a").split(","))));
       case "others" -> others = true;
       case "inherit" ->
-          core().inherit(plain.get(1), plain.get(1) + ":1", plain.get(2), plain.get(3), false, 0);
+          core()
+              .addInheritedMachine(
+                  plain.get(1), plain.get(1) + ":1", plain.get(2), plain.get(3), false, 0);
       default -> throw new IllegalArgumentException("not an event: " + line);
     }
     return List.of();
@@ -115,7 +117,7 @@
       scheduler =
           new Scheduler(
               new DeploymentLimits(teams, objectives, 2, 14, 30, 4, cancelS, 3), policy, TOKEN);
-      scheduler.types(types);
+      scheduler.updateMachineTypes(types);
     }
     return scheduler;
   }
@@ -127,79 +129,47 @@
       case "job" -> s.addJob(spec(w), w.flag("opened"), new BitSet(), now);
       case "report" -> {
         last.put(p.get(2), report(w));
-        List<Command> answer = s.report(last.get(p.get(2)), now);
+        List<Command> answer = s.onHeartbeat(last.get(p.get(2)), now);
         return answer == null ? List.of("not answered") : orders(answer);
       }
-      case "alive" -> {
-        for (String name : p.subList(2, p.size())) {
-          Heartbeat r = last.get(name);
-          Heartbeat next =
-              new Heartbeat(
-                  name,
-                  r.addr(),
-                  r.type(),
-                  r.zone(),
-                  r.spot(),
-                  r.session(),
-                  r.seq() + 1,
-                  TOKEN,
-                  r.noticeS(),
-                  r.tasks());
-          last.put(name, next);
-          s.report(next, now);
-        }
-      }
-      case "answered" -> s.directResult(p.get(2), false, report(w), now);
-      case "unanswered" -> s.directResult(p.get(2), true, null, now);
-      case "unsent" -> s.directResult(p.get(2), false, null, now);
+      case "alive" -> repeatLastHeartbeats(now, p.subList(2, p.size()));
+      case "answered" -> s.onCommandResult(p.get(2), false, report(w), now);
+      case "unanswered" -> s.onCommandResult(p.get(2), true, null, now);
+      case "unsent" -> s.onCommandResult(p.get(2), false, null, now);
       case "pass" -> {
-        List<String> out = new ArrayList<>();
-        // sole=S: until when no other node can lead; without it, for ever.
-        long soleUntil = (long) (w.num("sole", 1e9) * 1000);
-        for (Decision d : s.pass(now, soleUntil)) {
-          if (d instanceof Decision.ProbeThroughPeers a) {
-            asked = a;
-            if (!others) {
-              s.witnessed(a, List.of()); // there is no other controller
-              continue;
-            }
-          }
-          if (d instanceof Decision.SendCommands o) {
-            directs.put(o.machine(), o);
-          }
-          out.add(words(d));
-        }
-        return out;
+        return pass(now, (long) (w.num("sole", 1e9) * 1000));
       }
       case "turn" -> {
         // The turn of a direct order that a pass decided, to be sent now.
         Decision.SendCommands d = directs.get(p.get(2));
         boolean sole = now < (long) (w.num("sole", 1e9) * 1000);
-        return s.stillDue(d, now) ? orders(s.stillWanted(d, sole)) : List.of("not due");
+        return s.directCommandsStillDue(d, now)
+            ? orders(s.commandsStillWanted(d, sole))
+            : List.of("not due");
       }
-      case "resumed" -> s.resumed(now);
-      case "opened" -> s.opened(p.get(2));
-      case "remembered" -> s.remembered(p.get(2), p.subList(3, p.size()));
-      case "enrolled" -> s.enrolled(p.get(2));
-      case "ended" -> s.ended(p.get(2), w.flag("cancelled"), now);
+      case "resumed" -> s.onProcessResumed(now);
+      case "opened" -> s.onJobOpened(p.get(2));
+      case "remembered" -> s.restorePlacement(p.get(2), p.subList(3, p.size()));
+      case "enrolled" -> s.onMachineRegistered(p.get(2));
+      case "ended" -> s.onJobEnded(p.get(2), w.flag("cancelled"), now);
       case "cancel" -> {
-        s.cancelWanted(p.get(2));
+        s.requestCancellation(p.get(2));
         String may = s.mayStart(p.get(2)) ? ", may start" : "";
-        return List.of("keepable " + s.cancelKeepable(p.get(2)) + may);
+        return List.of("keepable " + s.canConfirmCancellation(p.get(2)) + may);
       }
-      case "returned" -> s.returned(List.of(p.get(2)), now);
+      case "returned" -> s.onMachinesReleased(List.of(p.get(2)), now);
       case "rented" -> {
-        s.rented(
+        s.onMachinesProvisioned(
             "r",
             List.of(p.get(2)),
             new Decision.ProvisionMachines(p.get(3), p.get(4), w.flag("spot"), 1),
             now);
         if (!w.flag("fresh")) {
-          s.enrolled(p.get(2));
+          s.onMachineRegistered(p.get(2));
         }
       }
       case "refused" ->
-          s.notRented(
+          s.onProvisioningFailed(
               "r",
               new Decision.ProvisionMachines(p.get(2), p.get(3), w.flag("spot"), 1),
               true,
@@ -207,38 +177,25 @@
       case "saved" -> {
         BitSet done = new BitSet();
         done.set((int) w.num("task", 0));
-        s.saved(p.get(2), done);
-      }
-      case "list" -> {
-        List<Scheduler.ListedMachine> listed = new ArrayList<>();
-        for (String name : p.subList(2, p.size())) {
-          listed.add(
-              new Scheduler.ListedMachine(
-                  name,
-                  name + ":1",
-                  w.text("type", "small"),
-                  "a",
-                  false,
-                  w.text("state", "running"),
-                  5));
-        }
-        s.list(listed, now, now);
+        s.onProgressPersisted(p.get(2), done);
       }
+      case "list" -> s.onMachineList(listed(w), now, now);
       case "witnessed" -> {
         // Each word is what one controller reached of those asked, by comma; "nobody" reached none.
         List<Decision.PeerProbeResult> told = new ArrayList<>();
         for (String one : p.subList(2, p.size())) {
           told.add(testimony(List.of(one.split(","))));
         }
-        s.witnessed(asked, told);
+        s.onPeerProbeResults(asked, told);
       }
       case "isolated" -> {
         return List.of("isolated " + s.isolated());
       }
       case "served" -> {
-        s.served(now);
+        s.serviceSummary(now);
         Job job = s.job(p.get(2));
-        return List.of(p.get(2) + (job.warned ? " has not begun" : " is not warned of"));
+        return List.of(
+            p.get(2) + (job.startWarningLogged ? " has not begun" : " is not warned of"));
       }
       case "show" -> {
         return List.of(show(s, p.get(2)));
@@ -248,15 +205,71 @@
     return List.of();
   }
 
+  /** Each of these machines repeats its last heartbeat. */
+  private void repeatLastHeartbeats(long now, List<String> machineNames) {
+    for (String name : machineNames) {
+      Heartbeat before = last.get(name);
+      Heartbeat next =
+          new Heartbeat(
+              name,
+              before.address(),
+              before.typeName(),
+              before.zone(),
+              before.spot(),
+              before.epoch(),
+              before.sequence() + 1,
+              TOKEN,
+              before.preemptionNoticeS(),
+              before.tasks());
+      last.put(name, next);
+      scheduler.onHeartbeat(next, now);
+    }
+  }
+
+  /** Until {@code leaseCertainUntilMs} no other controller can lead. */
+  private List<String> pass(long now, long leaseCertainUntilMs) {
+    List<String> out = new ArrayList<>();
+    for (Decision decision : scheduler.pass(now, leaseCertainUntilMs)) {
+      if (decision instanceof Decision.ProbeThroughPeers probe) {
+        asked = probe;
+        if (!others) {
+          scheduler.onPeerProbeResults(probe, List.of()); // there is no other controller
+          continue;
+        }
+      }
+      if (decision instanceof Decision.SendCommands commands) {
+        directs.put(commands.machineName(), commands);
+      }
+      out.add(words(decision));
+    }
+    return out;
+  }
+
+  private static List<Scheduler.ListedMachine> listed(Words w) {
+    List<Scheduler.ListedMachine> listed = new ArrayList<>();
+    for (String name : w.plain().subList(2, w.plain().size())) {
+      listed.add(
+          new Scheduler.ListedMachine(
+              name,
+              name + ":1",
+              w.text("type", "small"),
+              "a",
+              false,
+              w.text("state", "running"),
+              5));
+    }
+    return listed;
+  }
+
   private Decision.PeerProbeResult testimony(List<String> reached) {
     Set<String> no = new HashSet<>();
     for (List<Decision.MachineAddress> some : List.of(asked.suspects(), asked.controls())) {
-      some.forEach(m -> no.add(m.machine()));
+      some.forEach(m -> no.add(m.machineName()));
     }
     Set<String> yes = new HashSet<>(no);
     yes.retainAll(reached);
     if (reached.contains("controls")) {
-      asked.controls().forEach(m -> yes.add(m.machine()));
+      asked.controls().forEach(m -> yes.add(m.machineName()));
     }
     no.removeAll(yes);
     return new Decision.PeerProbeResult(yes, no);
@@ -268,8 +281,8 @@
       return job + " is not looked after";
     }
     Map<Integer, String> at = new TreeMap<>();
-    j.runs.forEach((i, r) -> at.put(i, r.machine.name));
-    return job + " done " + j.done + " waiting " + j.waiting + " held " + at;
+    j.attempts.forEach((i, r) -> at.put(i, r.machine.name));
+    return job + " done " + j.doneTasks + " waiting " + j.waitingTasks + " held " + at;
   }
 
   private static JobSpec spec(Words w) {
@@ -312,7 +325,7 @@
       long attempt =
           parts[2].startsWith("old")
               ? Long.parseLong(parts[2].substring(3))
-              : (TOKEN << Constants.ATTEMPT_BITS) | Long.parseLong(parts[2]);
+              : (TOKEN << Constants.ATTEMPT_COUNTER_BITS) | Long.parseLong(parts[2]);
       items.add(
           new Heartbeat.TaskStatus(
               parts[0],
@@ -345,15 +358,15 @@
   }
 
   private static String word(Command o) {
-    long term = o.attempt() >> Constants.ATTEMPT_BITS;
+    long term = o.attemptNumber() >> Constants.ATTEMPT_COUNTER_BITS;
     String attempt =
         term == TOKEN
-            ? "" + (o.attempt() & ((1L << Constants.ATTEMPT_BITS) - 1))
-            : "old" + o.attempt();
-    String grace = o.op() == Command.Kind.STOP ? " grace " + o.graceS() : "";
-    return o.op().name().toLowerCase(java.util.Locale.ROOT)
+            ? "" + (o.attemptNumber() & ((1L << Constants.ATTEMPT_COUNTER_BITS) - 1))
+            : "old" + o.attemptNumber();
+    String grace = o.kind() == Command.Kind.STOP ? " grace " + o.graceS() : "";
+    return o.kind().name().toLowerCase(java.util.Locale.ROOT)
         + " "
-        + o.job()
+        + o.jobId()
         + "/"
         + o.index()
         + "@"
@@ -366,26 +379,34 @@
   }
 
   private static List<String> names(List<Decision.MachineAddress> machines) {
-    return machines.stream().map(Decision.MachineAddress::machine).toList();
+    return machines.stream().map(Decision.MachineAddress::machineName).toList();
   }
 
   private static String words(Decision d) {
     if (d instanceof Decision.SendCommands o) {
-      return "send " + o.machine() + " session " + o.session() + " " + orders(o.orders());
+      return "send " + o.machineName() + " session " + o.epoch() + " " + orders(o.commands());
     } else if (d instanceof Decision.OpenJob o) {
-      return "open " + o.job() + (o.where().isEmpty() ? "" : " on " + sorted(o.where()));
+      return "open "
+          + o.jobId()
+          + (o.replicaMachineNames().isEmpty() ? "" : " on " + sorted(o.replicaMachineNames()));
     } else if (d instanceof Decision.PersistPlacement r) {
-      return "remember " + r.job() + " on " + sorted(r.where());
+      return "remember " + r.jobId() + " on " + sorted(r.replicaMachineNames());
     } else if (d instanceof Decision.FinishJob f) {
-      return "finish " + f.job();
+      return "finish " + f.jobId();
     } else if (d instanceof Decision.ProvisionMachines r) {
-      return "rent " + r.count() + " " + r.type() + " in " + r.zone() + (r.spot() ? " spot" : "");
+      return "rent "
+          + r.count()
+          + " "
+          + r.typeName()
+          + " in "
+          + r.zone()
+          + (r.spot() ? " spot" : "");
     } else if (d instanceof Decision.ReleaseMachines r) {
-      return "return " + r.machines();
+      return "return " + r.machineNames();
     } else if (d instanceof Decision.RegisterMachine e) {
-      return "enrol " + e.machine();
+      return "enrol " + e.machineName();
     } else if (d instanceof Decision.DeregisterMachine s) {
-      return "strike " + s.machine();
+      return "strike " + s.machineName();
     } else if (d instanceof Decision.ProbeThroughPeers w) {
       return "witness " + names(w.suspects()) + " controls " + names(w.controls());
     }
--- a/src/test/java/org/astershift/simulation/CloudModel.java
+++ b/src/test/java/org/astershift/simulation/CloudModel.java
@@ -128,9 +128,9 @@
         request,
         n -> {
           List<String> out = new ArrayList<>();
-          for (int i = 0; i < r.count() && hasMore(r.type()); i++) {
+          for (int i = 0; i < r.count() && hasMore(r.typeName()); i++) {
             String name = "vm-" + next++;
-            add(name, new Kind(r.type(), r.zone(), r.spot()), false);
+            add(name, new Kind(r.typeName(), r.zone(), r.spot()), false);
             out.add(name);
           }
           return out;
--- a/src/test/java/org/astershift/simulation/ControllerModel.java
+++ b/src/test/java/org/astershift/simulation/ControllerModel.java
@@ -137,8 +137,8 @@
     reads = new HashMap<>();
     poll();
     elect();
-    every(Constants.REACH_SAMPLE_MS, this::sample);
-    every(Constants.REACH_MS, this::lookAround);
+    every(Constants.REACHABILITY_SAMPLE_INTERVAL_MS, this::sample);
+    every(Constants.REACHABILITY_QUERY_INTERVAL_MS, this::lookAround);
   }
 
   /**
@@ -192,7 +192,7 @@
               rest(0); // one round at a time, as in the program
             }
           }
-          later(got == null ? Constants.RETRY_MS : POLL_MS, this::poll);
+          later(got == null ? Constants.RETRY_BACKOFF_MS : POLL_MS, this::poll);
         });
   }
 
@@ -203,7 +203,7 @@
     Election.Holder holder =
         row == null ? null : new Election.Holder((String) row.value(), row.revision());
     return new Election.View(
-        clock(), mirrored >= 0, holder, reach.seen(clock()), clock() - servedMs());
+        clock(), mirrored >= 0, holder, reach.measurement(clock()), clock() - servedMs());
   }
 
   private void rest(long ms) {
@@ -222,9 +222,12 @@
     resting = false;
     restMark++;
     Action act = election.next(view());
-    long restMs = election.token() == 0 ? Constants.ELECTION_POLL_MS : Constants.LEADER_RENEW_MS;
+    long restMs =
+        election.token() == 0
+            ? Constants.ELECTION_POLL_INTERVAL_MS
+            : Constants.LEADER_LEASE_RENEW_INTERVAL_MS;
     if (act instanceof Action.ReadKey) {
-      state(() -> world.store.revision(), r -> rest(r == null ? Constants.RETRY_MS : 0));
+      state(() -> world.store.revision(), r -> rest(r == null ? Constants.RETRY_BACKOFF_MS : 0));
     } else if (act instanceof Action.RemoveStaleKey r) {
       commit(
           Map.of(StoreModel.LEADER, r.revision()),
@@ -232,12 +235,12 @@
           o -> rest(restMs));
     } else if (act instanceof Action.GrantLease g) {
       state(
-          () -> world.store.grant(g.lifeMs()),
+          () -> world.store.grant(g.ttlMs()),
           lease -> {
             if (lease != null) {
-              election.granted(lease);
+              election.onLeaseGranted(lease);
             }
-            rest(lease == null ? Constants.RETRY_MS : 0);
+            rest(lease == null ? Constants.RETRY_BACKOFF_MS : 0);
           });
     } else if (act instanceof Action.CreateKey c) {
       world.lateReports.at(DelayedHeartbeats.Moment.STANDS, this);
@@ -245,12 +248,12 @@
           Map.of(StoreModel.LEADER, 0L),
           List.of(new Write(StoreModel.LEADER, name, c.lease())),
           o -> {
-            election.claimed(
+            election.onKeyCreation(
                 o == null
                     ? Election.KeyCreation.UNKNOWN
                     : o.revision() > 0
-                        ? Election.KeyCreation.APPLIED
-                        : Election.KeyCreation.REFUSED,
+                        ? Election.KeyCreation.CREATED
+                        : Election.KeyCreation.REJECTED,
                 o == null ? 0 : o.revision());
             if (o != null && o.revision() > 0) {
               world.lateReports.at(DelayedHeartbeats.Moment.WINS, this);
@@ -265,7 +268,7 @@
             return row != null && row.lease() == v.lease() ? row.revision() : 0L;
           },
           revision -> {
-            election.verified(revision == null ? 0 : revision);
+            election.onKeyVerified(revision == null ? 0 : revision);
             rest(0);
           });
     } else if (act instanceof Action.CatchUp c) {
@@ -277,8 +280,8 @@
       state(
           () -> world.store.renew(r.lease()),
           ok -> {
-            election.renewed(ok);
-            rest(ok == null ? Constants.RETRY_MS : election.token() == 0 ? 0 : restMs);
+            election.onLeaseRenewed(ok);
+            rest(ok == null ? Constants.RETRY_BACKOFF_MS : election.token() == 0 ? 0 : restMs);
           });
     } else {
       ended(List.of(act));
@@ -290,7 +293,7 @@
     world.lateReports.at(DelayedHeartbeats.Moment.CATCHES_UP, this);
     boolean done = mirrored >= revision || has(Mutation.NO_CATCHING_UP);
     if (done || clock() > untilMs) {
-      election.caughtUp(revision, done);
+      election.onCaughtUp(revision, done);
       rest(0);
     } else {
       later(POLL_MS / 2, () -> catchUp(revision, untilMs));
@@ -301,7 +304,7 @@
     for (Action act : acts) {
       if (act instanceof Action.EndTerm e) {
         if (term != null && term.token == e.token()) {
-          world.note(name, "leads no longer (token " + e.token() + "): " + e.why());
+          world.note(name, "leads no longer (token " + e.token() + "): " + e.reason());
           term = null;
         }
       } else if (act instanceof Action.RevokeLease r) {
@@ -322,23 +325,23 @@
     StoreModel.below(mirror, "m/")
         .forEach(
             (machine, row) -> {
-              if (!((MachineRow) row).machine().fresh()) {
+              if (!((MachineRow) row).machine().newlyProvisioned()) {
                 roster.add(machine);
               }
             });
-    int asked = Math.min(Constants.REACH_SAMPLE, roster.size());
+    int asked = Math.min(Constants.REACHABILITY_SAMPLE_MACHINES, roster.size());
     long atMs = clock();
     int[] answers = new int[2];
     for (int i = 0; i < asked; i++) {
       String machine = roster.remove(world.random.nextInt(roster.size()));
       show(
           machine,
-          Constants.PROBE_TIMEOUT_MS,
+          Constants.MACHINE_PROBE_TIMEOUT_MS,
           yes -> {
             answers[0]++;
             answers[1] += yes ? 1 : 0;
             if (answers[0] == asked) {
-              reach.sampled(asked, answers[1], atMs);
+              reach.onSample(asked, answers[1], atMs);
             }
           });
     }
@@ -401,7 +404,7 @@
                       StoreModel.LEADER, new Row(StoreModel.LEADER, "", 0, 0)));
             }
           },
-          Constants.REACH_TIMEOUT_MS,
+          Constants.REACHABILITY_QUERY_TIMEOUT_MS,
           this::told);
       return;
     }
@@ -414,8 +417,8 @@
         (ControllerModel other, Consumer<Candidacy.PeerStatus> answer) ->
             answer.accept(
                 new Candidacy.PeerStatus(
-                    other.name, !other.lost(), other.reach.seen(other.clock()))),
-        Constants.REACH_TIMEOUT_MS,
+                    other.name, !other.lost(), other.reach.measurement(other.clock()))),
+        Constants.REACHABILITY_QUERY_TIMEOUT_MS,
         told -> handOver(t, new ArrayList<>(told.values())));
   }
 
@@ -423,18 +426,19 @@
     for (Row row : told.values()) {
       if (!"".equals(row.value())) {
         toldLeader = (String) row.value();
-        WorkerReachability.Measurement own = reach.seen(clock());
+        WorkerReachability.Measurement own = reach.measurement(clock());
         others(
             (ControllerModel other, Consumer<WorkerReachability.Measurement> answer) -> {
               if (other.name.equals(row.value())) {
-                answer.accept(other.reach.seen(other.clock()));
+                answer.accept(other.reach.measurement(other.clock()));
               }
             },
-            Constants.REACH_TIMEOUT_MS,
+            Constants.REACHABILITY_QUERY_TIMEOUT_MS,
             (Map<String, WorkerReachability.Measurement> seen) -> {
-              boolean deaf = seen.values().stream().anyMatch(WorkerReachability.Measurement::few);
-              if (!(term != null && own.able() && deaf)) {
-                ended(election.told(row.revision()));
+              boolean deaf =
+                  seen.values().stream().anyMatch(WorkerReachability.Measurement::reachesFew);
+              if (!(term != null && own.reachesEnough() && deaf)) {
+                ended(election.onLeaderObserved(row.revision()));
               }
             });
         return;
@@ -446,21 +450,21 @@
     if (t != term) {
       return;
     }
-    Candidacy.HandOver wish =
-        candidacy.handsOver(
-            t.scheduler.heardShare(), told, world.nodes.size() - 1, t.beganMs, clock());
+    Candidacy.LeadershipTransfer wish =
+        candidacy.handOverTarget(
+            t.scheduler.observedShare(), told, world.nodes.size() - 1, t.beganMs, clock());
     if (wish == null) {
       return;
     }
     others(
         (ControllerModel other, Consumer<Boolean> answer) -> {
-          if (wish.to() != null && !wish.to().equals(other.name)) {
-            other.candidacy.yields(other.clock());
+          if (wish.successor() != null && !wish.successor().equals(other.name)) {
+            other.candidacy.deferToSuccessor(other.clock());
           }
           answer.accept(true);
         },
-        Constants.REACH_TIMEOUT_MS,
-        ok -> ended(election.resign(t.token, "hands over to " + wish.to(), clock())));
+        Constants.REACHABILITY_QUERY_TIMEOUT_MS,
+        ok -> ended(election.resign(t.token, "hands over to " + wish.successor(), clock())));
   }
 
   // ---- the term ----
@@ -482,7 +486,7 @@
     // Machines are never given back as idle here, so that each return is for silence.
     SchedulingPolicy policy = new SchedulingPolicy(2500, 0.9, 64, 5, 1e6);
     Term t = new Term(token, clock(), new Scheduler(facts, policy, token));
-    t.scheduler.types(world.cloud.types());
+    t.scheduler.updateMachineTypes(world.cloud.types());
     StoreModel.below(mirror, "m/")
         .forEach(
             (machine, row) -> {
@@ -490,14 +494,15 @@
               if (has(Mutation.NO_ROSTER)) {
                 return;
               }
-              if (e.fresh()) {
-                t.scheduler.rented(
+              if (e.newlyProvisioned()) {
+                t.scheduler.onMachinesProvisioned(
                     "",
                     List.of(machine),
-                    new Decision.ProvisionMachines(e.type(), e.zone(), e.spot(), 1),
+                    new Decision.ProvisionMachines(e.typeName(), e.zone(), e.spot(), 1),
                     clock());
               } else {
-                t.scheduler.inherit(machine, e.addr(), e.type(), e.zone(), e.spot(), clock());
+                t.scheduler.addInheritedMachine(
+                    machine, e.address(), e.typeName(), e.zone(), e.spot(), clock());
               }
             });
     term = t;
@@ -512,7 +517,7 @@
           }
         });
     if (!has(Mutation.LATE_NEWS_OF_JOBS)) {
-      t.ledger.loaded();
+      t.ledger.onLoaded();
     }
     StoreModel.below(mirror, "i/")
         .forEach((request, r) -> rent(t, request, (Decision.ProvisionMachines) r));
@@ -531,7 +536,7 @@
   }
 
   private void add(Term t, JobRow job, long revision) {
-    if (t.ledger.take(job.spec().id(), revision)) {
+    if (t.ledger.adopt(job.spec().id(), revision)) {
       Row done = mirror.get("p/" + job.spec().id());
       BitSet bits = StoreModel.bits(done == null ? null : done.value());
       boolean opened = mirror.containsKey("o/" + job.spec().id());
@@ -544,16 +549,17 @@
       return;
     }
     decide(t);
-    t.dueMs = clock() + Constants.PASS_MS;
-    later(Constants.PASS_MS, () -> pass(t));
+    t.dueMs = clock() + Constants.PASS_INTERVAL_MS;
+    later(Constants.PASS_INTERVAL_MS, () -> pass(t));
   }
 
   /** As in the program, whatever brought the pass about: it may come after a standstill. */
   private void decide(Term t) {
-    if (clock() - t.dueMs > Constants.STOOD_STILL_MS) {
-      t.scheduler.resumed(clock());
+    if (clock() - t.dueMs > Constants.PROCESS_PAUSE_MS) {
+      t.scheduler.onProcessResumed(clock());
     }
-    long soleMs = has(Mutation.LEASES_PROVE_IN_DOUBT) ? Long.MAX_VALUE : election.soleUntilMs();
+    long soleMs =
+        has(Mutation.LEASES_PROVE_IN_DOUBT) ? Long.MAX_VALUE : election.leaseCertainUntilMs();
     List<Decision> decisions = t.scheduler.pass(clock(), soleMs);
     world.digest.pass(world.now(), name, decisions);
     for (Decision d : decisions) {
@@ -566,7 +572,7 @@
     if (!t.stirred) {
       t.stirred = true;
       later(
-          Constants.PASS_GAP_MS,
+          Constants.PASS_MIN_GAP_MS,
           () -> {
             t.stirred = false;
             if (t == term) {
@@ -586,31 +592,35 @@
     } else if (d instanceof Decision.OpenJob o) {
       boolean early = has(Mutation.STARTS_BEFORE_OPENED);
       if (early) {
-        t.scheduler.opened(o.job());
+        t.scheduler.onJobOpened(o.jobId());
       }
       note(
           t,
-          "o/" + o.job(),
+          "o/" + o.jobId(),
           true,
           () -> {
-            if (!early && t.ledger.keeps(o.job())) {
-              t.scheduler.opened(o.job());
+            if (!early && t.ledger.manages(o.jobId())) {
+              t.scheduler.onJobOpened(o.jobId());
             }
           });
     } else if (d instanceof Decision.FinishJob f) {
-      t.ends.add(f.job());
+      t.ends.add(f.jobId());
       writeEnds(t);
     } else if (d instanceof Decision.RegisterMachine e) {
-      t.noted.add(e.machine());
+      t.noted.add(e.machineName());
       if (has(Mutation.TASKS_BEFORE_THE_RECORD)) {
-        t.scheduler.enrolled(e.machine());
+        t.scheduler.onMachineRegistered(e.machineName());
       }
-      note(t, "m/" + e.machine(), new MachineRow(e), () -> t.scheduler.enrolled(e.machine()));
+      note(
+          t,
+          "m/" + e.machineName(),
+          new MachineRow(e),
+          () -> t.scheduler.onMachineRegistered(e.machineName()));
     } else if (d instanceof Decision.DeregisterMachine s) {
-      note(t, "m/" + s.machine(), null, () -> {});
+      note(t, "m/" + s.machineName(), null, () -> {});
     } else if (d instanceof Decision.ProvisionMachines r) {
       String request = "as-" + t.token + "-" + ++t.rentals;
-      t.scheduler.renting(request, r);
+      t.scheduler.onProvisioningStarted(request, r);
       note(t, "i/" + request, r, () -> rent(t, request, r));
     } else if (d instanceof Decision.ReleaseMachines r) {
       giveBack(t, r);
@@ -621,7 +631,7 @@
           Constants.PEER_TIMEOUT_MS,
           (Map<String, Decision.PeerProbeResult> told) -> {
             if (t == term) {
-              t.scheduler.witnessed(w, new ArrayList<>(told.values()));
+              t.scheduler.onPeerProbeResults(w, new ArrayList<>(told.values()));
             }
           });
     }
@@ -634,12 +644,12 @@
     Set<String> no = new HashSet<>();
     for (Decision.MachineAddress m : all) {
       show(
-          m.addr(),
-          Constants.WITNESS_TIMEOUT_MS,
+          m.address(),
+          Constants.PEER_PROBE_TIMEOUT_MS,
           answers -> {
             boolean control = w.controls().contains(m);
             boolean said = has(Mutation.DEAF_WITNESSES) ? control : answers;
-            (said ? yes : no).add(m.machine());
+            (said ? yes : no).add(m.machineName());
             if (yes.size() + no.size() == all.size()) {
               answer.accept(new Decision.PeerProbeResult(yes, no));
             }
@@ -649,20 +659,21 @@
 
   private void direct(Term t, Decision.SendCommands d) {
     if (!world.connections) {
-      order(t, d, d.orders(), null, d.timeoutMs());
+      order(t, d, d.commands(), null, d.timeoutMs());
       return;
     }
     long untilMs = clock() + d.timeoutMs();
     connect(
-        d.addr(),
+        d.address(),
         d.timeoutMs(),
         life -> {
           if (life == null && t == term) {
-            t.scheduler.directResult(d.machine(), false, null, clock());
+            t.scheduler.onCommandResult(d.machineName(), false, null, clock());
           } else if (life != null) {
-            boolean sole = election.valid(t.token, clock()) || has(Mutation.STARTS_WHOEVER_LEADS);
-            List<Command> orders = t.scheduler.stillWanted(d, sole);
-            withheld += d.orders().size() - orders.size();
+            boolean sole =
+                election.leaseCertain(t.token, clock()) || has(Mutation.STARTS_WHOEVER_LEADS);
+            List<Command> orders = t.scheduler.commandsStillWanted(d, sole);
+            withheld += d.commands().size() - orders.size();
             order(t, d, orders, life, Math.max(1, untilMs - clock()));
           }
         });
@@ -710,12 +721,12 @@
       Term t, Decision.SendCommands d, List<Command> wanted, Integer life, long timeoutMs) {
     List<Command> orders = said(t, wanted);
     call(
-        d.addr(),
+        d.address(),
         timeoutMs,
         answer -> {
-          WorkerModel w = world.workers.get(d.machine());
+          WorkerModel w = world.workers.get(d.machineName());
           if (w != null && (life == null || life == w.life())) {
-            w.serve(() -> answer.accept(w.orders(t.token, d.session(), orders)));
+            w.serve(() -> answer.accept(w.orders(t.token, d.epoch(), orders)));
           }
         },
         (WorkerModel.Executed e) -> {
@@ -723,26 +734,30 @@
             return;
           }
           Heartbeat r = e == null ? null : e.report();
-          judged(t).directResult(d.machine(), e == null, r, clock());
+          judged(t).onCommandResult(d.machineName(), e == null, r, clock());
           if (r != null && has(Mutation.ANSWERS_RENEW_LEASES)) {
-            t.scheduler.report(r, clock());
+            t.scheduler.onHeartbeat(r, clock());
           }
-          deposed(t, d.machine());
+          deposed(t, d.machineName());
         });
   }
 
   private List<Command> said(Term t, List<Command> orders) {
-    boolean silent = has(Mutation.IN_DOUBT_STOPS_NOTHING) && !election.valid(t.token, clock());
+    boolean silent =
+        has(Mutation.IN_DOUBT_STOPS_NOTHING) && !election.leaseCertain(t.token, clock());
     boolean over = has(Mutation.WHAT_IS_OVER_GOES_ON);
     return orders.stream()
-        .filter(o -> o.op() != Command.Kind.STOP || !(silent || (over && !t.ledger.keeps(o.job()))))
+        .filter(
+            o ->
+                o.kind() != Command.Kind.STOP
+                    || !(silent || (over && !t.ledger.manages(o.jobId()))))
         .toList();
   }
 
   /** The scheduler, told up to when no other node can lead. */
   private Scheduler judged(Term t) {
     boolean unproven = has(Mutation.USES_UNPROVEN_INCARNATIONS);
-    t.scheduler.certainUntil(unproven ? Long.MAX_VALUE : election.soleUntilMs());
+    t.scheduler.extendLeaseCertainty(unproven ? Long.MAX_VALUE : election.leaseCertainUntilMs());
     return t.scheduler;
   }
 
@@ -765,7 +780,7 @@
         incarnation(),
         () -> {
           if (!crashed() && term != null) {
-            judged(term).directResult(r.machine(), false, r, clock());
+            judged(term).onCommandResult(r.machineName(), false, r, clock());
           }
         });
   }
@@ -781,14 +796,14 @@
         () -> {
           Term t = term;
           if (t != null) {
-            List<Command> orders = judged(t).report(r, clock());
-            deposed(t, r.machine());
+            List<Command> orders = judged(t).onHeartbeat(r, clock());
+            deposed(t, r.machineName());
             if (t == term && full) {
               return;
             }
             if (t == term) {
               boolean ok = orders != null;
-              answeredInDoubt += election.valid(t.token, clock()) ? 0 : 1;
+              answeredInDoubt += election.leaseCertain(t.token, clock()) ? 0 : 1;
               answer.accept(new WorkerModel.Answer(ok, t.token, ok ? said(t, orders) : null, null));
               return;
             }
@@ -811,7 +826,7 @@
             return;
           }
           if (names == null) {
-            later(Constants.CLOUD_RETRY_MS, () -> rent(t, request, r));
+            later(Constants.CLOUD_RETRY_BACKOFF_MS, () -> rent(t, request, r));
             return;
           }
           int[] left = {1};
@@ -828,30 +843,32 @@
             }
             left[0]++;
             Decision.RegisterMachine e =
-                new Decision.RegisterMachine(m, null, r.type(), r.zone(), r.spot(), true);
+                new Decision.RegisterMachine(m, null, r.typeName(), r.zone(), r.spot(), true);
             note(t, "m/" + m, new MachineRow(e), noted);
           }
-          t.scheduler.rented(request, names, r, clock());
+          t.scheduler.onMachinesProvisioned(request, names, r, clock());
           noted.run();
         });
   }
 
   private void giveBack(Term t, Decision.ReleaseMachines r) {
     if (r.silent()) {
-      world.checker.givesUp(this, r.machines());
+      world.checker.givesUp(this, r.machineNames());
     }
     call(
         "cloud",
         CLOUD_MS,
         answer -> {
-          world.cloud.giveBack(r.machines(), r.silent());
+          world.cloud.giveBack(r.machineNames(), r.silent());
           answer.accept(true);
         },
         (Boolean ok) -> {
           if (t == term && ok != null) {
-            t.scheduler.returned(r.machines(), clock());
+            t.scheduler.onMachinesReleased(r.machineNames(), clock());
           } else if (t == term) {
-            later(Constants.CLOUD_RETRY_MS, () -> t.scheduler.notReturned(r.machines()));
+            later(
+                Constants.CLOUD_RETRY_BACKOFF_MS,
+                () -> t.scheduler.onReleaseFailed(r.machineNames()));
           }
         });
   }
@@ -867,9 +884,9 @@
         answer -> answer.accept(world.cloud.list()),
         (List<Scheduler.ListedMachine> listed) -> {
           if (t == term && listed != null) {
-            t.scheduler.list(listed, asked, clock());
+            t.scheduler.onMachineList(listed, asked, clock());
           }
-          later(Constants.LIST_MS, () -> list(t));
+          later(Constants.MACHINE_LIST_INTERVAL_MS, () -> list(t));
         });
   }
 
@@ -878,9 +895,11 @@
       return;
     }
     t.scheduler
-        .unsaved()
-        .forEach((job, done) -> note(t, "p/" + job, done, () -> t.scheduler.saved(job, done)));
-    later(Constants.SAVE_MS, () -> save(t));
+        .drainUnpersistedProgress()
+        .forEach(
+            (job, done) ->
+                note(t, "p/" + job, done, () -> t.scheduler.onProgressPersisted(job, done)));
+    later(Constants.PROGRESS_SAVE_INTERVAL_MS, () -> save(t));
   }
 
   // ---- writes, each conditional on the leader's key ----
@@ -939,7 +958,7 @@
       ended(election.stepDown(t.token, "a write found another leader"));
     } else {
       n.dirty = true;
-      later(Constants.RETRY_MS, () -> reread(t, key, n, o));
+      later(Constants.RETRY_BACKOFF_MS, () -> reread(t, key, n, o));
     }
   }
 
@@ -1032,7 +1051,7 @@
         incarnation(),
         () -> {
           if (!crashed()) {
-            long untilMs = clock() + Constants.CANCEL_PATIENCE_MS;
+            long untilMs = clock() + Constants.CANCEL_WAIT_MS;
             cancelOn(new Wish(job, term, forward, untilMs, answer), false);
           }
         });
@@ -1043,8 +1062,8 @@
 
   private void cancelOn(Wish w, boolean read) {
     Term t = w.term();
-    boolean kept = t != null && t.ledger.keeps(w.job());
-    Scheduler.JobProgress view = kept ? t.scheduler.view(w.job()) : null;
+    boolean kept = t != null && t.ledger.manages(w.job());
+    Scheduler.JobProgress view = kept ? t.scheduler.progress(w.job()) : null;
     boolean unheard = has(Mutation.CANCELS_UNHEARD);
     Cancellation.Action act =
         Cancellation.next(
@@ -1052,24 +1071,24 @@
                 ended.containsKey(w.job()),
                 w.forward(),
                 t != null,
-                t != null && t == term && election.valid(t.token, clock()),
+                t != null && t == term && election.leaseCertain(t.token, clock()),
                 kept,
                 read,
-                kept && (unheard || t.scheduler.cancelKeepable(w.job())),
+                kept && (unheard || t.scheduler.canConfirmCancellation(w.job())),
                 kept && !has(Mutation.CONFIRMS_WHILE_STARTING) && t.scheduler.mayStart(w.job()),
                 view != null && view.complete(),
                 clock() >= w.untilMs()));
-    if (act.ofKept()) {
-      t.scheduler.cancelWanted(w.job());
+    if (act.needsTerm()) {
+      t.scheduler.requestCancellation(w.job());
       stir(t);
     }
     if (act == Cancellation.Action.WRITE_CANCELLED && has(Mutation.CANCELS_UNWRITTEN)) {
       w.answer().accept("withdrawn");
     }
     switch (act) {
-      case TELL -> w.answer().accept(phase(ended.get(w.job())));
+      case REPLY_WITH_END -> w.answer().accept(phase(ended.get(w.job())));
       case FORWARD -> forward(w);
-      case READ ->
+      case READ_STORE ->
           read(
               w.job(),
               said -> {
@@ -1088,10 +1107,10 @@
                 if (end != null) {
                   w.answer().accept(phase(end));
                 } else {
-                  later(Constants.CANCEL_LOOK_MS, () -> cancelOn(w, read));
+                  later(Constants.CANCEL_POLL_INTERVAL_MS, () -> cancelOn(w, read));
                 }
               });
-      case WAIT -> later(Constants.CANCEL_LOOK_MS, () -> cancelOn(w, read));
+      case WAIT -> later(Constants.CANCEL_POLL_INTERVAL_MS, () -> cancelOn(w, read));
       default -> w.answer().accept("503");
     }
   }
@@ -1127,13 +1146,13 @@
    * and cancelled exclude each other: the first that is on record stays.
    */
   private void finish(Term t, String job, boolean cancelled, Consumer<EndRow> then) {
-    if (!t.ledger.keeps(job)) {
+    if (!t.ledger.manages(job)) {
       then.accept(ended.get(job));
       return;
     }
-    Scheduler.JobProgress view = t.scheduler.view(job);
-    EndRow end = new EndRow(cancelled, view.done());
-    t.ledger.ending(job);
+    Scheduler.JobProgress view = t.scheduler.progress(job);
+    EndRow end = new EndRow(cancelled, view.doneTasks());
+    t.ledger.onEndWriteStarted(job);
     Map<String, Long> when = fenced(t);
     if (!has(Mutation.ENDS_REPLACE_ENDS)) {
       when.put("d/" + job, 0L);
@@ -1148,7 +1167,7 @@
           } else if (o == null) {
             then.accept(null);
           } else {
-            t.ledger.notEnded(job);
+            t.ledger.onEndWriteRejected(job);
             if (o.failed().contains(StoreModel.LEADER)) {
               ended(election.stepDown(t.token, "a write found another leader"));
               then.accept(null);
@@ -1166,8 +1185,8 @@
     if (t.endsBusy || t.ends.isEmpty() || t != term) {
       return;
     }
-    List<String> some = t.ends.subList(0, Math.min(Constants.ENDS_AT_ONCE, t.ends.size()));
-    List<String> jobs = some.stream().filter(t.ledger::keeps).toList();
+    List<String> some = t.ends.subList(0, Math.min(Constants.COMPLETION_BATCH_JOBS, t.ends.size()));
+    List<String> jobs = some.stream().filter(t.ledger::manages).toList();
     some.clear();
     if (jobs.isEmpty()) {
       writeEnds(t);
@@ -1178,14 +1197,14 @@
     Map<String, Long> when = fenced(t);
     List<Write> writes = new ArrayList<>();
     for (String job : jobs) {
-      EndRow end = new EndRow(false, t.scheduler.view(job).done());
+      EndRow end = new EndRow(false, t.scheduler.progress(job).doneTasks());
       ends.put(job, end);
       if (!has(Mutation.ENDS_REPLACE_ENDS)) {
         when.put("d/" + job, 0L);
       }
       writes.add(new Write("j/" + job, null, 0));
       writes.add(new Write("d/" + job, end, 0));
-      t.ledger.ending(job);
+      t.ledger.onEndWriteStarted(job);
     }
     commit(
         when,
@@ -1195,13 +1214,13 @@
           if (o != null && o.revision() > 0) {
             ends.forEach((job, end) -> over(t, job, end));
           } else if (o == null || o == StoreModel.REFUSED) {
-            jobs.forEach(o == null ? job -> {} : t.ledger::notEnded);
+            jobs.forEach(o == null ? job -> {} : t.ledger::onEndWriteRejected);
             jobs.forEach(job -> endAgain(t, job));
           } else if (o.failed().contains(StoreModel.LEADER)) {
             ended(election.stepDown(t.token, "a write found another leader"));
           } else {
             // One of them was cancelled meanwhile, or an earlier try without an answer applied.
-            jobs.forEach(t.ledger::notEnded);
+            jobs.forEach(t.ledger::onEndWriteRejected);
             for (String job : jobs) {
               finish(t, job, false, end -> endAgain(end == null ? t : null, job));
             }
@@ -1212,7 +1231,9 @@
 
   private void endAgain(Term t, String job) {
     if (t != null && t == term) {
-      later(Constants.RETRY_MS, () -> t.scheduler.failed(new Decision.FinishJob(job)));
+      later(
+          Constants.RETRY_BACKOFF_MS,
+          () -> t.scheduler.onDecisionFailed(new Decision.FinishJob(job)));
     }
   }
 
@@ -1230,8 +1251,8 @@
 
   private void over(Term t, String job, EndRow end) {
     ended.put(job, end);
-    t.ledger.ended(job);
-    t.scheduler.ended(job, end.cancelled(), clock());
+    t.ledger.onEnded(job);
+    t.scheduler.onJobEnded(job, end.cancelled(), clock());
     note(t, "o/" + job, null, () -> {});
     note(t, "p/" + job, null, () -> {});
   }
@@ -1257,9 +1278,10 @@
             return;
           }
           Term t = term;
-          boolean told = t != null && (has(Mutation.TOLD_WHILE_ENDING) || !t.ledger.mayBeOver(job));
-          Scheduler.JobProgress view = told ? t.scheduler.view(job) : null;
-          if (view != null && election.valid(t.token, clock())) {
+          boolean told =
+              t != null && (has(Mutation.TOLD_WHILE_ENDING) || !t.ledger.mayHaveEnded(job));
+          Scheduler.JobProgress view = told ? t.scheduler.progress(job) : null;
+          if (view != null && election.leaseCertain(t.token, clock())) {
             answer.accept(view.running() ? "running" : "queued");
             return;
           }
@@ -1397,7 +1419,7 @@
 
   /** Whether it leads and has not heard all machines of earlier leaders yet. */
   boolean starting() {
-    return term != null && term.scheduler.starting();
+    return term != null && term.scheduler.reconciling();
   }
 
   /** For how long it has led. */
@@ -1415,13 +1437,13 @@
 
   /** Whether its leader's work includes the job. */
   boolean keeps(String job) {
-    return term != null && term.ledger.keeps(job);
+    return term != null && term.ledger.manages(job);
   }
 
   /** Tasks of the job that it knows to be done. */
   int done(String job) {
-    Scheduler.JobProgress view = term == null ? null : term.scheduler.view(job);
-    return view == null ? 0 : view.done();
+    Scheduler.JobProgress view = term == null ? null : term.scheduler.progress(job);
+    return view == null ? 0 : view.doneTasks();
   }
 
   /** It lets another lead, as a leader does that reaches too few workers. */
--- a/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
+++ b/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
@@ -111,12 +111,12 @@
       boolean ended =
           c.report.tasks().stream()
               .filter(t -> t.phase() != Heartbeat.TaskPhase.EXITED)
-              .anyMatch(t -> !world.checker.isOn(t.job() + "/" + t.index(), c.worker.name));
+              .anyMatch(t -> !world.checker.isOn(t.jobId() + "/" + t.index(), c.worker.name));
       ofEndedTasks += ended ? 1 : 0;
       ofGoneMachines += c.worker.alive() ? 0 : 1;
       ofEarlierLives += c.worker.alive() && c.life < c.worker.life() ? 1 : 0;
       ofEarlierSessions +=
-          c.life == c.worker.life() && c.report.session() < c.worker.session() ? 1 : 0;
+          c.life == c.worker.life() && c.report.epoch() < c.worker.session() ? 1 : 0;
     }
     to.copy(c.worker.aged(c.report));
   }
--- a/src/test/java/org/astershift/simulation/GangModel.java
+++ b/src/test/java/org/astershift/simulation/GangModel.java
@@ -226,7 +226,7 @@
     a.over = true;
     broken++;
     saveFailed += a.firstStopMs >= 0 ? 1 : 0;
-    long everyMs = Math.round(a.spec.checkpointS() * 1000);
+    long everyMs = Math.round(a.spec.checkpointIntervalS() * 1000);
     if (everyMs > 0) {
       progressMs.put(a.job, ranMs(a) / everyMs * everyMs);
     }
@@ -265,7 +265,7 @@
     a.told.add(t.index);
     t.worker.phase(t, Heartbeat.TaskPhase.SAVING, null);
     t.worker.afterWork(
-        Math.round(a.spec.saveS() * 1000),
+        Math.round(a.spec.checkpointSaveS() * 1000),
         () -> {
           a.saved.add(t.index);
           leave(a);
--- a/src/test/java/org/astershift/simulation/InvariantChecker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -110,13 +110,13 @@
   /** Rule quota: all that is on machines counts, whether it saves, hangs or cannot be reached. */
   private void quota(String name, String task) {
     Team team = world.teams().get(name);
-    if (!team.limited()) {
+    if (!team.isLimited()) {
       return;
     }
     double[] use = use(name);
     boolean over =
-        (team.cpusMax() > 0 && use[0] > team.cpusMax() + TOLERANCE)
-            || (team.gpusMax() > 0 && use[1] > team.gpusMax() + TOLERANCE);
+        (team.maxCpus() > 0 && use[0] > team.maxCpus() + TOLERANCE)
+            || (team.maxGpus() > 0 && use[1] > team.maxGpus() + TOLERANCE);
     if (over) {
       broken.add("quota: " + use[0] + ", " + use[1] + " of " + team + " with " + task);
     }
@@ -201,8 +201,8 @@
       }
     }
     CloudModel.Kind kind = world.workers.get(machine).kind;
-    if ((spec.types() != null && !spec.types().contains(kind.type()))
-        || (kind.spot() && !spec.spot())
+    if ((spec.machineTypes() != null && !spec.machineTypes().contains(kind.type()))
+        || (kind.spot() && !spec.spotAllowed())
         || (spec.zone() != null && !spec.zone().equals(zone))
         || (spec.oneZone() && elsewhere)
         || (spec.spread() && here > spec.spreadLimit())) {
@@ -228,7 +228,7 @@
       WorkerModel w = world.workers.get(machine);
       for (ControllerModel n : world.nodes) {
         // Nor one that the leader cannot make listen while everything opened before waits for it.
-        boolean holdsUp = leader.starting() && leader.ledMs() > Constants.HOLD_UP_MS;
+        boolean holdsUp = leader.starting() && leader.ledMs() > Constants.UNFENCED_RELEASE_MS;
         boolean asked = n == leader || (!holdsUp && world.reaches(leader.name, n.name));
         // Not just after a path came back: nobody can know yet that it reaches them again.
         boolean settled = world.now() - world.changedMs() >= JUST_NOW_MS;
--- a/src/test/java/org/astershift/simulation/ProcessModel.java
+++ b/src/test/java/org/astershift/simulation/ProcessModel.java
@@ -24,7 +24,7 @@
   ProcessModel(Simulation world, String name) {
     this.world = world;
     this.name = name;
-    this.drift = (world.random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT;
+    this.drift = (world.random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT_SHARE;
   }
 
   /** A process begins, with nothing of what an earlier one was about to do. */
@@ -138,6 +138,6 @@
 
   /** It has not for too long. */
   boolean lost() {
-    return clock() - servedMs > Constants.STORE_LOST_MS;
+    return clock() - servedMs > Constants.STORE_OUTAGE_CHECK_AFTER_MS;
   }
 }
--- a/src/test/java/org/astershift/simulation/StarvationCheck.java
+++ b/src/test/java/org/astershift/simulation/StarvationCheck.java
@@ -81,8 +81,8 @@
     }
 
     boolean allows(JobSpec s) {
-      return (s.types() == null || s.types().contains(kind.type()))
-          && (!kind.spot() || s.spot())
+      return (s.machineTypes() == null || s.machineTypes().contains(kind.type()))
+          && (!kind.spot() || s.spotAllowed())
           && (s.zone() == null || s.zone().equals(kind.zone()));
     }
   }
--- a/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
@@ -130,7 +130,7 @@
         }
       }
     }
-    return any && use[1] >= t.gpusMax();
+    return any && use[1] >= t.maxGpus();
   }
 
   private static String machineOf(Simulation w, String job) {
--- a/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -322,7 +322,7 @@
     // What nothing starts after is waited for; yet on a quiet day hardly anybody has to ask again.
     Collections.sort(quietMs);
     long most = quietMs.get(quietMs.size() * 98 / 100);
-    assertTrue(most < Constants.CANCEL_PATIENCE_MS, quietMs.toString());
+    assertTrue(most < Constants.CANCEL_WAIT_MS, quietMs.toString());
     assertMissed(
         Mutation.CONFIRMS_WHILE_STARTING,
         seed -> stream(seed, Change.NONE, Mutation.CONFIRMS_WHILE_STARTING));
--- a/src/test/java/org/astershift/simulation/WorkerModel.java
+++ b/src/test/java/org/astershift/simulation/WorkerModel.java
@@ -358,15 +358,15 @@
     boolean news = world.mutants.contains(Mutation.COPIES_ARE_NEWS);
     boolean shows = world.mutants.contains(Mutation.COPIES_SHOW_THE_TOKEN);
     return new Heartbeat(
-        r.machine(),
-        r.addr(),
-        r.type(),
+        r.machineName(),
+        r.address(),
+        r.typeName(),
         r.zone(),
         r.spot(),
-        r.session(),
-        news ? seq + 1 : r.seq(),
-        news ? token : shows ? world.latestToken() : r.token(),
-        r.noticeS(),
+        r.epoch(),
+        news ? seq + 1 : r.sequence(),
+        news ? token : shows ? world.latestToken() : r.fencingToken(),
+        r.preemptionNoticeS(),
         r.tasks());
   }
 
@@ -397,10 +397,10 @@
 
   /** A report that arrives after newer ones is as a copy of it. */
   private void arrives(ControllerModel to, Heartbeat r, Consumer<Answer> answer) {
-    if (seq > r.seq() && world.mutants.contains(Mutation.COPIES_ARE_NEWS)) {
+    if (seq > r.sequence() && world.mutants.contains(Mutation.COPIES_ARE_NEWS)) {
       to.copy(aged(r));
     } else {
-      to.report(seq > r.seq() ? aged(r) : r, answer);
+      to.report(seq > r.sequence() ? aged(r) : r, answer);
     }
   }
 
@@ -487,26 +487,26 @@
 
   private void execute(Command o) {
     world.digest.command(world.now(), name, o);
-    String key = o.job() + "/" + o.index() + "@" + o.attempt();
+    String key = o.jobId() + "/" + o.index() + "@" + o.attemptNumber();
     Task t = tasks.get(key);
-    switch (o.op()) {
+    switch (o.kind()) {
       case START -> {
         if (t == null) {
-          Task fresh = new Task(this, o.job(), o.index(), o.attempt());
+          Task fresh = new Task(this, o.jobId(), o.index(), o.attemptNumber());
           tasks.put(key, fresh);
           startedMs = world.now();
           startedMute += mute() ? 1 : 0;
           startedRecalled += recalledMs < 0 ? 0 : 1;
-          world.checker.started(fresh.task(), name, o.attempt());
+          world.checker.started(fresh.task(), name, o.attemptNumber());
           if (fresh.ofGang(world)) {
             afterWork(FETCH_MS, () -> when(fresh, () -> fetched(fresh)));
             return;
           }
           afterWork(FETCH_MS, () -> phase(fresh, Heartbeat.TaskPhase.RUNNING, null));
           fails(fresh, FETCH_MS + FAILS_MS);
-          Long runMs = world.users.runMsOf(o.job(), o.index());
+          Long runMs = world.users.runMsOf(o.jobId(), o.index());
           if (runMs != null) {
-            world.users.started(o.job(), o.index(), FETCH_MS + runMs);
+            world.users.started(o.jobId(), o.index(), FETCH_MS + runMs);
             afterWork(FETCH_MS + runMs, () -> phase(fresh, Heartbeat.TaskPhase.EXITED, "done"));
           }
         }
@@ -542,7 +542,8 @@
   /** One that may save does so first, if it is given the time for it. */
   private void stop(Task t, double graceS) {
     JobSpec spec = world.users.spec(t.job);
-    boolean saves = spec != null && spec.checkpointS() > 0 && graceS >= spec.saveS();
+    boolean saves =
+        spec != null && spec.checkpointIntervalS() > 0 && graceS >= spec.checkpointSaveS();
     if (t.ofGang(world)
         && (t.phase == Heartbeat.TaskPhase.RUNNING || t.phase == Heartbeat.TaskPhase.SAVING)) {
       world.gangs.stop(t, saves);
@@ -550,7 +551,7 @@
     }
     if (saves && t.phase == Heartbeat.TaskPhase.RUNNING) {
       t.phase = Heartbeat.TaskPhase.SAVING;
-      long ms = Math.round(spec.saveS() * 1000);
+      long ms = Math.round(spec.checkpointSaveS() * 1000);
       afterWork(ms, () -> phase(t, Heartbeat.TaskPhase.EXITED, "halted"));
     } else if (!saves || t.phase != Heartbeat.TaskPhase.SAVING) {
       phase(t, Heartbeat.TaskPhase.EXITED, "halted");
--- a/src/test/java/org/astershift/store/RecordCodecTest.java
+++ b/src/test/java/org/astershift/store/RecordCodecTest.java
@@ -16,10 +16,11 @@
       done.set(i);
     }
     BitSet back = new BitSet();
-    for (int segment = 0; segment < RecordCodec.segments(100_000); segment++) {
+    for (int segment = 0; segment < RecordCodec.segmentCount(100_000); segment++) {
       String value = RecordCodec.segment(done, segment);
-      assertTrue(value.length() <= Constants.PAGE_BYTES, "segment of " + value.length());
-      assertEquals("wk-1", RecordCodec.merge(back, RecordCodec.progress("wk-1", segment), value));
+      assertTrue(value.length() <= Constants.MAX_PAGE_BYTES, "segment of " + value.length());
+      assertEquals(
+          "wk-1", RecordCodec.mergeSegment(back, RecordCodec.progressKey("wk-1", segment), value));
     }
     assertEquals(done, back);
   }
--- a/src/test/java/org/astershift/store/StoreClientTest.java
+++ b/src/test/java/org/astershift/store/StoreClientTest.java
@@ -63,7 +63,7 @@
 
   private static long write(StoreClient by, StoreClient.Transaction txn)
       throws InterruptedException {
-    Outcome o = by.commit(txn, RateLimiter.Urgency.URGENT, 10_000);
+    Outcome o = by.commit(txn, RateLimiter.Urgency.INTERACTIVE, 10_000);
     return assertInstanceOf(Outcome.Committed.class, o).revision();
   }
 
@@ -83,25 +83,26 @@
   void whatIsUnknownIsNotTakenForRefused() throws Exception {
     StoreClient.Transaction txn = new StoreClient.Transaction().put(key(1), Map.of());
     service.loseAnswers(1);
-    Outcome lost = store.commit(txn, RateLimiter.Urgency.URGENT, 1000);
+    Outcome lost = store.commit(txn, RateLimiter.Urgency.INTERACTIVE, 1000);
     service.loseAnswers(0);
     assertInstanceOf(Outcome.Unknown.class, lost);
     assertTrue(service.has(key(1)), "and it is applied");
     door.refuse(true);
-    assertInstanceOf(Outcome.Rejected.class, store.commit(txn, RateLimiter.Urgency.URGENT, 1000));
+    assertInstanceOf(
+        Outcome.Rejected.class, store.commit(txn, RateLimiter.Urgency.INTERACTIVE, 1000));
     long before = store.silenceMs();
     assertThrows(IOException.class, () -> store.get(key(1)));
     assertTrue(store.silenceMs() >= before, "a refusal is no service");
-    Await.until("the service to count as lost", store::lost);
+    Await.until("the service to count as lost", store::unavailable);
     door.refuse(false);
     assertNotNull(store.get(key(1)).data());
-    assertTrue(!store.lost());
+    assertTrue(!store.unavailable());
   }
 
   /** Records come and go between the first page that is read and the last. */
   @Test
   void pagesOfDifferentMomentsBecomeOne() throws Exception {
-    int rows = Constants.LIST_ROWS * 3 / 2;
+    int rows = Constants.MAX_LIST_ROWS * 3 / 2;
     for (int i = 0; i < rows; i += 100) {
       StoreClient.Transaction some = new StoreClient.Transaction();
       for (int j = i; j < i + 100; j++) {
@@ -122,12 +123,12 @@
     startMirror();
     Await.until("the pages", mirror::loaded);
     long last = write(other, new StoreClient.Transaction().put(key(rows), Map.of()));
-    assertTrue(mirror.reach(last, 60_000));
+    assertTrue(mirror.awaitRevision(last, 60_000));
     assertTrue(once.get());
-    assertNull(mirror.row(key(3)), "gone after its page was read");
-    assertEquals("2", String.valueOf(mirror.row(key(rows - 1)).data().get("n")));
-    assertEquals("2", String.valueOf(mirror.row(key(4)).data().get("n")));
-    assertEquals(rows, mirror.below(RecordCodec.LIVE).size());
+    assertNull(mirror.get(key(3)), "gone after its page was read");
+    assertEquals("2", String.valueOf(mirror.get(key(rows - 1)).data().get("n")));
+    assertEquals("2", String.valueOf(mirror.get(key(4)).data().get("n")));
+    assertEquals(rows, mirror.entriesWithPrefix(RecordCodec.LIVE).size());
   }
 
   /** A node that was cut off for so long that its watch cannot go on. */
@@ -138,14 +139,14 @@
     Await.until("the first reading", mirror::loaded);
     door.refuse(true);
     write(other, new StoreClient.Transaction().put(key(9), Map.of())); // ends the watch that waits
-    Await.until("the watch to be refused", store::lost);
+    Await.until("the watch to be refused", store::unavailable);
     write(other, new StoreClient.Transaction().delete(key(1)).put(key(3), Map.of()));
     service.forgetChanges();
     told.clear();
     door.refuse(false);
     Await.until("the second reading", () -> told.contains(key(3) + "+"));
     assertTrue(told.contains(key(1) + "-"), "what is gone is told: " + List.copyOf(told));
-    assertNull(mirror.row(key(1)));
+    assertNull(mirror.get(key(1)));
     assertTrue(!told.contains(key(2) + "+"), "what did not change is no news");
   }
 
--- a/src/test/java/org/astershift/store/StoreLimitsTest.java
+++ b/src/test/java/org/astershift/store/StoreLimitsTest.java
@@ -57,7 +57,7 @@
             assertThrows(IOException.class, () -> store.get("l/x"));
           }
           double tookS = (System.nanoTime() - beganNs) / 1e9;
-          double leastS = (READS - 1) * Constants.EXHAUSTED_S;
+          double leastS = (READS - 1) * Constants.STORE_EXHAUSTED_PAUSE_S;
           assertTrue(tookS >= leastS, READS + " reads over the limit took " + tookS + " s");
         });
   }
@@ -93,7 +93,8 @@
   /** A try without an answer, and another one that follows at once, fit into the lease. */
   @Test
   void twoTriesToRenewFitIntoTheLease() {
-    long secondSentMs = Constants.LEADER_RENEW_MS + Constants.LEASE_TIMEOUT_MS;
+    long secondSentMs =
+        Constants.LEADER_LEASE_RENEW_INTERVAL_MS + Constants.LEADER_LEASE_RENEW_TIMEOUT_MS;
     long lastsMs = Constants.LEADER_LEASE_MS - Constants.CLOCK_MARGIN_MS;
     assertTrue(secondSentMs < lastsMs * 3 / 4, secondSentMs + " ms of " + lastsMs + " ms");
   }
--- a/src/test/java/org/astershift/worker/CommandSenderTest.java
+++ b/src/test/java/org/astershift/worker/CommandSenderTest.java
@@ -20,7 +20,8 @@
 
   private static String sent(String addr) {
     CommandSender.Result r = new CommandSender().send(addr, 5, 1, List::of, 2000);
-    return (r.unknown() ? "unknown" : "known") + (r.report() == null ? "" : " with a report");
+    return (r.outcomeUnknown() ? "unknown" : "known")
+        + (r.heartbeat() == null ? "" : " with a report");
   }
 
   private static String answered(int status, String body) throws Exception {
@@ -47,7 +48,7 @@
     assertEquals("known", sent(addr), "no connection: nothing was sent");
     assertEquals("known", sent("nowhere"));
     assertEquals("known", sent("127.0.0.1:70000"), "no port");
-    assertFalse(new CommandSender().answers("127.0.0.1:70000", 2000));
+    assertFalse(new CommandSender().isReachable("127.0.0.1:70000", 2000));
   }
 
   /**
