--- a/src/main/java/org/astershift/Main.java
+++ b/src/main/java/org/astershift/Main.java
@@ -16,9 +16,9 @@
 import org.apache.commons.cli.ParseException;
 import org.astershift.api.PublicApi;
 import org.astershift.config.ConfigurationException;
-import org.astershift.config.Constants;
 import org.astershift.config.OperatorSettings;
 import org.astershift.config.Settings;
+import org.astershift.config.ThreadBudget;
 import org.astershift.controller.ControllerRuntime;
 import org.astershift.controller.JobService;
 import org.astershift.http.ConnectionSlots;
@@ -33,6 +33,12 @@
 
 /** Command line and wiring. */
 public final class Main {
+  /**
+   * Milliseconds for which a start waits for its addresses: its predecessor's process may be about
+   * to end, and a process that ends by itself is only started again.
+   */
+  private static final long LISTEN_TIMEOUT_MS = 20_000;
+
   private Main() {}
 
   /** Entry point; ends only for bad usage, bad settings, or an address that cannot be had. */
@@ -139,7 +145,7 @@
                     settings.peerListen().host(),
                     settings.peerListen().port(),
                     jobService::answerPeer));
-    int maxConnections = Constants.maxConnections(settings.sockets());
+    int maxConnections = ThreadBudget.maxConnections(settings.sockets());
     PublicApi api = new PublicApi(controller, jobService, settings.limits().teams());
     HttpServer http =
         retryWhileAddressInUse(
@@ -148,13 +154,14 @@
                     settings.listen().host(),
                     settings.listen().port(),
                     new ConnectionSlots(
-                        maxConnections, (int) (maxConnections * Constants.USER_CONNECTIONS_SHARE)),
+                        maxConnections,
+                        (int) (maxConnections * ThreadBudget.USER_CONNECTIONS_SHARE)),
                     PublicApi::isHeartbeatPath,
                     api));
     peerServer.start();
     controller.start();
     http.start();
-    Thread keepAliveThread = new Thread(null, Main::keepAlive, "keep-alive", Constants.STACK_BYTES);
+    Thread keepAliveThread = new Thread(null, Main::keepAlive, "keep-alive", Threads.STACK_BYTES);
     keepAliveThread.start();
   }
 
@@ -174,7 +181,7 @@
       try {
         return opener.open();
       } catch (BindException e) {
-        if ((System.nanoTime() - beganNs) / 1_000_000 > Constants.LISTEN_TIMEOUT_MS) {
+        if ((System.nanoTime() - beganNs) / 1_000_000 > LISTEN_TIMEOUT_MS) {
           throw e;
         }
         if (!logged) {
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.controller.ControllerRuntime;
 import org.astershift.controller.JobService;
 import org.astershift.http.HttpServer.Handler;
@@ -23,6 +22,16 @@
 /** The published interface: users, workers and health checks. */
 public final class PublicApi implements Handler {
   private static final Logger LOG = LoggerFactory.getLogger(PublicApi.class);
+
+  /** Reports read and acted upon at the same time; the others wait without a turn of their own. */
+  private static final int CONCURRENT_HEARTBEATS = 3;
+
+  /**
+   * Milliseconds for which a report waits for its turn: its worker waits 4 s for the answer, and
+   * that has to be worked out and sent in what is left.
+   */
+  private static final long HEARTBEAT_WAIT_MS = 3300;
+
   private static final String JOBS_PATH = "/v2/runs";
   private static final String HEARTBEAT_PATH = "/agent/beat";
   private static final String CANCEL_SUFFIX = "/withdraw";
@@ -31,7 +40,7 @@
   private final Map<String, Team> teams;
   private final RequestStatistics requestStatistics = new RequestStatistics();
   private final ConcurrencyGate heartbeatGate =
-      new ConcurrencyGate(Constants.CONCURRENT_HEARTBEATS, Constants.HEARTBEAT_WAIT_MS);
+      new ConcurrencyGate(CONCURRENT_HEARTBEATS, HEARTBEAT_WAIT_MS);
 
   public PublicApi(ControllerRuntime controller, JobService jobService, Map<String, Team> teams) {
     this.controller = controller;
--- a/src/main/java/org/astershift/api/RequestStatistics.java
+++ b/src/main/java/org/astershift/api/RequestStatistics.java
@@ -1,7 +1,7 @@
 package org.astershift.api;
 
 import java.util.Arrays;
-import org.astershift.config.Constants;
+import org.astershift.config.LogIntervals;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,7 +25,7 @@
     requests[kind.ordinal()]++;
     unavailable += status == 503 ? 1 : 0;
     long nowNs = System.nanoTime();
-    if (nowNs - periodStartNs >= Constants.SUMMARY_INTERVAL_MS * 1_000_000) {
+    if (nowNs - periodStartNs >= LogIntervals.SUMMARY_INTERVAL_MS * 1_000_000) {
       LOG.info(
           "users sent {} submissions, {} questions and {} cancellations in {} s; {} got 503",
           requests[0],
--- a/src/main/java/org/astershift/cloud/CloudClient.java
+++ b/src/main/java/org/astershift/cloud/CloudClient.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.config.Settings;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
@@ -16,6 +15,12 @@
 
 /** Speaks the cloud's protocol, within its limit of calls. */
 public final class CloudClient {
+  /** Share of the limit of cloud calls that is used: the others are followers and call nothing. */
+  private static final double CLOUD_RATE_SHARE = 0.85;
+
+  /** Deadline of one cloud call, milliseconds: replies take about a hundred. */
+  private static final int CLOUD_TIMEOUT_MS = 5000;
+
   private static final int MALFORMED_STATUS = 400;
   private static final int UNAVAILABLE_STATUS = 503;
   private static final String NO_CAPACITY = "no capacity";
@@ -26,7 +31,7 @@
   public CloudClient(Settings settings) {
     this.http = new HttpClient(settings.cloud().host(), settings.cloud().port(), 3);
     this.rateLimiter = new RateLimiter(settings.cloudRps());
-    this.rateLimiter.setShare(Constants.CLOUD_RATE_SHARE, 1);
+    this.rateLimiter.setShare(CLOUD_RATE_SHARE, 1);
   }
 
   /** The cloud refused: nothing was done. */
@@ -162,7 +167,7 @@
       RateLimiter.Urgency urgency, String method, String path, Map<String, Object> body)
       throws IOException {
     try {
-      if (!rateLimiter.acquire(urgency, 1, Constants.CLOUD_TIMEOUT_MS)) {
+      if (!rateLimiter.acquire(urgency, 1, CLOUD_TIMEOUT_MS)) {
         throw new CloudRejectedException(
             "over the limit of calls", CloudRejectedException.Reason.RETRYABLE);
       }
@@ -172,9 +177,7 @@
     }
     HttpClient.Response response;
     try {
-      response =
-          http.call(
-              method, path, body == null ? null : Json.bytes(body), Constants.CLOUD_TIMEOUT_MS);
+      response = http.call(method, path, body == null ? null : Json.bytes(body), CLOUD_TIMEOUT_MS);
     } catch (HttpClient.RequestNotSentException e) {
       throw new CloudRejectedException(e.getMessage(), CloudRejectedException.Reason.RETRYABLE);
     }
--- a/src/main/java/org/astershift/config/OperatorSettings.java
+++ b/src/main/java/org/astershift/config/OperatorSettings.java
@@ -14,6 +14,21 @@
 
 /** The operators' own settings: an INI file, every key optional, nothing unknown allowed. */
 public final class OperatorSettings {
+  /** Tasks of the queue looked at for a machine, as in the paper (section 4). */
+  private static final int WINDOW_TASKS = 2500;
+
+  /** Utilization from which a machine without a cached image stays free; paper, section 2.2. */
+  private static final double UTILIZATION_THRESHOLD_SHARE = 0.9;
+
+  /** Tasks given to one machine in one pass; ours. */
+  private static final int MACHINE_BATCH_TASKS = 64;
+
+  /** Seconds after which a task takes any machine, where no aim says so; ours. */
+  private static final double WAITING_AGE_S = 5;
+
+  /** Seconds without work after which a machine is returned; paper, section 4.1. */
+  private static final double IDLE_RELEASE_S = 30;
+
   private OperatorSettings() {}
 
   private static final Map<String, Set<String>> KNOWN_KEYS =
@@ -24,11 +39,11 @@
   /** What holds without a file. */
   public static SchedulingPolicy defaults() {
     return new SchedulingPolicy(
-        Constants.WINDOW_TASKS,
-        Constants.UTILIZATION_THRESHOLD_SHARE,
-        Constants.MACHINE_BATCH_TASKS,
-        Constants.WAITING_AGE_S,
-        Constants.IDLE_RELEASE_S);
+        WINDOW_TASKS,
+        UTILIZATION_THRESHOLD_SHARE,
+        MACHINE_BATCH_TASKS,
+        WAITING_AGE_S,
+        IDLE_RELEASE_S);
   }
 
   /** Reads and checks a file, and names everything that is wrong with it. */
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.cloud.CloudClient;
-import org.astershift.config.Constants;
 import org.astershift.config.Settings;
+import org.astershift.config.ThreadBudget;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Decision;
@@ -25,8 +25,8 @@
   private final StoreClient store;
   private final WatchCache watchCache;
   private final Runnable requestPass;
-  private final Threads.Pool provisionPool = Threads.pool("rent", Constants.PROVISION_THREADS);
-  private final Threads.Pool releasePool = Threads.pool("return", Constants.RELEASE_THREADS);
+  private final Threads.Pool provisionPool = Threads.pool("rent", ThreadBudget.PROVISION_THREADS);
+  private final Threads.Pool releasePool = Threads.pool("return", ThreadBudget.RELEASE_THREADS);
   private volatile Map<String, MachineType> types = Map.of();
 
   CloudProvisioner(
@@ -63,7 +63,7 @@
     while (!term.ended()) {
       try {
         long nowMs = LeaderTerm.nowMs();
-        if (typesFetchedMs == 0 || nowMs - typesFetchedMs > Constants.MACHINE_TYPES_INTERVAL_MS) {
+        if (typesFetchedMs == 0 || nowMs - typesFetchedMs > LoopTiming.MACHINE_TYPES_INTERVAL_MS) {
           refreshTypes(term);
           typesFetchedMs = nowMs;
         }
@@ -73,7 +73,7 @@
           term.scheduler.onMachineList(listed, requestedMs, LeaderTerm.nowMs());
         }
         requestPass.run();
-        Thread.sleep(Constants.MACHINE_LIST_INTERVAL_MS);
+        Thread.sleep(LoopTiming.MACHINE_LIST_INTERVAL_MS);
       } catch (IOException e) {
         LOG.info("the cloud does not answer as it should: {}", e.getMessage());
         sleep();
@@ -98,7 +98,7 @@
       StoreClient.Transaction txn =
           term.transaction().put(RecordCodec.TYPES, RecordCodec.encodeTypes(fetchedTypes));
       term.checkLeadershipLost(
-          store.commit(txn, RateLimiter.Urgency.INTERACTIVE, Constants.STORE_RATE_WAIT_MS));
+          store.commit(txn, RateLimiter.Urgency.INTERACTIVE, StoreClient.STORE_RATE_WAIT_MS));
     }
   }
 
@@ -211,13 +211,13 @@
       sleep();
     }
     if (!term.ended()) {
-      term.records.remove(LeaderRecords.RecordKind.RENTAL, name, Constants.DEREGISTER_DELAY_MS);
+      term.records.remove(LeaderRecords.RecordKind.RENTAL, name, LeaderRecords.DEREGISTER_DELAY_MS);
     }
   }
 
   private static void sleep() {
     try {
-      Thread.sleep(Constants.CLOUD_RETRY_BACKOFF_MS);
+      Thread.sleep(LoopTiming.CLOUD_RETRY_BACKOFF_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.config.Settings;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
@@ -45,7 +44,7 @@
   /** Writes the ends of completed jobs, as many in a transaction as it may have. */
   void writeLoop(LeaderTerm term) throws InterruptedException {
     int maxJobs = Math.max(1, limits.txnOps() / CHANGES_PER_END);
-    maxJobs = Math.min(maxJobs, Constants.COMPLETION_BATCH_JOBS);
+    maxJobs = Math.min(maxJobs, LoopTiming.COMPLETION_BATCH_JOBS);
     while (true) {
       List<String> jobIds = term.completions.takeBatch(maxJobs);
       if (jobIds.isEmpty()) {
@@ -75,7 +74,7 @@
       return;
     }
     Outcome outcome =
-        store.commit(txn, RateLimiter.Urgency.INTERACTIVE, Constants.STORE_RATE_WAIT_MS);
+        store.commit(txn, RateLimiter.Urgency.INTERACTIVE, StoreClient.STORE_RATE_WAIT_MS);
     if (outcome instanceof Outcome.Committed) {
       ends.forEach((jobId, end) -> onEndPersisted(term, jobId, end));
       requestPass.run();
@@ -83,7 +82,7 @@
       ends.keySet().forEach(term.termJobs()::onEndWriteRejected);
       // One of them was cancelled meanwhile, or an earlier try without an answer was applied.
       for (String jobId : ends.keySet()) {
-        if (persistEnd(term, jobId, false, Constants.STORE_RATE_WAIT_MS) == null) {
+        if (persistEnd(term, jobId, false, StoreClient.STORE_RATE_WAIT_MS) == null) {
           retryLater(term, List.of(jobId));
         }
       }
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.coordination.Candidacy;
 import org.astershift.coordination.StoreReachability;
 import org.astershift.coordination.WorkerReachability;
@@ -72,7 +71,7 @@
 
   private void monitorLoop() throws InterruptedException {
     while (true) {
-      Thread.sleep(Constants.REACHABILITY_QUERY_INTERVAL_MS);
+      Thread.sleep(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS);
       if (!store.unavailable()) {
         if (storeSilent) {
           LOG.info("the state service answers again");
@@ -116,7 +115,7 @@
             visibleShare, statuses, peers.size(), term.beganMs, LeaderTerm.nowMs());
     if (transfer == null) {
       Thread.sleep(
-          Constants
+          LoopTiming
               .REACHABILITY_SAMPLE_INTERVAL_MS); // what the others reach does not change sooner
       return;
     }
@@ -138,7 +137,7 @@
   private static Candidacy.PeerStatus queryWorkerReachability(
       String node, JobService.PeerChannel peer) {
     try {
-      JobAnswer answer = peer.call("reach", "", Constants.REACHABILITY_QUERY_TIMEOUT_MS);
+      JobAnswer answer = peer.call("reach", "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
       WorkerReachability.Measurement measurement =
           new WorkerReachability.Measurement(answer.runningTasks(), answer.doneTasks());
       return new Candidacy.PeerStatus(
@@ -151,7 +150,7 @@
 
   private static void notifyPeer(JobService.PeerChannel peer, String operation, String argument) {
     try {
-      peer.call(operation, argument, Constants.REACHABILITY_QUERY_TIMEOUT_MS);
+      peer.call(operation, argument, LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
     } catch (IOException | RuntimeException e) {
       LOG.debug("telling another node: {}", e.toString());
     }
@@ -179,7 +178,7 @@
     for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
       try {
         JobAnswer answer =
-            peer.getValue().call("state", "", Constants.REACHABILITY_QUERY_TIMEOUT_MS);
+            peer.getValue().call("state", "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
         answered++;
         if (answer.status() == 200) {
           reported = parseLeader(answer.phase());
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -3,8 +3,9 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
+import org.astershift.config.LogIntervals;
 import org.astershift.config.Settings;
+import org.astershift.config.ThreadBudget;
 import org.astershift.coordination.Candidacy;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
@@ -25,6 +26,9 @@
 public final class ControllerRuntime implements LeaderElector.TermListener {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerRuntime.class);
 
+  /** Milliseconds that the note of where replicas are may wait for other changes of its page. */
+  private static final long PLACEMENT_RECORD_DELAY_MS = 3000;
+
   private final Settings settings;
   private final SchedulingPolicy policy;
   private final StoreClient store;
@@ -41,8 +45,9 @@
   /** Held while a term is taken up or laid down: a term that is over must not be taken up late. */
   private final Object termLock = new Object();
 
-  private final Threads.Pool commandPool = Threads.pool("order", Constants.COMMAND_THREADS);
-  private final Threads.Pool probePool = Threads.pool("question", Constants.MACHINE_PROBE_THREADS);
+  private final Threads.Pool commandPool = Threads.pool("order", ThreadBudget.COMMAND_THREADS);
+  private final Threads.Pool probePool =
+      Threads.pool("question", ThreadBudget.MACHINE_PROBE_THREADS);
   private final Object passSignal = new Object();
   private boolean passRequested;
 
@@ -246,7 +251,7 @@
     while (!term.ended()) {
       synchronized (passSignal) {
         if (!passRequested) {
-          passSignal.wait(Constants.PASS_INTERVAL_MS);
+          passSignal.wait(LoopTiming.PASS_INTERVAL_MS);
         }
         passRequested = false;
       }
@@ -261,14 +266,14 @@
         boolean attemptsExhausted;
         synchronized (term) {
           long nowMs = LeaderTerm.nowMs();
-          if (stalledMs > Constants.PROCESS_PAUSE_MS) {
+          if (stalledMs > LoopTiming.PROCESS_PAUSE_MS) {
             LOG.info("{} stood still for {} ms", settings.nodeName(), stalledMs);
             term.scheduler.onProcessResumed(nowMs);
           }
           decisions = term.scheduler.pass(nowMs, elector.leaseCertainUntilMs());
           attemptsExhausted = term.scheduler.attemptNumbersExhausted();
           starting = term.scheduler.reconciling();
-          if (nowMs - summaryLoggedMs > Constants.SUMMARY_INTERVAL_MS) {
+          if (nowMs - summaryLoggedMs > LogIntervals.SUMMARY_INTERVAL_MS) {
             summaryLoggedMs = nowMs;
             summary = term.scheduler.summary();
             serviceSummary = term.scheduler.serviceSummary(nowMs);
@@ -303,9 +308,9 @@
       long passMs = (System.nanoTime() - beganNs) / 1_000_000;
       totalPassMs += passMs;
       longestPassMs = Math.max(longestPassMs, passMs);
-      long pauseMs = Math.max(Constants.PASS_MIN_GAP_MS, passMs * Constants.PASS_REST_FACTOR);
-      pauseMs = starting ? Math.min(Constants.PASS_REST_MAX_MS, pauseMs) : pauseMs;
-      dueMs = LeaderTerm.nowMs() + pauseMs + Constants.PASS_INTERVAL_MS;
+      long pauseMs = Math.max(LoopTiming.PASS_MIN_GAP_MS, passMs * LoopTiming.PASS_REST_FACTOR);
+      pauseMs = starting ? Math.min(LoopTiming.PASS_REST_MAX_MS, pauseMs) : pauseMs;
+      dueMs = LeaderTerm.nowMs() + pauseMs + LoopTiming.PASS_INTERVAL_MS;
       Thread.sleep(pauseMs);
     }
   }
@@ -327,7 +332,7 @@
             LeaderRecords.RecordKind.OPENED,
             r.jobId(),
             RecordCodec.encodePlacement(r.replicaMachineNames()),
-            Constants.PLACEMENT_RECORD_DELAY_MS);
+            PLACEMENT_RECORD_DELAY_MS);
       }
     } else if (decision instanceof Decision.FinishJob finish) {
       term.completions.add(finish.jobId());
@@ -344,7 +349,7 @@
       term.records.remove(
           LeaderRecords.RecordKind.MACHINE,
           deregister.machineName(),
-          Constants.DEREGISTER_DELAY_MS);
+          LeaderRecords.DEREGISTER_DELAY_MS);
     } else if (decision instanceof Decision.ProvisionMachines r) {
       provisioner.provision(term, r);
     } else if (decision instanceof Decision.ReleaseMachines r) {
@@ -500,7 +505,7 @@
 
   private static void progressLoop(LeaderTerm term) throws InterruptedException {
     while (!term.ended()) {
-      Thread.sleep(Constants.PROGRESS_SAVE_INTERVAL_MS);
+      Thread.sleep(LoopTiming.PROGRESS_SAVE_INTERVAL_MS);
       try {
         Map<String, BitSet> unsaved;
         synchronized (term) {
--- a/src/main/java/org/astershift/controller/EndedJobCache.java
+++ b/src/main/java/org/astershift/controller/EndedJobCache.java
@@ -2,18 +2,20 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.store.RecordCodec;
 
 /** The ends of jobs seen lately, so that most late polls need no read. */
 final class EndedJobCache {
+  /** Ended jobs kept in memory; others are read from the state service. */
+  private static final int ENDED_JOBS_KEPT = 50_000;
+
   private final Map<String, RecordCodec.JobEnd> ends =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, RecordCodec.JobEnd> eldest) {
-          return size() > Constants.ENDED_JOBS_KEPT;
+          return size() > ENDED_JOBS_KEPT;
         }
       };
 
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.coordination.Cancellation;
 import org.astershift.coordination.JobQuery;
 import org.astershift.http.Json;
 import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerClient;
 import org.astershift.scheduler.JobSpec;
 import org.astershift.scheduler.Scheduler;
 import org.astershift.store.RateLimiter;
@@ -22,6 +22,10 @@
  */
 public final class JobService {
   private static final Logger LOG = LoggerFactory.getLogger(JobService.class);
+
+  /** How long an acceptance may wait for its share of the limits, milliseconds; then it is 503. */
+  private static final long ACCEPT_RATE_WAIT_MS = 1000;
+
   private final ControllerRuntime runtime;
   private final StoreClient store;
   private final EndedJobCache endedJobs;
@@ -62,8 +66,7 @@
             .when(key, 0)
             .when(RecordCodec.ENDED + spec.id(), 0)
             .put(key, RecordCodec.encodeJob(record));
-    Outcome outcome =
-        store.commit(txn, RateLimiter.Urgency.INTERACTIVE, Constants.ACCEPT_RATE_WAIT_MS);
+    Outcome outcome = store.commit(txn, RateLimiter.Urgency.INTERACTIVE, ACCEPT_RATE_WAIT_MS);
     if (outcome instanceof Outcome.Committed committed) {
       runtime.onJobAccepted(record, committed.revision());
       end = endedJobs.get(spec.id());
@@ -148,7 +151,7 @@
   public JobAnswer cancel(String jobId, boolean mayForward) throws InterruptedException {
     LeaderTerm term = runtime.currentTerm();
     long arrivedMs = LeaderTerm.nowMs();
-    long deadlineMs = arrivedMs + Constants.CANCEL_WAIT_MS;
+    long deadlineMs = arrivedMs + LoopTiming.CANCEL_WAIT_MS;
     boolean cancelRequested = false;
     JobAnswer storeAnswer = null;
     while (true) {
@@ -187,7 +190,7 @@
         return toAnswer(end);
       }
       if (action.needsTerm()) {
-        Thread.sleep(Constants.CANCEL_POLL_INTERVAL_MS);
+        Thread.sleep(LoopTiming.CANCEL_POLL_INTERVAL_MS);
       }
     }
   }
@@ -256,7 +259,7 @@
       return JobAnswer.UNDECIDED;
     }
     try {
-      return peer.call(operation, jobId, Constants.PEER_TIMEOUT_MS);
+      return peer.call(operation, jobId, PeerClient.PEER_TIMEOUT_MS);
     } catch (IOException e) {
       LOG.debug("asking {}: {}", leader, e.toString());
       return JobAnswer.UNDECIDED;
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.function.Supplier;
-import org.astershift.config.Constants;
 import org.astershift.coordination.Candidacy;
 import org.astershift.coordination.Election;
 import org.astershift.coordination.Election.Action;
@@ -131,8 +130,8 @@
           synchronized (electionSignal) {
             electionSignal.wait(
                 token() == 0
-                    ? Constants.ELECTION_POLL_INTERVAL_MS
-                    : Constants.LEADER_LEASE_RENEW_INTERVAL_MS);
+                    ? LoopTiming.ELECTION_POLL_INTERVAL_MS
+                    : LoopTiming.LEADER_LEASE_RENEW_INTERVAL_MS);
           }
         }
       } catch (IOException | RuntimeException e) {
@@ -173,7 +172,7 @@
               .when(RecordCodec.LEADER, r.revision())
               .delete(RecordCodec.LEADER),
           RateLimiter.Urgency.LEASE,
-          Constants.LEADER_KEY_TIMEOUT_MS);
+          LoopTiming.LEADER_KEY_TIMEOUT_MS);
     } else if (action instanceof Action.GrantLease grant) {
       election.onLeaseGranted(store.grant(grant.ttlMs()));
       return false;
@@ -184,7 +183,7 @@
       election.onKeyVerified(revisionIfOnLease(verify.lease()));
       return false;
     } else if (action instanceof Action.CatchUp c) {
-      boolean caughtUp = watchCache.awaitRevision(c.revision(), Constants.LEADER_LEASE_MS);
+      boolean caughtUp = watchCache.awaitRevision(c.revision(), Election.LEADER_LEASE_MS);
       if (!caughtUp) {
         LOG.info("won token {} but could not read up to it: given up", c.revision());
       }
@@ -208,7 +207,7 @@
       return token() != 0;
     } catch (IOException e) {
       election.onLeaseRenewed(null);
-      if (LeaderTerm.nowMs() - sentMs < Constants.LEADER_LEASE_RENEW_TIMEOUT_MS) {
+      if (LeaderTerm.nowMs() - sentMs < StoreClient.LEADER_LEASE_RENEW_TIMEOUT_MS) {
         throw e;
       }
       LOG.debug("renewal of the lease: {}", e.toString());
@@ -222,7 +221,7 @@
             .when(RecordCodec.LEADER, 0)
             .put(RecordCodec.LEADER, RecordCodec.encodeLeader(node), lease);
     StoreClient.Outcome outcome =
-        store.commit(txn, RateLimiter.Urgency.LEASE, Constants.LEADER_KEY_TIMEOUT_MS);
+        store.commit(txn, RateLimiter.Urgency.LEASE, LoopTiming.LEADER_KEY_TIMEOUT_MS);
     if (outcome instanceof StoreClient.Outcome.Committed committed) {
       election.onKeyCreation(Election.KeyCreation.CREATED, committed.revision());
     } else if (outcome instanceof StoreClient.Outcome.Unknown) {
--- a/src/main/java/org/astershift/controller/LeaderRecords.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
 import org.astershift.config.Settings;
 import org.astershift.http.Json;
+import org.astershift.http.Threads;
 import org.astershift.store.RateLimiter;
 import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
@@ -28,6 +28,30 @@
  */
 final class LeaderRecords {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecords.class);
+
+  /**
+   * Milliseconds after which progress that is not on record yet is written as what somebody waits
+   * for: up to then machines keep done tasks in their reports, which name only so many.
+   */
+  private static final long PROGRESS_WRITE_MAX_DELAY_MS = 10_000;
+
+  /** Bytes of a page's key, revision and JSON around it in a transaction, at most. */
+  static final int PAGE_FRAME_BYTES = 250;
+
+  /** Most bytes of pages in one transaction: three quarters of what the protocol allows. */
+  static final int MAX_TRANSACTION_BYTES = 48 * 1024;
+
+  /** Milliseconds for which a page that the state service refuses by itself waits aside. */
+  private static final long PAGE_REJECTED_BACKOFF_MS = 10_000;
+
+  /**
+   * Share of the state service's limit for a value that a page may take; its frame comes on top.
+   */
+  private static final double PAGE_VALUE_SHARE = 0.75;
+
+  /** Milliseconds that the striking of a note may wait for other changes of its page. */
+  static final long DEREGISTER_DELAY_MS = 1000;
+
   private static final long NEVER_MS = Long.MAX_VALUE;
 
   /** What an entry is about. Pages hold one kind, so that what changes often is written alone. */
@@ -90,9 +114,7 @@
     this.maxPages = limits.txnOps();
     this.pageLimit = maxPages;
     this.maxPageBytes =
-        (int)
-            Math.min(
-                Constants.MAX_PAGE_BYTES, limits.valueKb() * 1024 * Constants.PAGE_VALUE_SHARE);
+        (int) Math.min(RecordCodec.MAX_PAGE_BYTES, limits.valueKb() * 1024 * PAGE_VALUE_SHARE);
     for (RecordKind kind : RecordKind.values()) {
       pages.put(kind, new ArrayList<>());
       pageByKey.put(kind, new HashMap<>());
@@ -243,7 +265,7 @@
               && rejected.reason().equals(StoreClient.MALFORMED_REASON)) {
             splitAfterRejection(writes);
           }
-          Thread.sleep(Constants.RETRY_BACKOFF_MS);
+          Thread.sleep(Threads.RETRY_BACKOFF_MS);
         }
       }
     }
@@ -291,8 +313,8 @@
     int count = 0;
     int totalBytes = 0;
     while (count < Math.min(pageSizes.length, limit)) {
-      totalBytes += pageSizes[count] + Constants.PAGE_FRAME_BYTES;
-      if (count > 0 && totalBytes > Constants.MAX_TRANSACTION_BYTES) {
+      totalBytes += pageSizes[count] + PAGE_FRAME_BYTES;
+      if (count > 0 && totalBytes > MAX_TRANSACTION_BYTES) {
         break;
       }
       count++;
@@ -308,7 +330,7 @@
     }
     Page page = writes.get(0).page();
     LOG.error("page {} of {} bytes is refused by the state service", page.key, page.bytes);
-    page.dueMs = LeaderTerm.nowMs() + Constants.PAGE_REJECTED_BACKOFF_MS; // others go on
+    page.dueMs = LeaderTerm.nowMs() + PAGE_REJECTED_BACKOFF_MS; // others go on
   }
 
   /**
@@ -329,13 +351,12 @@
         urgency = RateLimiter.Urgency.INTERACTIVE;
       }
     }
-    return store.commit(txn, urgency, Constants.STORE_RATE_WAIT_MS);
+    return store.commit(txn, urgency, StoreClient.STORE_RATE_WAIT_MS);
   }
 
   /** Progress may wait until there is time for it, but not for ever. */
   private synchronized boolean deferrable(Page page) {
-    boolean overdue =
-        LeaderTerm.nowMs() - page.oldestChangeMs > Constants.PROGRESS_WRITE_MAX_DELAY_MS;
+    boolean overdue = LeaderTerm.nowMs() - page.oldestChangeMs > PROGRESS_WRITE_MAX_DELAY_MS;
     return page.kind == RecordKind.PROGRESS && !overdue;
   }
 
@@ -379,7 +400,7 @@
           write.page().revision = store.get(write.page().key).revision();
         } catch (IOException e) {
           LOG.debug("reading {}: {}", write.page().key, e.toString());
-          Thread.sleep(Constants.RETRY_BACKOFF_MS);
+          Thread.sleep(Threads.RETRY_BACKOFF_MS);
         }
       }
     }
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -4,7 +4,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.coordination.CancellationLatency;
 import org.astershift.coordination.TermJobs;
 import org.astershift.http.Json;
@@ -194,9 +193,9 @@
   }
 
   private void deleteRecords(String jobId) {
-    records.remove(LeaderRecords.RecordKind.OPENED, jobId, Constants.DEREGISTER_DELAY_MS);
+    records.remove(LeaderRecords.RecordKind.OPENED, jobId, LeaderRecords.DEREGISTER_DELAY_MS);
     for (String key : records.keysWithPrefix(LeaderRecords.RecordKind.PROGRESS, jobId + "/")) {
-      records.remove(LeaderRecords.RecordKind.PROGRESS, key, Constants.DEREGISTER_DELAY_MS);
+      records.remove(LeaderRecords.RecordKind.PROGRESS, key, LeaderRecords.DEREGISTER_DELAY_MS);
     }
   }
 
--- a/src/main/java/org/astershift/controller/ReachabilityProber.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -13,12 +13,14 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.astershift.config.Constants;
+import org.astershift.config.ThreadBudget;
 import org.astershift.coordination.WorkerReachability;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
 import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerClient;
 import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Scheduler;
 import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.astershift.store.WatchCache;
@@ -43,9 +45,10 @@
 
   /** Of its own: a leader's many questions to silent machines must not make it look cut off. */
   private final Threads.Pool samplePool =
-      Threads.pool("sample", Constants.REACHABILITY_SAMPLE_MACHINES);
+      Threads.pool("sample", LoopTiming.REACHABILITY_SAMPLE_MACHINES);
 
-  private final Threads.Pool peerProbePool = Threads.pool("witness", Constants.PEER_PROBE_THREADS);
+  private final Threads.Pool peerProbePool =
+      Threads.pool("witness", ThreadBudget.PEER_PROBE_THREADS);
 
   ReachabilityProber(
       WatchCache watchCache,
@@ -76,19 +79,19 @@
     while (true) {
       if (!lastSampleTimedOut) {
         // Without this wait the deadline of the last sample was a rest.
-        Thread.sleep(Constants.REACHABILITY_SAMPLE_INTERVAL_MS);
+        Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS);
       }
       samplePool.startWaitingWork();
       probePool.startWaitingWork();
       List<String> addresses = pickAddresses();
       long probedMs = LeaderTerm.nowMs();
       int answered = 0;
-      for (Boolean reachable : probe(samplePool, addresses, Constants.MACHINE_PROBE_TIMEOUT_MS)) {
+      for (Boolean reachable : probe(samplePool, addresses, Scheduler.MACHINE_PROBE_TIMEOUT_MS)) {
         answered += Boolean.TRUE.equals(reachable) ? 1 : 0;
       }
       workerReachability.onSample(addresses.size(), answered, probedMs);
       lastSampleTimedOut =
-          answered == 0 && LeaderTerm.nowMs() - probedMs >= Constants.MACHINE_PROBE_TIMEOUT_MS;
+          answered == 0 && LeaderTerm.nowMs() - probedMs >= Scheduler.MACHINE_PROBE_TIMEOUT_MS;
     }
   }
 
@@ -98,9 +101,11 @@
         watchCache.entriesWithPrefix(RecordCodec.PAGES + LeaderRecords.RecordKind.MACHINE.letter);
     Set<String> picked = new HashSet<>();
     ThreadLocalRandom random = ThreadLocalRandom.current();
-    for (int i = 0; i < 2 * Constants.REACHABILITY_SAMPLE_MACHINES && !pageEntries.isEmpty(); i++) {
+    for (int i = 0;
+        i < 2 * LoopTiming.REACHABILITY_SAMPLE_MACHINES && !pageEntries.isEmpty();
+        i++) {
       Map<String, Object> page = pageEntries.get(random.nextInt(pageEntries.size())).data();
-      if (page.isEmpty() || picked.size() == Constants.REACHABILITY_SAMPLE_MACHINES) {
+      if (page.isEmpty() || picked.size() == LoopTiming.REACHABILITY_SAMPLE_MACHINES) {
         continue;
       }
       String name = new ArrayList<>(page.keySet()).get(random.nextInt(page.size()));
@@ -137,7 +142,7 @@
             pending.countDown();
           });
     }
-    if (!pending.await(timeoutMs + Constants.SUSPECT_AFTER_MS, TimeUnit.MILLISECONDS)) {
+    if (!pending.await(timeoutMs + Scheduler.SUSPECT_AFTER_MS, TimeUnit.MILLISECONDS)) {
       LOG.debug("{} of {} questions are not settled", pending.getCount(), answered.length);
     }
     synchronized (answered) {
@@ -167,7 +172,7 @@
             Decision.PeerProbeResult result = null;
             try {
               JobAnswer answer =
-                  peer.call("witness", addresses.toString(), Constants.PEER_TIMEOUT_MS);
+                  peer.call("witness", addresses.toString(), PeerClient.PEER_TIMEOUT_MS);
               result =
                   answer.status() == 200 ? parsePeerProbeResult(machines, answer.phase()) : null;
             } catch (IOException | RuntimeException e) {
@@ -224,7 +229,7 @@
    */
   JobAnswer probeForPeer(String addresses) throws InterruptedException {
     List<Boolean> answered =
-        probe(probePool, List.of(addresses.split(" ")), Constants.PEER_PROBE_TIMEOUT_MS);
+        probe(probePool, List.of(addresses.split(" ")), Scheduler.PEER_PROBE_TIMEOUT_MS);
     StringBuilder signs = new StringBuilder();
     int reached = 0;
     for (Boolean reachable : answered) {
--- a/src/main/java/org/astershift/coordination/Candidacy.java
+++ b/src/main/java/org/astershift/coordination/Candidacy.java
@@ -3,7 +3,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.coordination.WorkerReachability.Measurement;
 
 /**
@@ -19,6 +18,21 @@
  * nothing away.
  */
 public final class Candidacy {
+  /** Share by which another has to reach more machines for a leader to hand over. */
+  private static final double REACHABILITY_HANDOVER_SHARE = 0.3;
+
+  /**
+   * Milliseconds by which a controller that reaches few workers stands later than the others: they
+   * see the free leadership at the same moment and look for it every 300 ms.
+   */
+  static final long CANDIDACY_DELAY_MS = 3000;
+
+  /** Milliseconds that a term lasts at least before its leader hands over for want of reach. */
+  static final long HANDOVER_MIN_TERM_MS = 8000;
+
+  /** It does not give up again for so long: then the trouble is not with its own network. */
+  static final long RESIGN_MIN_INTERVAL_MS = 60_000;
+
   private final Map<String, Long> lastLedMs = new HashMap<>();
   private long freeSinceMs = -1;
   private long deferredMs = Long.MIN_VALUE / 2;
@@ -42,9 +56,8 @@
     if (freeSinceMs < 0) {
       freeSinceMs = nowMs;
     }
-    boolean deferring = nowMs - deferredMs < Constants.CANDIDACY_DELAY_MS;
-    return !deferring
-        && nowMs - freeSinceMs >= (own.reachesFew() ? Constants.CANDIDACY_DELAY_MS : 0);
+    boolean deferring = nowMs - deferredMs < CANDIDACY_DELAY_MS;
+    return !deferring && nowMs - freeSinceMs >= (own.reachesFew() ? CANDIDACY_DELAY_MS : 0);
   }
 
   /** The leader is about to hand over to another controller than this one. */
@@ -59,7 +72,7 @@
    */
   public synchronized LeadershipTransfer handOverTarget(
       double visibleShare, List<PeerStatus> statuses, int peerCount, long termBeganMs, long nowMs) {
-    if (peerCount == 0 || nowMs - termBeganMs < Constants.HANDOVER_MIN_TERM_MS) {
+    if (peerCount == 0 || nowMs - termBeganMs < HANDOVER_MIN_TERM_MS) {
       return null;
     }
     PeerStatus best = null;
@@ -67,8 +80,7 @@
       boolean better =
           status.storeAvailable()
               && status.workerReachability().reachesEnough()
-              && status.workerReachability().share()
-                  >= visibleShare + Constants.REACHABILITY_HANDOVER_SHARE;
+              && status.workerReachability().share() >= visibleShare + REACHABILITY_HANDOVER_SHARE;
       if (better
           && (best == null
               || status.workerReachability().share() > best.workerReachability().share())) {
@@ -82,7 +94,7 @@
       return null;
     }
     // Nobody answers, so nothing is known of the others: each that has not led lately has its turn.
-    lastLedMs.values().removeIf(lastLed -> nowMs - lastLed > Constants.RESIGN_MIN_INTERVAL_MS);
+    lastLedMs.values().removeIf(lastLed -> nowMs - lastLed > RESIGN_MIN_INTERVAL_MS);
     return lastLedMs.size() <= peerCount ? new LeadershipTransfer(null) : null;
   }
 }
--- a/src/main/java/org/astershift/coordination/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import org.astershift.config.Constants;
+import org.astershift.config.ClockBounds;
 import org.astershift.coordination.WorkerReachability.Measurement;
 
 /**
@@ -19,6 +19,22 @@
  * steady clock.
  */
 public final class Election {
+  /**
+   * Life of the leadership's lease. Shorter means faster takeover, longer survives slow renewals.
+   */
+  public static final long LEADER_LEASE_MS = 2000;
+
+  /**
+   * A leader that gave up because it reached too few machines lets the others try for so long: they
+   * stand within 300 ms, or 3 s where they reach few themselves.
+   */
+  private static final long RESIGN_BACKOFF_MS = 5000;
+
+  /**
+   * Milliseconds without an answer after which a node that needs nothing asks for a sign of life.
+   */
+  private static final long STORE_KEEPALIVE_MS = 700;
+
   private final String node;
   private final Candidacy candidacy;
   private final Deque<Action> pendingActions = new ArrayDeque<>();
@@ -157,7 +173,7 @@
   }
 
   private Action contest(View view) {
-    if (view.storeSilenceMs() > Constants.STORE_KEEPALIVE_MS) {
+    if (view.storeSilenceMs() > STORE_KEEPALIVE_MS) {
       return new Action.ReadKey();
     }
     if (!view.cacheLoaded() || view.nowMs() < contestAllowedMs) {
@@ -180,7 +196,7 @@
     }
     // Counted from here: the lease may have been granted as soon as it was asked for.
     leaseRequestedMs = view.nowMs();
-    return new Action.GrantLease(Constants.LEADER_LEASE_MS);
+    return new Action.GrantLease(LEADER_LEASE_MS);
   }
 
   private Action renewal(View view) {
@@ -272,7 +288,7 @@
 
   /** A term that cannot begin would hold the lease and place nothing: another is to try. */
   public synchronized List<Action> onTermStartFailed(long termToken, long nowMs) {
-    contestAllowedMs = nowMs + Constants.RESIGN_BACKOFF_MS;
+    contestAllowedMs = nowMs + RESIGN_BACKOFF_MS;
     return endAndRevoke(termToken, "it could not begin");
   }
 
@@ -301,8 +317,8 @@
       return List.of();
     }
     otherLedSinceResigning = false;
-    resignAllowedMs = nowMs + Constants.RESIGN_MIN_INTERVAL_MS;
-    contestAllowedMs = nowMs + Constants.RESIGN_BACKOFF_MS;
+    resignAllowedMs = nowMs + Candidacy.RESIGN_MIN_INTERVAL_MS;
+    contestAllowedMs = nowMs + RESIGN_BACKOFF_MS;
     return endAndRevoke(termToken, reason);
   }
 
@@ -331,7 +347,7 @@
   }
 
   private static long certainLeaseMs() {
-    long driftedMs = (long) (Constants.LEADER_LEASE_MS * (1 - 2 * Constants.CLOCK_DRIFT_SHARE));
-    return driftedMs - Constants.CLOCK_MARGIN_MS;
+    long driftedMs = (long) (LEADER_LEASE_MS * (1 - 2 * ClockBounds.CLOCK_DRIFT_SHARE));
+    return driftedMs - ClockBounds.CLOCK_MARGIN_MS;
   }
 }
--- a/src/main/java/org/astershift/coordination/StoreReachability.java
+++ b/src/main/java/org/astershift/coordination/StoreReachability.java
@@ -1,7 +1,5 @@
 package org.astershift.coordination;
 
-import org.astershift.config.Constants;
-
 /**
  * What it means that the state service does not answer this node, from what the others say. In an
  * outage it stays ready: no node could do more. Where others are served it sends users there. Where
@@ -9,6 +7,12 @@
  * while the others may be served well; it keeps its workers, and tells the balancer the truth.
  */
 public final class StoreReachability {
+  /**
+   * Milliseconds in which neither the state service nor any other controller answers after which a
+   * node takes itself for cut off: longer than all others take to crash and be back in an outage.
+   */
+  static final long ISOLATED_AFTER_MS = 6000;
+
   /** What this node takes the silence for. */
   public enum Verdict {
     /** Others are not served either, or it is too early to say. */
@@ -38,8 +42,6 @@
     if (lastAnsweredMs < 0 || answered > 0 || peerCount == 0) {
       lastAnsweredMs = nowMs;
     }
-    return nowMs - lastAnsweredMs >= Constants.ISOLATED_AFTER_MS
-        ? Verdict.ISOLATED
-        : Verdict.OUTAGE;
+    return nowMs - lastAnsweredMs >= ISOLATED_AFTER_MS ? Verdict.ISOLATED : Verdict.OUTAGE;
   }
 }
--- a/src/main/java/org/astershift/coordination/TermJobs.java
+++ b/src/main/java/org/astershift/coordination/TermJobs.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
 
 /**
  * Which jobs one term looks after, and of which the end may be on record though the leader does not
@@ -14,6 +13,9 @@
  * recorded after it, less what ended here.
  */
 public final class TermJobs {
+  /** Jobs ended in this term that are remembered against late news of their acceptance. */
+  static final int ENDED_IN_TERM_JOBS = 10_000;
+
   private final long token;
   private final Set<String> managed = new HashSet<>();
 
@@ -82,7 +84,7 @@
     managed.remove(jobId);
     unconfirmedEnds.remove(jobId);
     endedInTerm.add(jobId);
-    if (endedInTerm.size() > Constants.ENDED_IN_TERM_JOBS) {
+    if (endedInTerm.size() > ENDED_IN_TERM_JOBS) {
       endedInTerm.remove(endedInTerm.iterator().next());
     }
   }
--- a/src/main/java/org/astershift/coordination/WorkerReachability.java
+++ b/src/main/java/org/astershift/coordination/WorkerReachability.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.astershift.config.Constants;
 
 /**
  * How much of the fleet this controller reaches by itself, from small samples of machines that it
@@ -10,6 +9,18 @@
  * machine is dead, it must know already.
  */
 public final class WorkerReachability {
+  /** Samples that count; the last alone if nobody answered it, so that a cut shows in 3 s. */
+  private static final int REACHABILITY_SAMPLES = 2;
+
+  /** A sample older than this says nothing any more, milliseconds. */
+  static final long REACHABILITY_SAMPLE_VALID_MS = 8000;
+
+  /** Fewer answers and failures than this say nothing. */
+  private static final int REACHABILITY_MIN_RESULTS = 3;
+
+  /** A controller that reaches less than this share of the machines it asks reaches few. */
+  private static final double REACHABILITY_POOR_SHARE = 0.25;
+
   private final Deque<Sample> samples = new ArrayDeque<>();
 
   private record Sample(int probed, int answered, long probedMs) {}
@@ -22,7 +33,7 @@
     public static final Measurement UNKNOWN = new Measurement(0, 0);
 
     public boolean known() {
-      return probed >= Constants.REACHABILITY_MIN_RESULTS;
+      return probed >= REACHABILITY_MIN_RESULTS;
     }
 
     /** Between 0 and 1. */
@@ -32,7 +43,7 @@
 
     /** It is known that next to no machine answers. */
     public boolean reachesFew() {
-      return known() && share() < Constants.REACHABILITY_POOR_SHARE;
+      return known() && share() < REACHABILITY_POOR_SHARE;
     }
 
     /** It is known that a fair part answers: who does not answer here either is probably gone. */
@@ -46,7 +57,7 @@
     if (probed > 0) {
       samples.addLast(new Sample(probed, answered, probedMs));
     }
-    while (samples.size() > Constants.REACHABILITY_SAMPLES) {
+    while (samples.size() > REACHABILITY_SAMPLES) {
       samples.removeFirst();
     }
   }
@@ -54,13 +65,13 @@
   /** How many of its machines this node reached lately. */
   public synchronized Measurement measurement(long nowMs) {
     Sample last = samples.peekLast();
-    if (last != null && last.answered == 0 && last.probed >= Constants.REACHABILITY_MIN_RESULTS) {
+    if (last != null && last.answered == 0 && last.probed >= REACHABILITY_MIN_RESULTS) {
       samples.removeIf(sample -> sample != last); // cut off since the one before
     }
     int probed = 0;
     int answered = 0;
     for (Sample sample : samples) {
-      if (nowMs - sample.probedMs <= Constants.REACHABILITY_SAMPLE_VALID_MS) {
+      if (nowMs - sample.probedMs <= REACHABILITY_SAMPLE_VALID_MS) {
         probed += sample.probed;
         answered += sample.answered;
       }
--- a/src/main/java/org/astershift/http/ConnectionSlots.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -4,7 +4,6 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.astershift.config.Constants;
 
 /**
  * Which connections a node keeps: each holds a thread and a socket, and both are limited. Workers'
@@ -19,6 +18,18 @@
  * connections closed at any other moment made workers take the node for dead and try others.
  */
 public final class ConnectionSlots {
+  /** An idle connection of a user or worker is closed after this many milliseconds. */
+  public static final int CONNECTION_IDLE_TIMEOUT_MS = 60_000;
+
+  /** A started request has to arrive whole within this many milliseconds. */
+  private static final int REQUEST_TIMEOUT_MS = 5000;
+
+  /**
+   * Share of the places that are left free for connections that come: beyond that each is closed
+   * with its answer. At 1,676 machines that report every 5 s to 1,533 places some 60 come a second.
+   */
+  private static final double RESERVED_FREE_CONNECTIONS_SHARE = 0.1;
+
   /** Whose a connection is. */
   private enum ConnectionKind {
     NEW,
@@ -60,8 +71,8 @@
     /** It has been idle, or a request of it on its way, for too long. */
     boolean isOverdue(long nowNs) {
       return busy
-          ? reading && nowNs - readingSinceNs > Constants.REQUEST_TIMEOUT_MS * 1_000_000L
-          : nowNs - idleSinceNs > Constants.CONNECTION_IDLE_TIMEOUT_MS * 1_000_000L;
+          ? reading && nowNs - readingSinceNs > REQUEST_TIMEOUT_MS * 1_000_000L
+          : nowNs - idleSinceNs > CONNECTION_IDLE_TIMEOUT_MS * 1_000_000L;
     }
 
     /** Whether a thread reads from it. */
@@ -93,7 +104,7 @@
   public ConnectionSlots(int capacity, int unreservedCapacity) {
     this.capacity = capacity;
     this.unreservedCapacity = unreservedCapacity;
-    this.reservedFree = (int) (capacity * Constants.RESERVED_FREE_CONNECTIONS_SHARE);
+    this.reservedFree = (int) (capacity * RESERVED_FREE_CONNECTIONS_SHARE);
   }
 
   /** A connection comes; gives those to close, itself if no other can go. */
@@ -145,8 +156,7 @@
     return connection.side == ConnectionKind.RESERVED
         ? capacity - all.size() >= reservedFree
         : unreservedCount
-            <= unreservedCapacity
-                - (int) (unreservedCapacity * Constants.RESERVED_FREE_CONNECTIONS_SHARE);
+            <= unreservedCapacity - (int) (unreservedCapacity * RESERVED_FREE_CONNECTIONS_SHARE);
   }
 
   /** The connection is closed. */
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -8,13 +8,20 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Supplier;
-import org.astershift.config.Constants;
 
 /**
  * Requests to one address over kept connections. Every call has a deadline over connecting, sending
  * and receiving. It never repeats a request by itself: whether that is safe only the caller knows.
  */
 public final class HttpClient implements AutoCloseable {
+  /**
+   * Largest response taken from the state service or the cloud, bytes. A watch has no size limit.
+   */
+  private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
+
+  /** A kept connection of ours is not used again after this many nanoseconds without use. */
+  public static final long CLIENT_CONNECTION_IDLE_NS = 20_000_000_000L;
+
   private final String host;
   private final int port;
   private final int maxIdle;
@@ -79,7 +86,7 @@
       write(connection.socket, head.toString(), body == null ? new byte[0] : body);
       int leftMs = (int) Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000);
       HttpMessageReader.Message message =
-          connection.reader.readResponse(leftMs, Constants.MAX_RESPONSE_BYTES);
+          connection.reader.readResponse(leftMs, MAX_RESPONSE_BYTES);
       String[] statusLine = message.startLine().split(" ", 3);
       if (statusLine.length < 2 || !statusLine[1].matches("[0-9]{3}")) {
         throw new IOException("bad status line");
@@ -123,7 +130,7 @@
       Connection connection = idle.pollLast();
       // An old connection may be closed at the other end, and a failure there looks like an
       // unknown.
-      if (System.nanoTime() - connection.lastUsedNs < Constants.CLIENT_CONNECTION_IDLE_NS) {
+      if (System.nanoTime() - connection.lastUsedNs < CLIENT_CONNECTION_IDLE_NS) {
         return connection;
       }
       closeQuietly(connection);
--- a/src/main/java/org/astershift/http/HttpMessageReader.java
+++ b/src/main/java/org/astershift/http/HttpMessageReader.java
@@ -10,13 +10,15 @@
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
-import org.astershift.config.Constants;
 
 /**
  * Reads HTTP/1.1 messages from a blocking socket. A message has to arrive whole within its
  * deadline, however slowly its bytes come; what is read beyond a message stays for the next one.
  */
 final class HttpMessageReader {
+  /** Largest request line and headers together, bytes. */
+  static final int MAX_HEAD_BYTES = 16 * 1024;
+
   private final Socket socket;
   private final InputStream in;
   private final byte[] buffer = new byte[4096];
@@ -67,7 +69,7 @@
   }
 
   private Message readMessage(int bodyLimit, boolean request) throws IOException {
-    headBytesLeft = Constants.MAX_HEAD_BYTES;
+    headBytesLeft = MAX_HEAD_BYTES;
     String startLine = readLine();
     if (request && startLine.isEmpty()) {
       startLine = readLine(); // one empty line before a request is allowed
@@ -144,7 +146,7 @@
       if (body.size() + chunkSize > limit) {
         throw new HttpException(413, "body too large");
       }
-      headBytesLeft = Constants.MAX_HEAD_BYTES;
+      headBytesLeft = MAX_HEAD_BYTES;
       if (chunkSize == 0) {
         while (!readLine().isEmpty()) {
           // trailers say nothing that is used here
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ThreadFactory;
 import java.util.function.Predicate;
-import org.astershift.config.Constants;
+import org.astershift.config.LogIntervals;
 import org.astershift.http.ConnectionSlots.Connection;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -18,6 +18,21 @@
 public final class HttpServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
+  /** Seconds that a 503 asks its caller to wait. */
+  private static final int RETRY_AFTER_S = 1;
+
+  /** Largest request body, bytes; the protocol's. */
+  static final int MAX_REQUEST_BODY_BYTES = 64 * 1024;
+
+  /** Milliseconds between looks for connections that are idle or slow for too long. */
+  private static final long CONNECTION_REAP_INTERVAL_MS = 1000;
+
+  /**
+   * Connections that may wait to be taken. After a restart of a node all its workers and users come
+   * at once, and those refused try another node only a second later.
+   */
+  private static final int LISTEN_BACKLOG_CONNECTIONS = 1024;
+
   /** Answers requests. */
   public interface Handler {
     Response handle(Request request) throws Exception;
@@ -33,7 +48,7 @@
     }
 
     public static Response error(int status, String message) {
-      int retryAfterS = status == 503 ? Constants.RETRY_AFTER_S : 0;
+      int retryAfterS = status == 503 ? RETRY_AFTER_S : 0;
       return new Response(status, Json.bytes(Map.of("error", message)), retryAfterS);
     }
   }
@@ -81,7 +96,7 @@
     this.slots = slots;
     this.isReservedPath = isReservedPath;
     this.threads = new Threads.ConnectionThreads(threads);
-    this.serverSocket = listen(host, port, Constants.LISTEN_BACKLOG_CONNECTIONS);
+    this.serverSocket = listen(host, port, LISTEN_BACKLOG_CONNECTIONS);
   }
 
   /** Takes an address; nothing of it is left if that fails. */
@@ -109,7 +124,7 @@
   /** Closes what is idle or slow for too long: reads have no timeouts of their own. */
   private void reapLoop() throws InterruptedException {
     while (!closed) {
-      Thread.sleep(Constants.CONNECTION_REAP_INTERVAL_MS);
+      Thread.sleep(CONNECTION_REAP_INTERVAL_MS);
       long nowNs = System.nanoTime();
       for (Map.Entry<Connection, Socket> entry : openSockets.entrySet()) {
         if (entry.getKey().isOverdue(nowNs)) {
@@ -190,7 +205,7 @@
 
   private void logConnections() {
     long nowNs = System.nanoTime();
-    if (nowNs - lastLoggedNs >= Constants.SUMMARY_INTERVAL_MS * 1_000_000) {
+    if (nowNs - lastLoggedNs >= LogIntervals.SUMMARY_INTERVAL_MS * 1_000_000) {
       lastLoggedNs = nowNs;
       LOG.info("connections: {}; {} threads", slots, Thread.activeCount());
     }
@@ -226,7 +241,7 @@
     HttpMessageReader.Message message;
     String[] requestLine;
     try {
-      message = reader.readRequest(Constants.MAX_REQUEST_BODY_BYTES);
+      message = reader.readRequest(MAX_REQUEST_BODY_BYTES);
       requestLine = message.startLine().split(" ", -1);
       if (requestLine.length != 3
           || !requestLine[2].startsWith("HTTP/1.")
--- a/src/main/java/org/astershift/http/Json.java
+++ b/src/main/java/org/astershift/http/Json.java
@@ -8,17 +8,21 @@
 import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 
 /** JSON as maps and lists, and checked access to their fields. */
 public final class Json {
+  /**
+   * How deep a body may be nested. All that the protocols name is a few levels deep; a thousand,
+   * the parser's own limit, overflow a stack of {@link #STACK_BYTES}: a body of brackets ended its
+   * connection without an answer.
+   */
+  private static final int MAX_JSON_DEPTH = 100;
+
   private static final JSON JACKSON =
       JSON.builder(
               JsonFactory.builder()
                   .streamReadConstraints(
-                      StreamReadConstraints.builder()
-                          .maxNestingDepth(Constants.MAX_JSON_DEPTH)
-                          .build())
+                      StreamReadConstraints.builder().maxNestingDepth(MAX_JSON_DEPTH).build())
                   .build())
           .build();
 
--- a/src/main/java/org/astershift/http/Threads.java
+++ b/src/main/java/org/astershift/http/Threads.java
@@ -5,7 +5,6 @@
 import java.util.concurrent.ThreadFactory;
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -13,6 +12,15 @@
 public final class Threads {
   private static final Logger LOG = LoggerFactory.getLogger(Threads.class);
 
+  /** Pause after a failed request to the state service or the cloud, milliseconds. */
+  public static final long RETRY_BACKOFF_MS = 300;
+
+  /** Stack of a connection's thread, bytes. */
+  public static final long STACK_BYTES = 192 * 1024;
+
+  /** Seconds after which a pool's thread without work ends. */
+  private static final long THREAD_IDLE_S = 10;
+
   private Threads() {}
 
   /** What a thread does; an exception ends this one run of it and is logged. */
@@ -78,7 +86,7 @@
           new ThreadPoolExecutor(
               threads,
               threads,
-              Constants.THREAD_IDLE_S,
+              THREAD_IDLE_S,
               TimeUnit.SECONDS,
               new LinkedBlockingQueue<>(),
               factory);
@@ -118,7 +126,7 @@
           new ThreadPoolExecutor(
               0,
               Integer.MAX_VALUE,
-              Constants.THREAD_IDLE_S,
+              THREAD_IDLE_S,
               TimeUnit.SECONDS,
               new SynchronousQueue<>(),
               factory);
@@ -156,7 +164,7 @@
   }
 
   private static Thread thread(String name, Runnable body) {
-    Thread thread = new Thread(null, body, name, Constants.STACK_BYTES);
+    Thread thread = new Thread(null, body, name, STACK_BYTES);
     thread.setDaemon(true);
     return thread;
   }
@@ -164,7 +172,7 @@
   /** The short wait of every loop before it tries again. */
   public static void backOff() {
     try {
-      Thread.sleep(Constants.RETRY_BACKOFF_MS);
+      Thread.sleep(RETRY_BACKOFF_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/org/astershift/peer/PeerClient.java
+++ b/src/main/java/org/astershift/peer/PeerClient.java
@@ -10,14 +10,21 @@
 import java.net.SocketTimeoutException;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.astershift.config.Constants;
 import org.astershift.config.Settings;
+import org.astershift.http.HttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Asks one other controller, with a deadline. */
 public final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
+
+  /** Milliseconds in which a controller that did not answer is not asked again. */
+  private static final long PEER_BACKOFF_MS = 1000;
+
+  /** Deadline of a request forwarded to the leader, within the user's two seconds for a poll. */
+  public static final int PEER_TIMEOUT_MS = 1500;
+
   private final Settings.Endpoint endpoint;
   private final Deque<IdleConnection> idleConnections = new ArrayDeque<>();
   private volatile long backoffUntilNs = System.nanoTime();
@@ -53,7 +60,7 @@
       }
       return call(null, operation, jobId, timeoutMs);
     } catch (SocketTimeoutException e) {
-      backoffUntilNs = System.nanoTime() + Constants.PEER_BACKOFF_MS * 1_000_000;
+      backoffUntilNs = System.nanoTime() + PEER_BACKOFF_MS * 1_000_000;
       throw e;
     }
   }
@@ -91,7 +98,7 @@
   private synchronized Socket takeIdle() throws IOException {
     while (!idleConnections.isEmpty()) {
       IdleConnection connection = idleConnections.pollLast();
-      if (System.nanoTime() - connection.idleSinceNs() < Constants.CLIENT_CONNECTION_IDLE_NS) {
+      if (System.nanoTime() - connection.idleSinceNs() < HttpClient.CLIENT_CONNECTION_IDLE_NS) {
         return connection.socket();
       }
       connection.socket().close();
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -7,7 +7,8 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.concurrent.Semaphore;
-import org.astershift.config.Constants;
+import org.astershift.config.ThreadBudget;
+import org.astershift.http.ConnectionSlots;
 import org.astershift.http.HttpServer;
 import org.astershift.http.Threads;
 import org.slf4j.Logger;
@@ -24,11 +25,11 @@
 
   private final ServerSocket server;
   private final RequestHandler handler;
-  private final Semaphore connectionSlots = new Semaphore(Constants.PEER_CONNECTIONS);
+  private final Semaphore connectionSlots = new Semaphore(ThreadBudget.PEER_CONNECTIONS);
 
   public PeerServer(String host, int port, RequestHandler handler) throws IOException {
     this.handler = handler;
-    this.server = HttpServer.listen(host, port, Constants.PEER_CONNECTIONS);
+    this.server = HttpServer.listen(host, port, ThreadBudget.PEER_CONNECTIONS);
   }
 
   public void start() {
@@ -61,7 +62,7 @@
   private void serve(Socket socket) {
     try (socket) {
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(Constants.CONNECTION_IDLE_TIMEOUT_MS);
+      socket.setSoTimeout(ConnectionSlots.CONNECTION_IDLE_TIMEOUT_MS);
       DataInputStream in = new DataInputStream(socket.getInputStream());
       DataOutputStream out =
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
--- a/src/main/java/org/astershift/scheduler/ClusterState.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -10,7 +10,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,6 +24,50 @@
 final class ClusterState {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
+  /**
+   * Bits of an attempt number left to the counter within one term; the term's token is above. Huge
+   * arrays start a few hundred tasks a second, so a term has numbers for weeks; a term that has
+   * used them up ends, since a number must never come twice.
+   */
+  static final int ATTEMPT_COUNTER_BITS = 28;
+
+  /** Attempt numbers with which a term ends: more than two passes use. */
+  private static final long TERM_END_ATTEMPTS_LEFT = 1_000_000;
+
+  /** Seconds over which it is counted how often idle machines are taken. */
+  private static final double REUSE_WINDOW_S = 60;
+
+  /** Reports come this much later than their interval at the most: a quarter. */
+  private static final double HEARTBEAT_DELAY_FACTOR = 1.25;
+
+  /** Milliseconds after that until a machine that does not answer is given back. */
+  private static final long SILENT_AFTER_MS = 1200;
+
+  /**
+   * Milliseconds within which a machine that restarts is there again. Until it was silent for so
+   * long after its latest report can have been due, that nobody reaches it does not show that it is
+   * gone.
+   */
+  private static final long MACHINE_RESTART_MS = 1000;
+
+  /**
+   * Leases without an answered report after which nothing new goes to a machine, though it answers
+   * orders. Less would take the seconds in which workers look for a new leader for such a spell.
+   */
+  private static final double OUTBOUND_PARTITION_LEASES = 0.5;
+
+  /**
+   * Share of the fleet up to which unheard machines are a few: when all controllers were down for
+   * long, one in twenty had died meanwhile, and all opened jobs waited 10 s for their returns.
+   */
+  private static final double UNRECONCILED_SHARE = 0.1;
+
+  /** Milliseconds after which a zone that was cut off is tried again, though nothing was heard. */
+  private static final long ZONE_PARTITION_RETRY_MS = 60_000;
+
+  /** A machine given back may still be spoken of so many milliseconds later: packets are held. */
+  private static final long LATE_HEARTBEAT_MS = 180_000;
+
   final DeploymentLimits limits;
   final SchedulingPolicy policy;
   final long fencingToken;
@@ -63,7 +106,6 @@
   long candidateChecks;
 
   private static final double TOLERANCE = 1e-6;
-  private static final TreeSet<Job> NO_JOBS = new TreeSet<>();
   private static final Comparator<Job> BY_SUBMISSION =
       Comparator.comparingLong((Job j) -> j.submittedMs).thenComparing(j -> j.spec.id());
   private final Map<String, TreeSet<Job>> teamJobs = new HashMap<>();
@@ -171,7 +213,8 @@
 
   /** The team's unfinished jobs in the order of their submission. */
   Set<Job> unfinishedJobs(String team) {
-    return teamJobs.getOrDefault(team, NO_JOBS);
+    TreeSet<Job> unfinished = teamJobs.get(team);
+    return unfinished == null ? Set.of() : unfinished;
   }
 
   /**
@@ -270,7 +313,7 @@
   /** Whether only so few machines are left to be heard that the trouble is theirs. */
   boolean fewUnreconciled() {
     return unreconciledMachines
-        <= Math.max(Constants.SILENT_FEW_MACHINES, machines.size() * Constants.UNRECONCILED_SHARE);
+        <= Math.max(FailureDetector.SILENT_FEW_MACHINES, machines.size() * UNRECONCILED_SHARE);
   }
 
   /**
@@ -329,7 +372,7 @@
   boolean blocksReconciliation(Machine machine, long nowMs) {
     return machine.state == Machine.State.UNRECONCILED
         && fewUnreconciled()
-        && nowMs - Math.max(resumedMs, machine.unreconciledSinceMs) > Constants.UNFENCED_RELEASE_MS;
+        && nowMs - Math.max(resumedMs, machine.unreconciledSinceMs) > Scheduler.UNFENCED_RELEASE_MS;
   }
 
   /** Proof that the machine and all on it are gone. */
@@ -340,7 +383,7 @@
     }
     LOG.info(
         "machine {} is gone ({}), with {} tasks", machineName, reason, machine.heldAttemptCount());
-    long keepMs = (long) (4 * limits.listLagS() * 1000) + Constants.LATE_HEARTBEAT_MS;
+    long keepMs = (long) (4 * limits.listLagS() * 1000) + LATE_HEARTBEAT_MS;
     removedMs.values().removeIf(removedAtMs -> removedAtMs + keepMs < nowMs);
     removedMs.put(machineName, nowMs);
     if (machine.inherited && !machine.fenced) {
@@ -380,7 +423,7 @@
    */
   boolean outboundPartitioned(Machine machine, long nowMs) {
     long sinceMs = nowMs - Math.max(resumedMs, machine.leaseRenewedMs);
-    return sinceMs > limits.leaseS() * 1000 * Constants.OUTBOUND_PARTITION_LEASES;
+    return sinceMs > limits.leaseS() * 1000 * OUTBOUND_PARTITION_LEASES;
   }
 
   /** Says in the log when a machine becomes mute, and when its reports come again. */
@@ -400,12 +443,12 @@
 
   /** Silence after which a machine is asked directly: its report is overdue. */
   private long suspicionTimeoutMs() {
-    return maxHeartbeatIntervalMs() + Constants.SUSPECT_AFTER_MS;
+    return maxHeartbeatIntervalMs() + Scheduler.SUSPECT_AFTER_MS;
   }
 
   /** Milliseconds from one report of a machine to the next, at most. */
   private long maxHeartbeatIntervalMs() {
-    return (long) (limits.heartbeatIntervalS() * 1000 * Constants.HEARTBEAT_DELAY_FACTOR);
+    return (long) (limits.heartbeatIntervalS() * 1000 * HEARTBEAT_DELAY_FACTOR);
   }
 
   /**
@@ -417,17 +460,17 @@
     if (machine.lastContactMs() - machine.leaseRenewedMs > maxHeartbeatIntervalMs()
         || machine.peerProbeResults.reachedSince(machine.lastContactMs())) {
       return machine.peerProbeResults.firstUnreachedMs()
-          + Constants.PEER_PROBE_TIMEOUT_MS
-          + Constants.MACHINE_RESTART_MS;
+          + Scheduler.PEER_PROBE_TIMEOUT_MS
+          + MACHINE_RESTART_MS;
     }
     return Math.max(resumedMs, machine.lastContactMs())
         + maxHeartbeatIntervalMs()
-        + Constants.MACHINE_RESTART_MS;
+        + MACHINE_RESTART_MS;
   }
 
   /** Silence after which a machine that does not answer either is given back. */
   long releaseTimeoutMs() {
-    return suspicionTimeoutMs() + Constants.SILENT_AFTER_MS;
+    return suspicionTimeoutMs() + SILENT_AFTER_MS;
   }
 
   /** So many machines of the zone fell silent that it must be cut off. */
@@ -440,7 +483,7 @@
   /** Whether nothing can be expected from the zone now. */
   boolean isZonePartitioned(String zone, long nowMs) {
     Long markedMs = partitionedZones.get(zone);
-    return markedMs != null && nowMs - markedMs < Constants.ZONE_PARTITION_RETRY_MS;
+    return markedMs != null && nowMs - markedMs < ZONE_PARTITION_RETRY_MS;
   }
 
   /** A machine of the zone has spoken. */
@@ -454,18 +497,17 @@
 
   /** Attempt numbers are about to run out: only a new token brings new ones. */
   boolean attemptNumbersExhausted() {
-    return lastAttemptNumber
-        >= (1L << Constants.ATTEMPT_COUNTER_BITS) - Constants.TERM_END_ATTEMPTS_LEFT;
+    return lastAttemptNumber >= (1L << ATTEMPT_COUNTER_BITS) - TERM_END_ATTEMPTS_LEFT;
   }
 
   long nextAttemptNumber() {
-    return (fencingToken << Constants.ATTEMPT_COUNTER_BITS) | ++lastAttemptNumber;
+    return (fencingToken << ATTEMPT_COUNTER_BITS) | ++lastAttemptNumber;
   }
 
   TaskAttempt place(Job job, int index, Machine machine, long attemptNumber, long nowMs) {
     if (machine.idle()) {
       reuseRates
-          .computeIfAbsent(machine.typeName, t -> new DecayingRate(Constants.REUSE_WINDOW_S))
+          .computeIfAbsent(machine.typeName, t -> new DecayingRate(REUSE_WINDOW_S))
           .add(nowMs);
     }
     TaskAttempt attempt = new TaskAttempt(job, index, attemptNumber, machine, nowMs);
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -2,13 +2,33 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.astershift.config.Constants;
 
 /**
  * The difference between the attempts wanted on a machine and those it reports, as commands: in the
  * answer to its report, or straight to it where that should not wait.
  */
 final class CommandReconciler {
+  /**
+   * Milliseconds of a term after which an inherited machine that has not reported is asked: workers
+   * that lose their controller try the next one after a second.
+   */
+  private static final long FENCE_UNSEEN_MS = 1500;
+
+  /**
+   * Milliseconds after a report in which an inherited machine should have reported with the new
+   * token: half a second by the protocol, and more on a busy node.
+   */
+  private static final long FENCE_SEEN_MS = 2500;
+
+  /** Milliseconds between tries to make an inherited machine show this leader's token. */
+  private static final long FENCE_RETRY_INTERVAL_MS = 1000;
+
+  /** Milliseconds between questions to such a machine: the first answer makes it whole again. */
+  private static final long PARTITION_PROBE_INTERVAL_MS = 3000;
+
+  /** Deadline of one direct order, milliseconds. */
+  private static final int COMMAND_TIMEOUT_MS = 2500;
+
   private final ClusterState cluster;
   private final CommandConcurrencyLimit concurrencyLimit = new CommandConcurrencyLimit();
 
@@ -172,7 +192,7 @@
       return null;
     }
     concurrencyLimit.onSent(machine.name, nowMs);
-    return directCommands(machine, commands, Constants.COMMAND_TIMEOUT_MS, nowMs);
+    return directCommands(machine, commands, COMMAND_TIMEOUT_MS, nowMs);
   }
 
   /**
@@ -187,7 +207,7 @@
             && !machine.staleMessageSeen
             && machine.directCommandFailures > 0)
         || machine.state == Machine.State.RELEASING
-        || nowMs - machine.lastDirectCommandMs < Constants.FENCE_RETRY_INTERVAL_MS) {
+        || nowMs - machine.lastDirectCommandMs < FENCE_RETRY_INTERVAL_MS) {
       return null;
     }
     boolean fence = fenceDue(machine, nowMs);
@@ -195,12 +215,12 @@
     boolean restartCheck =
         machine.staleMessageSeen
             || (machine.inboundPartitioned()
-                && nowMs - machine.lastDirectCommandMs >= Constants.PARTITION_PROBE_INTERVAL_MS);
+                && nowMs - machine.lastDirectCommandMs >= PARTITION_PROBE_INTERVAL_MS);
     return fence || probe || restartCheck
         ? directCommands(
             machine,
             unacknowledgedCommands(machine, leaseCertain, nowMs),
-            Constants.MACHINE_PROBE_TIMEOUT_MS,
+            Scheduler.MACHINE_PROBE_TIMEOUT_MS,
             nowMs)
         : null;
   }
@@ -250,7 +270,7 @@
         messageSeen
             ? machine.firstMessageMs
             : Math.max(machine.firstKnownMs, machine.lastMessageMs);
-    long waitMs = messageSeen ? Constants.FENCE_SEEN_MS : Constants.FENCE_UNSEEN_MS;
+    long waitMs = messageSeen ? FENCE_SEEN_MS : FENCE_UNSEEN_MS;
     return !machine.fenced && machine.inherited && nowMs - sinceMs >= waitMs;
   }
 
--- a/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
+++ b/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import org.astershift.config.Constants;
 
 /**
  * Which arrays can still meet their deadlines together. Where machines are short, serving all in
@@ -15,6 +14,15 @@
  * others.
  */
 final class DeadlineAdmission {
+  /** Share of its run that a running task has left, on average. */
+  private static final double REMAINING_RUN_SHARE = 0.5;
+
+  /** Share of its estimate by which a job may seem to end too late: estimates are often wrong. */
+  private static final double LATENESS_TOLERANCE_SHARE = 0.5;
+
+  /** Jobs put off queue behind all others of their priority: by more than any deadline. */
+  private static final double POSTPONED_DELAY_MS = 1e9;
+
   private final ClusterState cluster;
 
   DeadlineAdmission(ClusterState cluster) {
@@ -34,7 +42,7 @@
       if (spec.priority().compareTo(priority) < 0) {
         availableCpus -= heldCpus;
       } else if (spec.priority() == priority) {
-        loadCpuS += heldCpus * spec.estimateS() * Constants.REMAINING_RUN_SHARE;
+        loadCpuS += heldCpus * spec.estimateS() * REMAINING_RUN_SHARE;
       }
     }
     double capacityPerMs = Math.max(availableCpus, 1) / 1000;
@@ -59,7 +67,7 @@
       }
       undecided = postponed;
       undecided.sort(Comparator.comparingDouble(Job::latestStartMs));
-      delayMs += Constants.POSTPONED_DELAY_MS;
+      delayMs += POSTPONED_DELAY_MS;
     }
     for (Job job : undecided) {
       job.urgencyMs = job.latestStartMs() + delayMs;
@@ -88,8 +96,7 @@
       fleet.add(job);
       team.add(job);
       double runMs = job.spec.estimateS() * 1000;
-      double dueMs =
-          job.completionDueMs(deadlineFactor) - nowMs + runMs * Constants.LATENESS_TOLERANCE_SHARE;
+      double dueMs = job.completionDueMs(deadlineFactor) - nowMs + runMs * LATENESS_TOLERANCE_SHARE;
       boolean overTeamLimit = Math.max(runMs, team.requiredMs()) > dueMs;
       if (overTeamLimit || Math.max(runMs, fleet.requiredMs()) > dueMs) {
         Job largest = (overTeamLimit ? team : fleet).largest();
@@ -145,10 +152,7 @@
     double loadCpuS = 0;
     for (Job job : cluster.unfinishedJobs(teamName)) {
       loadCpuS +=
-          job.attempts.size()
-              * job.spec.cpus()
-              * job.spec.estimateS()
-              * Constants.REMAINING_RUN_SHARE;
+          job.attempts.size() * job.spec.cpus() * job.spec.estimateS() * REMAINING_RUN_SHARE;
     }
     return loadCpuS;
   }
--- a/src/main/java/org/astershift/scheduler/FailureDetector.java
+++ b/src/main/java/org/astershift/scheduler/FailureDetector.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
+import org.astershift.config.LogIntervals;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,6 +23,65 @@
 final class FailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
+  /** Direct questions that an inherited machine leaves unanswered before it is given up early. */
+  private static final int FENCE_TRIES = 2;
+
+  /**
+   * Milliseconds after which an inherited machine that left these unanswered is given back, if all
+   * but a few have been heard: until it is gone, no job opened before may go on. In a large fleet
+   * some machine dies during nearly every change of leaders.
+   */
+  private static final long FENCE_TIMEOUT_MS = 2200;
+
+  /** So many silent machines are always put down to the machines. */
+  static final int SILENT_FEW_MACHINES = 4;
+
+  /**
+   * Share of the fleet that a leader may give up as silent by its own ears alone. Before it notices
+   * that it is cut off, its machines are overdue one after the other, so the share must be small.
+   */
+  private static final double LOCAL_EVIDENCE_SHARE = 0.05;
+
+  /**
+   * Share of the fleet that a leader has to hear to give up any beyond that where no other
+   * controller can tell: one that hears next to nobody is more likely deaf than left alone.
+   */
+  private static final double LONE_OBSERVER_SHARE = 0.25;
+
+  /** Share of the fleet that may be given up as silent in a time, however good the reasons. */
+  private static final double RELEASED_SILENT_SHARE = 0.6;
+
+  /** Milliseconds in which that share may go: longer than cuts last. */
+  private static final long RELEASED_SILENT_WINDOW_MS = 120_000;
+
+  /**
+   * Silent machines that other controllers ask in one go. At 128 one on a fifth of a core was too
+   * late for a tenth of healthy ones.
+   */
+  private static final int PEER_PROBE_BATCH_MACHINES = 56;
+
+  /** Machines heard a moment ago that are asked with them. */
+  private static final int PEER_PROBE_CONTROL_MACHINES = 8;
+
+  /** Silent machines of one zone that they ask before they are taken for the whole of it. */
+  private static final int PEER_PROBE_ZONE_SAMPLE_MACHINES = 24;
+
+  /**
+   * Milliseconds beyond patience that the machines of a zone which fell silent as a whole are kept
+   * where no other controller can tell: one that crashed has begun anew by then, and has answered a
+   * question that was sent when the one before had its deadline.
+   */
+  private static final long PEER_RECOVERY_WAIT_MS = 12_000;
+
+  /** More than this share of the fleet silent at once is put down to the network here. */
+  private static final double SILENT_FLEET_SHARE = 0.25;
+
+  /** From this share of a zone's machines silent at once the zone is taken to be cut off. */
+  private static final double ZONE_PARTITION_SHARE = 0.6;
+
+  /** Machines given back as silent count as silent for so many milliseconds. */
+  private static final long RELEASED_SILENT_COUNTED_MS = 10_000;
+
   private final ClusterState cluster;
 
   /** When machines were given up as silent, outside zones that are cut off; the oldest first. */
@@ -38,7 +97,8 @@
   private boolean fewOverdue;
 
   /**
-   * So many machines may be given up as silent within {@link Constants#RELEASED_SILENT_WINDOW_MS}.
+   * So many machines may be given up as silent within {@link
+   * FailureDetector#RELEASED_SILENT_WINDOW_MS}.
    */
   private double releaseBudget;
 
@@ -82,15 +142,15 @@
 
     /** Most of it is silent. */
     boolean mostlySilent() {
-      return silentCount > Constants.SILENT_FEW_MACHINES
-          && silentCount >= machineCount * Constants.ZONE_PARTITION_SHARE;
+      return silentCount > SILENT_FEW_MACHINES
+          && silentCount >= machineCount * ZONE_PARTITION_SHARE;
     }
 
     /** Enough of its machines were asked by others, and not one answered. */
     boolean confirmedByPeers() {
       return mostlySilent()
           && reachedCount == 0
-          && unreachedCount >= Math.min(silentCount, Constants.PEER_PROBE_ZONE_SAMPLE_MACHINES);
+          && unreachedCount >= Math.min(silentCount, PEER_PROBE_ZONE_SAMPLE_MACHINES);
     }
   }
 
@@ -133,8 +193,8 @@
   /** Whether the machine says nothing for longer than it may, though it was asked. */
   boolean isSilent(Machine machine, long nowMs) {
     if (machine.state == Machine.State.UNRECONCILED
-        && machine.directCommandFailures >= Constants.FENCE_TRIES
-        && cluster.silenceMs(machine, nowMs) > Constants.FENCE_TIMEOUT_MS
+        && machine.directCommandFailures >= FENCE_TRIES
+        && cluster.silenceMs(machine, nowMs) > FENCE_TIMEOUT_MS
         && cluster.fewUnreconciled()) {
       return true; // all jobs opened before wait for it
     }
@@ -177,8 +237,8 @@
       unanswered += zone.unansweredKnown;
       unansweredNew += zone.unansweredNew;
     }
-    boolean mostOverdue = overdue > Constants.SILENT_FEW_MACHINES && overdue * 2 > machines;
-    boolean isolated = mostOverdue && unanswered > Constants.SILENT_FEW_MACHINES;
+    boolean mostOverdue = overdue > SILENT_FEW_MACHINES && overdue * 2 > machines;
+    boolean isolated = mostOverdue && unanswered > SILENT_FEW_MACHINES;
     boolean inboundPartitioned = mostOverdue && (unanswered + unansweredNew) * 2 > overdue;
     return new FleetVisibility(machines, overdue, isolated, inboundPartitioned);
   }
@@ -191,8 +251,8 @@
       return; // a plan in the same pass as a sweep: one walk over the fleet serves both
     }
     assessedMs = nowMs;
-    removeOlderThan(scatteredReleasesMs, nowMs, Constants.RELEASED_SILENT_COUNTED_MS);
-    removeOlderThan(releasesMs, nowMs, Constants.RELEASED_SILENT_WINDOW_MS);
+    removeOlderThan(scatteredReleasesMs, nowMs, RELEASED_SILENT_COUNTED_MS);
+    removeOlderThan(releasesMs, nowMs, RELEASED_SILENT_WINDOW_MS);
     zones = countByZone(nowMs);
     fleetSize = scatteredReleasesMs.size();
     overdueCount = scatteredReleasesMs.size();
@@ -212,21 +272,16 @@
     // What was given up may still be on its way, or gone: it counts as part of the fleet it was of.
     releaseBudget =
         Math.max(
-            Constants.SILENT_FEW_MACHINES,
-            (reportingMachines + releasesMs.size()) * Constants.RELEASED_SILENT_SHARE);
-    fewOverdue =
-        overdueCount
-            <= Math.max(Constants.SILENT_FEW_MACHINES, fleetSize * Constants.LOCAL_EVIDENCE_SHARE);
+            SILENT_FEW_MACHINES, (reportingMachines + releasesMs.size()) * RELEASED_SILENT_SHARE);
+    fewOverdue = overdueCount <= Math.max(SILENT_FEW_MACHINES, fleetSize * LOCAL_EVIDENCE_SHARE);
     boolean isolated =
-        overdueCount > Constants.SILENT_FEW_MACHINES
+        overdueCount > SILENT_FEW_MACHINES
             && overdueCount * 2 > fleetSize
-            && unanswered > Constants.SILENT_FEW_MACHINES;
+            && unanswered > SILENT_FEW_MACHINES;
     localEvidenceConclusive =
         observesEnough()
             && !isolated
-            && overdueElsewhere
-                <= Math.max(
-                    Constants.SILENT_FEW_MACHINES, fleetSize * Constants.SILENT_FLEET_SHARE);
+            && overdueElsewhere <= Math.max(SILENT_FEW_MACHINES, fleetSize * SILENT_FLEET_SHARE);
     for (Map.Entry<String, Zone> entry : zones.entrySet()) {
       if (entry.getValue().mostlySilent()
           && (entry.getValue().confirmedByPeers() || localEvidenceConclusive)) {
@@ -246,7 +301,7 @@
 
   /** A leader that hears next to nobody cannot tell dead machines from its own deafness. */
   private boolean observesEnough() {
-    return fleetSize - overdueCount >= fleetSize * Constants.LONE_OBSERVER_SHARE;
+    return fleetSize - overdueCount >= fleetSize * LONE_OBSERVER_SHARE;
   }
 
   /** Whether this silent machine may be given back; counted against what may go in a time. */
@@ -279,11 +334,11 @@
   private boolean conclusiveAlone(Machine machine, long nowMs) {
     return machine.address == null
         || unreachedByPeers(machine, nowMs)
-        || nowMs - lastUnansweredMs <= Constants.PEER_PROBE_REACHED_VALID_MS
+        || nowMs - lastUnansweredMs <= PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
         || machine.peerProbeResults.isInconclusive(machine.lastContactMs(), nowMs)
-        || (nowMs - lastConclusiveMs > Constants.PEER_PROBE_REACHED_VALID_MS
+        || (nowMs - lastConclusiveMs > PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
             && cluster.silenceMs(machine, nowMs)
-                > cluster.releaseTimeoutMs() + Constants.PEER_PROBE_WAIT_MS);
+                > cluster.releaseTimeoutMs() + PeerProbeResults.PEER_PROBE_WAIT_MS);
   }
 
   /** Others asked it in vain; or nobody can tell, and what this leader sees speaks for it. */
@@ -293,7 +348,7 @@
     }
     // Where others reach a machine of the zone, that they could not tell of this one says nothing.
     boolean peersInconclusive =
-        nowMs - lastInconclusiveMs <= Constants.PEER_PROBE_REACHED_VALID_MS
+        nowMs - lastInconclusiveMs <= PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
             && zones.get(machine.zone).reachedCount == 0;
     return peersInconclusive
         && ((localEvidenceConclusive && !mayBeReachable(machine, nowMs))
@@ -307,8 +362,7 @@
    */
   private boolean mayBeReachable(Machine machine, long nowMs) {
     return zones.get(machine.zone).mostlySilent()
-        && cluster.silenceMs(machine, nowMs)
-            <= cluster.releaseTimeoutMs() + Constants.PEER_RECOVERY_WAIT_MS;
+        && cluster.silenceMs(machine, nowMs) <= cluster.releaseTimeoutMs() + PEER_RECOVERY_WAIT_MS;
   }
 
   /** Nothing it held can be alive any more, so that giving it back loses nothing. */
@@ -319,7 +373,7 @@
   /** Says now and then what is held back, and why. */
   void logRetained(long nowMs) {
     int retained = retainedReachable + retainedUndecided + retainedOverBudget;
-    if (retained > 0 && nowMs - lastLoggedMs > Constants.SUMMARY_INTERVAL_MS) {
+    if (retained > 0 && nowMs - lastLoggedMs > LogIntervals.SUMMARY_INTERVAL_MS) {
       lastLoggedMs = nowMs;
       LOG.info(
           "{} silent machines are not given back: {} answer another controller, {} nobody able to"
@@ -328,7 +382,7 @@
           retainedReachable,
           retainedUndecided,
           retainedOverBudget,
-          Constants.RELEASED_SILENT_WINDOW_MS / 1000,
+          RELEASED_SILENT_WINDOW_MS / 1000,
           fleetSize - overdueCount,
           fleetSize);
     }
@@ -372,7 +426,7 @@
       Zone zone = zones.get(machine.zone);
       int probedBefore = zone == null ? 0 : zone.unreachedCount + zone.reachedCount;
       if (probedBefore + sampled.merge(machine.zone, 1, Integer::sum)
-          <= Constants.PEER_PROBE_ZONE_SAMPLE_MACHINES) {
+          <= PEER_PROBE_ZONE_SAMPLE_MACHINES) {
         sample.add(machine);
       } else if (zone == null || !zone.confirmedByPeers()) {
         remaining.add(machine);
@@ -393,10 +447,9 @@
     controls.sort(
         Comparator.comparing((Machine machine) -> machine.consecutiveUnanswered > 0)
             .thenComparingLong(machine -> -machine.lastMessageMs));
-    List<Decision.MachineAddress> suspects =
-        addressesOf(sample, Constants.PEER_PROBE_BATCH_MACHINES);
+    List<Decision.MachineAddress> suspects = addressesOf(sample, PEER_PROBE_BATCH_MACHINES);
     return new Decision.ProbeThroughPeers(
-        suspects, addressesOf(controls, Constants.PEER_PROBE_CONTROL_MACHINES), nowMs);
+        suspects, addressesOf(controls, PEER_PROBE_CONTROL_MACHINES), nowMs);
   }
 
   /**
--- a/src/main/java/org/astershift/scheduler/FaultAttribution.java
+++ b/src/main/java/org/astershift/scheduler/FaultAttribution.java
@@ -1,7 +1,6 @@
 package org.astershift.scheduler;
 
 import java.util.ArrayList;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -12,6 +11,31 @@
  */
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
+
+  /** Milliseconds without new starts on a machine where a task failed. */
+  private static final long TASK_FAILED_BACKOFF_MS = 1500;
+
+  /**
+   * Jobs that failed on a machine, or failures there of jobs that are sound elsewhere, that convict
+   * it, without a completed task between.
+   */
+  private static final int FAILURES_TO_QUARANTINE = 2;
+
+  /** Machines on which a job failed, without ever completing a task, that make it a suspect. */
+  private static final int FAILED_MACHINES_TO_SUSPECT = 2;
+
+  /** Milliseconds that a task has run after which its job is no job that fails on every machine. */
+  private static final long PROVEN_RUN_MS = 10_000;
+
+  /** Milliseconds between the first probes of a job that is probably broken; doubled each time. */
+  private static final long JOB_PROBE_INTERVAL_MS = 4000;
+
+  /**
+   * So often at the most, up to 64 s: a sound job whose faulty machines are replaced may wait for
+   * less than 90 s beside room, its probe's first seconds included.
+   */
+  private static final int JOB_PROBE_MAX_DOUBLINGS = 4;
+
   private final ClusterState cluster;
 
   FaultAttribution(ClusterState cluster) {
@@ -33,14 +57,13 @@
     } else if (!job.isSuspect()) {
       machine.failedJobs.add(job);
     }
-    if (machine.provenJobFailures + machine.failedJobs.size() >= Constants.FAILURES_TO_QUARANTINE) {
+    if (machine.provenJobFailures + machine.failedJobs.size() >= FAILURES_TO_QUARANTINE) {
       quarantine(machine);
     } else if (!provenSound
-        && (job.isSuspect()
-            || job.lastFailureMsByMachine.size() >= Constants.FAILED_MACHINES_TO_SUSPECT)) {
+        && (job.isSuspect() || job.lastFailureMsByMachine.size() >= FAILED_MACHINES_TO_SUSPECT)) {
       suspectJob(job, nowMs);
     } else {
-      machine.cordonedUntilMs = nowMs + Constants.TASK_FAILED_BACKOFF_MS;
+      machine.cordonedUntilMs = nowMs + TASK_FAILED_BACKOFF_MS;
     }
   }
 
@@ -65,7 +88,7 @@
     for (TaskAttempt attempt : job.attempts.values()) {
       if (attempt.phase == Heartbeat.TaskPhase.RUNNING
           && attempt.runningSinceMs >= 0
-          && nowMs - attempt.runningSinceMs >= Constants.PROVEN_RUN_MS) {
+          && nowMs - attempt.runningSinceMs >= PROVEN_RUN_MS) {
         return true;
       }
     }
@@ -97,8 +120,8 @@
     }
     // What fails together is one probe.
     if (nowMs >= job.pausedUntilMs) {
-      int doublings = Math.min(job.probeCount++, Constants.JOB_PROBE_MAX_DOUBLINGS);
-      job.pausedUntilMs = nowMs + (Constants.JOB_PROBE_INTERVAL_MS << doublings);
+      int doublings = Math.min(job.probeCount++, JOB_PROBE_MAX_DOUBLINGS);
+      job.pausedUntilMs = nowMs + (JOB_PROBE_INTERVAL_MS << doublings);
     }
   }
 
@@ -112,7 +135,7 @@
     for (Job job : cluster.jobs.values()) {
       if (job.lastFailureMsByMachine.remove(machine.name) != null
           && job.isSuspect()
-          && job.lastFailureMsByMachine.size() < Constants.FAILED_MACHINES_TO_SUSPECT) {
+          && job.lastFailureMsByMachine.size() < FAILED_MACHINES_TO_SUSPECT) {
         LOG.info(
             "job {} is taken to be sound again: machine {} was faulty",
             job.spec.id(),
--- a/src/main/java/org/astershift/scheduler/GangScheduler.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -6,7 +6,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,6 +16,13 @@
  */
 final class GangScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
+
+  /** Seconds in which a gang should start where no aim says so; ours. */
+  private static final double GANG_START_OBJECTIVE_S = 150;
+
+  /** Times its aim after which free room is kept for a gang that finds too little. */
+  private static final double GANG_RESERVATION_OBJECTIVE_FACTOR = 2;
+
   private final ClusterState cluster;
   private final Placement placement;
 
@@ -82,10 +88,8 @@
 
   /** Keeping room empty costs others their aims, so it begins late; but nobody waits for ever. */
   private static boolean isStarved(Job job, long nowMs) {
-    double objectiveS =
-        job.startObjectiveS == null ? Constants.GANG_START_OBJECTIVE_S : job.startObjectiveS;
-    return nowMs - job.submittedMs
-        >= objectiveS * 1000 * Constants.GANG_RESERVATION_OBJECTIVE_FACTOR;
+    double objectiveS = job.startObjectiveS == null ? GANG_START_OBJECTIVE_S : job.startObjectiveS;
+    return nowMs - job.submittedMs >= objectiveS * 1000 * GANG_RESERVATION_OBJECTIVE_FACTOR;
   }
 
   private boolean withinTeamLimit(Job job) {
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -3,13 +3,19 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Brings what is known of machines and tasks up to what workers say of themselves. */
 final class HeartbeatReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
+
+  /** Milliseconds without new starts on a machine that refused one: its report is on the way. */
+  private static final long START_REJECTED_BACKOFF_MS = 1000;
+
+  /** Milliseconds without starts of a job that a machine does not know: its upload may be late. */
+  private static final long UNKNOWN_JOB_BACKOFF_MS = 1000;
+
   private final ClusterState cluster;
   private final FaultAttribution faultAttribution;
   private boolean deposed;
@@ -291,9 +297,9 @@
       }
       case "no_room", "in_use", "unknown" -> {
         LOG.info("start of {} refused by {}: {}", attempt.name(), machine.name, exitReason);
-        machine.cordonedUntilMs = nowMs + Constants.START_REJECTED_BACKOFF_MS;
+        machine.cordonedUntilMs = nowMs + START_REJECTED_BACKOFF_MS;
         if (exitReason.equals("unknown")) {
-          job.pausedUntilMs = nowMs + Constants.UNKNOWN_JOB_BACKOFF_MS;
+          job.pausedUntilMs = nowMs + UNKNOWN_JOB_BACKOFF_MS;
         }
       }
       case "incomplete" -> {
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -1,6 +1,5 @@
 package org.astershift.scheduler;
 
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -18,6 +17,16 @@
 final class IncarnationTracker {
   private static final Logger LOG = LoggerFactory.getLogger(IncarnationTracker.class);
 
+  /**
+   * Messages that a machine sends in a second at the most: reports half a second apart, and answers
+   * to orders and questions of all controllers. An incarnation that has sent more since some moment
+   * began before it.
+   */
+  private static final double MACHINE_MESSAGES_PER_S = 10;
+
+  /** Messages that may come on top of these, see {@link #MACHINE_MESSAGES_PER_S}. */
+  private static final double MACHINE_MESSAGE_BURST = 10;
+
   private final long fencingToken;
   private long leaseCertainUntilMs = Long.MAX_VALUE;
   private long lastCertainMs = Long.MIN_VALUE;
@@ -93,8 +102,7 @@
       return false;
     }
     double sinceS = (nowMs - machine.incarnation.lastConfirmedMs()) / 1000.0;
-    return heartbeat.sequence()
-        > Constants.MACHINE_MESSAGE_BURST + sinceS * Constants.MACHINE_MESSAGES_PER_S;
+    return heartbeat.sequence() > MACHINE_MESSAGE_BURST + sinceS * MACHINE_MESSAGES_PER_S;
   }
 
   /** Notes what a newer message proves: that its incarnation is there, and since when. */
--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -6,10 +6,36 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
 
 /** A job the leader looks after, with where its tasks are. */
 final class Job {
+  /** Deadline assumed for the queue's order where a job has none, seconds. */
+  private static final double DEFAULT_DEADLINE_S = 600;
+
+  /**
+   * Share of the aim on starting after which a job that was put off is served before others. The
+   * rest is for its turn, since many may come to this at once.
+   */
+  private static final double OBJECTIVE_RISK_START_SHARE = 0.6;
+
+  /**
+   * The same of the aim on finishing, less its estimate: later, since long jobs are much work, and
+   * served early they make many short ones late.
+   */
+  private static final double OBJECTIVE_RISK_END_SHARE = 0.9;
+
+  /** Aims on starting up to this many seconds may stop work of lower priority. */
+  static final double TIGHT_START_OBJECTIVE_S = 5;
+
+  /**
+   * Aims on starting from this many seconds on are a time by which, where machines are short, as
+   * many jobs as possible start and the others are put off; shorter ones are served as they come.
+   */
+  private static final double LONG_START_OBJECTIVE_S = 60;
+
+  /** Milliseconds in which a job that failed on a machine goes to others. */
+  private static final long FAILED_MACHINE_AVOID_MS = 30_000;
+
   /** What is known of its end. */
   enum State {
     LIVE,
@@ -208,7 +234,7 @@
   /** Whether it failed there so lately that another machine should have it. */
   boolean avoids(Machine machine, long nowMs) {
     Long failedMs = lastFailureMsByMachine.get(machine.name);
-    return failedMs != null && !isSuspect() && nowMs - failedMs < Constants.FAILED_MACHINE_AVOID_MS;
+    return failedMs != null && !isSuspect() && nowMs - failedMs < FAILED_MACHINE_AVOID_MS;
   }
 
   /**
@@ -232,7 +258,7 @@
    * put off.
    */
   boolean hasLongStartObjective() {
-    return startObjectiveS != null && startObjectiveS >= Constants.LONG_START_OBJECTIVE_S;
+    return startObjectiveS != null && startObjectiveS >= LONG_START_OBJECTIVE_S;
   }
 
   /** For a timed job: seconds after its submission by which it is to be done; else its deadline. */
@@ -253,7 +279,7 @@
   /** When its tasks should start, on the steady clock. */
   double latestStartMs() {
     Double completionS = completionDueS();
-    double seconds = completionS != null ? completionS : Constants.DEFAULT_DEADLINE_S;
+    double seconds = completionS != null ? completionS : DEFAULT_DEADLINE_S;
     return submittedMs + (seconds - spec.estimateS()) * 1000;
   }
 
@@ -264,12 +290,10 @@
   double objectiveAtRiskMs() {
     double seconds = Double.MAX_VALUE;
     if (startObjectiveS != null && deadlineBeforeStartObjective()) {
-      seconds = startObjectiveS * Constants.OBJECTIVE_RISK_START_SHARE;
+      seconds = startObjectiveS * OBJECTIVE_RISK_START_SHARE;
     }
     if (finishObjectiveS != null && spec.deadlineS() != null) {
-      seconds =
-          Math.min(
-              seconds, finishObjectiveS * Constants.OBJECTIVE_RISK_END_SHARE - spec.estimateS());
+      seconds = Math.min(seconds, finishObjectiveS * OBJECTIVE_RISK_END_SHARE - spec.estimateS());
     }
     return seconds == Double.MAX_VALUE ? seconds : submittedMs + seconds * 1000;
   }
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -7,10 +7,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
 
 /** A machine as the leader knows it. */
 final class Machine {
+  /**
+   * Direct orders in a row without an answer after which nothing new goes to a machine, though its
+   * reports arrive: what is said to it may not.
+   */
+  static final int INBOUND_PARTITION_TRIES = 2;
+
   /** What this leader may do with it. */
   enum State {
     /** Rented, its worker has not reported yet, and it was never given a task. */
@@ -214,14 +219,14 @@
 
   /** Its reports arrive and nothing that is said to it does. */
   boolean inboundPartitioned() {
-    return consecutiveUnanswered >= Constants.INBOUND_PARTITION_TRIES;
+    return consecutiveUnanswered >= INBOUND_PARTITION_TRIES;
   }
 
   /** The same of one that an earlier leader named: it goes on showing that leader's token. */
   boolean inboundPartitionedUnreconciled() {
     return state == State.UNRECONCILED
         && inboundPartitioned()
-        && unfencedHeartbeats >= Constants.INBOUND_PARTITION_TRIES;
+        && unfencedHeartbeats >= INBOUND_PARTITION_TRIES;
   }
 
   /**
@@ -407,7 +412,7 @@
 
   /** How many more tasks its reports can name. */
   int freeTaskSlots() {
-    return Constants.MAX_TASKS_PER_MACHINE - attempts.size() - reserved.tasks();
+    return MachineType.MAX_TASKS_PER_MACHINE - attempts.size() - reserved.tasks();
   }
 
   /** Keeps room for so many tasks from others, until the next pass. */
--- a/src/main/java/org/astershift/scheduler/MachineIncarnation.java
+++ b/src/main/java/org/astershift/scheduler/MachineIncarnation.java
@@ -6,10 +6,10 @@
  * evidence about one incarnation is kept here, apart from that about the next.
  */
 final class MachineIncarnation {
-  private static final long NEVER = Long.MAX_VALUE;
+  private static final long NEVER_MS = Long.MAX_VALUE;
 
-  private long firstMessageMs = NEVER;
-  private long lastConfirmedMs = NEVER;
+  private long firstMessageMs = NEVER_MS;
+  private long lastConfirmedMs = NEVER_MS;
 
   /** A message of it arrived. */
   void onMessage(long nowMs) {
@@ -18,12 +18,12 @@
 
   /** It certainly existed at this time or later. */
   void confirmExistence(long atMs) {
-    lastConfirmedMs = lastConfirmedMs == NEVER ? atMs : Math.max(lastConfirmedMs, atMs);
+    lastConfirmedMs = lastConfirmedMs == NEVER_MS ? atMs : Math.max(lastConfirmedMs, atMs);
   }
 
   /** Whether anything was heard of it. */
   boolean isKnown() {
-    return firstMessageMs != NEVER;
+    return firstMessageMs != NEVER_MS;
   }
 
   /** Whether it was there by then: a message of it had arrived. */
@@ -33,7 +33,7 @@
 
   /** Whether it is known that it existed at some time. */
   boolean existenceConfirmed() {
-    return lastConfirmedMs != NEVER;
+    return lastConfirmedMs != NEVER_MS;
   }
 
   /** The latest time by which it certainly existed. */
--- a/src/main/java/org/astershift/scheduler/MinimumShare.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShare.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,6 +20,34 @@
  */
 final class MinimumShare {
   private static final Logger LOG = LoggerFactory.getLogger(MinimumShare.class);
+
+  /**
+   * Seconds after which the jobs of a class that is hardly served count for its floor, or its aim
+   * on starting if that is longer: an operator who looks after some minutes finds it served.
+   */
+  private static final double MINIMUM_SHARE_AGE_S = 120;
+
+  /**
+   * Seconds after which a job's tasks that wait go first, up to a share: the largest too have to
+   * begin within 240 s (the operators' letter), of which a boot of 50 s and a fetch are left.
+   */
+  private static final double MINIMUM_SHARE_OVERDUE_AGE_S = 150;
+
+  /**
+   * Jobs that wait beyond that age, for each one done, from which their class is neglected: two of
+   * three are to be served.
+   */
+  private static final double MINIMUM_SHARE_WAITING_RATIO = 0.5;
+
+  /** Share of the machines it can use that such a class is to hold. */
+  private static final double MINIMUM_SHARE_PER_CLASS = 0.1;
+
+  /** Share that all such classes together are to hold. */
+  private static final double MINIMUM_SHARE_ALL_CLASSES = 0.3;
+
+  /** Times its floor up to which nothing of such a class is stopped: gangs go beyond it at once. */
+  private static final double MINIMUM_SHARE_PROTECTION_FACTOR = 1.5;
+
   private final ClusterState cluster;
   private final Map<String, ShareGroup> groups = new HashMap<>();
   private final Map<String, Set<ShareGroup>> groupsByClass = new HashMap<>();
@@ -86,7 +113,7 @@
      * jobs and puts off a few that are too late for their deadlines does so for good reasons.
      */
     private boolean hasTooFewFinishedJobs() {
-      return agedJobs.size() > finishedJobs * Constants.MINIMUM_SHARE_WAITING_RATIO;
+      return agedJobs.size() > finishedJobs * MINIMUM_SHARE_WAITING_RATIO;
     }
 
     /** What it may take now beyond what it has. */
@@ -131,7 +158,7 @@
 
   /** Whether the job waits, or waited, for longer than its class should without being served. */
   static boolean isPastServiceAge(Job job, long nowMs) {
-    double ageS = Constants.MINIMUM_SHARE_AGE_S;
+    double ageS = MINIMUM_SHARE_AGE_S;
     ageS = job.startObjectiveS == null ? ageS : Math.max(ageS, job.startObjectiveS);
     return job.spec.kind() != JobKind.SERVICE && nowMs - job.submittedMs >= ageS * 1000;
   }
@@ -143,14 +170,14 @@
    */
   static boolean isOverdue(Job job, long nowMs) {
     return job.spec.kind() != JobKind.SERVICE
-        && nowMs - job.submittedMs >= Constants.MINIMUM_SHARE_OVERDUE_AGE_S * 1000;
+        && nowMs - job.submittedMs >= MINIMUM_SHARE_OVERDUE_AGE_S * 1000;
   }
 
   /** Whether the task belongs to what its class is to have whoever else wants the room. */
   static boolean isProtected(Job job, long nowMs) {
     ShareGroup group = job.shareGroup;
     return group != null
-        && group.held <= group.minimum * Constants.MINIMUM_SHARE_PROTECTION_FACTOR
+        && group.held <= group.minimum * MINIMUM_SHARE_PROTECTION_FACTOR
         && isPastServiceAge(job, nowMs);
   }
 
@@ -187,9 +214,7 @@
       job.shareGroup.held += job.attempts.size() * job.shareGroup.amountPerTask(job);
     }
     double groupShare =
-        Math.min(
-            Constants.MINIMUM_SHARE_PER_CLASS,
-            Constants.MINIMUM_SHARE_ALL_CLASSES / Math.max(1, groupsToServe));
+        Math.min(MINIMUM_SHARE_PER_CLASS, MINIMUM_SHARE_ALL_CLASSES / Math.max(1, groupsToServe));
     for (ShareGroup group : groups.values()) {
       // A class that several teams share has one floor: with one each, classes that were served
       // well in sum had late jobs served before those that could still be in time.
--- a/src/main/java/org/astershift/scheduler/PeerProbeResults.java
+++ b/src/main/java/org/astershift/scheduler/PeerProbeResults.java
@@ -1,30 +1,40 @@
 package org.astershift.scheduler;
 
-import org.astershift.config.Constants;
-
 /**
  * What the other controllers found when they were asked to reach one machine. A finding counts only
  * while the machine says nothing to the leader, and for a limited time.
  */
 final class PeerProbeResults {
-  private static final long NEVER = Long.MIN_VALUE / 2;
+  /** Milliseconds for which it counts that another controller reached a machine. */
+  static final long PEER_PROBE_REACHED_VALID_MS = 10_000;
+
+  /** Milliseconds for which it counts that none did: the cut may be over by then. */
+  private static final long PEER_PROBE_UNREACHED_VALID_MS = 3000;
+
+  /**
+   * Milliseconds beyond patience that one of a few silent machines waits for what others say:
+   * longer than the deadline of their answer.
+   */
+  static final long PEER_PROBE_WAIT_MS = 3000;
+
+  private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   /** When they were last asked and one of them had an answer. */
-  private long reachedMs = NEVER;
+  private long reachedMs = NEVER_MS;
 
   /** When they were last asked and all that could tell failed. */
-  private long unreachedMs = NEVER;
+  private long unreachedMs = NEVER_MS;
 
   /** The same for the first time since the machine said anything or was reached. */
-  private long firstUnreachedMs = NEVER;
+  private long firstUnreachedMs = NEVER_MS;
 
   /** When they were last asked and none of them could tell. */
-  private long inconclusiveMs = NEVER;
+  private long inconclusiveMs = NEVER_MS;
 
   /** One of them had an answer. */
   void onReached(long probedMs) {
     reachedMs = probedMs;
-    unreachedMs = NEVER;
+    unreachedMs = NEVER_MS;
   }
 
   /** All that could tell failed; {@code lastContactMs}: when the machine last said anything. */
@@ -45,7 +55,7 @@
    * anything.
    */
   boolean isReached(long lastContactMs, long nowMs) {
-    return reachedMs > lastContactMs && nowMs - reachedMs <= Constants.PEER_PROBE_REACHED_VALID_MS;
+    return reachedMs > lastContactMs && nowMs - reachedMs <= PEER_PROBE_REACHED_VALID_MS;
   }
 
   /** Whether one of them reached it after it last said anything here, however long ago. */
@@ -55,7 +65,7 @@
 
   /** Whether that counts for longer than another answer may take. */
   boolean isFreshlyReached(long lastContactMs, long nowMs) {
-    return isReached(lastContactMs, nowMs + Constants.PEER_PROBE_WAIT_MS);
+    return isReached(lastContactMs, nowMs + PEER_PROBE_WAIT_MS);
   }
 
   /**
@@ -63,7 +73,7 @@
    * answer, since a cut may just have ended.
    */
   boolean isUnreached(long sinceMs, long nowMs) {
-    return unreachedMs > sinceMs && nowMs - unreachedMs <= Constants.PEER_PROBE_UNREACHED_VALID_MS;
+    return unreachedMs > sinceMs && nowMs - unreachedMs <= PEER_PROBE_UNREACHED_VALID_MS;
   }
 
   /** When none reached it for the first time in a row. */
@@ -73,7 +83,6 @@
 
   /** Whether it counts that none of them could tell. */
   boolean isInconclusive(long lastContactMs, long nowMs) {
-    return inconclusiveMs > lastContactMs
-        && nowMs - inconclusiveMs <= Constants.PEER_PROBE_REACHED_VALID_MS;
+    return inconclusiveMs > lastContactMs && nowMs - inconclusiveMs <= PEER_PROBE_REACHED_VALID_MS;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -8,7 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,6 +20,18 @@
 final class Placement {
   private static final Logger LOG = LoggerFactory.getLogger(Placement.class);
 
+  /** Share of an aim's time after which a task takes any machine: the rest is for its start. */
+  private static final double WAITING_AGE_OBJECTIVE_SHARE = 0.2;
+
+  /**
+   * Milliseconds for which room is kept from jobs that would find some, for aimed, large or gang
+   * work that waits: the operators' page lets no job wait for 90 s beside room.
+   */
+  private static final long DEFERRAL_LIMIT_MS = 60_000;
+
+  /** Share of a machine's processors that replicas take while other machines have room. */
+  private static final double REPLICA_CPU_SHARE = 0.5;
+
   /** Cached images first, then those being fetched, then none. */
   private static final double[] SCORE_THRESHOLDS = {1, 0.1, 0};
 
@@ -364,7 +375,7 @@
     deferredNow.add(job.placementConstraints);
     long sinceMs = deferredSinceMs.computeIfAbsent(job.placementConstraints, p -> nowMs);
     // Between passes there is one machine to be had, and with it the turn would be over.
-    if (!passInProgress || nowMs - sinceMs < Constants.DEFERRAL_LIMIT_MS) {
+    if (!passInProgress || nowMs - sinceMs < DEFERRAL_LIMIT_MS) {
       return false;
     }
     admittedNow.add(job.placementConstraints);
@@ -409,9 +420,9 @@
     double ageS = cluster.policy.waitingAgeS();
     if (job.startObjectiveS != null) {
       ageS =
-          job.startObjectiveS <= Constants.TIGHT_START_OBJECTIVE_S
+          job.startObjectiveS <= Job.TIGHT_START_OBJECTIVE_S
               ? 0
-              : Math.min(ageS, job.startObjectiveS * Constants.WAITING_AGE_OBJECTIVE_SHARE);
+              : Math.min(ageS, job.startObjectiveS * WAITING_AGE_OBJECTIVE_SHARE);
     }
     return nowMs - job.submittedMs >= ageS * 1000;
   }
@@ -422,8 +433,7 @@
    */
   boolean exceedsReplicaShare(Machine machine, Job job) {
     return job.spec.kind() == JobKind.SERVICE
-        && machine.replicaCpus() + job.spec.cpus()
-            > Constants.REPLICA_CPU_SHARE * machine.type.cpus();
+        && machine.replicaCpus() + job.spec.cpus() > REPLICA_CPU_SHARE * machine.type.cpus();
   }
 
   /** An older attempt of the task is still known there: the start would be refused. */
--- a/src/main/java/org/astershift/scheduler/PlannedMachine.java
+++ b/src/main/java/org/astershift/scheduler/PlannedMachine.java
@@ -1,7 +1,5 @@
 package org.astershift.scheduler;
 
-import org.astershift.config.Constants;
-
 /** Room on one machine that is there, booting or asked for, as a plan for renting fills it. */
 final class PlannedMachine {
   private static final double TOLERANCE = 1e-6;
@@ -11,7 +9,7 @@
   private double freeCpus;
   private double freeGpus;
   private double freeMemoryGb;
-  private int freeTasks = Constants.MAX_TASKS_PER_MACHINE;
+  private int freeTasks = MachineType.MAX_TASKS_PER_MACHINE;
 
   /** An empty machine. */
   PlannedMachine(MachineType type, String zone, boolean spot) {
--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -4,7 +4,6 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,6 +15,15 @@
  */
 final class Preemption {
   private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
+
+  /** Processor seconds of stopped work that a second of image fetch is worth to a tight aim. */
+  private static final double IMAGE_FETCH_LOSS_CPU_S_PER_S = 10;
+
+  /**
+   * Processor seconds of stopped work that it is worth to put a replica elsewhere than beyond that.
+   */
+  private static final double REPLICA_CROWDING_LOSS_CPU_S = 20;
+
   private static final double TOLERANCE = 1e-6;
   private static final Comparator<Choice> CHEAPEST =
       Comparator.comparingDouble(Choice::lossCpuS).thenComparingInt(Choice::order);
@@ -152,7 +160,7 @@
   }
 
   private static boolean hasTightObjective(Job job) {
-    return job.startObjectiveS != null && job.startObjectiveS <= Constants.TIGHT_START_OBJECTIVE_S;
+    return job.startObjectiveS != null && job.startObjectiveS <= Job.TIGHT_START_OBJECTIVE_S;
   }
 
   /** Machines with tasks at which nobody aims. */
@@ -220,11 +228,8 @@
       return null;
     }
     double lossCpuS =
-        imageHit
-            ? 0
-            : Constants.IMAGE_FETCH_LOSS_CPU_S_PER_S * spec.imageGb() / machine.type.fetchGbPerS();
-    lossCpuS +=
-        placement.exceedsReplicaShare(machine, job) ? Constants.REPLICA_CROWDING_LOSS_CPU_S : 0;
+        imageHit ? 0 : IMAGE_FETCH_LOSS_CPU_S_PER_S * spec.imageGb() / machine.type.fetchGbPerS();
+    lossCpuS += placement.exceedsReplicaShare(machine, job) ? REPLICA_CROWDING_LOSS_CPU_S : 0;
     for (TaskAttempt attempt : victims) {
       lossCpuS += lostCpuS(attempt, nowMs);
     }
--- a/src/main/java/org/astershift/scheduler/ScaleIn.java
+++ b/src/main/java/org/astershift/scheduler/ScaleIn.java
@@ -8,7 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,6 +15,30 @@
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
+  /** A machine costs at least so many milliseconds, so it is not given back sooner; protocol's. */
+  private static final long MIN_CHARGE_MS = 60_000;
+
+  /** Milliseconds that a machine is kept idle even if nothing speaks for its use. */
+  private static final long IDLE_MIN_MS = 10_000;
+
+  /** Share of the fleet's price that idle machines may cost beyond what is likely to be taken. */
+  private static final double IDLE_COST_SHARE = 0.015;
+
+  /** An idle machine is kept for at least this many times its type's boot time. */
+  private static final double IDLE_BOOT_FACTOR = 1.7;
+
+  /** Idle spot machines are kept this many times longer: what replaces them may be ordinary. */
+  private static final double IDLE_SPOT_FACTOR = 2;
+
+  /** A boot this many times longer than the type's usual one is given up. */
+  private static final double BOOT_TIMEOUT_FACTOR = 2.2;
+
+  /** Milliseconds on top of that: worker start and first report. */
+  private static final long BOOT_TIMEOUT_MARGIN_MS = 8000;
+
+  /** Milliseconds after which a boot is given up where nothing is known of its type. */
+  private static final double BOOT_TIMEOUT_UNKNOWN_TYPE_MS = 60_000;
+
   /** The cloud takes no more names in one call. */
   private static final int RELEASE_BATCH_MACHINES = 100;
 
@@ -109,9 +132,8 @@
       case BOOTING -> {
         double limitMs =
             type == null
-                ? Constants.BOOT_TIMEOUT_UNKNOWN_TYPE_MS
-                : type.bootS() * 1000 * Constants.BOOT_TIMEOUT_FACTOR
-                    + Constants.BOOT_TIMEOUT_MARGIN_MS;
+                ? BOOT_TIMEOUT_UNKNOWN_TYPE_MS
+                : type.bootS() * 1000 * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_MS;
         return nowMs - machine.firstKnownMs > limitMs
             ? "not up after " + (nowMs - machine.firstKnownMs) + " ms"
             : null;
@@ -127,7 +149,7 @@
             machine.idle()
                 && (nowMs - machine.idleSinceMs > idleTimeoutMs(machine)
                     || surplus.contains(machine))
-                && nowMs - machine.firstKnownMs > Constants.MIN_CHARGE_MS;
+                && nowMs - machine.firstKnownMs > MIN_CHARGE_MS;
         return idle ? "idle" : null;
       }
       default -> {
@@ -141,9 +163,9 @@
    * giving it back too early costs; longer where it is spot and its replacement may not be.
    */
   private double idleTimeoutMs(Machine machine) {
-    double bootS = machine.type == null ? 0 : machine.type.bootS() * Constants.IDLE_BOOT_FACTOR;
+    double bootS = machine.type == null ? 0 : machine.type.bootS() * IDLE_BOOT_FACTOR;
     double keepS = Math.max(cluster.policy.idleReleaseS(), bootS);
-    return keepS * (machine.spot ? Constants.IDLE_SPOT_FACTOR : 1) * 1000;
+    return keepS * (machine.spot ? IDLE_SPOT_FACTOR : 1) * 1000;
   }
 
   /**
@@ -158,7 +180,7 @@
     double costAllowance = 0;
     for (Machine machine : cluster.allMachines()) {
       if (machine.state == Machine.State.LIVE && machine.type != null) {
-        costAllowance += machine.type.hourlyPrice(machine.spot) * Constants.IDLE_COST_SHARE;
+        costAllowance += machine.type.hourlyPrice(machine.spot) * IDLE_COST_SHARE;
         List<Machine> idleOfType =
             idleByType.computeIfAbsent(machine.typeName, t -> new ArrayList<>());
         if (machine.idle()) {
@@ -171,7 +193,7 @@
     for (Map.Entry<String, List<Machine>> entry : idleByType.entrySet()) {
       List<Machine> machines = entry.getValue();
       MachineType type = cluster.machineTypes.all().get(entry.getKey());
-      double bootsS = type.bootS() * Constants.IDLE_BOOT_FACTOR;
+      double bootsS = type.bootS() * IDLE_BOOT_FACTOR;
       long windowMs = (long) (1000 * Math.max(cluster.policy.idleReleaseS(), bootsS));
       int leastIdle =
           minimumIdle
@@ -190,7 +212,7 @@
     Set<Machine> releasable = new HashSet<>();
     for (Machine machine : surplusMachines) {
       costAllowance -= machine.type.hourlyPrice(machine.spot);
-      if (costAllowance < 0 && nowMs - machine.idleSinceMs > Constants.IDLE_MIN_MS) {
+      if (costAllowance < 0 && nowMs - machine.idleSinceMs > IDLE_MIN_MS) {
         releasable.add(machine);
       }
     }
--- a/src/main/java/org/astershift/scheduler/ScaleOut.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOut.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
+import org.astershift.config.ThreadBudget;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,6 +19,22 @@
  */
 final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
+
+  /** Machines asked for in one rental; the cloud's limit. */
+  static final int PROVISION_BATCH_MACHINES = 50;
+
+  /**
+   * Seconds for which a machine is rented, as far as its boot is weighed in its price: most live
+   * for some minutes of a queue.
+   */
+  private static final double EXPECTED_MACHINE_LIFETIME_S = 300;
+
+  /** Types, zones and kinds that one plan may rent for one job. */
+  private static final int POOLS_PER_JOB = 20;
+
+  /** Pause of a type, zone and kind that had no capacity. */
+  private static final long NO_CAPACITY_BACKOFF_MS = 15_000;
+
   private final ClusterState cluster;
   private final Map<String, Decision.ProvisionMachines> pendingRequests = new LinkedHashMap<>();
   private final Map<CapacityPool, Long> noCapacityUntilMs = new HashMap<>();
@@ -49,7 +65,7 @@
   }
 
   void onNoCapacity(Decision.ProvisionMachines request, long nowMs) {
-    noCapacityUntilMs.put(CapacityPool.of(request), nowMs + Constants.NO_CAPACITY_BACKOFF_MS);
+    noCapacityUntilMs.put(CapacityPool.of(request), nowMs + NO_CAPACITY_BACKOFF_MS);
   }
 
   /** Whether a call to the cloud has ended since the last plan, so that the next may go out. */
@@ -63,7 +79,7 @@
    */
   void plan(List<Decision> decisions, long nowMs) {
     planDue = false;
-    int calls = Constants.PROVISION_THREADS - pendingRequests.size();
+    int calls = ThreadBudget.PROVISION_THREADS - pendingRequests.size();
     if (calls <= 0) {
       return;
     }
@@ -71,7 +87,7 @@
       if (calls-- == 0) {
         return;
       }
-      int count = Math.min(request.count(), Constants.PROVISION_BATCH_MACHINES);
+      int count = Math.min(request.count(), PROVISION_BATCH_MACHINES);
       decisions.add(
           new Decision.ProvisionMachines(
               request.typeName(), request.zone(), request.spot(), count));
@@ -138,7 +154,7 @@
         demand.fill(soonFreeMachines);
       }
       demand.fill(pendingMachines);
-      for (int i = 0; demand.remaining() > 0 && i < Constants.POOLS_PER_JOB; i++) {
+      for (int i = 0; demand.remaining() > 0 && i < POOLS_PER_JOB; i++) {
         Decision.ProvisionMachines request = cheapestRequest(demand, false, nowMs);
         request = request == null ? cheapestRequest(demand, true, nowMs) : request;
         if (request == null) {
@@ -308,8 +324,7 @@
           count = inPartitionedZone ? 1 : count;
           // A tie goes to the zone with the fewest machines, which spreads the fleet.
           // Its boot is paid for, too.
-          double price =
-              type.hourlyPrice(spot) * (1 + type.bootS() / Constants.EXPECTED_MACHINE_LIFETIME_S);
+          double price = type.hourlyPrice(spot) * (1 + type.bootS() / EXPECTED_MACHINE_LIFETIME_S);
           double cost = machinesNeeded * price * (1 + 0.001 * machinesByZone.getOrDefault(zone, 0));
           if (cost < bestCost) {
             bestCost = cost;
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.astershift.config.Constants;
+import org.astershift.config.ClockBounds;
 import org.astershift.scheduler.OutstandingDecisions.Kind;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -22,6 +22,30 @@
 public final class Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
+  /** Milliseconds between looks for leases that ran out and machines that are silent. */
+  private static final long SWEEP_INTERVAL_MS = 250;
+
+  /** Milliseconds after a report was due before the machine is asked directly. */
+  public static final long SUSPECT_AFTER_MS = 400;
+
+  /**
+   * Milliseconds after which one of a few machines that this leader cannot make listen is given
+   * back though another controller reaches it: until then no job opened before starts anything.
+   */
+  public static final long UNFENCED_RELEASE_MS = 15_000;
+
+  /** Deadline of such a question to a machine, milliseconds: within that of the controller's. */
+  public static final int PEER_PROBE_TIMEOUT_MS = 800;
+
+  /** Deadline of the question whether a machine is there, milliseconds. */
+  public static final int MACHINE_PROBE_TIMEOUT_MS = 1000;
+
+  /** Milliseconds of a term in which nothing is rented while machines are still to be heard. */
+  private static final long PROVISION_AFTER_FAILOVER_MS = 5000;
+
+  /** Milliseconds between rent plans. */
+  private static final long PROVISION_PLAN_INTERVAL_MS = 1000;
+
   private final ClusterState cluster;
   private final HeartbeatReconciler heartbeatReconciler;
   private final CommandReconciler commandReconciler;
@@ -428,7 +452,7 @@
       machine.directCommandFailures++;
       machine.silentCommandUnanswered |= machine.commandSentWhileSilent;
       machine.consecutiveUnanswered++;
-      if (machine.consecutiveUnanswered == Constants.INBOUND_PARTITION_TRIES
+      if (machine.consecutiveUnanswered == Machine.INBOUND_PARTITION_TRIES
           && !cluster.heartbeatOverdue(machine, nowMs)) {
         LOG.info("machine {} reports and answers nothing: nothing new goes there", machine.name);
       }
@@ -492,7 +516,7 @@
         machine.address = listedMachine.address();
       }
     }
-    long lagMs = (long) (2 * cluster.limits.listLagS() * 1000) + Constants.CLOCK_MARGIN_MS;
+    long lagMs = (long) (2 * cluster.limits.listLagS() * 1000) + ClockBounds.CLOCK_MARGIN_MS;
     for (Machine machine : new ArrayList<>(cluster.allMachines())) {
       // Once listed, a machine stays listed until it is gone, and it is listed at the latest when
       // twice the lag has passed since it was there; but a list may be older than the last.
@@ -522,7 +546,7 @@
     cluster.clearPassRequest();
     cluster.incarnations.extendLeaseCertainty(leaseCertainUntilMs);
     List<Decision> decisions = new ArrayList<>();
-    boolean sweep = nowMs - lastSweepMs >= Constants.SWEEP_INTERVAL_MS;
+    boolean sweep = nowMs - lastSweepMs >= SWEEP_INTERVAL_MS;
     if (sweep) {
       lastSweepMs = nowMs;
       for (Machine machine : cluster.allMachines()) {
@@ -594,8 +618,7 @@
         decisions.add(new Decision.FinishJob(job.spec.id()));
       }
     }
-    boolean planDue =
-        nowMs - lastPlanMs >= Constants.PROVISION_PLAN_INTERVAL_MS || scaleOut.planDue();
+    boolean planDue = nowMs - lastPlanMs >= PROVISION_PLAN_INTERVAL_MS || scaleOut.planDue();
     if (planDue && !cluster.machineTypes.all().isEmpty()) {
       lastPlanMs = nowMs;
       plan(decisions, nowMs, nowMs < leaseCertainUntilMs);
@@ -613,7 +636,7 @@
     scaleIn.plan(decisions, leaseCertain, nowMs);
     firstPlanMs = firstPlanMs < 0 ? nowMs : firstPlanMs;
     // What is still to be heard of will take most of the queue, or runs it already.
-    if (!cluster.anyUnreconciled() || nowMs - firstPlanMs > Constants.PROVISION_AFTER_FAILOVER_MS) {
+    if (!cluster.anyUnreconciled() || nowMs - firstPlanMs > PROVISION_AFTER_FAILOVER_MS) {
       scaleOut.plan(decisions, nowMs);
     }
   }
@@ -649,8 +672,8 @@
    * steady clocks and a margin.
    */
   private static long leaseMs(DeploymentLimits limits) {
-    return (long) (limits.leaseS() * 1000 * (1 + 2 * Constants.CLOCK_DRIFT_SHARE))
-        + Constants.CLOCK_MARGIN_MS;
+    return (long) (limits.leaseS() * 1000 * (1 + 2 * ClockBounds.CLOCK_DRIFT_SHARE))
+        + ClockBounds.CLOCK_MARGIN_MS;
   }
 
   // ---- what users and operators see ----
--- a/src/main/java/org/astershift/scheduler/ServiceStatistics.java
+++ b/src/main/java/org/astershift/scheduler/ServiceStatistics.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import org.astershift.config.Constants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -18,6 +17,15 @@
 final class ServiceStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(ServiceStatistics.class);
 
+  /** Milliseconds after which a job that has not begun is warned of: half of what it may take. */
+  private static final long UNSTARTED_WARN_MS = 120_000;
+
+  /** Jobs of a class of which it is remembered what the largest got. */
+  private static final int JOB_OUTCOMES_KEPT = 5000;
+
+  /** Milliseconds without a start after which a class or team that waits is warned of. */
+  private static final long STARVED_WARN_MS = 60_000;
+
   /** One of so many of a class's jobs counts among its largest. */
   private static final int LARGEST_ONE_IN = 10;
 
@@ -111,7 +119,7 @@
     Group classGroup = classes.get(job.spec.jobClass());
     job.outcome = new JobOutcome(job.spec.tasks() * Math.max(job.spec.cpus(), job.spec.gpus()));
     classGroup.outcomes.addLast(job.outcome);
-    if (classGroup.outcomes.size() > Constants.JOB_OUTCOMES_KEPT) {
+    if (classGroup.outcomes.size() > JOB_OUTCOMES_KEPT) {
       classGroup.outcomes.removeFirst();
     }
   }
@@ -146,7 +154,7 @@
    */
   void warnOfUnstarted(Iterable<Job> waiting, Predicate<Job> withinLimit, long nowMs) {
     for (Job job : waiting) {
-      boolean late = nowMs - job.submittedMs >= Constants.UNSTARTED_WARN_MS;
+      boolean late = nowMs - job.submittedMs >= UNSTARTED_WARN_MS;
       boolean hasStarted = job.started || job.doneCount() > 0;
       if (!late || hasStarted || job.startWarningLogged || job.spec.kind() == JobKind.SERVICE) {
         continue;
@@ -209,8 +217,8 @@
     long sinceMs = Math.max(group.lastStartMs, group.waitingSinceMs);
     boolean starved =
         group.waitingSinceMs >= 0
-            && nowMs - sinceMs > Constants.STARVED_WARN_MS
-            && nowMs - lastStartMs < Constants.STARVED_WARN_MS / 2;
+            && nowMs - sinceMs > STARVED_WARN_MS
+            && nowMs - lastStartMs < STARVED_WARN_MS / 2;
     if (starved && !group.starvationWarned) {
       LOG.warn(
           "{} {} got nothing for {} s, though others did, and waits since {} s",
--- a/src/main/java/org/astershift/scheduler/WaitQueue.java
+++ b/src/main/java/org/astershift/scheduler/WaitQueue.java
@@ -6,13 +6,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 
 /**
  * The wait queue's window: the first tasks that may start now, as jobs, since all tasks of a job
  * share image and needs. Sorted anew by each pass; between passes it is used as it was.
  */
 final class WaitQueue {
+  /**
+   * Tasks of each kind of place and need that are looked at beyond the window: as many as one
+   * machine is given in a pass. The window may be full of what fits nowhere for now, and what could
+   * start elsewhere waited behind it beside room.
+   */
+  private static final int WINDOW_OVERFLOW_TASKS = 64;
+
   private final ClusterState cluster;
   private final Map<Priority, List<Job>> jobsByPriority = new EnumMap<>(Priority.class);
 
@@ -114,7 +120,7 @@
           tasksByConstraints.merge(job.placementConstraints, startableTasks, Integer::sum)
               - startableTasks;
       if (tasks - startableTasks >= cluster.policy.windowTasks()
-          && (startableTasks == 0 || sameConstraintTasks >= Constants.WINDOW_OVERFLOW_TASKS)) {
+          && (startableTasks == 0 || sameConstraintTasks >= WINDOW_OVERFLOW_TASKS)) {
         continue;
       }
       if (job.hasObjective && job.spec.kind() != JobKind.GANG && !job.isSuspect()) {
--- a/src/main/java/org/astershift/store/RateLimiter.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.astershift.config.Constants;
 
 /**
  * Spends this node's share of a limit per second that all nodes keep together. What users or starts
@@ -10,6 +9,12 @@
  * records keeps the others waiting for ever; what can wait takes what these leave.
  */
 public final class RateLimiter {
+  /** Share of what may be spent at once that has to be left by what can wait. */
+  private static final double DEFERRABLE_RESERVE_SHARE = 0.5;
+
+  /** Seconds without spending once the state service says that the limit is reached. */
+  static final double STORE_EXHAUSTED_PAUSE_S = 0.1;
+
   /** Uses of the limit. */
   public enum Urgency {
     /**
@@ -65,7 +70,7 @@
   /** The limit proved to be spent, so what was thought left is not there: waits a little. */
   public synchronized void drain() {
     refill();
-    available = Math.min(available, 1 - ratePerS * Constants.STORE_EXHAUSTED_PAUSE_S);
+    available = Math.min(available, 1 - ratePerS * STORE_EXHAUSTED_PAUSE_S);
   }
 
   /**
@@ -87,8 +92,7 @@
         // More than one may go into debt: a batch must not wait behind all that asks for little.
         double required =
             urgency == Urgency.BACKGROUND
-                ? Math.min(
-                    burst, permits + queue.size() + Constants.DEFERRABLE_RESERVE_SHARE * burst)
+                ? Math.min(burst, permits + queue.size() + DEFERRABLE_RESERVE_SHARE * burst)
                 : 1 + positionOf(waiter);
         if (available >= required) {
           available -= permits;
--- a/src/main/java/org/astershift/store/RecordCodec.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -6,7 +6,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.astershift.http.Json;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.JobKind;
@@ -18,6 +17,12 @@
  * Keys and values in the state service. All that is live is below one prefix, which nodes watch.
  */
 public final class RecordCodec {
+  /** Most bytes of one page of notes: each change writes its page anew. */
+  public static final int MAX_PAGE_BYTES = 4096;
+
+  /** Tasks in one note of done tasks: as base64 it stays below the size of a page. */
+  public static final int SEGMENT_TASKS = 16_384;
+
   private RecordCodec() {}
 
   public static final String LIVE = "l/";
@@ -122,12 +127,12 @@
   // ---- progress: a bit a task, so that any pattern of 100,000 fits ----
 
   public static int segmentCount(int tasks) {
-    return (tasks + Constants.SEGMENT_TASKS - 1) / Constants.SEGMENT_TASKS;
+    return (tasks + SEGMENT_TASKS - 1) / SEGMENT_TASKS;
   }
 
   public static String segment(BitSet done, int segment) {
-    int from = segment * Constants.SEGMENT_TASKS;
-    BitSet part = done.get(from, from + Constants.SEGMENT_TASKS);
+    int from = segment * SEGMENT_TASKS;
+    BitSet part = done.get(from, from + SEGMENT_TASKS);
     return Base64.getEncoder().encodeToString(part.toByteArray());
   }
 
@@ -140,7 +145,7 @@
       throws Json.JsonFormatException {
     int slash = key.lastIndexOf('/');
     try {
-      int from = Integer.parseInt(key.substring(slash + 1)) * Constants.SEGMENT_TASKS;
+      int from = Integer.parseInt(key.substring(slash + 1)) * SEGMENT_TASKS;
       BitSet part = BitSet.valueOf(Base64.getDecoder().decode(String.valueOf(value)));
       for (int i = part.nextSetBit(0); i >= 0; i = part.nextSetBit(i + 1)) {
         done.set(from + i);
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -7,13 +7,47 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.astershift.config.Constants;
 import org.astershift.config.Settings;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
 
 /** Speaks the state service's protocol, within this node's share of its limits. */
 public final class StoreClient {
+  /**
+   * Milliseconds after which a renewal of the lease is given up and tried again: answers normally
+   * take under 10 ms, now and then a few hundred, and a busy node reads them late.
+   */
+  public static final int LEADER_LEASE_RENEW_TIMEOUT_MS = 700;
+
+  /** The leader's share of the state service's limits; the others have parts of the rest. */
+  public static final double LEADER_STORE_SHARE = 0.6;
+
+  /** Times their equal part of the rest that each of the others may spend: rarely all do. */
+  private static final double FOLLOWER_OVERCOMMIT_FACTOR = 4;
+
+  /**
+   * Seconds of its share that a follower may spend at once: it only accepts jobs, which come in
+   * bursts on one node while the others rest.
+   */
+  private static final double FOLLOWER_BURST_S = 3;
+
+  /**
+   * Deadline of one request to the state service, milliseconds: slow answers take a few hundred.
+   */
+  public static final int STORE_TIMEOUT_MS = 1500;
+
+  /** Milliseconds without service after which this node asks the others whether it is an outage. */
+  public static final long STORE_OUTAGE_CHECK_AFTER_MS = 1500;
+
+  /** How long a watch of the state service blocks. */
+  public static final int WATCH_BLOCK_MS = 10_000;
+
+  /** How long a write may wait for its share of the limits. */
+  public static final long STORE_RATE_WAIT_MS = 3000;
+
+  /** Rows asked for in one list of the state service. */
+  static final int MAX_LIST_ROWS = 1000;
+
   private static final int OVER_LIMIT_STATUS = 429;
   private static final String OVER_LIMIT_REASON = "status " + OVER_LIMIT_STATUS;
   private final HttpClient http;
@@ -43,13 +77,9 @@
     if (peerCount > 0) {
       double share =
           leading
-              ? Constants.LEADER_STORE_SHARE
-              : Math.min(
-                  1,
-                  Constants.FOLLOWER_OVERCOMMIT_FACTOR
-                      * (1 - Constants.LEADER_STORE_SHARE)
-                      / peerCount);
-      double burstS = leading ? 1 : Constants.FOLLOWER_BURST_S;
+              ? LEADER_STORE_SHARE
+              : Math.min(1, FOLLOWER_OVERCOMMIT_FACTOR * (1 - LEADER_STORE_SHARE) / peerCount);
+      double burstS = leading ? 1 : FOLLOWER_BURST_S;
       requests.setShare(share, burstS);
       writes.setShare(share, burstS);
     }
@@ -57,7 +87,7 @@
 
   /** Whether the service has not served this node for a while. */
   public boolean unavailable() {
-    return silenceMs() > Constants.STORE_OUTAGE_CHECK_AFTER_MS;
+    return silenceMs() > STORE_OUTAGE_CHECK_AFTER_MS;
   }
 
   /** Milliseconds since it last served this node. */
@@ -179,7 +209,7 @@
 
   /** One page of the rows below a prefix, after a key or from the first. */
   public Page list(String prefix, String after) throws IOException {
-    String path = "/store?starts=" + prefix + "&limit=" + Constants.MAX_LIST_ROWS;
+    String path = "/store?starts=" + prefix + "&limit=" + MAX_LIST_ROWS;
     if (after != null) {
       path += "&from=" + after;
     }
@@ -202,13 +232,10 @@
 
   /** Waits a while for changes below a prefix after a revision. */
   public WatchResponse watch(String prefix, long after) throws IOException {
-    String path =
-        "/watch?starts=" + prefix + "&from=" + after + "&block_ms=" + Constants.WATCH_BLOCK_MS;
+    String path = "/watch?starts=" + prefix + "&from=" + after + "&block_ms=" + WATCH_BLOCK_MS;
     acquire(requests, RateLimiter.Urgency.INTERACTIVE);
     HttpClient.Response response =
-        recordAnswer(
-            watchHttp.call(
-                "GET", path, null, Constants.WATCH_BLOCK_MS + Constants.STORE_TIMEOUT_MS));
+        recordAnswer(watchHttp.call("GET", path, null, WATCH_BLOCK_MS + STORE_TIMEOUT_MS));
     backOffIfOverLimit(response);
     if (response.status() == 410) {
       return new WatchResponse(List.of(), after, true);
@@ -256,7 +283,7 @@
   private Outcome sendOnce(Map<String, Object> body) {
     try {
       HttpClient.Response response =
-          recordAnswer(http.call("POST", "/multi", Json.bytes(body), Constants.STORE_TIMEOUT_MS));
+          recordAnswer(http.call("POST", "/multi", Json.bytes(body), STORE_TIMEOUT_MS));
       switch (response.status()) {
         case 200 -> {
           return new Outcome.Committed(Json.integer(Json.object(response.body()), "epoch"));
@@ -294,12 +321,7 @@
   public boolean renew(long lease) throws IOException {
     String path = "/grants/" + lease + "/renew";
     HttpClient.Response response =
-        call(
-            RateLimiter.Urgency.LEASE,
-            "POST",
-            path,
-            new byte[0],
-            Constants.LEADER_LEASE_RENEW_TIMEOUT_MS);
+        call(RateLimiter.Urgency.LEASE, "POST", path, new byte[0], LEADER_LEASE_RENEW_TIMEOUT_MS);
     if (response.status() == 404) {
       return false;
     }
@@ -317,7 +339,7 @@
 
   private HttpClient.Response call(
       RateLimiter.Urgency urgency, String method, String path, byte[] body) throws IOException {
-    return call(urgency, method, path, body, Constants.STORE_TIMEOUT_MS);
+    return call(urgency, method, path, body, STORE_TIMEOUT_MS);
   }
 
   private HttpClient.Response call(
@@ -338,7 +360,7 @@
 
   private static void acquire(RateLimiter limiter, RateLimiter.Urgency urgency) throws IOException {
     try {
-      if (!limiter.acquire(urgency, 1, Constants.STORE_TIMEOUT_MS)) {
+      if (!limiter.acquire(urgency, 1, STORE_TIMEOUT_MS)) {
         throw new StoreException("over this node's share of the limits");
       }
     } catch (InterruptedException e) {
--- a/src/main/java/org/astershift/store/WatchCache.java
+++ b/src/main/java/org/astershift/store/WatchCache.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.astershift.config.Constants;
 import org.astershift.http.Threads;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -17,6 +16,10 @@
  */
 public class WatchCache {
   private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
+
+  /** Milliseconds after an answer to a watch until the next: each answer costs a request. */
+  private static final long WATCH_GAP_MS = 25;
+
   private final StoreClient store;
   private final TreeMap<String, StoreClient.Entry> entries = new TreeMap<>();
   private long revision = -1;
@@ -75,7 +78,7 @@
         } else if (response.revision() > revision) {
           apply(response.entries(), response.revision());
           // Each answer to a watch costs a request: changes close together come in one.
-          Thread.sleep(Constants.WATCH_GAP_MS);
+          Thread.sleep(WATCH_GAP_MS);
         }
       } catch (IOException | RuntimeException e) {
         LOG.debug("mirror: {}", e.toString());
--- a/src/main/java/org/astershift/worker/CommandSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.astershift.config.Constants;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
 import org.astershift.scheduler.Command;
@@ -17,6 +16,9 @@
 public final class CommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
 
+  /** Connections to workers that are kept for the next order. */
+  private static final int KEPT_WORKER_CONNECTIONS = 100;
+
   private static final int MAX_PORT = 65_535;
 
   /** The clients used last keep their connections; the others' sockets are for incoming ones. */
@@ -26,7 +28,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, HttpClient> eldest) {
-          boolean overLimit = size() > Constants.KEPT_WORKER_CONNECTIONS;
+          boolean overLimit = size() > KEPT_WORKER_CONNECTIONS;
           if (overLimit) {
             eldest.getValue().close();
           }
--- a/src/test/java/org/astershift/config/SizingTest.java
+++ b/src/test/java/org/astershift/config/SizingTest.java
@@ -4,32 +4,56 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.lang.reflect.Field;
+import java.lang.reflect.Modifier;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Whoever adds a count to the constants says at how many machines it binds. */
+/** Whoever adds a constant that is a count says at how many machines it binds. */
 class SizingTest {
   /** Constants with one of these units in their name are no counts. */
-  private static final String UNIT = ".*_(MS|S|NS)|STACK_BYTES";
+  private static final String UNIT = ".*_(MS|S|NS|STATUS)|STACK_BYTES|serialVersionUID";
 
   @Test
   void eachCountHasALineInTheOperatorsPage() throws Exception {
     String page = Files.readString(Path.of("docs/operations.md"));
     List<String> missing = new ArrayList<>();
     int counts = 0;
-    for (Field f : Constants.class.getDeclaredFields()) {
-      boolean whole = f.getType() == int.class || f.getType() == long.class;
-      if (whole && !f.getName().matches(UNIT)) {
-        counts++;
-        if (!page.contains("`" + f.getName() + "`")) {
-          missing.add(f.getName());
+    for (Class<?> type : programClasses()) {
+      for (Field field : type.getDeclaredFields()) {
+        if (isCount(field)) {
+          counts++;
+          if (!page.contains("`" + field.getName() + "`")) {
+            missing.add(type.getSimpleName() + "." + field.getName());
+          }
         }
       }
     }
     assertEquals(List.of(), missing, "docs/operations.md, What binds where");
     assertTrue(counts > 30, "it looks at " + counts);
   }
+
+  private static boolean isCount(Field field) {
+    boolean constant =
+        Modifier.isStatic(field.getModifiers()) && Modifier.isFinal(field.getModifiers());
+    boolean whole = field.getType() == int.class || field.getType() == long.class;
+    return constant && whole && !field.isSynthetic() && !field.getName().matches(UNIT);
+  }
+
+  /** All classes of the program, loaded without running their initializers. */
+  private static List<Class<?>> programClasses() throws Exception {
+    Path root = Path.of(Settings.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    List<Class<?>> classes = new ArrayList<>();
+    try (Stream<Path> files = Files.walk(root)) {
+      for (Path file : files.filter(path -> path.toString().endsWith(".class")).toList()) {
+        String name = root.relativize(file).toString().replace('/', '.');
+        String binaryName = name.substring(0, name.length() - ".class".length());
+        classes.add(Class.forName(binaryName, false, SizingTest.class.getClassLoader()));
+      }
+    }
+    return classes;
+  }
 }
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -15,7 +15,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.astershift.config.Constants;
 import org.astershift.config.Settings;
 import org.astershift.emulator.Await;
 import org.astershift.emulator.WorkerEmulator;
@@ -269,7 +268,7 @@
     final long tookMs = LeaderTerm.nowMs() - beganMs;
     long saidMs = Long.parseLong(line.replaceAll(".* worst ([0-9]+) ms", "$1"));
     assertTrue(line.contains(" 1 confirmed, median " + saidMs + " ms"), line);
-    assertTrue(saidMs >= Constants.CANCEL_WAIT_MS && saidMs <= tookMs, line);
+    assertTrue(saidMs >= LoopTiming.CANCEL_WAIT_MS && saidMs <= tookMs, line);
     assertNull(term.cancellationSummary());
   }
 
--- a/src/test/java/org/astershift/controller/LeaderRecordsTest.java
+++ b/src/test/java/org/astershift/controller/LeaderRecordsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
-import org.astershift.config.Constants;
+import org.astershift.store.RecordCodec;
 import org.junit.jupiter.api.Test;
 
 /** How many pages of notes one transaction takes, whatever limits the settings give. */
@@ -16,15 +16,16 @@
   void noTransactionIsLargerThanTheStateServiceTakes() {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 10_000; i++) {
-      int[] bytes = random.ints(random.nextInt(1, 200), 0, Constants.MAX_PAGE_BYTES + 1).toArray();
+      int[] bytes =
+          random.ints(random.nextInt(1, 200), 0, RecordCodec.MAX_PAGE_BYTES + 1).toArray();
       int most = random.nextInt(2, 1000);
       int n = LeaderRecords.pagesPerTransaction(bytes, most);
-      int sum = Arrays.stream(bytes, 0, n).map(b -> b + Constants.PAGE_FRAME_BYTES).sum();
+      int sum = Arrays.stream(bytes, 0, n).map(b -> b + LeaderRecords.PAGE_FRAME_BYTES).sum();
       assertTrue(n >= 1 && n <= most && sum <= PROTOCOL_BYTES, n + " pages, " + sum + " bytes");
       boolean room = n < Math.min(bytes.length, most);
-      int next = room ? bytes[n] + Constants.PAGE_FRAME_BYTES : 0;
+      int next = room ? bytes[n] + LeaderRecords.PAGE_FRAME_BYTES : 0;
       assertTrue(
-          !room || sum + next > Constants.MAX_TRANSACTION_BYTES,
+          !room || sum + next > LeaderRecords.MAX_TRANSACTION_BYTES,
           "no more than needed is left for later");
     }
   }
@@ -32,7 +33,7 @@
   @Test
   void fullPagesOfALargeFleetNeedSeveralOfThem() {
     int[] full = new int[48];
-    Arrays.fill(full, Constants.MAX_PAGE_BYTES);
+    Arrays.fill(full, RecordCodec.MAX_PAGE_BYTES);
     assertEquals(11, LeaderRecords.pagesPerTransaction(full, 48));
     assertEquals(8, LeaderRecords.pagesPerTransaction(full, 8));
   }
--- a/src/test/java/org/astershift/coordination/CandidacyTest.java
+++ b/src/test/java/org/astershift/coordination/CandidacyTest.java
@@ -7,7 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.astershift.config.Constants;
 import org.astershift.coordination.Candidacy.LeadershipTransfer;
 import org.astershift.coordination.Candidacy.PeerStatus;
 import org.astershift.coordination.WorkerReachability.Measurement;
@@ -18,7 +17,7 @@
   private static final Measurement ALL = new Measurement(12, 12);
   private static final Measurement HALF = new Measurement(12, 6);
   private static final Measurement NONE = new Measurement(12, 0);
-  private static final long LATER = 1000 + Constants.HANDOVER_MIN_TERM_MS;
+  private static final long LATER = 1000 + Candidacy.HANDOVER_MIN_TERM_MS;
 
   private static PeerStatus told(Measurement seen) {
     return new PeerStatus(seen.equals(ALL) ? "whole" : "less", true, seen);
@@ -28,8 +27,8 @@
   void whoReachesFewWorkersLetsTheOthersStandFirst() {
     Candidacy c = new Candidacy();
     assertFalse(c.shouldStand(NONE, 1000));
-    assertFalse(c.shouldStand(NONE, 1000 + Constants.CANDIDACY_DELAY_MS - 1));
-    assertTrue(c.shouldStand(NONE, 1000 + Constants.CANDIDACY_DELAY_MS), "nobody else stood");
+    assertFalse(c.shouldStand(NONE, 1000 + Candidacy.CANDIDACY_DELAY_MS - 1));
+    assertTrue(c.shouldStand(NONE, 1000 + Candidacy.CANDIDACY_DELAY_MS), "nobody else stood");
     c.onHolderObserved("other", 10_000);
     assertFalse(c.shouldStand(NONE, 20_000), "the others have their turn each time it is free");
     for (Measurement seen : List.of(ALL, HALF, Measurement.UNKNOWN, new Measurement(2, 0))) {
@@ -42,7 +41,7 @@
     Candidacy c = new Candidacy();
     c.deferToSuccessor(1000);
     assertFalse(c.shouldStand(ALL, 1500));
-    assertTrue(c.shouldStand(ALL, 1000 + Constants.CANDIDACY_DELAY_MS), "it did not");
+    assertTrue(c.shouldStand(ALL, 1000 + Candidacy.CANDIDACY_DELAY_MS), "it did not");
   }
 
   @Test
@@ -102,7 +101,7 @@
     assertTrue(reach.measurement(6500).reachesFew(), "cut off two samples ago");
     assertEquals(new Measurement(12, 2), reach.measurement(6500));
     assertFalse(
-        reach.measurement(6000 + Constants.REACHABILITY_SAMPLE_VALID_MS + 1).known(),
+        reach.measurement(6000 + WorkerReachability.REACHABILITY_SAMPLE_VALID_MS + 1).known(),
         "too old to say anything");
     reach.onSample(6, 6, 16_000);
     reach.onSample(6, 0, 18_000);
--- a/src/test/java/org/astershift/coordination/StoreReachabilityTest.java
+++ b/src/test/java/org/astershift/coordination/StoreReachabilityTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.astershift.config.Constants;
 import org.astershift.coordination.StoreReachability.Verdict;
 import org.junit.jupiter.api.Test;
 
@@ -21,9 +20,11 @@
   void whoHearsNobodyAtAllIsCutOffAfterAWhile() {
     assertEquals(Verdict.OUTAGE, reach.onPeersAsked(4, 0, false, 1000));
     assertEquals(
-        Verdict.OUTAGE, reach.onPeersAsked(4, 0, false, 1000 + Constants.ISOLATED_AFTER_MS - 1));
+        Verdict.OUTAGE,
+        reach.onPeersAsked(4, 0, false, 1000 + StoreReachability.ISOLATED_AFTER_MS - 1));
     assertEquals(
-        Verdict.ISOLATED, reach.onPeersAsked(4, 0, false, 1000 + Constants.ISOLATED_AFTER_MS));
+        Verdict.ISOLATED,
+        reach.onPeersAsked(4, 0, false, 1000 + StoreReachability.ISOLATED_AFTER_MS));
     // One that answers ends it, and so does the state service: the time counts anew.
     assertEquals(Verdict.OUTAGE, reach.onPeersAsked(4, 1, false, 20_000));
     assertEquals(Verdict.OUTAGE, reach.onPeersAsked(4, 0, false, 20_500));
--- a/src/test/java/org/astershift/coordination/TermJobsTest.java
+++ b/src/test/java/org/astershift/coordination/TermJobsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.astershift.config.Constants;
+import org.astershift.store.StoreClient;
 import org.junit.jupiter.api.Test;
 
 /** How old the news of a job may be that a thread brings after the job's end. */
@@ -17,11 +17,12 @@
    */
   @Test
   void newsOfEndedJobsIsRefusedForLongerThanARequestLives() {
-    for (double endsPerS : new double[] {4, 180 * Constants.LEADER_STORE_SHARE / CHANGES_AN_END}) {
+    for (double endsPerS :
+        new double[] {4, 180 * StoreClient.LEADER_STORE_SHARE / CHANGES_AN_END}) {
       TermJobs ledger = new TermJobs(5);
       ledger.onLoaded();
-      double oldestS = Constants.ENDED_IN_TERM_JOBS / endsPerS;
-      long requestMs = Constants.WATCH_BLOCK_MS + Constants.STORE_TIMEOUT_MS;
+      double oldestS = TermJobs.ENDED_IN_TERM_JOBS / endsPerS;
+      long requestMs = StoreClient.WATCH_BLOCK_MS + StoreClient.STORE_TIMEOUT_MS;
       assertTrue(oldestS * 1000 > 10 * requestMs, oldestS + " s");
       int ends = (int) (endsPerS * 10 * requestMs / 1000);
       for (int i = 0; i < ends; i++) {
--- a/src/test/java/org/astershift/emulator/StoreEmulator.java
+++ b/src/test/java/org/astershift/emulator/StoreEmulator.java
@@ -12,11 +12,11 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.astershift.config.Constants;
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
+import org.astershift.store.StoreClient;
 
 /**
  * A state service in memory, by its published protocol; it can be down, and it can carry
@@ -339,7 +339,7 @@
       return new Response(200, new byte[0], 0);
     }
     unanswered.addAll(keys);
-    long until = now() + 2 * Constants.STORE_TIMEOUT_MS;
+    long until = now() + 2 * StoreClient.STORE_TIMEOUT_MS;
     while (now() < until && lostShare > 0) {
       wait(Math.max(1, until - now()));
     }
--- a/src/test/java/org/astershift/golden/StoredRecordsTest.java
+++ b/src/test/java/org/astershift/golden/StoredRecordsTest.java
@@ -10,7 +10,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.astershift.config.Constants;
 import org.astershift.http.Json;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.JobKind;
@@ -115,7 +114,7 @@
         .add("notes", RecordCodec.PAGES)
         .add("ended", RecordCodec.ENDED)
         .add("progress", RecordCodec.progressKey(ID, 3))
-        .add("tasks of a segment", String.valueOf(Constants.SEGMENT_TASKS))
+        .add("tasks of a segment", String.valueOf(RecordCodec.SEGMENT_TASKS))
         .add("segments of 1", String.valueOf(RecordCodec.segmentCount(1)))
         .add("segments of 100000", String.valueOf(RecordCodec.segmentCount(100_000)))
         .check();
@@ -195,10 +194,11 @@
   @Test
   void progress() throws Exception {
     BitSet done = new BitSet();
-    for (int i : new int[] {0, 1, 9, 40, Constants.SEGMENT_TASKS - 1, Constants.SEGMENT_TASKS}) {
+    for (int i :
+        new int[] {0, 1, 9, 40, RecordCodec.SEGMENT_TASKS - 1, RecordCodec.SEGMENT_TASKS}) {
       done.set(i);
     }
-    done.set(2 * Constants.SEGMENT_TASKS + 77);
+    done.set(2 * RecordCodec.SEGMENT_TASKS + 77);
     Golden g = new Golden("records-progress");
     for (int segment = 0; segment < 4; segment++) {
       g.add(RecordCodec.progressKey(ID, segment), Json.bytes(RecordCodec.segment(done, segment)));
--- a/src/test/java/org/astershift/http/ConnectionSlotsTest.java
+++ b/src/test/java/org/astershift/http/ConnectionSlotsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.astershift.config.Constants;
+import org.astershift.config.ThreadBudget;
 import org.astershift.http.ConnectionSlots.Connection;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -184,14 +184,15 @@
   @ParameterizedTest
   @ValueSource(ints = {16, 1200, 1500, 2411, 3473, 1_000_000})
   void threadsStayWithinTheirLimit(int sockets) {
-    int connections = Constants.maxConnections(sockets);
+    int connections = ThreadBudget.maxConnections(sockets);
     int pools =
-        Constants.COMMAND_THREADS
-            + Constants.MACHINE_PROBE_THREADS
-            + Constants.PROVISION_THREADS
-            + Constants.RELEASE_THREADS;
-    int rest = Constants.PEER_CONNECTIONS + Constants.LOOP_THREADS + Constants.RUNTIME_THREADS;
+        ThreadBudget.COMMAND_THREADS
+            + ThreadBudget.MACHINE_PROBE_THREADS
+            + ThreadBudget.PROVISION_THREADS
+            + ThreadBudget.RELEASE_THREADS;
+    int rest =
+        ThreadBudget.PEER_CONNECTIONS + ThreadBudget.LOOP_THREADS + ThreadBudget.RUNTIME_THREADS;
     assertTrue(connections > 0 && connections <= sockets);
-    assertTrue(connections + pools + rest <= 0.9 * Constants.MAX_THREADS);
+    assertTrue(connections + pools + rest <= 0.9 * ThreadBudget.MAX_THREADS);
   }
 }
--- a/src/test/java/org/astershift/http/HostileInputTest.java
+++ b/src/test/java/org/astershift/http/HostileInputTest.java
@@ -6,7 +6,6 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import org.astershift.config.Constants;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -42,7 +41,8 @@
 
   @org.junit.jupiter.api.Test
   void endlessHeadersAreRefused() throws Exception {
-    String head = "GET / HTTP/1.1\r\nA: " + "x".repeat(Constants.MAX_HEAD_BYTES) + "\r\n\r\n";
+    String head =
+        "GET / HTTP/1.1\r\nA: " + "x".repeat(HttpMessageReader.MAX_HEAD_BYTES) + "\r\n\r\n";
     assertEquals("HTTP/1.1 431", exchange(head).substring(0, 12));
   }
 
--- a/src/test/java/org/astershift/http/HttpClientTest.java
+++ b/src/test/java/org/astershift/http/HttpClientTest.java
@@ -11,7 +11,6 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.FutureTask;
-import org.astershift.config.Constants;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -78,7 +77,7 @@
     try (socket) {
       HttpMessageReader wire = new HttpMessageReader(socket);
       while (wire.awaitFirstByte()) {
-        wire.readRequest(Constants.MAX_REQUEST_BODY_BYTES);
+        wire.readRequest(HttpServer.MAX_REQUEST_BODY_BYTES);
         all.countDown();
         all.await();
         socket.getOutputStream().write(OK);
--- a/src/test/java/org/astershift/scheduler/CommandConcurrencyLimitTest.java
+++ b/src/test/java/org/astershift/scheduler/CommandConcurrencyLimitTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.astershift.config.Constants;
 import org.junit.jupiter.api.Test;
 
 /** How many direct orders may be under way follows from how they are answered. */
@@ -25,39 +24,40 @@
 
   @Test
   void growsWithAnswersInTimeAndIsHalvedOnceForALateRound() {
-    assertEquals(Constants.CONCURRENT_COMMANDS_INITIAL, round(0, 5));
+    assertEquals(CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL, round(0, 5));
     int grown = round(1000, 5);
-    assertEquals(2 * Constants.CONCURRENT_COMMANDS_INITIAL, grown);
+    assertEquals(2 * CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL, grown);
     assertEquals(2 * grown, round(2000, 3000), "all late");
     assertEquals(grown, round(6000, 3000), "halved once for the whole round");
     for (int i = 0; i < 20; i++) {
       round(10_000 + 4000L * i, 3000);
     }
-    assertEquals(Constants.CONCURRENT_COMMANDS_MIN, round(200_000, 5), "some always go");
+    assertEquals(
+        CommandConcurrencyLimit.CONCURRENT_COMMANDS_MIN, round(200_000, 5), "some always go");
   }
 
   /** Dead machines, of which a zone may have hundreds, say nothing of this node. */
   @Test
   void ordersWithoutAnAnswerDoNotLowerIt() {
-    for (int i = 0; i < Constants.CONCURRENT_COMMANDS_INITIAL; i++) {
+    for (int i = 0; i < CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL; i++) {
       budget.onSent("vm-" + i, 0);
     }
     assertFalse(budget.hasCapacity());
-    for (int i = 0; i < Constants.CONCURRENT_COMMANDS_INITIAL; i++) {
+    for (int i = 0; i < CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL; i++) {
       budget.onSettled("vm-" + i, false, 2500);
     }
-    assertEquals(Constants.CONCURRENT_COMMANDS_INITIAL, round(3000, 5));
+    assertEquals(CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL, round(3000, 5));
   }
 
   /** The end of an order to a machine that is gone meanwhile may never be told. */
   @Test
   void aLostOrderHoldsNoPlaceForEver() {
-    for (int i = 0; i < Constants.CONCURRENT_COMMANDS_INITIAL; i++) {
+    for (int i = 0; i < CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL; i++) {
       budget.onSent("vm-" + i, 0);
     }
-    budget.removeLost(Constants.COMMAND_LOST_MS);
+    budget.removeLost(CommandConcurrencyLimit.COMMAND_LOST_MS);
     assertFalse(budget.hasCapacity());
-    budget.removeLost(Constants.COMMAND_LOST_MS + 1);
+    budget.removeLost(CommandConcurrencyLimit.COMMAND_LOST_MS + 1);
     assertTrue(budget.hasCapacity());
   }
 }
--- a/src/test/java/org/astershift/scheduler/EligibilityTest.java
+++ b/src/test/java/org/astershift/scheduler/EligibilityTest.java
@@ -8,7 +8,6 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import org.astershift.config.Constants;
 import org.astershift.simulation.JobDraft;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -236,7 +235,7 @@
         }
         scheduler.onProvisioningStarted("r", r);
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < Math.min(r.count(), Constants.PROVISION_BATCH_MACHINES); i++) {
+        for (int i = 0; i < Math.min(r.count(), ScaleOut.PROVISION_BATCH_MACHINES); i++) {
           String name = "vm-" + ++made;
           Box box = new Box();
           box.type = types.get(r.typeName());
@@ -311,7 +310,7 @@
         assertTrue(n * spec.cpus() <= box.type.cpus() + tolerance, spec::toString);
         assertTrue(n * spec.gpus() <= box.type.gpus() + tolerance, spec::toString);
         assertTrue(n * spec.memoryGb() <= box.type.memoryGb() + tolerance, spec::toString);
-        assertTrue(box.tasks.size() <= Constants.MAX_TASKS_PER_MACHINE, spec::toString);
+        assertTrue(box.tasks.size() <= MachineType.MAX_TASKS_PER_MACHINE, spec::toString);
         assertTrue(
             n == 0 || spec.machineTypes() == null || spec.machineTypes().contains(box.type.name()));
         assertTrue(n == 0 || spec.zone() == null || spec.zone().equals(box.zone));
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import org.astershift.EventDigest;
 import org.astershift.SeedArguments;
-import org.astershift.config.Constants;
+import org.astershift.config.ClockBounds;
 import org.astershift.config.OperatorSettings;
 import org.astershift.coordination.Cancellation;
 import org.astershift.coordination.TermJobs;
@@ -438,7 +438,7 @@
     final long token;
     final Scheduler scheduler;
     final TermJobs ledger;
-    final double rate = 1 + (random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT_SHARE;
+    final double rate = 1 + (random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
     final long offset = random.nextInt(1_000_000);
     final Map<String, Long> cutUntil = new HashMap<>();
     final Map<String, Boolean> held = new HashMap<>();
@@ -534,7 +534,7 @@
       }
       if (!outage && !storeCut && !paused && store.holder == this) {
         store.keyEndsMs = now + KEY_MS;
-        long sole = clock() + (long) (KEY_MS * (1 - 2 * Constants.CLOCK_DRIFT_SHARE)) - 50;
+        long sole = clock() + (long) (KEY_MS * (1 - 2 * ClockBounds.CLOCK_DRIFT_SHARE)) - 50;
         after(random.nextInt(20), () -> handle(() -> soleUntilMs = Math.max(soleUntilMs, sole)));
       }
       after(300, this::renew);
@@ -966,7 +966,7 @@
     final String name;
     final String type;
     final boolean spot;
-    final double rate = 1 + (random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT_SHARE;
+    final double rate = 1 + (random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
     final String zone;
     boolean faulty;
     long createdMs;
--- a/src/test/java/org/astershift/simulation/ControllerModel.java
+++ b/src/test/java/org/astershift/simulation/ControllerModel.java
@@ -10,13 +10,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.astershift.config.Constants;
+import org.astershift.controller.LoopTiming;
 import org.astershift.coordination.Cancellation;
 import org.astershift.coordination.Candidacy;
 import org.astershift.coordination.Election;
 import org.astershift.coordination.Election.Action;
 import org.astershift.coordination.TermJobs;
 import org.astershift.coordination.WorkerReachability;
+import org.astershift.http.Threads;
+import org.astershift.peer.PeerClient;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.DeploymentLimits;
@@ -30,6 +32,7 @@
 import org.astershift.simulation.StoreModel.Outcome;
 import org.astershift.simulation.StoreModel.Row;
 import org.astershift.simulation.StoreModel.Write;
+import org.astershift.store.StoreClient;
 
 /**
  * A controller: the program's own decisions ({@link Election}, {@link Candidacy}, {@link
@@ -137,8 +140,8 @@
     reads = new HashMap<>();
     poll();
     elect();
-    every(Constants.REACHABILITY_SAMPLE_INTERVAL_MS, this::sample);
-    every(Constants.REACHABILITY_QUERY_INTERVAL_MS, this::lookAround);
+    every(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS, this::sample);
+    every(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS, this::lookAround);
   }
 
   /**
@@ -168,7 +171,7 @@
     long from = mirrored;
     // A watch that hangs is given up late, and the mirror lags that long.
     state(
-        mirrored < 0 ? STORE_MS : STORE_MS + world.random.nextLong(Constants.WATCH_BLOCK_MS),
+        mirrored < 0 ? STORE_MS : STORE_MS + world.random.nextLong(StoreClient.WATCH_BLOCK_MS),
         () -> new Object[] {world.store.since(name, from), world.store.revision()},
         (Object[] got) -> {
           if (got != null) {
@@ -192,7 +195,7 @@
               rest(0); // one round at a time, as in the program
             }
           }
-          later(got == null ? Constants.RETRY_BACKOFF_MS : POLL_MS, this::poll);
+          later(got == null ? Threads.RETRY_BACKOFF_MS : POLL_MS, this::poll);
         });
   }
 
@@ -224,10 +227,10 @@
     Action act = election.next(view());
     long restMs =
         election.token() == 0
-            ? Constants.ELECTION_POLL_INTERVAL_MS
-            : Constants.LEADER_LEASE_RENEW_INTERVAL_MS;
+            ? LoopTiming.ELECTION_POLL_INTERVAL_MS
+            : LoopTiming.LEADER_LEASE_RENEW_INTERVAL_MS;
     if (act instanceof Action.ReadKey) {
-      state(() -> world.store.revision(), r -> rest(r == null ? Constants.RETRY_BACKOFF_MS : 0));
+      state(() -> world.store.revision(), r -> rest(r == null ? Threads.RETRY_BACKOFF_MS : 0));
     } else if (act instanceof Action.RemoveStaleKey r) {
       commit(
           Map.of(StoreModel.LEADER, r.revision()),
@@ -240,7 +243,7 @@
             if (lease != null) {
               election.onLeaseGranted(lease);
             }
-            rest(lease == null ? Constants.RETRY_BACKOFF_MS : 0);
+            rest(lease == null ? Threads.RETRY_BACKOFF_MS : 0);
           });
     } else if (act instanceof Action.CreateKey c) {
       world.lateReports.at(DelayedHeartbeats.Moment.STANDS, this);
@@ -272,7 +275,7 @@
             rest(0);
           });
     } else if (act instanceof Action.CatchUp c) {
-      catchUp(c.revision(), clock() + Constants.LEADER_LEASE_MS);
+      catchUp(c.revision(), clock() + Election.LEADER_LEASE_MS);
     } else if (act instanceof Action.BeginTerm b) {
       begin(b.token());
       rest(restMs);
@@ -281,7 +284,7 @@
           () -> world.store.renew(r.lease()),
           ok -> {
             election.onLeaseRenewed(ok);
-            rest(ok == null ? Constants.RETRY_BACKOFF_MS : election.token() == 0 ? 0 : restMs);
+            rest(ok == null ? Threads.RETRY_BACKOFF_MS : election.token() == 0 ? 0 : restMs);
           });
     } else {
       ended(List.of(act));
@@ -329,14 +332,14 @@
                 roster.add(machine);
               }
             });
-    int asked = Math.min(Constants.REACHABILITY_SAMPLE_MACHINES, roster.size());
+    int asked = Math.min(LoopTiming.REACHABILITY_SAMPLE_MACHINES, roster.size());
     long atMs = clock();
     int[] answers = new int[2];
     for (int i = 0; i < asked; i++) {
       String machine = roster.remove(world.random.nextInt(roster.size()));
       show(
           machine,
-          Constants.MACHINE_PROBE_TIMEOUT_MS,
+          Scheduler.MACHINE_PROBE_TIMEOUT_MS,
           yes -> {
             answers[0]++;
             answers[1] += yes ? 1 : 0;
@@ -404,7 +407,7 @@
                       StoreModel.LEADER, new Row(StoreModel.LEADER, "", 0, 0)));
             }
           },
-          Constants.REACHABILITY_QUERY_TIMEOUT_MS,
+          LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
           this::told);
       return;
     }
@@ -418,7 +421,7 @@
             answer.accept(
                 new Candidacy.PeerStatus(
                     other.name, !other.lost(), other.reach.measurement(other.clock()))),
-        Constants.REACHABILITY_QUERY_TIMEOUT_MS,
+        LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
         told -> handOver(t, new ArrayList<>(told.values())));
   }
 
@@ -433,7 +436,7 @@
                 answer.accept(other.reach.measurement(other.clock()));
               }
             },
-            Constants.REACHABILITY_QUERY_TIMEOUT_MS,
+            LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
             (Map<String, WorkerReachability.Measurement> seen) -> {
               boolean deaf =
                   seen.values().stream().anyMatch(WorkerReachability.Measurement::reachesFew);
@@ -463,7 +466,7 @@
           }
           answer.accept(true);
         },
-        Constants.REACHABILITY_QUERY_TIMEOUT_MS,
+        LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
         ok -> ended(election.resign(t.token, "hands over to " + wish.successor(), clock())));
   }
 
@@ -549,13 +552,13 @@
       return;
     }
     decide(t);
-    t.dueMs = clock() + Constants.PASS_INTERVAL_MS;
-    later(Constants.PASS_INTERVAL_MS, () -> pass(t));
+    t.dueMs = clock() + LoopTiming.PASS_INTERVAL_MS;
+    later(LoopTiming.PASS_INTERVAL_MS, () -> pass(t));
   }
 
   /** As in the program, whatever brought the pass about: it may come after a standstill. */
   private void decide(Term t) {
-    if (clock() - t.dueMs > Constants.PROCESS_PAUSE_MS) {
+    if (clock() - t.dueMs > LoopTiming.PROCESS_PAUSE_MS) {
       t.scheduler.onProcessResumed(clock());
     }
     long soleMs =
@@ -572,7 +575,7 @@
     if (!t.stirred) {
       t.stirred = true;
       later(
-          Constants.PASS_MIN_GAP_MS,
+          LoopTiming.PASS_MIN_GAP_MS,
           () -> {
             t.stirred = false;
             if (t == term) {
@@ -628,7 +631,7 @@
       others(
           (ControllerModel other, Consumer<Decision.PeerProbeResult> answer) ->
               other.witness(w, answer),
-          Constants.PEER_TIMEOUT_MS,
+          PeerClient.PEER_TIMEOUT_MS,
           (Map<String, Decision.PeerProbeResult> told) -> {
             if (t == term) {
               t.scheduler.onPeerProbeResults(w, new ArrayList<>(told.values()));
@@ -645,7 +648,7 @@
     for (Decision.MachineAddress m : all) {
       show(
           m.address(),
-          Constants.PEER_PROBE_TIMEOUT_MS,
+          Scheduler.PEER_PROBE_TIMEOUT_MS,
           answers -> {
             boolean control = w.controls().contains(m);
             boolean said = has(Mutation.DEAF_WITNESSES) ? control : answers;
@@ -826,7 +829,7 @@
             return;
           }
           if (names == null) {
-            later(Constants.CLOUD_RETRY_BACKOFF_MS, () -> rent(t, request, r));
+            later(LoopTiming.CLOUD_RETRY_BACKOFF_MS, () -> rent(t, request, r));
             return;
           }
           int[] left = {1};
@@ -867,7 +870,7 @@
             t.scheduler.onMachinesReleased(r.machineNames(), clock());
           } else if (t == term) {
             later(
-                Constants.CLOUD_RETRY_BACKOFF_MS,
+                LoopTiming.CLOUD_RETRY_BACKOFF_MS,
                 () -> t.scheduler.onReleaseFailed(r.machineNames()));
           }
         });
@@ -886,7 +889,7 @@
           if (t == term && listed != null) {
             t.scheduler.onMachineList(listed, asked, clock());
           }
-          later(Constants.MACHINE_LIST_INTERVAL_MS, () -> list(t));
+          later(LoopTiming.MACHINE_LIST_INTERVAL_MS, () -> list(t));
         });
   }
 
@@ -899,7 +902,7 @@
         .forEach(
             (job, done) ->
                 note(t, "p/" + job, done, () -> t.scheduler.onProgressPersisted(job, done)));
-    later(Constants.PROGRESS_SAVE_INTERVAL_MS, () -> save(t));
+    later(LoopTiming.PROGRESS_SAVE_INTERVAL_MS, () -> save(t));
   }
 
   // ---- writes, each conditional on the leader's key ----
@@ -958,7 +961,7 @@
       ended(election.stepDown(t.token, "a write found another leader"));
     } else {
       n.dirty = true;
-      later(Constants.RETRY_BACKOFF_MS, () -> reread(t, key, n, o));
+      later(Threads.RETRY_BACKOFF_MS, () -> reread(t, key, n, o));
     }
   }
 
@@ -1051,7 +1054,7 @@
         incarnation(),
         () -> {
           if (!crashed()) {
-            long untilMs = clock() + Constants.CANCEL_WAIT_MS;
+            long untilMs = clock() + LoopTiming.CANCEL_WAIT_MS;
             cancelOn(new Wish(job, term, forward, untilMs, answer), false);
           }
         });
@@ -1107,10 +1110,10 @@
                 if (end != null) {
                   w.answer().accept(phase(end));
                 } else {
-                  later(Constants.CANCEL_POLL_INTERVAL_MS, () -> cancelOn(w, read));
+                  later(LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> cancelOn(w, read));
                 }
               });
-      case WAIT -> later(Constants.CANCEL_POLL_INTERVAL_MS, () -> cancelOn(w, read));
+      case WAIT -> later(LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> cancelOn(w, read));
       default -> w.answer().accept("503");
     }
   }
@@ -1123,7 +1126,7 @@
     }
     call(
         other.name,
-        Constants.PEER_TIMEOUT_MS,
+        PeerClient.PEER_TIMEOUT_MS,
         (Consumer<String> a) -> other.cancel(w.job(), false, a),
         (String said) -> {
           String known = said == null ? "503" : said;
@@ -1185,7 +1188,8 @@
     if (t.endsBusy || t.ends.isEmpty() || t != term) {
       return;
     }
-    List<String> some = t.ends.subList(0, Math.min(Constants.COMPLETION_BATCH_JOBS, t.ends.size()));
+    List<String> some =
+        t.ends.subList(0, Math.min(LoopTiming.COMPLETION_BATCH_JOBS, t.ends.size()));
     List<String> jobs = some.stream().filter(t.ledger::manages).toList();
     some.clear();
     if (jobs.isEmpty()) {
@@ -1232,7 +1236,7 @@
   private void endAgain(Term t, String job) {
     if (t != null && t == term) {
       later(
-          Constants.RETRY_BACKOFF_MS,
+          Threads.RETRY_BACKOFF_MS,
           () -> t.scheduler.onDecisionFailed(new Decision.FinishJob(job)));
     }
   }
@@ -1305,7 +1309,7 @@
     }
     call(
         other.name,
-        Constants.PEER_TIMEOUT_MS,
+        PeerClient.PEER_TIMEOUT_MS,
         (Consumer<String> a) -> other.ask(job, false, a),
         (String said) -> {
           if (said == null || said.equals("503")) {
--- a/src/test/java/org/astershift/simulation/InvariantChecker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.stream.IntStream;
-import org.astershift.config.Constants;
 import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Scheduler;
 import org.astershift.scheduler.Team;
 
 /** What must never happen, and what users would call a failure, over the whole history. */
@@ -228,7 +228,7 @@
       WorkerModel w = world.workers.get(machine);
       for (ControllerModel n : world.nodes) {
         // Nor one that the leader cannot make listen while everything opened before waits for it.
-        boolean holdsUp = leader.starting() && leader.ledMs() > Constants.UNFENCED_RELEASE_MS;
+        boolean holdsUp = leader.starting() && leader.ledMs() > Scheduler.UNFENCED_RELEASE_MS;
         boolean asked = n == leader || (!holdsUp && world.reaches(leader.name, n.name));
         // Not just after a path came back: nobody can know yet that it reaches them again.
         boolean settled = world.now() - world.changedMs() >= JUST_NOW_MS;
--- a/src/test/java/org/astershift/simulation/ProcessModel.java
+++ b/src/test/java/org/astershift/simulation/ProcessModel.java
@@ -2,7 +2,8 @@
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.astershift.config.Constants;
+import org.astershift.config.ClockBounds;
+import org.astershift.store.StoreClient;
 
 /**
  * A process of a controller: its clock, what it does later, and its requests to other hosts. It may
@@ -24,7 +25,7 @@
   ProcessModel(Simulation world, String name) {
     this.world = world;
     this.name = name;
-    this.drift = (world.random.nextDouble() - 0.5) * Constants.CLOCK_DRIFT_SHARE;
+    this.drift = (world.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
   }
 
   /** A process begins, with nothing of what an earlier one was about to do. */
@@ -138,6 +139,6 @@
 
   /** It has not for too long. */
   boolean lost() {
-    return clock() - servedMs > Constants.STORE_OUTAGE_CHECK_AFTER_MS;
+    return clock() - servedMs > StoreClient.STORE_OUTAGE_CHECK_AFTER_MS;
   }
 }
--- a/src/test/java/org/astershift/simulation/RandomizedScenario.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenario.java
@@ -158,7 +158,8 @@
       setup = new Setup(nodes, 20 + r.nextInt(20), zones, 2000, 14_000);
       kinds = 1 + r.nextInt((1 << KINDS) - 1);
       limited = r.nextInt(3) == 0;
-      userKinds = r.nextInt(1 << USER_KINDS) & r.nextInt(1 << USER_KINDS);
+      int likelyKinds = r.nextInt(1 << USER_KINDS);
+      userKinds = likelyKinds & r.nextInt(1 << USER_KINDS); // each kind in a quarter of the seeds
       kept = r.nextInt(3) == 0 ? 0.2 : 0;
       heldBack = r.nextInt(3) == 0 ? 0.02 + 0.2 * r.nextDouble() : 0;
       teams = r.nextInt(3) == 0;
--- a/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import org.astershift.config.Constants;
+import org.astershift.controller.LoopTiming;
 import org.astershift.scheduler.JobKind;
 import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
@@ -322,7 +322,7 @@
     // What nothing starts after is waited for; yet on a quiet day hardly anybody has to ask again.
     Collections.sort(quietMs);
     long most = quietMs.get(quietMs.size() * 98 / 100);
-    assertTrue(most < Constants.CANCEL_WAIT_MS, quietMs.toString());
+    assertTrue(most < LoopTiming.CANCEL_WAIT_MS, quietMs.toString());
     assertMissed(
         Mutation.CONFIRMS_WHILE_STARTING,
         seed -> stream(seed, Change.NONE, Mutation.CONFIRMS_WHILE_STARTING));
--- a/src/test/java/org/astershift/store/RecordCodecTest.java
+++ b/src/test/java/org/astershift/store/RecordCodecTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.BitSet;
-import org.astershift.config.Constants;
 import org.junit.jupiter.api.Test;
 
 /** Progress of the largest job fits pages of notes, whatever the pattern. */
@@ -18,7 +17,7 @@
     BitSet back = new BitSet();
     for (int segment = 0; segment < RecordCodec.segmentCount(100_000); segment++) {
       String value = RecordCodec.segment(done, segment);
-      assertTrue(value.length() <= Constants.MAX_PAGE_BYTES, "segment of " + value.length());
+      assertTrue(value.length() <= RecordCodec.MAX_PAGE_BYTES, "segment of " + value.length());
       assertEquals(
           "wk-1", RecordCodec.mergeSegment(back, RecordCodec.progressKey("wk-1", segment), value));
     }
--- a/src/test/java/org/astershift/store/StoreClientTest.java
+++ b/src/test/java/org/astershift/store/StoreClientTest.java
@@ -15,7 +15,6 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.astershift.config.Constants;
 import org.astershift.emulator.Await;
 import org.astershift.emulator.Emulators;
 import org.astershift.emulator.StoreEmulator;
@@ -102,7 +101,7 @@
   /** Records come and go between the first page that is read and the last. */
   @Test
   void pagesOfDifferentMomentsBecomeOne() throws Exception {
-    int rows = Constants.MAX_LIST_ROWS * 3 / 2;
+    int rows = StoreClient.MAX_LIST_ROWS * 3 / 2;
     for (int i = 0; i < rows; i += 100) {
       StoreClient.Transaction some = new StoreClient.Transaction();
       for (int j = i; j < i + 100; j++) {
--- a/src/test/java/org/astershift/store/StoreLimitsTest.java
+++ b/src/test/java/org/astershift/store/StoreLimitsTest.java
@@ -9,7 +9,9 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.astershift.config.Constants;
+import org.astershift.config.ClockBounds;
+import org.astershift.controller.LoopTiming;
+import org.astershift.coordination.Election;
 import org.astershift.emulator.Emulators;
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Request;
@@ -57,7 +59,7 @@
             assertThrows(IOException.class, () -> store.get("l/x"));
           }
           double tookS = (System.nanoTime() - beganNs) / 1e9;
-          double leastS = (READS - 1) * Constants.STORE_EXHAUSTED_PAUSE_S;
+          double leastS = (READS - 1) * RateLimiter.STORE_EXHAUSTED_PAUSE_S;
           assertTrue(tookS >= leastS, READS + " reads over the limit took " + tookS + " s");
         });
   }
@@ -94,8 +96,8 @@
   @Test
   void twoTriesToRenewFitIntoTheLease() {
     long secondSentMs =
-        Constants.LEADER_LEASE_RENEW_INTERVAL_MS + Constants.LEADER_LEASE_RENEW_TIMEOUT_MS;
-    long lastsMs = Constants.LEADER_LEASE_MS - Constants.CLOCK_MARGIN_MS;
+        LoopTiming.LEADER_LEASE_RENEW_INTERVAL_MS + StoreClient.LEADER_LEASE_RENEW_TIMEOUT_MS;
+    long lastsMs = Election.LEADER_LEASE_MS - ClockBounds.CLOCK_MARGIN_MS;
     assertTrue(secondSentMs < lastsMs * 3 / 4, secondSentMs + " ms of " + lastsMs + " ms");
   }
 }
