--- a/src/test/java/org/astershift/scheduler/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -59,10 +59,10 @@
                   w.num("cpus_max", 0),
                   w.num("gpus", 0),
                   w.num("gpus_max", 0)));
-      case "aim" ->
+      case "objective" ->
           objectives.add(
               new ServiceLevelObjective("wait", plain.get(1), w.num("within", 1), 0.9, 1));
-      case "promise" -> cancelS = w.num("cancel", cancelS);
+      case "cancellation" -> cancelS = w.num("within", cancelS);
       case "policy" ->
           policy =
               new SchedulingPolicy(
@@ -85,7 +85,7 @@
                   w.num("spot", 0.3),
                   w.num("boot", 20),
                   List.of(w.text("zones", "a").split(","))));
-      case "others" -> others = true;
+      case "peers" -> others = true;
       case "inherit" ->
           core()
               .addInheritedMachine(
@@ -126,48 +126,48 @@
     Scheduler s = core();
     switch (p.get(1)) {
       case "job" -> s.addJob(spec(w), w.flag("opened"), new BitSet(), now);
-      case "report" -> {
+      case "heartbeat" -> {
         last.put(p.get(2), report(w));
         List<Command> answer = s.onHeartbeat(last.get(p.get(2)), now);
         return answer == null ? List.of("not answered") : orders(answer);
       }
-      case "alive" -> repeatLastHeartbeats(now, p.subList(2, p.size()));
+      case "heartbeats" -> repeatLastHeartbeats(now, p.subList(2, p.size()));
       case "answered" -> s.onCommandResult(p.get(2), false, report(w), now);
       case "unanswered" -> s.onCommandResult(p.get(2), true, null, now);
       case "unsent" -> s.onCommandResult(p.get(2), false, null, now);
       case "pass" -> {
-        return pass(now, (long) (w.num("sole", 1e9) * 1000));
+        return pass(now, (long) (w.num("lease_certain", 1e9) * 1000));
       }
-      case "turn" -> {
+      case "dispatch" -> {
         // The turn of a direct order that a pass decided, to be sent now.
         Decision.SendCommands d = directs.get(p.get(2));
-        boolean sole = now < (long) (w.num("sole", 1e9) * 1000);
+        boolean sole = now < (long) (w.num("lease_certain", 1e9) * 1000);
         return s.directCommandsStillDue(d, now)
             ? orders(s.commandsStillWanted(d, sole))
             : List.of("not due");
       }
-      case "resumed" -> s.onProcessResumed(now);
+      case "process_resumed" -> s.onProcessResumed(now);
       case "opened" -> s.onJobOpened(p.get(2));
-      case "remembered" -> s.restorePlacement(p.get(2), p.subList(3, p.size()));
-      case "enrolled" -> s.onMachineRegistered(p.get(2));
+      case "placement" -> s.restorePlacement(p.get(2), p.subList(3, p.size()));
+      case "registered" -> s.onMachineRegistered(p.get(2));
       case "ended" -> s.onJobEnded(p.get(2), w.flag("cancelled"), now);
       case "cancel" -> {
         s.requestCancellation(p.get(2));
         String may = s.mayStart(p.get(2)) ? ", may start" : "";
-        return List.of("keepable " + s.canConfirmCancellation(p.get(2)) + may);
+        return List.of("confirmable " + s.canConfirmCancellation(p.get(2)) + may);
       }
-      case "returned" -> s.onMachinesReleased(List.of(p.get(2)), now);
-      case "rented" -> {
+      case "released" -> s.onMachinesReleased(List.of(p.get(2)), now);
+      case "provisioned" -> {
         s.onMachinesProvisioned(
             "r",
             List.of(p.get(2)),
             new Decision.ProvisionMachines(p.get(3), p.get(4), w.flag("spot"), 1),
             now);
-        if (!w.flag("fresh")) {
+        if (!w.flag("unregistered")) {
           s.onMachineRegistered(p.get(2));
         }
       }
-      case "refused" ->
+      case "no_capacity" ->
           s.onProvisioningFailed(
               "r",
               new Decision.ProvisionMachines(p.get(2), p.get(3), w.flag("spot"), 1),
@@ -179,7 +179,7 @@
         s.onProgressPersisted(p.get(2), done);
       }
       case "list" -> s.onMachineList(listed(w), now, now);
-      case "witnessed" -> {
+      case "probed" -> {
         // Each word is what one controller reached of those asked, by comma; "nobody" reached none.
         List<Decision.PeerProbeResult> told = new ArrayList<>();
         for (String one : p.subList(2, p.size())) {
@@ -190,11 +190,11 @@
       case "isolated" -> {
         return List.of("isolated " + s.isolated());
       }
-      case "served" -> {
+      case "summary" -> {
         s.serviceSummary(now);
         Job job = s.job(p.get(2));
         return List.of(
-            p.get(2) + (job.startWarningLogged ? " has not begun" : " is not warned of"));
+            p.get(2) + (job.startWarningLogged ? " has not started" : " is not warned of"));
       }
       case "show" -> {
         return List.of(show(s, p.get(2)));
@@ -277,7 +277,7 @@
   private static String show(Scheduler s, String job) {
     Job j = s.job(job);
     if (j == null) {
-      return job + " is not looked after";
+      return job + " is not managed";
     }
     Map<Integer, String> at = new TreeMap<>();
     j.attempts.forEach((i, r) -> at.put(i, r.machine.name));
@@ -341,8 +341,8 @@
         w.text("type", "small"),
         w.text("zone", "a"),
         w.flag("spot"),
-        (long) w.num("session", 1),
-        (long) w.num("seq", 1),
+        (long) w.num("epoch", 1),
+        (long) w.num("sequence", 1),
         (long) w.num("token", TOKEN),
         notice == null ? null : Double.valueOf(notice),
         items);
@@ -383,17 +383,17 @@
 
   private static String words(Decision d) {
     if (d instanceof Decision.SendCommands o) {
-      return "send " + o.machineName() + " session " + o.epoch() + " " + orders(o.commands());
+      return "send " + o.machineName() + " epoch " + o.epoch() + " " + orders(o.commands());
     } else if (d instanceof Decision.OpenJob o) {
       return "open "
           + o.jobId()
           + (o.replicaMachineNames().isEmpty() ? "" : " on " + sorted(o.replicaMachineNames()));
     } else if (d instanceof Decision.PersistPlacement r) {
-      return "remember " + r.jobId() + " on " + sorted(r.replicaMachineNames());
+      return "persist_placement " + r.jobId() + " on " + sorted(r.replicaMachineNames());
     } else if (d instanceof Decision.FinishJob f) {
       return "finish " + f.jobId();
     } else if (d instanceof Decision.ProvisionMachines r) {
-      return "rent "
+      return "provision "
           + r.count()
           + " "
           + r.typeName()
@@ -401,13 +401,13 @@
           + r.zone()
           + (r.spot() ? " spot" : "");
     } else if (d instanceof Decision.ReleaseMachines r) {
-      return "return " + r.machineNames();
+      return "release " + r.machineNames();
     } else if (d instanceof Decision.RegisterMachine e) {
-      return "enrol " + e.machineName();
+      return "register " + e.machineName();
     } else if (d instanceof Decision.DeregisterMachine s) {
-      return "strike " + s.machineName();
+      return "deregister " + s.machineName();
     } else if (d instanceof Decision.ProbeThroughPeers w) {
-      return "witness " + names(w.suspects()) + " controls " + names(w.controls());
+      return "probe_through_peers " + names(w.suspects()) + " controls " + names(w.controls());
     }
     throw new IllegalArgumentException(d.toString());
   }
