--- a/src/main/java/org/astershift/api/JobCodec.java
+++ b/src/main/java/org/astershift/api/JobCodec.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.peer.JobAnswer;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
@@ -23,28 +24,28 @@
   }
 
   /** Reads a submission; throws with the first field that is missing or invalid. */
-  public static JobSpec decodeSpec(Map<String, Object> fields) throws Json.JsonFormatException {
+  public static JobSpec decodeSpec(Map<String, Object> fields) throws JsonFormatException {
     String id = Json.string(fields, "id");
     if (!isJobId(id)) {
-      throw new Json.JsonFormatException("id is not of the form wk-000000");
+      throw new JsonFormatException("id is not of the form wk-000000");
     }
     long tasks = Json.integer(fields, "shards");
     if (tasks < 1 || tasks > MAX_TASKS) {
-      throw new Json.JsonFormatException("shards is out of range");
+      throw new JsonFormatException("shards is out of range");
     }
     List<String> types = null;
     if (fields.get("hulls") != null) {
       types = new ArrayList<>();
       for (Object element : Json.list(fields, "hulls")) {
         if (!(element instanceof String string)) {
-          throw new Json.JsonFormatException("hulls is not a list of texts");
+          throw new JsonFormatException("hulls is not a list of texts");
         }
         types.add(string);
       }
     }
     Double deadlineS = Json.numberOrNull(fields, "due_s");
     if (deadlineS != null && deadlineS < 0) {
-      throw new Json.JsonFormatException("due_s is out of range");
+      throw new JsonFormatException("due_s is out of range");
     }
     return new JobSpec(
         id,
@@ -83,45 +84,44 @@
         }
       }
       return decodeSpec(fields).id();
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       return null;
     }
   }
 
   private static String boundedText(Map<String, Object> fields, String name)
-      throws Json.JsonFormatException {
+      throws JsonFormatException {
     String string = Json.string(fields, name);
     if (string.isEmpty() || string.length() > 200) {
-      throw new Json.JsonFormatException(name + " is empty or too long");
+      throw new JsonFormatException(name + " is empty or too long");
     }
     return string;
   }
 
-  private static double amount(Map<String, Object> fields, String name)
-      throws Json.JsonFormatException {
+  private static double amount(Map<String, Object> fields, String name) throws JsonFormatException {
     double value = Json.number(fields, name);
     if (value < 0 || value > 1e9) {
-      throw new Json.JsonFormatException(name + " is out of range");
+      throw new JsonFormatException(name + " is out of range");
     }
     return value;
   }
 
-  private static JobKind kind(String wireName) throws Json.JsonFormatException {
+  private static JobKind kind(String wireName) throws JsonFormatException {
     return switch (wireName) {
       case "sweep" -> JobKind.ARRAY;
       case "gang" -> JobKind.GANG;
       case "service" -> JobKind.SERVICE;
-      default -> throw new Json.JsonFormatException("shape is invalid");
+      default -> throw new JsonFormatException("shape is invalid");
     };
   }
 
-  private static Priority priority(String wireName) throws Json.JsonFormatException {
+  private static Priority priority(String wireName) throws JsonFormatException {
     return switch (wireName) {
       case "critical" -> Priority.PRODUCTION;
       case "urgent" -> Priority.HIGH;
       case "standard" -> Priority.NORMAL;
       case "idle" -> Priority.LOW;
-      default -> throw new Json.JsonFormatException("rank is invalid");
+      default -> throw new JsonFormatException("rank is invalid");
     };
   }
 
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -8,6 +8,7 @@
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.peer.JobAnswer;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Eligibility;
@@ -115,7 +116,7 @@
     JobSpec spec;
     try {
       spec = JobCodec.decodeSpec(Json.object(request.body()));
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       Response malformed = Response.error(400, e.getMessage());
       String id = JobCodec.earlierAcceptedId(request.body());
       return id == null ? malformed : unlessKnown(id, malformed);
@@ -169,7 +170,7 @@
     Heartbeat heartbeat;
     try {
       heartbeat = WorkerCodec.readHeartbeat(request.body());
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       LOG.info("a report that makes no sense: {}", e.getMessage());
       return Response.error(400, e.getMessage());
     }
--- a/src/main/java/org/astershift/cloud/CloudClient.java
+++ b/src/main/java/org/astershift/cloud/CloudClient.java
@@ -8,6 +8,8 @@
 import org.astershift.config.Settings;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
+import org.astershift.http.RequestNotSentException;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.MachineType;
 import org.astershift.scheduler.Scheduler.ListedMachine;
@@ -34,38 +36,6 @@
     this.rateLimiter.setShare(CLOUD_RATE_SHARE, 1);
   }
 
-  /** The cloud refused: nothing was done. */
-  public static final class CloudRejectedException extends IOException {
-    private static final long serialVersionUID = 1L;
-
-    /** Why a request was refused. */
-    public enum Reason {
-      /** The cloud has no such machines now. */
-      NO_CAPACITY,
-      /** The cloud will never carry it out as it is. */
-      MALFORMED,
-      /** It may be carried out if it is sent again. */
-      RETRYABLE;
-
-      /** Whether the same request is not to be sent again. */
-      public boolean isPermanent() {
-        return this != RETRYABLE;
-      }
-    }
-
-    private final Reason reason;
-
-    CloudRejectedException(String message, Reason reason) {
-      super(message);
-      this.reason = reason;
-    }
-
-    /** Why it was refused. */
-    public Reason reason() {
-      return reason;
-    }
-  }
-
   /** The machine types that can be rented, by name. */
   public Map<String, MachineType> listMachineTypes() throws IOException {
     try {
@@ -96,7 +66,7 @@
                 zones));
       }
       return typesByName;
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new IOException("machine types: " + e.getMessage());
     }
   }
@@ -119,7 +89,7 @@
         machineNames.add(String.valueOf(item));
       }
       return machineNames;
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new IOException("rental: " + e.getMessage());
     }
   }
@@ -157,7 +127,7 @@
         }
         more = Json.boolOr(page, "more", false) && !rows.isEmpty();
       }
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new IOException("machine list: " + e.getMessage());
     }
     return machines;
@@ -178,7 +148,7 @@
     HttpClient.Response response;
     try {
       response = http.call(method, path, body == null ? null : Json.bytes(body), CLOUD_TIMEOUT_MS);
-    } catch (HttpClient.RequestNotSentException e) {
+    } catch (RequestNotSentException e) {
       throw new CloudRejectedException(e.getMessage(), CloudRejectedException.Reason.RETRYABLE);
     }
     if (response.status() == 200) {
@@ -198,7 +168,7 @@
       return noCapacity
           ? CloudRejectedException.Reason.NO_CAPACITY
           : CloudRejectedException.Reason.RETRYABLE;
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       return CloudRejectedException.Reason.RETRYABLE;
     }
   }
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -4,9 +4,11 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.cloud.CloudClient;
+import org.astershift.cloud.CloudRejectedException;
 import org.astershift.config.Settings;
 import org.astershift.config.ThreadBudget;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
+import org.astershift.http.TaskPool;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.MachineType;
@@ -25,8 +27,8 @@
   private final StoreClient store;
   private final WatchCache watchCache;
   private final Runnable requestPass;
-  private final Threads.Pool provisionPool = Threads.pool("rent", ThreadBudget.PROVISION_THREADS);
-  private final Threads.Pool releasePool = Threads.pool("return", ThreadBudget.RELEASE_THREADS);
+  private final TaskPool provisionPool = Threads.pool("rent", ThreadBudget.PROVISION_THREADS);
+  private final TaskPool releasePool = Threads.pool("return", ThreadBudget.RELEASE_THREADS);
   private volatile Map<String, MachineType> types = Map.of();
 
   CloudProvisioner(
@@ -51,7 +53,7 @@
   void onTypesRecord(Map<String, Object> value) {
     try {
       types = RecordCodec.decodeTypes(value);
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       LOG.error("record of machine types: {}", e.getMessage());
     }
   }
@@ -131,7 +133,7 @@
                   term.scheduler.onProvisioningStarted(name, request);
                 }
                 submitRental(term, name, request);
-              } catch (Json.JsonFormatException e) {
+              } catch (JsonFormatException e) {
                 LOG.error("rental {} cannot be read: {}", name, e.getMessage());
               }
             });
@@ -150,8 +152,7 @@
   }
 
   /** The rental is on record. */
-  void onRentalPersisted(LeaderTerm term, String name, Object value)
-      throws Json.JsonFormatException {
+  void onRentalPersisted(LeaderTerm term, String name, Object value) throws JsonFormatException {
     submitRental(term, name, RecordCodec.decodeRental(value));
   }
 
@@ -183,14 +184,14 @@
           term.scheduler.onMachinesProvisioned(name, names, request, LeaderTerm.nowMs());
         }
         break;
-      } catch (CloudClient.CloudRejectedException e) {
-        if (e.reason() == CloudClient.CloudRejectedException.Reason.NO_CAPACITY) {
+      } catch (CloudRejectedException e) {
+        if (e.reason() == CloudRejectedException.Reason.NO_CAPACITY) {
           LOG.info(
               "no capacity for {} in {}{}",
               request.typeName(),
               request.zone(),
               request.spot() ? ", spot" : "");
-        } else if (e.reason() == CloudClient.CloudRejectedException.Reason.MALFORMED) {
+        } else if (e.reason() == CloudRejectedException.Reason.MALFORMED) {
           // Repeated for ever, two of them held all threads that rent.
           LOG.error(
               "rental {} of {} {} is malformed for the cloud",
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Settings;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.Scheduler;
@@ -163,7 +163,7 @@
           return null;
         }
         end = RecordCodec.decodeEnd(entry.data());
-      } catch (IOException | Json.JsonFormatException e) {
+      } catch (IOException | JsonFormatException e) {
         LOG.debug("end of {}: {}", jobId, e.toString());
         return null;
       }
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -7,7 +7,8 @@
 import org.astershift.config.Settings;
 import org.astershift.config.ThreadBudget;
 import org.astershift.coordination.Candidacy;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
+import org.astershift.http.TaskPool;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Decision;
@@ -45,9 +46,8 @@
   /** Held while a term is taken up or laid down: a term that is over must not be taken up late. */
   private final Object termLock = new Object();
 
-  private final Threads.Pool commandPool = Threads.pool("order", ThreadBudget.COMMAND_THREADS);
-  private final Threads.Pool probePool =
-      Threads.pool("question", ThreadBudget.MACHINE_PROBE_THREADS);
+  private final TaskPool commandPool = Threads.pool("order", ThreadBudget.COMMAND_THREADS);
+  private final TaskPool probePool = Threads.pool("question", ThreadBudget.MACHINE_PROBE_THREADS);
   private final Object passSignal = new Object();
   private boolean passRequested;
 
@@ -295,7 +295,7 @@
         for (Decision decision : decisions) {
           execute(term, decision);
         }
-        for (Threads.Pool pool : List.of(commandPool, probePool)) {
+        for (TaskPool pool : List.of(commandPool, probePool)) {
           pool.startWaitingWork();
         }
         prober.startQueuedTasks();
@@ -398,7 +398,7 @@
           }
         }
       }
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new IllegalStateException("a note of ours cannot be read: " + key, e);
     }
   }
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.astershift.coordination.Cancellation;
 import org.astershift.coordination.JobQuery;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerClient;
 import org.astershift.scheduler.JobSpec;
@@ -141,7 +141,7 @@
       RecordCodec.JobEnd end = RecordCodec.decodeEnd(endedEntry.data());
       runtime.onEndRead(jobId, end);
       return toAnswer(end);
-    } catch (IOException | Json.JsonFormatException e) {
+    } catch (IOException | JsonFormatException e) {
       LOG.debug("reading {}: {}", jobId, e.toString());
       return JobAnswer.UNDECIDED;
     }
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -7,6 +7,7 @@
 import org.astershift.coordination.Election;
 import org.astershift.coordination.Election.Action;
 import org.astershift.coordination.WorkerReachability;
+import org.astershift.http.ThreadUnavailableException;
 import org.astershift.http.Threads;
 import org.astershift.store.RateLimiter;
 import org.astershift.store.RecordCodec;
@@ -247,7 +248,7 @@
       // Taking over a large fleet takes longer than the lease lives on a small share of a
       // processor: this loop renews meanwhile.
       Threads.start("begin", () -> startTerm(termToken));
-    } catch (Threads.ThreadUnavailableException e) {
+    } catch (ThreadUnavailableException e) {
       abandonTerm(termToken, e);
     }
   }
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.astershift.coordination.CancellationLatency;
 import org.astershift.coordination.TermJobs;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.Scheduler;
 import org.astershift.store.RecordCodec;
@@ -88,7 +88,7 @@
                 BitSet part = new BitSet();
                 String jobId = RecordCodec.mergeSegment(part, key, value);
                 doneTasks.computeIfAbsent(jobId, j -> new BitSet()).or(part);
-              } catch (Json.JsonFormatException e) {
+              } catch (JsonFormatException e) {
                 LOG.error(e.getMessage());
               }
             });
@@ -123,7 +123,7 @@
       } else {
         scheduler.addInheritedMachine(name, e.address(), e.typeName(), e.zone(), e.spot(), nowMs);
       }
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       LOG.error("note of machine {} cannot be read: {}", name, e.getMessage());
     }
   }
@@ -136,7 +136,7 @@
   private void addJob(StoreClient.Entry entry, boolean opened, BitSet doneTasks) {
     try {
       addJob(RecordCodec.decodeJob(entry.key(), entry.data()), entry.revision(), opened, doneTasks);
-    } catch (Json.JsonFormatException | RuntimeException e) {
+    } catch (JsonFormatException | RuntimeException e) {
       LOG.error("record {} cannot be read: {}", entry.key(), e.getMessage());
     }
   }
--- a/src/main/java/org/astershift/controller/ReachabilityProber.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -15,7 +15,8 @@
 import java.util.function.Consumer;
 import org.astershift.config.ThreadBudget;
 import org.astershift.coordination.WorkerReachability;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
+import org.astershift.http.TaskPool;
 import org.astershift.http.Threads;
 import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerClient;
@@ -39,21 +40,20 @@
   private static final char UNREACHED = 'n';
   private final WatchCache watchCache;
   private final CommandSender sender;
-  private final Threads.Pool probePool;
+  private final TaskPool probePool;
   private final Collection<JobService.PeerChannel> peers;
   private final WorkerReachability workerReachability = new WorkerReachability();
 
   /** Of its own: a leader's many questions to silent machines must not make it look cut off. */
-  private final Threads.Pool samplePool =
+  private final TaskPool samplePool =
       Threads.pool("sample", LoopTiming.REACHABILITY_SAMPLE_MACHINES);
 
-  private final Threads.Pool peerProbePool =
-      Threads.pool("witness", ThreadBudget.PEER_PROBE_THREADS);
+  private final TaskPool peerProbePool = Threads.pool("witness", ThreadBudget.PEER_PROBE_THREADS);
 
   ReachabilityProber(
       WatchCache watchCache,
       CommandSender sender,
-      Threads.Pool probePool,
+      TaskPool probePool,
       Collection<JobService.PeerChannel> peers) {
     this.watchCache = watchCache;
     this.sender = sender;
@@ -114,7 +114,7 @@
         if (!e.newlyProvisioned() && e.address() != null) {
           picked.add(e.address());
         }
-      } catch (Json.JsonFormatException e) {
+      } catch (JsonFormatException e) {
         LOG.debug("note of machine {}: {}", name, e.getMessage());
       }
     }
@@ -122,7 +122,7 @@
   }
 
   /** Asks all of them; null for those whose turn did not come, of which nothing is known. */
-  private List<Boolean> probe(Threads.Pool pool, List<String> addresses, int timeoutMs)
+  private List<Boolean> probe(TaskPool pool, List<String> addresses, int timeoutMs)
       throws InterruptedException {
     Boolean[] answered = new Boolean[addresses.size()];
     CountDownLatch pending = new CountDownLatch(addresses.size());
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -37,15 +37,6 @@
   /** Status and body of an answer. */
   public record Response(int status, byte[] body) {}
 
-  /** No connection came about, so nothing of the request was sent. */
-  public static final class RequestNotSentException extends IOException {
-    private static final long serialVersionUID = 1L;
-
-    RequestNotSentException(IOException cause) {
-      super("not sent: " + cause, cause);
-    }
-  }
-
   private static final class Connection {
     final Socket socket;
     final HttpMessageReader reader;
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -57,7 +57,7 @@
   private final Handler handler;
   private final ConnectionSlots slots;
   private final Predicate<String> isReservedPath;
-  private final Threads.ConnectionThreads threads;
+  private final ConnectionThreads threads;
   private final Map<Connection, Socket> openSockets = new ConcurrentHashMap<>();
   private volatile boolean closed;
   private long lastLoggedNs = System.nanoTime();
@@ -95,7 +95,7 @@
     this.handler = handler;
     this.slots = slots;
     this.isReservedPath = isReservedPath;
-    this.threads = new Threads.ConnectionThreads(threads);
+    this.threads = new ConnectionThreads(threads);
     this.serverSocket = listen(host, port, LISTEN_BACKLOG_CONNECTIONS);
   }
 
@@ -161,7 +161,7 @@
         openSockets.put(connection, socket);
         admit(connection, socket);
         logConnections();
-      } catch (IOException | Threads.ThreadUnavailableException e) {
+      } catch (IOException | ThreadUnavailableException e) {
         if (!closed) {
           LOG.info("a connection could not be taken: {}", e.toString());
           Threads.backOff();
@@ -180,7 +180,7 @@
     try {
       connection.setBeingServed(true);
       threads.execute(() -> serve(connection, socket));
-    } catch (Threads.ThreadUnavailableException e) {
+    } catch (ThreadUnavailableException e) {
       // Nobody will serve it: kept, it would hang for its user and count as open for ever.
       slots.release(connection);
       connection.setBeingServed(false);
--- a/src/main/java/org/astershift/http/Json.java
+++ b/src/main/java/org/astershift/http/Json.java
@@ -28,15 +28,6 @@
 
   private Json() {}
 
-  /** A value that is missing or not of the kind expected. */
-  public static final class JsonFormatException extends Exception {
-    private static final long serialVersionUID = 1L;
-
-    public JsonFormatException(String message) {
-      super(message);
-    }
-  }
-
   /** The value as JSON text in UTF-8. */
   public static byte[] bytes(Object value) {
     try {
--- a/src/main/java/org/astershift/http/Threads.java
+++ b/src/main/java/org/astershift/http/Threads.java
@@ -1,10 +1,6 @@
 package org.astershift.http;
 
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.SynchronousQueue;
 import java.util.concurrent.ThreadFactory;
-import java.util.concurrent.ThreadPoolExecutor;
-import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,7 +15,7 @@
   public static final long STACK_BYTES = 192 * 1024;
 
   /** Seconds after which a pool's thread without work ends. */
-  private static final long THREAD_IDLE_S = 10;
+  static final long THREAD_IDLE_S = 10;
 
   private Threads() {}
 
@@ -28,15 +24,6 @@
     void run() throws Exception;
   }
 
-  /** A thread could not be started: the process has as many as the system allows. */
-  public static final class ThreadUnavailableException extends RuntimeException {
-    private static final long serialVersionUID = 1L;
-
-    ThreadUnavailableException(String name, OutOfMemoryError cause) {
-      super("no thread for " + name + ": " + cause.getMessage(), cause);
-    }
-  }
-
   /**
    * Starts a thread, or throws {@link ThreadUnavailableException}. The system's refusal comes as an
    * error, which would pass by every loop's handler and end the loop; as an exception it is handled
@@ -69,80 +56,8 @@
   }
 
   /** Threads come with the work and go when there is none; what waits is bounded by its askers. */
-  public static Pool pool(String name, int threads) {
-    return new Pool(threads, r -> thread(name, r));
-  }
-
-  /**
-   * A pool that never loses work because a thread could not be started: the plain one throws the
-   * refusal at the caller and forgets the work, whose asker then waits for ever. Here it stays in
-   * line for the threads there are, or for {@link #startWaitingWork}.
-   */
-  public static final class Pool {
-    private final ThreadPoolExecutor threads;
-
-    Pool(int threads, ThreadFactory factory) {
-      this.threads =
-          new ThreadPoolExecutor(
-              threads,
-              threads,
-              THREAD_IDLE_S,
-              TimeUnit.SECONDS,
-              new LinkedBlockingQueue<>(),
-              factory);
-      this.threads.allowCoreThreadTimeOut(true);
-    }
-
-    public void execute(String name, Task body) {
-      threads.getQueue().add(logFailures(name, body));
-      startThread();
-    }
-
-    /** Starts a thread where work waits for the first one; called now and then by a loop. */
-    public void startWaitingWork() {
-      if (threads.getPoolSize() == 0 && !threads.getQueue().isEmpty()) {
-        startThread();
-      }
-    }
-
-    private void startThread() {
-      try {
-        threads.prestartCoreThread();
-      } catch (OutOfMemoryError e) {
-        LOG.error("no thread for more work: {} wait ({})", threads.getQueue().size(), e.toString());
-      }
-    }
-  }
-
-  /**
-   * Threads that serve a connection each, and then the next: making one costs some thirty system
-   * calls, and users come with a connection for nearly each request.
-   */
-  static final class ConnectionThreads {
-    private final ThreadPoolExecutor threads;
-
-    ConnectionThreads(ThreadFactory factory) {
-      this.threads =
-          new ThreadPoolExecutor(
-              0,
-              Integer.MAX_VALUE,
-              THREAD_IDLE_S,
-              TimeUnit.SECONDS,
-              new SynchronousQueue<>(),
-              factory);
-    }
-
-    /**
-     * Serves at once or throws {@link ThreadUnavailableException}; how many there are is its
-     * caller's to limit.
-     */
-    void execute(Task body) {
-      try {
-        threads.execute(logFailures("connection", body));
-      } catch (OutOfMemoryError e) {
-        throw new ThreadUnavailableException("a connection", e);
-      }
-    }
+  public static TaskPool pool(String name, int threads) {
+    return new TaskPool(threads, r -> thread(name, r));
   }
 
   /** Logs whatever ends this run of the body, errors included: nothing ends without a line. */
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -10,6 +10,7 @@
 import org.astershift.config.ThreadBudget;
 import org.astershift.http.ConnectionSlots;
 import org.astershift.http.HttpServer;
+import org.astershift.http.ThreadUnavailableException;
 import org.astershift.http.Threads;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -46,13 +47,13 @@
         }
         try {
           Threads.start("peer", () -> serve(socket));
-        } catch (Threads.ThreadUnavailableException e) {
+        } catch (ThreadUnavailableException e) {
           connectionSlots
               .release(); // else the place is taken for ever by a connection that nobody serves
           socket.close();
           throw e;
         }
-      } catch (IOException | Threads.ThreadUnavailableException e) {
+      } catch (IOException | ThreadUnavailableException e) {
         LOG.info("a peer's connection could not be taken: {}", e.toString());
         Threads.backOff();
       }
--- a/src/main/java/org/astershift/store/RecordCodec.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
@@ -80,7 +81,7 @@
 
   /** The job in a record; {@code key} is the key of the record. */
   public static JobRecord decodeJob(String key, Map<String, Object> fields)
-      throws Json.JsonFormatException {
+      throws JsonFormatException {
     List<String> types = null;
     if (fields.get("types") != null) {
       types = new ArrayList<>();
@@ -120,7 +121,7 @@
     return Map.of("cancelled", end.cancelled(), "done", end.done());
   }
 
-  public static JobEnd decodeEnd(Map<String, Object> fields) throws Json.JsonFormatException {
+  public static JobEnd decodeEnd(Map<String, Object> fields) throws JsonFormatException {
     return new JobEnd(Json.bool(fields, "cancelled"), (int) Json.integer(fields, "done"));
   }
 
@@ -142,7 +143,7 @@
 
   /** Adds one note of done tasks; gives the job that it is about. */
   public static String mergeSegment(BitSet done, String key, Object value)
-      throws Json.JsonFormatException {
+      throws JsonFormatException {
     int slash = key.lastIndexOf('/');
     try {
       int from = Integer.parseInt(key.substring(slash + 1)) * SEGMENT_TASKS;
@@ -152,7 +153,7 @@
       }
       return key.substring(0, slash);
     } catch (RuntimeException e) {
-      throw new Json.JsonFormatException("not a note of done tasks: " + key);
+      throw new JsonFormatException("not a note of done tasks: " + key);
     }
   }
 
@@ -172,7 +173,7 @@
 
   /** The machine in an entry of a page of machines. */
   public static Decision.RegisterMachine decodeMachine(String name, Object value)
-      throws Json.JsonFormatException {
+      throws JsonFormatException {
     if (value instanceof List<?> values
         && values.size() >= 4
         && values.get(2) instanceof Boolean spot
@@ -181,7 +182,7 @@
       return new Decision.RegisterMachine(
           name, addr, String.valueOf(values.get(0)), String.valueOf(values.get(1)), spot, fresh);
     }
-    throw new Json.JsonFormatException("not a machine");
+    throw new JsonFormatException("not a machine");
   }
 
   public static List<Object> encodeRental(Decision.ProvisionMachines request) {
@@ -189,8 +190,7 @@
   }
 
   /** The rental in an entry of a page of rentals. */
-  public static Decision.ProvisionMachines decodeRental(Object value)
-      throws Json.JsonFormatException {
+  public static Decision.ProvisionMachines decodeRental(Object value) throws JsonFormatException {
     if (value instanceof List<?> values
         && values.size() >= 4
         && values.get(2) instanceof Boolean spot
@@ -198,7 +198,7 @@
       return new Decision.ProvisionMachines(
           String.valueOf(values.get(0)), String.valueOf(values.get(1)), spot, count.intValue());
     }
-    throw new Json.JsonFormatException("not a rental");
+    throw new JsonFormatException("not a rental");
   }
 
   // ---- machine types ----
@@ -228,7 +228,7 @@
 
   /** The machine types in their record, by name. */
   public static Map<String, MachineType> decodeTypes(Map<String, Object> value)
-      throws Json.JsonFormatException {
+      throws JsonFormatException {
     Map<String, MachineType> types = new LinkedHashMap<>();
     for (Object row : Json.list(value, "types")) {
       Map<String, Object> fields = Json.object(row, "type");
@@ -240,7 +240,7 @@
       double[] numbers = new double[8];
       for (int i = 0; i < numbers.length; i++) {
         if (rawNumbers.size() <= i || !(rawNumbers.get(i) instanceof Number number)) {
-          throw new Json.JsonFormatException("a machine type lacks its numbers");
+          throw new JsonFormatException("a machine type lacks its numbers");
         }
         numbers[i] = number.doubleValue();
       }
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -10,6 +10,8 @@
 import org.astershift.config.Settings;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
+import org.astershift.http.RequestNotSentException;
 
 /** Speaks the state service's protocol, within this node's share of its limits. */
 public final class StoreClient {
@@ -187,7 +189,7 @@
     try {
       Map<String, Object> fields = Json.object(requireOk(response));
       return new Entry(key, Json.object(fields.get("data"), "data"), Json.integer(fields, "stamp"));
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
   }
@@ -202,7 +204,7 @@
       Map<String, Object> fields = Json.object(requireOk(response));
       boolean attached = fields.get("mooring") != null && Json.integer(fields, "mooring") == lease;
       return attached ? Json.integer(fields, "stamp") : 0;
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
   }
@@ -225,7 +227,7 @@
                 Json.integer(fields, "stamp")));
       }
       return new Page(entries, Json.boolOr(body, "more", false), Json.integer(body, "epoch"));
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
   }
@@ -253,7 +255,7 @@
                 : new Entry(Json.string(fields, "remove"), null, Json.integer(fields, "stamp")));
       }
       return new WatchResponse(entries, Json.integer(body, "epoch"), false);
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
   }
@@ -299,9 +301,9 @@
           return new Outcome.Rejected("status " + response.status());
         }
       }
-    } catch (HttpClient.RequestNotSentException e) {
+    } catch (RequestNotSentException e) {
       return new Outcome.Rejected(e.getMessage());
-    } catch (IOException | Json.JsonFormatException e) {
+    } catch (IOException | JsonFormatException e) {
       return new Outcome.Unknown(e.toString());
     }
   }
@@ -312,7 +314,7 @@
       byte[] body = Json.bytes(Map.of("life_ms", ttlMs));
       HttpClient.Response response = call(RateLimiter.Urgency.LEASE, "POST", "/grants", body);
       return Json.integer(Json.object(requireOk(response)), "mooring");
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new StoreException(e.getMessage());
     }
   }
--- a/src/main/java/org/astershift/worker/CommandSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import org.astershift.http.HttpClient;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
+import org.astershift.http.RequestNotSentException;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Heartbeat;
 import org.slf4j.Logger;
@@ -88,10 +89,10 @@
         return new Result(response.status() != 400, null);
       }
       return new Result(false, WorkerCodec.readHeartbeat(response.body()));
-    } catch (HttpClient.RequestNotSentException e) {
+    } catch (RequestNotSentException e) {
       LOG.debug("orders to {}: {}", address, e.toString());
       return new Result(false, null);
-    } catch (IOException | Json.JsonFormatException e) {
+    } catch (IOException | JsonFormatException e) {
       LOG.info("orders to {} without an answer: {}", address, e.toString());
       return new Result(true, null);
     }
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -9,7 +9,7 @@
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Heartbeat;
 
@@ -24,10 +24,10 @@
   private WorkerCodec() {}
 
   /** Reads a report; nonsense in it makes the whole report bad, since a part would mislead. */
-  public static Heartbeat readHeartbeat(byte[] text) throws Json.JsonFormatException {
+  public static Heartbeat readHeartbeat(byte[] text) throws JsonFormatException {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new Json.JsonFormatException("not an object");
+        throw new JsonFormatException("not an object");
       }
       HeartbeatBuilder builder = new HeartbeatBuilder();
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -36,11 +36,11 @@
         builder.read(field, parser);
       }
       if (parser.nextToken() != null) {
-        throw new Json.JsonFormatException("something follows the object");
+        throw new JsonFormatException("something follows the object");
       }
       return builder.build();
     } catch (IOException e) {
-      throw new Json.JsonFormatException("not JSON");
+      throw new JsonFormatException("not JSON");
     }
   }
 
@@ -57,7 +57,7 @@
     private Double preemptionNoticeS;
     private List<Heartbeat.TaskStatus> tasks = List.of();
 
-    void read(String field, JsonParser parser) throws IOException, Json.JsonFormatException {
+    void read(String field, JsonParser parser) throws IOException, JsonFormatException {
       switch (field) {
         case "vessel" -> machineName = text(field, parser);
         case "addr" -> address = text(field, parser);
@@ -73,12 +73,12 @@
       }
     }
 
-    Heartbeat build() throws Json.JsonFormatException {
+    Heartbeat build() throws JsonFormatException {
       if (machineName == null || address == null || typeName == null || zone == null) {
-        throw new Json.JsonFormatException("vessel, addr, hull or harbor is missing");
+        throw new JsonFormatException("vessel, addr, hull or harbor is missing");
       }
       if (epoch < 0 || sequence < 0) {
-        throw new Json.JsonFormatException("watch or tick is missing or out of range");
+        throw new JsonFormatException("watch or tick is missing or out of range");
       }
       return new Heartbeat(
           machineName,
@@ -95,14 +95,14 @@
   }
 
   private static List<Heartbeat.TaskStatus> tasks(JsonParser parser)
-      throws IOException, Json.JsonFormatException {
+      throws IOException, JsonFormatException {
     if (parser.currentToken() != JsonToken.START_ARRAY) {
-      throw new Json.JsonFormatException("shards is not a list");
+      throw new JsonFormatException("shards is not a list");
     }
     List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
       if (parser.currentToken() != JsonToken.START_OBJECT) {
-        throw new Json.JsonFormatException("task is not an object");
+        throw new JsonFormatException("task is not an object");
       }
       statuses.add(task(parser));
     }
@@ -110,7 +110,7 @@
   }
 
   private static Heartbeat.TaskStatus task(JsonParser parser)
-      throws IOException, Json.JsonFormatException {
+      throws IOException, JsonFormatException {
     String taskName = null;
     long attemptNumber = -1;
     Heartbeat.TaskPhase phase = null;
@@ -127,7 +127,7 @@
       }
     }
     if (taskName == null || attemptNumber < 0 || phase == null) {
-      throw new Json.JsonFormatException("shard, launch or phase is missing or out of range");
+      throw new JsonFormatException("shard, launch or phase is missing or out of range");
     }
     int slash = taskName.lastIndexOf('/');
     return new Heartbeat.TaskStatus(
@@ -138,16 +138,16 @@
         exitReason);
   }
 
-  private static int index(String taskName, int slash) throws Json.JsonFormatException {
+  private static int index(String taskName, int slash) throws JsonFormatException {
     int digits = taskName.length() - slash - 1;
     if (slash <= 0 || digits < 1 || digits > MAX_DIGITS) {
-      throw new Json.JsonFormatException("not a task: " + taskName);
+      throw new JsonFormatException("not a task: " + taskName);
     }
     int value = 0;
     for (int i = slash + 1; i < taskName.length(); i++) {
       char digit = taskName.charAt(i);
       if (digit < '0' || digit > '9') {
-        throw new Json.JsonFormatException("not a task: " + taskName);
+        throw new JsonFormatException("not a task: " + taskName);
       }
       value = value * 10 + digit - '0';
     }
@@ -159,48 +159,48 @@
   }
 
   private static String text(String field, JsonParser parser)
-      throws IOException, Json.JsonFormatException {
+      throws IOException, JsonFormatException {
     if (parser.currentToken() != JsonToken.VALUE_STRING) {
-      throw new Json.JsonFormatException(field + " is not a text");
+      throw new JsonFormatException(field + " is not a text");
     }
     return parser.getText();
   }
 
   private static long wholeNumber(String field, JsonParser parser)
-      throws IOException, Json.JsonFormatException {
+      throws IOException, JsonFormatException {
     if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-      throw new Json.JsonFormatException(field + " is not a whole number");
+      throw new JsonFormatException(field + " is not a whole number");
     }
     return parser.getLongValue();
   }
 
   private static double number(String field, JsonParser parser)
-      throws IOException, Json.JsonFormatException {
+      throws IOException, JsonFormatException {
     if (!parser.currentToken().isNumeric()) {
-      throw new Json.JsonFormatException(field + " is not a number");
+      throw new JsonFormatException(field + " is not a number");
     }
     return parser.getDoubleValue();
   }
 
   private static boolean flag(String field, JsonParser parser)
-      throws IOException, Json.JsonFormatException {
+      throws IOException, JsonFormatException {
     if (isNull(parser)) {
       return false;
     }
     if (!parser.currentToken().isBoolean()) {
-      throw new Json.JsonFormatException(field + " is not true or false");
+      throw new JsonFormatException(field + " is not true or false");
     }
     return parser.getBooleanValue();
   }
 
-  private static Heartbeat.TaskPhase phase(String word) throws Json.JsonFormatException {
+  private static Heartbeat.TaskPhase phase(String word) throws JsonFormatException {
     return switch (word) {
       case "fetching" -> Heartbeat.TaskPhase.FETCHING;
       case "gathering" -> Heartbeat.TaskPhase.WAITING;
       case "running" -> Heartbeat.TaskPhase.RUNNING;
       case "saving" -> Heartbeat.TaskPhase.SAVING;
       case "exited" -> Heartbeat.TaskPhase.EXITED;
-      default -> throw new Json.JsonFormatException("unknown task state: " + word);
+      default -> throw new JsonFormatException("unknown task state: " + word);
     };
   }
 
--- a/src/test/java/org/astershift/ConcurrentUsers.java
+++ b/src/test/java/org/astershift/ConcurrentUsers.java
@@ -18,6 +18,7 @@
 import org.astershift.emulator.Await;
 import org.astershift.http.HttpClient;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 
 /**
  * Users who ask all nodes at once as soon as one has told them something, repeat their submissions,
@@ -292,7 +293,7 @@
         case "withdrawn" -> Known.CANCELLED;
         default -> Known.ACCEPTED;
       };
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new IOException("an answer that makes no sense: " + text(a), e);
     }
   }
--- a/src/test/java/org/astershift/api/JobCodecTest.java
+++ b/src/test/java/org/astershift/api/JobCodecTest.java
@@ -5,6 +5,7 @@
 
 import java.nio.charset.StandardCharsets;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
 import org.junit.jupiter.api.Test;
@@ -20,12 +21,12 @@
           + "\"one_zone\":true,\"apart\":false,\"ebbtide\":true,\"expect_s\":240.0,"
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
-  private static JobSpec read(String text) throws Json.JsonFormatException {
+  private static JobSpec read(String text) throws JsonFormatException {
     return JobCodec.decodeSpec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  void readsWhatTheProtocolShows() throws Json.JsonFormatException {
+  void readsWhatTheProtocolShows() throws JsonFormatException {
     JobSpec s = read(GOOD);
     assertEquals(JobKind.GANG, s.kind());
     assertEquals(16, s.tasks());
@@ -51,8 +52,8 @@
         "\"one_zone\":true | \"one_zone\":1 | one_zone is missing or not true or false"
       })
   void namesTheFieldThatIsWrong(String part, String wrong, String message) {
-    Json.JsonFormatException bad =
-        assertThrows(Json.JsonFormatException.class, () -> read(GOOD.replace(part, wrong)));
+    JsonFormatException bad =
+        assertThrows(JsonFormatException.class, () -> read(GOOD.replace(part, wrong)));
     assertEquals(message, bad.getMessage());
   }
 
@@ -61,7 +62,7 @@
       delimiter = '|',
       value = {"[1] | not an object", "{\"a\": | not JSON", "'' | not JSON"})
   void refusesWhatIsNoObject(String text, String message) {
-    Json.JsonFormatException bad = assertThrows(Json.JsonFormatException.class, () -> read(text));
+    JsonFormatException bad = assertThrows(JsonFormatException.class, () -> read(text));
     assertEquals(message, bad.getMessage());
   }
 }
--- a/src/test/java/org/astershift/emulator/WorkerEmulator.java
+++ b/src/test/java/org/astershift/emulator/WorkerEmulator.java
@@ -12,6 +12,7 @@
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 
 /** A worker by its published protocol; its tasks take a fixed time, and no image. */
 public final class WorkerEmulator implements AutoCloseable {
@@ -183,7 +184,7 @@
     return Response.of(200, report());
   }
 
-  private synchronized void obey(Map<String, Object> m) throws Json.JsonFormatException {
+  private synchronized void obey(Map<String, Object> m) throws JsonFormatException {
     if (m.get("helm") == null || Json.integer(m, "helm") < token) {
       return;
     }
@@ -224,7 +225,7 @@
   }
 
   private synchronized void answered(String report, HttpClient.Response a)
-      throws Json.JsonFormatException {
+      throws JsonFormatException {
     said.add(report);
     if (!deaf) {
       answeredBy.add(controllers.get(at % controllers.size()));
@@ -245,7 +246,7 @@
         } else {
           at++;
         }
-      } catch (IOException | Json.JsonFormatException e) {
+      } catch (IOException | JsonFormatException e) {
         at++;
       } catch (InterruptedException e) {
         return;
--- a/src/test/java/org/astershift/golden/CloudCallsTest.java
+++ b/src/test/java/org/astershift/golden/CloudCallsTest.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.StringJoiner;
 import org.astershift.cloud.CloudClient;
+import org.astershift.cloud.CloudRejectedException;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.MachineType;
 import org.astershift.scheduler.Scheduler;
@@ -44,7 +45,7 @@
     String result;
     try {
       result = call.make();
-    } catch (CloudClient.CloudRejectedException e) {
+    } catch (CloudRejectedException e) {
       result =
           "refused: " + e.getMessage() + ", " + why(e.reason()) + ", " + e.reason().isPermanent();
     } catch (IOException e) {
@@ -55,7 +56,7 @@
     g.add(label + ", result", result);
   }
 
-  private static String why(CloudClient.CloudRejectedException.Reason reason) {
+  private static String why(CloudRejectedException.Reason reason) {
     return switch (reason) {
       case NO_CAPACITY -> "none to be had";
       case MALFORMED -> "never";
--- a/src/test/java/org/astershift/golden/StoredRecordsTest.java
+++ b/src/test/java/org/astershift/golden/StoredRecordsTest.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
@@ -23,11 +24,11 @@
 class StoredRecordsTest {
   private static final String ID = "wk-000412";
 
-  private static Map<String, Object> object(String text) throws Json.JsonFormatException {
+  private static Map<String, Object> object(String text) throws JsonFormatException {
     return Json.object(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static Object value(String text) throws Json.JsonFormatException {
+  private static Object value(String text) throws JsonFormatException {
     return object("{\"v\":" + text + "}").get("v");
   }
 
@@ -214,11 +215,11 @@
 
   /** A call that must find its input bad. */
   private interface Reading {
-    void read() throws Json.JsonFormatException;
+    void read() throws JsonFormatException;
   }
 
   private static void bad(Golden g, String label, Reading reading) {
-    g.add(label, assertThrows(Json.JsonFormatException.class, reading::read, label).getMessage());
+    g.add(label, assertThrows(JsonFormatException.class, reading::read, label).getMessage());
   }
 
   @Test
--- a/src/test/java/org/astershift/golden/SubmissionFormsTest.java
+++ b/src/test/java/org/astershift/golden/SubmissionFormsTest.java
@@ -5,6 +5,7 @@
 import java.util.Map;
 import org.astershift.api.JobCodec;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.peer.JobAnswer;
 import org.astershift.scheduler.JobSpec;
 import org.junit.jupiter.api.Test;
@@ -18,7 +19,7 @@
           + "\"one_zone\":true,\"apart\":false,\"ebbtide\":true,\"expect_s\":240.0,"
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
-  private static JobSpec read(String text) throws Json.JsonFormatException {
+  private static JobSpec read(String text) throws JsonFormatException {
     return JobCodec.decodeSpec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
   }
 
--- a/src/test/java/org/astershift/golden/WorkerFormsTest.java
+++ b/src/test/java/org/astershift/golden/WorkerFormsTest.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Heartbeat;
 import org.astershift.worker.WorkerCodec;
@@ -21,7 +21,7 @@
   private static final String POSITION = "\"watch\":5,\"tick\":17";
   private static final String TASK = "\"shard\":\"wk-1/0\",\"launch\":4,\"phase\":\"running\"";
 
-  private static Heartbeat read(String text) throws Json.JsonFormatException {
+  private static Heartbeat read(String text) throws JsonFormatException {
     return WorkerCodec.readHeartbeat(text.getBytes(StandardCharsets.UTF_8));
   }
 
@@ -156,8 +156,7 @@
     List<String> all = new ArrayList<>(malformedHeads());
     all.addAll(malformedTasks());
     for (String text : all) {
-      String said =
-          assertThrows(Json.JsonFormatException.class, () -> read(text), text).getMessage();
+      String said = assertThrows(JsonFormatException.class, () -> read(text), text).getMessage();
       g.add("<" + text + ">", said);
     }
     g.check();
--- a/src/test/java/org/astershift/http/HttpServerTest.java
+++ b/src/test/java/org/astershift/http/HttpServerTest.java
@@ -124,8 +124,8 @@
   @Test
   void workOutlastsAThreadThatCannotStart() throws Exception {
     AtomicInteger refused = new AtomicInteger(1);
-    Threads.Pool pool =
-        new Threads.Pool(
+    TaskPool pool =
+        new TaskPool(
             2,
             r ->
                 refused.getAndDecrement() > 0
