--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/AttemptRegistry.java
@@ -0,0 +1,162 @@
+package org.astershift.scheduler;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Which attempt holds which task on which machine. Placing, adopting, releasing and stopping an
+ * attempt update all sums and sets of {@link ClusterState} that depend on it.
+ */
+final class AttemptRegistry {
+  /** Seconds over which the reuse rate of idle machines decays. */
+  private static final double REUSE_WINDOW_S = 60;
+
+  private final ClusterState cluster;
+  private final Map<String, DecayingRate> reuseRateByType = new HashMap<>();
+
+  AttemptRegistry(ClusterState cluster) {
+    this.cluster = cluster;
+  }
+
+  /** Places a waiting task on a machine; its start command goes out once the job is opened. */
+  TaskAttempt place(Job job, int index, Machine machine, long attemptNumber, long nowMs) {
+    if (machine.idle()) {
+      reuseRateByType
+          .computeIfAbsent(machine.typeName, t -> new DecayingRate(REUSE_WINDOW_S))
+          .add(nowMs);
+    }
+    TaskAttempt attempt = new TaskAttempt(job, index, attemptNumber, machine, nowMs);
+    machine.add(attempt);
+    addUsage(attempt, 1);
+    holdTask(attempt);
+    job.lastPlacedMs = nowMs;
+    cluster.commandsPending.add(machine);
+    if (!job.opened) {
+      cluster.jobsToOpen.add(job);
+    } else if (job.spec.kind() == JobKind.SERVICE) {
+      cluster.placementsToPersist.add(job);
+    }
+    cluster.requestPass();
+    return attempt;
+  }
+
+  /** Idle machines of the type that are taken into use per second. */
+  double reuseRatePerS(String typeName, long nowMs) {
+    DecayingRate rate = reuseRateByType.get(typeName);
+    return rate == null ? 0 : rate.perS(nowMs);
+  }
+
+  /** Adds an attempt that a machine reported; {@link #holdTask} gives it the task. */
+  void adopt(TaskAttempt attempt) {
+    attempt.machine.add(attempt);
+    if (!attempt.exited()) {
+      addUsage(attempt, 1);
+    }
+  }
+
+  /** Makes an attempt known already the one that holds its task. */
+  void holdTask(TaskAttempt attempt) {
+    attempt.job.hold(attempt);
+    if (attempt.job.waitingTasks.isEmpty()) {
+      cluster.waitingJobs.remove(attempt.job);
+    }
+  }
+
+  /**
+   * The attempt runs no more and its resources are free. The machine keeps its entry until the
+   * worker has forgotten the attempt. A duplicate that is left takes over the task.
+   */
+  void release(TaskAttempt attempt) {
+    addUsage(attempt, -1);
+    Job job = attempt.job;
+    job.duplicateAttempts.remove(attempt);
+    if (!job.release(attempt)) {
+      return;
+    }
+    for (TaskAttempt duplicate : job.duplicateAttempts) {
+      if (duplicate.index == attempt.index) {
+        job.duplicateAttempts.remove(duplicate);
+        holdTask(duplicate);
+        break;
+      }
+    }
+    if (job.state == Job.State.LIVE && !job.waitingTasks.isEmpty()) {
+      cluster.waitingJobs.add(job);
+    }
+  }
+
+  /** Removes an attempt that the machine provably neither has nor can still get. */
+  void drop(TaskAttempt attempt) {
+    if (!attempt.exited()) {
+      release(attempt);
+      attempt.job.unsuccessfulAttempts += attempt.startSent ? 1 : 0;
+      cluster.requestPass();
+    }
+    attempt.machine.remove(attempt);
+  }
+
+  /**
+   * Drops all attempts of a machine that provably runs none. Pending starts may still arrive and
+   * stay held until a later epoch of the machine is seen or it is gone. Returns how many were
+   * dropped.
+   */
+  int dropNonPending(Machine machine) {
+    int dropped = 0;
+    for (TaskAttempt attempt : new ArrayList<>(machine.attempts.values())) {
+      if (!attempt.startPending()) {
+        drop(attempt);
+        dropped++;
+      }
+    }
+    return dropped;
+  }
+
+  /** Drops all attempts of a machine that is provably gone. */
+  void dropAll(Machine machine) {
+    for (TaskAttempt attempt : new ArrayList<>(machine.attempts.values())) {
+      drop(attempt);
+    }
+  }
+
+  /** Stops a task with time for its checkpoint; a gang is stopped as a whole. */
+  void stop(TaskAttempt attempt) {
+    if (attempt.job.spec.kind() == JobKind.GANG) {
+      for (TaskAttempt other : attempt.job.attempts.values()) {
+        markStopping(other);
+      }
+    } else {
+      markStopping(attempt);
+    }
+  }
+
+  /** Stops all tasks of a gang's attempt that can no longer become complete. */
+  void stopIncompleteGang(Job job, long attemptNumber) {
+    for (TaskAttempt attempt : job.attempts.values()) {
+      if (attempt.attemptNumber == attemptNumber) {
+        markStopping(attempt);
+      }
+    }
+    cluster.requestPass();
+  }
+
+  private void markStopping(TaskAttempt attempt) {
+    attempt.stopping = true;
+    attempt.machine.preemptible = null;
+    attempt.stopGraceS =
+        attempt.job.spec.checkpointIntervalS() > 0 ? attempt.job.spec.checkpointSaveS() + 1 : 0;
+    cluster.commandsPending.add(attempt.machine);
+  }
+
+  private void addUsage(TaskAttempt attempt, int sign) {
+    JobSpec spec = attempt.job.spec;
+    Machine machine = attempt.machine;
+    machine.addUsage(spec, sign);
+    if (attempt.job.orphaned) {
+      machine.addOrphanedAttempts(sign);
+      cluster.unobservedUsage.update(machine, cluster.machines.get(machine.name) == machine);
+    }
+    cluster.utilization.addUsedCpus(machine, sign * spec.cpus());
+    cluster.quotaUsage.add(spec, sign);
+  }
+}
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -84,7 +84,7 @@
       }
     }
     for (TaskAttempt attempt : neverStarted) {
-      cluster.dropAttempt(attempt);
+      cluster.attempts.drop(attempt);
     }
   }
 
@@ -184,7 +184,7 @@
         attempt.stopSent = true;
       } else if (leaseCertain
           && startDue(attempt)
-          && !cluster.outboundPartitioned(machine, nowMs)) {
+          && !cluster.heartbeatTiming.outboundPartitioned(machine, nowMs)) {
         commands.add(directStart(attempt));
       }
     }
@@ -211,7 +211,7 @@
       return null;
     }
     boolean fence = fenceDue(machine, nowMs);
-    boolean probe = machine.epoch > 0 && cluster.heartbeatOverdue(machine, nowMs);
+    boolean probe = machine.epoch > 0 && cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs);
     boolean restartCheck =
         machine.staleMessageSeen
             || (machine.inboundPartitioned()
@@ -245,7 +245,8 @@
           && attempt.startUnconfirmed
           && attempt.job.state == Job.State.LIVE) {
         if (attempt.unwanted()
-            || (attempt.job.opened && !cluster.outboundPartitioned(machine, nowMs))) {
+            || (attempt.job.opened
+                && !cluster.heartbeatTiming.outboundPartitioned(machine, nowMs))) {
           commands.add(directStart(attempt));
           if (attempt.unwanted()) {
             commands.add(Command.stop(attempt, attempt.graceS()));
@@ -279,7 +280,7 @@
     return fenceDue(machine, nowMs)
         || machine.staleMessageSeen
         || machine.inboundPartitioned()
-        || (machine.fenced && cluster.heartbeatOverdue(machine, nowMs));
+        || (machine.fenced && cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs));
   }
 
   /**
@@ -297,7 +298,8 @@
       Machine machine, List<Command> commands, int timeoutMs, long nowMs) {
     machine.commandInFlight = true;
     machine.commandSentWhileSilent =
-        machine.state == Machine.State.UNRECONCILED || cluster.heartbeatOverdue(machine, nowMs);
+        machine.state == Machine.State.UNRECONCILED
+            || cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs);
     machine.lastDirectCommandMs = nowMs;
     machine.epochWhenCommandSent = machine.epoch;
     machine.sequenceWhenCommandSent = machine.sequence;
--- a/src/main/java/org/astershift/scheduler/FailureDetector.java
+++ b/src/main/java/org/astershift/scheduler/FailureDetector.java
@@ -158,7 +158,7 @@
     Map<String, Zone> zonesByName = new HashMap<>();
     for (Machine machine : cluster.allMachines()) {
       Zone zone = zonesByName.computeIfAbsent(machine.zone, zoneName -> new Zone());
-      boolean overdue = cluster.heartbeatOverdue(machine, nowMs);
+      boolean overdue = cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs);
       if (overdue && machine.directCommandFailures > 0) {
         zone.unansweredKnown += machine.epoch > 0 ? 1 : 0;
         zone.unansweredNew += machine.epoch > 0 ? 0 : 1;
@@ -187,21 +187,23 @@
    * others asked it, and was then cut off from this leader, was given back.
    */
   private boolean unreachedByPeers(Machine machine, long nowMs) {
-    return machine.peerProbeResults.isUnreached(cluster.restartExcludedFromMs(machine), nowMs);
+    return machine.peerProbeResults.isUnreached(
+        cluster.heartbeatTiming.restartExcludedFromMs(machine), nowMs);
   }
 
   /** Whether the machine says nothing for longer than it may, though it was asked. */
   boolean isSilent(Machine machine, long nowMs) {
     if (machine.state == Machine.State.UNRECONCILED
         && machine.directCommandFailures >= FENCE_TRIES
-        && cluster.silenceMs(machine, nowMs) > FENCE_TIMEOUT_MS
+        && cluster.heartbeatTiming.silenceMs(machine, nowMs) > FENCE_TIMEOUT_MS
         && cluster.fewUnreconciled()) {
       return true; // all jobs opened before wait for it
     }
     // Not before it was asked: a busy node may not have come to that, and 40 healthy machines of a
     // thousand were given back after a takeover for nothing else.
     return machine.state != Machine.State.BOOTING
-        && cluster.silenceMs(machine, nowMs) > cluster.releaseTimeoutMs()
+        && cluster.heartbeatTiming.silenceMs(machine, nowMs)
+            > cluster.heartbeatTiming.releaseTimeoutMs()
         && (probedInVain(machine, nowMs) || machine.address == null);
   }
 
@@ -285,7 +287,7 @@
     for (Map.Entry<String, Zone> entry : zones.entrySet()) {
       if (entry.getValue().mostlySilent()
           && (entry.getValue().confirmedByPeers() || localEvidenceConclusive)) {
-        cluster.markZonePartitioned(entry.getKey(), nowMs);
+        cluster.zonePartitions.mark(entry.getKey(), nowMs);
       }
     }
     retainedReachable = 0;
@@ -337,8 +339,8 @@
         || nowMs - lastUnansweredMs <= PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
         || machine.peerProbeResults.isInconclusive(machine.lastContactMs(), nowMs)
         || (nowMs - lastConclusiveMs > PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
-            && cluster.silenceMs(machine, nowMs)
-                > cluster.releaseTimeoutMs() + PeerProbeResults.PEER_PROBE_WAIT_MS);
+            && cluster.heartbeatTiming.silenceMs(machine, nowMs)
+                > cluster.heartbeatTiming.releaseTimeoutMs() + PeerProbeResults.PEER_PROBE_WAIT_MS);
   }
 
   /** Others asked it in vain; or nobody can tell, and what this leader sees speaks for it. */
@@ -362,12 +364,13 @@
    */
   private boolean mayBeReachable(Machine machine, long nowMs) {
     return zones.get(machine.zone).mostlySilent()
-        && cluster.silenceMs(machine, nowMs) <= cluster.releaseTimeoutMs() + PEER_RECOVERY_WAIT_MS;
+        && cluster.heartbeatTiming.silenceMs(machine, nowMs)
+            <= cluster.heartbeatTiming.releaseTimeoutMs() + PEER_RECOVERY_WAIT_MS;
   }
 
   /** Nothing it held can be alive any more, so that giving it back loses nothing. */
   private boolean pastLease(Machine machine, long nowMs) {
-    return cluster.silenceMs(machine, nowMs) > 1.5 * cluster.limits.leaseS() * 1000;
+    return cluster.heartbeatTiming.silenceMs(machine, nowMs) > 1.5 * cluster.limits.leaseS() * 1000;
   }
 
   /** Says now and then what is held back, and why. */
@@ -395,7 +398,7 @@
     if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.RELEASING) {
       return false;
     }
-    if (cluster.heartbeatOverdue(machine, nowMs)) {
+    if (cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
       return fewOverdue || machine.directCommandFailures > 0;
     }
     // One of the last unheard: asked at the same time as by this leader for the second time.
@@ -442,7 +445,7 @@
         machine ->
             machine.address == null
                 || machine.lastMessageMs == machine.firstKnownMs
-                || cluster.heartbeatOverdue(machine, nowMs));
+                || cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs));
     // What reports and answers nothing would make each of the others look cut off.
     controls.sort(
         Comparator.comparing((Machine machine) -> machine.consecutiveUnanswered > 0)
@@ -460,7 +463,7 @@
   private boolean peerResultsCurrent(Machine machine, long nowMs) {
     boolean askedTooEarly = machine.peerProbeResults.isUnreached(machine.lastContactMs(), nowMs);
     return unreachedByPeers(machine, nowMs)
-        || (askedTooEarly && nowMs < cluster.restartExcludedFromMs(machine))
+        || (askedTooEarly && nowMs < cluster.heartbeatTiming.restartExcludedFromMs(machine))
         || machine.peerProbeResults.isFreshlyReached(machine.lastContactMs(), nowMs);
   }
 
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -151,7 +151,7 @@
     machine.address = heartbeat.address();
     machine.lastMessageMs = nowMs;
     machine.firstMessageMs = machine.firstMessageMs < 0 ? nowMs : machine.firstMessageMs;
-    cluster.clearZonePartition(machine.zone);
+    cluster.zonePartitions.clear(machine.zone);
     if (heartbeat.fencingToken() == cluster.fencingToken) {
       cluster.fence(machine, nowMs);
     }
@@ -187,7 +187,7 @@
           continue; // of a life before: the order may be meant for this session, too
         }
         LOG.info("task {} on {} ended with its session", attempt.name(), machine.name);
-        cluster.dropAttempt(attempt);
+        cluster.attempts.drop(attempt);
       }
       // A session's lease counts from its own beginning, which may be long after the last report
       // that found its way here: told by the answer to an order, it was taken for run out by that
@@ -224,7 +224,7 @@
       }
     }
     for (TaskAttempt attempt : absentAttempts) {
-      cluster.dropAttempt(attempt);
+      cluster.attempts.drop(attempt);
     }
     for (Heartbeat.TaskStatus status : unknownTasks) {
       adoptAttempt(machine, status, heartbeat.sequence(), nowMs);
@@ -268,7 +268,7 @@
       completeGangStop(attempt);
       return;
     }
-    cluster.release(attempt);
+    cluster.attempts.release(attempt);
     if (!"done".equals(status.exitReason())) {
       job.unsuccessfulAttempts++;
     }
@@ -304,7 +304,7 @@
       }
       case "incomplete" -> {
         LOG.info("gang task {} on {} gave up waiting for the others", attempt.name(), machine.name);
-        cluster.stopAttempt(job, attempt.attemptNumber);
+        cluster.attempts.stopIncompleteGang(job, attempt.attemptNumber);
       }
       default -> {
         LOG.debug("task {} on {} exited: {}", attempt.name(), machine.name, exitReason);
@@ -325,7 +325,7 @@
     attempt.phase = status.phase();
     attempt.exitReason = status.exitReason();
     attempt.lastShownSequence = sequence;
-    cluster.adopt(attempt);
+    cluster.attempts.adopt(attempt);
     if (status.closesAttempt()) {
       job.closeAttempt(attempt.attemptNumber);
     }
@@ -341,7 +341,7 @@
     }
     TaskAttempt other = job.attempts.get(attempt.index);
     if (other != null && !other.startSent && !other.startPending()) {
-      cluster.dropAttempt(other);
+      cluster.attempts.drop(other);
       other = null;
     }
     if (other != null && machine.fenced && !other.machine.fenced && job.state == Job.State.LIVE) {
@@ -365,7 +365,7 @@
       }
       return;
     }
-    cluster.holdTask(attempt);
+    cluster.attempts.holdTask(attempt);
     completeGangStop(attempt);
     job.opened = true;
     if (status.phase() == Heartbeat.TaskPhase.RUNNING) {
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -282,7 +282,7 @@
 
   /** Whether this term has no attempt numbers left, so that it has to end. */
   public boolean attemptNumbersExhausted() {
-    return cluster.attemptNumbersExhausted();
+    return cluster.attemptNumbers.exhausted();
   }
 
   /** Whether machines of earlier leaders are still to be heard or proved gone. */
@@ -297,7 +297,7 @@
 
   /** This node did nothing for a while, though clocks ran on. */
   public void onProcessResumed(long nowMs) {
-    cluster.onProcessResumed(nowMs);
+    cluster.heartbeatTiming.onProcessResumed(nowMs);
   }
 
   // ---- workers ----
@@ -315,7 +315,7 @@
    * it must not be answered, since that would renew a lease of which nothing is known.
    */
   public List<Command> onHeartbeat(Heartbeat heartbeat, long nowMs) {
-    if (cluster.removedRecently(heartbeat.machineName())) {
+    if (cluster.removedMachines.contains(heartbeat.machineName())) {
       return commandReconciler.stopsForEndedJobs(
           heartbeat); // a late report of a machine that is gone
     }
@@ -453,7 +453,7 @@
       machine.silentCommandUnanswered |= machine.commandSentWhileSilent;
       machine.consecutiveUnanswered++;
       if (machine.consecutiveUnanswered == Machine.INBOUND_PARTITION_TRIES
-          && !cluster.heartbeatOverdue(machine, nowMs)) {
+          && !cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
         LOG.info("machine {} reports and answers nothing: nothing new goes there", machine.name);
       }
     }
@@ -488,7 +488,7 @@
         continue;
       }
       if (machine == null) {
-        if (cluster.removedRecently(listedMachine.name())) {
+        if (cluster.removedMachines.contains(listedMachine.name())) {
           continue;
         }
         machine =
@@ -551,7 +551,7 @@
       lastSweepMs = nowMs;
       for (Machine machine : cluster.allMachines()) {
         expireLease(machine, Math.min(nowMs, leaseCertainUntilMs));
-        cluster.logOutboundPartition(machine, nowMs);
+        cluster.heartbeatTiming.logOutboundPartition(machine, nowMs);
       }
       failureDetector.assessFleet(nowMs);
       fleetVisibility = failureDetector.fleetVisibility();
@@ -623,7 +623,8 @@
       lastPlanMs = nowMs;
       plan(decisions, nowMs, nowMs < leaseCertainUntilMs);
     }
-    List<Decision.DeregisterMachine> deregistrations = cluster.drainDeregistrations();
+    List<Decision.DeregisterMachine> deregistrations =
+        cluster.removedMachines.drainDeregistrations();
     deregistrations.forEach(
         deregistration ->
             outstandingDecisions.onSettled(Kind.REGISTER_MACHINE, deregistration.machineName()));
@@ -653,7 +654,7 @@
     if (!leaseMatters || !machine.fenced || silentMs <= leaseMs(cluster.limits)) {
       return;
     }
-    int dropped = cluster.dropNonPendingAttempts(machine);
+    int dropped = cluster.attempts.dropNonPending(machine);
     for (TaskAttempt attempt : machine.attempts.values()) {
       attempt.startLeaseExpired = true;
     }
--- a/src/test/java/org/astershift/scheduler/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -324,7 +324,7 @@
       long attempt =
           parts[2].startsWith("old")
               ? Long.parseLong(parts[2].substring(3))
-              : (TOKEN << ClusterState.ATTEMPT_COUNTER_BITS) | Long.parseLong(parts[2]);
+              : (TOKEN << AttemptNumbers.ATTEMPT_COUNTER_BITS) | Long.parseLong(parts[2]);
       items.add(
           new Heartbeat.TaskStatus(
               parts[0],
@@ -357,10 +357,10 @@
   }
 
   private static String word(Command o) {
-    long term = o.attemptNumber() >> ClusterState.ATTEMPT_COUNTER_BITS;
+    long term = o.attemptNumber() >> AttemptNumbers.ATTEMPT_COUNTER_BITS;
     String attempt =
         term == TOKEN
-            ? "" + (o.attemptNumber() & ((1L << ClusterState.ATTEMPT_COUNTER_BITS) - 1))
+            ? "" + (o.attemptNumber() & ((1L << AttemptNumbers.ATTEMPT_COUNTER_BITS) - 1))
             : "old" + o.attemptNumber();
     String grace = o.kind() == Command.Kind.STOP ? " grace " + o.graceS() : "";
     return o.kind().name().toLowerCase(java.util.Locale.ROOT)
