--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/FreeCapacity.java
@@ -0,0 +1,87 @@
+package org.astershift.scheduler;
+
+/** Room for tasks on one machine. All fits go by it, so that they agree on the tolerance. */
+class FreeCapacity {
+  /** Sums of fractions drift: a need that exceeds the room by no more than this still fits. */
+  private static final double TOLERANCE = 1e-6;
+
+  private double cpus;
+  private double gpus;
+  private double memoryGb;
+  private int tasks;
+
+  FreeCapacity() {}
+
+  FreeCapacity(double cpus, double gpus, double memoryGb, int tasks) {
+    this.cpus = cpus;
+    this.gpus = gpus;
+    this.memoryGb = memoryGb;
+    this.tasks = tasks;
+  }
+
+  final void add(FreeCapacity other) {
+    tasks += other.tasks;
+    cpus += other.cpus;
+    gpus += other.gpus;
+    memoryGb += other.memoryGb;
+  }
+
+  /** Adds what the machine has free, without what is reserved on it. */
+  final void addFree(Machine machine) {
+    tasks += machine.freeTaskSlots();
+    cpus += machine.freeCpus();
+    gpus += machine.freeGpus();
+    memoryGb += machine.freeMemoryGb();
+  }
+
+  /** Adds the room of one task. */
+  final void add(JobSpec spec) {
+    tasks++;
+    cpus += spec.cpus();
+    gpus += spec.gpus();
+    memoryGb += spec.memoryGb();
+  }
+
+  /** Takes the room of one task. */
+  final void remove(JobSpec spec) {
+    cpus -= spec.cpus();
+    gpus -= spec.gpus();
+    memoryGb -= spec.memoryGb();
+    tasks--;
+  }
+
+  /** Whether one task finds room here. */
+  final boolean hasRoomFor(JobSpec spec) {
+    return fits(spec, tasks, cpus, gpus, memoryGb);
+  }
+
+  /** Whether one task finds room here together with what the machine has free. */
+  final boolean hasRoomBeside(Machine machine, JobSpec spec) {
+    return fits(
+        spec,
+        machine.freeTaskSlots() + tasks,
+        machine.freeCpus() + cpus,
+        machine.freeGpus() + gpus,
+        machine.freeMemoryGb() + memoryGb);
+  }
+
+  private static boolean fits(
+      JobSpec spec, int freeTasks, double freeCpus, double freeGpus, double freeMemoryGb) {
+    return freeTasks > 0
+        && freeCpus + TOLERANCE >= spec.cpus()
+        && freeGpus + TOLERANCE >= spec.gpus()
+        && freeMemoryGb + TOLERANCE >= spec.memoryGb();
+  }
+
+  /** How many tasks like this find room, at most {@code limit}. */
+  final int fitCount(JobSpec spec, int limit) {
+    if (!hasRoomFor(spec)) {
+      return 0;
+    }
+    double count = Math.min(limit, tasks);
+    count = spec.cpus() > 0 ? Math.min(count, (cpus + TOLERANCE) / spec.cpus()) : count;
+    count = spec.gpus() > 0 ? Math.min(count, (gpus + TOLERANCE) / spec.gpus()) : count;
+    count = spec.memoryGb() > 0 ? Math.min(count, (memoryGb + TOLERANCE) / spec.memoryGb()) : count;
+    return Math.max(0, (int) count);
+  }
+}
--- a/src/main/java/org/astershift/scheduler/GangScheduler.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -1,6 +1,7 @@
 package org.astershift.scheduler;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -10,33 +11,59 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Seats gangs: all tasks in one pass or none; and replaces tasks lost before the gang started. The
- * first gang that has waited for too long has what becomes free in a zone kept for it: otherwise
- * smaller ones take each machine, and a large gang waits for ever.
+ * Places gangs: all tasks in one pass or none; and replaces tasks lost before the gang started. The
+ * first gang that has waited for too long has what becomes free in a zone reserved for it:
+ * otherwise smaller ones take each machine, and a large gang waits for ever.
  */
 final class GangScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
 
-  /** Seconds in which a gang should start where no aim says so; ours. */
+  /** Seconds in which a gang without a start objective should start. */
   private static final double GANG_START_OBJECTIVE_S = 150;
 
-  /** Times its aim after which free room is kept for a gang that finds too little. */
+  /** Times its start objective after which free room is reserved for a gang that lacks some. */
   private static final double GANG_RESERVATION_OBJECTIVE_FACTOR = 2;
 
   private final ClusterState cluster;
-  private final Placement placement;
+  private final PlacementRules rules;
 
-  GangScheduler(ClusterState cluster, Placement placement) {
+  /** Machines among which all tasks of a gang have to find room: one zone's, or all. */
+  private static final class PlacementDomain {
+    /** With room now, and with the image where that counts. */
+    final List<Machine> candidates = new ArrayList<>();
+
+    /** With room now. */
+    final List<Machine> freeMachines = new ArrayList<>();
+
+    /** Tasks that the candidates can take. */
+    int taskRoom;
+
+    /** Tasks that all machines here could take if they were empty. */
+    int taskCapacity;
+  }
+
+  /** Machines for a gang's tasks, by task index, and how many of these find their image there. */
+  private record Assignment(Map<Integer, Machine> machines, int imageHits, int domainRoom) {
+    /** Most images first, and then least room left over. */
+    boolean betterThan(Assignment other) {
+      return other == null
+          || imageHits > other.imageHits
+          || (imageHits == other.imageHits && domainRoom < other.domainRoom);
+    }
+  }
+
+  GangScheduler(ClusterState cluster, PlacementRules rules) {
     this.cluster = cluster;
-    this.placement = placement;
+    this.rules = rules;
   }
 
+  /** Places the gangs among these jobs, in their order. */
   void place(List<Job> jobs, List<Machine> usable, long nowMs) {
     boolean roomReserved = false;
     for (Job job : jobs) {
       if (mayStart(job)) {
         Map<String, PlacementDomain> domains = findPlacementDomains(job, usable, nowMs);
-        if (!place(job, domains, nowMs)
+        if (!place(job, domains.values(), nowMs)
             && !roomReserved
             && !job.isSuspect()
             && isStarved(job, nowMs)
@@ -47,11 +74,8 @@
     }
   }
 
-  /**
-   * The same for gangs of a class that is served too little: the first that finds no room has it
-   * kept.
-   */
-  void placeStarved(MinimumShare.ShareGroup group, List<Machine> usable, long nowMs) {
+  /** The same for gangs of a starved group: the first that finds no room has some reserved. */
+  void placeStarved(ShareGroup group, List<Machine> usable, long nowMs) {
     for (Job job : group.agedJobs()) {
       if (!group.isStarved()) {
         return;
@@ -59,7 +83,7 @@
       if (mayStart(job) && withinTeamLimit(job)) {
         int tasks = job.waitingCount();
         Map<String, PlacementDomain> domains = findPlacementDomains(job, usable, nowMs);
-        if (place(job, domains, nowMs)) {
+        if (place(job, domains.values(), nowMs)) {
           group.onPlaced(job, tasks);
         } else if (reserveRoom(job, domains, nowMs)) {
           return;
@@ -68,10 +92,10 @@
     }
   }
 
-  /** Seats this gang if it finds room as it is. */
+  /** Places this gang if it finds room now; reserves nothing. */
   void placeIfRoom(Job job, List<Machine> usable, long nowMs) {
     if (mayStart(job) && withinTeamLimit(job)) {
-      place(job, findPlacementDomains(job, usable, nowMs), nowMs);
+      place(job, findPlacementDomains(job, usable, nowMs).values(), nowMs);
     }
   }
 
@@ -86,7 +110,16 @@
     return !job.attempts.isEmpty() && (job.gangAttemptClosed() || hasStoppingTask(job));
   }
 
-  /** Keeping room empty costs others their aims, so it begins late; but nobody waits for ever. */
+  private static boolean hasStoppingTask(Job job) {
+    for (TaskAttempt attempt : job.attempts.values()) {
+      if (attempt.unwanted()) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Reserved room costs others their objectives, so it begins late; but no gang waits for ever. */
   private static boolean isStarved(Job job, long nowMs) {
     double objectiveS = job.startObjectiveS == null ? GANG_START_OBJECTIVE_S : job.startObjectiveS;
     return nowMs - job.submittedMs >= objectiveS * 1000 * GANG_RESERVATION_OBJECTIVE_FACTOR;
@@ -96,28 +129,14 @@
     return cluster.teamQuotaAllows(job, job.waitingCount());
   }
 
-  /** Machines among which all tasks of a gang have to find room: one zone's, or all. */
-  private static final class PlacementDomain {
-    /** With room now, and with the image where that counts. */
-    final List<Machine> candidates = new ArrayList<>();
-
-    /** With room now. */
-    final List<Machine> freeMachines = new ArrayList<>();
-
-    /** Tasks that the candidates can take. */
-    int taskRoom;
-
-    /** Tasks that all machines here could take if they were empty. */
-    int taskCapacity;
-  }
-
+  /** By zone for a gang that has to be in one, else one domain under the empty name. */
   private Map<String, PlacementDomain> findPlacementDomains(
       Job job, List<Machine> usable, long nowMs) {
     Map<String, PlacementDomain> domains = new LinkedHashMap<>();
-    boolean pastWaitingAge = placement.pastWaitingAge(job, nowMs);
+    boolean pastWaitingAge = rules.pastWaitingAge(job, nowMs);
     for (Machine machine : usable) {
       if (!job.usableTypes.contains(machine.typeName)
-          || !placement.isMachineAllowed(machine, job, nowMs)) {
+          || !PlacementRules.isMachineAllowed(machine, job, nowMs)) {
         continue;
       }
       PlacementDomain domain =
@@ -138,106 +157,109 @@
     return domains;
   }
 
-  /** Seats the gang where it finds most images, and among these where least room is left over. */
-  private boolean place(Job job, Map<String, PlacementDomain> domains, long nowMs) {
-    Map<Integer, Machine> bestPlan = null;
-    int bestImageHits = -1;
-    int bestRoom = 0;
-    for (PlacementDomain domain : domains.values()) {
-      if (domain.taskRoom < job.waitingCount()) {
-        continue;
-      }
-      Map<Integer, Machine> plan = new LinkedHashMap<>();
-      int imageHits = assignTasks(job, domain.candidates, plan);
-      if (plan.size() == job.waitingCount()
-          && (imageHits > bestImageHits
-              || (imageHits == bestImageHits && domain.taskRoom < bestRoom))) {
-        bestPlan = plan;
-        bestImageHits = imageHits;
-        bestRoom = domain.taskRoom;
-      }
-    }
-    if (bestPlan == null) {
+  /** Places all tasks in the best domain; false if none has room for all of them. */
+  private boolean place(Job job, Collection<PlacementDomain> domains, long nowMs) {
+    Assignment best = bestAssignment(job, domains);
+    if (best == null) {
       return false;
     }
     if (job.attempts.isEmpty()) {
       job.gangAttemptNumber = cluster.nextAttemptNumber();
     }
     job.reservedZone = null;
-    for (Map.Entry<Integer, Machine> entry : bestPlan.entrySet()) {
+    for (Map.Entry<Integer, Machine> entry : best.machines().entrySet()) {
       cluster.place(job, entry.getKey(), entry.getValue(), job.gangAttemptNumber, nowMs);
       LOG.debug(
-          "gang task {}/{} placed on {}", job.spec.id(), entry.getKey(), entry.getValue().name);
-    }
-    return true;
-  }
-
-  /** Keeps what is free for this gang in one zone. */
-  private boolean reserveRoom(Job job, Map<String, PlacementDomain> domains, long nowMs) {
-    String bestZone = null;
-    for (Map.Entry<String, PlacementDomain> entry : domains.entrySet()) {
-      if (entry.getValue().taskCapacity >= job.waitingCount()
-          && (bestZone == null
-              || entry.getKey().equals(job.reservedZone)
-              || (!bestZone.equals(job.reservedZone)
-                  && entry.getValue().freeMachines.size()
-                      > domains.get(bestZone).freeMachines.size()))) {
-        bestZone = entry.getKey();
-      }
-    }
-    if (bestZone == null) {
-      return false;
-    }
-    if (!bestZone.equals(job.reservedZone)) {
-      LOG.info(
-          "gang {} of {} finds no room for all: what becomes free in {} is kept for it",
+          "gang task placed: job={} index={} machine={}",
           job.spec.id(),
-          job.spec.tasks(),
-          bestZone.isEmpty() ? "any zone" : bestZone);
-      job.reservedZone = bestZone;
-    }
-    for (Machine machine : domains.get(bestZone).freeMachines) {
-      machine.reserve(job.spec, machine.fitCount(job.spec, job.waitingCount()));
-      machine.idleSinceMs = nowMs;
+          entry.getKey(),
+          entry.getValue().name);
     }
     return true;
   }
 
-  private static boolean hasStoppingTask(Job job) {
-    for (TaskAttempt attempt : job.attempts.values()) {
-      if (attempt.unwanted()) {
-        return true;
+  private Assignment bestAssignment(Job job, Collection<PlacementDomain> domains) {
+    Assignment best = null;
+    for (PlacementDomain domain : domains) {
+      if (domain.taskRoom >= job.waitingCount()) {
+        Assignment assignment = assignTasks(job, domain);
+        if (assignment.machines().size() == job.waitingCount() && assignment.betterThan(best)) {
+          best = assignment;
+        }
       }
     }
-    return false;
+    return best;
   }
 
-  private int assignTasks(Job job, List<Machine> candidates, Map<Integer, Machine> plan) {
+  /** Assigns as many waiting tasks as spread, quota and earlier attempts allow. */
+  private Assignment assignTasks(Job job, PlacementDomain domain) {
     String image = job.spec.image();
-    candidates.sort(Comparator.comparingDouble(machine -> -machine.imageLocality(image)));
+    domain.candidates.sort(Comparator.comparingDouble(machine -> -machine.imageLocality(image)));
+    Map<Integer, Machine> machines = new LinkedHashMap<>();
     Map<String, Integer> tasksByZone = new HashMap<>();
     int imageHits = 0;
-    int placed = 0;
     int index = job.waitingTasks.nextSetBit(0);
-    for (Machine machine : candidates) {
+    for (Machine machine : domain.candidates) {
       int room = machine.fitCount(job.spec, job.waitingCount());
       for (int assignedHere = 0; assignedHere < room && index >= 0; assignedHere++) {
-        boolean withinSpreadLimit =
-            !job.spec.spread()
-                || job.attemptsInZone(machine.zone) + tasksByZone.getOrDefault(machine.zone, 0)
-                    < job.spec.spreadLimit();
-        if (!withinSpreadLimit
-            || Placement.hasAttemptOnMachine(machine, job, index)
-            || !cluster.teamQuotaAllows(job, placed + 1)) {
+        if (!withinSpreadLimit(job, machine.zone, tasksByZone)
+            || PlacementRules.hasAttemptOnMachine(machine, job, index)
+            || !cluster.teamQuotaAllows(job, machines.size() + 1)) {
           break;
         }
-        plan.put(index, machine);
+        machines.put(index, machine);
         tasksByZone.merge(machine.zone, 1, Integer::sum);
-        placed++;
         imageHits += machine.imageLocality(image) == 1 ? 1 : 0;
         index = job.waitingTasks.nextSetBit(index + 1);
       }
     }
-    return imageHits;
+    return new Assignment(machines, imageHits, domain.taskRoom);
+  }
+
+  private static boolean withinSpreadLimit(
+      Job job, String zone, Map<String, Integer> assignedByZone) {
+    return !job.spec.spread()
+        || job.attemptsInZone(zone) + assignedByZone.getOrDefault(zone, 0) < job.spec.spreadLimit();
+  }
+
+  /** Reserves for this gang what is free in one zone; false if no zone could ever hold it. */
+  private static boolean reserveRoom(Job job, Map<String, PlacementDomain> domains, long nowMs) {
+    String zone = zoneToReserve(job, domains);
+    if (zone == null) {
+      return false;
+    }
+    if (!zone.equals(job.reservedZone)) {
+      LOG.info(
+          "gang lacks room, free machines are reserved: job={} tasks={} zone={}",
+          job.spec.id(),
+          job.spec.tasks(),
+          zone.isEmpty() ? "any" : zone);
+      job.reservedZone = zone;
+    }
+    for (Machine machine : domains.get(zone).freeMachines) {
+      machine.reserve(job.spec, machine.fitCount(job.spec, job.waitingCount()));
+      machine.idleSinceMs = nowMs;
+    }
+    return true;
+  }
+
+  /** The zone reserved so far if it can still hold the gang, else that with most free machines. */
+  private static String zoneToReserve(Job job, Map<String, PlacementDomain> domains) {
+    String best = null;
+    int bestFreeMachines = 0;
+    for (Map.Entry<String, PlacementDomain> entry : domains.entrySet()) {
+      PlacementDomain domain = entry.getValue();
+      if (domain.taskCapacity < job.waitingCount()) {
+        continue;
+      }
+      if (entry.getKey().equals(job.reservedZone)) {
+        return entry.getKey();
+      }
+      if (best == null || domain.freeMachines.size() > bestFreeMachines) {
+        best = entry.getKey();
+        bestFreeMachines = domain.freeMachines.size();
+      }
+    }
+    return best;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -108,7 +108,7 @@
   Set<String> backfillTypes = Set.of();
 
   /** What it is counted with for the least that each class is served; set when it is taken in. */
-  MinimumShare.ShareGroup shareGroup;
+  ShareGroup shareGroup;
 
   /** The machine on which room is kept for a task of it; null while it waits for none. */
   Machine reservedMachine;
@@ -206,6 +206,11 @@
     return probeCount > 0;
   }
 
+  /** Whether it has to start so soon that work with objectives may be preempted for it. */
+  boolean hasTightStartObjective() {
+    return startObjectiveS != null && startObjectiveS <= TIGHT_START_OBJECTIVE_S;
+  }
+
   /** Whether a task of it may be on a machine, as far as known here. */
   boolean hasAttempts() {
     return !attempts.isEmpty() || !duplicateAttempts.isEmpty();
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -173,7 +173,7 @@
   private Reservation reserved = Reservation.NONE;
 
   /** Within a pass: what it could give up, as far as that was asked; null once that changes. */
-  Preemption.Stoppable preemptible;
+  PreemptibleWork preemptible;
 
   /** Within a pass: tasks given to it. */
   int placedInPass;
--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/MachineFiller.java
@@ -0,0 +1,122 @@
+package org.astershift.scheduler;
+
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Places waiting tasks of jobs other than gangs on machines, one machine and job at a time. */
+final class MachineFiller {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineFiller.class);
+
+  private final ClusterState cluster;
+  private final WaitQueue queue;
+  private final PlacementRules rules;
+  private final DeferralTracker deferrals;
+
+  MachineFiller(
+      ClusterState cluster, WaitQueue queue, PlacementRules rules, DeferralTracker deferrals) {
+    this.cluster = cluster;
+    this.queue = queue;
+    this.rules = rules;
+    this.deferrals = deferrals;
+  }
+
+  /**
+   * Offers each machine to the jobs in their order. {@code starvedGroup}: the group whose minimum
+   * share the jobs are served for, and only until it is reached; null for the regular order.
+   */
+  void fillAll(
+      List<Machine> candidates,
+      List<Job> jobs,
+      FillStep step,
+      ShareGroup starvedGroup,
+      long nowMs) {
+    MinimumRequirements minimum = new MinimumRequirements(jobs);
+    for (Machine machine : candidates) {
+      if (minimum.satisfiedBy(machine)) {
+        for (Job job : jobs) {
+          if (starvedGroup != null && !starvedGroup.isStarved()) {
+            return;
+          }
+          fill(machine, job, step, starvedGroup, nowMs);
+        }
+      }
+    }
+  }
+
+  /** Places as many tasks of the job on the machine as the step allows. */
+  void fill(Machine machine, Job job, FillStep step, ShareGroup starvedGroup, long nowMs) {
+    cluster.candidateChecks++;
+    if (!isCandidate(machine, job, starvedGroup, nowMs)) {
+      return;
+    }
+    double locality = machine.imageLocality(job.spec.image());
+    if (!step.accepts(locality)) {
+      return;
+    }
+    int index = job.waitingTasks.nextSetBit(0);
+    while (index >= 0
+        && (starvedGroup == null || starvedGroup.isStarved())
+        && hasTaskToPlace(job, locality)
+        && mayTakeAnother(machine, job, step)
+        && (locality > 0 || mayFetchImage(machine, job, nowMs))
+        && job.zoneAllowed(machine.zone)
+        && cluster.teamQuotaAllows(job)) {
+      if (!PlacementRules.hasAttemptOnMachine(machine, job, index)) {
+        place(machine, job, index, starvedGroup, nowMs);
+        LOG.debug(
+            "task placed: job={} index={} machine={} locality={}",
+            job.spec.id(),
+            index,
+            machine.name,
+            locality);
+      }
+      index = job.waitingTasks.nextSetBit(index + 1);
+    }
+  }
+
+  private boolean isCandidate(Machine machine, Job job, ShareGroup starvedGroup, long nowMs) {
+    return !job.waitingTasks.isEmpty()
+        && rules.hasRoomFor(machine, job)
+        && PlacementRules.isMachineAllowed(machine, job, nowMs)
+        && (starvedGroup != null || !isDeferred(machine, job, nowMs))
+        && !(job.isSuspect() && rules.shouldProbeElsewhere(machine, job, nowMs));
+  }
+
+  /**
+   * Whether the room is kept from a job without objectives, since work with objectives waits that
+   * may become able to use it.
+   */
+  private boolean isDeferred(Machine machine, Job job, long nowMs) {
+    return job.bestEffort
+        && queue.hasWaitingObjectiveWork(machine)
+        && !deferrals.deferralExpired(job, nowMs);
+  }
+
+  /** Tasks for which preemption makes room elsewhere are placed early only beside their image. */
+  private static boolean hasTaskToPlace(Job job, double locality) {
+    return locality == 1 || job.waitingCount() > job.tasksAwaitingPreemption;
+  }
+
+  private boolean mayTakeAnother(Machine machine, Job job, FillStep step) {
+    int batchTasks = machine.hasRecentFailures() ? 1 : cluster.policy.machineBatchTasks();
+    return !(step.spreadReplicas() && PlacementRules.exceedsReplicaShare(machine, job))
+        && machine.placedInPass < batchTasks
+        && !job.probeInProgress()
+        && rules.hasRoomFor(machine, job);
+  }
+
+  /** Below the utilization threshold, or once the job has waited long enough. */
+  private boolean mayFetchImage(Machine machine, Job job, long nowMs) {
+    return rules.pastWaitingAge(job, nowMs)
+        || cluster.utilization.of(machine) < cluster.policy.utilizationThreshold();
+  }
+
+  private void place(Machine machine, Job job, int index, ShareGroup starvedGroup, long nowMs) {
+    cluster.place(job, index, machine, cluster.nextAttemptNumber(), nowMs);
+    machine.placedInPass++;
+    if (starvedGroup != null) {
+      starvedGroup.onPlaced(job, 1);
+    }
+  }
+}
--- a/src/main/java/org/astershift/scheduler/PlannedMachine.java
+++ b/src/main/java/org/astershift/scheduler/PlannedMachine.java
@@ -1,61 +1,54 @@
 package org.astershift.scheduler;
 
-/** Room on one machine that is there, booting or asked for, as a plan for renting fills it. */
-final class PlannedMachine {
-  private static final double TOLERANCE = 1e-6;
+/** Room on one machine that is live, booting or requested, as a scale-out plan fills it. */
+final class PlannedMachine extends FreeCapacity {
   final String zone;
   private final MachineType type;
   private final boolean spot;
-  private double freeCpus;
-  private double freeGpus;
-  private double freeMemoryGb;
-  private int freeTasks = MachineType.MAX_TASKS_PER_MACHINE;
 
   /** An empty machine. */
   PlannedMachine(MachineType type, String zone, boolean spot) {
+    super(type.cpus(), type.gpus(), type.memoryGb(), MachineType.MAX_TASKS_PER_MACHINE);
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.freeCpus = type.cpus();
-    this.freeGpus = type.gpus();
-    this.freeMemoryGb = type.memoryGb();
   }
 
-  /** What is free on a machine now. */
+  /** What is free on a machine now; what a pass reserved there counts as free. */
   PlannedMachine(Machine machine) {
-    this(machine.type, machine.zone, machine.spot);
-    freeCpus -= machine.usedCpus();
-    freeGpus -= machine.usedGpus();
-    freeMemoryGb -= machine.usedMemoryGb();
-    freeTasks -= machine.attempts.size();
+    super(
+        machine.type.cpus() - machine.usedCpus(),
+        machine.type.gpus() - machine.usedGpus(),
+        machine.type.memoryGb() - machine.usedMemoryGb(),
+        MachineType.MAX_TASKS_PER_MACHINE - machine.attempts.size());
+    this.type = machine.type;
+    this.zone = machine.zone;
+    this.spot = machine.spot;
   }
 
-  /** With what its array tasks will have left at a time, as far as their estimates tell. */
+  /** With what its array tasks will have freed at a time, by their estimates. */
   static PlannedMachine withExpectedReleases(Machine machine, long atMs) {
     PlannedMachine planned = new PlannedMachine(machine);
     for (TaskAttempt attempt : machine.attempts.values()) {
-      JobSpec spec = attempt.job.spec;
       if (attempt.expectedDoneBy(atMs)) {
-        planned.freeCpus += spec.cpus();
-        planned.freeGpus += spec.gpus();
-        planned.freeMemoryGb += spec.memoryGb();
-        planned.freeTasks++;
+        planned.add(attempt.job.spec);
       }
     }
     return planned;
   }
 
-  /** How many tasks like this find room, at most {@code limit}. */
+  /** How many tasks like this may and can run here, at most {@code limit}. */
   int fittingTasks(JobSpec spec, int limit) {
+    return allows(spec) ? fitCount(spec, limit) : 0;
+  }
+
+  /** Takes one task, if it may and can run here. */
+  boolean take(JobSpec spec) {
     if (!hasRoomFor(spec) || !allows(spec)) {
-      return 0;
+      return false;
     }
-    double count = Math.min(limit, freeTasks);
-    count = spec.cpus() > 0 ? Math.min(count, (freeCpus + TOLERANCE) / spec.cpus()) : count;
-    count = spec.gpus() > 0 ? Math.min(count, (freeGpus + TOLERANCE) / spec.gpus()) : count;
-    count =
-        spec.memoryGb() > 0 ? Math.min(count, (freeMemoryGb + TOLERANCE) / spec.memoryGb()) : count;
-    return Math.max(0, (int) count);
+    remove(spec);
+    return true;
   }
 
   private boolean allows(JobSpec spec) {
@@ -64,24 +57,4 @@
         && (spec.machineTypes() == null || spec.machineTypes().contains(type.name()))
         && (spec.zone() == null || spec.zone().equals(zone));
   }
-
-  /** Whether there is room for one task, be it allowed or not. */
-  boolean hasRoomFor(JobSpec spec) {
-    return freeTasks > 0
-        && freeCpus + TOLERANCE >= spec.cpus()
-        && freeGpus + TOLERANCE >= spec.gpus()
-        && freeMemoryGb + TOLERANCE >= spec.memoryGb();
-  }
-
-  /** Takes one task, if it may and can. */
-  boolean take(JobSpec spec) {
-    if (!hasRoomFor(spec) || !allows(spec)) {
-      return false;
-    }
-    freeCpus -= spec.cpus();
-    freeGpus -= spec.gpus();
-    freeMemoryGb -= spec.memoryGb();
-    freeTasks--;
-    return true;
-  }
 }
