--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -69,9 +69,7 @@
         }
         long requestedMs = LeaderTerm.nowMs();
         List<Scheduler.ListedMachine> listed = cloud.listMachines();
-        synchronized (term) {
-          term.scheduler.onMachineList(listed, requestedMs, LeaderTerm.nowMs());
-        }
+        term.scheduler.onMachineList(listed, requestedMs);
         requestPass.run();
         Thread.sleep(LoopTiming.MACHINE_LIST_INTERVAL_MS);
       } catch (IOException e) {
@@ -90,9 +88,7 @@
     Map<String, MachineType> fetchedTypes = cloud.listMachineTypes();
     boolean changed = !typesFingerprint(fetchedTypes).equals(typesFingerprint(types));
     types = fetchedTypes;
-    synchronized (term) {
-      term.scheduler.updateMachineTypes(fetchedTypes);
-    }
+    term.scheduler.updateMachineTypes(fetchedTypes);
     requestPass.run();
     if (changed || watchCache.get(RecordCodec.TYPES) == null) {
       StoreClient.Transaction txn =
@@ -127,9 +123,7 @@
               try {
                 Decision.ProvisionMachines request = RecordCodec.decodeRental(value);
                 LOG.info("rental {} was left open by an earlier leader: asked again", name);
-                synchronized (term) {
-                  term.scheduler.onProvisioningStarted(name, request);
-                }
+                term.scheduler.onProvisioningStarted(name, request);
                 submitRental(term, name, request);
               } catch (Json.JsonFormatException e) {
                 LOG.error("rental {} cannot be read: {}", name, e.getMessage());
@@ -143,9 +137,7 @@
    */
   void provision(LeaderTerm term, Decision.ProvisionMachines request) {
     String name = term.nextRentalName();
-    synchronized (term) {
-      term.scheduler.onProvisioningStarted(name, request);
-    }
+    term.scheduler.onProvisioningStarted(name, request);
     term.records.put(LeaderRecords.RecordKind.RENTAL, name, RecordCodec.encodeRental(request), 0);
   }
 
@@ -179,9 +171,7 @@
           term.records.putNew(
               LeaderRecords.RecordKind.MACHINE, machine, RecordCodec.encodeMachine(e));
         }
-        synchronized (term) {
-          term.scheduler.onMachinesProvisioned(name, names, request, LeaderTerm.nowMs());
-        }
+        term.scheduler.onMachinesProvisioned(name, names, request);
         break;
       } catch (CloudClient.CloudRejectedException e) {
         if (e.reason() == CloudClient.CloudRejectedException.Reason.NO_CAPACITY) {
@@ -199,9 +189,7 @@
               request.typeName());
         }
         if (e.reason().isPermanent()) {
-          synchronized (term) {
-            term.scheduler.onProvisioningFailed(name, request, true, LeaderTerm.nowMs());
-          }
+          term.scheduler.onProvisioningRejected(name, request);
           break;
         }
         LOG.info("rental {}: {}", name, e.getMessage());
@@ -235,16 +223,12 @@
     }
     try {
       cloud.releaseMachines(request.machineNames());
-      synchronized (term) {
-        term.scheduler.onMachinesReleased(request.machineNames(), LeaderTerm.nowMs());
-      }
+      term.scheduler.onMachinesReleased(request.machineNames());
       requestPass.run();
     } catch (IOException e) {
       LOG.info("return of {}: {}", request.machineNames(), e.toString());
       sleep();
-      synchronized (term) {
-        term.scheduler.onReleaseFailed(request.machineNames());
-      }
+      term.scheduler.onReleaseFailed(request.machineNames());
     }
   }
 }
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -8,7 +8,6 @@
 import org.astershift.config.Settings;
 import org.astershift.http.Json;
 import org.astershift.http.Threads;
-import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.Scheduler;
 import org.astershift.store.RateLimiter;
 import org.astershift.store.RecordCodec;
@@ -97,19 +96,12 @@
   private static void retryLater(LeaderTerm term, Collection<String> jobIds) {
     if (!term.ended()) {
       Threads.backOff();
-      synchronized (term) {
-        for (String jobId : jobIds) {
-          term.scheduler.onDecisionFailed(new Decision.FinishJob(jobId));
-        }
-      }
+      term.scheduler.onFinishFailed(jobIds);
     }
   }
 
   private static RecordCodec.JobEnd buildEnd(LeaderTerm term, String jobId, boolean cancelled) {
-    Scheduler.JobProgress progress;
-    synchronized (term) {
-      progress = term.scheduler.progress(jobId);
-    }
+    Scheduler.JobProgress progress = term.scheduler.progress(jobId);
     return new RecordCodec.JobEnd(cancelled, progress == null ? 0 : progress.doneTasks());
   }
 
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import org.astershift.coordination.Candidacy;
 import org.astershift.coordination.StoreReachability;
 import org.astershift.coordination.WorkerReachability;
@@ -96,13 +97,16 @@
     if (term == null) {
       return;
     }
-    double visibleShare;
-    synchronized (term) {
-      if (!term.scheduler.isolated()) {
-        return;
-      }
-      visibleShare = term.scheduler.observedShare();
+    OptionalDouble shareIfIsolated =
+        term.scheduler.call(
+            scheduler ->
+                scheduler.isolated()
+                    ? OptionalDouble.of(scheduler.observedShare())
+                    : OptionalDouble.empty());
+    if (shareIfIsolated.isEmpty()) {
+      return;
     }
+    double visibleShare = shareIfIsolated.getAsDouble();
     List<Candidacy.PeerStatus> statuses = new ArrayList<>();
     for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
       Candidacy.PeerStatus other = queryWorkerReachability(peer.getKey(), peer.getValue());
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -1,16 +1,12 @@
 package org.astershift.controller;
 
-import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
-import org.astershift.config.LogIntervals;
 import org.astershift.config.Settings;
 import org.astershift.config.ThreadBudget;
 import org.astershift.coordination.Candidacy;
-import org.astershift.http.Json;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Command;
-import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.Heartbeat;
 import org.astershift.scheduler.MachineType;
 import org.astershift.scheduler.Scheduler;
@@ -22,36 +18,31 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries the scheduler's decisions out and tells it what came of them, term by term. */
+/**
+ * One controller: starts its loops, begins and ends leader terms, and routes heartbeats and store
+ * changes to the current term. Callable from any thread.
+ */
 public final class ControllerRuntime implements LeaderElector.TermListener {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerRuntime.class);
 
-  /** Milliseconds that the note of where replicas are may wait for other changes of its page. */
-  private static final long PLACEMENT_RECORD_DELAY_MS = 3000;
-
   private final Settings settings;
   private final SchedulingPolicy policy;
   private final StoreClient store;
   private final WatchCache watchCache;
-  private final CommandSender sender = new CommandSender();
   private final LeaderElector elector;
   private final CloudProvisioner provisioner;
   private final ReachabilityProber prober;
+  private final CommandDispatcher commands;
   private final ConnectivityMonitor connectivity;
   private final EndedJobCache endedJobs = new EndedJobCache();
   private final CompletionWriter completionWriter;
+  private final PassSignal passSignal = new PassSignal();
   private volatile LeaderTerm currentTerm;
 
-  /** Held while a term is taken up or laid down: a term that is over must not be taken up late. */
+  /** Held while a term begins or ends: one that is over must not become current late. */
   private final Object termLock = new Object();
 
-  private final Threads.Pool commandPool = Threads.pool("order", ThreadBudget.COMMAND_THREADS);
-  private final Threads.Pool probePool =
-      Threads.pool("question", ThreadBudget.MACHINE_PROBE_THREADS);
-  private final Object passSignal = new Object();
-  private boolean passRequested;
-
-  /** {@code peers}: the ways to the other nodes, by their names. */
+  /** {@code peers}: channels to the other controllers, by node name. */
   public ControllerRuntime(
       Settings settings,
       SchedulingPolicy policy,
@@ -62,7 +53,10 @@
     this.policy = policy;
     this.store = store;
     this.watchCache = watchCache;
+    CommandSender sender = new CommandSender();
+    Threads.Pool probePool = Threads.pool("probe", ThreadBudget.MACHINE_PROBE_THREADS);
     Candidacy candidacy = new Candidacy();
+    this.commands = new CommandDispatcher(sender, probePool);
     this.prober = new ReachabilityProber(watchCache, sender, probePool, peers.values());
     this.elector =
         new LeaderElector(
@@ -84,6 +78,7 @@
     prober.start();
   }
 
+  /** Whether this node should get users' requests. */
   public boolean ready() {
     return watchCache.loaded() && !connectivity.partitionedFromStore();
   }
@@ -93,7 +88,7 @@
     return elector.leaderEntry();
   }
 
-  /** Another node says that the leader has this token. */
+  /** Another node reports the leader's fencing token. */
   void onLeaderObserved(long token) {
     elector.onLeaderObserved(token);
   }
@@ -106,11 +101,15 @@
     return connectivity;
   }
 
+  CommandDispatcher commands() {
+    return commands;
+  }
+
   ReachabilityProber prober() {
     return prober;
   }
 
-  /** Another node reaches more of the fleet. */
+  /** Gives the leadership up, as another node reaches more of the fleet. */
   void transferLeadership(LeaderTerm term, String reason) {
     elector.resign(term.token, reason);
   }
@@ -122,6 +121,7 @@
     return settings.nodeName().equals(leader) ? null : leader;
   }
 
+  /** Machine types by name; empty until the cloud or the store was read. */
   public Map<String, MachineType> types() {
     return provisioner.types();
   }
@@ -153,7 +153,7 @@
     }
   }
 
-  /** A live job was read from the state service. */
+  /** A live job was read from the store. */
   void onJobRecord(StoreClient.Entry entry) {
     LeaderTerm term = currentTerm;
     if (term != null && endedJobs.get(entry.key().substring(RecordCodec.JOB.length())) == null) {
@@ -162,7 +162,7 @@
     }
   }
 
-  /** A job was accepted here, and recorded at this revision. */
+  /** A job was accepted here and recorded at this revision. */
   void onJobAccepted(RecordCodec.JobRecord record, long revision) {
     LeaderTerm term = currentTerm;
     if (term != null && endedJobs.get(record.spec().id()) == null) {
@@ -171,8 +171,6 @@
     }
   }
 
-  // ---- term of office ----
-
   @Override
   public void onTermBegin(long token) {
     synchronized (termLock) {
@@ -181,21 +179,8 @@
       }
       store.setLeading(true);
     }
-    LeaderRecords records =
-        new LeaderRecords(
-            token,
-            store,
-            settings.storeLimits(),
-            (kind, key, value) -> onPersisted(token, kind, key, value));
-    LeaderTerm term =
-        new LeaderTerm(
-            token,
-            new Scheduler(settings.limits(), policy, token),
-            records,
-            () -> elector.stepDown(token, "a write found another leader"));
-    synchronized (term) {
-      term.scheduler.updateMachineTypes(provisioner.types());
-    }
+    LeaderTerm term = createTerm(token);
+    term.scheduler.updateMachineTypes(provisioner.types());
     term.load(watchCache);
     synchronized (termLock) {
       if (elector.token() != token) {
@@ -204,18 +189,37 @@
       }
       currentTerm = term;
     }
-    // What came between the loading and here was told to no term yet.
+    // Changes between the load and here reached no term.
     for (StoreClient.Entry entry : watchCache.entriesWithPrefix(RecordCodec.JOB)) {
       term.addJob(entry);
     }
     provisioner.resumeProvisioning(term);
-    // A term whose loops cannot all run is given up by its caller: half a leader would hold the
-    // lease and place nothing.
-    Threads.start("notes", () -> records.writeLoop(term));
-    Threads.start("pass", () -> passLoop(term));
+    startLoops(term);
+  }
+
+  private LeaderTerm createTerm(long token) {
+    LeaderRecords records =
+        new LeaderRecords(
+            token,
+            store,
+            settings.storeLimits(),
+            new PersistedRecordHandler(token, this::currentTerm, provisioner));
+    return new LeaderTerm(
+        token, new Scheduler(settings.limits(), policy, token), records, new Host(token));
+  }
+
+  /**
+   * Throws where a thread cannot start; the caller then gives the term up, since a leader without
+   * all loops would hold the lease and place nothing.
+   */
+  private void startLoops(LeaderTerm term) {
+    DecisionExecutor executor = new DecisionExecutor(term, commands, provisioner, prober);
+    PassLoop passLoop = new PassLoop(term, settings.nodeName(), passSignal, executor);
+    Threads.start("records", () -> term.records.writeLoop(term));
+    Threads.start("pass", passLoop::run);
     Threads.start("cloud", () -> provisioner.pollLoop(term));
-    Threads.start("save", () -> progressLoop(term));
-    Threads.start("ends", () -> completionWriter.writeLoop(term));
+    Threads.start("progress", () -> ProgressSaver.saveLoop(term));
+    Threads.start("completions", () -> completionWriter.writeLoop(term));
   }
 
   @Override
@@ -231,299 +235,64 @@
     }
     if (term != null) {
       term.end();
-      LOG.info("{} leads no longer (token {}): {}", settings.nodeName(), term.token, reason);
+      LOG.info("{} leads no longer, token={}: {}", settings.nodeName(), term.token, reason);
     }
     requestPass();
   }
 
   void requestPass() {
-    synchronized (passSignal) {
-      passRequested = true;
-      passSignal.notifyAll();
-    }
-  }
-
-  private void passLoop(LeaderTerm term) throws InterruptedException {
-    long summaryLoggedMs = 0;
-    long dueMs = Long.MAX_VALUE;
-    long totalPassMs = 0;
-    long longestPassMs = 0;
-    while (!term.ended()) {
-      synchronized (passSignal) {
-        if (!passRequested) {
-          passSignal.wait(LoopTiming.PASS_INTERVAL_MS);
-        }
-        passRequested = false;
-      }
-      long beganNs = System.nanoTime();
-      long stalledMs = LeaderTerm.nowMs() - dueMs;
-      boolean starting = false;
-      try {
-        List<Decision> decisions;
-        String summary = null;
-        String serviceSummary = null;
-        String cancellationSummary = null;
-        boolean attemptsExhausted;
-        synchronized (term) {
-          long nowMs = LeaderTerm.nowMs();
-          if (stalledMs > LoopTiming.PROCESS_PAUSE_MS) {
-            LOG.info("{} stood still for {} ms", settings.nodeName(), stalledMs);
-            term.scheduler.onProcessResumed(nowMs);
-          }
-          decisions = term.scheduler.pass(nowMs, elector.leaseCertainUntilMs());
-          attemptsExhausted = term.scheduler.attemptNumbersExhausted();
-          starting = term.scheduler.reconciling();
-          if (nowMs - summaryLoggedMs > LogIntervals.SUMMARY_INTERVAL_MS) {
-            summaryLoggedMs = nowMs;
-            summary = term.scheduler.summary();
-            serviceSummary = term.scheduler.serviceSummary(nowMs);
-            cancellationSummary = term.cancellationSummary();
-          }
-        }
-        if (attemptsExhausted) {
-          elector.stepDown(term.token, "its attempt numbers are used up");
-        }
-        if (summary != null) {
-          LOG.info("{}; passes took {} ms, the longest {} ms", summary, totalPassMs, longestPassMs);
-          LOG.info(serviceSummary);
-          if (cancellationSummary != null) {
-            LOG.info(cancellationSummary);
-          }
-          totalPassMs = 0;
-          longestPassMs = 0;
-        }
-        for (Decision decision : decisions) {
-          execute(term, decision);
-        }
-        for (Threads.Pool pool : List.of(commandPool, probePool)) {
-          pool.startWaitingWork();
-        }
-        prober.startQueuedTasks();
-        provisioner.startQueuedTasks();
-      } catch (RuntimeException | Error e) {
-        LOG.error("pass failed", e);
-        Threads.backOff();
-      }
-      // Events gather meanwhile: reports and answers come first where processor time is short.
-      long passMs = (System.nanoTime() - beganNs) / 1_000_000;
-      totalPassMs += passMs;
-      longestPassMs = Math.max(longestPassMs, passMs);
-      long pauseMs = Math.max(LoopTiming.PASS_MIN_GAP_MS, passMs * LoopTiming.PASS_REST_FACTOR);
-      pauseMs = starting ? Math.min(LoopTiming.PASS_REST_MAX_MS, pauseMs) : pauseMs;
-      dueMs = LeaderTerm.nowMs() + pauseMs + LoopTiming.PASS_INTERVAL_MS;
-      Thread.sleep(pauseMs);
-    }
+    passSignal.request();
   }
 
-  private void execute(LeaderTerm term, Decision decision) {
-    if (decision instanceof Decision.SendCommands o) {
-      // Silent machines hold a thread until the deadline: the others' orders must not wait behind.
-      (o.commands().isEmpty() ? probePool : commandPool)
-          .execute("order", () -> sendCommands(term, o));
-    } else if (decision instanceof Decision.OpenJob o) {
-      term.records.put(
-          LeaderRecords.RecordKind.OPENED,
-          o.jobId(),
-          RecordCodec.encodePlacement(o.replicaMachineNames()),
-          0);
-    } else if (decision instanceof Decision.PersistPlacement r) {
-      if (term.manages(r.jobId())) {
-        term.records.replace(
-            LeaderRecords.RecordKind.OPENED,
-            r.jobId(),
-            RecordCodec.encodePlacement(r.replicaMachineNames()),
-            PLACEMENT_RECORD_DELAY_MS);
-      }
-    } else if (decision instanceof Decision.FinishJob finish) {
-      term.completions.add(finish.jobId());
-    } else if (decision instanceof Decision.RegisterMachine register) {
-      term.records.put(
-          LeaderRecords.RecordKind.MACHINE,
-          register.machineName(),
-          RecordCodec.encodeMachine(register),
-          0);
-    } else if (decision instanceof Decision.DeregisterMachine deregister) {
-      if (deregister.address() != null) {
-        sender.disconnect(deregister.address());
-      }
-      term.records.remove(
-          LeaderRecords.RecordKind.MACHINE,
-          deregister.machineName(),
-          LeaderRecords.DEREGISTER_DELAY_MS);
-    } else if (decision instanceof Decision.ProvisionMachines r) {
-      provisioner.provision(term, r);
-    } else if (decision instanceof Decision.ReleaseMachines r) {
-      provisioner.releaseMachines(term, r);
-    } else if (decision instanceof Decision.ProbeThroughPeers probe) {
-      prober.probeThroughPeers(probe, results -> onPeerProbeResults(term, probe, results));
-    }
-  }
-
-  private void onPeerProbeResults(
-      LeaderTerm term, Decision.ProbeThroughPeers probe, List<Decision.PeerProbeResult> results) {
-    synchronized (term) {
-      term.scheduler.onPeerProbeResults(probe, results);
-    }
-    requestPass();
-  }
-
-  /** A note is on record: what waited for it may happen now. */
-  private void onPersisted(long token, LeaderRecords.RecordKind kind, String key, Object value) {
-    LeaderTerm term = currentTerm;
-    if (term == null || term.token != token || value == null) {
-      return;
-    }
-    try {
-      switch (kind) {
-        case OPENED -> {
-          synchronized (term) {
-            term.scheduler.onJobOpened(key);
-          }
-          requestPass();
-        }
-        case MACHINE -> {
-          if (!RecordCodec.decodeMachine(key, value).newlyProvisioned()) {
-            synchronized (term) {
-              term.scheduler.onMachineRegistered(key);
-            }
-            requestPass();
-          }
-        }
-        case RENTAL -> provisioner.onRentalPersisted(term, key, value);
-        case PROGRESS -> {
-          BitSet done = new BitSet();
-          String jobId = RecordCodec.mergeSegment(done, key, value);
-          synchronized (term) {
-            term.scheduler.onProgressPersisted(jobId, done);
-          }
-        }
-      }
-    } catch (Json.JsonFormatException e) {
-      throw new IllegalStateException("a note of ours cannot be read: " + key, e);
-    }
-  }
-
-  // ---- workers ----
-
-  /** Commands for the answer to a report; null if this node is not entitled to answer. */
+  /** Commands for the response to a heartbeat; null if this node must not answer it. */
   public List<Command> onHeartbeat(Heartbeat heartbeat, long token) {
     LeaderTerm term = currentTerm;
-    if (term == null || term.token != token) {
-      return null;
-    }
-    List<Command> commands;
-    boolean deposed;
-    boolean passNeeded;
-    synchronized (term) {
-      if (term.ended()) {
-        return null;
-      }
-      term.scheduler.extendLeaseCertainty(elector.leaseCertainUntilMs());
-      commands = term.scheduler.onHeartbeat(heartbeat, LeaderTerm.nowMs());
-      deposed = term.scheduler.deposed();
-      passNeeded = term.scheduler.passRequested();
-    }
-    if (deposed) {
-      elector.stepDown(
-          term.token, "worker " + heartbeat.machineName() + " has seen a higher token");
-      return null;
-    }
-    if (passNeeded) {
-      requestPass();
-    }
-    return commands;
+    return term == null || term.token != token ? null : term.onHeartbeat(heartbeat);
   }
 
-  /** Token for the answer to a report. */
+  /** Fencing token for the response to a heartbeat; 0 if this node does not lead. */
   public long token() {
     LeaderTerm term = currentTerm;
     return term == null ? 0 : term.token;
   }
 
-  /** Its turn has come. */
-  void sendCommands(LeaderTerm term, Decision.SendCommands request) {
-    if (term.ended()) {
-      return;
-    }
-    synchronized (term) {
-      if (!term.scheduler.directCommandsStillDue(request, LeaderTerm.nowMs())) {
-        return;
-      }
-    }
-    CommandSender.Result result = new CommandSender.Result(true, null);
-    boolean deposed;
-    boolean passNeeded;
-    try {
-      result =
-          sender.send(
-              request.address(),
-              term.token,
-              request.epoch(),
-              () -> commandsToSend(term, request),
-              request.timeoutMs());
-    } finally {
-      // Whatever came of it: an order that is under way for ever holds its task's place, and the
-      // job's cancellation.
-      synchronized (term) {
-        term.scheduler.extendLeaseCertainty(elector.leaseCertainUntilMs());
-        term.scheduler.onCommandResult(
-            request.machineName(), result.outcomeUnknown(), result.heartbeat(), LeaderTerm.nowMs());
-        deposed = term.scheduler.deposed();
-        passNeeded = term.scheduler.passRequested();
-      }
-    }
-    if (deposed) {
-      elector.stepDown(term.token, "machine " + request.machineName() + " has seen a higher token");
-    } else if (passNeeded) {
-      requestPass();
-    }
-  }
-
-  /**
-   * What to send of it over a connection that exists by now. That this term is certainly the only
-   * one is looked at only here: a start decided before goes to nobody who may listen to the next
-   * leader, however long the connection took or this process stood still.
-   */
-  private List<Command> commandsToSend(LeaderTerm term, Decision.SendCommands request) {
-    synchronized (term) {
-      return term.scheduler.commandsStillWanted(request, leaseCertain(term));
-    }
-  }
-
-  // ---- records ----
-
-  /** The end of a job was read. */
+  /** The end of a job was read from the store. */
   void onEndRead(String jobId, RecordCodec.JobEnd end) {
     completionWriter.onEndRead(currentTerm, jobId, end);
   }
 
-  /** Makes the job's end durable, before anyone is told; null if that is not certain yet. */
+  /** Makes the job's end durable before any user sees it; null if that is not certain yet. */
   RecordCodec.JobEnd persistEnd(LeaderTerm term, String jobId, boolean cancelled, long timeoutMs)
       throws InterruptedException {
     return completionWriter.persistEnd(term, jobId, cancelled, timeoutMs);
   }
 
-  private static void progressLoop(LeaderTerm term) throws InterruptedException {
-    while (!term.ended()) {
-      Thread.sleep(LoopTiming.PROGRESS_SAVE_INTERVAL_MS);
-      try {
-        Map<String, BitSet> unsaved;
-        synchronized (term) {
-          unsaved = term.scheduler.drainUnpersistedProgress();
-        }
-        unsaved.forEach((jobId, done) -> persistProgress(term, jobId, done));
-      } catch (RuntimeException | Error e) {
-        LOG.error("saving progress failed", e);
-      }
+  /** What the term of this token uses of this controller. */
+  private final class Host implements TermHost {
+    private final long token;
+
+    Host(long token) {
+      this.token = token;
     }
-  }
 
-  private static void persistProgress(LeaderTerm term, String jobId, BitSet done) {
-    for (int i = 0; i < RecordCodec.segmentCount(done.length()); i++) {
-      String key = RecordCodec.progressKey(jobId, i);
-      if (term.manages(jobId)) { // not after its end: its progress would stay for ever
-        term.records.put(LeaderRecords.RecordKind.PROGRESS, key, RecordCodec.segment(done, i), 0);
-      }
+    @Override
+    public long leaseCertainUntilMs() {
+      return elector.leaseCertainUntilMs();
+    }
+
+    @Override
+    public boolean leaseCertain() {
+      return elector.leaseCertain(token);
+    }
+
+    @Override
+    public void stepDown(String reason) {
+      elector.stepDown(token, reason);
+    }
+
+    @Override
+    public void requestPass() {
+      ControllerRuntime.this.requestPass();
     }
   }
 }
--- /dev/null
+++ b/src/main/java/org/astershift/controller/DecisionExecutor.java
@@ -0,0 +1,106 @@
+package org.astershift.controller;
+
+import org.astershift.scheduler.Decision;
+import org.astershift.store.RecordCodec;
+
+/**
+ * Carries out the decisions of one term's passes. Nothing here blocks on the network: each handler
+ * queues work for a thread of its own. Called by the pass loop, without the scheduler's lock.
+ */
+final class DecisionExecutor implements Decision.Visitor {
+  /** Milliseconds that a placement hint may wait for other changes of its page. */
+  private static final long PLACEMENT_RECORD_DELAY_MS = 3000;
+
+  private final LeaderTerm term;
+  private final CommandDispatcher commands;
+  private final CloudProvisioner provisioner;
+  private final ReachabilityProber prober;
+
+  DecisionExecutor(
+      LeaderTerm term,
+      CommandDispatcher commands,
+      CloudProvisioner provisioner,
+      ReachabilityProber prober) {
+    this.term = term;
+    this.commands = commands;
+    this.provisioner = provisioner;
+    this.prober = prober;
+  }
+
+  /** Starts queued work that found no thread. */
+  void startQueuedTasks() {
+    commands.startQueuedTasks();
+    prober.startQueuedTasks();
+    provisioner.startQueuedTasks();
+  }
+
+  @Override
+  public void visit(Decision.OpenJob decision) {
+    term.records.put(
+        LeaderRecords.RecordKind.OPENED,
+        decision.jobId(),
+        RecordCodec.encodePlacement(decision.replicaMachineNames()),
+        0);
+  }
+
+  @Override
+  public void visit(Decision.PersistPlacement decision) {
+    if (term.manages(decision.jobId())) {
+      term.records.replace(
+          LeaderRecords.RecordKind.OPENED,
+          decision.jobId(),
+          RecordCodec.encodePlacement(decision.replicaMachineNames()),
+          PLACEMENT_RECORD_DELAY_MS);
+    }
+  }
+
+  @Override
+  public void visit(Decision.SendCommands decision) {
+    commands.dispatch(term, decision);
+  }
+
+  @Override
+  public void visit(Decision.FinishJob decision) {
+    term.completions.add(decision.jobId());
+  }
+
+  @Override
+  public void visit(Decision.ProvisionMachines decision) {
+    provisioner.provision(term, decision);
+  }
+
+  @Override
+  public void visit(Decision.ReleaseMachines decision) {
+    provisioner.releaseMachines(term, decision);
+  }
+
+  @Override
+  public void visit(Decision.RegisterMachine decision) {
+    term.records.put(
+        LeaderRecords.RecordKind.MACHINE,
+        decision.machineName(),
+        RecordCodec.encodeMachine(decision),
+        0);
+  }
+
+  @Override
+  public void visit(Decision.DeregisterMachine decision) {
+    if (decision.address() != null) {
+      commands.disconnect(decision.address());
+    }
+    term.records.remove(
+        LeaderRecords.RecordKind.MACHINE,
+        decision.machineName(),
+        LeaderRecords.DEREGISTER_DELAY_MS);
+  }
+
+  @Override
+  public void visit(Decision.ProbeThroughPeers decision) {
+    prober.probeThroughPeers(
+        decision,
+        results -> {
+          term.scheduler.onPeerProbeResults(decision, results);
+          term.requestPass();
+        });
+  }
+}
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -207,17 +207,10 @@
       boolean deadlinePassed) {
     boolean ended = endedJobs.get(jobId) != null;
     boolean managed = term != null && term.manages(jobId);
-    boolean fenced = false;
-    boolean startInFlight = false;
-    boolean complete = false;
-    if (!ended && managed) {
-      synchronized (term) {
-        Scheduler.JobProgress progress = term.scheduler.progress(jobId);
-        fenced = term.scheduler.canConfirmCancellation(jobId);
-        startInFlight = term.scheduler.mayStart(jobId);
-        complete = progress != null && progress.complete();
-      }
-    }
+    LeaderTerm.CancellationState state =
+        !ended && managed
+            ? term.cancellationState(jobId)
+            : LeaderTerm.CancellationState.NOT_MANAGED;
     return new Cancellation.View(
         ended,
         mayForward,
@@ -225,9 +218,9 @@
         term != null && !term.ended() && runtime.leaseCertain(term),
         managed,
         storeRead,
-        fenced,
-        startInFlight,
-        complete,
+        state.fenced(),
+        state.startInFlight(),
+        state.complete(),
         deadlinePassed);
   }
 
--- /dev/null
+++ b/src/main/java/org/astershift/controller/PassLoop.java
@@ -0,0 +1,122 @@
+package org.astershift.controller;
+
+import java.util.List;
+import org.astershift.config.LogIntervals;
+import org.astershift.http.Threads;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Scheduler;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The scheduling passes of one term: wait, decide under the scheduler's lock, carry out without it,
+ * rest. Used by its own thread only.
+ */
+final class PassLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(PassLoop.class);
+
+  private final LeaderTerm term;
+  private final String node;
+  private final PassSignal signal;
+  private final DecisionExecutor executor;
+
+  /** Steady-clock time at which the pass after this rest is late. */
+  private long dueMs = Long.MAX_VALUE;
+
+  private boolean reconciling;
+  private long summaryLoggedMs;
+  private long totalPassMs;
+  private long longestPassMs;
+
+  PassLoop(LeaderTerm term, String node, PassSignal signal, DecisionExecutor executor) {
+    this.term = term;
+    this.node = node;
+    this.signal = signal;
+    this.executor = executor;
+  }
+
+  /** What one pass produced. */
+  private record Pass(List<Decision> decisions, boolean attemptsExhausted, Summary summary) {}
+
+  /** Texts for the log; {@code cancellations} is null if there were none. */
+  private record Summary(String jobs, String services, String cancellations) {}
+
+  /** Runs passes until the term ends. */
+  void run() throws InterruptedException {
+    while (!term.ended()) {
+      signal.await(LoopTiming.PASS_INTERVAL_MS);
+      long beganNs = System.nanoTime();
+      long stalledMs = LeaderTerm.nowMs() - dueMs;
+      reconciling = false;
+      try {
+        runPass(stalledMs);
+      } catch (RuntimeException | Error e) {
+        LOG.error("scheduling pass failed, token={}", term.token, e);
+        Threads.backOff();
+      }
+      rest((System.nanoTime() - beganNs) / 1_000_000);
+    }
+  }
+
+  private void runPass(long stalledMs) {
+    Pass pass = term.scheduler.call(scheduler -> decide(scheduler, stalledMs));
+    if (pass.attemptsExhausted()) {
+      term.stepDown("its attempt numbers are used up");
+    }
+    if (pass.summary() != null) {
+      log(pass.summary());
+    }
+    for (Decision decision : pass.decisions()) {
+      decision.accept(executor);
+    }
+    executor.startQueuedTasks();
+  }
+
+  /** Under the scheduler's lock. */
+  private Pass decide(Scheduler scheduler, long stalledMs) {
+    long nowMs = LeaderTerm.nowMs();
+    if (stalledMs > LoopTiming.PROCESS_PAUSE_MS) {
+      LOG.info("process pause detected, node={} late_ms={}", node, stalledMs);
+      scheduler.onProcessResumed(nowMs);
+    }
+    List<Decision> decisions = scheduler.pass(nowMs, term.leaseCertainUntilMs());
+    boolean attemptsExhausted = scheduler.attemptNumbersExhausted();
+    reconciling = scheduler.reconciling();
+    return new Pass(decisions, attemptsExhausted, summaryIfDue(scheduler, nowMs));
+  }
+
+  private Summary summaryIfDue(Scheduler scheduler, long nowMs) {
+    if (nowMs - summaryLoggedMs <= LogIntervals.SUMMARY_INTERVAL_MS) {
+      return null;
+    }
+    summaryLoggedMs = nowMs;
+    return new Summary(
+        scheduler.summary(), scheduler.serviceSummary(nowMs), term.cancellationSummary());
+  }
+
+  private void log(Summary summary) {
+    LOG.info(
+        "{}; passes took {} ms, the longest {} ms", summary.jobs(), totalPassMs, longestPassMs);
+    LOG.info(summary.services());
+    if (summary.cancellations() != null) {
+      LOG.info(summary.cancellations());
+    }
+    totalPassMs = 0;
+    longestPassMs = 0;
+  }
+
+  /**
+   * Rests in proportion to the pass, so that heartbeats and responses come first where processor
+   * time is short; bounded while machines of an earlier leader are still unreconciled.
+   */
+  private void rest(long passMs) throws InterruptedException {
+    totalPassMs += passMs;
+    longestPassMs = Math.max(longestPassMs, passMs);
+    long restMs = Math.max(LoopTiming.PASS_MIN_GAP_MS, passMs * LoopTiming.PASS_REST_FACTOR);
+    if (reconciling) {
+      restMs = Math.min(LoopTiming.PASS_REST_MAX_MS, restMs);
+    }
+    dueMs = LeaderTerm.nowMs() + restMs + LoopTiming.PASS_INTERVAL_MS;
+    Thread.sleep(restMs);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/astershift/controller/PersistedRecordHandler.java
@@ -0,0 +1,51 @@
+package org.astershift.controller;
+
+import java.util.BitSet;
+import java.util.function.Supplier;
+import org.astershift.http.Json;
+import org.astershift.store.RecordCodec;
+
+/** Does what had to wait until a record of the term was durable. */
+final class PersistedRecordHandler implements LeaderRecords.Listener {
+  private final long token;
+  private final Supplier<LeaderTerm> currentTerm;
+  private final CloudProvisioner provisioner;
+
+  /** {@code currentTerm}: gives null or another term where this token's is not current. */
+  PersistedRecordHandler(
+      long token, Supplier<LeaderTerm> currentTerm, CloudProvisioner provisioner) {
+    this.token = token;
+    this.currentTerm = currentTerm;
+    this.provisioner = provisioner;
+  }
+
+  @Override
+  public void onPersisted(LeaderRecords.RecordKind kind, String key, Object value) {
+    LeaderTerm term = currentTerm.get();
+    if (term == null || term.token != token || value == null) {
+      return;
+    }
+    try {
+      switch (kind) {
+        case OPENED -> {
+          term.scheduler.onJobOpened(key);
+          term.requestPass();
+        }
+        case MACHINE -> {
+          if (!RecordCodec.decodeMachine(key, value).newlyProvisioned()) {
+            term.scheduler.onMachineRegistered(key);
+            term.requestPass();
+          }
+        }
+        case RENTAL -> provisioner.onRentalPersisted(term, key, value);
+        case PROGRESS -> {
+          BitSet done = new BitSet();
+          String jobId = RecordCodec.mergeSegment(done, key, value);
+          term.scheduler.onProgressPersisted(jobId, done);
+        }
+      }
+    } catch (Json.JsonFormatException e) {
+      throw new IllegalStateException("own record cannot be decoded, key=" + key, e);
+    }
+  }
+}
--- a/src/test/java/org/astershift/controller/FailoverFencingTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -44,10 +44,8 @@
     node.start();
     LeaderTerm term = node.leads();
     assertEquals(1, term.progressIfCurrent(ID).doneTasks());
-    synchronized (term) {
-      assertFalse(
-          term.scheduler.canConfirmCancellation(ID), "a machine that may hold it is unheard");
-    }
+    boolean confirmable = term.scheduler.call(scheduler -> scheduler.canConfirmCancellation(ID));
+    assertFalse(confirmable, "a machine that may hold it is unheard");
   }
 
   /** A job comes after the jobs were read, and before news is told to the new term. */
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -260,11 +260,12 @@
     assertEquals(503, node.desk.cancel(ID, true).status());
     assertTrue(term.cancellationSummary().contains(" 0 confirmed; 1 wait, the longest for "));
     door.watched((r, done) -> {});
-    String line;
-    synchronized (term) { // or its own summary might tell it first
-      assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
-      line = term.cancellationSummary();
-    }
+    String line =
+        term.scheduler.call( // or its own summary might tell it first
+            scheduler -> {
+              assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
+              return term.cancellationSummary();
+            });
     final long tookMs = LeaderTerm.nowMs() - beganMs;
     long saidMs = Long.parseLong(line.replaceAll(".* worst ([0-9]+) ms", "$1"));
     assertTrue(line.contains(" 1 confirmed, median " + saidMs + " ms"), line);
@@ -416,8 +417,9 @@
     WorkerEmulator worker = cloud.everRented().get(0);
     Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
     String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
-    node.director.sendCommands(
-        term, new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000));
+    node.director
+        .commands()
+        .send(term, new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000));
     assertEquals(List.of(ID + "/0"), started());
   }
 
@@ -439,13 +441,13 @@
         new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000);
     door.refuse(true);
     Await.until("the lease to be over", () -> !node.director.leaseCertain(term));
-    node.director.sendCommands(term, direct);
+    node.director.commands().send(term, direct);
     assertTrue(term.manages(ID), "the job is wanted");
     assertSame(term, node.director.currentTerm(), "and this node leads on, in doubt");
     assertEquals(List.of(ID + "/0"), started());
     door.refuse(false);
     Await.until("the lease to be its own again", () -> node.director.leaseCertain(term));
-    node.director.sendCommands(term, direct);
+    node.director.commands().send(term, direct);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
   }
 
@@ -492,9 +494,7 @@
     long untilNs = System.nanoTime() + LOOK_NS;
     boolean underWay;
     do {
-      synchronized (term) {
-        underWay = term.scheduler.mayStart(ID);
-      }
+      underWay = term.scheduler.call(scheduler -> scheduler.mayStart(ID));
     } while (!underWay && System.nanoTime() < untilNs); // it is settled as soon as it has failed
     Await.until(
         "the cancellation to be confirmed",
@@ -568,9 +568,11 @@
     Await.until("the job to run", () -> started().contains(ID + "/0"));
     WorkerEmulator worker = cloud.everRented().get(0);
     String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
-    synchronized (term) {
-      term.scheduler.requestCancellation(ID);
-    }
+    term.scheduler.call(
+        scheduler -> {
+          scheduler.requestCancellation(ID);
+          return null;
+        });
     Command start = new Command(Command.Kind.START, ID, 0, 77, 0);
     Command stop = new Command(Command.Kind.STOP, ID, 0, 77, 0);
     List<Command> later =
@@ -582,12 +584,12 @@
         new Decision.SendCommands(worker.name(), addr, 1, List.of(start), 5000);
     Decision.SendCommands both =
         new Decision.SendCommands(worker.name(), addr, 1, List.of(start, stop), 5000);
-    node.director.sendCommands(term, alone);
+    node.director.commands().send(term, alone);
     assertEquals(List.of(ID + "/0"), started());
-    node.director.sendCommands(term, both);
+    node.director.commands().send(term, both);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
     Await.until("it to be cancelled", () -> node.desk.cancel(ID, true).status() == 200);
-    node.director.sendCommands(term, again);
+    node.director.commands().send(term, again);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
   }
 
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -21,11 +21,31 @@
 
 /** Rules ran_cancelled and went_back: news of a job from before its end does not bring it back. */
 class LeaderTermTest {
+  /** Of a term that nothing ends. */
+  private static final class NoHost implements TermHost {
+    @Override
+    public long leaseCertainUntilMs() {
+      return 0;
+    }
+
+    @Override
+    public boolean leaseCertain() {
+      return false;
+    }
+
+    @Override
+    public void stepDown(String reason) {}
+
+    @Override
+    public void requestPass() {}
+  }
+
   private static LeaderTerm term() {
     DeploymentLimits facts = new DeploymentLimits(Map.of(), List.of(), 2, 14, 30, 4, 40, 3);
     Settings.StoreLimits limits = new Settings.StoreLimits(100, 100, 8, 8);
     LeaderRecords notes = new LeaderRecords(5, null, limits, (kind, key, value) -> {});
-    return new LeaderTerm(5, new Scheduler(facts, OperatorSettings.defaults(), 5), notes, () -> {});
+    return new LeaderTerm(
+        5, new Scheduler(facts, OperatorSettings.defaults(), 5), notes, new NoHost());
   }
 
   private static RecordCodec.JobRecord job() {
