--- a/src/main/java/org/astershift/controller/CommandDispatcher.java
+++ b/src/main/java/org/astershift/controller/CommandDispatcher.java
@@ -1,5 +1,6 @@
 package org.astershift.controller;
 
+import org.astershift.http.TaskPool;
 import org.astershift.config.ThreadBudget;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Decision;
@@ -8,11 +9,11 @@
 /** Sends direct requests to machines, in threads of its own. */
 final class CommandDispatcher {
   private final CommandSender sender;
-  private final Threads.Pool commandPool = Threads.pool("command", ThreadBudget.COMMAND_THREADS);
-  private final Threads.Pool probePool;
+  private final TaskPool commandPool = Threads.pool("command", ThreadBudget.COMMAND_THREADS);
+  private final TaskPool probePool;
 
   /** {@code probePool}: shared with the probes of {@link ReachabilityProber}. */
-  CommandDispatcher(CommandSender sender, Threads.Pool probePool) {
+  CommandDispatcher(CommandSender sender, TaskPool probePool) {
     this.sender = sender;
     this.probePool = probePool;
   }
@@ -22,7 +23,7 @@
    * until the deadline: commands to other machines must not wait behind it.
    */
   void dispatch(LeaderTerm term, Decision.SendCommands request) {
-    Threads.Pool pool = request.commands().isEmpty() ? probePool : commandPool;
+    TaskPool pool = request.commands().isEmpty() ? probePool : commandPool;
     pool.execute("command", () -> send(term, request));
   }
 
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -1,5 +1,6 @@
 package org.astershift.controller;
 
+import org.astershift.http.TaskPool;
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Settings;
@@ -54,7 +55,7 @@
     this.store = store;
     this.watchCache = watchCache;
     CommandSender sender = new CommandSender();
-    Threads.Pool probePool = Threads.pool("probe", ThreadBudget.MACHINE_PROBE_THREADS);
+    TaskPool probePool = Threads.pool("probe", ThreadBudget.MACHINE_PROBE_THREADS);
     Candidacy candidacy = new Candidacy();
     this.commands = new CommandDispatcher(sender, probePool);
     this.prober = new ReachabilityProber(watchCache, sender, probePool, peers.values());
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -1,5 +1,6 @@
 package org.astershift.controller;
 
+import org.astershift.http.JsonFormatException;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -7,7 +8,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.astershift.coordination.CancellationLatency;
 import org.astershift.coordination.TermJobs;
-import org.astershift.http.Json;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.Heartbeat;
@@ -134,7 +134,7 @@
         lockedScheduler.addInheritedMachine(
             name, machine.address(), machine.typeName(), machine.zone(), machine.spot(), nowMs);
       }
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       LOG.error("machine record cannot be decoded, machine={}: {}", name, e.getMessage());
     }
   }
@@ -150,7 +150,7 @@
                 BitSet part = new BitSet();
                 String jobId = RecordCodec.mergeSegment(part, key, value);
                 doneTasks.computeIfAbsent(jobId, j -> new BitSet()).or(part);
-              } catch (Json.JsonFormatException e) {
+              } catch (JsonFormatException e) {
                 LOG.error("progress record cannot be decoded: {}", e.getMessage());
               }
             });
@@ -183,7 +183,7 @@
   private void addJob(StoreClient.Entry entry, boolean opened, BitSet doneTasks) {
     try {
       addJob(RecordCodec.decodeJob(entry.key(), entry.data()), entry.revision(), opened, doneTasks);
-    } catch (Json.JsonFormatException | RuntimeException e) {
+    } catch (JsonFormatException | RuntimeException e) {
       LOG.error("job record cannot be decoded, key={}: {}", entry.key(), e.getMessage());
     }
   }
--- a/src/main/java/org/astershift/controller/PersistedRecordHandler.java
+++ b/src/main/java/org/astershift/controller/PersistedRecordHandler.java
@@ -1,8 +1,8 @@
 package org.astershift.controller;
 
+import org.astershift.http.JsonFormatException;
 import java.util.BitSet;
 import java.util.function.Supplier;
-import org.astershift.http.Json;
 import org.astershift.store.RecordCodec;
 
 /** Does what had to wait until a record of the term was durable. */
@@ -44,7 +44,7 @@
           term.scheduler.onProgressPersisted(jobId, done);
         }
       }
-    } catch (Json.JsonFormatException e) {
+    } catch (JsonFormatException e) {
       throw new IllegalStateException("own record cannot be decoded, key=" + key, e);
     }
   }
