--- /dev/null
+++ b/src/main/java/org/astershift/CommandLineArguments.java
@@ -0,0 +1,84 @@
+package org.astershift;
+
+import java.io.PrintStream;
+import java.io.PrintWriter;
+import org.apache.commons.cli.CommandLine;
+import org.apache.commons.cli.DefaultParser;
+import org.apache.commons.cli.HelpFormatter;
+import org.apache.commons.cli.Option;
+import org.apache.commons.cli.Options;
+import org.apache.commons.cli.ParseException;
+
+/** The program's options, parsed. */
+final class CommandLineArguments {
+  private final CommandLine line;
+
+  private CommandLineArguments(CommandLine line) {
+    this.line = line;
+  }
+
+  /** Throws for unknown options; see {@link #checkForStart} for what a start needs. */
+  static CommandLineArguments parse(String[] args) throws ParseException {
+    return new CommandLineArguments(new DefaultParser().parse(options(), args));
+  }
+
+  boolean help() {
+    return line.hasOption("help");
+  }
+
+  boolean version() {
+    return line.hasOption("version");
+  }
+
+  /** Whether the settings are to be checked only. */
+  boolean check() {
+    return line.hasOption("check");
+  }
+
+  /** Throws unless the settings file, and nothing unexpected, was given. */
+  void checkForStart() throws ParseException {
+    if (!line.getArgList().isEmpty()) {
+      throw new ParseException("unexpected argument: " + line.getArgList().get(0));
+    }
+    if (!line.hasOption("config")) {
+      throw new ParseException("--config FILE is required");
+    }
+  }
+
+  /** The settings file. */
+  String configFile() {
+    return line.getOptionValue("config");
+  }
+
+  /** The operators' settings file; {@code fallback} if not given. */
+  String iniFile(String fallback) {
+    return line.getOptionValue("ini", fallback);
+  }
+
+  static void printHelp(PrintStream out) {
+    new HelpFormatter()
+        .printHelp(
+            new PrintWriter(out, true),
+            80,
+            "astershift [OPTION...] --config FILE",
+            "",
+            options(),
+            2,
+            2,
+            "");
+  }
+
+  private static Options options() {
+    Options options = new Options();
+    options.addOption(fileOption("config", "settings (TOML)"));
+    options.addOption(fileOption("ini", "operators' own settings (INI); default: $ASTERSHIFT_INI"));
+    options.addOption(null, "check", false, "check the settings and exit");
+    options.addOption(null, "help", false, "print this and exit");
+    options.addOption(null, "version", false, "print the version and exit");
+    return options;
+  }
+
+  private static Option fileOption(String name, String description) {
+    return Option.builder().longOpt(name).hasArg().argName("FILE").desc(description).build();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/astershift/ControllerLauncher.java
@@ -0,0 +1,114 @@
+package org.astershift;
+
+import java.io.IOException;
+import java.net.BindException;
+import java.util.HashMap;
+import java.util.Map;
+import org.astershift.api.PublicApi;
+import org.astershift.config.Settings;
+import org.astershift.config.ThreadBudget;
+import org.astershift.controller.ControllerRuntime;
+import org.astershift.controller.JobService;
+import org.astershift.http.ConnectionSlots;
+import org.astershift.http.HttpServer;
+import org.astershift.http.Threads;
+import org.astershift.peer.PeerClient;
+import org.astershift.peer.PeerServer;
+import org.astershift.scheduler.SchedulingPolicy;
+import org.astershift.store.StoreClient;
+import org.astershift.store.WatchCache;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Creates a controller's parts, connects them and starts them. */
+final class ControllerLauncher {
+  private static final Logger LOG = LoggerFactory.getLogger(ControllerLauncher.class);
+
+  /**
+   * Longest wait for an address in use, milliseconds: the process of a predecessor may be about to
+   * end, and the platform restarts a process that fails to start only after a delay.
+   */
+  private static final long LISTEN_TIMEOUT_MS = 20_000;
+
+  private ControllerLauncher() {}
+
+  /** Starts a controller on its own threads; throws if an address cannot be bound. */
+  static void start(Settings settings, SchedulingPolicy policy) throws IOException {
+    StoreClient store = new StoreClient(settings);
+    Map<String, JobService.PeerChannel> peerChannels = peerChannels(settings);
+    ControllerRuntime controller =
+        new ControllerRuntime(settings, policy, store, new WatchCache(store), peerChannels);
+    JobService jobService = new JobService(controller, store, peerChannels);
+    // Both addresses are bound before anything else starts: only when this node's previous process
+    // has ended may this one delete a leader key that it left behind.
+    PeerServer peerServer = retryWhileAddressInUse(() -> peerServer(settings, jobService));
+    PublicApi api = new PublicApi(controller, jobService, settings.limits().teams());
+    HttpServer http = retryWhileAddressInUse(() -> httpServer(settings, api));
+    peerServer.start();
+    controller.start();
+    http.start();
+    new Thread(null, ControllerLauncher::keepAlive, "keep-alive", Threads.STACK_BYTES).start();
+  }
+
+  private static Map<String, JobService.PeerChannel> peerChannels(Settings settings) {
+    Map<String, JobService.PeerChannel> channels = new HashMap<>();
+    for (Settings.Peer peer : settings.peers()) {
+      PeerClient client = new PeerClient(peer.endpoint());
+      channels.put(peer.nodeName(), client::ask);
+    }
+    return channels;
+  }
+
+  private static PeerServer peerServer(Settings settings, JobService jobService)
+      throws IOException {
+    Settings.Endpoint address = settings.peerListen();
+    return new PeerServer(address.host(), address.port(), jobService::answerPeer);
+  }
+
+  private static HttpServer httpServer(Settings settings, PublicApi api) throws IOException {
+    int connections = ThreadBudget.maxConnections(settings.sockets());
+    int userConnections = (int) (connections * ThreadBudget.USER_CONNECTIONS_SHARE);
+    return new HttpServer(
+        settings.listen().host(),
+        settings.listen().port(),
+        new ConnectionSlots(connections, userConnections),
+        PublicApi::isHeartbeatPath,
+        api);
+  }
+
+  /** Binds an address. */
+  interface SocketOpener<T> {
+    T open() throws IOException;
+  }
+
+  /** Waits for an address that this node's previous process still holds, up to a timeout. */
+  static <T> T retryWhileAddressInUse(SocketOpener<T> opener) throws IOException {
+    long startNs = System.nanoTime();
+    boolean logged = false;
+    while (true) {
+      try {
+        return opener.open();
+      } catch (BindException e) {
+        if ((System.nanoTime() - startNs) / 1_000_000 > LISTEN_TIMEOUT_MS) {
+          throw e;
+        }
+        if (!logged) {
+          LOG.info("waiting for address: {}", e.getMessage());
+        }
+        logged = true;
+        Threads.backOff();
+      }
+    }
+  }
+
+  /** Keeps the process alive: all other threads are daemons. */
+  private static void keepAlive() {
+    while (true) {
+      try {
+        Thread.sleep(Long.MAX_VALUE);
+      } catch (InterruptedException e) {
+        // only the platform ends the process
+      }
+    }
+  }
+}
--- a/src/main/java/org/astershift/api/ConcurrencyGate.java
+++ b/src/main/java/org/astershift/api/ConcurrencyGate.java
@@ -4,24 +4,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets only a few do their work at a time. Whoever has waited for too long for its turn does not do
- * it any more: its asker has given up, and behind a backlog of such work nothing would ever be
- * answered in time again.
+ * Limits how many requests are handled at a time. A request that waited longer than its timeout is
+ * rejected: its client has given up, and a backlog of such requests would delay all later ones.
  */
 final class ConcurrencyGate {
   private final Semaphore permits;
   private final long timeoutMs;
 
-  ConcurrencyGate(int limit, long patienceMs) {
+  ConcurrencyGate(int limit, long timeoutMs) {
     this.permits = new Semaphore(limit);
-    this.timeoutMs = patienceMs;
+    this.timeoutMs = timeoutMs;
   }
 
-  /** Waits for a turn; false if none came in time. After true, {@link #leave} has to follow. */
+  /** Waits for a permit; false if the timeout passed. After true, {@link #leave} must follow. */
   boolean tryEnter() throws InterruptedException {
     return permits.tryAcquire(timeoutMs, TimeUnit.MILLISECONDS);
   }
 
+  /** Returns the permit. */
   void leave() {
     permits.release();
   }
--- a/src/main/java/org/astershift/api/JobCodec.java
+++ b/src/main/java/org/astershift/api/JobCodec.java
@@ -12,48 +12,35 @@
 import org.astershift.scheduler.JobSpec;
 import org.astershift.scheduler.Priority;
 
-/** The users' words for jobs. */
+/** Maps job submissions and job states to the wire format of the public API. */
 public final class JobCodec {
   private static final int MAX_TASKS = 100_000;
+  private static final double MAX_AMOUNT = 1e9;
 
   private JobCodec() {}
 
-  /** Whether this is an id of the form that all jobs have. */
+  /** Whether the id has the form of a job id. */
   public static boolean isJobId(String id) {
     return id.matches("wk-[0-9a-z]{1,40}");
   }
 
-  /** Reads a submission; throws with the first field that is missing or invalid. */
-  public static JobSpec decodeSpec(Map<String, Object> fields) throws JsonFormatException {
-    String id = Json.string(fields, "id");
-    if (!isJobId(id)) {
-      throw new JsonFormatException("id is not of the form wk-000000");
-    }
-    long tasks = Json.integer(fields, "shards");
-    if (tasks < 1 || tasks > MAX_TASKS) {
-      throw new JsonFormatException("shards is out of range");
-    }
-    List<String> types = null;
-    if (fields.get("hulls") != null) {
-      types = new ArrayList<>();
-      for (Object element : Json.list(fields, "hulls")) {
-        if (!(element instanceof String string)) {
-          throw new JsonFormatException("hulls is not a list of texts");
-        }
-        types.add(string);
-      }
-    }
-    Double deadlineS = Json.numberOrNull(fields, "due_s");
-    if (deadlineS != null && deadlineS < 0) {
-      throw new JsonFormatException("due_s is out of range");
-    }
+  /** Reads a submission; the exception names the first field that is missing or invalid. */
+  public static JobSpec decodeSpec(byte[] body) throws JsonFormatException {
+    return decodeSpec(Json.object(body));
+  }
+
+  private static JobSpec decodeSpec(Map<String, Object> fields) throws JsonFormatException {
+    String id = id(fields);
+    int tasks = tasks(fields);
+    List<String> types = machineTypes(fields);
+    Double deadlineS = deadline(fields);
     return new JobSpec(
         id,
         boundedText(fields, "berth_class"),
         boundedText(fields, "crew"),
         kind(Json.string(fields, "shape")),
         priority(Json.string(fields, "rank")),
-        (int) tasks,
+        tasks,
         amount(fields, "vcpus"),
         amount(fields, "gpus"),
         amount(fields, "mem_gb"),
@@ -71,9 +58,9 @@
   }
 
   /**
-   * The id of a malformed submission that earlier versions accepted: they took a flag that is
-   * missing or null as false, and overlooked what came after the object. Null if none did. Its user
-   * may repeat it at any time.
+   * The id in a malformed submission that earlier versions accepted, which read a missing or null
+   * flag as false and ignored what followed the object; null if they rejected it too. Its user may
+   * repeat such an idempotent request at any time.
    */
   public static String earlierAcceptedId(byte[] body) {
     try {
@@ -89,18 +76,57 @@
     }
   }
 
+  private static String id(Map<String, Object> fields) throws JsonFormatException {
+    String id = Json.string(fields, "id");
+    if (!isJobId(id)) {
+      throw new JsonFormatException("id is not of the form wk-000000");
+    }
+    return id;
+  }
+
+  private static int tasks(Map<String, Object> fields) throws JsonFormatException {
+    long tasks = Json.integer(fields, "shards");
+    if (tasks < 1 || tasks > MAX_TASKS) {
+      throw new JsonFormatException("shards is out of range");
+    }
+    return (int) tasks;
+  }
+
+  /** The machine types that the job accepts; null for any. */
+  private static List<String> machineTypes(Map<String, Object> fields) throws JsonFormatException {
+    if (fields.get("hulls") == null) {
+      return null;
+    }
+    List<String> types = new ArrayList<>();
+    for (Object element : Json.list(fields, "hulls")) {
+      if (!(element instanceof String type)) {
+        throw new JsonFormatException("hulls is not a list of texts");
+      }
+      types.add(type);
+    }
+    return types;
+  }
+
+  private static Double deadline(Map<String, Object> fields) throws JsonFormatException {
+    Double deadlineS = Json.numberOrNull(fields, "due_s");
+    if (deadlineS != null && deadlineS < 0) {
+      throw new JsonFormatException("due_s is out of range");
+    }
+    return deadlineS;
+  }
+
   private static String boundedText(Map<String, Object> fields, String name)
       throws JsonFormatException {
-    String string = Json.string(fields, name);
-    if (string.isEmpty() || string.length() > 200) {
+    String text = Json.string(fields, name);
+    if (text.isEmpty() || text.length() > 200) {
       throw new JsonFormatException(name + " is empty or too long");
     }
-    return string;
+    return text;
   }
 
   private static double amount(Map<String, Object> fields, String name) throws JsonFormatException {
     double value = Json.number(fields, name);
-    if (value < 0 || value > 1e9) {
+    if (value < 0 || value > MAX_AMOUNT) {
       throw new JsonFormatException(name + " is out of range");
     }
     return value;
@@ -125,13 +151,13 @@
     };
   }
 
-  /** A job's state as its user reads it. */
-  public static Map<String, Object> encodeState(String id, JobAnswer answer) {
+  /** The body of a response with a job's state. */
+  public static byte[] encodeState(String id, JobAnswer answer) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("id", id);
     fields.put("phase", answer.phase());
     fields.put("done", answer.doneTasks());
     fields.put("running", answer.runningTasks());
-    return fields;
+    return Json.bytes(fields);
   }
 }
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -7,7 +7,6 @@
 import org.astershift.http.HttpServer.Handler;
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
-import org.astershift.http.Json;
 import org.astershift.http.JsonFormatException;
 import org.astershift.peer.JobAnswer;
 import org.astershift.scheduler.Command;
@@ -20,22 +19,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The published interface: users, workers and health checks. */
+/**
+ * The published HTTP interface for users, workers and health checks: routes requests and maps
+ * results to status codes. Handles requests on several threads at once.
+ */
 public final class PublicApi implements Handler {
   private static final Logger LOG = LoggerFactory.getLogger(PublicApi.class);
 
-  /** Reports read and acted upon at the same time; the others wait without a turn of their own. */
+  /** Heartbeats handled at the same time; the others wait. */
   private static final int CONCURRENT_HEARTBEATS = 3;
 
-  /**
-   * Milliseconds for which a report waits for its turn: its worker waits 4 s for the answer, and
-   * that has to be worked out and sent in what is left.
-   */
+  /** Longest wait of a heartbeat, milliseconds: its worker gives up after 4 s. */
   private static final long HEARTBEAT_WAIT_MS = 3300;
 
   private static final String JOBS_PATH = "/v2/runs";
   private static final String HEARTBEAT_PATH = "/agent/beat";
+  private static final String READY_PATH = "/ready";
   private static final String CANCEL_SUFFIX = "/withdraw";
+
   private final ControllerRuntime controller;
   private final JobService jobService;
   private final Map<String, Team> teams;
@@ -49,7 +50,7 @@
     this.teams = teams;
   }
 
-  /** Whether a request for this path is a worker's. */
+  /** Whether requests for this path come from workers. */
   public static boolean isHeartbeatPath(String path) {
     return path.equals(HEARTBEAT_PATH);
   }
@@ -60,13 +61,8 @@
     if (isHeartbeatPath(path)) {
       return request.method().equals("POST") ? handleHeartbeat(request) : wrongMethod();
     }
-    if (path.equals("/ready")) {
-      if (!request.method().equals("GET")) {
-        return wrongMethod();
-      }
-      return controller.ready()
-          ? Response.of(200, Map.of("ready", true))
-          : Response.error(503, "starting");
+    if (path.equals(READY_PATH)) {
+      return request.method().equals("GET") ? readiness() : wrongMethod();
     }
     if (path.equals(JOBS_PATH)) {
       return request.method().equals("POST")
@@ -74,25 +70,32 @@
           : wrongMethod();
     }
     if (path.startsWith(JOBS_PATH + "/")) {
-      String jobPath = path.substring(JOBS_PATH.length() + 1);
-      boolean cancel = jobPath.endsWith(CANCEL_SUFFIX);
-      String id =
-          cancel ? jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length()) : jobPath;
-      if (id.contains("/")) {
-        return Response.error(404, "no such path");
-      }
-      if (!request.method().equals(cancel ? "POST" : "GET")) {
-        return wrongMethod();
-      }
-      if (!JobCodec.isJobId(id)) {
-        return Response.error(400, "not a job's id");
-      }
-      return cancel
-          ? counted(
-              RequestStatistics.Kind.CANCELLATION, jobResponse(id, jobService.cancel(id, true)))
-          : counted(RequestStatistics.Kind.STATUS_POLL, jobResponse(id, jobService.poll(id, true)));
+      return handleJob(request.method(), path.substring(JOBS_PATH.length() + 1));
     }
-    return Response.error(404, "no such path");
+    return noSuchPath();
+  }
+
+  private Response handleJob(String method, String jobPath) throws InterruptedException {
+    boolean cancel = jobPath.endsWith(CANCEL_SUFFIX);
+    String id = cancel ? jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length()) : jobPath;
+    if (id.contains("/")) {
+      return noSuchPath();
+    }
+    if (!method.equals(cancel ? "POST" : "GET")) {
+      return wrongMethod();
+    }
+    if (!JobCodec.isJobId(id)) {
+      return Response.error(400, "not a job's id");
+    }
+    return cancel
+        ? counted(RequestStatistics.Kind.CANCELLATION, jobResponse(id, jobService.cancel(id, true)))
+        : counted(RequestStatistics.Kind.STATUS_POLL, jobResponse(id, jobService.poll(id, true)));
+  }
+
+  private Response readiness() {
+    return controller.ready()
+        ? Response.of(200, Map.of("ready", true))
+        : Response.error(503, "starting");
   }
 
   private Response counted(RequestStatistics.Kind kind, Response response) {
@@ -104,9 +107,13 @@
     return Response.error(405, "wrong method");
   }
 
+  private static Response noSuchPath() {
+    return Response.error(404, "no such path");
+  }
+
   private static Response jobResponse(String id, JobAnswer answer) {
     return switch (answer.status()) {
-      case 200 -> Response.of(200, JobCodec.encodeState(id, answer));
+      case 200 -> new Response(200, JobCodec.encodeState(id, answer), 0);
       case 404 -> Response.error(404, "no such job");
       default -> Response.error(503, "cannot be decided now");
     };
@@ -115,7 +122,7 @@
   private Response submit(Request request) throws InterruptedException {
     JobSpec spec;
     try {
-      spec = JobCodec.decodeSpec(Json.object(request.body()));
+      spec = JobCodec.decodeSpec(request.body());
     } catch (JsonFormatException e) {
       Response malformed = Response.error(400, e.getMessage());
       String id = JobCodec.earlierAcceptedId(request.body());
@@ -133,27 +140,24 @@
     JobService.SubmissionResult result = jobService.submit(spec);
     return switch (result.status()) {
       case 200, 201 ->
-          Response.of(result.status(), JobCodec.encodeState(spec.id(), result.known()));
+          new Response(result.status(), JobCodec.encodeState(spec.id(), result.known()), 0);
       default -> Response.error(503, "cannot be accepted now");
     };
   }
 
   /**
-   * What was accepted once is not refused later, whatever the machine types or the rules for
-   * submissions are now. Costs what a question costs, so a body that was refused at all times is
-   * refused without it.
+   * The state of the job if it was accepted before, else the rejection: a repeated submission is
+   * idempotent, whatever the machine types and validation rules are by now. Costs a status poll.
    */
-  private Response unlessKnown(String id, Response refusal) throws InterruptedException {
+  private Response unlessKnown(String id, Response rejection) throws InterruptedException {
     JobAnswer known = jobService.poll(id, true);
-    return known.status() == 404 ? refusal : jobResponse(id, known);
+    return known.status() == 404 ? rejection : jobResponse(id, known);
   }
 
   /**
-   * After a change of leaders hundreds of reports come at once. Each thread would get its turn, and
-   * the renewal of the lease one among hundreds: so few are worked on at a time. A report that has
-   * waited for too long is not worked on: its worker has given it up, or would drop the answer. An
-   * overloaded leader worked on nothing but reports half a minute old, all of its answers were
-   * dropped, and the whole fleet's leases ran out.
+   * After a failover hundreds of heartbeats arrive at once. Few are handled at a time, so that
+   * their threads do not starve the renewal of the leader's lease. One that waited too long is
+   * rejected: its worker has given up, and working off a stale backlog would let all leases expire.
    */
   private Response handleHeartbeat(Request request) throws InterruptedException {
     if (!heartbeatGate.tryEnter()) {
@@ -171,7 +175,7 @@
     try {
       heartbeat = WorkerCodec.readHeartbeat(request.body());
     } catch (JsonFormatException e) {
-      LOG.info("a report that makes no sense: {}", e.getMessage());
+      LOG.info("invalid heartbeat: {}", e.getMessage());
       return Response.error(400, e.getMessage());
     }
     long fencingToken = controller.token();
--- a/src/main/java/org/astershift/api/RequestStatistics.java
+++ b/src/main/java/org/astershift/api/RequestStatistics.java
@@ -1,41 +1,46 @@
 package org.astershift.api;
 
-import java.util.Arrays;
+import java.util.EnumMap;
+import java.util.Map;
 import org.astershift.config.LogIntervals;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts what users ask of this node, so that the log tells a storm or refusals from silence. */
+/** Counts users' requests and logs the sums periodically. Safe for use by several threads. */
 final class RequestStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(RequestStatistics.class);
 
-  /** Kinds of requests. */
+  /** Kinds of users' requests. */
   enum Kind {
     SUBMISSION,
     STATUS_POLL,
     CANCELLATION
   }
 
-  private final int[] requests = new int[Kind.values().length];
+  private final Map<Kind, Integer> requests = new EnumMap<>(Kind.class);
   private int unavailable;
   private long periodStartNs = System.nanoTime();
 
-  /** Notes one request and its answer, and from time to time writes down the sums. */
+  /** Counts one request with the status of its response, and logs the sums when they are due. */
   synchronized void record(Kind kind, int status) {
-    requests[kind.ordinal()]++;
+    requests.put(kind, count(kind) + 1);
     unavailable += status == 503 ? 1 : 0;
     long nowNs = System.nanoTime();
     if (nowNs - periodStartNs >= LogIntervals.SUMMARY_INTERVAL_MS * 1_000_000) {
       LOG.info(
-          "users sent {} submissions, {} questions and {} cancellations in {} s; {} got 503",
-          requests[0],
-          requests[1],
-          requests[2],
+          "user requests: submissions={} polls={} cancellations={} seconds={} unavailable={}",
+          count(Kind.SUBMISSION),
+          count(Kind.STATUS_POLL),
+          count(Kind.CANCELLATION),
           (nowNs - periodStartNs) / 1_000_000_000,
           unavailable);
-      Arrays.fill(requests, 0);
+      requests.clear();
       unavailable = 0;
       periodStartNs = nowNs;
     }
   }
+
+  private int count(Kind kind) {
+    return requests.getOrDefault(kind, 0);
+  }
 }
--- a/src/main/java/org/astershift/cloud/CloudClient.java
+++ b/src/main/java/org/astershift/cloud/CloudClient.java
@@ -2,12 +2,10 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Settings;
 import org.astershift.http.HttpClient;
-import org.astershift.http.Json;
 import org.astershift.http.JsonFormatException;
 import org.astershift.http.RequestNotSentException;
 import org.astershift.scheduler.Decision;
@@ -15,17 +13,20 @@
 import org.astershift.scheduler.Scheduler.ListedMachine;
 import org.astershift.store.RateLimiter;
 
-/** Speaks the cloud's protocol, within its limit of calls. */
+/**
+ * Calls the cloud provider's API within its rate limit. Calls block, and throw {@link
+ * CloudRejectedException} if nothing was done; after another {@link IOException} the effect is
+ * unknown. Safe for use by several threads.
+ */
 public final class CloudClient {
-  /** Share of the limit of cloud calls that is used: the others are followers and call nothing. */
+  /** Share of the rate limit that is used: the other controllers are followers and do not call. */
   private static final double CLOUD_RATE_SHARE = 0.85;
 
-  /** Deadline of one cloud call, milliseconds: replies take about a hundred. */
+  /** Deadline of one call, milliseconds. */
   private static final int CLOUD_TIMEOUT_MS = 5000;
 
   private static final int MALFORMED_STATUS = 400;
   private static final int UNAVAILABLE_STATUS = 503;
-  private static final String NO_CAPACITY = "no capacity";
 
   private final HttpClient http;
   private final RateLimiter rateLimiter;
@@ -36,70 +37,42 @@
     this.rateLimiter.setShare(CLOUD_RATE_SHARE, 1);
   }
 
-  /** The machine types that can be rented, by name. */
+  /** The machine types on offer, by name, in the cloud's order. */
   public Map<String, MachineType> listMachineTypes() throws IOException {
+    byte[] body = call(RateLimiter.Urgency.INTERACTIVE, "GET", "/flavors", null);
     try {
-      Map<String, MachineType> typesByName = new LinkedHashMap<>();
-      for (Object item :
-          Json.list(
-              Json.object(call(RateLimiter.Urgency.INTERACTIVE, "GET", "/flavors", null)),
-              "hulls")) {
-        Map<String, Object> fields = Json.object(item, "type");
-        List<String> zones = new ArrayList<>();
-        for (Object zone : Json.list(fields, "harbors")) {
-          zones.add(String.valueOf(zone));
-        }
-        Double gpus = Json.numberOrNull(fields, "gpus");
-        String typeName = Json.string(fields, "name");
-        typesByName.put(
-            typeName,
-            new MachineType(
-                typeName,
-                Json.number(fields, "vcpus"),
-                gpus == null ? 0 : gpus,
-                Json.number(fields, "mem_gb"),
-                Json.number(fields, "local_gb"),
-                Json.number(fields, "pull_gb_per_s"),
-                Json.number(fields, "hourly"),
-                Json.number(fields, "low_price"),
-                Json.number(fields, "ready_s"),
-                zones));
-      }
-      return typesByName;
+      return CloudCodec.decodeMachineTypes(body);
     } catch (JsonFormatException e) {
       throw new IOException("machine types: " + e.getMessage());
     }
   }
 
-  /** Rents under a name of its own; repeating the name repeats the answer. */
+  /** Provisions machines and returns their names; idempotent by {@code requestId}. */
   public List<String> provisionMachines(String requestId, Decision.ProvisionMachines request)
       throws IOException {
-    Map<String, Object> body = new LinkedHashMap<>();
-    body.put("charter", requestId);
-    body.put("hull", request.typeName());
-    body.put("harbor", request.zone());
-    body.put("ebbtide", request.spot());
-    body.put("number", request.count());
+    byte[] body =
+        call(
+            RateLimiter.Urgency.INTERACTIVE,
+            "POST",
+            "/hosts",
+            CloudCodec.encodeProvision(requestId, request));
     try {
-      List<String> machineNames = new ArrayList<>();
-      for (Object item :
-          Json.list(
-              Json.object(call(RateLimiter.Urgency.INTERACTIVE, "POST", "/hosts", body)),
-              "vessels")) {
-        machineNames.add(String.valueOf(item));
-      }
-      return machineNames;
+      return CloudCodec.decodeProvisioned(body);
     } catch (JsonFormatException e) {
       throw new IOException("rental: " + e.getMessage());
     }
   }
 
-  /** The answer frees the tasks that a silent machine may hold. */
+  /** Releases machines. After success none of their tasks runs any more. */
   public void releaseMachines(List<String> machineNames) throws IOException {
-    call(RateLimiter.Urgency.INTERACTIVE, "POST", "/hosts/return", Map.of("vessels", machineNames));
+    call(
+        RateLimiter.Urgency.INTERACTIVE,
+        "POST",
+        "/hosts/return",
+        CloudCodec.encodeRelease(machineNames));
   }
 
-  /** The whole list, page by page. */
+  /** The whole machine list, read page by page; not a snapshot of one moment. */
   public List<ListedMachine> listMachines() throws IOException {
     List<ListedMachine> machines = new ArrayList<>();
     String after = "";
@@ -107,25 +80,13 @@
     try {
       while (more) {
         String path = "/hosts?limit=500" + (after.isEmpty() ? "" : "&from=" + after);
-        Map<String, Object> page =
-            Json.object(call(RateLimiter.Urgency.BACKGROUND, "GET", path, null));
-        List<?> rows = Json.list(page, "vessels");
-        for (Object row : rows) {
-          Map<String, Object> fields = Json.object(row, "machine");
-          Double age = Json.numberOrNull(fields, "held_s");
-          ListedMachine machine =
-              new ListedMachine(
-                  Json.string(fields, "id"),
-                  Json.stringOrNull(fields, "addr"),
-                  Json.string(fields, "hull"),
-                  Json.string(fields, "harbor"),
-                  Json.boolOr(fields, "ebbtide", false),
-                  Json.string(fields, "phase"),
-                  age == null ? 0 : age);
-          machines.add(machine);
-          after = machine.name();
+        CloudCodec.MachinePage page =
+            CloudCodec.decodeMachinePage(call(RateLimiter.Urgency.BACKGROUND, "GET", path, null));
+        machines.addAll(page.machines());
+        if (!machines.isEmpty()) {
+          after = machines.get(machines.size() - 1).name();
         }
-        more = Json.boolOr(page, "more", false) && !rows.isEmpty();
+        more = page.more();
       }
     } catch (JsonFormatException e) {
       throw new IOException("machine list: " + e.getMessage());
@@ -133,21 +94,12 @@
     return machines;
   }
 
-  private byte[] call(
-      RateLimiter.Urgency urgency, String method, String path, Map<String, Object> body)
+  private byte[] call(RateLimiter.Urgency urgency, String method, String path, byte[] body)
       throws IOException {
-    try {
-      if (!rateLimiter.acquire(urgency, 1, CLOUD_TIMEOUT_MS)) {
-        throw new CloudRejectedException(
-            "over the limit of calls", CloudRejectedException.Reason.RETRYABLE);
-      }
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-      throw new CloudRejectedException("interrupted", CloudRejectedException.Reason.RETRYABLE);
-    }
+    awaitPermit(urgency);
     HttpClient.Response response;
     try {
-      response = http.call(method, path, body == null ? null : Json.bytes(body), CLOUD_TIMEOUT_MS);
+      response = http.call(method, path, body, CLOUD_TIMEOUT_MS);
     } catch (RequestNotSentException e) {
       throw new CloudRejectedException(e.getMessage(), CloudRejectedException.Reason.RETRYABLE);
     }
@@ -157,19 +109,24 @@
     throw new CloudRejectedException("status " + response.status(), reason(response));
   }
 
+  private void awaitPermit(RateLimiter.Urgency urgency) throws CloudRejectedException {
+    try {
+      if (!rateLimiter.acquire(urgency, 1, CLOUD_TIMEOUT_MS)) {
+        throw new CloudRejectedException(
+            "over the limit of calls", CloudRejectedException.Reason.RETRYABLE);
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      throw new CloudRejectedException("interrupted", CloudRejectedException.Reason.RETRYABLE);
+    }
+  }
+
   private static CloudRejectedException.Reason reason(HttpClient.Response response) {
     if (response.status() == MALFORMED_STATUS) {
       return CloudRejectedException.Reason.MALFORMED;
     }
-    try {
-      boolean noCapacity =
-          response.status() == UNAVAILABLE_STATUS
-              && NO_CAPACITY.equals(Json.object(response.body()).get("error"));
-      return noCapacity
-          ? CloudRejectedException.Reason.NO_CAPACITY
-          : CloudRejectedException.Reason.RETRYABLE;
-    } catch (JsonFormatException e) {
-      return CloudRejectedException.Reason.RETRYABLE;
-    }
+    return response.status() == UNAVAILABLE_STATUS && CloudCodec.isNoCapacity(response.body())
+        ? CloudRejectedException.Reason.NO_CAPACITY
+        : CloudRejectedException.Reason.RETRYABLE;
   }
 }
--- a/src/main/java/org/astershift/config/ClockBounds.java
+++ b/src/main/java/org/astershift/config/ClockBounds.java
@@ -1,11 +1,11 @@
 package org.astershift.config;
 
-/** How far two steady clocks may differ: every bound computed from another clock allows for it. */
+/** Allowances for the differences between monotonic clocks of different machines. */
 public final class ClockBounds {
-  /** Largest drift between two steady clocks, as a share: the protocol promises 0.05%. */
+  /** Largest drift between two monotonic clocks, as a share, as published. */
   public static final double CLOCK_DRIFT_SHARE = 0.0005;
 
-  /** Milliseconds on top of every bound computed from another clock: timers fire in steps. */
+  /** Added to every bound computed from another clock, for timer granularity, milliseconds. */
   public static final long CLOCK_MARGIN_MS = 300;
 
   private ClockBounds() {}
--- a/src/main/java/org/astershift/config/ConfigurationException.java
+++ b/src/main/java/org/astershift/config/ConfigurationException.java
@@ -1,6 +1,6 @@
 package org.astershift.config;
 
-/** A file of settings that cannot be used; the message names file, field and reason in one line. */
+/** Settings that cannot be used; the message names file, field and reason in one line. */
 public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/astershift/config/LogIntervals.java
+++ b/src/main/java/org/astershift/config/LogIntervals.java
@@ -1,8 +1,8 @@
 package org.astershift.config;
 
-/** How often the log sums up. */
+/** Intervals of periodic log lines. */
 public final class LogIntervals {
-  /** Milliseconds between summaries in the log. */
+  /** Interval between summaries in the log, milliseconds. */
   public static final long SUMMARY_INTERVAL_MS = 10_000;
 
   private LogIntervals() {}
--- a/src/main/java/org/astershift/config/OperatorSettings.java
+++ b/src/main/java/org/astershift/config/OperatorSettings.java
@@ -12,31 +12,32 @@
 import org.ini4j.Ini;
 import org.ini4j.Profile;
 
-/** The operators' own settings: an INI file, every key optional, nothing unknown allowed. */
+/** The operators' own settings: an INI file of optional keys; unknown ones are errors. */
 public final class OperatorSettings {
-  /** Tasks of the queue looked at for a machine, as in the paper (section 4). */
+  /** Tasks of the wait queue considered for a machine; paper, section 4. */
   private static final int WINDOW_TASKS = 2500;
 
-  /** Utilization from which a machine without a cached image stays free; paper, section 2.2. */
+  /** Utilization above which a machine without a cached image is left free; paper, section 2.2. */
   private static final double UTILIZATION_THRESHOLD_SHARE = 0.9;
 
-  /** Tasks given to one machine in one pass; ours. */
+  /** Tasks placed on one machine in one pass. */
   private static final int MACHINE_BATCH_TASKS = 64;
 
-  /** Seconds after which a task takes any machine, where no aim says so; ours. */
+  /** Wait after which a task without an objective takes any machine, seconds. */
   private static final double WAITING_AGE_S = 5;
 
-  /** Seconds without work after which a machine is returned; paper, section 4.1. */
+  /** Idle time after which a machine is released, seconds; paper, section 4.1. */
   private static final double IDLE_RELEASE_S = 30;
 
-  private OperatorSettings() {}
-
+  /** Known keys by section. */
   private static final Map<String, Set<String>> KNOWN_KEYS =
       Map.of(
           "placement", Set.of("window", "utilization", "batch", "waiting_age_s"),
           "fleet", Set.of("idle_release_s"));
 
-  /** What holds without a file. */
+  private OperatorSettings() {}
+
+  /** The policy without a file. */
   public static SchedulingPolicy defaults() {
     return new SchedulingPolicy(
         WINDOW_TASKS,
@@ -46,8 +47,19 @@
         IDLE_RELEASE_S);
   }
 
-  /** Reads and checks a file, and names everything that is wrong with it. */
+  /** Reads and checks a file; the exception names all that is wrong with it. */
   public static SchedulingPolicy load(Path file) throws ConfigurationException {
+    Ini ini = parse(file);
+    List<String> problems = new ArrayList<>();
+    findUnknownKeys(ini, problems);
+    SchedulingPolicy policy = readPolicy(ini, problems);
+    if (!problems.isEmpty()) {
+      throw new ConfigurationException(file + ": " + String.join("; ", problems));
+    }
+    return policy;
+  }
+
+  private static Ini parse(Path file) throws ConfigurationException {
     Ini ini = new Ini();
     Config config = new Config();
     config.setGlobalSection(true);
@@ -59,7 +71,10 @@
       throw new ConfigurationException(
           file + ": cannot be read: " + reason.replaceAll("\\s+", " "));
     }
-    List<String> problems = new ArrayList<>();
+    return ini;
+  }
+
+  private static void findUnknownKeys(Ini ini, List<String> problems) {
     for (Profile.Section section : ini.values()) {
       Set<String> keys = KNOWN_KEYS.get(section.getName());
       if (keys == null) {
@@ -72,25 +87,18 @@
         }
       }
     }
-    SchedulingPolicy defaults = defaults();
-    SchedulingPolicy policy =
-        new SchedulingPolicy(
-            (int)
-                readNumber(
-                    ini, "placement", "window", defaults.windowTasks(), 1, 1_000_000, problems),
-            readNumber(
-                ini, "placement", "utilization", defaults.utilizationThreshold(), 0, 1, problems),
-            (int)
-                readNumber(
-                    ini, "placement", "batch", defaults.machineBatchTasks(), 1, 100_000, problems),
-            readNumber(
-                ini, "placement", "waiting_age_s", defaults.waitingAgeS(), 0, 86_400, problems),
-            readNumber(
-                ini, "fleet", "idle_release_s", defaults.idleReleaseS(), 0, 86_400, problems));
-    if (!problems.isEmpty()) {
-      throw new ConfigurationException(file + ": " + String.join("; ", problems));
-    }
-    return policy;
+  }
+
+  private static SchedulingPolicy readPolicy(Ini ini, List<String> problems) {
+    double window = readNumber(ini, "placement", "window", WINDOW_TASKS, 1, 1_000_000, problems);
+    double utilization =
+        readNumber(ini, "placement", "utilization", UTILIZATION_THRESHOLD_SHARE, 0, 1, problems);
+    double batch = readNumber(ini, "placement", "batch", MACHINE_BATCH_TASKS, 1, 100_000, problems);
+    double waitingAgeS =
+        readNumber(ini, "placement", "waiting_age_s", WAITING_AGE_S, 0, 86_400, problems);
+    double idleReleaseS =
+        readNumber(ini, "fleet", "idle_release_s", IDLE_RELEASE_S, 0, 86_400, problems);
+    return new SchedulingPolicy((int) window, utilization, (int) batch, waitingAgeS, idleReleaseS);
   }
 
   private static double readNumber(
--- a/src/main/java/org/astershift/config/Settings.java
+++ b/src/main/java/org/astershift/config/Settings.java
@@ -16,7 +16,7 @@
 import org.astershift.scheduler.ServiceLevelObjective;
 import org.astershift.scheduler.Team;
 
-/** The settings file that the platform hands over. Fields unknown here are ignored. */
+/** The platform's settings, a TOML file. Unknown fields are ignored. */
 public record Settings(
     String nodeName,
     String zone,
@@ -41,10 +41,10 @@
   /** Another controller. */
   public record Peer(String nodeName, String zone, Endpoint endpoint) {}
 
-  /** Limits of the state service. */
+  /** Limits of the store: requests and writes a second, largest value, operations a transaction. */
   public record StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
-  /** Reads and checks a file; all that is wrong with it is named at once. */
+  /** Reads and checks a file; the exception names all that is wrong with it. */
   public static Settings load(Path file) throws ConfigurationException {
     String text;
     try {
@@ -58,10 +58,10 @@
     } catch (ParsingException | IOException e) {
       throw new ConfigurationException(file + ": not TOML: " + oneLine(e.getMessage()));
     }
-    ConfigReader check = new ConfigReader();
-    Settings settings = read(root, check);
-    if (!check.problems.isEmpty()) {
-      throw new ConfigurationException(file + ": " + String.join("; ", check.problems));
+    ConfigReader reader = new ConfigReader();
+    Settings settings = read(new ConfigTable(root, ""), reader);
+    if (!reader.problems().isEmpty()) {
+      throw new ConfigurationException(file + ": " + String.join("; ", reader.problems()));
     }
     return settings;
   }
@@ -70,170 +70,98 @@
     return message == null ? "?" : message.replaceAll("\\s+", " ");
   }
 
-  private static Settings read(UnmodifiableConfig root, ConfigReader check) {
+  private static Settings read(ConfigTable root, ConfigReader reader) {
+    List<Peer> peers = readPeers(root, reader);
+    ConfigTable external = reader.table(root, "external");
+    ConfigTable facts = reader.table(root, "facts");
+    ConfigTable workers = reader.table(facts, "workers");
+    ConfigTable store = reader.table(facts, "state");
+    ConfigTable cloud = reader.table(facts, "cloud");
+    ConfigTable resources = reader.table(facts, "resources");
+    Map<String, Team> teams = readTeams(facts, reader);
+    List<ServiceLevelObjective> objectives = readObjectives(facts, reader);
+    StoreLimits storeLimits = readStoreLimits(store, reader);
+    DeploymentLimits limits = readLimits(teams, objectives, workers, cloud, reader);
+    return new Settings(
+        reader.string(root, "member"),
+        reader.string(root, "domain"),
+        reader.endpoint(root, "public_addr"),
+        reader.endpoint(root, "internal_addr"),
+        peers,
+        reader.endpoint(external, "cloud"),
+        reader.endpoint(external, "state"),
+        storeLimits,
+        reader.number(cloud, "rps", 0.01, 1e9),
+        (int) reader.number(resources, "sockets", 16, 1e7),
+        limits);
+  }
+
+  private static List<Peer> readPeers(ConfigTable root, ConfigReader reader) {
     List<Peer> peers = new ArrayList<>();
-    for (ConfigTable peer : check.tables(root, "others", "others")) {
+    for (ConfigTable peer : reader.tables(root, "others")) {
       peers.add(
           new Peer(
-              check.string(peer, "member"),
-              check.string(peer, "domain"),
-              check.endpoint(peer, "endpoint")));
+              reader.string(peer, "member"),
+              reader.string(peer, "domain"),
+              reader.endpoint(peer, "endpoint")));
     }
-    ConfigTable top = new ConfigTable(root, "");
-    ConfigTable externalTable = check.table(top, "external");
-    ConfigTable factsTable = check.table(top, "facts");
-    ConfigTable workersTable = check.table(factsTable, "workers");
-    ConfigTable stateTable = check.table(factsTable, "state");
-    ConfigTable cloudTable = check.table(factsTable, "cloud");
-    ConfigTable resourcesTable = check.table(factsTable, "resources");
+    return peers;
+  }
+
+  private static Map<String, Team> readTeams(ConfigTable facts, ConfigReader reader) {
     Map<String, Team> teams = new LinkedHashMap<>();
-    for (ConfigTable team : check.tables(factsTable.config, "teams", "facts.teams")) {
-      String name = check.string(team, "name");
+    for (ConfigTable team : reader.tables(facts, "teams")) {
+      String name = reader.string(team, "name");
       teams.put(
           name,
           new Team(
               name,
-              check.numberOr(team, "cpus", 0),
-              check.numberOr(team, "cpus_max", 0),
-              check.numberOr(team, "gpus", 0),
-              check.numberOr(team, "gpus_max", 0)));
+              reader.numberOr(team, "cpus", 0),
+              reader.numberOr(team, "cpus_max", 0),
+              reader.numberOr(team, "gpus", 0),
+              reader.numberOr(team, "gpus_max", 0)));
     }
+    return teams;
+  }
+
+  private static List<ServiceLevelObjective> readObjectives(
+      ConfigTable facts, ConfigReader reader) {
     List<ServiceLevelObjective> objectives = new ArrayList<>();
-    for (ConfigTable objective :
-        check.tables(factsTable.config, "objectives", "facts.objectives")) {
+    for (ConfigTable objective : reader.tables(facts, "objectives")) {
       objectives.add(
           new ServiceLevelObjective(
-              check.string(objective, "kind"),
-              check.stringOr(objective, "class", ""),
-              check.numberOr(objective, "within_s", 0),
-              check.numberOr(objective, "share", 0),
-              check.numberOr(objective, "times", 1)));
+              reader.string(objective, "kind"),
+              reader.stringOr(objective, "class", ""),
+              reader.numberOr(objective, "within_s", 0),
+              reader.numberOr(objective, "share", 0),
+              reader.numberOr(objective, "times", 1)));
     }
-    int txnOps = (int) check.number(stateTable, "txn_ops", 2, 1e6);
-    StoreLimits storeLimits =
-        new StoreLimits(
-            check.number(stateTable, "rps", 1, 1e9),
-            check.number(stateTable, "write_rps", 1, 1e9),
-            check.number(stateTable, "value_kb", 4, 1e6),
-            txnOps);
-    DeploymentLimits limits =
-        new DeploymentLimits(
-            teams,
-            objectives,
-            check.number(workersTable, "report_s", 0.01, 1e6),
-            check.number(workersTable, "lease_s", 0.1, 1e6),
-            check.number(workersTable, "gang_wait_s", 0, 1e6),
-            check.number(workersTable, "gang_peer_s", 0, 1e6),
-            check.number(workersTable, "cancel_s", 0, 1e6),
-            check.number(cloudTable, "list_lag_s", 0, 1e6));
-    return new Settings(
-        check.string(top, "member"),
-        check.string(top, "domain"),
-        check.endpoint(top, "public_addr"),
-        check.endpoint(top, "internal_addr"),
-        peers,
-        check.endpoint(externalTable, "cloud"),
-        check.endpoint(externalTable, "state"),
-        storeLimits,
-        check.number(cloudTable, "rps", 0.01, 1e9),
-        (int) check.number(resourcesTable, "sockets", 16, 1e7),
-        limits);
+    return objectives;
   }
 
-  /** A table of the file and where it stands. */
-  private record ConfigTable(UnmodifiableConfig config, String path) {
-    String at(String name) {
-      return path.isEmpty() ? name : path + "." + name;
-    }
+  private static StoreLimits readStoreLimits(ConfigTable store, ConfigReader reader) {
+    int txnOps = (int) reader.number(store, "txn_ops", 2, 1e6);
+    return new StoreLimits(
+        reader.number(store, "rps", 1, 1e9),
+        reader.number(store, "write_rps", 1, 1e9),
+        reader.number(store, "value_kb", 4, 1e6),
+        txnOps);
   }
 
-  /** Typed access that collects every problem instead of stopping at the first. */
-  private static final class ConfigReader {
-    final List<String> problems = new ArrayList<>();
-
-    private Object get(ConfigTable table, String name) {
-      return table.config == null ? null : table.config.get(List.of(name));
-    }
-
-    ConfigTable table(ConfigTable parent, String name) {
-      Object value = get(parent, name);
-      if (value instanceof UnmodifiableConfig childTable) {
-        return new ConfigTable(childTable, parent.at(name));
-      }
-      if (parent.config != null) {
-        problems.add(parent.at(name) + (value == null ? " is missing" : " is not a table"));
-      }
-      return new ConfigTable(null, parent.at(name));
-    }
-
-    List<ConfigTable> tables(UnmodifiableConfig parent, String name, String path) {
-      List<ConfigTable> children = new ArrayList<>();
-      Object value = parent == null ? null : parent.get(List.of(name));
-      if (value == null) {
-        return children;
-      }
-      if (!(value instanceof List<?> list)) {
-        problems.add(path + " is not a list of tables");
-        return children;
-      }
-      for (Object element : list) {
-        if (element instanceof UnmodifiableConfig childTable) {
-          children.add(new ConfigTable(childTable, path + "[" + children.size() + "]"));
-        } else {
-          problems.add(path + " is not a list of tables");
-        }
-      }
-      return children;
-    }
-
-    String string(ConfigTable table, String name) {
-      Object value = get(table, name);
-      if (value instanceof String string && !string.isEmpty()) {
-        return string;
-      }
-      if (table.config != null) {
-        problems.add(table.at(name) + (value == null ? " is missing" : " is not a text"));
-      }
-      return "?";
-    }
-
-    String stringOr(ConfigTable table, String name, String fallback) {
-      return get(table, name) == null ? fallback : string(table, name);
-    }
-
-    double number(ConfigTable table, String name, double minimum, double maximum) {
-      Object value = get(table, name);
-      if (value instanceof Number n) {
-        double number = n.doubleValue();
-        if (number >= minimum && number <= maximum) {
-          return number;
-        }
-        problems.add(table.at(name) + " is out of range: " + value);
-      } else if (table.config != null) {
-        problems.add(table.at(name) + (value == null ? " is missing" : " is not a number"));
-      }
-      return minimum;
-    }
-
-    double numberOr(ConfigTable table, String name, double fallback) {
-      return get(table, name) == null ? fallback : number(table, name, 0, 1e12);
-    }
-
-    Endpoint endpoint(ConfigTable table, String name) {
-      String address = string(table, name);
-      int colon = address.lastIndexOf(':');
-      try {
-        int port = Integer.parseInt(address.substring(colon + 1));
-        if (colon > 0 && port > 0 && port < 65_536) {
-          return new Endpoint(address.substring(0, colon), port);
-        }
-      } catch (NumberFormatException e) {
-        // told below, as every other form that is no address
-      }
-      if (!address.equals("?")) {
-        problems.add(table.at(name) + " is not host:port: " + address);
-      }
-      return new Endpoint("?", 0);
-    }
+  private static DeploymentLimits readLimits(
+      Map<String, Team> teams,
+      List<ServiceLevelObjective> objectives,
+      ConfigTable workers,
+      ConfigTable cloud,
+      ConfigReader reader) {
+    return new DeploymentLimits(
+        teams,
+        objectives,
+        reader.number(workers, "report_s", 0.01, 1e6),
+        reader.number(workers, "lease_s", 0.1, 1e6),
+        reader.number(workers, "gang_wait_s", 0, 1e6),
+        reader.number(workers, "gang_peer_s", 0, 1e6),
+        reader.number(workers, "cancel_s", 0, 1e6),
+        reader.number(cloud, "list_lag_s", 0, 1e6));
   }
 }
--- a/src/main/java/org/astershift/http/ConnectionSlots.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -6,40 +6,45 @@
 import java.util.Set;
 
 /**
- * Which connections a node keeps: each holds a thread and a socket, and both are limited. Workers'
- * reports keep leases alive, so they have a part of the places that users cannot take, however many
- * come. A new connection may take any place until its first request says whose it is; then a group
- * that has more than its part gives up its connection that has been idle for longest. Decides only:
- * the server closes what is given up.
+ * Admission control for incoming connections, each of which holds a thread and a socket. Workers'
+ * heartbeats keep leases alive, so part of the slots is reserved for them and cannot be taken by
+ * users. A new connection may take any slot until its first request shows its kind; a kind above
+ * its share then loses its longest idle connection. Decides only: the server closes what is
+ * evicted.
  *
- * <p>There may be more workers than places, since each says something only every few seconds. So
- * some places are always left free for those that come: once it comes to that, a connection is
- * closed with the answer that it waited for, and its worker comes again with its next report. Idle
- * connections closed at any other moment made workers take the node for dead and try others.
+ * <p>There may be more workers than slots, since each sends a heartbeat only every few seconds. So
+ * some slots stay free for new connections: when they run short, a worker's connection is closed
+ * together with the response it waited for, and the worker reconnects for its next heartbeat.
+ * Closing an idle connection at any other moment would make its worker treat the node as dead.
+ *
+ * <p>Safe for use by several threads.
  */
 public final class ConnectionSlots {
-  /** An idle connection of a user or worker is closed after this many milliseconds. */
+  /** Time after which an idle connection of a user or worker is closed, milliseconds. */
   public static final int CONNECTION_IDLE_TIMEOUT_MS = 60_000;
 
-  /** A started request has to arrive whole within this many milliseconds. */
+  /** Time within which a request has to arrive whole, milliseconds. */
   private static final int REQUEST_TIMEOUT_MS = 5000;
 
-  /**
-   * Share of the places that are left free for connections that come: beyond that each is closed
-   * with its answer. At 1,676 machines that report every 5 s to 1,533 places some 60 come a second.
-   */
+  /** Share of the slots kept free for new connections. */
   private static final double RESERVED_FREE_CONNECTIONS_SHARE = 0.1;
 
-  /** Whose a connection is. */
+  /** Which share of the slots a connection counts against. */
   private enum ConnectionKind {
+    /** No request yet. */
     NEW,
+    /** Of a user. */
     UNRESERVED,
+    /** Of a worker. */
     RESERVED
   }
 
-  /** One connection as far as its place is concerned. */
+  /**
+   * State of one connection. Its serving thread reports its activity; the reaper reads it without a
+   * lock, so the fields it reads are volatile.
+   */
   static final class Connection {
-    private ConnectionKind side = ConnectionKind.NEW;
+    private ConnectionKind kind = ConnectionKind.NEW;
     private volatile long idleSinceNs;
     private volatile boolean beingServed;
     private volatile boolean busy;
@@ -50,32 +55,32 @@
       this.idleSinceNs = nowNs;
     }
 
-    /** It waits for its next request. */
+    /** The connection waits for its next request. */
     void onIdle(long nowNs) {
       idleSinceNs = nowNs;
       busy = false;
     }
 
-    /** A request of it is being read: it is not given up. */
+    /** A request is being read: the connection is not evictable until {@link #onIdle}. */
     void onRequestStarted(long nowNs) {
       readingSinceNs = nowNs;
       reading = true;
       busy = true;
     }
 
-    /** Its request is there whole. */
+    /** The request has arrived whole. */
     void onRequestRead() {
       reading = false;
     }
 
-    /** It has been idle, or a request of it on its way, for too long. */
+    /** Whether it has been idle, or a request incomplete, for too long. */
     boolean isOverdue(long nowNs) {
       return busy
           ? reading && nowNs - readingSinceNs > REQUEST_TIMEOUT_MS * 1_000_000L
           : nowNs - idleSinceNs > CONNECTION_IDLE_TIMEOUT_MS * 1_000_000L;
     }
 
-    /** Whether a thread reads from it. */
+    /** Whether a thread reads from it; if not, whoever evicts it has to close its socket. */
     boolean isBeingServed() {
       return beingServed;
     }
@@ -88,7 +93,7 @@
   private final int capacity;
   private final int unreservedCapacity;
 
-  /** Places that are left free for connections that come. */
+  /** Slots kept free for new connections. */
   private final int reservedFree;
 
   private final Set<Connection> all = new LinkedHashSet<>();
@@ -97,22 +102,19 @@
   private int peak;
   private long evictedCount;
 
-  /**
-   * {@code capacity} places in all, of which at most {@code unreservedCapacity} for connections
-   * without a reserved place.
-   */
+  /** {@code capacity} slots in all, of which users may take {@code unreservedCapacity}. */
   public ConnectionSlots(int capacity, int unreservedCapacity) {
     this.capacity = capacity;
     this.unreservedCapacity = unreservedCapacity;
     this.reservedFree = (int) (capacity * RESERVED_FREE_CONNECTIONS_SHARE);
   }
 
-  /** A connection comes; gives those to close, itself if no other can go. */
+  /** Admits a new connection; returns those to close, itself if no other is evictable. */
   synchronized List<Connection> admit(Connection connection) {
     all.add(connection);
     List<Connection> evicted = new ArrayList<>(1);
     if (all.size() > capacity) {
-      // Users' and new connections go first: a worker's is only given up beyond the workers' part.
+      // Users' and new connections go first; a worker's only beyond the workers' share.
       Connection longestIdle =
           longestIdle(connection, ConnectionKind.UNRESERVED, ConnectionKind.NEW);
       if (longestIdle == null && reservedCount > capacity - unreservedCapacity) {
@@ -124,24 +126,24 @@
     return evicted;
   }
 
-  /** Its request is for a reserved path, or not; gives those to close. */
+  /** The connection sent a request, for a reserved path or not; returns those to close. */
   synchronized List<Connection> onRequest(Connection connection, boolean reserved) {
     List<Connection> evicted = new ArrayList<>(0);
     if (!all.contains(connection)) {
-      return evicted; // given up a moment ago
+      return evicted; // evicted concurrently
     }
-    ConnectionKind side = reserved ? ConnectionKind.RESERVED : ConnectionKind.UNRESERVED;
-    if (connection.side != side) {
-      adjustCount(connection.side, -1);
-      connection.side = side;
-      adjustCount(side, 1);
+    ConnectionKind kind = reserved ? ConnectionKind.RESERVED : ConnectionKind.UNRESERVED;
+    if (connection.kind != kind) {
+      adjustCount(connection.kind, -1);
+      connection.kind = kind;
+      adjustCount(kind, 1);
       boolean overShare =
           reserved
               ? reservedCount > capacity - unreservedCapacity
                   && capacity - all.size() < reservedFree / 2
               : unreservedCount > unreservedCapacity;
       if (overShare) {
-        Connection longestIdle = longestIdle(connection, side, side);
+        Connection longestIdle = longestIdle(connection, kind, kind);
         evict(longestIdle == null ? connection : longestIdle, evicted);
       }
     }
@@ -149,20 +151,20 @@
   }
 
   /**
-   * Whether the connection stays open after the answer that it gets now: not if too few places are
-   * left for those that come, or the users' are nearly used up.
+   * Whether the connection may stay open after its current response: not while too few slots are
+   * free for new ones, or the users' share is nearly used up.
    */
   synchronized boolean mayKeepAlive(Connection connection) {
-    return connection.side == ConnectionKind.RESERVED
+    return connection.kind == ConnectionKind.RESERVED
         ? capacity - all.size() >= reservedFree
         : unreservedCount
             <= unreservedCapacity - (int) (unreservedCapacity * RESERVED_FREE_CONNECTIONS_SHARE);
   }
 
-  /** The connection is closed. */
+  /** The connection is closed; frees its slot, once. */
   synchronized void release(Connection connection) {
     if (all.remove(connection)) {
-      adjustCount(connection.side, -1);
+      adjustCount(connection.kind, -1);
     }
   }
 
@@ -172,19 +174,19 @@
     evicted.add(connection);
   }
 
-  private void adjustCount(ConnectionKind side, int delta) {
-    reservedCount += side == ConnectionKind.RESERVED ? delta : 0;
-    unreservedCount += side == ConnectionKind.UNRESERVED ? delta : 0;
+  private void adjustCount(ConnectionKind kind, int delta) {
+    reservedCount += kind == ConnectionKind.RESERVED ? delta : 0;
+    unreservedCount += kind == ConnectionKind.UNRESERVED ? delta : 0;
   }
 
   private Connection longestIdle(
-      Connection excluded, ConnectionKind firstSide, ConnectionKind secondSide) {
+      Connection excluded, ConnectionKind firstKind, ConnectionKind secondKind) {
     Connection longestIdle = null;
     for (Connection connection : all) {
       boolean evictable =
           connection != excluded
               && !connection.busy
-              && (connection.side == firstSide || connection.side == secondSide);
+              && (connection.kind == firstKind || connection.kind == secondKind);
       if (evictable
           && (longestIdle == null || connection.idleSinceNs - longestIdle.idleSinceNs < 0)) {
         longestIdle = connection;
@@ -195,17 +197,17 @@
 
   @Override
   public synchronized String toString() {
-    return reservedCount
-        + " of workers, "
+    return "workers="
+        + reservedCount
+        + " users="
         + unreservedCount
-        + " of users, "
+        + " new="
         + (all.size() - reservedCount - unreservedCount)
-        + " new, at most "
+        + " peak="
         + peak
-        + " of "
+        + " capacity="
         + capacity
-        + " at once, "
-        + evictedCount
-        + " given up for want of places";
+        + " evicted="
+        + evictedCount;
   }
 }
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -10,16 +10,15 @@
 import java.util.function.Supplier;
 
 /**
- * Requests to one address over kept connections. Every call has a deadline over connecting, sending
- * and receiving. It never repeats a request by itself: whether that is safe only the caller knows.
+ * Sends requests to one address over pooled connections. Each call has one deadline for connecting,
+ * sending and receiving. It never retries by itself: only the caller knows whether that is safe.
+ * Safe for use by several threads.
  */
 public final class HttpClient implements AutoCloseable {
-  /**
-   * Largest response taken from the state service or the cloud, bytes. A watch has no size limit.
-   */
+  /** Largest response accepted, bytes; the store's watch responses have no limit of their own. */
   private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-  /** A kept connection of ours is not used again after this many nanoseconds without use. */
+  /** Idle time after which a pooled connection is no longer used, nanoseconds. */
   public static final long CLIENT_CONNECTION_IDLE_NS = 20_000_000_000L;
 
   private final String host;
@@ -28,13 +27,14 @@
   private final Deque<Connection> idle = new ArrayDeque<>();
   private boolean closed;
 
+  /** Keeps at most {@code maxIdle} idle connections. */
   public HttpClient(String host, int port, int maxIdle) {
     this.host = host;
     this.port = port;
     this.maxIdle = maxIdle;
   }
 
-  /** Status and body of an answer. */
+  /** Status and body of a response. */
   public record Response(int status, byte[] body) {}
 
   private static final class Connection {
@@ -48,16 +48,18 @@
     }
   }
 
-  /** Sends one request. An {@link IOException} other than NotSent leaves its effect unknown. */
+  /**
+   * Sends one request. {@link RequestNotSentException} means that it had no effect; after any other
+   * {@link IOException} its effect is unknown.
+   */
   public Response call(String method, String path, byte[] body, int timeoutMs) throws IOException {
     return callConnected(method, path, () -> body, timeoutMs);
   }
 
   /**
-   * The same of a request that is made up once there is a connection: that may be long after the
-   * call where the connection was slow to come about or this process stood still. What is sent goes
-   * to who accepted that connection, or to nobody: a process that begins anew at that address does
-   * not have it.
+   * As {@link #call}, for a body that is made once the connection is established, which may be long
+   * after the call if connecting was slow or this process was paused. The request reaches the
+   * process that accepted the connection or none: one restarted at that address does not have it.
    */
   public Response callConnected(
       String method, String path, Supplier<byte[]> bodySupplier, int timeoutMs) throws IOException {
@@ -67,23 +69,13 @@
     boolean reusable = false;
     try {
       byte[] body = bodySupplier.get();
-      StringBuilder head = new StringBuilder(128);
-      head.append(method).append(' ').append(path).append(" HTTP/1.1\r\nHost: ").append(host);
-      head.append(':').append(port);
-      if (body != null) {
-        head.append("\r\nContent-Type: application/json\r\nContent-Length: ").append(body.length);
-      }
-      head.append("\r\n\r\n");
-      write(connection.socket, head.toString(), body == null ? new byte[0] : body);
+      write(connection.socket, requestHead(method, path, body), body == null ? new byte[0] : body);
       int leftMs = (int) Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000);
       HttpMessageReader.Message message =
           connection.reader.readResponse(leftMs, MAX_RESPONSE_BYTES);
-      String[] statusLine = message.startLine().split(" ", 3);
-      if (statusLine.length < 2 || !statusLine[1].matches("[0-9]{3}")) {
-        throw new IOException("bad status line");
-      }
+      int status = parseStatus(message.startLine());
       reusable = !message.closesConnection();
-      return new Response(Integer.parseInt(statusLine[1]), message.body());
+      return new Response(status, message.body());
     } catch (SocketTimeoutException e) {
       throw e;
     } catch (IOException e) {
@@ -100,6 +92,24 @@
     }
   }
 
+  private String requestHead(String method, String path, byte[] body) {
+    StringBuilder head = new StringBuilder(128);
+    head.append(method).append(' ').append(path).append(" HTTP/1.1\r\nHost: ").append(host);
+    head.append(':').append(port);
+    if (body != null) {
+      head.append("\r\nContent-Type: application/json\r\nContent-Length: ").append(body.length);
+    }
+    return head.append("\r\n\r\n").toString();
+  }
+
+  private static int parseStatus(String startLine) throws IOException {
+    String[] statusLine = startLine.split(" ", 3);
+    if (statusLine.length < 2 || !statusLine[1].matches("[0-9]{3}")) {
+      throw new IOException("bad status line");
+    }
+    return Integer.parseInt(statusLine[1]);
+  }
+
   private Connection connect(int timeoutMs) throws RequestNotSentException {
     Socket socket = new Socket();
     try {
@@ -119,8 +129,7 @@
   private synchronized Connection takeIdle() {
     while (!idle.isEmpty()) {
       Connection connection = idle.pollLast();
-      // An old connection may be closed at the other end, and a failure there looks like an
-      // unknown.
+      // The server may have closed an old connection, and the effect of a failed call is unknown.
       if (System.nanoTime() - connection.lastUsedNs < CLIENT_CONNECTION_IDLE_NS) {
         return connection;
       }
@@ -130,8 +139,8 @@
   }
 
   /**
-   * A kept connection has ended at the other end, as when that begins anew: those that have not
-   * been used since have, too, and each would fail one more request.
+   * After the server has ended a pooled connection, as when it restarts, those that have been idle
+   * since before have ended too: each would fail one more request.
    */
   private synchronized void closeIdleSince(long unusedSinceNs) {
     idle.removeIf(
@@ -152,7 +161,7 @@
     }
   }
 
-  /** Closes what is idle, and keeps nothing from now on; calls still go through. */
+  /** Closes the idle connections and pools none from now on; calls still work. */
   @Override
   public synchronized void close() {
     closed = true;
@@ -165,11 +174,11 @@
     try {
       connection.socket.close();
     } catch (IOException e) {
-      // it is given up either way
+      // the connection is discarded either way
     }
   }
 
-  /** One write for head and body: each is a packet and a system call. */
+  /** Writes head and body at once: each write is a packet and a system call. */
   static void write(Socket socket, String head, byte[] body) throws IOException {
     byte[] headBytes = HttpMessageReader.latin1(head);
     byte[] packet = new byte[headBytes.length + body.length];
--- a/src/main/java/org/astershift/http/HttpException.java
+++ b/src/main/java/org/astershift/http/HttpException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A message that breaks HTTP; {@code status} is the fitting answer to its sender. */
+/** A message that violates HTTP; {@code status} is the response code for its sender. */
 public final class HttpException extends IOException {
   private static final long serialVersionUID = 1L;
   private final int status;
--- a/src/main/java/org/astershift/http/HttpMessageReader.java
+++ b/src/main/java/org/astershift/http/HttpMessageReader.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Reads HTTP/1.1 messages from a blocking socket. A message has to arrive whole within its
- * deadline, however slowly its bytes come; what is read beyond a message stays for the next one.
+ * Reads HTTP/1.1 messages from a blocking socket. Bytes read beyond a message are kept for the next
+ * one. For use by one thread.
  */
 final class HttpMessageReader {
   /** Largest request line and headers together, bytes. */
@@ -43,25 +43,22 @@
   }
 
   /**
-   * Waits for the first byte of a message; false if the other side closed before. Somebody else has
-   * to close the socket when it takes too long: a plain blocking read is one system call where one
-   * with a timeout is three, and a leader has hundreds a second.
+   * Waits for the first byte of a message; false if the peer closed the connection before. Without
+   * a timeout, which would cost two more system calls a read: another thread has to shut down the
+   * socket when it takes too long.
    */
   boolean awaitFirstByte() throws IOException {
     hasDeadline = false;
     return bufferPosition < bufferEnd || fillBuffer();
   }
 
-  /**
-   * Reads a request; as for {@link #awaitFirstByte}, its time is limited by whoever closes the
-   * socket.
-   */
+  /** Reads a request, without a timeout, as {@link #awaitFirstByte}. */
   Message readRequest(int bodyLimit) throws IOException {
     hasDeadline = false;
     return readMessage(bodyLimit, true);
   }
 
-  /** Reads a response, which has to be there whole in so many milliseconds. */
+  /** Reads a response, which has to arrive whole within {@code timeoutMs}. */
   Message readResponse(int timeoutMs, int bodyLimit) throws IOException {
     hasDeadline = true;
     deadlineNs = System.nanoTime() + timeoutMs * 1_000_000L;
@@ -76,24 +73,30 @@
     }
     Map<String, String> headers = new HashMap<>();
     for (String line = readLine(); !line.isEmpty(); line = readLine()) {
-      int colon = line.indexOf(':');
-      if (colon <= 0
-          || line.charAt(0) == ' '
-          || line.charAt(0) == '\t'
-          || line.charAt(colon - 1) == ' ') {
-        throw new HttpException(400, "bad header line");
-      }
-      String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
-      String value = line.substring(colon + 1).trim();
-      String previous = headers.put(name, value);
-      if (previous != null && name.equals("content-length") && !previous.equals(value)) {
-        throw new HttpException(400, "two lengths");
-      }
+      addHeader(line, headers);
+    }
+    boolean bodyUntilClose = !request && !startLine.contains(" 204") && !startLine.contains(" 304");
+    return new Message(startLine, headers, readBody(headers, bodyLimit, bodyUntilClose));
+  }
+
+  private static void addHeader(String line, Map<String, String> headers) throws HttpException {
+    int colon = line.indexOf(':');
+    if (colon <= 0
+        || line.charAt(0) == ' '
+        || line.charAt(0) == '\t'
+        || line.charAt(colon - 1) == ' ') {
+      throw new HttpException(400, "bad header line");
+    }
+    String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
+    String value = line.substring(colon + 1).trim();
+    String previous = headers.put(name, value);
+    if (previous != null && name.equals("content-length") && !previous.equals(value)) {
+      throw new HttpException(400, "two lengths");
     }
-    return new Message(startLine, headers, readBody(startLine, headers, bodyLimit, request));
   }
 
-  private byte[] readBody(String startLine, Map<String, String> headers, int limit, boolean request)
+  /** {@code untilClose}: without a length the body ends with the connection; else it is empty. */
+  private byte[] readBody(Map<String, String> headers, int limit, boolean untilClose)
       throws IOException {
     String encoding = headers.get("transfer-encoding");
     String length = headers.get("content-length");
@@ -107,18 +110,23 @@
       return readChunkedBody(limit);
     }
     if (length != null) {
-      if (!length.matches("[0-9]{1,18}")) {
-        throw new HttpException(400, "bad content length");
-      }
-      long size = Long.parseLong(length);
-      if (size > limit) {
-        throw new HttpException(413, "body too large");
-      }
-      return readBytes((int) size);
+      return readBytes(parseLength(length, limit));
+    }
+    return untilClose ? readUntilClose(headers, limit) : new byte[0];
+  }
+
+  private static int parseLength(String length, int limit) throws HttpException {
+    if (!length.matches("[0-9]{1,18}")) {
+      throw new HttpException(400, "bad content length");
     }
-    if (request || startLine.contains(" 204") || startLine.contains(" 304")) {
-      return new byte[0];
+    long size = Long.parseLong(length);
+    if (size > limit) {
+      throw new HttpException(413, "body too large");
     }
+    return (int) size;
+  }
+
+  private byte[] readUntilClose(Map<String, String> headers, int limit) throws IOException {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     try {
       for (int next = readByte(); ; next = readByte()) {
@@ -149,7 +157,7 @@
       headBytesLeft = MAX_HEAD_BYTES;
       if (chunkSize == 0) {
         while (!readLine().isEmpty()) {
-          // trailers say nothing that is used here
+          // trailers are ignored
         }
         return body.toByteArray();
       }
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -14,39 +14,42 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves HTTP/1.1 on blocking sockets, one thread a connection up to a limit. */
+/**
+ * Serves HTTP/1.1 on blocking sockets with one thread a connection. {@link ConnectionSlots} limits
+ * the connections. Reads have no timeouts: a reaper thread ends what is idle or slow for too long.
+ */
 public final class HttpServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-  /** Seconds that a 503 asks its caller to wait. */
+  /** Value of Retry-After in a 503 response, seconds. */
   private static final int RETRY_AFTER_S = 1;
 
-  /** Largest request body, bytes; the protocol's. */
+  /** Largest request body, bytes, as published. */
   static final int MAX_REQUEST_BODY_BYTES = 64 * 1024;
 
-  /** Milliseconds between looks for connections that are idle or slow for too long. */
+  /** Interval at which the reaper looks for overdue connections, milliseconds. */
   private static final long CONNECTION_REAP_INTERVAL_MS = 1000;
 
-  /**
-   * Connections that may wait to be taken. After a restart of a node all its workers and users come
-   * at once, and those refused try another node only a second later.
-   */
+  /** Length of the accept queue: after a restart all workers and users connect at once. */
   private static final int LISTEN_BACKLOG_CONNECTIONS = 1024;
 
-  /** Answers requests. */
+  /** Handles requests, on several threads at once. */
   public interface Handler {
+    /** Returns the response; an exception is logged and answered with 503. */
     Response handle(Request request) throws Exception;
   }
 
-  /** A request; the path is without its query, which is empty if there is none. */
+  /** A request; {@code path} excludes the query, which is empty if there is none. */
   public record Request(String method, String path, String query, byte[] body) {}
 
-  /** A response with a JSON text; {@code retryAfterS} 0 for none. */
+  /** A response with a JSON body; {@code retryAfterS} is 0 for no such header. */
   public record Response(int status, byte[] body, int retryAfterS) {
+    /** A response without Retry-After. */
     public static Response of(int status, Map<String, Object> body) {
       return new Response(status, Json.bytes(body), 0);
     }
 
+    /** A response with an error text, and Retry-After if its status is 503. */
     public static Response error(int status, String message) {
       int retryAfterS = status == 503 ? RETRY_AFTER_S : 0;
       return new Response(status, Json.bytes(Map.of("error", message)), retryAfterS);
@@ -62,7 +65,7 @@
   private volatile boolean closed;
   private long lastLoggedNs = System.nanoTime();
 
-  /** {@code capacity} connections, none of them with a place of its own. */
+  /** A server of {@code capacity} connections without reserved slots. */
   public HttpServer(String host, int port, int capacity, Handler handler) throws IOException {
     this(
         host,
@@ -73,7 +76,7 @@
         Threads.connectionThreadFactory());
   }
 
-  /** Connections that ask for a {@code isReservedPath} path have places that others cannot take. */
+  /** A server whose connections with requests for reserved paths use the reserved slots. */
   public HttpServer(
       String host,
       int port,
@@ -99,7 +102,7 @@
     this.serverSocket = listen(host, port, LISTEN_BACKLOG_CONNECTIONS);
   }
 
-  /** Takes an address; nothing of it is left if that fails. */
+  /** Binds an address; the socket is closed if that fails. */
   public static ServerSocket listen(String host, int port, int backlog) throws IOException {
     ServerSocket serverSocket = new ServerSocket();
     try {
@@ -116,31 +119,31 @@
     return serverSocket.getLocalPort();
   }
 
+  /** Starts to accept connections. */
   public void start() {
     Threads.startLoop("http-accept", this::acceptLoop);
     Threads.startLoop("http-reaper", this::reapLoop);
   }
 
-  /** Closes what is idle or slow for too long: reads have no timeouts of their own. */
   private void reapLoop() throws InterruptedException {
     while (!closed) {
       Thread.sleep(CONNECTION_REAP_INTERVAL_MS);
       long nowNs = System.nanoTime();
       for (Map.Entry<Connection, Socket> entry : openSockets.entrySet()) {
         if (entry.getKey().isOverdue(nowNs)) {
-          LOG.debug("a connection was idle or slow for too long");
+          LOG.debug("connection idle or slow for too long");
           shutDownInput(entry.getValue());
         }
       }
     }
   }
 
-  /** Ends what its thread reads from it; the thread then closes it. */
+  /** Ends the read of the connection's thread, which then closes it. */
   private static void shutDownInput(Socket socket) {
     try {
       socket.shutdownInput();
     } catch (IOException e) {
-      LOG.debug("closing: {}", e.toString());
+      LOG.debug("connection shutdown failed: {}", e.toString());
     }
   }
 
@@ -163,7 +166,7 @@
         logConnections();
       } catch (IOException | ThreadUnavailableException e) {
         if (!closed) {
-          LOG.info("a connection could not be taken: {}", e.toString());
+          LOG.info("accept failed: {}", e.toString());
           Threads.backOff();
         }
       }
@@ -175,13 +178,13 @@
       closeWithoutSlot(evicted);
     }
     if (!openSockets.containsKey(connection)) {
-      return; // all others were at work: it was told to come back
+      return; // rejected: all slots are busy
     }
     try {
       connection.setBeingServed(true);
       threads.execute(() -> serve(connection, socket));
     } catch (ThreadUnavailableException e) {
-      // Nobody will serve it: kept, it would hang for its user and count as open for ever.
+      // No thread serves it: kept open, it would hang its client and hold its slot for ever.
       slots.release(connection);
       connection.setBeingServed(false);
       closeWithoutSlot(connection);
@@ -189,7 +192,7 @@
     }
   }
 
-  /** Closes a connection that has no place: it was served and is idle, or nobody serves it. */
+  /** Closes a connection without a slot: one that is served and idle, or one without a thread. */
   private void closeWithoutSlot(Connection connection) {
     Socket socket = openSockets.remove(connection);
     if (socket != null && connection.isBeingServed()) {
@@ -198,7 +201,7 @@
       try (socket) {
         send(socket, Response.error(503, "no place for more connections"), true);
       } catch (IOException e) {
-        LOG.debug("closing: {}", e.toString());
+        LOG.debug("connection shutdown failed: {}", e.toString());
       }
     }
   }
@@ -207,7 +210,7 @@
     long nowNs = System.nanoTime();
     if (nowNs - lastLoggedNs >= LogIntervals.SUMMARY_INTERVAL_MS * 1_000_000) {
       lastLoggedNs = nowNs;
-      LOG.info("connections: {}; {} threads", slots, Thread.activeCount());
+      LOG.info("connections: {} threads={}", slots, Thread.activeCount());
     }
   }
 
@@ -227,9 +230,7 @@
         }
       }
     } catch (IOException e) {
-      LOG.debug("connection: {}", e.toString());
-    } catch (RuntimeException | Error e) {
-      LOG.error("connection ended by", e);
+      LOG.debug("connection ended: {}", e.toString());
     } finally {
       openSockets.remove(connection);
       slots.release(connection);
@@ -239,42 +240,51 @@
   private boolean handleRequest(Connection connection, Socket socket, HttpMessageReader reader)
       throws IOException {
     HttpMessageReader.Message message;
-    String[] requestLine;
+    Request request;
     try {
       message = reader.readRequest(MAX_REQUEST_BODY_BYTES);
-      requestLine = message.startLine().split(" ", -1);
-      if (requestLine.length != 3
-          || !requestLine[2].startsWith("HTTP/1.")
-          || !requestLine[1].startsWith("/")) {
-        throw new HttpException(400, "bad request line");
-      }
+      request = parseRequest(message);
     } catch (HttpException e) {
       send(socket, Response.error(e.status(), e.getMessage()), true);
       return false;
     }
     connection.onRequestRead();
-    int queryIndex = requestLine[1].indexOf('?');
-    String path = queryIndex < 0 ? requestLine[1] : requestLine[1].substring(0, queryIndex);
-    String query = queryIndex < 0 ? "" : requestLine[1].substring(queryIndex + 1);
-    for (Connection evicted : slots.onRequest(connection, isReservedPath.test(path))) {
+    for (Connection evicted : slots.onRequest(connection, isReservedPath.test(request.path()))) {
       if (evicted == connection) {
         send(socket, Response.error(503, "no place for more connections"), true);
         return false;
       }
       closeWithoutSlot(evicted);
     }
-    Response response;
-    try {
-      response = handler.handle(new Request(requestLine[0], path, query, message.body()));
-    } catch (Exception e) {
-      LOG.error("{} {} failed", requestLine[0], path, e);
-      response = Response.error(503, "internal error");
-    }
+    Response response = handle(request);
     boolean close = message.closesConnection() || !slots.mayKeepAlive(connection);
     send(socket, response, close);
     return !close;
   }
 
+  private static Request parseRequest(HttpMessageReader.Message message) throws HttpException {
+    String[] requestLine = message.startLine().split(" ", -1);
+    if (requestLine.length != 3
+        || !requestLine[2].startsWith("HTTP/1.")
+        || !requestLine[1].startsWith("/")) {
+      throw new HttpException(400, "bad request line");
+    }
+    String target = requestLine[1];
+    int queryIndex = target.indexOf('?');
+    String path = queryIndex < 0 ? target : target.substring(0, queryIndex);
+    String query = queryIndex < 0 ? "" : target.substring(queryIndex + 1);
+    return new Request(requestLine[0], path, query, message.body());
+  }
+
+  private Response handle(Request request) {
+    try {
+      return handler.handle(request);
+    } catch (Exception e) {
+      LOG.error("{} {} failed", request.method(), request.path(), e);
+      return Response.error(503, "internal error");
+    }
+  }
+
   private static void send(Socket socket, Response response, boolean close) throws IOException {
     StringBuilder head = new StringBuilder(128);
     head.append("HTTP/1.1 ")
--- a/src/main/java/org/astershift/http/Json.java
+++ b/src/main/java/org/astershift/http/Json.java
@@ -6,15 +6,15 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.math.BigInteger;
 import java.util.List;
 import java.util.Map;
 
-/** JSON as maps and lists, and checked access to their fields. */
+/** Reads and writes JSON as maps and lists, with checked access to their fields, for codecs. */
 public final class Json {
   /**
-   * How deep a body may be nested. All that the protocols name is a few levels deep; a thousand,
-   * the parser's own limit, overflow a stack of {@link #STACK_BYTES}: a body of brackets ended its
-   * connection without an answer.
+   * Largest nesting depth accepted. The protocols need a few levels; the parser's own limit of 1000
+   * would overflow a stack of {@link Threads#STACK_BYTES}.
    */
   private static final int MAX_JSON_DEPTH = 100;
 
@@ -33,16 +33,16 @@
     try {
       return JACKSON.asBytes(value);
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // memory does not fail
+      throw new UncheckedIOException(e); // writing to memory does not fail
     }
   }
 
-  /** Parses an object; anything else, and anything after it, is bad. */
+  /** Parses an object; anything else, and anything after it, is an error. */
   public static Map<String, Object> object(byte[] text) throws JsonFormatException {
     return object(text, false);
   }
 
-  /** The object that a text begins with, whatever comes after it. */
+  /** Parses the object that a text begins with and ignores what follows it. */
   public static Map<String, Object> leadingObject(byte[] text) throws JsonFormatException {
     return object(text, true);
   }
@@ -67,7 +67,7 @@
     throw new JsonFormatException("not an object");
   }
 
-  /** The value as an object; {@code what} names it in the error. */
+  /** The value as an object; {@code what} names it in the error message. */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> object(Object value, String what) throws JsonFormatException {
     if (value instanceof Map<?, ?> map) {
@@ -76,7 +76,7 @@
     throw new JsonFormatException(what + " is not an object");
   }
 
-  /** The list under a name; an empty one if there is none. */
+  /** The list in a field; empty if the field is missing or null. */
   public static List<?> list(Map<String, Object> object, String name) throws JsonFormatException {
     Object value = object.get(name);
     if (value == null) {
@@ -88,7 +88,7 @@
     throw new JsonFormatException(name + " is not a list");
   }
 
-  /** The text under a name, which must be there. */
+  /** The string in a required field. */
   public static String string(Map<String, Object> object, String name) throws JsonFormatException {
     if (object.get(name) instanceof String value) {
       return value;
@@ -96,12 +96,13 @@
     throw new JsonFormatException(name + " is missing or not a text");
   }
 
+  /** The string in an optional field; null if it is missing or null. */
   public static String stringOrNull(Map<String, Object> object, String name)
       throws JsonFormatException {
     return object.get(name) == null ? null : string(object, name);
   }
 
-  /** The finite number under a name, which must be there. */
+  /** The finite number in a required field. */
   public static double number(Map<String, Object> object, String name) throws JsonFormatException {
     if (object.get(name) instanceof Number number && Double.isFinite(number.doubleValue())) {
       return number.doubleValue();
@@ -109,18 +110,19 @@
     throw new JsonFormatException(name + " is missing or not a number");
   }
 
+  /** The finite number in an optional field; null if it is missing or null. */
   public static Double numberOrNull(Map<String, Object> object, String name)
       throws JsonFormatException {
     return object.get(name) == null ? null : number(object, name);
   }
 
-  /** The whole number under a name, which must be there. */
+  /** The integer of at most 64 bits, signed or unsigned, in a required field. */
   public static long integer(Map<String, Object> object, String name) throws JsonFormatException {
     Object value = object.get(name);
     if (value instanceof Integer || value instanceof Long) {
       return ((Number) value).longValue();
     }
-    if (value instanceof java.math.BigInteger unsigned
+    if (value instanceof BigInteger unsigned
         && unsigned.bitLength() <= 64
         && unsigned.signum() >= 0) {
       return unsigned.longValue();
@@ -128,7 +130,7 @@
     throw new JsonFormatException(name + " is missing or not a whole number");
   }
 
-  /** The truth value under a name, which must be there. */
+  /** The boolean in a required field. */
   public static boolean bool(Map<String, Object> object, String name) throws JsonFormatException {
     if (object.get(name) instanceof Boolean value) {
       return value;
@@ -136,6 +138,7 @@
     throw new JsonFormatException(name + " is missing or not true or false");
   }
 
+  /** The boolean in an optional field; {@code fallback} if it is missing or null. */
   public static boolean boolOr(Map<String, Object> object, String name, boolean fallback)
       throws JsonFormatException {
     return object.get(name) == null ? fallback : bool(object, name);
--- a/src/main/java/org/astershift/http/Threads.java
+++ b/src/main/java/org/astershift/http/Threads.java
@@ -4,30 +4,29 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How all threads of the program are made, and how their loops survive a failure. */
+/** Creates all threads of the program, which are daemons, and keeps their loops running. */
 public final class Threads {
   private static final Logger LOG = LoggerFactory.getLogger(Threads.class);
 
-  /** Pause after a failed request to the state service or the cloud, milliseconds. */
+  /** Pause before a failed loop or request is tried again, milliseconds. */
   public static final long RETRY_BACKOFF_MS = 300;
 
-  /** Stack of a connection's thread, bytes. */
+  /** Stack size of a thread, bytes. */
   public static final long STACK_BYTES = 192 * 1024;
 
-  /** Seconds after which a pool's thread without work ends. */
+  /** Idle time after which a pooled thread ends, seconds. */
   static final long THREAD_IDLE_S = 10;
 
   private Threads() {}
 
-  /** What a thread does; an exception ends this one run of it and is logged. */
+  /** Work for a thread; an exception ends this run of it and is logged. */
   public interface Task {
     void run() throws Exception;
   }
 
   /**
-   * Starts a thread, or throws {@link ThreadUnavailableException}. The system's refusal comes as an
-   * error, which would pass by every loop's handler and end the loop; as an exception it is handled
-   * there.
+   * Starts a thread, or throws {@link ThreadUnavailableException}: the runtime throws an {@link
+   * OutOfMemoryError}, which would pass the handlers of loops and end them.
    */
   public static void start(String name, Task body) {
     start(thread(name, logFailures(name, body)));
@@ -41,7 +40,7 @@
     }
   }
 
-  /** A loop that has to live as long as the process: whatever ends its body, it begins again. */
+  /** Starts a loop that lives as long as the process: its body is run again whenever it ends. */
   public static void startLoop(String name, Task body) {
     Runnable once = logFailures(name, body);
     start(
@@ -55,12 +54,12 @@
             }));
   }
 
-  /** Threads come with the work and go when there is none; what waits is bounded by its askers. */
+  /** A pool of at most {@code threads} threads; its callers have to bound the queue. */
   public static TaskPool pool(String name, int threads) {
     return new TaskPool(threads, r -> thread(name, r));
   }
 
-  /** Logs whatever ends this run of the body, errors included: nothing ends without a line. */
+  /** Wraps a body so that whatever ends it, errors included, is logged. */
   public static Runnable logFailures(String name, Task body) {
     return () -> {
       try {
@@ -73,7 +72,7 @@
     };
   }
 
-  /** Threads that serve a connection each. */
+  /** Makes the threads that serve connections. */
   static ThreadFactory connectionThreadFactory() {
     return r -> thread("http", r);
   }
@@ -84,7 +83,7 @@
     return thread;
   }
 
-  /** The short wait of every loop before it tries again. */
+  /** Waits for {@link #RETRY_BACKOFF_MS}, or until interrupted. */
   public static void backOff() {
     try {
       Thread.sleep(RETRY_BACKOFF_MS);
--- a/src/main/java/org/astershift/worker/CommandSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -13,16 +13,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends commands straight to workers. */
+/** Sends commands to workers over HTTP. Safe for use by several threads. */
 public final class CommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
 
-  /** Connections to workers that are kept for the next order. */
+  /** Workers whose clients are kept, each with an idle connection. */
   private static final int KEPT_WORKER_CONNECTIONS = 100;
 
   private static final int MAX_PORT = 65_535;
 
-  /** The clients used last keep their connections; the others' sockets are for incoming ones. */
+  /**
+   * The most recently used clients; locked by itself. Bounded so that sockets are left for incoming
+   * connections.
+   */
   private final Map<String, HttpClient> clients =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -37,10 +40,15 @@
         }
       };
 
-  /** What came of an order. {@code outcomeUnknown}: it may have been executed, or may be later. */
+  /**
+   * Result of a request with commands.
+   *
+   * @param outcomeUnknown the commands may have been executed, or may be later
+   * @param heartbeat the worker's status in its response; null if there is none
+   */
   public record Result(boolean outcomeUnknown, Heartbeat heartbeat) {}
 
-  /** Whether the worker answers a question that needs no token and changes nothing. */
+  /** Whether the worker answers a request that needs no fencing token and changes nothing. */
   public boolean isReachable(String address, int timeoutMs) {
     int separator = portSeparator(address);
     if (separator < 0) {
@@ -49,23 +57,27 @@
     try {
       return client(address, separator).call("GET", "/show", null, timeoutMs).status() == 200;
     } catch (IOException e) {
-      LOG.debug("asking {}: {}", address, e.toString());
+      LOG.debug("worker probe failed: address={}: {}", address, e.toString());
       return false;
     }
   }
 
-  /** Where the port begins; -1 if this is no address. */
+  /** Index of the colon before the port; -1 if this is not an address. */
   private static int portSeparator(String address) {
     int separator = address.lastIndexOf(':');
     String port = address.substring(separator + 1);
     if (separator <= 0 || !port.matches("[0-9]{1,5}") || Integer.parseInt(port) > MAX_PORT) {
-      LOG.info("not a worker's address: {}", address);
+      LOG.info("invalid worker address: address={}", address);
       return -1;
     }
     return separator;
   }
 
-  /** {@code commands}: those still to be sent once there is a connection; not asked for without. */
+  /**
+   * Sends commands to one incarnation of a worker's agent. {@code commands} is called once the
+   * connection is established, and not at all without one: by then the leader's lease may have
+   * expired or the agent may have restarted.
+   */
   public Result send(
       String address,
       long fencingToken,
@@ -85,15 +97,15 @@
               () -> WorkerCodec.directCommands(fencingToken, epoch, commands.get()),
               timeoutMs);
       if (response.status() != 200 && response.status() != 409) {
-        LOG.info("orders to {} got status {}", address, response.status());
+        LOG.info("commands rejected: address={} status={}", address, response.status());
         return new Result(response.status() != 400, null);
       }
       return new Result(false, WorkerCodec.readHeartbeat(response.body()));
     } catch (RequestNotSentException e) {
-      LOG.debug("orders to {}: {}", address, e.toString());
+      LOG.debug("commands not sent: address={}: {}", address, e.toString());
       return new Result(false, null);
     } catch (IOException | JsonFormatException e) {
-      LOG.info("orders to {} without an answer: {}", address, e.toString());
+      LOG.info("commands without a response: address={}: {}", address, e.toString());
       return new Result(true, null);
     }
   }
@@ -108,7 +120,7 @@
     }
   }
 
-  /** Forgets the connections to a machine that is gone. */
+  /** Closes the connections to a machine that no longer exists. */
   public void disconnect(String address) {
     synchronized (clients) {
       HttpClient client = clients.remove(address);
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -14,8 +14,8 @@
 import org.astershift.scheduler.Heartbeat;
 
 /**
- * The workers' words for reports and orders. Reports are most of what a leader reads, so they are
- * read and written as streams, without maps between.
+ * Maps heartbeats and commands to the wire format of the worker protocol. Heartbeats are most of
+ * what a leader reads, so they are streamed without intermediate maps.
  */
 public final class WorkerCodec {
   private static final JsonFactory JSON = new JsonFactory();
@@ -23,7 +23,7 @@
 
   private WorkerCodec() {}
 
-  /** Reads a report; nonsense in it makes the whole report bad, since a part would mislead. */
+  /** Reads a heartbeat. A single invalid field rejects all of it: a part of it would mislead. */
   public static Heartbeat readHeartbeat(byte[] text) throws JsonFormatException {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** A report as far as it is read. */
+  /** The fields of a heartbeat read so far. */
   private static final class HeartbeatBuilder {
     private String machineName;
     private String address;
@@ -208,12 +208,12 @@
     return word.equals("halted") ? "stopped" : word;
   }
 
-  /** The answer to a report. */
+  /** The body of the response to a heartbeat. */
   public static byte[] heartbeatResponse(long fencingToken, List<Command> commands) {
     return write(fencingToken, -1, commands);
   }
 
-  /** The body of a direct order; it holds for one session of the worker. */
+  /** The body of a request with commands; valid for one epoch of the agent only. */
   public static byte[] directCommands(long fencingToken, long epoch, List<Command> commands) {
     return write(fencingToken, epoch, commands);
   }
@@ -240,7 +240,7 @@
       generator.writeEndArray();
       generator.writeEndObject();
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // memory does not fail
+      throw new UncheckedIOException(e); // writing to memory does not fail
     }
     return out.toByteArray();
   }
--- a/src/test/java/org/astershift/EndToEndTest.java
+++ b/src/test/java/org/astershift/EndToEndTest.java
@@ -173,7 +173,7 @@
         "a process that waits for its address",
         () -> {
           assertTrue(nodes.process(2).isAlive(), "a process whose address is taken has ended");
-          return nodes.said(2).contains("waits for its address");
+          return nodes.said(2).contains("waiting for address");
         });
     old.destroyForcibly().waitFor();
     await(2, "GET", "/v2/runs/wk-000007", null, "\"done\",");
--- a/src/test/java/org/astershift/MainTest.java
+++ b/src/test/java/org/astershift/MainTest.java
@@ -18,7 +18,8 @@
   private static void expect(int code, String part, String... args) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
-    assertEquals(code, Main.run(args, new PrintStream(out), new PrintStream(err)));
+    ExitCode exitCode = Main.run(args, new PrintStream(out), new PrintStream(err)).orElseThrow();
+    assertEquals(code, exitCode.value());
     String said = code == 0 ? out.toString() : err.toString();
     assertTrue(said.contains(part), said);
     if (code != 0) {
--- a/src/test/java/org/astershift/api/JobCodecTest.java
+++ b/src/test/java/org/astershift/api/JobCodecTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
-import org.astershift.http.Json;
 import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
@@ -22,7 +21,7 @@
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
   private static JobSpec read(String text) throws JsonFormatException {
-    return JobCodec.decodeSpec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
+    return JobCodec.decodeSpec(text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
--- a/src/test/java/org/astershift/golden/SubmissionFormsTest.java
+++ b/src/test/java/org/astershift/golden/SubmissionFormsTest.java
@@ -4,7 +4,6 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.astershift.api.JobCodec;
-import org.astershift.http.Json;
 import org.astershift.http.JsonFormatException;
 import org.astershift.peer.JobAnswer;
 import org.astershift.scheduler.JobSpec;
@@ -20,7 +19,7 @@
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
   private static JobSpec read(String text) throws JsonFormatException {
-    return JobCodec.decodeSpec(Json.object(text.getBytes(StandardCharsets.UTF_8)));
+    return JobCodec.decodeSpec(text.getBytes(StandardCharsets.UTF_8));
   }
 
   /** Its values in a fixed order; kinds and priorities as the numbers that records hold. */
@@ -111,7 +110,7 @@
     Golden g = new Golden("submission-states");
     for (String phase : new String[] {"queued", "running", "done", "withdrawn", null}) {
       JobAnswer a = new JobAnswer(200, phase, 100_000, 37);
-      g.add(String.valueOf(phase), Json.bytes(JobCodec.encodeState("wk-000412", a)));
+      g.add(String.valueOf(phase), JobCodec.encodeState("wk-000412", a));
     }
     g.check();
   }
