--- a/src/test/java/org/astershift/simulation/CloudModel.java
+++ b/src/test/java/org/astershift/simulation/CloudModel.java
@@ -26,23 +26,23 @@
   private static final long BOOT_MS = 10_000;
 
   /** How long the next machines take until they report; null: never. */
-  Supplier<Long> boots = () -> BOOT_MS;
+  Supplier<Long> bootMs = () -> BOOT_MS;
 
   /** Rentals are carried out at once, and their answers take up to so long. */
-  long slowMs;
+  long answerDelayMs;
 
   /** Machines that were up, and that had tasks, as the answer to their rental was given. */
-  int upBeforeAnswer;
+  int aliveBeforeAnswer;
 
   int busyBeforeAnswer;
 
   /** Machines that it took back, and those of them that had tasks. */
-  int taken;
+  int preempted;
 
-  int takenWithTasks;
+  int preemptedWithTasks;
 
-  private final Simulation world;
-  private final Map<String, List<String>> answered = new HashMap<>();
+  private final Simulation simulation;
+  private final Map<String, List<String>> provisioned = new HashMap<>();
   private final Map<String, Long> diedMs = new HashMap<>();
   private final Set<String> gone = new HashSet<>();
   private final Deque<Snapshot> snapshots = new ArrayDeque<>();
@@ -53,21 +53,21 @@
   /** Machines that there may be at once of a type, in all zones; none named: as many as asked. */
   final Map<String, Integer> capacity = new HashMap<>();
 
-  private int next = 100_000;
+  private int nextMachineNumber = 100_000;
 
   /** What a machine is: type, zone, and whether the cloud may take it any time. */
   record Kind(String type, String zone, boolean spot) {}
 
   private record Snapshot(long atMs, List<Scheduler.ListedMachine> listed) {}
 
-  CloudModel(Simulation world) {
-    this.world = world;
-    offer(new MachineType(TYPE, 4, 0, 16, 50, 0.5, 1, 0.3, 10, world.setup.zones()));
-    snap();
+  CloudModel(Simulation simulation) {
+    this.simulation = simulation;
+    addType(new MachineType(TYPE, 4, 0, 16, 50, 0.5, 1, 0.3, 10, simulation.setup.zones()));
+    takeSnapshot();
   }
 
   /** One more type of machines. */
-  void offer(MachineType type) {
+  void addType(MachineType type) {
     types.put(type.name(), type);
   }
 
@@ -79,39 +79,43 @@
     return kinds.get(name);
   }
 
-  void add(String name, String zone, boolean up) {
-    add(name, new Kind(TYPE, zone, false), up);
+  void addMachine(String name, String zone, boolean up) {
+    addMachine(name, new Kind(TYPE, zone, false), up);
   }
 
-  void add(String name, Kind kind, boolean up) {
+  void addMachine(String name, Kind kind, boolean up) {
     names.add(name);
     kinds.put(name, kind);
-    WorkerModel w = new WorkerModel(world, name, kind);
-    world.workers.put(name, w);
-    Long ms = up ? Long.valueOf(world.random.nextLong(world.setup.reportMs())) : boots.get();
+    WorkerModel worker = new WorkerModel(simulation, name, kind);
+    simulation.workers.put(name, worker);
+    Long ms =
+        up
+            ? Long.valueOf(simulation.random.nextLong(simulation.setup.heartbeatMs()))
+            : bootMs.get();
     if (ms != null) {
-      world.after(ms, () -> up(w));
+      simulation.after(ms, () -> start(worker));
     }
   }
 
-  private void up(WorkerModel w) {
-    if (!gone.contains(w.name) && !diedMs.containsKey(w.name)) {
-      w.start();
+  private void start(WorkerModel worker) {
+    if (!gone.contains(worker.name) && !diedMs.containsKey(worker.name)) {
+      worker.start();
     }
   }
 
-  void rent(String request, Decision.ProvisionMachines r, Consumer<List<String>> answer) {
-    List<String> names = rent(request, r);
-    if (slowMs == 0) {
+  void provision(
+      String request, Decision.ProvisionMachines provisioning, Consumer<List<String>> answer) {
+    List<String> names = provision(request, provisioning);
+    if (answerDelayMs == 0) {
       answer.accept(names);
     } else {
-      world.after(
-          world.random.nextLong(slowMs),
+      simulation.after(
+          simulation.random.nextLong(answerDelayMs),
           () -> {
             for (String name : names) {
-              WorkerModel w = world.workers.get(name);
-              upBeforeAnswer += w.alive() ? 1 : 0;
-              busyBeforeAnswer += w.holds().isEmpty() ? 0 : 1;
+              WorkerModel worker = simulation.workers.get(name);
+              aliveBeforeAnswer += worker.alive() ? 1 : 0;
+              busyBeforeAnswer += worker.liveTasks().isEmpty() ? 0 : 1;
             }
             answer.accept(names);
           });
@@ -119,18 +123,21 @@
   }
 
   void die(String name) {
-    diedMs.put(name, world.now());
-    world.workers.get(name).die();
+    diedMs.put(name, simulation.now());
+    simulation.workers.get(name).die();
   }
 
-  private List<String> rent(String request, Decision.ProvisionMachines r) {
-    return answered.computeIfAbsent(
+  private List<String> provision(String request, Decision.ProvisionMachines provisioning) {
+    return provisioned.computeIfAbsent(
         request,
         n -> {
           List<String> out = new ArrayList<>();
-          for (int i = 0; i < r.count() && hasMore(r.typeName()); i++) {
-            String name = "vm-" + next++;
-            add(name, new Kind(r.typeName(), r.zone(), r.spot()), false);
+          for (int i = 0; i < provisioning.count() && hasMore(provisioning.typeName()); i++) {
+            String name = "vm-" + nextMachineNumber++;
+            addMachine(
+                name,
+                new Kind(provisioning.typeName(), provisioning.zone(), provisioning.spot()),
+                false);
             out.add(name);
           }
           return out;
@@ -144,12 +151,12 @@
   }
 
   /** The cloud takes a spot machine back, without a notice. */
-  void take(String name) {
+  void preempt(String name) {
     if (gone.add(name)) {
-      world.note(name, "is taken back by the cloud");
-      taken++;
-      takenWithTasks += world.workers.get(name).holds().isEmpty() ? 0 : 1;
-      world.workers.get(name).die();
+      simulation.log(name, "is taken back by the cloud");
+      preempted++;
+      preemptedWithTasks += simulation.workers.get(name).liveTasks().isEmpty() ? 0 : 1;
+      simulation.workers.get(name).die();
     }
   }
 
@@ -157,32 +164,32 @@
    * It takes one back after a notice, that much later times half to one and a half: what its worker
    * says is the time that was told.
    */
-  void recall(String name, long noticeMs, double times) {
-    WorkerModel w = world.workers.get(name);
-    if (w.alive()) {
-      w.recalled(noticeMs);
-      world.after(Math.round(noticeMs * times), () -> take(name));
+  void announcePreemption(String name, long noticeMs, double times) {
+    WorkerModel worker = simulation.workers.get(name);
+    if (worker.alive()) {
+      worker.noticePreemption(noticeMs);
+      simulation.after(Math.round(noticeMs * times), () -> preempt(name));
     }
   }
 
-  void giveBack(List<String> machines, boolean silent) {
+  void release(List<String> machines, boolean silent) {
     for (String name : machines) {
       if (kinds.containsKey(name) && gone.add(name)) {
-        WorkerModel w = world.workers.get(name);
+        WorkerModel worker = simulation.workers.get(name);
         if (silent) {
-          world.checker.returned.add(name);
+          simulation.checker.released.add(name);
         }
-        w.die();
+        worker.die();
       }
     }
   }
 
-  private void snap() {
+  private void takeSnapshot() {
     List<Scheduler.ListedMachine> listed = new ArrayList<>();
     for (String name : names) {
       if (!gone.contains(name)) {
         Long died = diedMs.get(name);
-        boolean failed = died != null && world.now() - died > FAILED_AFTER_MS;
+        boolean failed = died != null && simulation.now() - died > FAILED_AFTER_MS;
         listed.add(
             new Scheduler.ListedMachine(
                 name,
@@ -194,16 +201,16 @@
                 60));
       }
     }
-    snapshots.addLast(new Snapshot(world.now(), listed));
-    while (snapshots.peekFirst().atMs() < world.now() - 2 * LAG_MS) {
+    snapshots.addLast(new Snapshot(simulation.now(), listed));
+    while (snapshots.peekFirst().atMs() < simulation.now() - 2 * LAG_MS) {
       snapshots.removeFirst();
     }
-    world.after(500, this::snap);
+    simulation.after(500, this::takeSnapshot);
   }
 
   /** Any state of the last six seconds, so a list may be older than the one before it. */
-  List<Scheduler.ListedMachine> list() {
+  List<Scheduler.ListedMachine> listMachines() {
     List<Snapshot> all = new ArrayList<>(snapshots);
-    return all.get(world.random.nextInt(all.size())).listed();
+    return all.get(simulation.random.nextInt(all.size())).listed();
   }
 }
--- a/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
@@ -19,7 +19,7 @@
   private static final int SEEDS = 20;
 
   /** Which machines the other controllers reach once the leader is refused. */
-  private enum Heard {
+  private enum PeerReach {
     ALL,
     SOME,
     NONE
@@ -34,34 +34,34 @@
   }
 
   /** When the state service is down for all. */
-  private enum Down {
+  private enum OutageStart {
     AS_ANOTHER_WINS,
     AFTER_A_CONFIRMATION,
     AS_THE_NEXT_WINS,
     BEFORE_ANYBODY_WINS
   }
 
-  private record Gap(Heard heard, Fate fate, Down down) {}
+  private record OutageCase(PeerReach reach, Fate fate, OutageStart outage) {}
 
-  static Simulation busy(long seed, int machines, Mutation... mutants) {
-    Simulation w = new Simulation(seed, Setup.of(3, machines));
-    w.mutants.addAll(List.of(mutants));
-    w.runTo(4);
-    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, machines), null);
+  static Simulation loadedSimulation(long seed, int machines, Mutation... mutations) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, machines));
+    simulation.mutations.addAll(List.of(mutations));
+    simulation.runTo(4);
+    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, machines), null);
     for (int i = 10; i < 16; i++) {
-      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 3), 300_000L, () -> {});
+      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 3), 300_000L, () -> {});
     }
-    w.runTo(20);
-    assertEquals(1, w.leaders().size(), w.story());
-    return w;
+    simulation.runTo(20);
+    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
+    return simulation;
   }
 
-  static boolean leadsBeside(Simulation w, ControllerModel old) {
-    return w.leaders().stream().anyMatch(n -> n != old);
+  static boolean leadsBeside(Simulation simulation, ControllerModel old) {
+    return simulation.leaders().stream().anyMatch(controller -> controller != old);
   }
 
-  static void assertSound(Simulation w) {
-    assertEquals(List.of(), w.checker.broken, w.wholeStory());
+  static void assertSound(Simulation simulation) {
+    assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
   }
 
   /**
@@ -70,19 +70,21 @@
    * the old leader. And all that once more, with whoever leads then.
    */
   @Test
-  void theGap() {
+  void leaderRefusedByStoreThenStoreOutage() {
     int confirmedBefore = 0;
     int answeredByOld = 0;
-    for (Heard heard : Heard.values()) {
+    for (PeerReach heard : PeerReach.values()) {
       for (Fate fate : Fate.values()) {
-        for (Down down : Down.values()) {
+        for (OutageStart down : OutageStart.values()) {
           for (long seed = 1; seed <= 6; seed++) {
-            Played p = gap(new Gap(heard, fate, down), seed);
-            assertSound(p.world);
-            confirmedBefore += p.confirmed;
-            answeredByOld += p.answered;
+            Played played = playOutage(new OutageCase(heard, fate, down), seed);
+            assertSound(played.simulation);
+            confirmedBefore += played.confirmedBefore;
+            answeredByOld += played.answeredByOld;
             for (int i = 10; i < 14; i++) {
-              assertNotNull(p.world.checker.confirmedMs("wk-" + i), p.world.wholeStory());
+              assertNotNull(
+                  played.simulation.checker.cancelConfirmedMs("wk-" + i),
+                  played.simulation.fullLog());
             }
           }
         }
@@ -93,107 +95,120 @@
   }
 
   /**
-   * {@code confirmed}: by another, before the outage; {@code answered}: by the old leader in it.
+   * {@code confirmedBefore}: by another, before the outage; {@code answeredByOld}: by the old
+   * leader in it.
    */
-  private record Played(Simulation world, int confirmed, int answered) {}
+  private record Played(Simulation simulation, int confirmedBefore, int answeredByOld) {}
 
-  private static Played gap(Gap g, long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    ControllerModel old = w.leaders().get(0);
-    List<ControllerModel> others = w.nodes.stream().filter(n -> n != old).toList();
-    w.store.refuse(old.name, true);
+  private static Played playOutage(OutageCase outageCase, long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    ControllerModel old = simulation.leaders().get(0);
+    List<ControllerModel> others =
+        simulation.controllers.stream().filter(controller -> controller != old).toList();
+    simulation.store.refuse(old.name, true);
     if (seed % 2 == 0) {
-      others.forEach(n -> w.cutBoth(old.name, n.name)); // nobody tells it who leads
+      others.forEach(
+          controller -> simulation.cutBoth(old.name, controller.name)); // nobody tells it who leads
     }
-    if (g.heard != Heard.ALL) {
-      String who = g.heard == Heard.SOME ? "zone a" : "workers";
-      others.forEach(n -> w.cutBoth(n.name, who));
+    if (outageCase.reach != PeerReach.ALL) {
+      String who = outageCase.reach == PeerReach.SOME ? "zone a" : "workers";
+      others.forEach(controller -> simulation.cutBoth(controller.name, who));
     }
-    w.store.slowMs = seed % 3 == 0 ? 2500 : 0; // wins, and may be too late to catch up
+    simulation.store.answerDelayMs =
+        seed % 3 == 0 ? 2500 : 0; // wins, and may be too late to catch up
     for (int i = 10; i < 14; i++) {
       String job = "wk-" + i;
-      w.after(w.random.nextLong(1500), () -> w.userCancels(job));
+      simulation.after(simulation.random.nextLong(1500), () -> simulation.userCancels(job));
     }
     for (int i = 20; i < 24; i++) {
       String job = "wk-" + i;
-      Runnable then = () -> w.after(w.random.nextLong(400), () -> w.userCancels(job));
-      w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 300_000L, then);
+      Runnable then =
+          () ->
+              simulation.after(simulation.random.nextLong(400), () -> simulation.userCancels(job));
+      simulation.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 300_000L, then);
     }
-    if (g.down != Down.BEFORE_ANYBODY_WINS) {
-      w.runUntil(() -> leadsBeside(w, old), 30);
+    if (outageCase.outage != OutageStart.BEFORE_ANYBODY_WINS) {
+      simulation.runUntil(() -> leadsBeside(simulation, old), 30);
     }
-    if (g.down == Down.AFTER_A_CONFIRMATION || g.fate != Fate.STAYS) {
-      w.runUntil(() -> w.checker.anyConfirmed(), 30);
+    if (outageCase.outage == OutageStart.AFTER_A_CONFIRMATION || outageCase.fate != Fate.STAYS) {
+      simulation.runUntil(() -> simulation.checker.anyCancelConfirmed(), 30);
     }
     ControllerModel winner =
-        w.leaders().stream().filter(n -> n != old).findFirst().orElse(others.get(0));
-    suffer(w, winner, g.fate, others);
-    if (g.down == Down.AS_THE_NEXT_WINS) {
-      w.runUntil(() -> leadsBeside(w, old) && !winner.leads(), 35);
+        simulation.leaders().stream()
+            .filter(controller -> controller != old)
+            .findFirst()
+            .orElse(others.get(0));
+    apply(simulation, winner, outageCase.fate, others);
+    if (outageCase.outage == OutageStart.AS_THE_NEXT_WINS) {
+      simulation.runUntil(() -> leadsBeside(simulation, old) && !winner.leads(), 35);
     }
-    w.runTo((w.now() + seed * 7) / 1000.0);
-    int confirmed = w.checker.confirmed();
-    int answered = old.answeredInDoubt();
-    w.note("state", "is down");
-    w.store.down(true);
-    w.store.slowMs = 0;
-    w.after(12_000, () -> w.store.refuse(old.name, false));
+    simulation.runTo((simulation.now() + seed * 7) / 1000.0);
+    int confirmed = simulation.checker.cancelsConfirmed();
+    int answered = old.answeredWithUncertainLease();
+    simulation.log("state", "is down");
+    simulation.store.unavailable(true);
+    simulation.store.answerDelayMs = 0;
+    simulation.after(12_000, () -> simulation.store.refuse(old.name, false));
     double outageS = 3 * InvariantChecker.CANCEL_MS / 1000.0;
-    w.runTo(w.now() / 1000.0 + outageS);
-    answered = old.answeredInDoubt() - answered;
-    w.healAll();
-    w.store.down(false);
-    w.runTo(w.now() / 1000.0 + 15);
+    simulation.runTo(simulation.now() / 1000.0 + outageS);
+    answered = old.answeredWithUncertainLease() - answered;
+    simulation.healAll();
+    simulation.store.unavailable(false);
+    simulation.runTo(simulation.now() / 1000.0 + 15);
     // The second meeting, as on the operators' day: refused 1.5 s before all are.
     if (winner.crashed()) {
       winner.start();
     }
-    w.runUntil(() -> !w.leaders().isEmpty(), w.now() / 1000.0 + 10);
-    ControllerModel next = w.leaders().get(0);
-    w.store.refuse(next.name, true);
-    w.userCancels("wk-14");
-    w.runTo(w.now() / 1000.0 + 1.5);
-    w.store.down(true);
-    w.runTo(w.now() / 1000.0 + outageS);
-    w.store.refuse(next.name, false);
-    w.store.down(false);
-    w.runTo(w.now() / 1000.0 + 50);
-    return new Played(w, confirmed, answered);
+    simulation.runUntil(() -> !simulation.leaders().isEmpty(), simulation.now() / 1000.0 + 10);
+    ControllerModel next = simulation.leaders().get(0);
+    simulation.store.refuse(next.name, true);
+    simulation.userCancels("wk-14");
+    simulation.runTo(simulation.now() / 1000.0 + 1.5);
+    simulation.store.unavailable(true);
+    simulation.runTo(simulation.now() / 1000.0 + outageS);
+    simulation.store.refuse(next.name, false);
+    simulation.store.unavailable(false);
+    simulation.runTo(simulation.now() / 1000.0 + 50);
+    return new Played(simulation, confirmed, answered);
   }
 
-  private static void suffer(
-      Simulation w, ControllerModel winner, Fate fate, List<ControllerModel> others) {
+  private static void apply(
+      Simulation simulation, ControllerModel winner, Fate fate, List<ControllerModel> others) {
     switch (fate) {
       case CRASHES -> {
         winner.crash();
-        for (ControllerModel n : others) {
-          w.cutBoth(n.name, "zone b"); // which the next leader hears when it is in doubt itself
-          w.after(6000, () -> w.healBoth(n.name, "zone b"));
+        for (ControllerModel controller : others) {
+          simulation.cutBoth(
+              controller.name, "zone b"); // which the next leader hears when it is in doubt itself
+          simulation.after(6000, () -> simulation.healBoth(controller.name, "zone b"));
         }
       }
       case BACK_AT_ONCE -> {
         winner.crash();
-        w.after(300, winner::start);
+        simulation.after(300, winner::start);
       }
-      case HANDS_OVER -> winner.handOver();
+      case HANDS_OVER -> winner.resign();
       default -> {}
     }
   }
 
-  static void assertMissed(Mutation mutant, LongFunction<Simulation> played) {
+  static void assertDetected(Mutation mutation, LongFunction<Simulation> played) {
     for (long seed = 1; seed <= 4 * SEEDS; seed++) {
-      if (!played.apply(seed).checker.broken.isEmpty()) {
+      if (!played.apply(seed).checker.violations.isEmpty()) {
         return;
       }
     }
-    assertEquals("missed", "not missed", mutant + " taken away");
+    assertEquals("missed", "not missed", mutation + " taken away");
   }
 
   /** A cancellation that does not wait for unheard machines is outlived at the old leader. */
   @Test
-  void theGapWithoutWaitingForTheUnheard() {
-    Gap g = new Gap(Heard.NONE, Fate.STAYS, Down.AFTER_A_CONFIRMATION);
-    assertMissed(Mutation.CANCELS_UNHEARD, seed -> gap(g, seed, Mutation.CANCELS_UNHEARD).world);
+  void confirmingBeforeReconciliationIsDetected() {
+    OutageCase outageCase =
+        new OutageCase(PeerReach.NONE, Fate.STAYS, OutageStart.AFTER_A_CONFIRMATION);
+    assertDetected(
+        Mutation.CONFIRM_CANCEL_UNRECONCILED,
+        seed -> playOutage(outageCase, seed, Mutation.CONFIRM_CANCEL_UNRECONCILED).simulation);
   }
 
   /**
@@ -201,33 +216,39 @@
    * doubt itself, and keeps the machines there all the same.
    */
   @Test
-  void theNextLeaderStopsWhatAnotherConfirmed() {
+  void nextLeaderStopsTasksOfCancelledJobs() {
     int left = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = confirmedAndGone(seed);
-      assertSound(w);
-      left += w.checker.leftAtConfirmation;
+      Simulation simulation = crashAfterConfirmation(seed);
+      assertSound(simulation);
+      left += simulation.checker.leftAtConfirmation;
     }
     assertNotEquals(0, left, "none was left when it was confirmed");
-    assertMissed(
-        Mutation.IN_DOUBT_STOPS_NOTHING,
-        seed -> confirmedAndGone(seed, Mutation.IN_DOUBT_STOPS_NOTHING));
+    assertDetected(
+        Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE,
+        seed -> crashAfterConfirmation(seed, Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE));
   }
 
-  private static Simulation confirmedAndGone(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    ControllerModel first = w.leaders().get(0);
+  private static Simulation crashAfterConfirmation(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    ControllerModel first = simulation.leaders().get(0);
     for (int i = 10; i < 14; i++) {
-      w.userCancels("wk-" + i);
+      simulation.userCancels("wk-" + i);
     }
-    assertTrue(w.runUntil(w.checker::anyConfirmed, 30), w.story());
-    suffer(w, first, Fate.CRASHES, w.nodes.stream().filter(n -> n != first).toList());
-    assertTrue(w.runUntil(() -> leadsBeside(w, first), 35), w.story());
-    w.store.down(true);
-    w.runTo((w.now() + 3 * InvariantChecker.CANCEL_MS) / 1000.0);
-    w.store.down(false);
-    w.runTo(w.now() / 1000.0 + 30);
-    return w;
+    assertTrue(
+        simulation.runUntil(simulation.checker::anyCancelConfirmed, 30), simulation.recentLog());
+    apply(
+        simulation,
+        first,
+        Fate.CRASHES,
+        simulation.controllers.stream().filter(controller -> controller != first).toList());
+    assertTrue(
+        simulation.runUntil(() -> leadsBeside(simulation, first), 35), simulation.recentLog());
+    simulation.store.unavailable(true);
+    simulation.runTo((simulation.now() + 3 * InvariantChecker.CANCEL_MS) / 1000.0);
+    simulation.store.unavailable(false);
+    simulation.runTo(simulation.now() / 1000.0 + 30);
+    return simulation;
   }
 
   /**
@@ -235,65 +256,67 @@
    * the job is cancelled, its leader ends, the follower leads, and the thread goes on.
    */
   @Test
-  void newsOfAJobIsOlderThanTheTerm() {
+  void staleJobReadIsNotAdopted() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      assertSound(lateNews(seed));
+      assertSound(delayedJobRead(seed));
     }
-    assertMissed(Mutation.LATE_NEWS_OF_JOBS, seed -> lateNews(seed, Mutation.LATE_NEWS_OF_JOBS));
+    assertDetected(
+        Mutation.ADOPT_STALE_JOBS, seed -> delayedJobRead(seed, Mutation.ADOPT_STALE_JOBS));
   }
 
-  private static Simulation lateNews(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    w.stuckMs = 8000;
-    for (ControllerModel n : w.nodes) {
+  private static Simulation delayedJobRead(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    simulation.threadStallMs = 8000;
+    for (ControllerModel controller : simulation.controllers) {
       for (int i = 10; i < 16; i++) {
-        n.ask("wk-" + i, false, said -> {});
+        controller.jobState("wk-" + i, false, state -> {});
       }
     }
     for (int i = 10; i < 16; i++) {
-      w.userCancels("wk-" + i);
+      simulation.userCancels("wk-" + i);
     }
-    ControllerModel old = w.leaders().get(0);
-    w.runUntil(() -> w.checker.confirmed() >= 3, 40);
+    ControllerModel old = simulation.leaders().get(0);
+    simulation.runUntil(() -> simulation.checker.cancelsConfirmed() >= 3, 40);
     old.crash();
-    w.runTo(70);
-    assertTrue(w.checker.confirmed() >= 3, w.story());
-    return w;
+    simulation.runTo(70);
+    assertTrue(simulation.checker.cancelsConfirmed() >= 3, simulation.recentLog());
+    return simulation;
   }
 
   /** Two that both believe; in the one that is in doubt no lease proves anything. */
   @Test
-  void leasesProveNothingInDoubt() {
-    assertMissed(
-        Mutation.LEASES_PROVE_IN_DOUBT,
-        seed -> SimulationTest.twoLeaders(seed, Mutation.LEASES_PROVE_IN_DOUBT));
+  void leaseExpiryProvesNothingWhileLeaseUncertain() {
+    assertDetected(
+        Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE,
+        seed -> SimulationTest.twoLeaders(seed, Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE));
   }
 
   /** A job comes, and the leader loses the state service and the others before it is opened. */
   @Test
-  void aLeaderIsCutOffAsAJobComes() {
+  void leaderPartitionedWhileJobIsOpened() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      assertSound(cutAsAJobComes(seed));
+      assertSound(isolatedOnSubmission(seed));
     }
-    assertMissed(
-        Mutation.STARTS_BEFORE_OPENED, s -> cutAsAJobComes(s, Mutation.STARTS_BEFORE_OPENED));
+    assertDetected(
+        Mutation.START_BEFORE_JOB_OPENED,
+        s -> isolatedOnSubmission(s, Mutation.START_BEFORE_JOB_OPENED));
   }
 
-  private static Simulation cutAsAJobComes(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    ControllerModel old = w.leaders().get(0);
-    w.submit(SimulationTest.job("wk-30", JobKind.ARRAY, 6), 60_000L);
-    assertTrue(w.runUntil(() -> old.keeps("wk-30"), 25), w.story());
-    w.cutBoth(old.name, "state");
-    for (ControllerModel n : w.nodes) {
-      if (n != old) {
-        w.cutBoth(old.name, n.name);
-        w.cutBoth(n.name, "zone a"); // which only the old leader reaches
+  private static Simulation isolatedOnSubmission(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    ControllerModel old = simulation.leaders().get(0);
+    simulation.submit(SimulationTest.job("wk-30", JobKind.ARRAY, 6), 60_000L);
+    assertTrue(simulation.runUntil(() -> old.manages("wk-30"), 25), simulation.recentLog());
+    simulation.cutBoth(old.name, "state");
+    for (ControllerModel controller : simulation.controllers) {
+      if (controller != old) {
+        simulation.cutBoth(old.name, controller.name);
+        simulation.cutBoth(controller.name, "zone a"); // which only the old leader reaches
       }
     }
-    w.runTo(60);
-    assertTrue(leadsBeside(w, old), w.story());
-    return w;
+    simulation.runTo(60);
+    assertTrue(leadsBeside(simulation, old), simulation.recentLog());
+    return simulation;
   }
 
   /**
@@ -301,34 +324,36 @@
    * controller, with machines that boot meanwhile and a leader that ends just after it.
    */
   @Test
-  void aWriteIsCarriedOutAfterNewerOnes() {
+  void delayedWriteAppliedAfterNewerOnes() {
     int late = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = lateWrites(seed);
-      assertSound(w);
-      late += w.store.lateAfterNewer;
+      Simulation simulation = delayedWrites(seed);
+      assertSound(simulation);
+      late += simulation.store.appliedAfterNewer;
     }
     assertNotEquals(0, late, "none came after a newer one");
-    assertMissed(
-        Mutation.NOTES_WITHOUT_REVISIONS, s -> lateWrites(s, Mutation.NOTES_WITHOUT_REVISIONS));
+    assertDetected(
+        Mutation.UNCONDITIONAL_RECORD_WRITES,
+        s -> delayedWrites(s, Mutation.UNCONDITIONAL_RECORD_WRITES));
   }
 
-  private static Simulation lateWrites(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 6, mutants);
-    w.store.lateShare = 0.5;
-    w.submit(SimulationTest.job("wk-40", JobKind.SERVICE, 40), null); // machines are rented for it
-    w.runTo(24);
-    w.store.lateShare = seed % 2 == 0 ? 0.3 : 0;
+  private static Simulation delayedWrites(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 6, mutations);
+    simulation.store.lateShare = 0.5;
+    simulation.submit(
+        SimulationTest.job("wk-40", JobKind.SERVICE, 40), null); // machines are rented for it
+    simulation.runTo(24);
+    simulation.store.lateShare = seed % 2 == 0 ? 0.3 : 0;
     for (int i = 0; i < 8; i++) {
       String job = "wk-5" + i;
-      Runnable then = () -> w.after(3000, () -> w.userCancels(job));
-      w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 5_000L, then);
+      Runnable then = () -> simulation.after(3000, () -> simulation.userCancels(job));
+      simulation.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 5_000L, then);
     }
-    w.runTo(33 + w.random.nextInt(4));
-    w.store.lateShare = 0;
-    w.leaders().forEach(ControllerModel::crash);
-    w.runTo(80);
-    return w;
+    simulation.runTo(33 + simulation.random.nextInt(4));
+    simulation.store.lateShare = 0;
+    simulation.leaders().forEach(ControllerModel::crash);
+    simulation.runTo(80);
+    return simulation;
   }
 
   /**
@@ -336,58 +361,68 @@
    * leader changes, twice, once with the machine that had the early task gone.
    */
   @Test
-  void tasksEndFarApartAcrossAChangeOfLeaders() {
+  void tasksEndFarApartAcrossFailovers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = busy(seed, 12);
-      w.userSubmits(SimulationTest.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
-      w.userSubmits(SimulationTest.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
-      w.users.slower.put("wk-60/1", 45_000L);
-      w.users.slower.put("wk-61/2", 45_000L);
+      Simulation simulation = loadedSimulation(seed, 12);
+      simulation.userSubmits(SimulationTest.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
+      simulation.userSubmits(SimulationTest.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
+      simulation.users.taskRunMs.put("wk-60/1", 45_000L);
+      simulation.users.taskRunMs.put("wk-61/2", 45_000L);
       // The early tasks are done, their record is on its way or late, and the leader ends.
-      w.store.lateShare = seed % 2 == 0 ? 0.5 : 0;
-      ControllerModel old = w.leaders().get(0);
-      assertTrue(w.runUntil(() -> old.done("wk-60") == 1, 50), w.story());
-      w.runTo((w.now() + seed * 150) / 1000.0);
+      simulation.store.lateShare = seed % 2 == 0 ? 0.5 : 0;
+      ControllerModel old = simulation.leaders().get(0);
+      assertTrue(
+          simulation.runUntil(() -> old.doneTasks("wk-60") == 1, 50), simulation.recentLog());
+      simulation.runTo((simulation.now() + seed * 150) / 1000.0);
       old.crash();
-      w.store.lateShare = 0;
-      w.askAll();
-      w.runTo(45);
+      simulation.store.lateShare = 0;
+      simulation.pollAllJobs();
+      simulation.runTo(45);
       old.start();
-      w.leaders().forEach(ControllerModel::handOver);
-      w.runTo(110);
-      assertSound(w);
-      for (ControllerModel n : w.nodes) {
-        assertEquals("done", w.checker.lastTold("wk-60", n.name), w.wholeStory());
-        assertEquals("done", w.checker.lastTold("wk-61", n.name), w.wholeStory());
+      simulation.leaders().forEach(ControllerModel::resign);
+      simulation.runTo(110);
+      assertSound(simulation);
+      for (ControllerModel controller : simulation.controllers) {
+        assertEquals(
+            "done",
+            simulation.checker.lastReportedState("wk-60", controller.name),
+            simulation.fullLog());
+        assertEquals(
+            "done",
+            simulation.checker.lastReportedState("wk-61", controller.name),
+            simulation.fullLog());
       }
     }
   }
 
   /** Controllers hand over and back, all end, and one returns, all within a second or two. */
   @Test
-  void controllersHandOverAndBackAndAllEnd() {
+  void leadershipTransfersAndAllControllersCrash() {
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      Simulation w = busy(seed, 12);
-      w.askAll();
+      Simulation simulation = loadedSimulation(seed, 12);
+      simulation.pollAllJobs();
       for (int i = 10; i < 13; i++) {
-        w.userCancels("wk-" + i);
+        simulation.userCancels("wk-" + i);
       }
       for (int i = 0; i < 6; i++) {
-        w.after(w.random.nextLong(4000), () -> w.leaders().forEach(ControllerModel::handOver));
+        simulation.after(
+            simulation.random.nextLong(4000),
+            () -> simulation.leaders().forEach(ControllerModel::resign));
       }
-      w.runTo(20 + w.random.nextInt(5000) / 1000.0);
-      w.nodes.forEach(ControllerModel::crash);
-      ControllerModel first = w.nodes.get(w.random.nextInt(3));
-      for (ControllerModel n : w.nodes) {
-        w.after(50 + w.random.nextLong(n == first ? 300 : 6000), n::start);
+      simulation.runTo(20 + simulation.random.nextInt(5000) / 1000.0);
+      simulation.controllers.forEach(ControllerModel::crash);
+      ControllerModel first = simulation.controllers.get(simulation.random.nextInt(3));
+      for (ControllerModel controller : simulation.controllers) {
+        simulation.after(
+            50 + simulation.random.nextLong(controller == first ? 300 : 6000), controller::start);
       }
-      w.runTo(100);
-      assertSound(w);
-      w.checker.allAnswered(25_000);
-      assertSound(w);
-      assertEquals(1, w.leaders().size(), w.story());
+      simulation.runTo(100);
+      assertSound(simulation);
+      simulation.checker.checkAllAnswered(25_000);
+      assertSound(simulation);
+      assertEquals(1, simulation.leaders().size(), simulation.recentLog());
       for (int i = 10; i < 13; i++) {
-        assertNotNull(w.checker.confirmedMs("wk-" + i), w.wholeStory());
+        assertNotNull(simulation.checker.cancelConfirmedMs("wk-" + i), simulation.fullLog());
       }
     }
   }
@@ -398,39 +433,41 @@
    * for ever: such machines are given up. What nobody cancelled runs in the end.
    */
   @Test
-  void aLeaderEndsWhileMachinesCannotBeReached() {
+  void failoverWhileMachinesAreUnreachable() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = unreached(seed);
-      assertSound(w);
+      Simulation simulation = unreachableMachines(seed);
+      assertSound(simulation);
       for (int i = 10; i < 13; i++) {
-        Long confirmed = w.checker.confirmedMs("wk-" + i);
-        assertTrue(confirmed != null && confirmed < 60_000, w.wholeStory());
+        Long confirmed = simulation.checker.cancelConfirmedMs("wk-" + i);
+        assertTrue(confirmed != null && confirmed < 60_000, simulation.fullLog());
       }
       for (int i = 13; i < 16; i++) {
-        assertEquals(3, w.checker.on("wk-" + i), w.wholeStory());
+        assertEquals(3, simulation.checker.tasksOnMachines("wk-" + i), simulation.fullLog());
       }
     }
-    assertMissed(Mutation.NO_ROSTER, seed -> unreached(seed, Mutation.NO_ROSTER));
+    assertDetected(
+        Mutation.NO_INHERITED_MACHINES,
+        seed -> unreachableMachines(seed, Mutation.NO_INHERITED_MACHINES));
   }
 
-  private static Simulation unreached(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    ControllerModel old = w.leaders().get(0);
+  private static Simulation unreachableMachines(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    ControllerModel old = simulation.leaders().get(0);
     old.crash();
-    for (ControllerModel n : w.nodes) {
-      w.cut(n.name, "zone b");
+    for (ControllerModel controller : simulation.controllers) {
+      simulation.cut(controller.name, "zone b");
       if (seed % 2 == 0) {
-        w.cut("zone b", n.name);
+        simulation.cut("zone b", controller.name);
       }
-      w.after(20_000 + seed * 1000, () -> w.healBoth(n.name, "zone b"));
+      simulation.after(20_000 + seed * 1000, () -> simulation.healBoth(controller.name, "zone b"));
     }
-    w.after(3000, old::start);
-    w.runTo(22);
+    simulation.after(3000, old::start);
+    simulation.runTo(22);
     for (int i = 10; i < 13; i++) {
-      w.userCancels("wk-" + i);
+      simulation.userCancels("wk-" + i);
     }
-    w.runTo(110);
-    return w;
+    simulation.runTo(110);
+    return simulation;
   }
 
   /**
@@ -438,31 +475,35 @@
    * then arrive; in the middle of it the leader changes, or not.
    */
   @Test
-  void ordersAreHeldAndTheMachinesGoOn() {
+  void commandsHeldWhileMachinesContinue() {
     int held = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      Simulation w = busy(seed, 12);
-      ControllerModel old = w.leaders().get(0);
+      Simulation simulation = loadedSimulation(seed, 12);
+      ControllerModel old = simulation.leaders().get(0);
       for (int i = 0; i < 4; i++) {
         String machine = "vm-" + (seed + 3 * i) % 12;
-        w.cut(old.name, machine);
-        w.after(1000 + w.random.nextLong(8000), () -> w.heal(old.name, machine));
+        simulation.cut(old.name, machine);
+        simulation.after(
+            1000 + simulation.random.nextLong(8000), () -> simulation.heal(old.name, machine));
       }
       for (int i = 0; i < 8; i++) {
         String job = "wk-5" + i;
-        Runnable then = () -> w.after(w.random.nextLong(6000), () -> w.userCancels(job));
-        w.userSubmits(
+        Runnable then =
+            () ->
+                simulation.after(
+                    simulation.random.nextLong(6000), () -> simulation.userCancels(job));
+        simulation.userSubmits(
             SimulationTest.job(job, JobKind.ARRAY, 2), 3_000L, i % 2 == 0 ? then : () -> {});
       }
       if (seed % 2 == 0) {
-        w.after(w.random.nextLong(6000), old::handOver);
+        simulation.after(simulation.random.nextLong(6000), old::resign);
       }
-      w.runTo(22);
-      held += w.held();
-      w.runTo(70);
-      assertSound(w);
+      simulation.runTo(22);
+      held += simulation.heldMessageCount();
+      simulation.runTo(70);
+      assertSound(simulation);
       for (int i = 0; i < 8; i++) {
-        assertEquals(0, w.checker.on("wk-5" + i), w.wholeStory());
+        assertEquals(0, simulation.checker.tasksOnMachines("wk-5" + i), simulation.fullLog());
       }
     }
     assertTrue(held > 50, held + " messages were held");
--- a/src/test/java/org/astershift/simulation/ControllerModel.java
+++ b/src/test/java/org/astershift/simulation/ControllerModel.java
@@ -40,68 +40,68 @@
  * program do. It may stand still while its clock runs on, or crash and start anew.
  */
 final class ControllerModel extends ProcessModel {
-  private static final long CLOUD_MS = 5000;
-  private static final long POLL_MS = 60;
+  private static final long CLOUD_TIMEOUT_MS = 5000;
+  private static final long WATCH_POLL_MS = 60;
 
   /** Until then no answer to a report gets away, though orders to workers go out. */
-  private long mutedUntilMs;
+  private long outboundPartitionedUntilMs;
 
   /** Until then workers' reports are not even read. */
-  private long fullUntilMs;
+  private long rejectsHeartbeatsUntilMs;
 
   // What a process knows; gone when it crashes.
   private Election election;
   private Candidacy candidacy;
-  private WorkerReachability reach;
-  private Map<String, Row> mirror;
-  private long mirrored;
-  private String toldLeader;
+  private WorkerReachability reachability;
+  private Map<String, Row> watchCache;
+  private long watchedRevision;
+  private String leaderFromPeers;
   private Term term;
-  private long restMark;
+  private long electionWait;
 
   /** The last round of the election is over, and the next waits for its time or for the key. */
-  private boolean resting;
+  private boolean electionWaiting;
 
   /** Reports that it answered while another may have led. */
-  private int answeredInDoubt;
+  private int answeredWithUncertainLease;
 
   /** Starts left out of orders since their jobs are over, or another might lead. */
-  private int withheld;
+  private int withheldStarts;
 
   /** Ends of jobs that this process knows. */
-  private Map<String, EndRow> ended;
+  private Map<String, EndRow> endedJobs;
 
   /** Questions about jobs that are under way: to the leader, and to the state service. */
-  private Map<String, Round> elsewhere;
+  private Map<String, Batch> leaderQueries;
 
-  private Map<String, Round> reads;
+  private Map<String, Batch> storeReads;
 
   /** One time in office. */
   private static final class Term {
     final long token;
     final long beganMs;
     final Scheduler scheduler;
-    final TermJobs ledger;
+    final TermJobs jobs;
     final Map<String, BitSet> progress = new HashMap<>();
 
     /** What this leader wants on record, by key. */
-    final Map<String, Note> notes = new HashMap<>();
+    final Map<String, LeaderRecord> records = new HashMap<>();
 
     /** Machines that this leader has put on record. */
-    final Set<String> noted = new HashSet<>();
+    final Set<String> registered = new HashSet<>();
 
     /** Completed jobs whose end is not on record yet, and whether a write of some is under way. */
-    final List<String> ends = new ArrayList<>();
+    final List<String> completions = new ArrayList<>();
 
-    boolean endsBusy;
-    boolean stirred;
-    int rentals;
+    boolean completionWriteInFlight;
+    boolean passRequested;
+    int provisionRequests;
     boolean acted;
-    long dueMs = Long.MAX_VALUE;
+    long passDueMs = Long.MAX_VALUE;
 
     Term(long token, long beganMs, Scheduler scheduler) {
       this.token = token;
-      this.ledger = new TermJobs(token);
+      this.jobs = new TermJobs(token);
       this.beganMs = beganMs;
       this.scheduler = scheduler;
     }
@@ -112,67 +112,69 @@
    * each write is conditional on the revision known here, so that an earlier try which is applied
    * late does not bring back what has changed since.
    */
-  private static final class Note {
+  private static final class LeaderRecord {
     Object value;
     long revision;
-    boolean busy;
+    boolean writing;
     boolean dirty;
-    Runnable durable;
+    Runnable onPersisted;
   }
 
-  ControllerModel(Simulation world, String name) {
-    super(world, name);
+  ControllerModel(Simulation simulation, String name) {
+    super(simulation, name);
   }
 
   // ---- the process ----
 
   void start() {
-    begin();
+    beginIncarnation();
     candidacy = new Candidacy();
     election = new Election(name, candidacy);
-    reach = new WorkerReachability();
-    mirror = new TreeMap<>();
-    mirrored = -1;
-    toldLeader = null;
+    reachability = new WorkerReachability();
+    watchCache = new TreeMap<>();
+    watchedRevision = -1;
+    leaderFromPeers = null;
     term = null;
-    ended = new HashMap<>();
-    elsewhere = new HashMap<>();
-    reads = new HashMap<>();
-    poll();
-    elect();
-    every(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS, this::sample);
-    every(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS, this::lookAround);
+    endedJobs = new HashMap<>();
+    leaderQueries = new HashMap<>();
+    storeReads = new HashMap<>();
+    pollWatch();
+    runElection();
+    every(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS, this::sampleReachability);
+    every(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS, this::queryPeers);
   }
 
   /**
    * For so long no worker gets an answer to a report, as when their connections find no place: at
    * first what they say still arrives, so that this node heard them later than they were answered.
    */
-  void full(long forMs) {
-    world.note(name, "has no places for workers for " + forMs + " ms");
-    mutedUntilMs = world.now() + Math.min(forMs, world.setup.leaseMs()) / 2;
-    fullUntilMs = world.now() + forMs;
-    world.after(forMs, world::changed);
+  void rejectHeartbeats(long forMs) {
+    simulation.log(name, "has no places for workers for " + forMs + " ms");
+    outboundPartitionedUntilMs = simulation.now() + Math.min(forMs, simulation.setup.leaseMs()) / 2;
+    rejectsHeartbeatsUntilMs = simulation.now() + forMs;
+    simulation.after(forMs, simulation::markConnectivityChanged);
   }
 
   /** There are places for all again. */
-  void hasPlaces() {
-    mutedUntilMs = 0;
-    fullUntilMs = 0;
+  void acceptHeartbeats() {
+    outboundPartitionedUntilMs = 0;
+    rejectsHeartbeatsUntilMs = 0;
   }
 
-  private boolean has(Mutation m) {
-    return world.mutants.contains(m);
+  private boolean without(Mutation mutation) {
+    return simulation.mutations.contains(mutation);
   }
 
   // ---- the mirror ----
 
-  private void poll() {
-    long from = mirrored;
+  private void pollWatch() {
+    long from = watchedRevision;
     // A watch that hangs is given up late, and the mirror lags that long.
-    state(
-        mirrored < 0 ? STORE_MS : STORE_MS + world.random.nextLong(StoreClient.WATCH_BLOCK_MS),
-        () -> new Object[] {world.store.since(name, from), world.store.revision()},
+    storeRequest(
+        watchedRevision < 0
+            ? STORE_TIMEOUT_MS
+            : STORE_TIMEOUT_MS + simulation.random.nextLong(StoreClient.WATCH_BLOCK_MS),
+        () -> new Object[] {simulation.store.changesAfter(name, from), simulation.store.revision()},
         (Object[] got) -> {
           if (got != null) {
             @SuppressWarnings("unchecked")
@@ -182,138 +184,145 @@
             for (Row row : news) {
               key |= row.key().equals(StoreModel.LEADER);
               if (row.value() == null) {
-                mirror.remove(row.key());
+                watchCache.remove(row.key());
               } else {
-                mirror.put(row.key(), row);
+                watchCache.put(row.key(), row);
               }
               if (row.value() instanceof JobRow job) {
-                learnt(job, row.revision());
+                onJobRead(job, row.revision());
               }
             }
-            mirrored = Math.max(mirrored, upTo);
-            if (key && resting) {
-              rest(0); // one round at a time, as in the program
+            watchedRevision = Math.max(watchedRevision, upTo);
+            if (key && electionWaiting) {
+              waitForElection(0); // one round at a time, as in the program
             }
           }
-          later(got == null ? Threads.RETRY_BACKOFF_MS : POLL_MS, this::poll);
+          later(got == null ? Threads.RETRY_BACKOFF_MS : WATCH_POLL_MS, this::pollWatch);
         });
   }
 
   // ---- leadership ----
 
-  private Election.View view() {
-    Row row = mirror.get(StoreModel.LEADER);
+  private Election.View electionView() {
+    Row row = watchCache.get(StoreModel.LEADER);
     Election.Holder holder =
         row == null ? null : new Election.Holder((String) row.value(), row.revision());
     return new Election.View(
-        clock(), mirrored >= 0, holder, reach.measurement(clock()), clock() - servedMs());
+        clock(),
+        watchedRevision >= 0,
+        holder,
+        reachability.measurement(clock()),
+        clock() - storeAnsweredMs());
   }
 
-  private void rest(long ms) {
-    resting = true;
-    long mark = ++restMark;
+  private void waitForElection(long ms) {
+    electionWaiting = true;
+    long mark = ++electionWait;
     later(
         ms,
         () -> {
-          if (mark == restMark) {
-            elect();
+          if (mark == electionWait) {
+            runElection();
           }
         });
   }
 
-  private void elect() {
-    resting = false;
-    restMark++;
-    Action act = election.next(view());
+  private void runElection() {
+    electionWaiting = false;
+    electionWait++;
+    Action action = election.next(electionView());
     long restMs =
         election.token() == 0
             ? LoopTiming.ELECTION_POLL_INTERVAL_MS
             : LoopTiming.LEADER_LEASE_RENEW_INTERVAL_MS;
-    if (act instanceof Action.ReadKey) {
-      state(() -> world.store.revision(), r -> rest(r == null ? Threads.RETRY_BACKOFF_MS : 0));
-    } else if (act instanceof Action.RemoveStaleKey r) {
-      commit(
+    if (action instanceof Action.ReadKey) {
+      storeRequest(
+          () -> simulation.store.revision(),
+          r -> waitForElection(r == null ? Threads.RETRY_BACKOFF_MS : 0));
+    } else if (action instanceof Action.RemoveStaleKey r) {
+      compareAndSwap(
           Map.of(StoreModel.LEADER, r.revision()),
           List.of(new Write(StoreModel.LEADER, null, 0)),
-          o -> rest(restMs));
-    } else if (act instanceof Action.GrantLease g) {
-      state(
-          () -> world.store.grant(g.ttlMs()),
+          outcome -> waitForElection(restMs));
+    } else if (action instanceof Action.GrantLease g) {
+      storeRequest(
+          () -> simulation.store.grant(g.ttlMs()),
           lease -> {
             if (lease != null) {
               election.onLeaseGranted(lease);
             }
-            rest(lease == null ? Threads.RETRY_BACKOFF_MS : 0);
+            waitForElection(lease == null ? Threads.RETRY_BACKOFF_MS : 0);
           });
-    } else if (act instanceof Action.CreateKey c) {
-      world.lateReports.at(DelayedHeartbeats.Moment.STANDS, this);
-      commit(
+    } else if (action instanceof Action.CreateKey c) {
+      simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.BEFORE_KEY_CREATION, this);
+      compareAndSwap(
           Map.of(StoreModel.LEADER, 0L),
           List.of(new Write(StoreModel.LEADER, name, c.lease())),
-          o -> {
+          outcome -> {
             election.onKeyCreation(
-                o == null
+                outcome == null
                     ? Election.KeyCreation.UNKNOWN
-                    : o.revision() > 0
+                    : outcome.revision() > 0
                         ? Election.KeyCreation.CREATED
                         : Election.KeyCreation.REJECTED,
-                o == null ? 0 : o.revision());
-            if (o != null && o.revision() > 0) {
-              world.lateReports.at(DelayedHeartbeats.Moment.WINS, this);
+                outcome == null ? 0 : outcome.revision());
+            if (outcome != null && outcome.revision() > 0) {
+              simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.KEY_CREATED, this);
             }
-            rest(0);
+            waitForElection(0);
           });
-    } else if (act instanceof Action.VerifyKey v) {
-      state(
+    } else if (action instanceof Action.VerifyKey v) {
+      storeRequest(
           () -> {
             StoreModel.Row row =
-                world.store.renew(v.lease()) ? world.store.get(StoreModel.LEADER) : null;
+                simulation.store.renew(v.lease()) ? simulation.store.get(StoreModel.LEADER) : null;
             return row != null && row.lease() == v.lease() ? row.revision() : 0L;
           },
           revision -> {
             election.onKeyVerified(revision == null ? 0 : revision);
-            rest(0);
+            waitForElection(0);
           });
-    } else if (act instanceof Action.CatchUp c) {
+    } else if (action instanceof Action.CatchUp c) {
       catchUp(c.revision(), clock() + Election.LEADER_LEASE_MS);
-    } else if (act instanceof Action.BeginTerm b) {
-      begin(b.token());
-      rest(restMs);
-    } else if (act instanceof Action.RenewLease r) {
-      state(
-          () -> world.store.renew(r.lease()),
+    } else if (action instanceof Action.BeginTerm b) {
+      beginTerm(b.token());
+      waitForElection(restMs);
+    } else if (action instanceof Action.RenewLease r) {
+      storeRequest(
+          () -> simulation.store.renew(r.lease()),
           ok -> {
             election.onLeaseRenewed(ok);
-            rest(ok == null ? Threads.RETRY_BACKOFF_MS : election.token() == 0 ? 0 : restMs);
+            waitForElection(
+                ok == null ? Threads.RETRY_BACKOFF_MS : election.token() == 0 ? 0 : restMs);
           });
     } else {
-      ended(List.of(act));
-      rest(restMs);
+      carryOutEnd(List.of(action));
+      waitForElection(restMs);
     }
   }
 
   private void catchUp(long revision, long untilMs) {
-    world.lateReports.at(DelayedHeartbeats.Moment.CATCHES_UP, this);
-    boolean done = mirrored >= revision || has(Mutation.NO_CATCHING_UP);
+    simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.CATCHING_UP, this);
+    boolean done = watchedRevision >= revision || without(Mutation.NO_CATCH_UP);
     if (done || clock() > untilMs) {
       election.onCaughtUp(revision, done);
-      rest(0);
+      waitForElection(0);
     } else {
-      later(POLL_MS / 2, () -> catchUp(revision, untilMs));
+      later(WATCH_POLL_MS / 2, () -> catchUp(revision, untilMs));
     }
   }
 
-  private void ended(List<Action> acts) {
+  private void carryOutEnd(List<Action> acts) {
     for (Action act : acts) {
       if (act instanceof Action.EndTerm e) {
         if (term != null && term.token == e.token()) {
-          world.note(name, "leads no longer (token " + e.token() + "): " + e.reason());
+          simulation.log(name, "leads no longer (token " + e.token() + "): " + e.reason());
           term = null;
         }
       } else if (act instanceof Action.RevokeLease r) {
-        state(
+        storeRequest(
             () -> {
-              world.store.revoke(r.lease());
+              simulation.store.revoke(r.lease());
               return true;
             },
             ok -> {});
@@ -323,62 +332,62 @@
 
   // ---- what this node and the others reach ----
 
-  private void sample() {
+  private void sampleReachability() {
     List<String> roster = new ArrayList<>();
-    StoreModel.below(mirror, "m/")
+    StoreModel.withPrefix(watchCache, "m/")
         .forEach(
             (machine, row) -> {
               if (!((MachineRow) row).machine().newlyProvisioned()) {
                 roster.add(machine);
               }
             });
-    int asked = Math.min(LoopTiming.REACHABILITY_SAMPLE_MACHINES, roster.size());
+    int probed = Math.min(LoopTiming.REACHABILITY_SAMPLE_MACHINES, roster.size());
     long atMs = clock();
     int[] answers = new int[2];
-    for (int i = 0; i < asked; i++) {
-      String machine = roster.remove(world.random.nextInt(roster.size()));
-      show(
+    for (int i = 0; i < probed; i++) {
+      String machine = roster.remove(simulation.random.nextInt(roster.size()));
+      probeWorker(
           machine,
           Scheduler.MACHINE_PROBE_TIMEOUT_MS,
           yes -> {
             answers[0]++;
             answers[1] += yes ? 1 : 0;
-            if (answers[0] == asked) {
-              reach.onSample(asked, answers[1], atMs);
+            if (answers[0] == probed) {
+              reachability.onSample(probed, answers[1], atMs);
             }
           });
     }
   }
 
-  private void show(String machine, long timeoutMs, Consumer<Boolean> done) {
-    call(
+  private void probeWorker(String machine, long timeoutMs, Consumer<Boolean> done) {
+    request(
         machine,
         timeoutMs,
         answer -> {
-          WorkerModel w = world.workers.get(machine);
-          if (w != null) {
-            w.serve(() -> answer.accept(true));
+          WorkerModel worker = simulation.workers.get(machine);
+          if (worker != null) {
+            worker.serve(() -> answer.accept(true));
           }
         },
         (Boolean yes) -> done.accept(yes != null));
   }
 
   /** What each of the others answers; those that do not are left out. */
-  private <A> void others(
+  private <A> void askPeers(
       java.util.function.BiConsumer<ControllerModel, Consumer<A>> question,
       long timeoutMs,
       Consumer<Map<String, A>> done) {
     Map<String, A> out = new LinkedHashMap<>();
-    int[] left = {world.nodes.size() - 1};
-    for (ControllerModel other : world.nodes) {
+    int[] left = {simulation.controllers.size() - 1};
+    for (ControllerModel other : simulation.controllers) {
       if (other != this) {
-        call(
+        request(
             other.name,
             timeoutMs,
             answer -> {
-              int of = other.incarnation();
+              int startedIn = other.incarnation();
               if (!other.crashed()) {
-                other.here(of, () -> question.accept(other, answer));
+                other.runIn(startedIn, () -> question.accept(other, answer));
               }
             },
             (A a) -> {
@@ -397,51 +406,53 @@
     }
   }
 
-  private void lookAround() {
-    if (lost()) {
-      others(
+  private void queryPeers() {
+    if (storeLost()) {
+      askPeers(
           (ControllerModel other, Consumer<Row> answer) -> {
-            if (!other.lost()) {
+            if (!other.storeLost()) {
               answer.accept(
-                  other.mirror.getOrDefault(
+                  other.watchCache.getOrDefault(
                       StoreModel.LEADER, new Row(StoreModel.LEADER, "", 0, 0)));
             }
           },
           LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
-          this::told);
+          this::onLeaderReported);
       return;
     }
-    toldLeader = null;
-    Term t = term;
-    if (t == null || !t.scheduler.isolated() || has(Mutation.NO_HANDING_OVER)) {
+    leaderFromPeers = null;
+    Term leaderTerm = term;
+    if (leaderTerm == null
+        || !leaderTerm.scheduler.isolated()
+        || without(Mutation.NO_LEADERSHIP_TRANSFER)) {
       return;
     }
-    others(
+    askPeers(
         (ControllerModel other, Consumer<Candidacy.PeerStatus> answer) ->
             answer.accept(
                 new Candidacy.PeerStatus(
-                    other.name, !other.lost(), other.reach.measurement(other.clock()))),
+                    other.name, !other.storeLost(), other.reachability.measurement(other.clock()))),
         LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
-        told -> handOver(t, new ArrayList<>(told.values())));
+        answers -> transferLeadership(leaderTerm, new ArrayList<>(answers.values())));
   }
 
-  private void told(Map<String, Row> told) {
-    for (Row row : told.values()) {
+  private void onLeaderReported(Map<String, Row> answers) {
+    for (Row row : answers.values()) {
       if (!"".equals(row.value())) {
-        toldLeader = (String) row.value();
-        WorkerReachability.Measurement own = reach.measurement(clock());
-        others(
+        leaderFromPeers = (String) row.value();
+        WorkerReachability.Measurement own = reachability.measurement(clock());
+        askPeers(
             (ControllerModel other, Consumer<WorkerReachability.Measurement> answer) -> {
               if (other.name.equals(row.value())) {
-                answer.accept(other.reach.measurement(other.clock()));
+                answer.accept(other.reachability.measurement(other.clock()));
               }
             },
             LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
             (Map<String, WorkerReachability.Measurement> seen) -> {
-              boolean deaf =
+              boolean inboundPartitioned =
                   seen.values().stream().anyMatch(WorkerReachability.Measurement::reachesFew);
-              if (!(term != null && own.reachesEnough() && deaf)) {
-                ended(election.onLeaderObserved(row.revision()));
+              if (!(term != null && own.reachesEnough() && inboundPartitioned)) {
+                carryOutEnd(election.onLeaderObserved(row.revision()));
               }
             });
         return;
@@ -449,210 +460,230 @@
     }
   }
 
-  private void handOver(Term t, List<Candidacy.PeerStatus> told) {
-    if (t != term) {
+  private void transferLeadership(Term leaderTerm, List<Candidacy.PeerStatus> statuses) {
+    if (leaderTerm != term) {
       return;
     }
-    Candidacy.LeadershipTransfer wish =
+    Candidacy.LeadershipTransfer transfer =
         candidacy.handOverTarget(
-            t.scheduler.observedShare(), told, world.nodes.size() - 1, t.beganMs, clock());
-    if (wish == null) {
+            leaderTerm.scheduler.observedShare(),
+            statuses,
+            simulation.controllers.size() - 1,
+            leaderTerm.beganMs,
+            clock());
+    if (transfer == null) {
       return;
     }
-    others(
+    askPeers(
         (ControllerModel other, Consumer<Boolean> answer) -> {
-          if (wish.successor() != null && !wish.successor().equals(other.name)) {
+          if (transfer.successor() != null && !transfer.successor().equals(other.name)) {
             other.candidacy.deferToSuccessor(other.clock());
           }
           answer.accept(true);
         },
         LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
-        ok -> ended(election.resign(t.token, "hands over to " + wish.successor(), clock())));
+        ok ->
+            carryOutEnd(
+                election.resign(
+                    leaderTerm.token, "hands over to " + transfer.successor(), clock())));
   }
 
   // ---- the term ----
 
-  private void begin(long token) {
+  private void beginTerm(long token) {
     if (election.token() != token) {
       return;
     }
-    DeploymentLimits facts =
+    DeploymentLimits limits =
         new DeploymentLimits(
-            world.teams(),
-            world.objectives,
-            world.setup.reportMs() / 1000.0,
-            world.setup.leaseMs() / 1000.0,
-            GangModel.WAIT_MS / 1000.0,
-            GangModel.PEER_MS / 1000.0,
+            simulation.teams(),
+            simulation.objectives,
+            simulation.setup.heartbeatMs() / 1000.0,
+            simulation.setup.leaseMs() / 1000.0,
+            GangModel.GATHER_TIMEOUT_MS / 1000.0,
+            GangModel.PEER_TIMEOUT_MS / 1000.0,
             InvariantChecker.CANCEL_MS / 1000.0,
             3);
     // Machines are never given back as idle here, so that each return is for silence.
     SchedulingPolicy policy = new SchedulingPolicy(2500, 0.9, 64, 5, 1e6);
-    Term t = new Term(token, clock(), new Scheduler(facts, policy, token));
-    t.scheduler.updateMachineTypes(world.cloud.types());
-    StoreModel.below(mirror, "m/")
+    Term leaderTerm = new Term(token, clock(), new Scheduler(limits, policy, token));
+    leaderTerm.scheduler.updateMachineTypes(simulation.cloud.types());
+    StoreModel.withPrefix(watchCache, "m/")
         .forEach(
             (machine, row) -> {
-              Decision.RegisterMachine e = ((MachineRow) row).machine();
-              if (has(Mutation.NO_ROSTER)) {
+              Decision.RegisterMachine registration = ((MachineRow) row).machine();
+              if (without(Mutation.NO_INHERITED_MACHINES)) {
                 return;
               }
-              if (e.newlyProvisioned()) {
-                t.scheduler.onMachinesProvisioned(
+              if (registration.newlyProvisioned()) {
+                leaderTerm.scheduler.onMachinesProvisioned(
                     "",
                     List.of(machine),
-                    new Decision.ProvisionMachines(e.typeName(), e.zone(), e.spot(), 1),
+                    new Decision.ProvisionMachines(
+                        registration.typeName(), registration.zone(), registration.spot(), 1),
                     clock());
               } else {
-                t.scheduler.addInheritedMachine(
-                    machine, e.address(), e.typeName(), e.zone(), e.spot(), clock());
+                leaderTerm.scheduler.addInheritedMachine(
+                    machine,
+                    registration.address(),
+                    registration.typeName(),
+                    registration.zone(),
+                    registration.spot(),
+                    clock());
               }
             });
-    term = t;
-    mirror.forEach(
+    term = leaderTerm;
+    watchCache.forEach(
         (key, row) -> {
-          Note note = new Note();
+          LeaderRecord note = new LeaderRecord();
           note.value = row.value();
           note.revision = row.revision();
-          t.notes.put(key, note);
+          leaderTerm.records.put(key, note);
           if (key.startsWith("j/")) {
-            add(t, (JobRow) row.value(), row.revision());
+            adoptJob(leaderTerm, (JobRow) row.value(), row.revision());
           }
         });
-    if (!has(Mutation.LATE_NEWS_OF_JOBS)) {
-      t.ledger.onLoaded();
+    if (!without(Mutation.ADOPT_STALE_JOBS)) {
+      leaderTerm.jobs.onLoaded();
     }
-    StoreModel.below(mirror, "i/")
-        .forEach((request, r) -> rent(t, request, (Decision.ProvisionMachines) r));
-    world.checker.leads(name, token);
-    world.lateReports.at(DelayedHeartbeats.Moment.BEGINS, this);
-    pass(t);
-    list(t);
-    save(t);
+    StoreModel.withPrefix(watchCache, "i/")
+        .forEach((request, r) -> provision(leaderTerm, request, (Decision.ProvisionMachines) r));
+    simulation.checker.onTermBegun(name, token);
+    simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.TERM_BEGUN, this);
+    runPasses(leaderTerm);
+    pollMachineList(leaderTerm);
+    saveProgress(leaderTerm);
   }
 
   /** A live job was read, maybe some time ago. */
-  private void learnt(JobRow job, long revision) {
-    if (term != null && !ended.containsKey(job.spec().id())) {
-      add(term, job, revision);
+  private void onJobRead(JobRow job, long revision) {
+    if (term != null && !endedJobs.containsKey(job.spec().id())) {
+      adoptJob(term, job, revision);
     }
   }
 
-  private void add(Term t, JobRow job, long revision) {
-    if (t.ledger.adopt(job.spec().id(), revision)) {
-      Row done = mirror.get("p/" + job.spec().id());
+  private void adoptJob(Term leaderTerm, JobRow job, long revision) {
+    if (leaderTerm.jobs.adopt(job.spec().id(), revision)) {
+      Row done = watchCache.get("p/" + job.spec().id());
       BitSet bits = StoreModel.bits(done == null ? null : done.value());
-      boolean opened = mirror.containsKey("o/" + job.spec().id());
-      t.scheduler.addJob(job.spec(), opened, bits, clock());
+      boolean opened = watchCache.containsKey("o/" + job.spec().id());
+      leaderTerm.scheduler.addJob(job.spec(), opened, bits, clock());
     }
   }
 
-  private void pass(Term t) {
-    if (t != term) {
+  private void runPasses(Term leaderTerm) {
+    if (leaderTerm != term) {
       return;
     }
-    decide(t);
-    t.dueMs = clock() + LoopTiming.PASS_INTERVAL_MS;
-    later(LoopTiming.PASS_INTERVAL_MS, () -> pass(t));
+    runPass(leaderTerm);
+    leaderTerm.passDueMs = clock() + LoopTiming.PASS_INTERVAL_MS;
+    later(LoopTiming.PASS_INTERVAL_MS, () -> runPasses(leaderTerm));
   }
 
   /** As in the program, whatever brought the pass about: it may come after a standstill. */
-  private void decide(Term t) {
-    if (clock() - t.dueMs > LoopTiming.PROCESS_PAUSE_MS) {
-      t.scheduler.onProcessResumed(clock());
+  private void runPass(Term leaderTerm) {
+    if (clock() - leaderTerm.passDueMs > LoopTiming.PROCESS_PAUSE_MS) {
+      leaderTerm.scheduler.onProcessResumed(clock());
     }
-    long soleMs =
-        has(Mutation.LEASES_PROVE_IN_DOUBT) ? Long.MAX_VALUE : election.leaseCertainUntilMs();
-    List<Decision> decisions = t.scheduler.pass(clock(), soleMs);
-    world.digest.pass(world.now(), name, decisions);
-    for (Decision d : decisions) {
-      carryOut(t, d);
+    long leaseCertainUntilMs =
+        without(Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE)
+            ? Long.MAX_VALUE
+            : election.leaseCertainUntilMs();
+    List<Decision> decisions = leaderTerm.scheduler.pass(clock(), leaseCertainUntilMs);
+    simulation.digest.pass(simulation.now(), name, decisions);
+    for (Decision decision : decisions) {
+      execute(leaderTerm, decision);
     }
   }
 
   /** A user's wish is not left to the next pass. */
-  private void stir(Term t) {
-    if (!t.stirred) {
-      t.stirred = true;
+  private void requestPass(Term leaderTerm) {
+    if (!leaderTerm.passRequested) {
+      leaderTerm.passRequested = true;
       later(
           LoopTiming.PASS_MIN_GAP_MS,
           () -> {
-            t.stirred = false;
-            if (t == term) {
-              decide(t);
+            leaderTerm.passRequested = false;
+            if (leaderTerm == term) {
+              runPass(leaderTerm);
             }
           });
     }
   }
 
-  private void carryOut(Term t, Decision d) {
-    if (!t.acted && !(d instanceof Decision.ProbeThroughPeers)) {
-      t.acted = true;
-      world.lateReports.at(DelayedHeartbeats.Moment.ACTED, this);
+  private void execute(Term leaderTerm, Decision decision) {
+    if (!leaderTerm.acted && !(decision instanceof Decision.ProbeThroughPeers)) {
+      leaderTerm.acted = true;
+      simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.FIRST_DECISION, this);
     }
-    if (d instanceof Decision.SendCommands o) {
-      direct(t, o);
-    } else if (d instanceof Decision.OpenJob o) {
-      boolean early = has(Mutation.STARTS_BEFORE_OPENED);
+    if (decision instanceof Decision.SendCommands commands) {
+      sendCommands(leaderTerm, commands);
+    } else if (decision instanceof Decision.OpenJob commands) {
+      boolean early = without(Mutation.START_BEFORE_JOB_OPENED);
       if (early) {
-        t.scheduler.onJobOpened(o.jobId());
+        leaderTerm.scheduler.onJobOpened(commands.jobId());
       }
-      note(
-          t,
-          "o/" + o.jobId(),
+      persist(
+          leaderTerm,
+          "o/" + commands.jobId(),
           true,
           () -> {
-            if (!early && t.ledger.manages(o.jobId())) {
-              t.scheduler.onJobOpened(o.jobId());
+            if (!early && leaderTerm.jobs.manages(commands.jobId())) {
+              leaderTerm.scheduler.onJobOpened(commands.jobId());
             }
           });
-    } else if (d instanceof Decision.FinishJob f) {
-      t.ends.add(f.jobId());
-      writeEnds(t);
-    } else if (d instanceof Decision.RegisterMachine e) {
-      t.noted.add(e.machineName());
-      if (has(Mutation.TASKS_BEFORE_THE_RECORD)) {
-        t.scheduler.onMachineRegistered(e.machineName());
+    } else if (decision instanceof Decision.FinishJob completion) {
+      leaderTerm.completions.add(completion.jobId());
+      writeCompletions(leaderTerm);
+    } else if (decision instanceof Decision.RegisterMachine registration) {
+      leaderTerm.registered.add(registration.machineName());
+      if (without(Mutation.TASKS_BEFORE_REGISTRATION)) {
+        leaderTerm.scheduler.onMachineRegistered(registration.machineName());
       }
-      note(
-          t,
-          "m/" + e.machineName(),
-          new MachineRow(e),
-          () -> t.scheduler.onMachineRegistered(e.machineName()));
-    } else if (d instanceof Decision.DeregisterMachine s) {
-      note(t, "m/" + s.machineName(), null, () -> {});
-    } else if (d instanceof Decision.ProvisionMachines r) {
-      String request = "as-" + t.token + "-" + ++t.rentals;
-      t.scheduler.onProvisioningStarted(request, r);
-      note(t, "i/" + request, r, () -> rent(t, request, r));
-    } else if (d instanceof Decision.ReleaseMachines r) {
-      giveBack(t, r);
-    } else if (d instanceof Decision.ProbeThroughPeers w) {
-      others(
+      persist(
+          leaderTerm,
+          "m/" + registration.machineName(),
+          new MachineRow(registration),
+          () -> leaderTerm.scheduler.onMachineRegistered(registration.machineName()));
+    } else if (decision instanceof Decision.DeregisterMachine removal) {
+      persist(leaderTerm, "m/" + removal.machineName(), null, () -> {});
+    } else if (decision instanceof Decision.ProvisionMachines provisioning) {
+      String request = "as-" + leaderTerm.token + "-" + ++leaderTerm.provisionRequests;
+      leaderTerm.scheduler.onProvisioningStarted(request, provisioning);
+      persist(
+          leaderTerm,
+          "i/" + request,
+          provisioning,
+          () -> provision(leaderTerm, request, provisioning));
+    } else if (decision instanceof Decision.ReleaseMachines provisioning) {
+      releaseMachines(leaderTerm, provisioning);
+    } else if (decision instanceof Decision.ProbeThroughPeers probe) {
+      askPeers(
           (ControllerModel other, Consumer<Decision.PeerProbeResult> answer) ->
-              other.witness(w, answer),
+              other.probeForPeer(probe, answer),
           PeerClient.PEER_TIMEOUT_MS,
-          (Map<String, Decision.PeerProbeResult> told) -> {
-            if (t == term) {
-              t.scheduler.onPeerProbeResults(w, new ArrayList<>(told.values()));
+          (Map<String, Decision.PeerProbeResult> answers) -> {
+            if (leaderTerm == term) {
+              leaderTerm.scheduler.onPeerProbeResults(probe, new ArrayList<>(answers.values()));
             }
           });
     }
   }
 
-  private void witness(Decision.ProbeThroughPeers w, Consumer<Decision.PeerProbeResult> answer) {
-    List<Decision.MachineAddress> all = new ArrayList<>(w.suspects());
-    all.addAll(w.controls());
+  private void probeForPeer(
+      Decision.ProbeThroughPeers probe, Consumer<Decision.PeerProbeResult> answer) {
+    List<Decision.MachineAddress> all = new ArrayList<>(probe.suspects());
+    all.addAll(probe.controls());
     Set<String> yes = new HashSet<>();
     Set<String> no = new HashSet<>();
     for (Decision.MachineAddress m : all) {
-      show(
+      probeWorker(
           m.address(),
           Scheduler.PEER_PROBE_TIMEOUT_MS,
           answers -> {
-            boolean control = w.controls().contains(m);
-            boolean said = has(Mutation.DEAF_WITNESSES) ? control : answers;
-            (said ? yes : no).add(m.machineName());
+            boolean control = probe.controls().contains(m);
+            boolean state = without(Mutation.PEER_PROBES_ALWAYS_FAIL) ? control : answers;
+            (state ? yes : no).add(m.machineName());
             if (yes.size() + no.size() == all.size()) {
               answer.accept(new Decision.PeerProbeResult(yes, no));
             }
@@ -660,24 +691,26 @@
     }
   }
 
-  private void direct(Term t, Decision.SendCommands d) {
-    if (!world.connections) {
-      order(t, d, d.commands(), null, d.timeoutMs());
+  private void sendCommands(Term leaderTerm, Decision.SendCommands decision) {
+    if (!simulation.connectionOriented) {
+      deliverCommands(leaderTerm, decision, decision.commands(), null, decision.timeoutMs());
       return;
     }
-    long untilMs = clock() + d.timeoutMs();
-    connect(
-        d.address(),
-        d.timeoutMs(),
-        life -> {
-          if (life == null && t == term) {
-            t.scheduler.onCommandResult(d.machineName(), false, null, clock());
-          } else if (life != null) {
+    long untilMs = clock() + decision.timeoutMs();
+    openConnection(
+        decision.address(),
+        decision.timeoutMs(),
+        workerIncarnation -> {
+          if (workerIncarnation == null && leaderTerm == term) {
+            leaderTerm.scheduler.onCommandResult(decision.machineName(), false, null, clock());
+          } else if (workerIncarnation != null) {
             boolean sole =
-                election.leaseCertain(t.token, clock()) || has(Mutation.STARTS_WHOEVER_LEADS);
-            List<Command> orders = t.scheduler.commandsStillWanted(d, sole);
-            withheld += d.commands().size() - orders.size();
-            order(t, d, orders, life, Math.max(1, untilMs - clock()));
+                election.leaseCertain(leaderTerm.token, clock())
+                    || without(Mutation.STARTS_WITH_UNCERTAIN_LEASE);
+            List<Command> commands = leaderTerm.scheduler.commandsStillWanted(decision, sole);
+            withheldStarts += decision.commands().size() - commands.size();
+            deliverCommands(
+                leaderTerm, decision, commands, workerIncarnation, Math.max(1, untilMs - clock()));
           }
         });
   }
@@ -686,87 +719,97 @@
    * A connection to a life of the machine; null: none came about in time. One that came about while
    * this node stood still it finds as it goes on, whatever the time.
    */
-  private void connect(String machine, long timeoutMs, Consumer<Integer> done) {
-    int of = incarnation();
-    Integer[] life = new Integer[1];
+  private void openConnection(String machine, long timeoutMs, Consumer<Integer> done) {
+    int startedIn = incarnation();
+    Integer[] workerIncarnation = new Integer[1];
     boolean[] over = new boolean[1];
     Runnable look =
         () ->
-            here(
-                of,
+            runIn(
+                startedIn,
                 () -> {
                   if (!over[0]) {
                     over[0] = true;
-                    done.accept(life[0]);
+                    done.accept(workerIncarnation[0]);
                   }
                 });
-    world.send(
+    simulation.send(
         name,
         machine,
         () -> {
-          WorkerModel w = world.workers.get(machine);
-          if (w != null && w.alive()) {
-            int accepted = w.life();
-            world.send(
+          WorkerModel worker = simulation.workers.get(machine);
+          if (worker != null && worker.alive()) {
+            int accepted = worker.incarnation();
+            simulation.send(
                 machine,
                 name,
                 () -> {
-                  life[0] = accepted;
+                  workerIncarnation[0] = accepted;
                   look.run();
                 });
           }
         });
-    world.after(timeoutMs, look);
-  }
-
-  /** {@code life}: the only one that may get it; null: whichever is there. */
-  private void order(
-      Term t, Decision.SendCommands d, List<Command> wanted, Integer life, long timeoutMs) {
-    List<Command> orders = said(t, wanted);
-    call(
-        d.address(),
+    simulation.after(timeoutMs, look);
+  }
+
+  /** {@code workerIncarnation}: the only one that may get it; null: whichever is there. */
+  private void deliverCommands(
+      Term leaderTerm,
+      Decision.SendCommands decision,
+      List<Command> wanted,
+      Integer workerIncarnation,
+      long timeoutMs) {
+    List<Command> commands = permittedCommands(leaderTerm, wanted);
+    request(
+        decision.address(),
         timeoutMs,
         answer -> {
-          WorkerModel w = world.workers.get(d.machineName());
-          if (w != null && (life == null || life == w.life())) {
-            w.serve(() -> answer.accept(w.orders(t.token, d.epoch(), orders)));
+          WorkerModel worker = simulation.workers.get(decision.machineName());
+          if (worker != null
+              && (workerIncarnation == null || workerIncarnation == worker.incarnation())) {
+            worker.serve(
+                () ->
+                    answer.accept(worker.onCommands(leaderTerm.token, decision.epoch(), commands)));
           }
         },
-        (WorkerModel.Executed e) -> {
-          if (t != term) {
+        (WorkerModel.CommandAnswer answer) -> {
+          if (leaderTerm != term) {
             return;
           }
-          Heartbeat r = e == null ? null : e.report();
-          judged(t).onCommandResult(d.machineName(), e == null, r, clock());
-          if (r != null && has(Mutation.ANSWERS_RENEW_LEASES)) {
-            t.scheduler.onHeartbeat(r, clock());
+          Heartbeat heartbeat = answer == null ? null : answer.heartbeat();
+          schedulerWithLease(leaderTerm)
+              .onCommandResult(decision.machineName(), answer == null, heartbeat, clock());
+          if (heartbeat != null && without(Mutation.COMMAND_ANSWERS_RENEW_LEASES)) {
+            leaderTerm.scheduler.onHeartbeat(heartbeat, clock());
           }
-          deposed(t, d.machineName());
+          stepDownIfDeposed(leaderTerm, decision.machineName());
         });
   }
 
-  private List<Command> said(Term t, List<Command> orders) {
-    boolean silent =
-        has(Mutation.IN_DOUBT_STOPS_NOTHING) && !election.leaseCertain(t.token, clock());
-    boolean over = has(Mutation.WHAT_IS_OVER_GOES_ON);
-    return orders.stream()
+  private List<Command> permittedCommands(Term leaderTerm, List<Command> commands) {
+    boolean stopsWithheld =
+        without(Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE)
+            && !election.leaseCertain(leaderTerm.token, clock());
+    boolean over = without(Mutation.NO_STOPS_FOR_ENDED_JOBS);
+    return commands.stream()
         .filter(
-            o ->
-                o.kind() != Command.Kind.STOP
-                    || !(silent || (over && !t.ledger.manages(o.jobId()))))
+            command ->
+                command.kind() != Command.Kind.STOP
+                    || !(stopsWithheld || (over && !leaderTerm.jobs.manages(command.jobId()))))
         .toList();
   }
 
   /** The scheduler, told up to when no other node can lead. */
-  private Scheduler judged(Term t) {
-    boolean unproven = has(Mutation.USES_UNPROVEN_INCARNATIONS);
-    t.scheduler.extendLeaseCertainty(unproven ? Long.MAX_VALUE : election.leaseCertainUntilMs());
-    return t.scheduler;
+  private Scheduler schedulerWithLease(Term leaderTerm) {
+    boolean unproven = without(Mutation.TRUST_UNPROVEN_INCARNATIONS);
+    leaderTerm.scheduler.extendLeaseCertainty(
+        unproven ? Long.MAX_VALUE : election.leaseCertainUntilMs());
+    return leaderTerm.scheduler;
   }
 
-  private void deposed(Term t, String machine) {
-    if (t.scheduler.deposed()) {
-      ended(election.stepDown(t.token, machine + " has seen a higher token"));
+  private void stepDownIfDeposed(Term leaderTerm, String machine) {
+    if (leaderTerm.scheduler.deposed()) {
+      carryOutEnd(election.stepDown(leaderTerm.token, machine + " has seen a higher token"));
     }
   }
 
@@ -774,240 +817,276 @@
    * A copy of an old report; a leader that takes copies for news believes it as it believes the
    * answer to a question, whatever else speaks against it.
    */
-  void copy(Heartbeat r) {
-    if (!has(Mutation.COPIES_ARE_NEWS)) {
-      report(r, a -> {});
+  void onDuplicateHeartbeat(Heartbeat heartbeat) {
+    if (!without(Mutation.ACCEPT_DUPLICATE_HEARTBEATS)) {
+      onHeartbeat(heartbeat, answer -> {});
       return;
     }
-    here(
+    runIn(
         incarnation(),
         () -> {
           if (!crashed() && term != null) {
-            judged(term).onCommandResult(r.machineName(), false, r, clock());
+            schedulerWithLease(term)
+                .onCommandResult(heartbeat.machineName(), false, heartbeat, clock());
           }
         });
   }
 
   /** A worker's report. */
-  void report(Heartbeat r, Consumer<WorkerModel.Answer> answer) {
-    boolean full = world.now() < fullUntilMs;
-    if (crashed() || (full && world.now() >= mutedUntilMs)) {
+  void onHeartbeat(Heartbeat heartbeat, Consumer<WorkerModel.HeartbeatAnswer> answer) {
+    boolean full = simulation.now() < rejectsHeartbeatsUntilMs;
+    if (crashed() || (full && simulation.now() >= outboundPartitionedUntilMs)) {
       return;
     }
-    here(
+    runIn(
         incarnation(),
         () -> {
-          Term t = term;
-          if (t != null) {
-            List<Command> orders = judged(t).onHeartbeat(r, clock());
-            deposed(t, r.machineName());
-            if (t == term && full) {
+          Term leaderTerm = term;
+          if (leaderTerm != null) {
+            List<Command> commands = schedulerWithLease(leaderTerm).onHeartbeat(heartbeat, clock());
+            stepDownIfDeposed(leaderTerm, heartbeat.machineName());
+            if (leaderTerm == term && full) {
               return;
             }
-            if (t == term) {
-              boolean ok = orders != null;
-              answeredInDoubt += election.leaseCertain(t.token, clock()) ? 0 : 1;
-              answer.accept(new WorkerModel.Answer(ok, t.token, ok ? said(t, orders) : null, null));
+            if (leaderTerm == term) {
+              boolean ok = commands != null;
+              answeredWithUncertainLease +=
+                  election.leaseCertain(leaderTerm.token, clock()) ? 0 : 1;
+              answer.accept(
+                  new WorkerModel.HeartbeatAnswer(
+                      ok,
+                      leaderTerm.token,
+                      ok ? permittedCommands(leaderTerm, commands) : null,
+                      null));
               return;
             }
           }
-          Row row = mirror.get(StoreModel.LEADER);
+          Row row = watchCache.get(StoreModel.LEADER);
           String leader =
-              toldLeader != null ? toldLeader : row == null ? null : (String) row.value();
+              leaderFromPeers != null ? leaderFromPeers : row == null ? null : (String) row.value();
           boolean other = leader != null && !leader.equals(name);
-          answer.accept(new WorkerModel.Answer(false, 0, List.of(), other ? leader : null));
+          answer.accept(
+              new WorkerModel.HeartbeatAnswer(false, 0, List.of(), other ? leader : null));
         });
   }
 
-  private void rent(Term t, String request, Decision.ProvisionMachines r) {
-    call(
+  private void provision(Term leaderTerm, String request, Decision.ProvisionMachines provisioning) {
+    request(
         "cloud",
-        CLOUD_MS,
-        (Consumer<List<String>> answer) -> world.cloud.rent(request, r, answer),
+        CLOUD_TIMEOUT_MS,
+        (Consumer<List<String>> answer) ->
+            simulation.cloud.provision(request, provisioning, answer),
         (List<String> names) -> {
-          if (t != term) {
+          if (leaderTerm != term) {
             return;
           }
           if (names == null) {
-            later(LoopTiming.CLOUD_RETRY_BACKOFF_MS, () -> rent(t, request, r));
+            later(
+                LoopTiming.CLOUD_RETRY_BACKOFF_MS,
+                () -> provision(leaderTerm, request, provisioning));
             return;
           }
           int[] left = {1};
-          Runnable noted =
+          Runnable onPersisted =
               () -> {
                 left[0]--;
                 if (left[0] == 0) {
-                  note(t, "i/" + request, null, () -> {}); // not before its machines are noted
+                  persist(
+                      leaderTerm,
+                      "i/" + request,
+                      null,
+                      () -> {}); // not before its machines are noted
                 }
               };
           for (String m : names) {
-            if (!t.noted.add(m) || mirror.containsKey("m/" + m)) {
+            if (!leaderTerm.registered.add(m) || watchCache.containsKey("m/" + m)) {
               continue; // it may have tasks already, and is no longer fresh
             }
             left[0]++;
-            Decision.RegisterMachine e =
-                new Decision.RegisterMachine(m, null, r.typeName(), r.zone(), r.spot(), true);
-            note(t, "m/" + m, new MachineRow(e), noted);
+            Decision.RegisterMachine registration =
+                new Decision.RegisterMachine(
+                    m,
+                    null,
+                    provisioning.typeName(),
+                    provisioning.zone(),
+                    provisioning.spot(),
+                    true);
+            persist(leaderTerm, "m/" + m, new MachineRow(registration), onPersisted);
           }
-          t.scheduler.onMachinesProvisioned(request, names, r, clock());
-          noted.run();
+          leaderTerm.scheduler.onMachinesProvisioned(request, names, provisioning, clock());
+          onPersisted.run();
         });
   }
 
-  private void giveBack(Term t, Decision.ReleaseMachines r) {
-    if (r.silent()) {
-      world.checker.givesUp(this, r.machineNames());
+  private void releaseMachines(Term leaderTerm, Decision.ReleaseMachines decision) {
+    if (decision.silent()) {
+      simulation.checker.onSilentRelease(this, decision.machineNames());
     }
-    call(
+    request(
         "cloud",
-        CLOUD_MS,
+        CLOUD_TIMEOUT_MS,
         answer -> {
-          world.cloud.giveBack(r.machineNames(), r.silent());
+          simulation.cloud.release(decision.machineNames(), decision.silent());
           answer.accept(true);
         },
         (Boolean ok) -> {
-          if (t == term && ok != null) {
-            t.scheduler.onMachinesReleased(r.machineNames(), clock());
-          } else if (t == term) {
+          if (leaderTerm == term && ok != null) {
+            leaderTerm.scheduler.onMachinesReleased(decision.machineNames(), clock());
+          } else if (leaderTerm == term) {
             later(
                 LoopTiming.CLOUD_RETRY_BACKOFF_MS,
-                () -> t.scheduler.onReleaseFailed(r.machineNames()));
+                () -> leaderTerm.scheduler.onReleaseFailed(decision.machineNames()));
           }
         });
   }
 
-  private void list(Term t) {
-    if (t != term) {
+  private void pollMachineList(Term leaderTerm) {
+    if (leaderTerm != term) {
       return;
     }
-    long asked = clock();
-    call(
+    long requestedMs = clock();
+    request(
         "cloud",
-        CLOUD_MS,
-        answer -> answer.accept(world.cloud.list()),
+        CLOUD_TIMEOUT_MS,
+        answer -> answer.accept(simulation.cloud.listMachines()),
         (List<Scheduler.ListedMachine> listed) -> {
-          if (t == term && listed != null) {
-            t.scheduler.onMachineList(listed, asked, clock());
+          if (leaderTerm == term && listed != null) {
+            leaderTerm.scheduler.onMachineList(listed, requestedMs, clock());
           }
-          later(LoopTiming.MACHINE_LIST_INTERVAL_MS, () -> list(t));
+          later(LoopTiming.MACHINE_LIST_INTERVAL_MS, () -> pollMachineList(leaderTerm));
         });
   }
 
-  private void save(Term t) {
-    if (t != term) {
+  private void saveProgress(Term leaderTerm) {
+    if (leaderTerm != term) {
       return;
     }
-    t.scheduler
+    leaderTerm
+        .scheduler
         .drainUnpersistedProgress()
         .forEach(
             (job, done) ->
-                note(t, "p/" + job, done, () -> t.scheduler.onProgressPersisted(job, done)));
-    later(LoopTiming.PROGRESS_SAVE_INTERVAL_MS, () -> save(t));
+                persist(
+                    leaderTerm,
+                    "p/" + job,
+                    done,
+                    () -> leaderTerm.scheduler.onProgressPersisted(job, done)));
+    later(LoopTiming.PROGRESS_SAVE_INTERVAL_MS, () -> saveProgress(leaderTerm));
   }
 
   // ---- writes, each conditional on the leader's key ----
 
-  private Map<String, Long> fenced(Term t) {
-    Map<String, Long> when = new HashMap<>();
-    if (!has(Mutation.WRITES_WITHOUT_THE_KEY)) {
-      when.put(StoreModel.LEADER, t.token);
+  private Map<String, Long> leaderCondition(Term leaderTerm) {
+    Map<String, Long> conditions = new HashMap<>();
+    if (!without(Mutation.UNFENCED_WRITES)) {
+      conditions.put(StoreModel.LEADER, leaderTerm.token);
     }
-    return when;
+    return conditions;
   }
 
-  /** The key should hold this, or nothing; {@code durable}: what waits for that. */
-  private void note(Term t, String key, Object value, Runnable durable) {
-    Note n = t.notes.computeIfAbsent(key, k -> new Note());
-    n.value = value;
-    n.durable = durable;
-    n.dirty = true;
-    push(t, key, n);
+  /** The key should hold this, or nothing; {@code onPersisted}: what waits for that. */
+  private void persist(Term leaderTerm, String key, Object value, Runnable durable) {
+    LeaderRecord record = leaderTerm.records.computeIfAbsent(key, k -> new LeaderRecord());
+    record.value = value;
+    record.onPersisted = durable;
+    record.dirty = true;
+    writeRecord(leaderTerm, key, record);
   }
 
-  private void push(Term t, String key, Note n) {
-    if (n.busy || !n.dirty || t != term) {
+  private void writeRecord(Term leaderTerm, String key, LeaderRecord record) {
+    if (record.writing || !record.dirty || leaderTerm != term) {
       return;
     }
-    n.busy = true;
-    n.dirty = false;
-    Object value = n.value;
-    Runnable durable = n.durable;
-    Map<String, Long> when = fenced(t);
-    if (!has(Mutation.NOTES_WITHOUT_REVISIONS)) {
-      when.put(key, n.revision);
+    record.writing = true;
+    record.dirty = false;
+    Object value = record.value;
+    Runnable durable = record.onPersisted;
+    Map<String, Long> conditions = leaderCondition(leaderTerm);
+    if (!without(Mutation.UNCONDITIONAL_RECORD_WRITES)) {
+      conditions.put(key, record.revision);
     }
-    commit(
-        when,
+    compareAndSwap(
+        conditions,
         List.of(new Write(key, value, 0)),
-        o -> {
-          if (world.slowRecordsMs > 0) {
-            later(world.slowRecordsMs, () -> written(t, key, n, value, durable, o));
+        outcome -> {
+          if (simulation.recordAnswerDelayMs > 0) {
+            later(
+                simulation.recordAnswerDelayMs,
+                () -> onRecordWritten(leaderTerm, key, record, value, durable, outcome));
           } else {
-            written(t, key, n, value, durable, o);
+            onRecordWritten(leaderTerm, key, record, value, durable, outcome);
           }
         });
   }
 
-  private void written(Term t, String key, Note n, Object value, Runnable durable, Outcome o) {
-    if (t != term) {
+  private void onRecordWritten(
+      Term leaderTerm,
+      String key,
+      LeaderRecord record,
+      Object value,
+      Runnable durable,
+      Outcome outcome) {
+    if (leaderTerm != term) {
       return;
     }
-    n.busy = false;
-    if (o != null && o.revision() > 0) {
-      n.revision = value == null ? 0 : o.revision();
+    record.writing = false;
+    if (outcome != null && outcome.revision() > 0) {
+      record.revision = value == null ? 0 : outcome.revision();
       durable.run();
-      push(t, key, n);
-    } else if (o != null && o.failed().contains(StoreModel.LEADER)) {
-      ended(election.stepDown(t.token, "a write found another leader"));
+      writeRecord(leaderTerm, key, record);
+    } else if (outcome != null && outcome.failed().contains(StoreModel.LEADER)) {
+      carryOutEnd(election.stepDown(leaderTerm.token, "a write found another leader"));
     } else {
-      n.dirty = true;
-      later(Threads.RETRY_BACKOFF_MS, () -> reread(t, key, n, o));
+      record.dirty = true;
+      later(Threads.RETRY_BACKOFF_MS, () -> rereadRecord(leaderTerm, key, record, outcome));
     }
   }
 
   /** An earlier try without an answer was applied after all: its revision is news. */
-  private void reread(Term t, String key, Note n, Outcome o) {
-    if (o == null || !o.failed().contains(key)) {
-      push(t, key, n);
+  private void rereadRecord(Term leaderTerm, String key, LeaderRecord record, Outcome outcome) {
+    if (outcome == null || !outcome.failed().contains(key)) {
+      writeRecord(leaderTerm, key, record);
       return;
     }
-    state(
-        () -> new Row[] {world.store.get(key)},
+    storeRequest(
+        () -> new Row[] {simulation.store.get(key)},
         (Row[] found) -> {
           if (found != null) {
-            n.revision = found[0] == null ? 0 : found[0].revision();
+            record.revision = found[0] == null ? 0 : found[0].revision();
           }
-          push(t, key, n);
+          writeRecord(leaderTerm, key, record);
         });
   }
 
   /** {@code done} gets null where nothing is known of the effect. */
-  private void commit(Map<String, Long> when, List<Write> writes, Consumer<Outcome> done) {
-    double drawn = world.random.nextDouble();
-    boolean late = drawn < world.store.lateShare;
-    boolean unheard = !late && drawn < world.store.lateShare + world.store.unheardShare;
-    call(
+  private void compareAndSwap(
+      Map<String, Long> conditions, List<Write> writes, Consumer<Outcome> done) {
+    double drawn = simulation.random.nextDouble();
+    boolean late = drawn < simulation.store.lateShare;
+    boolean unreconciled =
+        !late && drawn < simulation.store.lateShare + simulation.store.unansweredShare;
+    request(
         "state",
-        STORE_MS,
+        STORE_TIMEOUT_MS,
         answer -> {
-          if (world.store.isDown() || world.store.refuses(name)) {
+          if (simulation.store.isUnavailable() || simulation.store.refuses(name)) {
             answer.accept(StoreModel.REFUSED);
           } else if (late) {
-            world.store.commitLate(name, when, writes);
+            simulation.store.commitLate(name, conditions, writes);
           } else {
-            Outcome o = world.store.commit(name, when, writes);
-            if (unheard) {
-              world.store.unheard(name, writes, o);
+            Outcome outcome = simulation.store.commit(name, conditions, writes);
+            if (unreconciled) {
+              simulation.store.loseAnswer(name, writes, outcome);
               return;
             }
-            world.after(slow(), () -> answer.accept(o));
+            simulation.after(storeDelayMs(), () -> answer.accept(outcome));
           }
         },
-        (Outcome o) -> {
-          if (o != null && o != StoreModel.REFUSED) {
-            served();
+        (Outcome outcome) -> {
+          if (outcome != null && outcome != StoreModel.REFUSED) {
+            onStoreAnswered();
           }
-          done.accept(o);
+          done.accept(outcome);
         });
   }
 
@@ -1015,250 +1094,269 @@
 
   /** As the program's desk accepts: durable before it is told, read back where that is unknown. */
   void submit(JobSpec spec, Consumer<String> answer) {
-    here(
+    runIn(
         incarnation(),
         () -> {
-          EndRow end = ended.get(spec.id());
-          if (crashed() || end != null || lost()) {
-            answer.accept(crashed() || end == null ? "503" : phase(end));
+          EndRow end = endedJobs.get(spec.id());
+          if (crashed() || end != null || storeLost()) {
+            answer.accept(crashed() || end == null ? "503" : endState(end));
             return;
           }
-          JobRow job = new JobRow(spec, world.now());
+          JobRow job = new JobRow(spec, simulation.now());
           Write row = new Write("j/" + spec.id(), job, 0);
-          commit(
+          compareAndSwap(
               Map.of("j/" + spec.id(), 0L, "d/" + spec.id(), 0L),
               List.of(row),
-              o -> {
-                if (o == StoreModel.REFUSED) {
+              outcome -> {
+                if (outcome == StoreModel.REFUSED) {
                   answer.accept("503");
-                } else if (o != null && o.revision() > 0) {
-                  desk(
+                } else if (outcome != null && outcome.revision() > 0) {
+                  afterThreadStall(
                       () -> {
-                        learnt(job, o.revision());
+                        onJobRead(job, outcome.revision());
                         answer.accept("queued");
                       });
                 } else {
-                  ask(spec.id(), true, said -> answer.accept(said.equals("404") ? "503" : said));
+                  jobState(
+                      spec.id(), true, state -> answer.accept(state.equals("404") ? "503" : state));
                 }
               });
         });
   }
 
-  private static String phase(EndRow end) {
+  private static String endState(EndRow end) {
     return end.cancelled() ? "withdrawn" : "done";
   }
 
   /** A user wants the job cancelled: what to do next is the program's decision. */
   void cancel(String job, boolean forward, Consumer<String> answer) {
-    here(
+    runIn(
         incarnation(),
         () -> {
           if (!crashed()) {
             long untilMs = clock() + LoopTiming.CANCEL_WAIT_MS;
-            cancelOn(new Wish(job, term, forward, untilMs, answer), false);
+            advanceCancellation(new CancelRequest(job, term, forward, untilMs, answer), false);
           }
         });
   }
 
-  private record Wish(
-      String job, Term term, boolean forward, long untilMs, Consumer<String> answer) {}
+  private record CancelRequest(
+      String job, Term term, boolean forward, long deadlineMs, Consumer<String> answer) {}
 
-  private void cancelOn(Wish w, boolean read) {
-    Term t = w.term();
-    boolean kept = t != null && t.ledger.manages(w.job());
-    Scheduler.JobProgress view = kept ? t.scheduler.progress(w.job()) : null;
-    boolean unheard = has(Mutation.CANCELS_UNHEARD);
+  private void advanceCancellation(CancelRequest request, boolean read) {
+    Term leaderTerm = request.term();
+    boolean managed = leaderTerm != null && leaderTerm.jobs.manages(request.job());
+    Scheduler.JobProgress view = managed ? leaderTerm.scheduler.progress(request.job()) : null;
+    boolean unreconciled = without(Mutation.CONFIRM_CANCEL_UNRECONCILED);
     Cancellation.Action act =
         Cancellation.next(
             new Cancellation.View(
-                ended.containsKey(w.job()),
-                w.forward(),
-                t != null,
-                t != null && t == term && election.leaseCertain(t.token, clock()),
-                kept,
+                endedJobs.containsKey(request.job()),
+                request.forward(),
+                leaderTerm != null,
+                leaderTerm != null
+                    && leaderTerm == term
+                    && election.leaseCertain(leaderTerm.token, clock()),
+                managed,
                 read,
-                kept && (unheard || t.scheduler.canConfirmCancellation(w.job())),
-                kept && !has(Mutation.CONFIRMS_WHILE_STARTING) && t.scheduler.mayStart(w.job()),
+                managed
+                    && (unreconciled || leaderTerm.scheduler.canConfirmCancellation(request.job())),
+                managed
+                    && !without(Mutation.CONFIRM_CANCEL_WHILE_STARTING)
+                    && leaderTerm.scheduler.mayStart(request.job()),
                 view != null && view.complete(),
-                clock() >= w.untilMs()));
+                clock() >= request.deadlineMs()));
     if (act.needsTerm()) {
-      t.scheduler.requestCancellation(w.job());
-      stir(t);
+      leaderTerm.scheduler.requestCancellation(request.job());
+      requestPass(leaderTerm);
     }
-    if (act == Cancellation.Action.WRITE_CANCELLED && has(Mutation.CANCELS_UNWRITTEN)) {
-      w.answer().accept("withdrawn");
+    if (act == Cancellation.Action.WRITE_CANCELLED
+        && without(Mutation.CONFIRM_CANCEL_BEFORE_WRITE)) {
+      request.answer().accept("withdrawn");
     }
     switch (act) {
-      case REPLY_WITH_END -> w.answer().accept(phase(ended.get(w.job())));
-      case FORWARD -> forward(w);
+      case REPLY_WITH_END -> request.answer().accept(endState(endedJobs.get(request.job())));
+      case FORWARD -> forwardCancellation(request);
       case READ_STORE ->
-          read(
-              w.job(),
-              said -> {
-                if (said.equals("queued")) {
-                  cancelOn(w, true);
+          readJobState(
+              request.job(),
+              state -> {
+                if (state.equals("queued")) {
+                  advanceCancellation(request, true);
                 } else {
-                  w.answer().accept(said);
+                  request.answer().accept(state);
                 }
               });
       case WRITE_CANCELLED, WRITE_DONE ->
-          finish(
-              t,
-              w.job(),
+          writeEnd(
+              leaderTerm,
+              request.job(),
               act == Cancellation.Action.WRITE_CANCELLED,
               end -> {
                 if (end != null) {
-                  w.answer().accept(phase(end));
+                  request.answer().accept(endState(end));
                 } else {
-                  later(LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> cancelOn(w, read));
+                  later(
+                      LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> advanceCancellation(request, read));
                 }
               });
-      case WAIT -> later(LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> cancelOn(w, read));
-      default -> w.answer().accept("503");
+      case WAIT ->
+          later(LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> advanceCancellation(request, read));
+      default -> request.answer().accept("503");
     }
   }
 
-  private void forward(Wish w) {
+  private void forwardCancellation(CancelRequest request) {
     ControllerModel other = otherLeader();
     if (other == null) {
-      w.answer().accept("503");
+      request.answer().accept("503");
       return;
     }
-    call(
+    request(
         other.name,
         PeerClient.PEER_TIMEOUT_MS,
-        (Consumer<String> a) -> other.cancel(w.job(), false, a),
-        (String said) -> {
-          String known = said == null ? "503" : said;
-          remember(w.job(), known);
-          w.answer().accept(known);
+        (Consumer<String> reply) -> other.cancel(request.job(), false, reply),
+        (String state) -> {
+          String known = state == null ? "503" : state;
+          rememberEnd(request.job(), known);
+          request.answer().accept(known);
         });
   }
 
   /** The other controller that leads, as far as known here; null: none, or this one. */
   private ControllerModel otherLeader() {
-    Row row = mirror.get(StoreModel.LEADER);
-    String leader = toldLeader != null || row == null ? toldLeader : (String) row.value();
+    Row row = watchCache.get(StoreModel.LEADER);
+    String leader = leaderFromPeers != null || row == null ? leaderFromPeers : (String) row.value();
     return leader == null || leader.equals(name)
         ? null
-        : world.nodes.stream().filter(n -> n.name.equals(leader)).findFirst().orElseThrow();
+        : simulation.controllers.stream()
+            .filter(controller -> controller.name.equals(leader))
+            .findFirst()
+            .orElseThrow();
   }
 
   /**
    * Makes a job's end durable before anybody is told of it; null if that is not certain yet. Done
    * and cancelled exclude each other: the first that is on record stays.
    */
-  private void finish(Term t, String job, boolean cancelled, Consumer<EndRow> then) {
-    if (!t.ledger.manages(job)) {
-      then.accept(ended.get(job));
+  private void writeEnd(Term leaderTerm, String job, boolean cancelled, Consumer<EndRow> then) {
+    if (!leaderTerm.jobs.manages(job)) {
+      then.accept(endedJobs.get(job));
       return;
     }
-    Scheduler.JobProgress view = t.scheduler.progress(job);
+    Scheduler.JobProgress view = leaderTerm.scheduler.progress(job);
     EndRow end = new EndRow(cancelled, view.doneTasks());
-    t.ledger.onEndWriteStarted(job);
-    Map<String, Long> when = fenced(t);
-    if (!has(Mutation.ENDS_REPLACE_ENDS)) {
-      when.put("d/" + job, 0L);
+    leaderTerm.jobs.onEndWriteStarted(job);
+    Map<String, Long> conditions = leaderCondition(leaderTerm);
+    if (!without(Mutation.OVERWRITE_JOB_END)) {
+      conditions.put("d/" + job, 0L);
     }
-    commit(
-        when,
+    compareAndSwap(
+        conditions,
         List.of(new Write("j/" + job, null, 0), new Write("d/" + job, end, 0)),
-        o -> {
-          if (o != null && o.revision() > 0) {
-            over(t, job, end); // on record, whoever leads by now
+        outcome -> {
+          if (outcome != null && outcome.revision() > 0) {
+            onJobEnded(leaderTerm, job, end); // on record, whoever leads by now
             then.accept(end);
-          } else if (o == null) {
+          } else if (outcome == null) {
             then.accept(null);
           } else {
-            t.ledger.onEndWriteRejected(job);
-            if (o.failed().contains(StoreModel.LEADER)) {
-              ended(election.stepDown(t.token, "a write found another leader"));
+            leaderTerm.jobs.onEndWriteRejected(job);
+            if (outcome.failed().contains(StoreModel.LEADER)) {
+              carryOutEnd(election.stepDown(leaderTerm.token, "a write found another leader"));
               then.accept(null);
-            } else if (o == StoreModel.REFUSED) {
+            } else if (outcome == StoreModel.REFUSED) {
               then.accept(null);
             } else {
-              endOnRecord(t, job, then);
+              readEnd(leaderTerm, job, then);
             }
           }
         });
   }
 
   /** Writes the ends of completed jobs, as many in a transaction as it may have. */
-  private void writeEnds(Term t) {
-    if (t.endsBusy || t.ends.isEmpty() || t != term) {
+  private void writeCompletions(Term leaderTerm) {
+    if (leaderTerm.completionWriteInFlight
+        || leaderTerm.completions.isEmpty()
+        || leaderTerm != term) {
       return;
     }
     List<String> some =
-        t.ends.subList(0, Math.min(LoopTiming.COMPLETION_BATCH_JOBS, t.ends.size()));
-    List<String> jobs = some.stream().filter(t.ledger::manages).toList();
+        leaderTerm.completions.subList(
+            0, Math.min(LoopTiming.COMPLETION_BATCH_JOBS, leaderTerm.completions.size()));
+    List<String> jobs = some.stream().filter(leaderTerm.jobs::manages).toList();
     some.clear();
     if (jobs.isEmpty()) {
-      writeEnds(t);
+      writeCompletions(leaderTerm);
       return;
     }
-    t.endsBusy = true;
+    leaderTerm.completionWriteInFlight = true;
     Map<String, EndRow> ends = new LinkedHashMap<>();
-    Map<String, Long> when = fenced(t);
+    Map<String, Long> conditions = leaderCondition(leaderTerm);
     List<Write> writes = new ArrayList<>();
     for (String job : jobs) {
-      EndRow end = new EndRow(false, t.scheduler.progress(job).doneTasks());
+      EndRow end = new EndRow(false, leaderTerm.scheduler.progress(job).doneTasks());
       ends.put(job, end);
-      if (!has(Mutation.ENDS_REPLACE_ENDS)) {
-        when.put("d/" + job, 0L);
+      if (!without(Mutation.OVERWRITE_JOB_END)) {
+        conditions.put("d/" + job, 0L);
       }
       writes.add(new Write("j/" + job, null, 0));
       writes.add(new Write("d/" + job, end, 0));
-      t.ledger.onEndWriteStarted(job);
+      leaderTerm.jobs.onEndWriteStarted(job);
     }
-    commit(
-        when,
+    compareAndSwap(
+        conditions,
         writes,
-        o -> {
-          t.endsBusy = false;
-          if (o != null && o.revision() > 0) {
-            ends.forEach((job, end) -> over(t, job, end));
-          } else if (o == null || o == StoreModel.REFUSED) {
-            jobs.forEach(o == null ? job -> {} : t.ledger::onEndWriteRejected);
-            jobs.forEach(job -> endAgain(t, job));
-          } else if (o.failed().contains(StoreModel.LEADER)) {
-            ended(election.stepDown(t.token, "a write found another leader"));
+        outcome -> {
+          leaderTerm.completionWriteInFlight = false;
+          if (outcome != null && outcome.revision() > 0) {
+            ends.forEach((job, end) -> onJobEnded(leaderTerm, job, end));
+          } else if (outcome == null || outcome == StoreModel.REFUSED) {
+            jobs.forEach(outcome == null ? job -> {} : leaderTerm.jobs::onEndWriteRejected);
+            jobs.forEach(job -> retryCompletion(leaderTerm, job));
+          } else if (outcome.failed().contains(StoreModel.LEADER)) {
+            carryOutEnd(election.stepDown(leaderTerm.token, "a write found another leader"));
           } else {
             // One of them was cancelled meanwhile, or an earlier try without an answer applied.
-            jobs.forEach(t.ledger::onEndWriteRejected);
+            jobs.forEach(leaderTerm.jobs::onEndWriteRejected);
             for (String job : jobs) {
-              finish(t, job, false, end -> endAgain(end == null ? t : null, job));
+              writeEnd(
+                  leaderTerm,
+                  job,
+                  false,
+                  end -> retryCompletion(end == null ? leaderTerm : null, job));
             }
           }
-          writeEnds(t);
+          writeCompletions(leaderTerm);
         });
   }
 
-  private void endAgain(Term t, String job) {
-    if (t != null && t == term) {
+  private void retryCompletion(Term leaderTerm, String job) {
+    if (leaderTerm != null && leaderTerm == term) {
       later(
           Threads.RETRY_BACKOFF_MS,
-          () -> t.scheduler.onDecisionFailed(new Decision.FinishJob(job)));
+          () -> leaderTerm.scheduler.onDecisionFailed(new Decision.FinishJob(job)));
     }
   }
 
-  private void endOnRecord(Term t, String job, Consumer<EndRow> then) {
-    state(
-        () -> new Row[] {world.store.get("d/" + job)},
+  private void readEnd(Term leaderTerm, String job, Consumer<EndRow> then) {
+    storeRequest(
+        () -> new Row[] {simulation.store.get("d/" + job)},
         (Row[] found) -> {
           EndRow end = found == null || found[0] == null ? null : (EndRow) found[0].value();
           if (end != null) {
-            over(t, job, end);
+            onJobEnded(leaderTerm, job, end);
           }
           then.accept(end);
         });
   }
 
-  private void over(Term t, String job, EndRow end) {
-    ended.put(job, end);
-    t.ledger.onEnded(job);
-    t.scheduler.onJobEnded(job, end.cancelled(), clock());
-    note(t, "o/" + job, null, () -> {});
-    note(t, "p/" + job, null, () -> {});
+  private void onJobEnded(Term leaderTerm, String job, EndRow end) {
+    endedJobs.put(job, end);
+    leaderTerm.jobs.onEnded(job);
+    leaderTerm.scheduler.onJobEnded(job, end.cancelled(), clock());
+    persist(leaderTerm, "o/" + job, null, () -> {});
+    persist(leaderTerm, "p/" + job, null, () -> {});
   }
 
   /**
@@ -1266,37 +1364,38 @@
    * memory while it is certainly one, others by asking it, and all else by a read of the state
    * service, the live record first. 503 where none of these says anything.
    */
-  void ask(String job, boolean forward, Consumer<String> answer) {
+  void jobState(String job, boolean forward, Consumer<String> answer) {
     if (crashed()) {
       return;
     }
-    here(
+    runIn(
         incarnation(),
         () -> {
-          if (has(Mutation.ONE_JOB_IS_FORGOTTEN) && name.equals("n1") && job.equals("wk-7")) {
+          if (without(Mutation.FORGET_ONE_JOB) && name.equals("n1") && job.equals("wk-7")) {
             answer.accept("503");
             return;
           }
-          if (ended.containsKey(job)) {
-            answer.accept(phase(ended.get(job)));
+          if (endedJobs.containsKey(job)) {
+            answer.accept(endState(endedJobs.get(job)));
             return;
           }
-          Term t = term;
-          boolean told =
-              t != null && (has(Mutation.TOLD_WHILE_ENDING) || !t.ledger.mayHaveEnded(job));
-          Scheduler.JobProgress view = told ? t.scheduler.progress(job) : null;
-          if (view != null && election.leaseCertain(t.token, clock())) {
+          Term leaderTerm = term;
+          boolean mayAnswer =
+              leaderTerm != null
+                  && (without(Mutation.ANSWER_WHILE_ENDING) || !leaderTerm.jobs.mayHaveEnded(job));
+          Scheduler.JobProgress view = mayAnswer ? leaderTerm.scheduler.progress(job) : null;
+          if (view != null && election.leaseCertain(leaderTerm.token, clock())) {
             answer.accept(view.running() ? "running" : "queued");
             return;
           }
-          if (has(Mutation.TOLD_FROM_THE_MIRROR) && mirror.containsKey("j/" + job)) {
+          if (without(Mutation.ANSWER_FROM_WATCH_CACHE) && watchCache.containsKey("j/" + job)) {
             answer.accept("queued");
             return;
           }
-          if (t == null && forward) {
-            share(elsewhere, job, answer, this::askLeader);
+          if (leaderTerm == null && forward) {
+            coalesce(leaderQueries, job, answer, this::askLeader);
           } else {
-            share(reads, job, answer, this::read);
+            coalesce(storeReads, job, answer, this::readJobState);
           }
         });
   }
@@ -1304,32 +1403,32 @@
   private void askLeader(String job, Consumer<String> answer) {
     ControllerModel other = otherLeader();
     if (other == null) {
-      read(job, answer);
+      readJobState(job, answer);
       return;
     }
-    call(
+    request(
         other.name,
         PeerClient.PEER_TIMEOUT_MS,
-        (Consumer<String> a) -> other.ask(job, false, a),
-        (String said) -> {
-          if (said == null || said.equals("503")) {
-            read(job, answer);
+        (Consumer<String> reply) -> other.jobState(job, false, reply),
+        (String state) -> {
+          if (state == null || state.equals("503")) {
+            readJobState(job, answer);
           } else {
-            remember(job, said);
-            answer.accept(said);
+            rememberEnd(job, state);
+            answer.accept(state);
           }
         });
   }
 
-  private void remember(String job, String said) {
-    if (said.equals("withdrawn") || said.equals("done")) {
-      ended.put(job, new EndRow(said.equals("withdrawn"), 0));
+  private void rememberEnd(String job, String state) {
+    if (state.equals("withdrawn") || state.equals("done")) {
+      endedJobs.put(job, new EndRow(state.equals("withdrawn"), 0));
     }
   }
 
   /** Who waits for an answer that others wait for, too. */
-  private static final class Round {
-    final List<Consumer<String>> working = new ArrayList<>();
+  private static final class Batch {
+    final List<Consumer<String>> answering = new ArrayList<>();
     final List<Consumer<String>> next = new ArrayList<>();
   }
 
@@ -1337,72 +1436,74 @@
    * As the program's desk lets those share an answer who ask at the same time: who comes while one
    * is worked out shares the next.
    */
-  private void share(
-      Map<String, Round> rounds,
+  private void coalesce(
+      Map<String, Batch> rounds,
       String job,
       Consumer<String> answer,
       java.util.function.BiConsumer<String, Consumer<String>> find) {
-    Round r = rounds.computeIfAbsent(job, j -> new Round());
-    boolean joins = has(Mutation.SHARES_THE_ROUND_IN_WORK) && !r.working.isEmpty();
-    (joins ? r.working : r.next).add(answer);
-    if (r.working.isEmpty()) {
-      nextRound(rounds, job, find);
+    Batch batch = rounds.computeIfAbsent(job, j -> new Batch());
+    boolean joins = without(Mutation.JOIN_REQUEST_IN_FLIGHT) && !batch.answering.isEmpty();
+    (joins ? batch.answering : batch.next).add(answer);
+    if (batch.answering.isEmpty()) {
+      nextBatch(rounds, job, find);
     }
   }
 
-  private void nextRound(
-      Map<String, Round> rounds,
+  private void nextBatch(
+      Map<String, Batch> rounds,
       String job,
       java.util.function.BiConsumer<String, Consumer<String>> find) {
-    Round r = rounds.get(job);
-    r.working.addAll(r.next);
-    r.next.clear();
+    Batch batch = rounds.get(job);
+    batch.answering.addAll(batch.next);
+    batch.next.clear();
     find.accept(
         job,
-        said -> {
-          List<Consumer<String>> told = new ArrayList<>(r.working);
-          r.working.clear();
-          told.forEach(a -> a.accept(said));
-          if (r.working.isEmpty() && !r.next.isEmpty()) {
-            nextRound(rounds, job, find);
+        state -> {
+          List<Consumer<String>> waiting = new ArrayList<>(batch.answering);
+          batch.answering.clear();
+          waiting.forEach(answer -> answer.accept(state));
+          if (batch.answering.isEmpty() && !batch.next.isEmpty()) {
+            nextBatch(rounds, job, find);
           }
         });
   }
 
   /** On a node short of processor time what a thread has read is told late. */
-  private void desk(Runnable body) {
-    later(world.stuckMs == 0 ? 0 : world.random.nextLong(world.stuckMs), body);
+  private void afterThreadStall(Runnable body) {
+    later(
+        simulation.threadStallMs == 0 ? 0 : simulation.random.nextLong(simulation.threadStallMs),
+        body);
   }
 
-  private void read(String job, Consumer<String> answer) {
-    if (lost()) {
+  private void readJobState(String job, Consumer<String> answer) {
+    if (storeLost()) {
       answer.accept("503");
       return;
     }
-    state(
-        () -> new Row[] {world.store.get(name, "j/" + job)},
+    storeRequest(
+        () -> new Row[] {simulation.store.get(name, "j/" + job)},
         (Row[] live) -> {
           if (live == null) {
             answer.accept("503");
           } else if (live[0] != null) {
-            desk(
+            afterThreadStall(
                 () -> {
-                  learnt((JobRow) live[0].value(), live[0].revision());
+                  onJobRead((JobRow) live[0].value(), live[0].revision());
                   answer.accept("queued");
                 });
           } else {
-            state(
-                () -> new Row[] {world.store.get(name, "d/" + job)},
+            storeRequest(
+                () -> new Row[] {simulation.store.get(name, "d/" + job)},
                 (Row[] over) -> {
                   if (over == null) {
                     answer.accept("503");
                   } else if (over[0] == null) {
                     answer.accept("404");
                   } else {
-                    desk(
+                    afterThreadStall(
                         () -> {
-                          ended.put(job, (EndRow) over[0].value());
-                          answer.accept(phase((EndRow) over[0].value()));
+                          endedJobs.put(job, (EndRow) over[0].value());
+                          answer.accept(endState((EndRow) over[0].value()));
                         });
                   }
                 });
@@ -1422,38 +1523,38 @@
   }
 
   /** Whether it leads and has not heard all machines of earlier leaders yet. */
-  boolean starting() {
+  boolean reconciling() {
     return term != null && term.scheduler.reconciling();
   }
 
   /** For how long it has led. */
-  long ledMs() {
+  long leadingForMs() {
     return term == null ? 0 : clock() - term.beganMs;
   }
 
-  int answeredInDoubt() {
-    return answeredInDoubt;
+  int answeredWithUncertainLease() {
+    return answeredWithUncertainLease;
   }
 
-  int withheld() {
-    return withheld;
+  int withheldStarts() {
+    return withheldStarts;
   }
 
   /** Whether its leader's work includes the job. */
-  boolean keeps(String job) {
-    return term != null && term.ledger.manages(job);
+  boolean manages(String job) {
+    return term != null && term.jobs.manages(job);
   }
 
   /** Tasks of the job that it knows to be done. */
-  int done(String job) {
+  int doneTasks(String job) {
     Scheduler.JobProgress view = term == null ? null : term.scheduler.progress(job);
     return view == null ? 0 : view.doneTasks();
   }
 
   /** It lets another lead, as a leader does that reaches too few workers. */
-  void handOver() {
+  void resign() {
     if (term != null) {
-      ended(election.resign(term.token, "lets another lead", clock()));
+      carryOutEnd(election.resign(term.token, "lets another lead", clock()));
     }
   }
 
--- a/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
+++ b/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
@@ -13,124 +13,142 @@
  */
 final class DelayedHeartbeats {
   /** What is delivered on account of one moment comes within so long. */
-  private static final long SOON_MS = 5;
+  private static final long DELIVERY_WINDOW_MS = 5;
 
-  private static final long ACTED_MS = 10_000;
+  private static final long ACTED_WINDOW_MS = 10_000;
 
   /** Where in a change of leaders. */
   enum Moment {
     /** It is about to create its key. */
-    STANDS,
+    BEFORE_KEY_CREATION,
     /** It has created it. */
-    WINS,
+    KEY_CREATED,
     /** Its mirror is read up to there. */
-    CATCHES_UP,
+    CATCHING_UP,
     /** It answers workers. */
-    BEGINS,
+    TERM_BEGUN,
     /** It has opened a job, put a machine on record, or given commands; up to seconds before. */
-    ACTED
+    FIRST_DECISION
   }
 
   /** Share of the reports of which a copy is kept for the next leader. */
-  double kept;
+  double keepShare;
 
   /** Share of the reports that are held back until a new leader has acted. */
-  double heldBack;
+  double holdShare;
 
   /** Copies delivered at a controller that led, by the moment on account of which they came. */
   final Map<Moment, Integer> atLeader = new EnumMap<>(Moment.class);
 
   /** Among them, those that showed a task which was on that machine no more. */
-  int ofEndedTasks;
+  int withEndedTasks;
 
   /** Among them, those of an earlier session of their machine, or of an earlier life. */
-  int ofEarlierSessions;
+  int ofEarlierEpochs;
 
-  int ofEarlierLives;
+  int ofEarlierIncarnations;
 
   /** Among them, those of machines that are no more. */
-  int ofGoneMachines;
+  int ofDeadMachines;
 
   /** Reports held back that arrived at a controller which led, began later and had acted. */
-  int heldBackAtLeader;
+  int heldAtLeader;
 
-  private final Simulation world;
-  private final Map<Moment, List<Copy>> copies = new EnumMap<>(Moment.class);
-  private final List<Held> held = new ArrayList<>();
+  private final Simulation simulation;
+  private final Map<Moment, List<Duplicate>> duplicates = new EnumMap<>(Moment.class);
+  private final List<HeldHeartbeat> held = new ArrayList<>();
 
-  private record Copy(WorkerModel worker, Heartbeat report, int life, long token) {}
+  private record Duplicate(
+      WorkerModel worker, Heartbeat heartbeat, int incarnation, long fencingToken) {}
 
-  private record Held(ControllerModel to, long leaderToken, Runnable arrives) {}
+  private record HeldHeartbeat(ControllerModel to, long fencingToken, Runnable delivery) {}
 
-  DelayedHeartbeats(Simulation world) {
-    this.world = world;
+  DelayedHeartbeats(Simulation simulation) {
+    this.simulation = simulation;
   }
 
   /** A machine says this; a copy of it may be kept. */
-  void said(WorkerModel w, Heartbeat r) {
-    if (kept > 0 && world.random.nextDouble() < kept) {
-      Moment at = Moment.values()[world.random.nextInt(Moment.values().length)];
-      copies
-          .computeIfAbsent(at, m -> new ArrayList<>())
-          .add(new Copy(w, r, w.life(), world.latestToken()));
+  void onHeartbeatSent(WorkerModel worker, Heartbeat heartbeat) {
+    if (keepShare > 0 && simulation.random.nextDouble() < keepShare) {
+      Moment at = Moment.values()[simulation.random.nextInt(Moment.values().length)];
+      duplicates
+          .computeIfAbsent(at, moment -> new ArrayList<>())
+          .add(new Duplicate(worker, heartbeat, worker.incarnation(), simulation.latestToken()));
     }
   }
 
   /** The way of a report to its controller, which may be long. */
-  <A> Simulation.Service<A> way(ControllerModel to, Simulation.Service<A> service) {
-    if (heldBack == 0 || world.random.nextDouble() >= heldBack) {
+  <A> Simulation.Service<A> delayIfDrawn(ControllerModel receiver, Simulation.Service<A> service) {
+    if (holdShare == 0 || simulation.random.nextDouble() >= holdShare) {
       return service;
     }
-    return answer -> held.add(new Held(to, world.latestToken(), () -> service.serve(answer)));
+    return answer ->
+        held.add(
+            new HeldHeartbeat(receiver, simulation.latestToken(), () -> service.serve(answer)));
   }
 
   /** A change of leaders has come so far at this controller. */
-  void at(Moment moment, ControllerModel leader) {
-    long within = moment == Moment.ACTED ? ACTED_MS : SOON_MS;
-    List<Copy> due = copies.computeIfAbsent(moment, m -> new ArrayList<>());
+  void onMoment(Moment moment, ControllerModel leader) {
+    long within = moment == Moment.FIRST_DECISION ? ACTED_WINDOW_MS : DELIVERY_WINDOW_MS;
+    List<Duplicate> due = duplicates.computeIfAbsent(moment, key -> new ArrayList<>());
     // What was said under this very leader is kept for the next one.
-    List<Copy> now = due.stream().filter(c -> leader.token() != c.token).toList();
+    List<Duplicate> now =
+        due.stream().filter(duplicate -> leader.token() != duplicate.fencingToken).toList();
     due.removeAll(now);
-    for (Copy c : now) {
-      for (ControllerModel n : world.nodes) {
-        world.after(world.random.nextLong(within), () -> deliver(moment, c, n));
+    for (Duplicate duplicate : now) {
+      for (ControllerModel controller : simulation.controllers) {
+        simulation.after(
+            simulation.random.nextLong(within),
+            () -> deliverDuplicate(moment, duplicate, controller));
       }
     }
-    if (moment == Moment.ACTED) {
-      List<Held> free = held.stream().filter(h -> h.leaderToken < leader.token()).toList();
+    if (moment == Moment.FIRST_DECISION) {
+      List<HeldHeartbeat> free =
+          held.stream().filter(entry -> entry.fencingToken < leader.token()).toList();
       held.removeAll(free);
-      for (Held h : free) {
-        world.after(world.random.nextLong(within), () -> arrives(h));
+      for (HeldHeartbeat entry : free) {
+        simulation.after(simulation.random.nextLong(within), () -> deliverHeld(entry));
       }
     }
   }
 
-  private void deliver(Moment moment, Copy c, ControllerModel to) {
-    if (to.up() && to.leads()) {
+  private void deliverDuplicate(Moment moment, Duplicate duplicate, ControllerModel receiver) {
+    if (receiver.up() && receiver.leads()) {
       atLeader.merge(moment, 1, Integer::sum);
       boolean ended =
-          c.report.tasks().stream()
-              .filter(t -> t.phase() != Heartbeat.TaskPhase.EXITED)
-              .anyMatch(t -> !world.checker.isOn(t.jobId() + "/" + t.index(), c.worker.name));
-      ofEndedTasks += ended ? 1 : 0;
-      ofGoneMachines += c.worker.alive() ? 0 : 1;
-      ofEarlierLives += c.worker.alive() && c.life < c.worker.life() ? 1 : 0;
-      ofEarlierSessions +=
-          c.life == c.worker.life() && c.report.epoch() < c.worker.session() ? 1 : 0;
+          duplicate.heartbeat.tasks().stream()
+              .filter(status -> status.phase() != Heartbeat.TaskPhase.EXITED)
+              .anyMatch(
+                  status ->
+                      !simulation.checker.isOn(
+                          status.jobId() + "/" + status.index(), duplicate.worker.name));
+      withEndedTasks += ended ? 1 : 0;
+      ofDeadMachines += duplicate.worker.alive() ? 0 : 1;
+      ofEarlierIncarnations +=
+          duplicate.worker.alive() && duplicate.incarnation < duplicate.worker.incarnation()
+              ? 1
+              : 0;
+      ofEarlierEpochs +=
+          duplicate.incarnation == duplicate.worker.incarnation()
+                  && duplicate.heartbeat.epoch() < duplicate.worker.epoch()
+              ? 1
+              : 0;
     }
-    to.copy(c.worker.aged(c.report));
+    receiver.onDuplicateHeartbeat(duplicate.worker.asReadLate(duplicate.heartbeat));
   }
 
-  private void arrives(Held h) {
-    heldBackAtLeader += h.to.up() && h.to.leads() && h.to.token() > h.leaderToken ? 1 : 0;
-    h.arrives.run();
+  private void deliverHeld(HeldHeartbeat entry) {
+    heldAtLeader +=
+        entry.to.up() && entry.to.leads() && entry.to.token() > entry.fencingToken ? 1 : 0;
+    entry.delivery.run();
   }
 
   /** Nothing is kept or held back any more; what was held back arrives. */
   void release() {
-    kept = 0;
-    heldBack = 0;
-    held.forEach(h -> world.after(world.random.nextLong(SOON_MS), h.arrives));
+    keepShare = 0;
+    holdShare = 0;
+    held.forEach(
+        entry -> simulation.after(simulation.random.nextLong(DELIVERY_WINDOW_MS), entry.delivery));
     held.clear();
   }
 }
--- a/src/test/java/org/astershift/simulation/FailoverTest.java
+++ b/src/test/java/org/astershift/simulation/FailoverTest.java
@@ -14,30 +14,33 @@
   private static final int SEEDS = 10;
   private static final int MUTANT_SEEDS = 40;
 
-  private static Simulation busy(long seed, Mutation... mutants) {
-    Simulation w = new Simulation(seed, Setup.of(3, 12));
-    w.mutants.addAll(List.of(mutants));
-    w.runTo(4);
-    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 12), null);
+  private static Simulation loadedSimulation(long seed, Mutation... mutations) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
+    simulation.mutations.addAll(List.of(mutations));
+    simulation.runTo(4);
+    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 12), null);
     for (int i = 10; i < 16; i++) {
-      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
-    w.runTo(20);
-    assertEquals(1, w.leaders().size(), w.story());
-    return w;
+    simulation.runTo(20);
+    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
+    return simulation;
   }
 
-  private static void assertSound(Simulation w) {
-    assertEquals(List.of(), w.checker.broken, () -> "seed " + w.seed + "\n" + w.wholeStory());
+  private static void assertSound(Simulation simulation) {
+    assertEquals(
+        List.of(),
+        simulation.checker.violations,
+        () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
   }
 
-  private static void assertMissed(Mutation mutant, LongFunction<Simulation> played) {
+  private static void assertDetected(Mutation mutation, LongFunction<Simulation> played) {
     for (long seed = 1; seed <= MUTANT_SEEDS; seed++) {
-      if (!played.apply(seed).checker.broken.isEmpty()) {
+      if (!played.apply(seed).checker.violations.isEmpty()) {
         return;
       }
     }
-    assertEquals("missed", "not missed", mutant + " taken away");
+    assertEquals("missed", "not missed", mutation + " taken away");
   }
 
   /**
@@ -45,87 +48,95 @@
    * one leads, which runs these jobs; a third reads what is on record and does not reach it.
    */
   @Test
-  void theEndsThatALeaderWroteLastComeAfterItsTerm() {
+  void delayedEndWritesAreFencedAfterFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = lateEnds(seed);
-      assertSound(w);
+      Simulation simulation = playDelayedEnds(seed);
+      assertSound(simulation);
       for (int i = 10; i < 16; i++) {
-        assertTrue(w.checker.confirmedMs("wk-" + i) != null, w.wholeStory());
+        assertTrue(simulation.checker.cancelConfirmedMs("wk-" + i) != null, simulation.fullLog());
       }
     }
-    assertMissed(
-        Mutation.WRITES_WITHOUT_THE_KEY, seed -> lateEnds(seed, Mutation.WRITES_WITHOUT_THE_KEY));
+    assertDetected(
+        Mutation.UNFENCED_WRITES, seed -> playDelayedEnds(seed, Mutation.UNFENCED_WRITES));
   }
 
-  private static Simulation lateEnds(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, mutants);
-    ControllerModel old = w.leaders().get(0);
-    List<ControllerModel> others = w.nodes.stream().filter(n -> n != old).toList();
-    w.store.lateShare = 1;
+  private static Simulation playDelayedEnds(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, mutations);
+    ControllerModel old = simulation.leaders().get(0);
+    List<ControllerModel> others =
+        simulation.controllers.stream().filter(controller -> controller != old).toList();
+    simulation.store.lateShare = 1;
     for (int i = 10; i < 16; i++) {
-      w.userCancels("wk-" + i);
+      simulation.userCancels("wk-" + i);
     }
-    w.runTo(20.4);
+    simulation.runTo(20.4);
     old.crash();
-    w.store.lateShare = 0;
-    w.cutBoth(others.get(0).name, others.get(1).name);
-    w.askAll();
-    assertTrue(w.runUntil(() -> !w.leaders().isEmpty(), 30), w.story());
-    w.runTo(45);
-    w.healAll();
+    simulation.store.lateShare = 0;
+    simulation.cutBoth(others.get(0).name, others.get(1).name);
+    simulation.pollAllJobs();
+    assertTrue(
+        simulation.runUntil(() -> !simulation.leaders().isEmpty(), 30), simulation.recentLog());
+    simulation.runTo(45);
+    simulation.healAll();
     old.start();
-    w.runTo(80);
-    return w;
+    simulation.runTo(80);
+    return simulation;
   }
 
   /** What was accepted just before a leader began is known to it, however slow its mirror is. */
   @Test
-  void theMirrorLagsAsALeaderEnds() {
+  void watchCacheLagsAtFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      assertSound(laggingMirror(seed));
+      assertSound(playLaggingWatchCache(seed));
     }
-    assertMissed(Mutation.NO_CATCHING_UP, seed -> laggingMirror(seed, Mutation.NO_CATCHING_UP));
+    assertDetected(Mutation.NO_CATCH_UP, seed -> playLaggingWatchCache(seed, Mutation.NO_CATCH_UP));
   }
 
-  private static Simulation laggingMirror(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, mutants);
-    ControllerModel old = w.leaders().get(0);
-    w.store.slowMs = 2500;
+  private static Simulation playLaggingWatchCache(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, mutations);
+    ControllerModel old = simulation.leaders().get(0);
+    simulation.store.answerDelayMs = 2500;
     for (int i = 20; i < 50; i++) {
       int id = i;
-      w.after(
-          w.random.nextLong(6000),
-          () -> w.userSubmits(SimulationTest.job("wk-" + id, JobKind.ARRAY, 1), 20_000L, () -> {}));
+      simulation.after(
+          simulation.random.nextLong(6000),
+          () ->
+              simulation.userSubmits(
+                  SimulationTest.job("wk-" + id, JobKind.ARRAY, 1), 20_000L, () -> {}));
     }
-    w.after(3000, old::handOver);
-    w.runTo(23.1);
-    assertEquals(List.of(), w.leaders(), "the work is handed over");
-    w.runTo(26);
-    assertTrue(w.runUntil(() -> !w.leaders().isEmpty(), 60), w.story());
-    w.store.slowMs = 0;
-    w.runTo(w.now() / 1000.0 + 10);
-    w.leftWaiting.troublesAreOver();
-    w.runTo(w.now() / 1000.0 + 98);
-    return w;
+    simulation.after(3000, old::resign);
+    simulation.runTo(23.1);
+    assertEquals(List.of(), simulation.leaders(), "the work is handed over");
+    simulation.runTo(26);
+    assertTrue(
+        simulation.runUntil(() -> !simulation.leaders().isEmpty(), 60), simulation.recentLog());
+    simulation.store.answerDelayMs = 0;
+    simulation.runTo(simulation.now() / 1000.0 + 10);
+    simulation.starvationCheck.onFaultsHealed();
+    simulation.runTo(simulation.now() / 1000.0 + 98);
+    return simulation;
   }
 
   /**
    * A leader crashes while every transaction is carried out and none is answered: another leads.
    */
   @Test
-  void aClaimIsCarriedOutAndItsAnswerIsLost() {
+  void keyCreationAppliedWithLostAnswer() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = busy(seed);
-      ControllerModel old = w.leaders().get(0);
-      w.store.unheardShare = 1;
+      Simulation simulation = loadedSimulation(seed);
+      ControllerModel old = simulation.leaders().get(0);
+      simulation.store.unansweredShare = 1;
       old.crash();
-      boolean led = w.runUntil(() -> w.leaders().stream().anyMatch(n -> n != old), 30);
-      int claims = w.store.unheard.getOrDefault(StoreModel.LEADER.substring(0, 2), 0);
-      assertTrue(led && claims > 0, claims + " claims unanswered\n" + w.story());
-      w.store.unheardShare = 0;
+      boolean led =
+          simulation.runUntil(
+              () -> simulation.leaders().stream().anyMatch(controller -> controller != old), 30);
+      int claims =
+          simulation.store.unansweredWrites.getOrDefault(StoreModel.LEADER.substring(0, 2), 0);
+      assertTrue(led && claims > 0, claims + " claims unanswered\n" + simulation.recentLog());
+      simulation.store.unansweredShare = 0;
       old.start();
-      w.runTo(80);
-      assertSound(w);
+      simulation.runTo(80);
+      assertSound(simulation);
     }
   }
 }
--- a/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
@@ -29,47 +29,48 @@
   private enum Fate {
     CRASHES,
     HANDS_OVER,
-    STANDS_STILL
+    PAUSES
   }
 
   /** What becomes of machines that hold tasks of the gangs. */
   private enum Trouble {
     CUT_OFF,
-    DEAF,
-    HANG
+    INBOUND_PARTITIONED,
+    PAUSED
   }
 
-  private static Simulation world(long seed) {
-    Simulation w = new Simulation(seed, Setup.of(3, 12));
-    w.runTo(4);
-    w.submit(JobDraft.array("wk-all", 6).kind(JobKind.SERVICE).spec(), null);
-    w.runTo(20);
-    assertEquals(1, w.leaders().size(), w.story());
-    return w;
+  private static Simulation loadedSimulation(long seed) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
+    simulation.runTo(4);
+    simulation.submit(JobDraft.array("wk-all", 6).kind(JobKind.SERVICE).spec(), null);
+    simulation.runTo(20);
+    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
+    return simulation;
   }
 
-  private static void suffer(Simulation w, ControllerModel old, Fate fate) {
+  private static void apply(Simulation simulation, ControllerModel old, Fate fate) {
     switch (fate) {
       case CRASHES -> {
         old.crash();
-        w.after(300 + w.random.nextLong(4000), old::start);
+        simulation.after(300 + simulation.random.nextLong(4000), old::start);
       }
-      case HANDS_OVER -> old.handOver();
-      default -> old.freeze(4000 + w.random.nextLong(6000));
+      case HANDS_OVER -> old.resign();
+      default -> old.freeze(4000 + simulation.random.nextLong(6000));
     }
   }
 
-  private static void trouble(Simulation w, Trouble trouble, String machine, long forMs) {
-    if (trouble == Trouble.HANG) {
-      w.workers.get(machine).hang(forMs);
+  private static void applyToMachines(
+      Simulation simulation, Trouble trouble, String machine, long forMs) {
+    if (trouble == Trouble.PAUSED) {
+      simulation.workers.get(machine).pause(forMs);
       return;
     }
-    for (ControllerModel n : w.nodes) {
-      w.cut(n.name, machine);
+    for (ControllerModel controller : simulation.controllers) {
+      simulation.cut(controller.name, machine);
       if (trouble == Trouble.CUT_OFF) {
-        w.cut(machine, n.name);
+        simulation.cut(machine, controller.name);
       }
-      w.after(forMs, () -> w.healBoth(n.name, machine));
+      simulation.after(forMs, () -> simulation.healBoth(controller.name, machine));
     }
   }
 
@@ -83,47 +84,51 @@
   }
 
   /** Machines that hold tasks of the jobs. */
-  private static List<String> machinesOf(Simulation w, List<String> jobs) {
-    Set<String> on = new HashSet<>();
-    w.checker.eachOnMachine(
+  private static List<String> machinesOf(Simulation simulation, List<String> jobs) {
+    Set<String> tasks = new HashSet<>();
+    simulation.checker.eachOnMachine(
         (task, machine) -> {
           if (jobs.contains(task.substring(0, task.indexOf('/')))) {
-            on.add(machine);
+            tasks.add(machine);
           }
         });
-    return on.stream().sorted().toList();
+    return tasks.stream().sorted().toList();
   }
 
   /** Machines that hold tasks of gangs that gather; where none does, of any of the gangs. */
-  private static List<String> machinesThatGather(Simulation w) {
-    List<String> gathering = GANGS.stream().filter(w.gangs::gathers).toList();
-    return machinesOf(w, gathering.isEmpty() ? GANGS : gathering);
+  private static List<String> gatheringMachines(Simulation simulation) {
+    List<String> gathering = GANGS.stream().filter(simulation.gangs::isGathering).toList();
+    return machinesOf(simulation, gathering.isEmpty() ? GANGS : gathering);
   }
 
-  private static List<String> some(Simulation w, List<String> machines, int most) {
+  private static List<String> randomMachines(
+      Simulation simulation, List<String> machines, int most) {
     List<String> left = new ArrayList<>(machines);
     List<String> out = new ArrayList<>();
     while (!left.isEmpty() && out.size() < most) {
-      out.add(left.remove(w.random.nextInt(left.size())));
+      out.add(left.remove(simulation.random.nextInt(left.size())));
     }
     return out;
   }
 
-  private static long count(Simulation w, Predicate<String> what) {
-    return w.users.accepted().stream().filter(what).count();
+  private static long count(Simulation simulation, Predicate<String> what) {
+    return simulation.users.accepted().stream().filter(what).count();
   }
 
   /** The troubles are over: so long later all is done, and no rule was broken. */
-  private static void assertSound(Simulation w, double afterS) {
-    w.healAll();
-    w.lateReports.release();
-    w.leftWaiting.troublesAreOver();
-    w.runTo(w.now() / 1000.0 + afterS);
-    assertEquals(List.of(), w.checker.broken, () -> "seed " + w.seed + "\n" + w.wholeStory());
-    for (String job : w.users.accepted()) {
-      boolean ends = w.users.runMsOf(job, 0) != null;
-      String message = "seed " + w.seed + ": " + job + " is left\n";
-      assertTrue(!ends || w.checker.isOver(job), () -> message + w.wholeStory());
+  private static void assertSound(Simulation simulation, double afterS) {
+    simulation.healAll();
+    simulation.delayedHeartbeats.release();
+    simulation.starvationCheck.onFaultsHealed();
+    simulation.runTo(simulation.now() / 1000.0 + afterS);
+    assertEquals(
+        List.of(),
+        simulation.checker.violations,
+        () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
+    for (String job : simulation.users.accepted()) {
+      boolean ends = simulation.users.runMsOf(job, 0) != null;
+      String message = "seed " + simulation.seed + ": " + job + " is left\n";
+      assertTrue(!ends || simulation.checker.isEnded(job), () -> message + simulation.fullLog());
     }
   }
 
@@ -132,7 +137,7 @@
    * the seeds one of the machines on which a task waits for the others is lost, too.
    */
   @Test
-  void gangsGatherAsTheLeaderEnds() {
+  void failoverWhileGangsGather() {
     long gathered = 0;
     int lost = 0;
     int replaced = 0;
@@ -140,24 +145,26 @@
     for (Fate fate : Fate.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation w = world(seed);
-          ControllerModel old = w.leaders().get(0);
+          Simulation simulation = loadedSimulation(seed);
+          ControllerModel old = simulation.leaders().get(0);
           long[] lasts = {6000, 12_000, 20_000, 34_000};
-          for (String machine : some(w, List.copyOf(w.workers.keySet()), 3)) {
-            trouble(w, trouble, machine, lasts[(int) (seed % 4)]);
+          for (String machine :
+              randomMachines(simulation, List.copyOf(simulation.workers.keySet()), 3)) {
+            applyToMachines(simulation, trouble, machine, lasts[(int) (seed % 4)]);
           }
-          gangs().forEach(g -> w.userSubmits(g, 12_000L, () -> {}));
-          w.runTo(22 + 0.5 * (seed % 3));
-          gathered += count(w, w.gangs::gathers);
-          suffer(w, old, fate);
+          gangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
+          simulation.runTo(22 + 0.5 * (seed % 3));
+          gathered += count(simulation, simulation.gangs::isGathering);
+          apply(simulation, old, fate);
           if (seed % 2 == 0) {
-            w.runTo(w.now() / 1000.0 + w.random.nextDouble());
-            some(w, machinesThatGather(w), 1).forEach(m -> w.workers.get(m).beginAnew(500));
+            simulation.runTo(simulation.now() / 1000.0 + simulation.random.nextDouble());
+            randomMachines(simulation, gatheringMachines(simulation), 1)
+                .forEach(m -> simulation.workers.get(m).restart(500));
           }
-          w.runTo(60);
-          assertSound(w, 110);
-          lost += w.gangs.lostWhileGathering;
-          replaced += w.gangs.replaced;
+          simulation.runTo(60);
+          assertSound(simulation, 110);
+          lost += simulation.gangs.lostWhileGathering;
+          replaced += simulation.gangs.startedAfterReplacement;
           played++;
         }
       }
@@ -172,27 +179,31 @@
    * late: the tasks give up waiting as the leader ends, or soon before or after.
    */
   @Test
-  void tasksWaitInVainAsTheLeaderEnds() {
+  void failoverWhileGangTasksTimeOut() {
     int incomplete = 0;
     int played = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation w = new Simulation(seed, Setup.of(3, 12));
-        w.cloud.capacity.put(CloudModel.TYPE, 12);
-        w.cloud.boots = () -> 32_000L;
-        w.runTo(20);
-        ControllerModel old = w.leaders().get(0);
+        Simulation simulation = new Simulation(seed, Setup.of(3, 12));
+        simulation.cloud.capacity.put(CloudModel.TYPE, 12);
+        simulation.cloud.bootMs = () -> 32_000L;
+        simulation.runTo(20);
+        ControllerModel old = simulation.leaders().get(0);
         List<String> there =
-            w.workers.values().stream().filter(m -> m.zone.equals("a")).map(m -> m.name).toList();
-        String lost = some(w, there, 1).get(0);
-        w.userSubmits(
+            simulation.workers.values().stream()
+                .filter(machine -> machine.zone.equals("a"))
+                .map(machine -> machine.name)
+                .toList();
+        String lost = randomMachines(simulation, there, 1).get(0);
+        simulation.userSubmits(
             JobDraft.gang(GANGS.get(0), 4).zone("a").takes(4, 0).spec(), 12_000L, () -> {});
-        w.runUntil(() -> w.gangs.gathers(GANGS.get(0)), 30);
-        w.cloud.die(lost);
-        w.after(26_000 + w.random.nextLong(5000), () -> suffer(w, old, fate));
-        w.runTo(80);
-        assertSound(w, 90);
-        incomplete += w.gangs.incomplete;
+        simulation.runUntil(() -> simulation.gangs.isGathering(GANGS.get(0)), 30);
+        simulation.cloud.die(lost);
+        simulation.after(
+            26_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fate));
+        simulation.runTo(80);
+        assertSound(simulation, 90);
+        incomplete += simulation.gangs.gatherTimeouts;
         played++;
       }
     }
@@ -200,18 +211,18 @@
   }
 
   /** Full of gangs at which urgent work aims; so these are stopped as a whole, and save. */
-  private static Simulation full(long seed) {
-    Simulation w = new Simulation(seed, Setup.of(3, 12));
-    w.cloud.capacity.put(CloudModel.TYPE, 12);
-    w.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
-    w.runTo(4);
+  private static Simulation fullCluster(long seed) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
+    simulation.cloud.capacity.put(CloudModel.TYPE, 12);
+    simulation.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
+    simulation.runTo(4);
     for (int i = 0; i < 4; i++) {
-      JobDraft d = JobDraft.gang(GANGS.get(i), 12).in("c", Priority.LOW).saves(1 + i % 2);
-      w.submit((i == 0 ? d.spread() : d).spec(), 25_000L);
+      JobDraft draft = JobDraft.gang(GANGS.get(i), 12).in("c", Priority.LOW).saves(1 + i % 2);
+      simulation.submit((i == 0 ? draft.spread() : draft).spec(), 25_000L);
     }
-    w.runTo(20);
-    assertEquals(1, w.leaders().size(), w.story());
-    return w;
+    simulation.runTo(20);
+    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
+    return simulation;
   }
 
   /**
@@ -220,7 +231,7 @@
    * others wait.
    */
   @Test
-  void aLeaderEndsWhileGangsAreBeingStopped() {
+  void failoverWhileGangsAreStopped() {
     int saving = 0;
     int inOrder = 0;
     int failed = 0;
@@ -230,22 +241,24 @@
     for (Fate fate : Fate.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation w = full(seed);
-          ControllerModel old = w.leaders().get(0);
-          for (String machine : some(w, machinesOf(w, GANGS), (int) (seed % 3) * 2)) {
-            trouble(w, trouble, machine, seed < 3 ? 2500 : 9000);
+          Simulation simulation = fullCluster(seed);
+          ControllerModel old = simulation.leaders().get(0);
+          for (String machine :
+              randomMachines(simulation, machinesOf(simulation, GANGS), (int) (seed % 3) * 2)) {
+            applyToMachines(simulation, trouble, machine, seed < 3 ? 2500 : 9000);
           }
-          w.submit(JobDraft.array("wk-u", 5).in("u", Priority.HIGH).spec(), 8_000L);
-          boolean met = w.runUntil(() -> count(w, w.gangs::saves) > 0, 30);
-          w.runTo(w.now() / 1000.0 + 0.3 * (seed % 4));
+          simulation.submit(JobDraft.array("wk-u", 5).in("u", Priority.HIGH).spec(), 8_000L);
+          boolean met =
+              simulation.runUntil(() -> count(simulation, simulation.gangs::isSaving) > 0, 30);
+          simulation.runTo(simulation.now() / 1000.0 + 0.3 * (seed % 4));
           saving += met ? 1 : 0;
-          suffer(w, old, fate);
-          w.runTo(45);
-          assertSound(w, 150);
-          inOrder += w.gangs.stoppedInOrder;
-          failed += w.gangs.saveFailed;
-          wentOn += w.gangs.wentOn;
-          tooLate += w.gangs.startedTooLate;
+          apply(simulation, old, fate);
+          simulation.runTo(45);
+          assertSound(simulation, 150);
+          inOrder += simulation.gangs.stoppedInOrder;
+          failed += simulation.gangs.saveFailed;
+          wentOn += simulation.gangs.resumed;
+          tooLate += simulation.gangs.startedAfterGangStart;
           played++;
         }
       }
@@ -259,7 +272,7 @@
 
   /** Gangs are called off within 0.2 s whose machines hang or are cut off; the leader changes. */
   @Test
-  void gangsAreCancelledAsTheLeaderChanges() {
+  void gangsCancelledDuringFailover() {
     int onTroubled = 0;
     int confirmed = 0;
     int gathered = 0;
@@ -267,32 +280,36 @@
     for (Fate fate : Fate.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation w = world(seed);
-          ControllerModel old = w.leaders().get(0);
+          Simulation simulation = loadedSimulation(seed);
+          ControllerModel old = simulation.leaders().get(0);
           List<Long> whenMs = List.of(-1500L, 100L, 1500L);
           boolean early = seed % 2 == 0; // so that they are still gathering
           long forMs = 4000 + 4000 * seed;
           if (!early) {
-            gangs().forEach(g -> w.userSubmits(g, 300_000L, () -> {}));
-            w.runTo(26);
+            gangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
+            simulation.runTo(26);
           }
-          List<String> all = early ? List.copyOf(w.workers.keySet()) : machinesOf(w, GANGS);
-          List<String> machines = some(w, all, 4);
-          machines.forEach(m -> trouble(w, trouble, m, forMs));
+          List<String> all =
+              early ? List.copyOf(simulation.workers.keySet()) : machinesOf(simulation, GANGS);
+          List<String> machines = randomMachines(simulation, all, 4);
+          machines.forEach(m -> applyToMachines(simulation, trouble, m, forMs));
           if (early) {
-            gangs().forEach(g -> w.userSubmits(g, 300_000L, () -> {}));
+            gangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
           }
-          w.after(2000 + whenMs.get((int) (seed % 3)), () -> suffer(w, old, fate));
-          GANGS.forEach(g -> w.after(2000 + w.random.nextLong(200), () -> w.userCancels(g)));
-          w.runTo(w.now() / 1000.0 + 2);
-          gathered += count(w, w.gangs::gathers);
-          int[] on = new int[1];
-          w.checker.eachOnMachine((task, m) -> on[0] += machines.contains(m) ? 1 : 0);
-          onTroubled += on[0];
-          w.askAll();
-          w.runTo(w.now() / 1000.0 + 45);
-          assertSound(w, 30);
-          confirmed += w.checker.confirmed();
+          simulation.after(2000 + whenMs.get((int) (seed % 3)), () -> apply(simulation, old, fate));
+          GANGS.forEach(
+              gang ->
+                  simulation.after(
+                      2000 + simulation.random.nextLong(200), () -> simulation.userCancels(gang)));
+          simulation.runTo(simulation.now() / 1000.0 + 2);
+          gathered += count(simulation, simulation.gangs::isGathering);
+          int[] counts = new int[1];
+          simulation.checker.eachOnMachine((task, m) -> counts[0] += machines.contains(m) ? 1 : 0);
+          onTroubled += counts[0];
+          simulation.pollAllJobs();
+          simulation.runTo(simulation.now() / 1000.0 + 45);
+          assertSound(simulation, 30);
+          confirmed += simulation.checker.cancelsConfirmed();
           played++;
         }
       }
@@ -307,46 +324,49 @@
    * others are kept for the next leader, and one machine is lost before it tells.
    */
   @Test
-  void gangsCompleteWhileReportsAreLateAndTheLeaderEnds() {
-    int told = 0;
+  void gangsCompleteWithDelayedHeartbeatsDuringFailover() {
+    int confirmed = 0;
     int copies = 0;
     int heldBack = 0;
     int lost = 0;
     int played = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        Simulation w = world(seed);
-        ControllerModel old = w.leaders().get(0);
-        w.lateReports.kept = 0.4;
-        w.lateReports.heldBack = 0.3;
-        gangs().forEach(g -> w.userSubmits(g, 8_000L, () -> {}));
-        boolean runs = w.runUntil(() -> count(w, w.gangs::done) > 0, 60);
-        assertTrue(runs, w.wholeStory());
-        told += old.keeps(GANGS.get(0)) || old.keeps(GANGS.get(1)) ? 1 : 0;
-        List<String> there = some(w, machinesOfDone(w), 1);
-        there.forEach(m -> w.workers.get(m).beginAnew(300 + w.random.nextLong(2000)));
+        Simulation simulation = loadedSimulation(seed);
+        ControllerModel old = simulation.leaders().get(0);
+        simulation.delayedHeartbeats.keepShare = 0.4;
+        simulation.delayedHeartbeats.holdShare = 0.3;
+        gangs().forEach(gang -> simulation.userSubmits(gang, 8_000L, () -> {}));
+        boolean runs =
+            simulation.runUntil(() -> count(simulation, simulation.gangs::isDone) > 0, 60);
+        assertTrue(runs, simulation.fullLog());
+        confirmed += old.manages(GANGS.get(0)) || old.manages(GANGS.get(1)) ? 1 : 0;
+        List<String> there = randomMachines(simulation, machinesOfDone(simulation), 1);
+        there.forEach(
+            m -> simulation.workers.get(m).restart(300 + simulation.random.nextLong(2000)));
         lost += there.size();
-        w.runTo(w.now() / 1000.0 + w.random.nextDouble());
-        suffer(w, old, fate);
-        w.askAll();
-        w.runTo(w.now() / 1000.0 + 20);
-        copies += w.lateReports.ofEndedTasks;
-        heldBack += w.lateReports.heldBackAtLeader;
-        assertSound(w, 60);
+        simulation.runTo(simulation.now() / 1000.0 + simulation.random.nextDouble());
+        apply(simulation, old, fate);
+        simulation.pollAllJobs();
+        simulation.runTo(simulation.now() / 1000.0 + 20);
+        copies += simulation.delayedHeartbeats.withEndedTasks;
+        heldBack += simulation.delayedHeartbeats.heldAtLeader;
+        assertSound(simulation, 60);
         played++;
       }
     }
-    assertTrue(told >= played * 3 / 4, told + " were not known to be done, of " + played);
+    assertTrue(confirmed >= played * 3 / 4, confirmed + " were not known to be done, of " + played);
     assertTrue(copies >= played, copies + " copies with tasks that had ended");
     assertTrue(heldBack >= played / 4, heldBack + " reports held back until the next had acted");
     assertTrue(lost >= played * 3 / 4, lost + " machines lost before they told");
   }
 
   /** Machines with tasks that have just completed. */
-  private static List<String> machinesOfDone(Simulation w) {
-    return w.workers.values().stream()
-        .filter(m -> m.tasks().stream().anyMatch(t -> w.gangs.done(t.job)))
-        .map(m -> m.name)
+  private static List<String> machinesOfDone(Simulation simulation) {
+    return simulation.workers.values().stream()
+        .filter(
+            machine -> machine.tasks().stream().anyMatch(task -> simulation.gangs.isDone(task.job)))
+        .map(machine -> machine.name)
         .toList();
   }
 
@@ -355,31 +375,33 @@
    * machines with its tasks are lost or cannot be reached, and the leader ends.
    */
   @Test
-  void aTeamIsAtItsLimitByGangs() {
+  void teamAtLimitByGangs() {
     int atLimit = 0;
     int onTroubled = 0;
     int played = 0;
     for (Fate fate : Fate.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation w = limited(seed);
-          ControllerModel old = w.leaders().get(0);
-          double[] use = w.checker.use("red");
+          Simulation simulation = limitedSimulation(seed);
+          ControllerModel old = simulation.leaders().get(0);
+          double[] use = simulation.checker.usage("red");
           atLimit += use[0] > 12 - 3 && use[1] > 3 - 2 ? 1 : 0;
-          List<String> machines = some(w, machinesOf(w, List.copyOf(w.users.accepted())), 4);
+          List<String> machines =
+              randomMachines(
+                  simulation, machinesOf(simulation, List.copyOf(simulation.users.accepted())), 4);
           onTroubled += machines.size();
           long forMs = 5000 + 4000 * seed;
-          machines.forEach(m -> trouble(w, trouble, m, forMs));
+          machines.forEach(m -> applyToMachines(simulation, trouble, m, forMs));
           if (seed % 2 == 0) {
-            machines.stream().limit(2).forEach(w.cloud::die);
+            machines.stream().limit(2).forEach(simulation.cloud::die);
           }
-          w.runTo(w.now() / 1000.0 + 1);
+          simulation.runTo(simulation.now() / 1000.0 + 1);
           if (seed % 3 == 0) {
-            w.userCancels("wk-r0");
+            simulation.userCancels("wk-r0");
           }
-          suffer(w, old, fate);
-          w.runTo(w.now() / 1000.0 + 45);
-          assertSound(w, 150);
+          apply(simulation, old, fate);
+          simulation.runTo(simulation.now() / 1000.0 + 45);
+          assertSound(simulation, 150);
           played++;
         }
       }
@@ -388,28 +410,29 @@
     assertTrue(onTroubled >= 3 * played, onTroubled + " machines in trouble");
   }
 
-  private static Simulation limited(long seed) {
-    Simulation w = new Simulation(seed, Setup.of(3, 12));
-    w.cloud.offer(new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, w.setup.zones()));
+  private static Simulation limitedSimulation(long seed) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
+    simulation.cloud.addType(
+        new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, simulation.setup.zones()));
     for (int i = 0; i < 6; i++) {
-      String zone = w.setup.zones().get(i % 3);
-      w.cloud.add("vm-acc" + i, new CloudModel.Kind("accel", zone, false), true);
+      String zone = simulation.setup.zones().get(i % 3);
+      simulation.cloud.addMachine("vm-acc" + i, new CloudModel.Kind("accel", zone, false), true);
     }
-    w.teams.put("red", new Team("red", 4, 12, 1, 3));
-    w.teams.put("team", new Team("team", 0, 0, 0, 0));
-    w.runTo(4);
+    simulation.teams.put("red", new Team("red", 4, 12, 1, 3));
+    simulation.teams.put("team", new Team("team", 0, 0, 0, 0));
+    simulation.runTo(4);
     for (int i = 0; i < 4; i++) {
       JobDraft acc = JobDraft.gang("wk-ra" + i, 2).of("red").takes(1, 1);
-      w.submit((i % 2 == 0 ? acc.oneZone() : acc).spec(), 15_000L);
+      simulation.submit((i % 2 == 0 ? acc.oneZone() : acc).spec(), 15_000L);
     }
-    w.runTo(6);
+    simulation.runTo(6);
     for (int i = 0; i < 6; i++) {
-      JobDraft d = JobDraft.gang("wk-r" + i, 2 + i % 3).of("red").saves(i % 2);
-      w.submit((i % 3 == 0 ? d.oneZone() : d).spec(), 15_000L);
+      JobDraft draft = JobDraft.gang("wk-r" + i, 2 + i % 3).of("red").saves(i % 2);
+      simulation.submit((i % 3 == 0 ? draft.oneZone() : draft).spec(), 15_000L);
     }
-    w.runTo(17);
-    assertEquals(1, w.leaders().size(), w.story());
-    return w;
+    simulation.runTo(17);
+    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
+    return simulation;
   }
 
   /**
@@ -418,38 +441,39 @@
    * the seeds the gangs are called off meanwhile.
    */
   @Test
-  void startsOfHalfAGangAreHeldOnTheirWay() {
+  void startCommandsOfHalfAGangAreDelayed() {
     int held = 0;
     long gathered = 0;
     int startedLate = 0;
     int played = 0;
     for (Fate fate : Fate.values()) {
-      for (boolean mute : new boolean[] {false, true}) {
+      for (boolean partitioned : new boolean[] {false, true}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation w = world(seed);
-          ControllerModel old = w.leaders().get(0);
-          List<String> machines = some(w, List.copyOf(w.workers.keySet()), 6);
+          Simulation simulation = loadedSimulation(seed);
+          ControllerModel old = simulation.leaders().get(0);
+          List<String> machines =
+              randomMachines(simulation, List.copyOf(simulation.workers.keySet()), 6);
           long forMs = List.of(1500L, 3000L, 6000L, 13_000L).get((int) (seed % 4));
-          machines.forEach(m -> w.cut(old.name, m));
-          if (mute) {
-            machines.forEach(m -> w.workers.get(m).mute(forMs + 2000));
+          machines.forEach(m -> simulation.cut(old.name, m));
+          if (partitioned) {
+            machines.forEach(m -> simulation.workers.get(m).partitionOutbound(forMs + 2000));
           }
-          gangs().forEach(g -> w.userSubmits(g, 12_000L, () -> {}));
-          w.runTo(21.5);
-          gathered += count(w, w.gangs::gathers);
-          suffer(w, old, fate);
+          gangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
+          simulation.runTo(21.5);
+          gathered += count(simulation, simulation.gangs::isGathering);
+          apply(simulation, old, fate);
           if (seed % 3 == 0) {
-            GANGS.forEach(w::userCancels);
+            GANGS.forEach(simulation::userCancels);
           }
-          w.runTo(20 + forMs / 1000.0);
-          held += w.held();
-          int before = w.checker.started;
-          machines.forEach(m -> w.heal(old.name, m));
-          w.runTo(w.now() / 1000.0 + 0.05);
-          startedLate += w.checker.started - before;
-          w.askAll();
-          w.runTo(w.now() / 1000.0 + 40);
-          assertSound(w, 60);
+          simulation.runTo(20 + forMs / 1000.0);
+          held += simulation.heldMessageCount();
+          int before = simulation.checker.started;
+          machines.forEach(m -> simulation.heal(old.name, m));
+          simulation.runTo(simulation.now() / 1000.0 + 0.05);
+          startedLate += simulation.checker.started - before;
+          simulation.pollAllJobs();
+          simulation.runTo(simulation.now() / 1000.0 + 40);
+          assertSound(simulation, 60);
           played++;
         }
       }
--- a/src/test/java/org/astershift/simulation/GangModel.java
+++ b/src/test/java/org/astershift/simulation/GangModel.java
@@ -19,10 +19,10 @@
  * <p>They find one another whatever is cut: the links are those between machines and controllers.
  */
 final class GangModel {
-  static final long WAIT_MS = 30_000;
-  static final long PEER_MS = 4000;
-  private static final long LOOK_MS = 200;
-  private final Simulation world;
+  static final long GATHER_TIMEOUT_MS = 30_000;
+  static final long PEER_TIMEOUT_MS = 4000;
+  private static final long PEER_CHECK_MS = 200;
+  private final Simulation simulation;
   private final Map<String, Attempt> attempts = new HashMap<>();
 
   /** By job, the progress that its next attempt goes on from. */
@@ -33,17 +33,17 @@
   // What happened, for tests that have to see that it did.
 
   /** Gangs that began, and those that did after their user was told that they are cancelled. */
-  int began;
+  int started;
 
-  int beganAfterConfirmation;
+  int startedAfterCancelConfirmed;
 
   /** Attempts that lost a task while they gathered, and those that began all the same. */
   int lostWhileGathering;
 
-  int replaced;
+  int startedAfterReplacement;
 
   /** Attempts that lost a task while they ran, or whose save failed. */
-  int broken;
+  int lostWhileRunning;
 
   /** Attempts all of whose tasks were told to stop in time, and saved. */
   int stoppedInOrder;
@@ -52,13 +52,13 @@
   int saveFailed;
 
   /** Attempts that went on from progress saved before. */
-  int wentOn;
+  int resumed;
 
   /** Tasks that gave up waiting for the others. */
-  int incomplete;
+  int gatherTimeouts;
 
   /** Tasks that were started of an attempt that had begun before. */
-  int startedTooLate;
+  int startedAfterGangStart;
 
   /** One attempt of a gang. */
   private static final class Attempt {
@@ -69,15 +69,15 @@
     final Map<Integer, Task> members = new TreeMap<>();
 
     boolean lostOne;
-    boolean began;
+    boolean started;
 
     /** It lost a task, failed to save, saved or completed: it ends as a whole. */
-    boolean over;
+    boolean ended;
 
-    long beganMs;
-    long fromMs;
+    long startedMs;
+    long resumedFromMs;
     long firstStopMs = -1;
-    final Set<Integer> told = new HashSet<>();
+    final Set<Integer> stopRequested = new HashSet<>();
     final Set<Integer> saved = new HashSet<>();
 
     Attempt(String job, JobSpec spec) {
@@ -85,119 +85,139 @@
       this.spec = spec;
     }
 
-    boolean allTold() {
-      return told.size() == spec.tasks();
+    boolean allStopRequested() {
+      return stopRequested.size() == spec.tasks();
     }
   }
 
-  GangModel(Simulation world) {
-    this.world = world;
+  GangModel(Simulation simulation) {
+    this.simulation = simulation;
   }
 
-  private Attempt of(Task t) {
+  private Attempt attemptOf(Task task) {
     return attempts.computeIfAbsent(
-        t.job + "@" + t.attempt, k -> new Attempt(t.job, world.users.spec(t.job)));
+        task.job + "@" + task.attempt, k -> new Attempt(task.job, simulation.users.spec(task.job)));
   }
 
   /** Whether some attempt of the job is gathering now, and has lost none, or has. */
-  boolean gathers(String job) {
+  boolean isGathering(String job) {
     return attempts.values().stream()
-        .anyMatch(a -> a.job.equals(job) && !a.began && !a.members.isEmpty());
+        .anyMatch(
+            attempt -> attempt.job.equals(job) && !attempt.started && !attempt.members.isEmpty());
   }
 
   /** Whether an attempt of the job runs, and is not being stopped. */
-  boolean runs(String job) {
+  boolean isRunning(String job) {
     return attempts.values().stream()
-        .anyMatch(a -> a.job.equals(job) && a.began && !a.over && a.firstStopMs < 0);
+        .anyMatch(
+            attempt ->
+                attempt.job.equals(job)
+                    && attempt.started
+                    && !attempt.ended
+                    && attempt.firstStopMs < 0);
   }
 
   /** Whether it is being stopped, and not all are told yet. */
-  boolean saves(String job) {
+  boolean isSaving(String job) {
     return attempts.values().stream()
-        .anyMatch(a -> a.job.equals(job) && a.began && !a.over && a.firstStopMs >= 0);
+        .anyMatch(
+            attempt ->
+                attempt.job.equals(job)
+                    && attempt.started
+                    && !attempt.ended
+                    && attempt.firstStopMs >= 0);
   }
 
-  boolean done(String job) {
+  boolean isDone(String job) {
     return done.contains(job);
   }
 
   /** The task has its image. */
-  void arrives(Task t) {
-    if (done.contains(t.job)) {
-      t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "done");
+  void onImageFetched(Task task) {
+    if (done.contains(task.job)) {
+      task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "done");
       return;
     }
-    Attempt a = of(t);
-    startedTooLate += a.began ? 1 : 0;
-    a.members.put(t.index, t);
-    t.worker.phase(t, Heartbeat.TaskPhase.WAITING, null);
-    t.worker.afterWork(
-        WAIT_MS,
+    Attempt attempt = attemptOf(task);
+    startedAfterGangStart += attempt.started ? 1 : 0;
+    attempt.members.put(task.index, task);
+    task.worker.moveTo(task, Heartbeat.TaskPhase.WAITING, null);
+    task.worker.afterWork(
+        GATHER_TIMEOUT_MS,
         () -> {
-          if (t.phase == Heartbeat.TaskPhase.WAITING) {
-            incomplete++;
-            t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "incomplete");
+          if (task.phase == Heartbeat.TaskPhase.WAITING) {
+            gatherTimeouts++;
+            task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "incomplete");
           }
         });
-    begin(a);
+    startIfComplete(attempt);
   }
 
-  private void begin(Attempt a) {
-    if (a.began || a.members.size() < a.spec.tasks()) {
+  private void startIfComplete(Attempt attempt) {
+    if (attempt.started || attempt.members.size() < attempt.spec.tasks()) {
       return;
     }
-    a.began = true;
-    a.beganMs = world.now();
-    a.fromMs = progressMs.getOrDefault(a.job, 0L);
-    began++;
-    replaced += a.lostOne ? 1 : 0;
-    wentOn += a.fromMs > 0 ? 1 : 0;
-    beganAfterConfirmation += world.checker.confirmedMs(a.job) == null ? 0 : 1;
-    world.note("gang", a.job + " begins");
-    List<Task> all = new ArrayList<>(a.members.values());
-    all.forEach(t -> t.worker.phase(t, Heartbeat.TaskPhase.RUNNING, null));
-    all.forEach(t -> t.worker.fails(t, WorkerModel.FAILS_MS));
-    all.stream().map(t -> t.worker).filter(WorkerModel::hung).forEach(this::hangs);
-    Long runMs = world.users.runMsOf(a.job, 0);
+    attempt.started = true;
+    attempt.startedMs = simulation.now();
+    attempt.resumedFromMs = progressMs.getOrDefault(attempt.job, 0L);
+    started++;
+    startedAfterReplacement += attempt.lostOne ? 1 : 0;
+    resumed += attempt.resumedFromMs > 0 ? 1 : 0;
+    startedAfterCancelConfirmed +=
+        simulation.checker.cancelConfirmedMs(attempt.job) == null ? 0 : 1;
+    simulation.log("gang", attempt.job + " begins");
+    List<Task> all = new ArrayList<>(attempt.members.values());
+    all.forEach(task -> task.worker.moveTo(task, Heartbeat.TaskPhase.RUNNING, null));
+    all.forEach(task -> task.worker.failIfFaulty(task, WorkerModel.FAILS_AFTER_MS));
+    all.stream()
+        .map(task -> task.worker)
+        .filter(WorkerModel::paused)
+        .forEach(this::onMachinePaused);
+    Long runMs = simulation.users.runMsOf(attempt.job, 0);
     if (runMs != null) {
-      long leftMs = Math.max(0, runMs - a.fromMs);
-      world.users.started(a.job, leftMs);
-      world.after(leftMs, () -> finish(a));
+      long leftMs = Math.max(0, runMs - attempt.resumedFromMs);
+      simulation.users.started(attempt.job, leftMs);
+      simulation.after(leftMs, () -> finish(attempt));
     }
   }
 
   /** The slowest machine sets the speed: while one hangs, nothing goes on. */
-  private void finish(Attempt a) {
-    if (a.over || a.firstStopMs >= 0) {
+  private void finish(Attempt attempt) {
+    if (attempt.ended || attempt.firstStopMs >= 0) {
       return;
     }
-    if (a.members.values().stream().anyMatch(t -> t.worker.hung())) {
-      world.after(LOOK_MS, () -> finish(a));
+    if (attempt.members.values().stream().anyMatch(task -> task.worker.paused())) {
+      simulation.after(PEER_CHECK_MS, () -> finish(attempt));
       return;
     }
-    a.over = true;
-    done.add(a.job);
-    world.note("gang", a.job + " is complete");
-    for (int i = 0; i < a.spec.tasks(); i++) {
-      world.users.completed(a.job, i);
-      world.checker.completed(a.job + "/" + i);
+    attempt.ended = true;
+    done.add(attempt.job);
+    simulation.log("gang", attempt.job + " is complete");
+    for (int i = 0; i < attempt.spec.tasks(); i++) {
+      simulation.users.completed(attempt.job, i);
+      simulation.checker.onTaskCompleted(attempt.job + "/" + i);
     }
-    for (Task t : List.copyOf(a.members.values())) {
-      t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "done");
+    for (Task task : List.copyOf(attempt.members.values())) {
+      task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "done");
     }
   }
 
   /** A machine hangs: the peers of its tasks notice it if that lasts. */
-  void hangs(WorkerModel w) {
-    for (Task t : w.tasks()) {
-      Attempt a = attempts.get(t.job + "@" + t.attempt);
-      if (a != null && a.began && !a.over && a.members.get(t.index) == t) {
-        int of = w.hangs();
-        world.after(
-            PEER_MS,
+  void onMachinePaused(WorkerModel worker) {
+    for (Task task : worker.tasks()) {
+      Attempt attempt = attempts.get(task.job + "@" + task.attempt);
+      if (attempt != null
+          && attempt.started
+          && !attempt.ended
+          && attempt.members.get(task.index) == task) {
+        int pause = worker.pauses();
+        simulation.after(
+            PEER_TIMEOUT_MS,
             () -> {
-              if (w.hung() && w.hangs() == of && a.members.get(t.index) == t) {
-                breaks(a);
+              if (worker.paused()
+                  && worker.pauses() == pause
+                  && attempt.members.get(task.index) == task) {
+                onTaskLost(attempt);
               }
             });
       }
@@ -205,88 +225,93 @@
   }
 
   /** The task is no longer there, for whatever reason; {@code stored}: it left in order. */
-  void left(Task t) {
-    Attempt a = attempts.get(t.job + "@" + t.attempt);
-    if (a == null || !a.members.remove(t.index, t)) {
+  void onTaskGone(Task task) {
+    Attempt attempt = attempts.get(task.job + "@" + task.attempt);
+    if (attempt == null || !attempt.members.remove(task.index, task)) {
       return;
     }
-    if (!a.began) {
-      lostWhileGathering += a.lostOne ? 0 : 1;
-      a.lostOne = true;
+    if (!attempt.started) {
+      lostWhileGathering += attempt.lostOne ? 0 : 1;
+      attempt.lostOne = true;
     } else {
-      breaks(a);
+      onTaskLost(attempt);
     }
   }
 
   /** A task of a running attempt is gone: the others notice, and what was not saved is lost. */
-  private void breaks(Attempt a) {
-    if (a.over) {
+  private void onTaskLost(Attempt attempt) {
+    if (attempt.ended) {
       return;
     }
-    a.over = true;
-    broken++;
-    saveFailed += a.firstStopMs >= 0 ? 1 : 0;
-    long everyMs = Math.round(a.spec.checkpointIntervalS() * 1000);
+    attempt.ended = true;
+    lostWhileRunning++;
+    saveFailed += attempt.firstStopMs >= 0 ? 1 : 0;
+    long everyMs = Math.round(attempt.spec.checkpointIntervalS() * 1000);
     if (everyMs > 0) {
-      progressMs.put(a.job, ranMs(a) / everyMs * everyMs);
+      progressMs.put(attempt.job, ranMs(attempt) / everyMs * everyMs);
     }
-    world.note("gang", a.job + " has lost a task");
-    for (Task t : a.members.values()) {
-      world.after(
-          world.random.nextLong(PEER_MS),
-          () -> t.worker.when(t, () -> t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "peers")));
+    simulation.log("gang", attempt.job + " has lost a task");
+    for (Task task : attempt.members.values()) {
+      simulation.after(
+          simulation.random.nextLong(PEER_TIMEOUT_MS),
+          () ->
+              task.worker.whenRunning(
+                  task, () -> task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "peers")));
     }
   }
 
-  private long ranMs(Attempt a) {
-    return a.fromMs + (a.firstStopMs >= 0 ? a.firstStopMs : world.now()) - a.beganMs;
+  private long ranMs(Attempt attempt) {
+    return attempt.resumedFromMs
+        + (attempt.firstStopMs >= 0 ? attempt.firstStopMs : simulation.now())
+        - attempt.startedMs;
   }
 
   /** A task that runs or saves is told to stop. */
-  void stop(Task t, boolean inTime) {
-    Attempt a = of(t);
-    if (t.phase == Heartbeat.TaskPhase.SAVING && inTime) {
+  void stop(Task task, boolean inTime) {
+    Attempt attempt = attemptOf(task);
+    if (task.phase == Heartbeat.TaskPhase.SAVING && inTime) {
       return;
     }
-    if (a.over || !inTime || t.phase != Heartbeat.TaskPhase.RUNNING) {
-      t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "halted");
+    if (attempt.ended || !inTime || task.phase != Heartbeat.TaskPhase.RUNNING) {
+      task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "halted");
       return;
     }
-    if (a.firstStopMs < 0) {
-      a.firstStopMs = world.now();
-      world.after(
-          PEER_MS,
+    if (attempt.firstStopMs < 0) {
+      attempt.firstStopMs = simulation.now();
+      simulation.after(
+          PEER_TIMEOUT_MS,
           () -> {
-            if (!a.allTold()) {
-              breaks(a);
+            if (!attempt.allStopRequested()) {
+              onTaskLost(attempt);
             }
           });
     }
-    a.told.add(t.index);
-    t.worker.phase(t, Heartbeat.TaskPhase.SAVING, null);
-    t.worker.afterWork(
-        Math.round(a.spec.checkpointSaveS() * 1000),
+    attempt.stopRequested.add(task.index);
+    task.worker.moveTo(task, Heartbeat.TaskPhase.SAVING, null);
+    task.worker.afterWork(
+        Math.round(attempt.spec.checkpointSaveS() * 1000),
         () -> {
-          a.saved.add(t.index);
-          leave(a);
+          attempt.saved.add(task.index);
+          exitSaved(attempt);
         });
-    leave(a);
+    exitSaved(attempt);
   }
 
   /** Those that have saved go once all have been told. */
-  private void leave(Attempt a) {
-    if (!a.allTold() || a.saved.isEmpty()) {
+  private void exitSaved(Attempt attempt) {
+    if (!attempt.allStopRequested() || attempt.saved.isEmpty()) {
       return;
     }
-    if (!a.over) {
-      a.over = true;
+    if (!attempt.ended) {
+      attempt.ended = true;
       stoppedInOrder++;
-      progressMs.put(a.job, ranMs(a));
-      world.note("gang", a.job + " has saved");
+      progressMs.put(attempt.job, ranMs(attempt));
+      simulation.log("gang", attempt.job + " has saved");
     }
-    for (Task t : List.copyOf(a.members.values())) {
-      if (t.phase == Heartbeat.TaskPhase.SAVING && a.saved.contains(t.index)) {
-        t.worker.when(t, () -> t.worker.phase(t, Heartbeat.TaskPhase.EXITED, "halted"));
+    for (Task task : List.copyOf(attempt.members.values())) {
+      if (task.phase == Heartbeat.TaskPhase.SAVING && attempt.saved.contains(task.index)) {
+        task.worker.whenRunning(
+            task, () -> task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
       }
     }
   }
--- a/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
+++ b/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
@@ -13,10 +13,10 @@
   private static final int MACHINES = 24;
   private static final int RESTARTED = 5;
   private static final double CUT_AFTER_S = 1.3;
-  private static final double UNHEARD_S = 12;
+  private static final double UNSEEN_S = 12;
   private static final int SEEDS = 3;
   private static final long RESTART_MS = 900;
-  private static final long REPORT_MS = Setup.of(3, MACHINES).reportMs();
+  private static final long HEARTBEAT_MS = Setup.of(3, MACHINES).heartbeatMs();
   private static final long STEP_MS = 100;
 
   /**
@@ -25,8 +25,8 @@
    * others may have asked it in vain while it restarted; that is once, and it is there.
    */
   @Test
-  void aMachineThatRestartsIsNotGivenAwayForOneQuestionInVain() {
-    assertNothingIsGivenAway(HealthyMachinesTest::restart);
+  void restartedMachineIsNotReleasedAfterOneFailedProbe() {
+    assertNothingReleased(HealthyMachinesTest::restart);
   }
 
   /**
@@ -35,8 +35,8 @@
    * moment; its silence before says nothing, since none of its reports was to be expected.
    */
   @Test
-  void aMachineOnlyHeardByItsAnswersIsNotGivenAwayAsItRestarts() {
-    assertNothingIsGivenAway(HealthyMachinesTest::restartUnheard);
+  void machineSeenOnlyThroughCommandAnswersIsNotReleasedOnRestart() {
+    assertNothingReleased(HealthyMachinesTest::restartUnseen);
   }
 
   /** What is played under a seed, with a restart so long after some moment. */
@@ -44,13 +44,13 @@
     Simulation with(long seed, long atMs);
   }
 
-  private static void assertNothingIsGivenAway(Play play) {
+  private static void assertNothingReleased(Play play) {
     List<String> givenAway = new ArrayList<>();
     for (long seed = 1; seed <= SEEDS; seed++) {
-      for (long atMs = 0; atMs < 2 * REPORT_MS; atMs += STEP_MS) {
-        Simulation w = play.with(seed, atMs);
-        assertEquals(List.of(), w.checker.broken, w.wholeStory());
-        for (String machine : w.checker.healthyReturned) {
+      for (long atMs = 0; atMs < 2 * HEARTBEAT_MS; atMs += STEP_MS) {
+        Simulation simulation = play.with(seed, atMs);
+        assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
+        for (String machine : simulation.checker.healthyReleased) {
           givenAway.add("seed " + seed + ", at " + atMs + " ms: " + machine);
         }
       }
@@ -60,31 +60,31 @@
 
   /** A service runs on all machines, and one controller leads. */
   private static Simulation served(long seed) {
-    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
-    w.runTo(4);
-    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 2 * MACHINES), null);
-    w.runTo(20);
-    return w;
+    Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
+    simulation.runTo(4);
+    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 2 * MACHINES), null);
+    simulation.runTo(20);
+    return simulation;
   }
 
-  private static Simulation restartUnheard(long seed, long atMs) {
-    Simulation w = served(seed);
-    ControllerModel leader = w.onlyLeader();
+  private static Simulation restartUnseen(long seed, long atMs) {
+    Simulation simulation = served(seed);
+    ControllerModel leader = simulation.onlyLeader();
     for (int i = 0; i < RESTARTED; i++) {
-      w.cut(restarted(seed, i), leader.name);
+      simulation.cut(restarted(seed, i), leader.name);
     }
-    w.runTo(20 + UNHEARD_S + atMs / 1000.0);
-    restartMachines(w);
-    w.runTo(20 + UNHEARD_S + 8);
-    w.healAll();
-    w.runTo(20 + UNHEARD_S + 20);
-    return w;
+    simulation.runTo(20 + UNSEEN_S + atMs / 1000.0);
+    restartMachines(simulation);
+    simulation.runTo(20 + UNSEEN_S + 8);
+    simulation.healAll();
+    simulation.runTo(20 + UNSEEN_S + 20);
+    return simulation;
   }
 
   /** Some for longer than others, all within a second. */
-  private static void restartMachines(Simulation w) {
+  private static void restartMachines(Simulation simulation) {
     for (int i = 0; i < RESTARTED; i++) {
-      w.workers.get(restarted(w.seed, i)).beginAnew(RESTART_MS - 150 * i);
+      simulation.workers.get(restarted(simulation.seed, i)).restart(RESTART_MS - 150 * i);
     }
   }
 
@@ -93,15 +93,15 @@
   }
 
   private static Simulation restart(long seed, long atMs) {
-    Simulation w = served(seed);
-    ControllerModel leader = w.onlyLeader();
-    w.runTo(20 + atMs / 1000.0);
-    restartMachines(w);
-    w.runTo(20 + atMs / 1000.0 + CUT_AFTER_S);
-    w.workers.keySet().forEach(m -> w.cut(m, leader.name));
-    w.runTo(20 + atMs / 1000.0 + 6);
-    w.healAll();
-    w.runTo(40);
-    return w;
+    Simulation simulation = served(seed);
+    ControllerModel leader = simulation.onlyLeader();
+    simulation.runTo(20 + atMs / 1000.0);
+    restartMachines(simulation);
+    simulation.runTo(20 + atMs / 1000.0 + CUT_AFTER_S);
+    simulation.workers.keySet().forEach(m -> simulation.cut(m, leader.name));
+    simulation.runTo(20 + atMs / 1000.0 + 6);
+    simulation.healAll();
+    simulation.runTo(40);
+    return simulation;
   }
 }
