--- a/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
@@ -24,10 +24,10 @@
   private static final int MACHINES = 12;
 
   /** Until all machines of the leader before are heard: measured up to 4.0 s with these copies. */
-  private static final long HEARD_MS = 6000;
+  private static final long RECONCILE_MS = 6000;
 
   /** How the leader ends. */
-  private enum End {
+  private enum LeaderFault {
     CRASHES,
     BACK_AT_ONCE,
     HANDS_OVER,
@@ -41,103 +41,113 @@
    * Arrays that end ({@code wk-10..15}), that are cancelled before the leader ends (20..23), and
    * that run on (30..32), beside a service and under a limit.
    */
-  private static Simulation busy(long seed, double kept, Mutation... mutants) {
-    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
-    w.mutants.addAll(List.of(mutants));
-    w.teamLimit = seed % 2 == 0 ? 44 : 0;
-    w.runTo(4);
-    w.lateReports.kept = kept;
-    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
+  private static Simulation loadedSimulation(long seed, double kept, Mutation... mutations) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
+    simulation.mutations.addAll(List.of(mutations));
+    simulation.teamCpuLimit = seed % 2 == 0 ? 44 : 0;
+    simulation.runTo(4);
+    simulation.delayedHeartbeats.keepShare = kept;
+    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
     for (int i = 10; i < 16; i++) {
-      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
+      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
     }
     for (int i = 20; i < 24; i++) {
-      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
     for (int i = 30; i < 33; i++) {
-      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
+      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
     }
-    w.runTo(9);
-    assertNotNull(leader(w), w.story());
-    return w;
+    simulation.runTo(9);
+    assertNotNull(leader(simulation), simulation.recentLog());
+    return simulation;
   }
 
   /** Whoever leads with the highest token; null: nobody. */
-  private static ControllerModel leader(Simulation w) {
-    return w.leaders().stream().max(Comparator.comparingLong(ControllerModel::token)).orElse(null);
+  private static ControllerModel leader(Simulation simulation) {
+    return simulation.leaders().stream()
+        .max(Comparator.comparingLong(ControllerModel::token))
+        .orElse(null);
   }
 
-  private static boolean leadsAnew(Simulation w, long token) {
-    return leader(w) != null && leader(w).token() > token;
+  private static boolean leadsAfter(Simulation simulation, long token) {
+    return leader(simulation) != null && leader(simulation).token() > token;
   }
 
-  private static double nowS(Simulation w) {
-    return w.now() / 1000.0;
+  private static double nowS(Simulation simulation) {
+    return simulation.now() / 1000.0;
   }
 
-  private static void assertSound(Simulation w) {
-    assertEquals(List.of(), w.checker.broken, w.wholeStory());
+  private static void assertSound(Simulation simulation) {
+    assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
   }
 
-  private static void assertDone(Simulation w, int first, int last) {
+  private static void assertDone(Simulation simulation, int first, int last) {
     for (int i = first; i <= last; i++) {
-      for (ControllerModel n : w.nodes) {
-        assertEquals("done", w.checker.lastTold("wk-" + i, n.name), w.wholeStory());
+      for (ControllerModel controller : simulation.controllers) {
+        assertEquals(
+            "done",
+            simulation.checker.lastReportedState("wk-" + i, controller.name),
+            simulation.fullLog());
       }
     }
   }
 
-  private static void assertServes(Simulation w) {
-    assertSound(w);
-    assertDone(w, 10, 15);
-    assertDone(w, 30, 32);
+  private static void assertServes(Simulation simulation) {
+    assertSound(simulation);
+    assertDone(simulation, 10, 15);
+    assertDone(simulation, 30, 32);
     for (int i = 20; i < 24; i++) {
-      assertNotNull(w.checker.confirmedMs("wk-" + i), w.wholeStory());
-      assertEquals(0, w.checker.on("wk-" + i), w.wholeStory());
-    }
-    assertEquals(MACHINES, w.checker.on("wk-1"), w.wholeStory());
-    assertEquals(1, w.nodes.stream().filter(ControllerModel::leads).count(), w.story());
+      assertNotNull(simulation.checker.cancelConfirmedMs("wk-" + i), simulation.fullLog());
+      assertEquals(0, simulation.checker.tasksOnMachines("wk-" + i), simulation.fullLog());
+    }
+    assertEquals(MACHINES, simulation.checker.tasksOnMachines("wk-1"), simulation.fullLog());
+    assertEquals(
+        1,
+        simulation.controllers.stream().filter(ControllerModel::leads).count(),
+        simulation.recentLog());
   }
 
-  private static void assertMissed(Mutation mutant, LongFunction<Simulation> play) {
+  private static void assertDetected(Mutation mutation, LongFunction<Simulation> play) {
     for (long seed = 1; seed <= 60; seed++) {
-      if (!play.apply(seed).checker.broken.isEmpty()) {
+      if (!play.apply(seed).checker.violations.isEmpty()) {
         return;
       }
     }
-    assertEquals("missed", "not missed", mutant + " taken away");
+    assertEquals("missed", "not missed", mutation + " taken away");
   }
 
   /** Ends the leader; who leads next is another one, or the same process begun anew. */
-  private static void end(Simulation w, ControllerModel old, End how) {
+  private static void apply(Simulation simulation, ControllerModel old, LeaderFault how) {
     switch (how) {
       case BACK_AT_ONCE -> {
         old.crash();
-        w.after(100 + w.random.nextLong(400), old::start);
+        simulation.after(100 + simulation.random.nextLong(400), old::start);
       }
-      case HANDS_OVER -> old.handOver();
+      case HANDS_OVER -> old.resign();
       case CUT_OFF -> {
         List<String> lost = new ArrayList<>(List.of("state"));
-        w.nodes.stream().filter(n -> n != old).forEach(n -> lost.add(n.name));
-        lost.forEach(other -> w.cutBoth(old.name, other));
-        w.after(20_000, () -> lost.forEach(other -> w.healBoth(old.name, other)));
+        simulation.controllers.stream()
+            .filter(controller -> controller != old)
+            .forEach(controller -> lost.add(controller.name));
+        lost.forEach(other -> simulation.cutBoth(old.name, other));
+        simulation.after(20_000, () -> lost.forEach(other -> simulation.healBoth(old.name, other)));
       }
       default -> {
-        if (how == End.IN_AN_OUTAGE) {
-          w.store.down(true);
-          w.after(3000, () -> w.store.down(false));
+        if (how == LeaderFault.IN_AN_OUTAGE) {
+          simulation.store.unavailable(true);
+          simulation.after(3000, () -> simulation.store.unavailable(false));
         }
-        w.after(how == End.CRASHES ? 0 : 1500, old::crash);
-        w.after(6000, old::start);
+        simulation.after(how == LeaderFault.CRASHES ? 0 : 1500, old::crash);
+        simulation.after(6000, old::start);
       }
     }
   }
 
   /** The cancelled arrays' users ask within the next seconds. */
-  private static void cancel(Simulation w, int first, int last, long withinMs) {
+  private static void cancelJobs(Simulation simulation, int first, int last, long withinMs) {
     for (int i = first; i <= last; i++) {
       String job = "wk-" + i;
-      w.after(w.random.nextLong(withinMs), () -> w.userCancels(job));
+      simulation.after(simulation.random.nextLong(withinMs), () -> simulation.userCancels(job));
     }
   }
 
@@ -150,63 +160,71 @@
    * opened before does not wait longer for machines to be heard.
    */
   @Test
-  void oldReportsReachEveryControllerAsOneBegins() {
+  void duplicateHeartbeatsReachAllControllersAtTermBegin() {
     Map<Moment, Integer> at = new EnumMap<>(Moment.class);
     int ended = 0;
     int lives = 0;
     int gone = 0;
-    for (End how : End.values()) {
+    for (LeaderFault how : LeaderFault.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        Took t = oldReports(how, seed);
-        assertServes(t.world);
-        assertTrue(t.heardMs <= HEARD_MS, t.heardMs + " ms\n" + t.world.wholeStory());
-        DelayedHeartbeats late = t.world.lateReports;
+        ReconcilePlay played = playDuplicates(how, seed);
+        assertServes(played.simulation);
+        assertTrue(
+            played.reconciledMs <= RECONCILE_MS,
+            played.reconciledMs + " ms\n" + played.simulation.fullLog());
+        DelayedHeartbeats late = played.simulation.delayedHeartbeats;
         late.atLeader.forEach((moment, n) -> at.merge(moment, n, Integer::sum));
-        ended += late.ofEndedTasks;
-        lives += late.ofEarlierLives;
-        gone += late.ofGoneMachines;
+        ended += late.withEndedTasks;
+        lives += late.ofEarlierIncarnations;
+        gone += late.ofDeadMachines;
       }
     }
-    for (Moment m : Moment.values()) {
-      assertTrue(at.getOrDefault(m, 0) >= 20, at + " copies came at a leader");
+    for (Moment mutation : Moment.values()) {
+      assertTrue(at.getOrDefault(mutation, 0) >= 20, at + " copies came at a leader");
     }
     assertTrue(ended > 100, ended + " showed a task that was there no more");
     assertTrue(lives > 10 && gone > 10, lives + " of earlier lives, " + gone + " of what is gone");
-    for (Mutation m : List.of(Mutation.COPIES_ARE_NEWS, Mutation.COPIES_SHOW_THE_TOKEN)) {
-      assertMissed(m, seed -> oldReports(End.values()[(int) seed % 5], seed, m).world);
+    for (Mutation mutation :
+        List.of(Mutation.ACCEPT_DUPLICATE_HEARTBEATS, Mutation.DUPLICATES_CARRY_CURRENT_TOKEN)) {
+      assertDetected(
+          mutation,
+          seed -> playDuplicates(LeaderFault.values()[(int) seed % 5], seed, mutation).simulation);
     }
   }
 
-  /** {@code heardMs}: until the first new leader had heard all machines of the one before. */
-  private record Took(Simulation world, long heardMs) {}
+  /** {@code reconciledMs}: until the first new leader had heard all machines of the one before. */
+  private record ReconcilePlay(Simulation simulation, long reconciledMs) {}
 
-  private static Took oldReports(End how, long seed, Mutation... mutants) {
-    Simulation w = busy(seed, seed % 2 == 0 ? 0.4 : 0.1, mutants);
-    w.askAll();
+  private static ReconcilePlay playDuplicates(LeaderFault how, long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, seed % 2 == 0 ? 0.4 : 0.1, mutations);
+    simulation.pollAllJobs();
     // One is not reached and given back, some begin anew, and users cancel.
     String cut = "vm-" + seed % MACHINES;
-    w.nodes.forEach(n -> w.cut(n.name, cut));
-    w.after(14_500, () -> w.nodes.forEach(n -> w.heal(n.name, cut)));
-    w.runTo(20);
+    simulation.controllers.forEach(controller -> simulation.cut(controller.name, cut));
+    simulation.after(
+        14_500,
+        () -> simulation.controllers.forEach(controller -> simulation.heal(controller.name, cut)));
+    simulation.runTo(20);
     for (int i = 1; i < 6; i++) {
-      WorkerModel anew = w.workers.get("vm-" + (seed + i) % MACHINES);
-      w.after(w.random.nextLong(4000), () -> anew.beginAnew(100));
+      WorkerModel restarted = simulation.workers.get("vm-" + (seed + i) % MACHINES);
+      simulation.after(simulation.random.nextLong(4000), () -> restarted.restart(100));
     }
-    cancel(w, 20, 23, 4000);
-    w.runTo(24 + w.random.nextInt(2000) / 1000.0);
-    ControllerModel old = leader(w);
+    cancelJobs(simulation, 20, 23, 4000);
+    simulation.runTo(24 + simulation.random.nextInt(2000) / 1000.0);
+    ControllerModel old = leader(simulation);
     long token = old.token();
-    end(w, old, how);
-    assertTrue(w.runUntil(() -> leadsAnew(w, token), 60), w.story());
-    long wonMs = w.now();
-    w.runUntil(() -> leader(w) != null && !leader(w).starting(), 100);
-    long heardMs = w.now() - wonMs;
-    w.runTo(nowS(w) + w.random.nextInt(5000) / 1000.0);
-    if (leader(w) != null) {
-      end(w, leader(w), End.values()[w.random.nextInt(3)]);
-    }
-    w.runTo(100);
-    return new Took(w, heardMs);
+    apply(simulation, old, how);
+    assertTrue(
+        simulation.runUntil(() -> leadsAfter(simulation, token), 60), simulation.recentLog());
+    long wonMs = simulation.now();
+    simulation.runUntil(() -> leader(simulation) != null && !leader(simulation).reconciling(), 100);
+    long heardMs = simulation.now() - wonMs;
+    simulation.runTo(nowS(simulation) + simulation.random.nextInt(5000) / 1000.0);
+    if (leader(simulation) != null) {
+      apply(simulation, leader(simulation), LeaderFault.values()[simulation.random.nextInt(3)]);
+    }
+    simulation.runTo(100);
+    return new ReconcilePlay(simulation, heardMs);
   }
 
   /**
@@ -214,52 +232,54 @@
    * their machines went on to other controllers, some of them in a new life.
    */
   @Test
-  void reportsHeldBackUntilANewLeaderHasActed() {
+  void heartbeatsHeldUntilNewLeaderHasActed() {
     int arrived = 0;
-    for (End how : End.values()) {
+    for (LeaderFault how : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation w = heldBack(how, seed);
-        assertServes(w);
-        arrived += w.lateReports.heldBackAtLeader;
+        Simulation simulation = playHeldHeartbeats(how, seed);
+        assertServes(simulation);
+        arrived += simulation.delayedHeartbeats.heldAtLeader;
       }
     }
     assertTrue(arrived > 100, arrived + " reports arrived at the new leader");
-    Mutation m = Mutation.COPIES_ARE_NEWS;
-    assertMissed(m, seed -> heldBack(End.values()[(int) seed % 5], seed, m));
+    Mutation mutation = Mutation.ACCEPT_DUPLICATE_HEARTBEATS;
+    assertDetected(
+        mutation, seed -> playHeldHeartbeats(LeaderFault.values()[(int) seed % 5], seed, mutation));
   }
 
-  private static Simulation heldBack(End how, long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 0, mutants);
-    w.askAll();
-    w.runTo(15);
-    w.lateReports.heldBack = 0.6;
-    ControllerModel old = leader(w);
+  private static Simulation playHeldHeartbeats(LeaderFault how, long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 0, mutations);
+    simulation.pollAllJobs();
+    simulation.runTo(15);
+    simulation.delayedHeartbeats.holdShare = 0.6;
+    ControllerModel old = leader(simulation);
     long token = old.token();
-    old.full(6000); // so machines try the others, where they are held back, too
-    w.runTo(19 + w.random.nextInt(1500) / 1000.0);
-    cancel(w, 20, 21, 500);
-    w.after(600 + w.random.nextLong(300), () -> end(w, old, how));
+    old.rejectHeartbeats(6000); // so machines try the others, where they are held back, too
+    simulation.runTo(19 + simulation.random.nextInt(1500) / 1000.0);
+    cancelJobs(simulation, 20, 21, 500);
+    simulation.after(600 + simulation.random.nextLong(300), () -> apply(simulation, old, how));
     for (int i = 0; i < 2; i++) {
-      WorkerModel anew = w.workers.get("vm-" + (seed + 5 * i) % MACHINES);
-      w.after(w.random.nextLong(6000), () -> anew.beginAnew(100));
-    }
-    assertTrue(w.runUntil(() -> leadsAnew(w, token), 60), w.story());
-    w.lateReports.heldBack = 0;
-    cancel(w, 22, 23, 4000);
-    w.runTo(nowS(w) + 8);
-    if (how == End.HANDS_OVER) {
-      leader(w).handOver(); // and back, maybe
-    }
-    w.runTo(40);
-    w.lateReports.release();
-    w.runTo(100);
-    return w;
+      WorkerModel restarted = simulation.workers.get("vm-" + (seed + 5 * i) % MACHINES);
+      simulation.after(simulation.random.nextLong(6000), () -> restarted.restart(100));
+    }
+    assertTrue(
+        simulation.runUntil(() -> leadsAfter(simulation, token), 60), simulation.recentLog());
+    simulation.delayedHeartbeats.holdShare = 0;
+    cancelJobs(simulation, 22, 23, 4000);
+    simulation.runTo(nowS(simulation) + 8);
+    if (how == LeaderFault.HANDS_OVER) {
+      leader(simulation).resign(); // and back, maybe
+    }
+    simulation.runTo(40);
+    simulation.delayedHeartbeats.release();
+    simulation.runTo(100);
+    return simulation;
   }
 
   // ---- all away ----
 
   /** Who returns after all controllers were away. */
-  private enum Back {
+  private enum ReturnOrder {
     ONE,
     ALL_AT_ONCE,
     STAGGERED
@@ -272,93 +292,105 @@
    * return, at once or one by one, with the state service down as they do, or not.
    */
   @Test
-  void allControllersAreAwayForLongerThanALease() {
+  void allControllersDownLongerThanLease() {
     int killed = 0;
     int held = 0;
     int started = 0;
-    int told = 0;
+    int confirmed = 0;
     int untold = 0;
     int sessions = 0;
-    for (Back back : Back.values()) {
+    for (ReturnOrder back : ReturnOrder.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        Away a = allAway(back, seed);
-        assertServes(a.world);
-        killed += a.world.checker.killedByLease;
-        held += a.held;
-        started += a.started;
-        told += a.told;
-        untold += 4 - a.told;
-        sessions += a.world.lateReports.ofEarlierSessions;
+        ControllerOutage outage = playControllerOutage(back, seed);
+        assertServes(outage.simulation);
+        killed += outage.simulation.checker.killedByLease;
+        held += outage.heldMessages;
+        started += outage.started;
+        confirmed += outage.confirmed;
+        untold += 4 - outage.confirmed;
+        sessions += outage.simulation.delayedHeartbeats.ofEarlierEpochs;
       }
     }
     assertTrue(killed > 200, killed + " tasks were killed by their machines' leases");
     assertTrue(held > 50, held + " messages from before were on their way");
     assertTrue(started > 5, started + " tasks started by orders from before, with nobody there");
-    assertTrue(told > 20 && untold > 20, told + " told before, and " + untold + " were not");
+    assertTrue(
+        confirmed > 20 && untold > 20, confirmed + " told before, and " + untold + " were not");
     assertTrue(sessions > 50, sessions + " copies of earlier sessions came at a leader");
-    Mutation m = Mutation.NO_ROSTER;
-    assertMissed(m, seed -> allAway(Back.values()[(int) seed % 3], seed, m).world);
+    Mutation mutation = Mutation.NO_INHERITED_MACHINES;
+    assertDetected(
+        mutation,
+        seed ->
+            playControllerOutage(ReturnOrder.values()[(int) seed % 3], seed, mutation).simulation);
   }
 
   /**
-   * {@code told}: cancellations before all were away; {@code held}: messages on their way; {@code
-   * started}: tasks that started with nobody there, by orders from before.
+   * {@code confirmed}: cancellations before all were away; {@code heldMessages}: messages on their
+   * way; {@code started}: tasks that started with nobody there, by orders from before.
    */
-  private record Away(Simulation world, int told, int held, int started) {}
-
-  private static Away allAway(Back back, long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 0.3, mutants);
-    w.askAll();
-    ControllerModel old = leader(w);
+  private record ControllerOutage(
+      Simulation simulation, int confirmed, int heldMessages, int started) {}
+
+  private static ControllerOutage playControllerOutage(
+      ReturnOrder back, long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 0.3, mutations);
+    simulation.pollAllJobs();
+    ControllerModel old = leader(simulation);
     for (int i = 0; i < 4; i++) {
-      w.cut(old.name, "vm-" + (seed + 3 * i) % MACHINES);
+      simulation.cut(old.name, "vm-" + (seed + 3 * i) % MACHINES);
     }
     for (int i = 40; i < 43; i++) {
-      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
-    }
-    w.runTo(10);
-    cancel(w, 20, 21, 300);
-    w.runTo(11.5);
-    cancel(w, 22, 23, 1000); // some are told, some wait, and some begin to wait with all away
-    w.runTo(12);
-    int told = w.checker.confirmed();
-    int held = w.held();
-    w.nodes.forEach(n -> w.after(w.random.nextLong(300), n::crash));
-    w.runTo(12.4);
-    long awayMs = w.setup.leaseMs() + 1000 + w.random.nextLong(12_000);
+      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
+    }
+    simulation.runTo(10);
+    cancelJobs(simulation, 20, 21, 300);
+    simulation.runTo(11.5);
+    cancelJobs(
+        simulation, 22, 23, 1000); // some are told, some wait, and some begin to wait with all away
+    simulation.runTo(12);
+    int confirmed = simulation.checker.cancelsConfirmed();
+    int held = simulation.heldMessageCount();
+    simulation.controllers.forEach(
+        controller -> simulation.after(simulation.random.nextLong(300), controller::crash));
+    simulation.runTo(12.4);
+    long awayMs = simulation.setup.leaseMs() + 1000 + simulation.random.nextLong(12_000);
     for (int i = 0; i < 4; i++) {
       // What was on its way when all ended arrives in a new life, or in the old one's next session.
       String machine = "vm-" + (seed + 3 * i) % MACHINES;
-      long anewMs = awayMs - 500 - w.random.nextLong(w.setup.leaseMs());
-      if (w.random.nextInt(4) > 0) {
-        w.after(anewMs, () -> w.workers.get(machine).beginAnew(200));
+      long anewMs = awayMs - 500 - simulation.random.nextLong(simulation.setup.leaseMs());
+      if (simulation.random.nextInt(4) > 0) {
+        simulation.after(anewMs, () -> simulation.workers.get(machine).restart(200));
       }
-      w.after(anewMs + 250 + w.random.nextLong(3000), () -> w.heal(old.name, machine));
+      simulation.after(
+          anewMs + 250 + simulation.random.nextLong(3000),
+          () -> simulation.heal(old.name, machine));
       String dies = "vm-" + (seed + 3 * i + 1) % MACHINES;
-      if (w.random.nextInt(3) == 0) {
-        w.after(w.random.nextLong(20_000), () -> w.cloud.die(dies));
+      if (simulation.random.nextInt(3) == 0) {
+        simulation.after(simulation.random.nextLong(20_000), () -> simulation.cloud.die(dies));
       }
     }
     if (seed % 2 == 0) {
-      w.after(awayMs - 1000, () -> w.store.down(true));
-      w.after(awayMs + 2000 + w.random.nextLong(5000), () -> w.store.down(false));
+      simulation.after(awayMs - 1000, () -> simulation.store.unavailable(true));
+      simulation.after(
+          awayMs + 2000 + simulation.random.nextLong(5000),
+          () -> simulation.store.unavailable(false));
     }
-    int first = w.random.nextInt(3);
+    int first = simulation.random.nextInt(3);
     for (int i = 0; i < 3; i++) {
       long after =
           switch (back) {
             case ONE -> i * 15_000L;
-            case ALL_AT_ONCE -> w.random.nextLong(50);
-            default -> i * 700L + w.random.nextLong(3000);
+            case ALL_AT_ONCE -> simulation.random.nextLong(50);
+            default -> i * 700L + simulation.random.nextLong(3000);
           };
-      w.after(awayMs + after, w.nodes.get((first + i) % 3)::start);
-    }
-    int started = w.checker.started;
-    w.runUntil(() -> leader(w) != null, 80);
-    started = w.checker.started - started;
-    w.runTo(130);
-    assertDone(w, 40, 42);
-    return new Away(w, told, held, started);
+      simulation.after(awayMs + after, simulation.controllers.get((first + i) % 3)::start);
+    }
+    int started = simulation.checker.started;
+    simulation.runUntil(() -> leader(simulation) != null, 80);
+    started = simulation.checker.started - started;
+    simulation.runTo(130);
+    assertDone(simulation, 40, 42);
+    return new ControllerOutage(simulation, confirmed, held, started);
   }
 
   // ---- a zone away ----
@@ -370,66 +402,87 @@
    * that nobody reaches are given back, or, with the cloud away as well, live on to the end of it.
    */
   @Test
-  void aZoneWithAControllerIsCutOffForLongerThanALease() {
+  void zoneWithControllerPartitionedLongerThanLease() {
     int before = 0;
     int meanwhile = 0;
-    int inDoubt = 0;
+    int withUncertainLease = 0;
     int lived = 0;
     for (boolean withLeader : new boolean[] {true, false}) {
       for (boolean cloud : new boolean[] {true, false}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Zone z = zoneAway(withLeader, cloud, seed);
-          assertServes(z.world);
-          before += z.before;
-          meanwhile += z.meanwhile;
-          inDoubt += z.inDoubt;
-          lived += z.lived;
+          ZonePartition partition = playZonePartition(withLeader, cloud, seed);
+          assertServes(partition.simulation);
+          before += partition.confirmedBefore;
+          meanwhile += partition.confirmedMeanwhile;
+          withUncertainLease += partition.answeredWithUncertainLease;
+          lived += partition.survivors;
         }
       }
     }
     assertTrue(before > 20 && meanwhile > 20, before + " told before, " + meanwhile + " meanwhile");
-    assertTrue(inDoubt > 100, inDoubt + " reports answered by the leader that was cut off");
+    assertTrue(
+        withUncertainLease > 100,
+        withUncertainLease + " reports answered by the leader that was cut off");
     assertTrue(lived > 20, lived + " machines of the zone lived on");
-    Mutation m = Mutation.CANCELS_UNHEARD;
-    assertMissed(m, seed -> zoneAway(true, false, seed, m).world);
+    Mutation mutation = Mutation.CONFIRM_CANCEL_UNRECONCILED;
+    assertDetected(mutation, seed -> playZonePartition(true, false, seed, mutation).simulation);
   }
 
-  private record Zone(Simulation world, int before, int meanwhile, int inDoubt, int lived) {}
-
-  private static Zone zoneAway(boolean withLeader, boolean cloud, long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 0.2, mutants);
-    w.askAll();
-    w.runTo(15);
-    ControllerModel old = leader(w);
+  private record ZonePartition(
+      Simulation simulation,
+      int confirmedBefore,
+      int confirmedMeanwhile,
+      int answeredWithUncertainLease,
+      int survivors) {}
+
+  private static ZonePartition playZonePartition(
+      boolean withLeader, boolean cloud, long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 0.2, mutations);
+    simulation.pollAllJobs();
+    simulation.runTo(15);
+    ControllerModel old = leader(simulation);
     long token = old.token();
     ControllerModel inZone =
-        withLeader ? old : w.nodes.stream().filter(n -> n != old).findFirst().orElseThrow();
-    cancel(w, 20, 21, 100);
-    w.runTo(15.05 + w.random.nextInt(150) / 1000.0); // stops may not have gone out yet
-    final int before = w.checker.confirmed();
+        withLeader
+            ? old
+            : simulation.controllers.stream()
+                .filter(controller -> controller != old)
+                .findFirst()
+                .orElseThrow();
+    cancelJobs(simulation, 20, 21, 100);
+    simulation.runTo(
+        15.05 + simulation.random.nextInt(150) / 1000.0); // stops may not have gone out yet
+    final int before = simulation.checker.cancelsConfirmed();
     List<String> lost = new ArrayList<>(List.of("state", "zone b", "zone c"));
-    for (ControllerModel n : w.nodes) {
-      if (n != inZone) {
-        lost.add(n.name);
-        w.cutBoth(n.name, "zone a");
+    for (ControllerModel controller : simulation.controllers) {
+      if (controller != inZone) {
+        lost.add(controller.name);
+        simulation.cutBoth(controller.name, "zone a");
       }
     }
-    lost.forEach(other -> w.cutBoth(inZone.name, other));
+    lost.forEach(other -> simulation.cutBoth(inZone.name, other));
     if (!cloud) {
-      w.nodes.forEach(n -> w.cutBoth(n.name, "cloud"));
-    }
-    cancel(w, 22, 23, 8000);
-    int answered = old.answeredInDoubt();
-    w.runTo(15 + (w.setup.leaseMs() + 1500 + w.random.nextInt(25_000)) / 1000.0);
-    assertTrue(!withLeader || leadsAnew(w, token), w.story());
-    int meanwhile = w.checker.confirmed() - before;
-    long lived = w.workers.values().stream().filter(m -> m.alive() && m.zone.equals("a")).count();
-    ControllerModel next = leader(w);
-    w.after(w.random.nextLong(1000), () -> end(w, next, End.values()[w.random.nextInt(3)]));
-    w.runTo(nowS(w) + w.random.nextInt(1000) / 1000.0);
-    w.healAll();
-    w.runTo(130);
-    return new Zone(w, before, meanwhile, old.answeredInDoubt() - answered, (int) lived);
+      simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "cloud"));
+    }
+    cancelJobs(simulation, 22, 23, 8000);
+    int answered = old.answeredWithUncertainLease();
+    simulation.runTo(
+        15 + (simulation.setup.leaseMs() + 1500 + simulation.random.nextInt(25_000)) / 1000.0);
+    assertTrue(!withLeader || leadsAfter(simulation, token), simulation.recentLog());
+    int meanwhile = simulation.checker.cancelsConfirmed() - before;
+    long lived =
+        simulation.workers.values().stream()
+            .filter(machine -> machine.alive() && machine.zone.equals("a"))
+            .count();
+    ControllerModel next = leader(simulation);
+    simulation.after(
+        simulation.random.nextLong(1000),
+        () -> apply(simulation, next, LeaderFault.values()[simulation.random.nextInt(3)]));
+    simulation.runTo(nowS(simulation) + simulation.random.nextInt(1000) / 1000.0);
+    simulation.healAll();
+    simulation.runTo(130);
+    return new ZonePartition(
+        simulation, before, meanwhile, old.answeredWithUncertainLease() - answered, (int) lived);
   }
 
   // ---- machines not reached ----
@@ -439,38 +492,40 @@
    * next one says, and copies of what they and others said before come at all controllers.
    */
   @Test
-  void copiesComeOfMachinesThatTheNextLeaderDoesNotReach() {
+  void duplicatesFromMachinesUnreachableForNextLeader() {
     int copies = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      Simulation w = unreached(seed);
-      assertServes(w);
-      copies += w.lateReports.atLeader.values().stream().mapToInt(n -> n).sum();
+      Simulation simulation = playUnreachableMachines(seed);
+      assertServes(simulation);
+      copies += simulation.delayedHeartbeats.atLeader.values().stream().mapToInt(n -> n).sum();
       for (int i = 20; i < 24; i++) {
-        assertTrue(w.checker.confirmedMs("wk-" + i) < 60_000, w.wholeStory());
+        assertTrue(simulation.checker.cancelConfirmedMs("wk-" + i) < 60_000, simulation.fullLog());
       }
     }
     assertTrue(copies > 100, copies + " copies came at a leader");
-    assertMissed(Mutation.NO_ROSTER, seed -> unreached(seed, Mutation.NO_ROSTER));
+    assertDetected(
+        Mutation.NO_INHERITED_MACHINES,
+        seed -> playUnreachableMachines(seed, Mutation.NO_INHERITED_MACHINES));
   }
 
-  private static Simulation unreached(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 0.4, mutants);
-    w.askAll();
-    w.runTo(20);
-    ControllerModel old = leader(w);
+  private static Simulation playUnreachableMachines(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 0.4, mutations);
+    simulation.pollAllJobs();
+    simulation.runTo(20);
+    ControllerModel old = leader(simulation);
     old.crash();
-    for (ControllerModel n : w.nodes) {
-      w.cut(n.name, "zone b");
+    for (ControllerModel controller : simulation.controllers) {
+      simulation.cut(controller.name, "zone b");
       if (seed % 2 == 0) {
-        w.cut("zone b", n.name);
+        simulation.cut("zone b", controller.name);
       }
-      w.after(20_000 + seed * 1000, () -> w.healBoth(n.name, "zone b"));
+      simulation.after(20_000 + seed * 1000, () -> simulation.healBoth(controller.name, "zone b"));
     }
-    w.after(3000, old::start);
-    w.runTo(22);
-    cancel(w, 20, 23, 3000);
-    w.runTo(130);
-    return w;
+    simulation.after(3000, old::start);
+    simulation.runTo(22);
+    cancelJobs(simulation, 20, 23, 3000);
+    simulation.runTo(130);
+    return simulation;
   }
 
   // ---- a start under an earlier token ----
@@ -482,20 +537,21 @@
    * nothing tells it from any other (docs/design.md, "A start under an earlier token").
    */
   @Test
-  void aStartUnderAnEarlierTokenMeetsANewLife() {
+  void delayedStartUnderEarlierTokenMeetsNewIncarnation() {
     int[] refused = new int[2];
     int open = 0;
     int twice = 0;
     for (long seed = 1; seed <= 20 * SEEDS; seed++) {
-      Late l = lateStart(seed, false);
-      boolean broken = !l.world.checker.broken.isEmpty();
-      if (!l.open) {
-        assertSound(l.world);
-        refused[l.anew ? 1 : 0] += l.elsewhere ? 1 : 0;
+      DelayedStart start = playDelayedStart(seed, false);
+      boolean broken = !start.simulation.checker.violations.isEmpty();
+      if (!start.unprotected) {
+        assertSound(start.simulation);
+        refused[start.restarted ? 1 : 0] += start.startedElsewhere ? 1 : 0;
       } else {
         open++;
         twice += broken ? 1 : 0;
-        assertTrue(l.sinceAnewMs <= l.world.setup.leaseMs(), l.world.wholeStory());
+        assertTrue(
+            start.sinceRestartMs <= start.simulation.setup.leaseMs(), start.simulation.fullLog());
       }
     }
     assertTrue(refused[0] > 10 && refused[1] > 10, "refused before and after: " + refused[0]);
@@ -503,44 +559,53 @@
   }
 
   /**
-   * {@code open}: as it arrived the machine had no token and its first session; {@code anew}: it
-   * had begun anew before; {@code elsewhere}: its task was on another machine.
+   * {@code unprotected}: as it arrived the machine had no token and its first session; {@code
+   * restarted}: it had begun anew before; {@code startedElsewhere}: its task was on another
+   * machine.
    */
-  private record Late(
-      Simulation world, boolean open, boolean anew, boolean elsewhere, long sinceAnewMs) {}
-
-  private static Late lateStart(long seed, boolean connections) {
-    Simulation w = busy(seed, 0);
-    w.connections = connections;
-    w.runTo(20);
-    ControllerModel old = leader(w);
+  private record DelayedStart(
+      Simulation simulation,
+      boolean unprotected,
+      boolean restarted,
+      boolean startedElsewhere,
+      long sinceRestartMs) {}
+
+  private static DelayedStart playDelayedStart(long seed, boolean connections) {
+    Simulation simulation = loadedSimulation(seed, 0);
+    simulation.connectionOriented = connections;
+    simulation.runTo(20);
+    ControllerModel old = leader(simulation);
     final long token = old.token();
     List<WorkerModel> cut = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      WorkerModel m = w.workers.get("vm-" + (seed + 3 * i) % MACHINES);
-      cut.add(m);
-      w.cut(old.name, m.name);
-    }
-    w.submit(SimulationTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
-    w.runTo(20.4 + w.random.nextInt(600) / 1000.0);
-    old.handOver();
-    assertTrue(w.runUntil(() -> leadsAnew(w, token), 40), w.story());
-    w.runUntil(() -> !leader(w).starting() && w.checker.on("wk-50") == 12, 60);
-    WorkerModel anew = cut.get(0);
-    long beginsMs = 1000 + w.random.nextLong(2000);
-    long healsMs = beginsMs + 100 - 1000 + w.random.nextLong(4000);
-    w.after(beginsMs, () -> anew.beginAnew(100));
-    final long anewMs = w.now() + beginsMs + 100;
-    boolean elsewhere = w.checker.on("wk-50") == 12;
-    w.runTo((w.now() + healsMs) / 1000.0);
-    boolean begun = w.now() >= anewMs;
-    boolean open = begun && anew.token() == 0 && anew.session() == 1;
+      WorkerModel machine = simulation.workers.get("vm-" + (seed + 3 * i) % MACHINES);
+      cut.add(machine);
+      simulation.cut(old.name, machine.name);
+    }
+    simulation.submit(SimulationTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
+    simulation.runTo(20.4 + simulation.random.nextInt(600) / 1000.0);
+    old.resign();
+    assertTrue(
+        simulation.runUntil(() -> leadsAfter(simulation, token), 40), simulation.recentLog());
+    simulation.runUntil(
+        () ->
+            !leader(simulation).reconciling() && simulation.checker.tasksOnMachines("wk-50") == 12,
+        60);
+    WorkerModel restarted = cut.get(0);
+    long beginsMs = 1000 + simulation.random.nextLong(2000);
+    long healsMs = beginsMs + 100 - 1000 + simulation.random.nextLong(4000);
+    simulation.after(beginsMs, () -> restarted.restart(100));
+    final long anewMs = simulation.now() + beginsMs + 100;
+    boolean elsewhere = simulation.checker.tasksOnMachines("wk-50") == 12;
+    simulation.runTo((simulation.now() + healsMs) / 1000.0);
+    boolean begun = simulation.now() >= anewMs;
+    boolean open = begun && restarted.fencingToken() == 0 && restarted.epoch() == 1;
     // What is on its way for a few milliseconds may arrive on the other side of that moment.
-    open |= Math.abs(w.now() - anewMs) <= 10;
-    long sinceMs = w.now() - anewMs;
-    w.heal(old.name, anew.name);
-    w.runTo(60);
-    return new Late(w, open, begun, elsewhere, sinceMs);
+    open |= Math.abs(simulation.now() - anewMs) <= 10;
+    long sinceMs = simulation.now() - anewMs;
+    simulation.heal(old.name, restarted.name);
+    simulation.runTo(60);
+    return new DelayedStart(simulation, open, begun, elsewhere, sinceMs);
   }
 
   /**
@@ -551,51 +616,54 @@
    * to send is decided over the connection, and by then another may lead.
    */
   @Test
-  void overConnectionsAStartUnderAnEarlierTokenMeetsNoNewLife() {
+  void delayedStartOverConnectionNeverMeetsNewIncarnation() {
     int withheld = 0;
     int elsewhere = 0;
     for (long seed = 1; seed <= 5 * SEEDS; seed++) {
-      assertSound(lateStart(seed, true).world);
-      Still still = standsStill(seed);
-      assertSound(still.world);
+      assertSound(playDelayedStart(seed, true).simulation);
+      PausedLeader still = playPausedLeader(seed);
+      assertSound(still.simulation);
       withheld += still.withheld;
-      elsewhere += still.elsewhere ? 1 : 0;
+      elsewhere += still.startedElsewhere ? 1 : 0;
     }
     assertTrue(withheld > 20, withheld + " starts were left out over such a connection");
     assertTrue(elsewhere > 20, elsewhere + " times their tasks were all started elsewhere");
-    assertMissed(
-        Mutation.STARTS_WHOEVER_LEADS,
-        seed -> standsStill(seed, Mutation.STARTS_WHOEVER_LEADS).world);
+    assertDetected(
+        Mutation.STARTS_WITH_UNCERTAIN_LEASE,
+        seed -> playPausedLeader(seed, Mutation.STARTS_WITH_UNCERTAIN_LEASE).simulation);
   }
 
   /** {@code withheld}: starts left out as the old leader went on. */
-  private record Still(Simulation world, int withheld, boolean elsewhere) {}
+  private record PausedLeader(Simulation simulation, int withheld, boolean startedElsewhere) {}
 
-  private static Still standsStill(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 0, mutants);
-    w.connections = true;
-    w.runTo(20);
-    ControllerModel old = leader(w);
+  private static PausedLeader playPausedLeader(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 0, mutations);
+    simulation.connectionOriented = true;
+    simulation.runTo(20);
+    ControllerModel old = leader(simulation);
     final long token = old.token();
     List<WorkerModel> cut = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      WorkerModel m = w.workers.get("vm-" + (seed + 3 * i) % MACHINES);
-      cut.add(m);
-      w.cut(old.name, m.name);
-    }
-    w.submit(SimulationTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
-    w.runTo(20.4 + w.random.nextInt(600) / 1000.0);
-    final int before = old.withheld();
-    long stillMs = 9000 + w.random.nextLong(3000);
+      WorkerModel machine = simulation.workers.get("vm-" + (seed + 3 * i) % MACHINES);
+      cut.add(machine);
+      simulation.cut(old.name, machine.name);
+    }
+    simulation.submit(SimulationTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
+    simulation.runTo(20.4 + simulation.random.nextInt(600) / 1000.0);
+    final int before = old.withheldStarts();
+    long stillMs = 9000 + simulation.random.nextLong(3000);
     old.freeze(stillMs);
-    for (WorkerModel m : cut) {
-      long anewMs = stillMs - 100 - w.random.nextLong(1500);
-      w.after(anewMs, () -> m.beginAnew(50));
-      w.after(anewMs + 60 + w.random.nextLong(500), () -> w.heal(old.name, m.name));
-    }
-    w.runTo((w.now() + stillMs - 1700) / 1000.0);
-    final boolean elsewhere = leadsAnew(w, token) && w.checker.on("wk-50") == 12;
-    w.runTo(60);
-    return new Still(w, old.withheld() - before, elsewhere);
+    for (WorkerModel machine : cut) {
+      long anewMs = stillMs - 100 - simulation.random.nextLong(1500);
+      simulation.after(anewMs, () -> machine.restart(50));
+      simulation.after(
+          anewMs + 60 + simulation.random.nextLong(500),
+          () -> simulation.heal(old.name, machine.name));
+    }
+    simulation.runTo((simulation.now() + stillMs - 1700) / 1000.0);
+    final boolean elsewhere =
+        leadsAfter(simulation, token) && simulation.checker.tasksOnMachines("wk-50") == 12;
+    simulation.runTo(60);
+    return new PausedLeader(simulation, old.withheldStarts() - before, elsewhere);
   }
 }
--- a/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
@@ -19,30 +19,30 @@
   private static final int SEEDS = 6;
   private static final int MACHINES = 12;
   private static final long TASK_MS = 22_000;
-  private static final long RECORD_MS = 9000;
-  private static final double HEARD_S = 10;
+  private static final long RECORD_ANSWER_DELAY_MS = 9000;
+  private static final double HEARTBEAT_WAIT_S = 10;
 
   /** How the earlier leader knows the machine before it is cut off. */
   private enum Known {
     /** On record only: it was not heard in this term. */
-    NEVER_HEARD,
+    NEVER_SEEN,
     /** Heard a few times, so that the next incarnation soon has said more. */
-    YOUNG,
+    SEEN_BRIEFLY,
     /** Put on record, but the thread that writes records handles the answer seconds later. */
     RECORD_ANSWERED_LATE
   }
 
-  /** {@code heardAnew}: the earlier leader has heard the machine's new incarnation. */
-  private record Restart(Simulation world, boolean heardAnew) {}
+  /** {@code newIncarnationSeen}: the earlier leader has heard the machine's new incarnation. */
+  private record Restart(Simulation simulation, boolean newIncarnationSeen) {}
 
   /**
    * The earlier leader hears the machine for the first time while its lease is uncertain. What it
    * hears may be an incarnation that began after the later leader had claimed the one before.
    */
   @Test
-  void aMachineIsFirstHeardWhileTheLeaseIsUncertain() {
-    assertNothingRunsTwice(Known.NEVER_HEARD);
-    assertMissed(Known.NEVER_HEARD);
+  void machineFirstSeenWhileLeaseUncertain() {
+    assertNothingRunsTwice(Known.NEVER_SEEN);
+    assertDetected(Known.NEVER_SEEN);
   }
 
   /**
@@ -50,9 +50,9 @@
    * one before by the time that the earlier leader asks it.
    */
   @Test
-  void aRestartGoesUnnoticedWhileTheLeaseIsUncertain() {
-    assertNothingRunsTwice(Known.YOUNG);
-    assertMissed(Known.YOUNG);
+  void restartUnnoticedWhileLeaseUncertain() {
+    assertNothingRunsTwice(Known.SEEN_BRIEFLY);
+    assertDetected(Known.SEEN_BRIEFLY);
   }
 
   /**
@@ -61,89 +61,97 @@
    * that restarted in this term gets starts by direct orders of a certain leader only.
    */
   @Test
-  void theAnswerToAWriteOfARecordComesAfterTheNextRestart() {
+  void recordWriteAnsweredAfterNextRestart() {
     assertNothingRunsTwice(Known.RECORD_ANSWERED_LATE);
   }
 
   private static void assertNothingRunsTwice(Known known) {
     int heard = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Restart r = restart(seed, known);
-      assertEquals(List.of(), r.world.checker.broken, r.world.wholeStory());
-      heard += r.heardAnew ? 1 : 0;
+      Restart restart = restart(seed, known);
+      assertEquals(List.of(), restart.simulation.checker.violations, restart.simulation.fullLog());
+      heard += restart.newIncarnationSeen ? 1 : 0;
     }
     // In one seed of the third case the earlier leader gives the machine up as silent before.
     assertTrue(heard >= SEEDS - 1, "the new incarnation was heard in " + heard + " seeds");
   }
 
   /** Without the proof that an incarnation was there in time, a task runs twice. */
-  private static void assertMissed(Known known) {
-    Mutation unproven = Mutation.USES_UNPROVEN_INCARNATIONS;
+  private static void assertDetected(Known known) {
+    Mutation unproven = Mutation.TRUST_UNPROVEN_INCARNATIONS;
     boolean missed = false;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      missed |= !restart(seed, known, unproven).world.checker.broken.isEmpty();
+      missed |= !restart(seed, known, unproven).simulation.checker.violations.isEmpty();
     }
     assertTrue(missed, unproven + " taken away is not missed");
   }
 
-  private static Restart restart(long seed, Known known, Mutation... mutants) {
-    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
-    w.mutants.addAll(List.of(mutants));
-    w.runTo(5);
-    w.nodes.forEach(n -> w.cutBoth(n.name, "cloud")); // nothing is rented: some tasks have to wait
-    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
-    w.submit(SimulationTest.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
-    w.runTo(19);
-    final WorkerModel machine = w.workers.get("vm-" + seed % MACHINES);
-    if (known == Known.YOUNG) {
-      machine.beginAnew(200);
+  private static Restart restart(long seed, Known known, Mutation... mutations) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
+    simulation.mutations.addAll(List.of(mutations));
+    simulation.runTo(5);
+    simulation.controllers.forEach(
+        controller ->
+            simulation.cutBoth(
+                controller.name, "cloud")); // nothing is rented: some tasks have to wait
+    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
+    simulation.submit(SimulationTest.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
+    simulation.runTo(19);
+    final WorkerModel machine = simulation.workers.get("vm-" + seed % MACHINES);
+    if (known == Known.SEEN_BRIEFLY) {
+      machine.restart(200);
     }
-    ControllerModel first = w.onlyLeader();
-    List<ControllerModel> others = w.nodes.stream().filter(n -> n != first).toList();
+    ControllerModel first = simulation.onlyLeader();
+    List<ControllerModel> others =
+        simulation.controllers.stream().filter(controller -> controller != first).toList();
     final ControllerModel earlier = others.get(0);
     final ControllerModel later = others.get(1);
-    w.cutBoth(later.name, "state");
-    if (known == Known.NEVER_HEARD) {
-      machine.mute(20_000);
-      w.cutBoth(earlier.name, machine.name);
+    simulation.cutBoth(later.name, "state");
+    if (known == Known.NEVER_SEEN) {
+      machine.partitionOutbound(20_000);
+      simulation.cutBoth(earlier.name, machine.name);
     }
     first.crash();
-    assertTrue(w.runUntil(earlier::leads, 40), w.story());
-    runFor(w, 2500);
+    assertTrue(simulation.runUntil(earlier::leads, 40), simulation.recentLog());
+    runFor(simulation, 2500);
     if (known == Known.RECORD_ANSWERED_LATE) {
-      w.slowRecordsMs = RECORD_MS;
-      machine.beginAnew(100);
-      runFor(w, 2000);
+      simulation.recordAnswerDelayMs = RECORD_ANSWER_DELAY_MS;
+      machine.restart(100);
+      runFor(simulation, 2000);
     }
-    isolate(w, earlier);
-    w.healBoth(later.name, "state");
-    assertTrue(w.runUntil(later::leads, 50), w.story());
-    assertTrue(w.runUntil(() -> machine.token() == later.token(), 60), w.story());
-    runFor(w, 500);
-    w.cutBoth(later.name, machine.name);
-    machine.unmute();
-    machine.beginAnew(100);
-    if (known == Known.YOUNG) {
-      machine.mute(8000);
-      runFor(w, 8100);
+    isolate(simulation, earlier);
+    simulation.healBoth(later.name, "state");
+    assertTrue(simulation.runUntil(later::leads, 50), simulation.recentLog());
+    assertTrue(
+        simulation.runUntil(() -> machine.fencingToken() == later.token(), 60),
+        simulation.recentLog());
+    runFor(simulation, 500);
+    simulation.cutBoth(later.name, machine.name);
+    machine.healOutbound();
+    machine.restart(100);
+    if (known == Known.SEEN_BRIEFLY) {
+      machine.partitionOutbound(8000);
+      runFor(simulation, 8100);
     }
-    w.healBoth(earlier.name, machine.name);
+    simulation.healBoth(earlier.name, machine.name);
     boolean heardAnew =
-        w.runUntil(
-            () -> earlier.leads() && machine.token() == earlier.token(),
-            w.now() / 1000.0 + HEARD_S);
-    runFor(w, 20_000);
-    return new Restart(w, heardAnew);
+        simulation.runUntil(
+            () -> earlier.leads() && machine.fencingToken() == earlier.token(),
+            simulation.now() / 1000.0 + HEARTBEAT_WAIT_S);
+    runFor(simulation, 20_000);
+    return new Restart(simulation, heardAnew);
   }
 
-  private static void runFor(Simulation w, long ms) {
-    w.runTo((w.now() + ms) / 1000.0);
+  private static void runFor(Simulation simulation, long ms) {
+    simulation.runTo((simulation.now() + ms) / 1000.0);
   }
 
   /** Nobody reaches it and it reaches nobody: it cannot know that its lease is over. */
-  private static void isolate(Simulation w, ControllerModel node) {
-    w.cutBoth(node.name, "state");
-    w.nodes.stream().filter(n -> n != node).forEach(n -> w.cutBoth(node.name, n.name));
-    w.workers.keySet().forEach(m -> w.cutBoth(node.name, m));
+  private static void isolate(Simulation simulation, ControllerModel node) {
+    simulation.cutBoth(node.name, "state");
+    simulation.controllers.stream()
+        .filter(controller -> controller != node)
+        .forEach(controller -> simulation.cutBoth(node.name, controller.name));
+    simulation.workers.keySet().forEach(m -> simulation.cutBoth(node.name, m));
   }
 }
--- a/src/test/java/org/astershift/simulation/InvariantChecker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -14,11 +14,11 @@
 
 /** What must never happen, and what users would call a failure, over the whole history. */
 final class InvariantChecker {
-  private static final long JUST_NOW_MS = 1500;
+  private static final long CONNECTIVITY_SETTLED_MS = 1500;
   private static final double TOLERANCE = 1e-6;
 
   /** The operators' letter: so long after all troubles a job without an answer is forgotten. */
-  private static final long FORGOTTEN_MS = 75_000;
+  private static final long NO_ANSWER_MS = 75_000;
 
   /**
    * So long after its user was told that a job is cancelled no task of it may be left, nor start:
@@ -26,27 +26,27 @@
    */
   static final long CANCEL_MS = 20_000;
 
-  private final Map<String, Long> cancelAsked = new HashMap<>();
+  private final Map<String, Long> cancelRequestedMs = new HashMap<>();
 
   /** How long each user who called a job off waited until he was told, milliseconds. */
-  final List<Long> confirmedAfterMs = new ArrayList<>();
+  final List<Long> cancelLatencyMs = new ArrayList<>();
 
-  private final Map<String, Long> confirmedMs = new HashMap<>();
+  private final Map<String, Long> cancelConfirmedMs = new HashMap<>();
 
   /** By job, how it ended as its user was told first. */
-  private final Map<String, String> toldEnd = new HashMap<>();
+  private final Map<String, String> reportedEnd = new HashMap<>();
 
-  private final Map<String, String> lastTold = new HashMap<>();
+  private final Map<String, String> lastReportedState = new HashMap<>();
 
-  private final Map<String, Long> answeredMs = new HashMap<>();
+  private final Map<String, Long> lastAnswerMs = new HashMap<>();
 
   /** Questions and answers in the order in which users send and get them. */
-  private long moment;
+  private long questionOrder;
 
   /** By job, the moment at which a user was first told that it is over. */
-  private final Map<String, Long> toldOver = new HashMap<>();
+  private final Map<String, Long> reportedOverAt = new HashMap<>();
 
-  private final Simulation world;
+  private final Simulation simulation;
   private final Map<String, String> running = new HashMap<>();
 
   /** The same where a task is on two machines at once, for what a team uses. */
@@ -58,14 +58,14 @@
   /** By job, when a task of it was started last. */
   private final Map<String, Long> lastStartMs = new HashMap<>();
 
-  private final Set<String> decided = new HashSet<>();
-  private final Set<String> called = new HashSet<>();
-  final List<String> broken = new ArrayList<>();
+  private final Set<String> releaseDecided = new HashSet<>();
+  private final Set<String> endedJobs = new HashSet<>();
+  final List<String> violations = new ArrayList<>();
 
   /** Machines given back though they lived and some controller reached them. */
-  final List<String> healthyReturned = new ArrayList<>();
+  final List<String> healthyReleased = new ArrayList<>();
 
-  final List<String> returned = new ArrayList<>();
+  final List<String> released = new ArrayList<>();
   final List<String> leaders = new ArrayList<>();
   int killedByLease;
 
@@ -78,58 +78,58 @@
   int started;
 
   /** Stops of tasks that had not ended. */
-  int halted;
+  int stopped;
 
   private long latestToken;
 
-  InvariantChecker(Simulation world) {
-    this.world = world;
+  InvariantChecker(Simulation simulation) {
+    this.simulation = simulation;
   }
 
   /** Rules ran_twice, wrong_place and quota. */
-  void started(String task, String machine, long attempt) {
+  void onTaskStarted(String task, String machine, long attempt) {
     started++;
-    world.digest.started(world.now(), task, machine, attempt);
+    simulation.digest.started(simulation.now(), task, machine, attempt);
     String job = task.substring(0, task.indexOf('/'));
-    Long confirmed = confirmedMs.get(job);
-    if (confirmed != null && world.now() > confirmed + CANCEL_MS) {
-      broken.add("ran_cancelled: " + task + " starts, cancelled as told at " + confirmed);
+    Long confirmed = cancelConfirmedMs.get(job);
+    if (confirmed != null && simulation.now() > confirmed + CANCEL_MS) {
+      violations.add("ran_cancelled: " + task + " starts, cancelled as told at " + confirmed);
     }
-    afterConfirmation(task, machine);
-    rightPlace(job, task, machine);
+    checkNotCancelled(task, machine);
+    checkPlacement(job, task, machine);
     onMachines.add(task + " on " + machine);
     String at = running.putIfAbsent(task, machine);
     if (at != null) {
-      broken.add(
+      violations.add(
           "ran_twice: " + task + " starts on " + machine + " while on " + at + " @" + attempt);
     }
-    lastStartMs.put(job, world.now());
-    quota(world.users.spec(job).team(), task);
+    lastStartMs.put(job, simulation.now());
+    checkQuota(simulation.users.spec(job).team(), task);
   }
 
   /** Rule quota: all that is on machines counts, whether it saves, hangs or cannot be reached. */
-  private void quota(String name, String task) {
-    Team team = world.teams().get(name);
+  private void checkQuota(String name, String task) {
+    Team team = simulation.teams().get(name);
     if (!team.isLimited()) {
       return;
     }
-    double[] use = use(name);
+    double[] use = usage(name);
     boolean over =
         (team.maxCpus() > 0 && use[0] > team.maxCpus() + TOLERANCE)
             || (team.maxGpus() > 0 && use[1] > team.maxGpus() + TOLERANCE);
     if (over) {
-      broken.add("quota: " + use[0] + ", " + use[1] + " of " + team + " with " + task);
+      violations.add("quota: " + use[0] + ", " + use[1] + " of " + team + " with " + task);
     }
   }
 
   /** Processors and accelerators that the team's tasks take on machines. */
-  double[] use(String team) {
+  double[] usage(String team) {
     double[] use = new double[2];
     for (String other : onMachines) {
-      JobSpec s = world.users.spec(other.substring(0, other.indexOf('/')));
-      if (s.team().equals(team)) {
-        use[0] += s.cpus();
-        use[1] += s.gpus();
+      JobSpec spec = simulation.users.spec(other.substring(0, other.indexOf('/')));
+      if (spec.team().equals(team)) {
+        use[0] += spec.cpus();
+        use[1] += spec.gpus();
       }
     }
     return use;
@@ -149,7 +149,7 @@
    */
   List<Integer> waiting(JobSpec spec) {
     List<Integer> out = new ArrayList<>();
-    if (isOver(spec.id()) || cancelAsked.containsKey(spec.id())) {
+    if (isEnded(spec.id()) || cancelRequestedMs.containsKey(spec.id())) {
       return out;
     }
     for (int i = 0; i < spec.tasks(); i++) {
@@ -167,51 +167,51 @@
   }
 
   /** The task has completed somewhere. */
-  void completed(String task) {
+  void onTaskCompleted(String task) {
     completed.add(task);
-    world.digest.completed(world.now(), task);
+    simulation.digest.completed(simulation.now(), task);
   }
 
   /** A task has its image, and goes on from there. */
-  void begins(String task, String machine) {
-    world.digest.begins(world.now(), task, machine);
-    afterConfirmation(task, machine);
+  void onImageFetched(String task, String machine) {
+    simulation.digest.begins(simulation.now(), task, machine);
+    checkNotCancelled(task, machine);
   }
 
   /** The protocol: from a confirmation on no task of the job may be started. */
-  private void afterConfirmation(String task, String machine) {
-    Long confirmed = confirmedMs.get(task.substring(0, task.indexOf('/')));
+  private void checkNotCancelled(String task, String machine) {
+    Long confirmed = cancelConfirmedMs.get(task.substring(0, task.indexOf('/')));
     if (confirmed != null) {
       startedAfterConfirmation++;
-      broken.add("started_cancelled: " + task + " on " + machine + ", told at " + confirmed);
+      violations.add("started_cancelled: " + task + " on " + machine + ", told at " + confirmed);
     }
   }
 
   /** Rule wrong_place: type and kind, and the zone: the job's own, one for all, half in one. */
-  private void rightPlace(String job, String task, String machine) {
-    JobSpec spec = world.users.spec(job);
-    String zone = world.workers.get(machine).zone;
+  private void checkPlacement(String job, String task, String machine) {
+    JobSpec spec = simulation.users.spec(job);
+    String zone = simulation.workers.get(machine).zone;
     int here = 1;
     boolean elsewhere = false;
     for (String other : onMachines) {
       if (other.startsWith(job + "/") && !other.startsWith(task + " ")) {
-        String at = world.workers.get(other.substring(other.lastIndexOf(' ') + 1)).zone;
+        String at = simulation.workers.get(other.substring(other.lastIndexOf(' ') + 1)).zone;
         here += at.equals(zone) ? 1 : 0;
         elsewhere |= !at.equals(zone);
       }
     }
-    CloudModel.Kind kind = world.workers.get(machine).kind;
+    CloudModel.Kind kind = simulation.workers.get(machine).kind;
     if ((spec.machineTypes() != null && !spec.machineTypes().contains(kind.type()))
         || (kind.spot() && !spec.spotAllowed())
         || (spec.zone() != null && !spec.zone().equals(zone))
         || (spec.oneZone() && elsewhere)
         || (spec.spread() && here > spec.spreadLimit())) {
-      broken.add("wrong_place: " + task + " starts on " + machine + ", " + kind);
+      violations.add("wrong_place: " + task + " starts on " + machine + ", " + kind);
     }
   }
 
-  void over(String task, String machine) {
-    world.digest.leaves(world.now(), task, machine);
+  void onTaskGone(String task, String machine) {
+    simulation.digest.leaves(simulation.now(), task, machine);
     running.remove(task, machine);
     onMachines.remove(task + " on " + machine);
   }
@@ -220,26 +220,30 @@
    * A controller decides to give machines back for silence. A failure if one of them lives and this
    * controller, or another that it could have asked, reaches it.
    */
-  void givesUp(ControllerModel leader, List<String> machines) {
+  void onSilentRelease(ControllerModel leader, List<String> machines) {
     for (String machine : machines) {
-      if (!decided.add(machine)) {
+      if (!releaseDecided.add(machine)) {
         continue; // a return without an answer may be executed any time, so it is repeated
       }
-      WorkerModel w = world.workers.get(machine);
-      for (ControllerModel n : world.nodes) {
+      WorkerModel worker = simulation.workers.get(machine);
+      for (ControllerModel controller : simulation.controllers) {
         // Nor one that the leader cannot make listen while everything opened before waits for it.
-        boolean holdsUp = leader.starting() && leader.ledMs() > Scheduler.UNFENCED_RELEASE_MS;
-        boolean asked = n == leader || (!holdsUp && world.reaches(leader.name, n.name));
+        boolean holdsUp =
+            leader.reconciling() && leader.leadingForMs() > Scheduler.UNFENCED_RELEASE_MS;
+        boolean mayAsk =
+            controller == leader || (!holdsUp && simulation.reaches(leader.name, controller.name));
         // Not just after a path came back: nobody can know yet that it reaches them again.
-        boolean settled = world.now() - world.changedMs() >= JUST_NOW_MS;
+        boolean settled =
+            simulation.now() - simulation.connectivityChangedMs() >= CONNECTIVITY_SETTLED_MS;
         if (settled
-            && w.alive()
-            && !w.hung()
-            && n.up()
-            && asked
-            && world.reaches(n.name, machine)) {
-          healthyReturned.add(machine + " by " + leader.name + ", reached by " + n.name);
-          world.note(leader.name, "gives up " + machine + ", which " + n.name + " reaches");
+            && worker.alive()
+            && !worker.paused()
+            && controller.up()
+            && mayAsk
+            && simulation.reaches(controller.name, machine)) {
+          healthyReleased.add(machine + " by " + leader.name + ", reached by " + controller.name);
+          simulation.log(
+              leader.name, "gives up " + machine + ", which " + controller.name + " reaches");
           break;
         }
       }
@@ -247,135 +251,137 @@
   }
 
   /** Rule not_done: a job is over only when each of its tasks has completed somewhere. */
-  void ended(String job, StoreModel.EndRow end) {
-    if (!called.add(job)) {
-      broken.add("a job ended twice: " + job);
+  void onJobEnded(String job, StoreModel.EndRow end) {
+    if (!endedJobs.add(job)) {
+      violations.add("a job ended twice: " + job);
     }
     String id = job.substring(job.indexOf('/') + 1);
-    world.digest.jobOver(world.now(), id, end.cancelled(), end.done());
-    int tasks = world.users.spec(id).tasks();
+    simulation.digest.jobOver(simulation.now(), id, end.cancelled(), end.done());
+    int tasks = simulation.users.spec(id).tasks();
     long all = IntStream.range(0, tasks).filter(i -> completed.contains(id + "/" + i)).count();
     if (!end.cancelled() && (end.done() < tasks || all < tasks)) {
-      broken.add(
+      violations.add(
           "not_done: " + job + " with " + end.done() + " of " + tasks + ", " + all + " completed");
     }
   }
 
   /** A user asks something now: the moment of it. */
-  long asked() {
-    return ++moment;
+  long onQuestion() {
+    return ++questionOrder;
   }
 
   /**
    * Rules went_back and forgotten: what a node answered about an accepted job; null: nothing.
-   * {@code asked}: the moment of the question; an answer to one that was sent after another had
-   * been told that the job is over must not be older than that. Says whether it is news that the
-   * job is over.
+   * {@code askedOrder}: the moment of the question; an answer to one that was sent after another
+   * had been told that the job is over must not be older than that. Says whether it is news that
+   * the job is over.
    */
-  boolean told(String job, String node, String said, long asked) {
-    if (said == null || said.equals("503")) {
+  boolean onAnswer(String job, String node, String state, long askedOrder) {
+    if (state == null || state.equals("503")) {
       return false;
     }
-    moment++;
+    questionOrder++;
     boolean news = false;
-    answeredMs.put(job + " at " + node, world.now());
-    lastTold.put(job + " at " + node, said);
-    boolean end = said.equals("done") || said.equals("withdrawn");
-    if (said.equals("404")) {
-      if (world.users.accepted().contains(job)) {
-        broken.add("forgotten: " + node + " does not know " + job);
+    lastAnswerMs.put(job + " at " + node, simulation.now());
+    lastReportedState.put(job + " at " + node, state);
+    boolean end = state.equals("done") || state.equals("withdrawn");
+    if (state.equals("404")) {
+      if (simulation.users.accepted().contains(job)) {
+        violations.add("forgotten: " + node + " does not know " + job);
       }
-    } else if (world.users.spec(job) == null) {
-      broken.add("invented: " + node + " says that " + job + " is " + said);
+    } else if (simulation.users.spec(job) == null) {
+      violations.add("invented: " + node + " says that " + job + " is " + state);
     } else if (end) {
-      toldOver.putIfAbsent(job, moment);
-      String first = toldEnd.putIfAbsent(job, said);
+      reportedOverAt.putIfAbsent(job, questionOrder);
+      String first = reportedEnd.putIfAbsent(job, state);
       news = first == null;
-      if (first != null && !first.equals(said)) {
-        broken.add("went_back: " + node + " says that " + job + " is " + said + ", not " + first);
+      if (first != null && !first.equals(state)) {
+        violations.add(
+            "went_back: " + node + " says that " + job + " is " + state + ", not " + first);
       }
-    } else if (toldOver.getOrDefault(job, Long.MAX_VALUE) < asked) {
-      broken.add("went_back: " + node + " says that " + job + " is " + said);
+    } else if (reportedOverAt.getOrDefault(job, Long.MAX_VALUE) < askedOrder) {
+      violations.add("went_back: " + node + " says that " + job + " is " + state);
     }
-    if (said.equals("withdrawn")) {
-      confirmed(job, node);
+    if (state.equals("withdrawn")) {
+      onCancelConfirmed(job, node);
     }
-    world.digest.told(world.now(), job, node, end, news);
+    simulation.digest.told(simulation.now(), job, node, end, news);
     return news;
   }
 
   /** A user wants the job to be cancelled. */
-  void cancelAsked(String job) {
-    cancelAsked.put(job, world.now());
+  void cancelRequestedMs(String job) {
+    cancelRequestedMs.put(job, simulation.now());
   }
 
   /** Rule ran_cancelled, from the first time that its user is told, whatever was asked. */
-  private void confirmed(String job, String node) {
-    if (!cancelAsked.containsKey(job)) {
-      broken.add("went_back: " + node + " calls " + job + " cancelled, and its user did not");
+  private void onCancelConfirmed(String job, String node) {
+    if (!cancelRequestedMs.containsKey(job)) {
+      violations.add("went_back: " + node + " calls " + job + " cancelled, and its user did not");
     }
-    if (confirmedMs.putIfAbsent(job, world.now()) == null) {
-      confirmedAfterMs.add(world.now() - cancelAsked.getOrDefault(job, world.now()));
-      leftAtConfirmation += left(job).size();
-      world.note(node, "confirms that " + job + " is cancelled; tasks left: " + left(job));
-      world.after(
+    if (cancelConfirmedMs.putIfAbsent(job, simulation.now()) == null) {
+      cancelLatencyMs.add(simulation.now() - cancelRequestedMs.getOrDefault(job, simulation.now()));
+      leftAtConfirmation += remaining(job).size();
+      simulation.log(node, "confirms that " + job + " is cancelled; tasks left: " + remaining(job));
+      simulation.after(
           CANCEL_MS,
           () -> {
-            if (!left(job).isEmpty()) {
-              broken.add("ran_cancelled: " + left(job) + ", told at " + confirmedMs.get(job));
+            if (!remaining(job).isEmpty()) {
+              violations.add(
+                  "ran_cancelled: " + remaining(job) + ", told at " + cancelConfirmedMs.get(job));
             }
           });
     }
   }
 
-  private List<String> left(String job) {
-    return onMachines.stream().filter(t -> t.startsWith(job + "/")).toList();
+  private List<String> remaining(String job) {
+    return onMachines.stream().filter(task -> task.startsWith(job + "/")).toList();
   }
 
   /** Tasks of the job that are on machines. */
-  int on(String job) {
-    return left(job).size();
+  int tasksOnMachines(String job) {
+    return remaining(job).size();
   }
 
-  boolean anyConfirmed() {
-    return !confirmedMs.isEmpty();
+  boolean anyCancelConfirmed() {
+    return !cancelConfirmedMs.isEmpty();
   }
 
   /** Jobs of which a user was told that they are cancelled. */
-  int confirmed() {
-    return confirmedMs.size();
+  int cancelsConfirmed() {
+    return cancelConfirmedMs.size();
   }
 
   /** What the node said of the job last; null: nothing. */
-  String lastTold(String job, String node) {
-    return lastTold.get(job + " at " + node);
+  String lastReportedState(String job, String node) {
+    return lastReportedState.get(job + " at " + node);
   }
 
   /** Whether its end is on record. */
-  boolean isOver(String job) {
-    return called.contains("d/" + job);
+  boolean isEnded(String job) {
+    return endedJobs.contains("d/" + job);
   }
 
   /** When the user was first told that it is cancelled; null: not yet. */
-  Long confirmedMs(String job) {
-    return confirmedMs.get(job);
+  Long cancelConfirmedMs(String job) {
+    return cancelConfirmedMs.get(job);
   }
 
   /** All troubles were over at {@code healedMs}: no job may be without an answer for 75 s. */
-  void allAnswered(long healedMs) {
-    for (String job : world.users.accepted()) {
-      for (ControllerModel n : world.nodes) {
-        long last = answeredMs.getOrDefault(job + " at " + n.name, 0L);
-        if (world.now() - Math.max(last, healedMs) >= FORGOTTEN_MS) {
-          broken.add("forgotten: " + n.name + " answers nothing about " + job);
+  void checkAllAnswered(long healedMs) {
+    for (String job : simulation.users.accepted()) {
+      for (ControllerModel controller : simulation.controllers) {
+        long last = lastAnswerMs.getOrDefault(job + " at " + controller.name, 0L);
+        if (simulation.now() - Math.max(last, healedMs) >= NO_ANSWER_MS) {
+          violations.add("forgotten: " + controller.name + " answers nothing about " + job);
         }
       }
     }
   }
 
   /** Jobs that are over. */
-  int ended() {
-    return called.size();
+  int jobsEnded() {
+    return endedJobs.size();
   }
 
   /** Whether the task is on this machine. */
@@ -387,10 +393,10 @@
     return latestToken;
   }
 
-  void leads(String node, long token) {
-    world.digest.term(world.now(), node, token);
+  void onTermBegun(String node, long token) {
+    simulation.digest.term(simulation.now(), node, token);
     latestToken = Math.max(latestToken, token);
     leaders.add(node);
-    world.note(node, "leads with token " + token);
+    simulation.log(node, "leads with token " + token);
   }
 }
--- a/src/test/java/org/astershift/simulation/JobDraft.java
+++ b/src/test/java/org/astershift/simulation/JobDraft.java
@@ -32,9 +32,9 @@
   }
 
   public static JobDraft array(String id, int tasks) {
-    JobDraft d = new JobDraft(id);
-    d.tasks = tasks;
-    return d;
+    JobDraft draft = new JobDraft(id);
+    draft.tasks = tasks;
+    return draft;
   }
 
   /** All its tasks run at the same time, or none does. */
--- a/src/test/java/org/astershift/simulation/LargeFleetTest.java
+++ b/src/test/java/org/astershift/simulation/LargeFleetTest.java
@@ -26,54 +26,57 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
-  void machinesRestartByTheHundredWheneverNobodyLeadsForCertain(int controllers) {
-    Simulation w = new Simulation(controllers, Setup.of(controllers, MACHINES));
-    w.runTo(4);
+  void hundredsOfMachinesRestartWhileLeadershipUncertain(int controllers) {
+    Simulation simulation = new Simulation(controllers, Setup.of(controllers, MACHINES));
+    simulation.runTo(4);
     for (int i = 0; i < SERVICES; i++) {
-      w.submit(SimulationTest.job("wk-s" + i, JobKind.SERVICE, REPLICAS), null);
+      simulation.submit(SimulationTest.job("wk-s" + i, JobKind.SERVICE, REPLICAS), null);
     }
-    w.runTo(20);
-    arrays(w, "wk-a");
-    w.onlyLeader().crash();
-    restart(w, 0);
-    w.runTo(23);
-    w.nodes.stream().filter(n -> !n.up()).forEach(ControllerModel::start);
-    w.runTo(45);
-    arrays(w, "wk-b");
-    String refused = w.onlyLeader().name;
-    w.cutBoth(refused, "state");
-    w.runTo(46);
-    restart(w, 1);
-    w.runTo(52);
-    w.healBoth(refused, "state");
-    w.runTo(70);
-    arrays(w, "wk-c");
-    w.nodes.forEach(ControllerModel::crash);
-    restart(w, 2);
-    w.runTo(72);
-    w.nodes.forEach(ControllerModel::start);
-    w.runTo(140);
-    assertEquals(List.of(), w.checker.broken);
-    assertEquals(List.of(), w.checker.healthyReturned);
+    simulation.runTo(20);
+    arrays(simulation, "wk-a");
+    simulation.onlyLeader().crash();
+    restart(simulation, 0);
+    simulation.runTo(23);
+    simulation.controllers.stream()
+        .filter(controller -> !controller.up())
+        .forEach(ControllerModel::start);
+    simulation.runTo(45);
+    arrays(simulation, "wk-b");
+    String refused = simulation.onlyLeader().name;
+    simulation.cutBoth(refused, "state");
+    simulation.runTo(46);
+    restart(simulation, 1);
+    simulation.runTo(52);
+    simulation.healBoth(refused, "state");
+    simulation.runTo(70);
+    arrays(simulation, "wk-c");
+    simulation.controllers.forEach(ControllerModel::crash);
+    restart(simulation, 2);
+    simulation.runTo(72);
+    simulation.controllers.forEach(ControllerModel::start);
+    simulation.runTo(140);
+    assertEquals(List.of(), simulation.checker.violations);
+    assertEquals(List.of(), simulation.checker.healthyReleased);
     int[] replicas = new int[1];
-    w.checker.eachOnMachine((task, machine) -> replicas[0] += task.startsWith("wk-s") ? 1 : 0);
+    simulation.checker.eachOnMachine(
+        (task, machine) -> replicas[0] += task.startsWith("wk-s") ? 1 : 0);
     assertEquals(SERVICES * REPLICAS, replicas[0]);
-    for (String job : w.users.accepted()) {
-      assertTrue(job.startsWith("wk-s") || w.checker.isOver(job), job + " is not over");
+    for (String job : simulation.users.accepted()) {
+      assertTrue(job.startsWith("wk-s") || simulation.checker.isEnded(job), job + " is not over");
     }
   }
 
-  private static void arrays(Simulation w, String prefix) {
+  private static void arrays(Simulation simulation, String prefix) {
     for (int i = 0; i < ARRAYS; i++) {
-      w.submit(SimulationTest.job(prefix + i, JobKind.ARRAY, TASKS), TASK_MS);
+      simulation.submit(SimulationTest.job(prefix + i, JobKind.ARRAY, TASKS), TASK_MS);
     }
   }
 
   /** Others each time, in all zones, for up to a second. */
-  private static void restart(Simulation w, int time) {
+  private static void restart(Simulation simulation, int time) {
     for (int i = 0; i < RESTARTED; i++) {
       String machine = "vm-" + (i * (MACHINES / RESTARTED) + time);
-      w.workers.get(machine).beginAnew(1 + w.random.nextLong(RESTART_MS));
+      simulation.workers.get(machine).restart(1 + simulation.random.nextLong(RESTART_MS));
     }
   }
 }
--- a/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
@@ -22,7 +22,7 @@
   private static final int SEEDS = 6;
   private static final int MUTANT_SEEDS = 40;
   private static final int MACHINES = 12;
-  private static final int STREAM = 120;
+  private static final int STREAM_JOBS = 120;
   private static final long LEASE_MS = Setup.of(3, MACHINES).leaseMs();
 
   /** What becomes of the leader in the middle of it. */
@@ -33,78 +33,83 @@
     HANDS_OVER
   }
 
-  private static Simulation busy(long seed, int replicas, double limit, Mutation... mutants) {
-    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
-    w.teamLimit = limit;
-    w.mutants.addAll(List.of(mutants));
-    w.runTo(4);
-    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, replicas), null);
-    w.runTo(20);
-    w.onlyLeader();
-    return w;
+  private static Simulation loadedSimulation(
+      long seed, int replicas, double limit, Mutation... mutations) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
+    simulation.teamCpuLimit = limit;
+    simulation.mutations.addAll(List.of(mutations));
+    simulation.runTo(4);
+    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, replicas), null);
+    simulation.runTo(20);
+    simulation.onlyLeader();
+    return simulation;
   }
 
-  private static void suffer(Simulation w, Fate fate) {
-    ControllerModel n = w.onlyLeader();
+  private static void apply(Simulation simulation, Fate fate) {
+    ControllerModel controller = simulation.onlyLeader();
     switch (fate) {
       case CRASHES -> {
-        n.crash();
-        w.after(8000, n::start);
+        controller.crash();
+        simulation.after(8000, controller::start);
       }
       case BACK_AT_ONCE -> {
-        n.crash();
-        w.after(300, n::start);
+        controller.crash();
+        simulation.after(300, controller::start);
       }
-      case HANDS_OVER -> n.handOver();
+      case HANDS_OVER -> controller.resign();
       default -> {}
     }
   }
 
-  private static List<WorkerModel> some(Simulation w, int machines) {
-    List<WorkerModel> all = new ArrayList<>(w.workers.values());
-    all.removeIf(m -> !m.alive());
+  private static List<WorkerModel> randomMachines(Simulation simulation, int machines) {
+    List<WorkerModel> all = new ArrayList<>(simulation.workers.values());
+    all.removeIf(machine -> !machine.alive());
     List<WorkerModel> out = new ArrayList<>();
     for (int i = 0; i < machines; i++) {
-      out.add(all.remove(w.random.nextInt(all.size())));
+      out.add(all.remove(simulation.random.nextInt(all.size())));
     }
     return out;
   }
 
-  private static int sum(Simulation w, ToIntFunction<WorkerModel> count) {
-    return w.workers.values().stream().mapToInt(count).sum();
+  private static int sum(Simulation simulation, ToIntFunction<WorkerModel> count) {
+    return simulation.workers.values().stream().mapToInt(count).sum();
   }
 
-  private static void assertSound(Simulation w) {
-    assertEquals(List.of(), w.checker.broken, w.wholeStory());
+  private static void assertSound(Simulation simulation) {
+    assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
   }
 
-  private static void assertMissed(Mutation mutant, LongFunction<Simulation> played) {
+  private static void assertDetected(Mutation mutation, LongFunction<Simulation> played) {
     for (long seed = 1; seed <= MUTANT_SEEDS; seed++) {
-      if (!played.apply(seed).checker.broken.isEmpty()) {
+      if (!played.apply(seed).checker.violations.isEmpty()) {
         return;
       }
     }
-    assertEquals("missed", "not missed", mutant + " taken away");
+    assertEquals("missed", "not missed", mutation + " taken away");
   }
 
   /** One-task jobs, four a second, and each fourth of them is cancelled soon after. */
-  private static void stream(Simulation w, int jobs, long runMs) {
+  private static void submitStream(Simulation simulation, int jobs, long runMs) {
     for (int i = 0; i < jobs; i++) {
       String job = "wk-" + (1000 + i);
-      Runnable then = () -> w.after(w.random.nextLong(3000), () -> w.userCancels(job));
+      Runnable then =
+          () ->
+              simulation.after(simulation.random.nextLong(3000), () -> simulation.userCancels(job));
       boolean cancelled = i % 4 == 3;
-      w.after(
+      simulation.after(
           i * 250L,
           () ->
-              w.userSubmits(
+              simulation.userSubmits(
                   SimulationTest.job(job, JobKind.ARRAY, 1), runMs, cancelled ? then : () -> {}));
     }
   }
 
   // ---- mute ----
 
-  /** {@code startedMs}: the last start on a mute machine after it became so; 0: there was none. */
-  private record Mute(Simulation world, long startedMs, long movedMs) {}
+  /**
+   * {@code lastStartMs}: the last start on a mute machine after it became so; 0: there was none.
+   */
+  private record PartitionPlay(Simulation simulation, long lastStartMs, long movedMs) {}
 
   /**
    * Machines reach no controller for three leases, while direct orders reach them. They get nothing
@@ -112,62 +117,71 @@
    * leader changes meanwhile, which hears them by their answers alone and is held up by none.
    */
   @Test
-  void muteMachinesGetNothingNew() {
+  void outboundPartitionedMachinesGetNoNewTasks() {
     int unsaid = 0;
     int killed = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Mute m = mute(seed, seed % 2 == 0 ? 1 : 4, fate);
-        assertSound(m.world);
-        assertEquals(2 * MACHINES, m.world.checker.on("wk-1"), m.world.wholeStory());
-        assertEquals(STREAM + 1, m.world.checker.ended(), m.world.wholeStory());
-        unsaid += sum(m.world, x -> x.unsaid);
-        killed += m.world.checker.killedByLease;
+        PartitionPlay played = playOutboundPartition(seed, seed % 2 == 0 ? 1 : 4, fate);
+        assertSound(played.simulation);
+        assertEquals(
+            2 * MACHINES,
+            played.simulation.checker.tasksOnMachines("wk-1"),
+            played.simulation.fullLog());
+        assertEquals(
+            STREAM_JOBS + 1, played.simulation.checker.jobsEnded(), played.simulation.fullLog());
+        unsaid += sum(played.simulation, x -> x.undeliveredHeartbeats);
+        killed += played.simulation.checker.killedByLease;
         // A leader that claims it gives it half a lease to report; it begins within six seconds.
         long latest = LEASE_MS / 2 + 1000 + (fate == Fate.STAYS ? 0 : 2000 + 6000 + 1500);
-        assertTrue(m.startedMs <= latest, m.startedMs + "\n" + m.world.wholeStory());
-        assertTrue(m.movedMs <= 2 * LEASE_MS, m.movedMs + "\n" + m.world.wholeStory());
+        assertTrue(
+            played.lastStartMs <= latest, played.lastStartMs + "\n" + played.simulation.fullLog());
+        assertTrue(
+            played.movedMs <= 2 * LEASE_MS, played.movedMs + "\n" + played.simulation.fullLog());
       }
     }
     assertTrue(unsaid > 500, unsaid + " reports reached nobody");
     assertTrue(killed > 50, killed + " tasks ended with a lease");
     int late = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Mute m = mute(seed, 4, Fate.STAYS, Mutation.ANSWERS_RENEW_LEASES);
-      late += m.startedMs > LEASE_MS / 2 + 1000 ? 1 : 0;
+      PartitionPlay played =
+          playOutboundPartition(seed, 4, Fate.STAYS, Mutation.COMMAND_ANSWERS_RENEW_LEASES);
+      late += played.lastStartMs > LEASE_MS / 2 + 1000 ? 1 : 0;
     }
-    assertNotEquals(0, late, Mutation.ANSWERS_RENEW_LEASES + " not missed");
+    assertNotEquals(0, late, Mutation.COMMAND_ANSWERS_RENEW_LEASES + " not missed");
   }
 
-  private static Mute mute(long seed, int machines, Fate fate, Mutation... mutants) {
-    Simulation w = busy(seed, 2 * MACHINES, 0, mutants);
-    stream(w, STREAM, 4000);
-    w.userSubmits(SimulationTest.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
-    w.runTo(27);
-    List<WorkerModel> mute = some(w, machines);
+  private static PartitionPlay playOutboundPartition(
+      long seed, int machines, Fate fate, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 2 * MACHINES, 0, mutations);
+    submitStream(simulation, STREAM_JOBS, 4000);
+    simulation.userSubmits(SimulationTest.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
+    simulation.runTo(27);
+    List<WorkerModel> partitioned = randomMachines(simulation, machines);
     List<String> held = new ArrayList<>();
-    for (WorkerModel m : mute) {
-      held.addAll(m.holds().stream().filter(t -> t.startsWith("wk-1/")).toList());
-      m.mute(3 * LEASE_MS);
+    for (WorkerModel machine : partitioned) {
+      held.addAll(machine.liveTasks().stream().filter(task -> task.startsWith("wk-1/")).toList());
+      machine.partitionOutbound(3 * LEASE_MS);
     }
-    long fromMs = w.now();
-    w.runTo(29);
-    suffer(w, fate);
-    w.userCancels("wk-2");
-    Set<String> lost = new HashSet<>(held);
+    long fromMs = simulation.now();
+    simulation.runTo(29);
+    apply(simulation, fate);
+    simulation.userCancels("wk-2");
+    Set<String> missing = new HashSet<>(held);
     long movedMs = 0;
-    while (w.now() < fromMs + 3 * LEASE_MS - 250) {
-      w.runTo((w.now() + 250) / 1000.0);
-      for (WorkerModel m : w.workers.values()) {
-        if (!mute.contains(m)) {
-          m.holds().forEach(lost::remove);
+    while (simulation.now() < fromMs + 3 * LEASE_MS - 250) {
+      simulation.runTo((simulation.now() + 250) / 1000.0);
+      for (WorkerModel machine : simulation.workers.values()) {
+        if (!partitioned.contains(machine)) {
+          machine.liveTasks().forEach(missing::remove);
         }
       }
-      movedMs = lost.isEmpty() ? movedMs : w.now() - fromMs;
+      movedMs = missing.isEmpty() ? movedMs : simulation.now() - fromMs;
     }
-    long startedMs = mute.stream().mapToLong(m -> m.startedMs).max().orElse(0) - fromMs;
-    w.runTo(110);
-    return new Mute(w, Math.max(0, startedMs), movedMs);
+    long startedMs =
+        partitioned.stream().mapToLong(machine -> machine.startedMs).max().orElse(0) - fromMs;
+    simulation.runTo(110);
+    return new PartitionPlay(simulation, Math.max(0, startedMs), movedMs);
   }
 
   // ---- hung ----
@@ -177,60 +191,65 @@
    * longer; starts and stops in all orders, and the leader changes or not.
    */
   @Test
-  void hungMachinesGoOn() {
+  void pausedMachinesResume() {
     int executed = 0;
     int answered = 0;
     int wentOn = 0;
     for (Fate fate : Fate.values()) {
-      for (long ms : hangs()) {
+      for (long ms : pauseDurationsMs()) {
         for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-          Simulation w = hung(seed, ms, fate);
-          assertSound(w);
-          assertEquals(12, w.checker.ended(), w.wholeStory());
-          assertEquals(2 * MACHINES, w.checker.on("wk-1"), w.wholeStory());
-          executed += sum(w, m -> m.executedLate);
-          answered += sum(w, m -> m.answeredLate);
-          wentOn += sum(w, m -> m.wentOn);
+          Simulation simulation = playPauses(seed, ms, fate);
+          assertSound(simulation);
+          assertEquals(12, simulation.checker.jobsEnded(), simulation.fullLog());
+          assertEquals(
+              2 * MACHINES, simulation.checker.tasksOnMachines("wk-1"), simulation.fullLog());
+          executed += sum(simulation, machine -> machine.commandsAfterPause);
+          answered += sum(simulation, machine -> machine.answersAfterPause);
+          wentOn += sum(simulation, machine -> machine.tasksResumed);
         }
       }
     }
     assertTrue(executed > 40, executed + " orders were executed when a machine went on");
     assertTrue(answered > 15, answered + " answers were heard when a machine went on");
     assertTrue(wentOn > 200, wentOn + " tasks went on");
-    assertMissed(Mutation.NO_ROSTER, s -> hung(s, LEASE_MS / 2, Fate.CRASHES, Mutation.NO_ROSTER));
+    assertDetected(
+        Mutation.NO_INHERITED_MACHINES,
+        s -> playPauses(s, LEASE_MS / 2, Fate.CRASHES, Mutation.NO_INHERITED_MACHINES));
   }
 
-  private static void hang(WorkerModel m, boolean reporting, long ms) {
+  private static void pause(WorkerModel machine, boolean reporting, long ms) {
     if (reporting) {
-      m.hangNext(ms);
+      machine.pauseAfterHeartbeat(ms);
     } else {
-      m.hang(ms);
+      machine.pause(ms);
     }
   }
 
-  private static long[] hangs() {
+  private static long[] pauseDurationsMs() {
     return new long[] {3000, LEASE_MS / 2, LEASE_MS - 1000, LEASE_MS, 2 * LEASE_MS};
   }
 
-  private static Simulation hung(long seed, long ms, Fate fate, Mutation... mutants) {
-    Simulation w = busy(seed, 2 * MACHINES, 0, mutants);
+  private static Simulation playPauses(long seed, long ms, Fate fate, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 2 * MACHINES, 0, mutations);
     for (int i = 20; i < 32; i++) {
       String job = "wk-" + i;
-      Runnable cancel = () -> w.after(w.random.nextLong(4000), () -> w.userCancels(job));
+      Runnable cancel =
+          () ->
+              simulation.after(simulation.random.nextLong(4000), () -> simulation.userCancels(job));
       Runnable then = i % 2 == 0 ? cancel : () -> {};
-      w.after(
-          w.random.nextLong(1500),
-          () -> w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 3000L, then));
+      simulation.after(
+          simulation.random.nextLong(1500),
+          () -> simulation.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 3000L, then));
     }
-    for (WorkerModel m : some(w, 5)) {
-      boolean reporting = w.random.nextBoolean();
-      w.after(w.random.nextLong(1500), () -> hang(m, reporting, ms));
+    for (WorkerModel machine : randomMachines(simulation, 5)) {
+      boolean reporting = simulation.random.nextBoolean();
+      simulation.after(simulation.random.nextLong(1500), () -> pause(machine, reporting, ms));
     }
-    w.runTo(20.5 + w.random.nextInt(3000) / 1000.0);
-    suffer(w, fate);
-    w.askAll();
-    w.runTo(100);
-    return w;
+    simulation.runTo(20.5 + simulation.random.nextInt(3000) / 1000.0);
+    apply(simulation, fate);
+    simulation.pollAllJobs();
+    simulation.runTo(100);
+    return simulation;
   }
 
   /**
@@ -238,50 +257,56 @@
    * machines hang just then; the leader stays, or ends as soon as it has confirmed one of them.
    */
   @Test
-  void cancelledNowOnMachinesThatHang() {
+  void jobsCancelledOnPausedMachines() {
     int wentOn = 0;
     int left = 0;
     for (Fate fate : Fate.values()) {
-      for (long ms : hangs()) {
+      for (long ms : pauseDurationsMs()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation w = cancelNow(seed, ms, fate);
-          assertSound(w);
+          Simulation simulation = playCancellations(seed, ms, fate);
+          assertSound(simulation);
           for (int i = 20; i < 34; i++) {
-            assertTrue(w.checker.confirmedMs("wk-" + i) != null, w.wholeStory());
-            assertEquals(0, w.checker.on("wk-" + i), w.wholeStory());
+            assertTrue(
+                simulation.checker.cancelConfirmedMs("wk-" + i) != null, simulation.fullLog());
+            assertEquals(0, simulation.checker.tasksOnMachines("wk-" + i), simulation.fullLog());
           }
-          assertEquals(4, w.checker.on("wk-34") + w.checker.on("wk-35"), w.wholeStory());
-          wentOn += sum(w, m -> m.wentOnCancelled);
-          left += w.checker.leftAtConfirmation;
+          assertEquals(
+              4,
+              simulation.checker.tasksOnMachines("wk-34")
+                  + simulation.checker.tasksOnMachines("wk-35"),
+              simulation.fullLog());
+          wentOn += sum(simulation, machine -> machine.cancelledTasksResumed);
+          left += simulation.checker.leftAtConfirmation;
         }
       }
     }
     assertTrue(left > 100, left + " tasks were left as it was confirmed");
     assertTrue(wentOn > 50, wentOn + " cancelled tasks went on with their machine");
-    assertMissed(
-        Mutation.WHAT_IS_OVER_GOES_ON,
-        s -> cancelNow(s, LEASE_MS / 2, Fate.CRASHES, Mutation.WHAT_IS_OVER_GOES_ON));
+    assertDetected(
+        Mutation.NO_STOPS_FOR_ENDED_JOBS,
+        s -> playCancellations(s, LEASE_MS / 2, Fate.CRASHES, Mutation.NO_STOPS_FOR_ENDED_JOBS));
   }
 
-  private static Simulation cancelNow(long seed, long ms, Fate fate, Mutation... mutants) {
-    Simulation w = busy(seed, MACHINES, 0, mutants);
+  private static Simulation playCancellations(
+      long seed, long ms, Fate fate, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, MACHINES, 0, mutations);
     for (int i = 20; i < 36; i++) {
-      w.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
-    w.runTo(30);
+    simulation.runTo(30);
     for (int i = 20; i < 34; i++) {
       String job = "wk-" + i;
-      w.after(w.random.nextLong(200), () -> w.userCancels(job));
+      simulation.after(simulation.random.nextLong(200), () -> simulation.userCancels(job));
     }
-    for (WorkerModel m : some(w, 8)) {
-      boolean reporting = w.random.nextInt(4) == 0;
-      w.after(w.random.nextLong(300), () -> hang(m, reporting, ms));
+    for (WorkerModel machine : randomMachines(simulation, 8)) {
+      boolean reporting = simulation.random.nextInt(4) == 0;
+      simulation.after(simulation.random.nextLong(300), () -> pause(machine, reporting, ms));
     }
-    w.runUntil(w.checker::anyConfirmed, 32);
-    suffer(w, fate);
-    w.askAll();
-    w.runTo(100);
-    return w;
+    simulation.runUntil(simulation.checker::anyCancelConfirmed, 32);
+    apply(simulation, fate);
+    simulation.pollAllJobs();
+    simulation.runTo(100);
+    return simulation;
   }
 
   // ---- up at once ----
@@ -293,52 +318,56 @@
    * machine that has tasks is known in the end.
    */
   @Test
-  void machinesAreUpAtOnceAndTheLeaderEnds() {
+  void fastBootsDuringFailover() {
     int early = 0;
     int busyEarly = 0;
     int late = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        Simulation w = upAtOnce(seed, fate);
-        assertSound(w);
-        assertEquals(5 * MACHINES, w.checker.on("wk-2"), w.wholeStory());
-        assertEquals(10, w.checker.ended(), w.wholeStory());
-        early += w.cloud.upBeforeAnswer;
-        busyEarly += w.cloud.busyBeforeAnswer;
-        late += w.store.lateAfterNewer;
+        Simulation simulation = playFastBoots(seed, fate);
+        assertSound(simulation);
+        assertEquals(
+            5 * MACHINES, simulation.checker.tasksOnMachines("wk-2"), simulation.fullLog());
+        assertEquals(10, simulation.checker.jobsEnded(), simulation.fullLog());
+        early += simulation.cloud.aliveBeforeAnswer;
+        busyEarly += simulation.cloud.busyBeforeAnswer;
+        late += simulation.store.appliedAfterNewer;
       }
     }
     assertTrue(early > 100, early + " machines were up before their rental's answer");
     assertTrue(busyEarly > 20, busyEarly + " of them had tasks by then");
     assertNotEquals(0, late, "no write came after a newer one");
-    assertMissed(
-        Mutation.TASKS_BEFORE_THE_RECORD,
-        s -> upAtOnce(s, Fate.CRASHES, Mutation.TASKS_BEFORE_THE_RECORD));
+    assertDetected(
+        Mutation.TASKS_BEFORE_REGISTRATION,
+        s -> playFastBoots(s, Fate.CRASHES, Mutation.TASKS_BEFORE_REGISTRATION));
   }
 
-  private static Simulation upAtOnce(long seed, Fate fate, Mutation... mutants) {
-    Simulation w = busy(seed, MACHINES, seed % 2 == 0 ? 0 : 6.5 * MACHINES, mutants);
-    w.cloud.boots = () -> 50 + w.random.nextLong(1950);
-    w.cloud.slowMs = 4000;
-    w.store.lateShare = 0.4;
-    w.store.slowMs = 300;
-    w.submit(SimulationTest.job("wk-2", JobKind.SERVICE, 5 * MACHINES), null);
+  private static Simulation playFastBoots(long seed, Fate fate, Mutation... mutations) {
+    Simulation simulation =
+        loadedSimulation(seed, MACHINES, seed % 2 == 0 ? 0 : 6.5 * MACHINES, mutations);
+    simulation.cloud.bootMs = () -> 50 + simulation.random.nextLong(1950);
+    simulation.cloud.answerDelayMs = 4000;
+    simulation.store.lateShare = 0.4;
+    simulation.store.answerDelayMs = 300;
+    simulation.submit(SimulationTest.job("wk-2", JobKind.SERVICE, 5 * MACHINES), null);
     for (int i = 20; i < 30; i++) {
       String job = "wk-" + i;
-      Runnable then = () -> w.after(w.random.nextLong(4000), () -> w.userCancels(job));
-      w.userSubmits(
+      Runnable then =
+          () ->
+              simulation.after(simulation.random.nextLong(4000), () -> simulation.userCancels(job));
+      simulation.userSubmits(
           SimulationTest.job(job, JobKind.ARRAY, 2), 5_000L, i % 2 == 0 ? then : () -> {});
     }
-    w.runTo(22 + w.random.nextInt(6000) / 1000.0);
-    suffer(w, fate);
-    w.runUntil(() -> !w.leaders().isEmpty(), w.now() / 1000.0 + 15);
-    w.runTo(w.now() / 1000.0 + w.random.nextInt(5000) / 1000.0);
-    w.store.lateShare = 0;
-    for (ControllerModel n : w.leaders()) {
-      n.crash();
-      w.after(1000, n::start);
+    simulation.runTo(22 + simulation.random.nextInt(6000) / 1000.0);
+    apply(simulation, fate);
+    simulation.runUntil(() -> !simulation.leaders().isEmpty(), simulation.now() / 1000.0 + 15);
+    simulation.runTo(simulation.now() / 1000.0 + simulation.random.nextInt(5000) / 1000.0);
+    simulation.store.lateShare = 0;
+    for (ControllerModel controller : simulation.leaders()) {
+      controller.crash();
+      simulation.after(1000, controller::start);
     }
-    w.runTo(110);
-    return w;
+    simulation.runTo(110);
+    return simulation;
   }
 }
--- a/src/test/java/org/astershift/simulation/ProcessModel.java
+++ b/src/test/java/org/astershift/simulation/ProcessModel.java
@@ -10,29 +10,29 @@
  * stand still while its clock runs on, or crash and start anew, without what it was about to do.
  */
 abstract class ProcessModel {
-  static final long STORE_MS = 1500;
+  static final long STORE_TIMEOUT_MS = 1500;
 
   final String name;
-  final Simulation world;
+  final Simulation simulation;
   private final double drift;
   private int incarnation;
   private boolean crashed;
   private long frozenUntilMs;
 
   /** When the state service last answered. */
-  private long servedMs;
+  private long storeAnsweredMs;
 
-  ProcessModel(Simulation world, String name) {
-    this.world = world;
+  ProcessModel(Simulation simulation, String name) {
+    this.simulation = simulation;
     this.name = name;
-    this.drift = (world.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
+    this.drift = (simulation.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
   }
 
   /** A process begins, with nothing of what an earlier one was about to do. */
-  final void begin() {
+  final void beginIncarnation() {
     crashed = false;
     incarnation++;
-    servedMs = clock();
+    storeAnsweredMs = clock();
   }
 
   /** Which process of this controller it is, for {@link #here}. */
@@ -41,15 +41,15 @@
   }
 
   void crash() {
-    world.note(name, "crashes");
+    simulation.log(name, "crashes");
     crashed = true;
     incarnation++;
   }
 
   void freeze(long forMs) {
-    world.note(name, "stands still for " + forMs + " ms");
-    frozenUntilMs = world.now() + forMs;
-    world.after(forMs, world::changed);
+    simulation.log(name, "stands still for " + forMs + " ms");
+    frozenUntilMs = simulation.now() + forMs;
+    simulation.after(forMs, simulation::markConnectivityChanged);
   }
 
   boolean crashed() {
@@ -57,34 +57,34 @@
   }
 
   boolean up() {
-    return !crashed && world.now() >= frozenUntilMs;
+    return !crashed && simulation.now() >= frozenUntilMs;
   }
 
   /** Its steady clock. */
   long clock() {
-    return (long) (world.now() * (1 + drift));
+    return (long) (simulation.now() * (1 + drift));
   }
 
   /** What happens in this process: not after its end, and late if it stands still. */
-  void here(int of, Runnable body) {
-    if (incarnation != of) {
+  void runIn(int startedIn, Runnable body) {
+    if (incarnation != startedIn) {
       return;
     }
-    if (world.now() < frozenUntilMs) {
-      world.after(frozenUntilMs - world.now(), () -> here(of, body));
+    if (simulation.now() < frozenUntilMs) {
+      simulation.after(frozenUntilMs - simulation.now(), () -> runIn(startedIn, body));
     } else {
       body.run();
     }
   }
 
   void later(long delayMs, Runnable body) {
-    int of = incarnation;
-    world.after(delayMs, () -> here(of, body));
+    int startedIn = incarnation;
+    simulation.after(delayMs, () -> runIn(startedIn, body));
   }
 
   void every(long ms, Runnable body) {
     later(
-        ms + world.random.nextLong(20),
+        ms + simulation.random.nextLong(20),
         () -> {
           body.run();
           every(ms, body);
@@ -92,53 +92,55 @@
   }
 
   /** A request of this process to another host. */
-  <A> void call(String to, long timeoutMs, Simulation.Service<A> service, Consumer<A> done) {
-    int of = incarnation;
-    world.call(name, to, timeoutMs, service, a -> here(of, () -> done.accept(a)));
+  <A> void request(String to, long timeoutMs, Simulation.Service<A> service, Consumer<A> done) {
+    int startedIn = incarnation;
+    simulation.call(name, to, timeoutMs, service, a -> runIn(startedIn, () -> done.accept(a)));
   }
 
   /** A request to the state service; null: no answer, or 503, so its effect is unknown. */
-  <A> void state(Supplier<A> request, Consumer<A> done) {
-    state(STORE_MS, request, done);
+  <A> void storeRequest(Supplier<A> request, Consumer<A> done) {
+    storeRequest(STORE_TIMEOUT_MS, request, done);
   }
 
-  <A> void state(long timeoutMs, Supplier<A> request, Consumer<A> done) {
-    call(
+  <A> void storeRequest(long timeoutMs, Supplier<A> request, Consumer<A> done) {
+    request(
         "state",
         timeoutMs,
         answer -> {
-          if (world.store.refuses(name)) {
+          if (simulation.store.refuses(name)) {
             answer.accept(null);
-          } else if (!world.store.isDown()) {
+          } else if (!simulation.store.isUnavailable()) {
             A a = request.get();
-            world.after(slow(), () -> answer.accept(a));
+            simulation.after(storeDelayMs(), () -> answer.accept(a));
           }
         },
         (A a) -> {
           if (a != null) {
-            served();
+            onStoreAnswered();
           }
           done.accept(a);
         });
   }
 
   /** What the state service takes beside, at such a moment. */
-  long slow() {
-    return world.store.slowMs == 0 ? 0 : world.random.nextLong(world.store.slowMs);
+  long storeDelayMs() {
+    return simulation.store.answerDelayMs == 0
+        ? 0
+        : simulation.random.nextLong(simulation.store.answerDelayMs);
   }
 
   /** The state service has answered. */
-  void served() {
-    servedMs = clock();
+  void onStoreAnswered() {
+    storeAnsweredMs = clock();
   }
 
   /** When it last did. */
-  long servedMs() {
-    return servedMs;
+  long storeAnsweredMs() {
+    return storeAnsweredMs;
   }
 
   /** It has not for too long. */
-  boolean lost() {
-    return clock() - servedMs > StoreClient.STORE_OUTAGE_CHECK_AFTER_MS;
+  boolean storeLost() {
+    return clock() - storeAnsweredMs > StoreClient.STORE_OUTAGE_CHECK_AFTER_MS;
   }
 }
--- a/src/test/java/org/astershift/simulation/RandomizedScenarioDigestTest.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigestTest.java
@@ -15,7 +15,7 @@
  */
 class RandomizedScenarioDigestTest {
   @Test
-  void noSeedIsPlayedOtherwiseThanKept() throws IOException {
+  void everySeedMatchesItsKeptDigest() throws IOException {
     List<String> different = RandomizedScenarioDigests.kept().differencesInBuild();
     assertEquals("", String.join("\n", different));
   }
--- a/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
@@ -13,10 +13,10 @@
   }
 
   private static String of(long seed) {
-    RandomizedScenario swarm = RandomizedScenario.play(seed);
-    Simulation world = swarm.world;
-    EventDigest digest = world.digest;
-    digest.endOfPlay(world.now(), world.events(), !swarm.failed());
+    RandomizedScenario scenario = RandomizedScenario.play(seed);
+    Simulation simulation = scenario.simulation;
+    EventDigest digest = simulation.digest;
+    digest.endOfPlay(simulation.now(), simulation.eventsRun(), !scenario.failed());
     return digest.hex();
   }
 }
--- a/src/test/java/org/astershift/simulation/ReservedRoomTest.java
+++ b/src/test/java/org/astershift/simulation/ReservedRoomTest.java
@@ -24,45 +24,45 @@
   private static final long SMALL_MS = 10_000;
 
   @Test
-  void smallWorkDoesNotWaitBesideKeptRoom() {
+  void smallJobsDoNotStarveBesideReservedRoom() {
     long longestMs = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = overload(seed);
-      assertEquals(List.of(), w.checker.broken, w.wholeStory());
-      longestMs = Math.max(longestMs, w.leftWaiting.longestMs());
+      Simulation simulation = overload(seed);
+      assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
+      longestMs = Math.max(longestMs, simulation.starvationCheck.longestMs());
     }
     assertTrue(longestMs > 30_000, "the longest wait beside room was " + longestMs + " ms");
   }
 
   private static Simulation overload(long seed) {
-    Simulation w = new Simulation(seed, Setup.of(3, MACHINES));
-    w.cloud.capacity.put(CloudModel.TYPE, MACHINES);
-    w.runTo(6);
+    Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
+    simulation.cloud.capacity.put(CloudModel.TYPE, MACHINES);
+    simulation.runTo(6);
     // Three of four processors of each machine, in part for minutes.
     for (int i = 0; i < MACHINES; i++) {
-      long runMs = LONG_MS - w.random.nextLong(LONG_MS / 2);
+      long runMs = LONG_MS - simulation.random.nextLong(LONG_MS / 2);
       JobDraft draft = JobDraft.array("wk-long" + i, 1).in("long", Priority.NORMAL);
-      w.submit(draft.takes(2 + i % 2, 0).estimate(LONG_MS / 1000.0).spec(), runMs);
+      simulation.submit(draft.takes(2 + i % 2, 0).estimate(LONG_MS / 1000.0).spec(), runMs);
     }
-    w.runTo(12);
+    simulation.runTo(12);
     for (int i = 0; i < 4; i++) {
       JobDraft large = JobDraft.array("wk-large" + i, 2).in("large", Priority.NORMAL);
-      w.submit(large.takes(4, 0).spec(), SMALL_MS);
+      simulation.submit(large.takes(4, 0).spec(), SMALL_MS);
       JobDraft gang = JobDraft.array("wk-gang" + i, 6).kind(JobKind.GANG);
-      w.submit(gang.in("gang", Priority.NORMAL).takes(3, 0).spec(), SMALL_MS);
+      simulation.submit(gang.in("gang", Priority.NORMAL).takes(3, 0).spec(), SMALL_MS);
     }
-    w.leftWaiting.troublesAreOver();
+    simulation.starvationCheck.onFaultsHealed();
     for (int i = 0; i < 130; i++) {
       int id = i;
-      w.after(3000L * i, () -> small(w, id));
+      simulation.after(3000L * i, () -> small(simulation, id));
     }
-    w.runTo(END_S);
-    return w;
+    simulation.runTo(END_S);
+    return simulation;
   }
 
-  private static void small(Simulation w, int id) {
+  private static void small(Simulation simulation, int id) {
     Priority priority = id % 3 == 0 ? Priority.LOW : Priority.NORMAL;
     JobDraft draft = JobDraft.array("wk-s" + id, 2).in("small" + id % 2, priority);
-    w.submit(draft.takes(1 + id % 2, 0).spec(), SMALL_MS);
+    simulation.submit(draft.takes(1 + id % 2, 0).spec(), SMALL_MS);
   }
 }
--- a/src/test/java/org/astershift/simulation/SeedRunner.java
+++ b/src/test/java/org/astershift/simulation/SeedRunner.java
@@ -30,7 +30,7 @@
     long first = arguments.first();
     long last = arguments.last();
     boolean story = arguments.options().contains(STORY);
-    Mutation[] mutants =
+    Mutation[] mutations =
         arguments.options().stream()
             .filter(a -> !a.equals(STORY))
             .map(Mutation::valueOf)
@@ -39,7 +39,7 @@
         LongStream.rangeClosed(first, last)
             .parallel()
             .boxed()
-            .map(seed -> new Object[] {seed, play(seed, story, mutants)})
+            .map(seed -> new Object[] {seed, play(seed, story, mutations)})
             .filter(r -> r[1] != null)
             .collect(
                 Collectors.toMap(
@@ -49,13 +49,16 @@
     System.exit(failed.isEmpty() ? 0 : 1);
   }
 
-  private static String play(long seed, boolean story, Mutation... mutants) {
-    RandomizedScenario s = RandomizedScenario.play(seed, mutants);
-    if (!s.failed()) {
+  private static String play(long seed, boolean story, Mutation... mutations) {
+    RandomizedScenario scenario = RandomizedScenario.play(seed, mutations);
+    if (!scenario.failed()) {
       return null;
     }
     String what =
-        Set.copyOf(s.world.checker.broken) + " " + s.world.checker.healthyReturned + s.unserved();
-    return what + (story ? "\n" + s.world.wholeStory() : "");
+        Set.copyOf(scenario.simulation.checker.violations)
+            + " "
+            + scenario.simulation.checker.healthyReleased
+            + scenario.unserved();
+    return what + (story ? "\n" + scenario.simulation.fullLog() : "");
   }
 }
--- a/src/test/java/org/astershift/simulation/Simulation.java
+++ b/src/test/java/org/astershift/simulation/Simulation.java
@@ -33,50 +33,50 @@
   final CloudModel cloud;
   final InvariantChecker checker;
   final EventDigest digest = new EventDigest();
-  final StarvationCheck leftWaiting;
+  final StarvationCheck starvationCheck;
   final UserModel users;
   final GangModel gangs = new GangModel(this);
-  final DelayedHeartbeats lateReports = new DelayedHeartbeats(this);
-  final Set<Mutation> mutants = EnumSet.noneOf(Mutation.class);
+  final DelayedHeartbeats delayedHeartbeats = new DelayedHeartbeats(this);
+  final Set<Mutation> mutations = EnumSet.noneOf(Mutation.class);
   final Map<String, WorkerModel> workers = new LinkedHashMap<>();
-  final List<ControllerModel> nodes = new ArrayList<>();
+  final List<ControllerModel> controllers = new ArrayList<>();
 
   /** Processors that the tasks of the only team may take at once; 0: no limit. */
-  double teamLimit;
+  double teamCpuLimit;
 
-  /** Teams with their guarantees and limits; none: the only one, with {@link #teamLimit}. */
+  /** Teams with their guarantees and limits; none: the only one, with {@link #teamCpuLimit}. */
   final Map<String, Team> teams = new LinkedHashMap<>();
 
   /** What the operators aim at. */
   final List<ServiceLevelObjective> objectives = new ArrayList<>();
 
   /** Share of the reports of which a copy comes later. */
-  double copied;
+  double duplicateShare;
 
   /**
    * Direct orders go over connections, as over TCP: each reaches the life of the machine that has
    * accepted its connection, or none, and is made up once there is one. Otherwise what is on its
    * way may reach any life, which is worse than a network without proxies does.
    */
-  boolean connections;
+  boolean connectionOriented;
 
   /** Threads that have read something for a user go on up to so long later. */
-  long stuckMs;
+  long threadStallMs;
 
   /** The thread that writes records handles the answer to a write so long after it came. */
-  long slowRecordsMs;
+  long recordAnswerDelayMs;
 
-  private final PriorityQueue<Event> queue = new PriorityQueue<>();
-  private final Set<Link> cut = new HashSet<>();
-  private final Map<Link, List<Runnable>> held = new HashMap<>();
-  private final Map<Link, Long> slow = new HashMap<>();
-  private final List<String> log = new ArrayList<>();
+  private final PriorityQueue<Event> eventQueue = new PriorityQueue<>();
+  private final Set<Link> cutLinks = new HashSet<>();
+  private final Map<Link, List<Runnable>> heldMessages = new HashMap<>();
+  private final Map<Link, Long> addedDelayMs = new HashMap<>();
+  private final List<String> logLines = new ArrayList<>();
   private long nowMs;
-  private long changedMs;
-  private long events;
+  private long connectivityChangedMs;
+  private long eventsRun;
 
   /** What a world starts with; times in milliseconds. */
-  record Setup(int nodes, int machines, List<String> zones, long reportMs, long leaseMs) {
+  record Setup(int controllers, int machines, List<String> zones, long heartbeatMs, long leaseMs) {
     static Setup of(int nodes, int machines) {
       return new Setup(nodes, machines, List.of("a", "b", "c"), 2000, 14_000);
     }
@@ -85,13 +85,13 @@
   private record Link(String from, String to) {}
 
   Map<String, Team> teams() {
-    return teams.isEmpty() ? Map.of("team", new Team("team", 0, teamLimit, 0, 0)) : teams;
+    return teams.isEmpty() ? Map.of("team", new Team("team", 0, teamCpuLimit, 0, 0)) : teams;
   }
 
   private record Event(long atMs, long order, Runnable body) implements Comparable<Event> {
     @Override
-    public int compareTo(Event o) {
-      return atMs != o.atMs ? Long.compare(atMs, o.atMs) : Long.compare(order, o.order);
+    public int compareTo(Event other) {
+      return atMs != other.atMs ? Long.compare(atMs, other.atMs) : Long.compare(order, other.order);
     }
   }
 
@@ -100,18 +100,18 @@
     this.setup = setup;
     this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     this.checker = new InvariantChecker(this);
-    this.leftWaiting = new StarvationCheck(this);
+    this.starvationCheck = new StarvationCheck(this);
     this.users = new UserModel(this);
     this.store = new StoreModel(this);
     this.cloud = new CloudModel(this);
-    for (int i = 0; i < setup.nodes(); i++) {
-      nodes.add(new ControllerModel(this, "n" + i));
+    for (int i = 0; i < setup.controllers(); i++) {
+      controllers.add(new ControllerModel(this, "n" + i));
     }
     for (int i = 0; i < setup.machines(); i++) {
       String zone = setup.zones().get(i % setup.zones().size());
-      cloud.add("vm-" + i, zone, true);
+      cloud.addMachine("vm-" + i, zone, true);
     }
-    nodes.forEach(ControllerModel::start);
+    controllers.forEach(ControllerModel::start);
   }
 
   // ---- time ----
@@ -122,7 +122,7 @@
 
   void after(long delayMs, Runnable body) {
     // The order of what falls into one millisecond is drawn, so that seeds try each.
-    queue.add(new Event(nowMs + Math.max(0, delayMs), random.nextLong(), body));
+    eventQueue.add(new Event(nowMs + Math.max(0, delayMs), random.nextLong(), body));
   }
 
   void runTo(double seconds) {
@@ -130,11 +130,11 @@
   }
 
   private void runToMs(long until) {
-    while (!queue.isEmpty() && queue.peek().atMs() <= until) {
-      Event e = queue.poll();
-      nowMs = e.atMs();
-      events++;
-      e.body().run();
+    while (!eventQueue.isEmpty() && eventQueue.peek().atMs() <= until) {
+      Event event = eventQueue.poll();
+      nowMs = event.atMs();
+      eventsRun++;
+      event.body().run();
     }
     nowMs = until;
   }
@@ -147,36 +147,36 @@
     return holds.getAsBoolean();
   }
 
-  long events() {
-    return events;
+  long eventsRun() {
+    return eventsRun;
   }
 
   // ---- links ----
 
   /** Hosts are "n0", "n1", ..., "state", "cloud", and machines by name. */
-  private boolean up(String from, String to) {
-    return !cut.contains(new Link(from, to))
-        && !cut.contains(new Link(group(from), to))
-        && !cut.contains(new Link(from, group(to)))
-        && !cut.contains(new Link(zone(from), to))
-        && !cut.contains(new Link(from, zone(to)))
-        && !cut.contains(new Link(zone(from), "outside"))
-        && !cut.contains(new Link("outside", zone(to)));
+  private boolean linkUp(String from, String to) {
+    return !cutLinks.contains(new Link(from, to))
+        && !cutLinks.contains(new Link(hostGroup(from), to))
+        && !cutLinks.contains(new Link(from, hostGroup(to)))
+        && !cutLinks.contains(new Link(zoneOf(from), to))
+        && !cutLinks.contains(new Link(from, zoneOf(to)))
+        && !cutLinks.contains(new Link(zoneOf(from), "outside"))
+        && !cutLinks.contains(new Link("outside", zoneOf(to)));
   }
 
-  private static String group(String host) {
+  private static String hostGroup(String host) {
     return host.startsWith("vm-") ? "workers" : host;
   }
 
-  private String zone(String host) {
-    WorkerModel w = workers.get(host);
-    return w == null ? host : "zone " + w.zone;
+  private String zoneOf(String host) {
+    WorkerModel worker = workers.get(host);
+    return worker == null ? host : "zone " + worker.zone;
   }
 
   /** Cuts one direction. What is sent meanwhile is held, and delivered when the cut is over. */
   void cut(String from, String to) {
-    note(from, "no longer reaches " + to);
-    cut.add(new Link(from, to));
+    log(from, "no longer reaches " + to);
+    cutLinks.add(new Link(from, to));
   }
 
   void cutBoth(String a, String b) {
@@ -185,12 +185,12 @@
   }
 
   void heal(String from, String to) {
-    note(from, "reaches " + to + " again");
-    cut.remove(new Link(from, to));
-    changed();
-    for (Link l : new ArrayList<>(held.keySet())) {
-      if (up(l.from(), l.to())) {
-        held.remove(l).forEach(r -> after(delay(), r));
+    log(from, "reaches " + to + " again");
+    cutLinks.remove(new Link(from, to));
+    markConnectivityChanged();
+    for (Link link : new ArrayList<>(heldMessages.keySet())) {
+      if (linkUp(link.from(), link.to())) {
+        heldMessages.remove(link).forEach(r -> after(baseDelayMs(), r));
       }
     }
   }
@@ -201,67 +201,72 @@
   }
 
   /** Messages that wait for a cut to be over. */
-  int held() {
-    return held.values().stream().mapToInt(List::size).sum();
+  int heldMessageCount() {
+    return heldMessages.values().stream().mapToInt(List::size).sum();
   }
 
   /** A path is back, or a controller that stood still. */
-  void changed() {
-    changedMs = nowMs;
+  void markConnectivityChanged() {
+    connectivityChangedMs = nowMs;
   }
 
-  long changedMs() {
-    return changedMs;
+  long connectivityChangedMs() {
+    return connectivityChangedMs;
   }
 
   /** Ends all cuts. */
   void healAll() {
-    for (Link l : new ArrayList<>(cut)) {
-      heal(l.from(), l.to());
+    for (Link link : new ArrayList<>(cutLinks)) {
+      heal(link.from(), link.to());
     }
   }
 
   /** Controllers that lead, as far as they know. */
   List<ControllerModel> leaders() {
-    return nodes.stream().filter(n -> n.up() && n.leads()).toList();
+    return controllers.stream()
+        .filter(controller -> controller.up() && controller.leads())
+        .toList();
   }
 
   /** The one that leads; that there is exactly one is asserted. */
   ControllerModel onlyLeader() {
     List<ControllerModel> all = leaders();
-    assertEquals(1, all.size(), story());
+    assertEquals(1, all.size(), recentLog());
     return all.get(0);
   }
 
   boolean reaches(String a, String b) {
-    return up(a, b) && up(b, a);
+    return linkUp(a, b) && linkUp(b, a);
   }
 
-  private long delay() {
+  private long baseDelayMs() {
     return 1 + random.nextLong(4);
   }
 
   /** From now on what is sent that way takes up to so much longer; 0: no more. */
-  void slow(String from, String to, long ms) {
-    note(from, "needs up to " + ms + " ms more to " + to);
-    slow.put(new Link(from, to), ms);
+  void delayLink(String from, String to, long ms) {
+    log(from, "needs up to " + ms + " ms more to " + to);
+    addedDelayMs.put(new Link(from, to), ms);
   }
 
   /** What a message takes; one sent later may arrive before it, over another connection. */
-  private long delay(String from, String to) {
-    long most = slow.isEmpty() ? 0 : Math.max(more(from, to), more(group(from), group(to)));
-    return delay() + (most == 0 ? 0 : random.nextLong(most));
+  private long delayMs(String from, String to) {
+    long most =
+        addedDelayMs.isEmpty()
+            ? 0
+            : Math.max(addedDelayMs(from, to), addedDelayMs(hostGroup(from), hostGroup(to)));
+    return baseDelayMs() + (most == 0 ? 0 : random.nextLong(most));
   }
 
-  private long more(String from, String to) {
-    return slow.getOrDefault(new Link(from, to), 0L);
+  private long addedDelayMs(String from, String to) {
+    return addedDelayMs.getOrDefault(new Link(from, to), 0L);
   }
 
   void send(String from, String to, Runnable delivered) {
-    if (up(from, to)) {
-      after(delay(from, to), delivered);
+    if (linkUp(from, to)) {
+      after(delayMs(from, to), delivered);
     } else {
-      held.computeIfAbsent(new Link(from, to), l -> new ArrayList<>()).add(delivered);
+      heldMessages.computeIfAbsent(new Link(from, to), link -> new ArrayList<>()).add(delivered);
     }
   }
 
@@ -291,7 +296,7 @@
 
   /** A job is accepted; {@code ms}: how long its tasks run, null for a service. */
   void submit(org.astershift.scheduler.JobSpec spec, Long ms) {
-    users.accept(spec, ms);
+    users.acceptDirectly(spec, ms);
   }
 
   /** A user submits the job until it is accepted; {@code then}: what follows that. */
@@ -305,8 +310,8 @@
   }
 
   /** From now on users ask each node about each accepted job every five seconds. */
-  void askAll() {
-    users.askAll();
+  void pollAllJobs() {
+    users.pollAll();
   }
 
   /** The token of whoever began to lead last; 0: nobody has. */
@@ -316,18 +321,18 @@
 
   // ---- the log of all hosts, side by side ----
 
-  void note(String host, String what) {
-    log.add(String.format(Locale.ROOT, "%9.3f %-6s %s", nowMs / 1000.0, host, what));
+  void log(String host, String what) {
+    logLines.add(String.format(Locale.ROOT, "%9.3f %-6s %s", nowMs / 1000.0, host, what));
   }
 
   /** The log of all hosts from the beginning. */
-  String wholeStory() {
-    return String.join("\n", log);
+  String fullLog() {
+    return String.join("\n", logLines);
   }
 
   /** For the message of a failure: how to play it again, and the last of what happened. */
-  String story() {
-    List<String> last = log.subList(Math.max(0, log.size() - 60), log.size());
+  String recentLog() {
+    List<String> last = logLines.subList(Math.max(0, logLines.size() - 60), logLines.size());
     return "seed " + seed + ", " + setup + "\n" + String.join("\n", last);
   }
 }
--- a/src/test/java/org/astershift/simulation/SimulationTest.java
+++ b/src/test/java/org/astershift/simulation/SimulationTest.java
@@ -47,43 +47,48 @@
   }
 
   /** A world with replicas on it that has come to rest. */
-  private static Simulation rested(long seed, Setup setup) {
-    Simulation w = new Simulation(seed, setup);
-    w.runTo(4);
+  private static Simulation loadedSimulation(long seed, Setup setup) {
+    Simulation simulation = new Simulation(seed, setup);
+    simulation.runTo(4);
     // Something is on each machine to the end, so that none is ever idle: each return is for
     // silence.
-    w.submit(job("wk-1", JobKind.SERVICE, 3 * setup.machines()), null);
-    w.submit(job("wk-2", JobKind.ARRAY, setup.machines()), 40_000L);
-    w.runTo(20);
-    assertEquals(1, w.leaders().size(), w.story());
-    assertTrue(running(w) >= 4 * setup.machines(), running(w) + " run\n" + w.story());
-    return w;
+    simulation.submit(job("wk-1", JobKind.SERVICE, 3 * setup.machines()), null);
+    simulation.submit(job("wk-2", JobKind.ARRAY, setup.machines()), 40_000L);
+    simulation.runTo(20);
+    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
+    assertTrue(
+        running(simulation) >= 4 * setup.machines(),
+        running(simulation) + " run\n" + simulation.recentLog());
+    return simulation;
   }
 
-  private static int running(Simulation w) {
-    return w.workers.values().stream().mapToInt(WorkerModel::running).sum();
+  private static int running(Simulation simulation) {
+    return simulation.workers.values().stream().mapToInt(WorkerModel::runningTasks).sum();
   }
 
-  private static void sound(Simulation w) {
-    assertEquals(List.of(), w.checker.broken, w.story());
-    assertEquals(List.of(), w.checker.healthyReturned, w.story());
+  private static void assertSound(Simulation simulation) {
+    assertEquals(List.of(), simulation.checker.violations, simulation.recentLog());
+    assertEquals(List.of(), simulation.checker.healthyReleased, simulation.recentLog());
   }
 
-  private static ControllerModel follower(Simulation w, int which) {
-    return w.nodes.stream().filter(n -> !n.leads()).toList().get(which);
+  private static ControllerModel follower(Simulation simulation, int which) {
+    return simulation.controllers.stream()
+        .filter(controller -> !controller.leads())
+        .toList()
+        .get(which);
   }
 
   @Test
-  void whateverHappensNoRuleBreaksAndInTheEndAllIsServed() {
-    int seeds = Integer.getInteger("world.seeds", 150);
+  void randomizedScenariosViolateNoInvariant() {
+    int seeds = Integer.getInteger("simulation.seeds", 150);
     int gangs = 0;
     int taken = 0;
     for (long seed = 1; seed <= seeds; seed++) {
-      RandomizedScenario s = RandomizedScenario.play(seed);
-      sound(s.world);
-      assertEquals("", s.unserved(), s.world.story());
-      gangs += s.world.gangs.began;
-      taken += s.world.cloud.takenWithTasks;
+      RandomizedScenario scenario = RandomizedScenario.play(seed);
+      assertSound(scenario.simulation);
+      assertEquals("", scenario.unserved(), scenario.simulation.recentLog());
+      gangs += scenario.simulation.gangs.started;
+      taken += scenario.simulation.cloud.preemptedWithTasks;
     }
     assertTrue(gangs >= seeds / 2, gangs + " gangs ran");
     assertTrue(taken >= seeds / 2, taken + " machines with tasks were taken back");
@@ -91,20 +96,20 @@
 
   /** The checker can fail: each of these fences taken away is missed within so many seeds. */
   @Test
-  void eachFenceTakenAwayIsMissed() {
+  void eachMutationIsDetected() {
     StringBuilder found = new StringBuilder();
-    for (Mutation mutant :
+    for (Mutation mutation :
         List.of(
-            Mutation.DEAF_WITNESSES,
-            Mutation.NO_ROSTER,
-            Mutation.ONE_JOB_IS_FORGOTTEN,
-            Mutation.CANCELS_UNWRITTEN,
-            Mutation.ENDS_REPLACE_ENDS)) {
+            Mutation.PEER_PROBES_ALWAYS_FAIL,
+            Mutation.NO_INHERITED_MACHINES,
+            Mutation.FORGET_ONE_JOB,
+            Mutation.CONFIRM_CANCEL_BEFORE_WRITE,
+            Mutation.OVERWRITE_JOB_END)) {
       long seed = 1;
-      while (seed <= MUTANT_SEEDS && !RandomizedScenario.play(seed, mutant).failed()) {
+      while (seed <= MUTANT_SEEDS && !RandomizedScenario.play(seed, mutation).failed()) {
         seed++;
       }
-      found.append(mutant).append(" by seed ").append(seed).append('\n');
+      found.append(mutation).append(" by seed ").append(seed).append('\n');
     }
     assertFalse(found.toString().contains("by seed " + (MUTANT_SEEDS + 1)), found.toString());
   }
@@ -114,95 +119,99 @@
    * new one hears zone a only. That a lease has run out it must not take for a proof.
    */
   @Test
-  void aLeaderInDoubtProvesNothingByLeases() {
+  void leaderWithUncertainLeaseTrustsNoExpiry() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = twoLeaders(seed);
-      assertEquals(2, w.leaders().size(), w.story());
-      sound(w);
+      Simulation simulation = twoLeaders(seed);
+      assertEquals(2, simulation.leaders().size(), simulation.recentLog());
+      assertSound(simulation);
     }
   }
 
   /** With fences taken away once all are at rest. */
-  static Simulation twoLeaders(long seed, Mutation... mutants) {
-    Simulation w = rested(seed, Setup.of(3, 60));
-    w.mutants.addAll(List.of(mutants));
-    ControllerModel old = w.leaders().get(0);
-    ControllerModel later = follower(w, 0);
-    for (String host : List.of("state", "cloud", "zone a", later.name, follower(w, 1).name)) {
-      w.cutBoth(old.name, host);
+  static Simulation twoLeaders(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+    simulation.mutations.addAll(List.of(mutations));
+    ControllerModel old = simulation.leaders().get(0);
+    ControllerModel later = follower(simulation, 0);
+    for (String host :
+        List.of("state", "cloud", "zone a", later.name, follower(simulation, 1).name)) {
+      simulation.cutBoth(old.name, host);
     }
-    w.cutBoth(later.name, "zone b");
-    w.cutBoth(later.name, "zone c");
-    w.cutBoth(follower(w, 1).name, "workers");
-    w.runTo(60);
-    return w;
+    simulation.cutBoth(later.name, "zone b");
+    simulation.cutBoth(later.name, "zone c");
+    simulation.cutBoth(follower(simulation, 1).name, "workers");
+    simulation.runTo(60);
+    return simulation;
   }
 
   /** Without handing over the deaf leader stays, and the leases run out. */
   @Test
-  void withoutHandingOverTheLeasesRunOut() {
-    Simulation w = rested(1, Setup.of(3, 60));
-    w.mutants.add(Mutation.NO_HANDING_OVER);
-    w.cutBoth(w.leaders().get(0).name, "workers");
-    w.runTo(60);
-    assertNotEquals(0, w.checker.killedByLease, "a fence was taken away");
+  void withoutLeadershipTransferWorkerLeasesExpire() {
+    Simulation simulation = loadedSimulation(1, Setup.of(3, 60));
+    simulation.mutations.add(Mutation.NO_LEADERSHIP_TRANSFER);
+    simulation.cutBoth(simulation.leaders().get(0).name, "workers");
+    simulation.runTo(60);
+    assertNotEquals(0, simulation.checker.killedByLease, "a fence was taken away");
   }
 
   @Test
-  void theSecondHolderIsCutFromTheWorkersAsTheFirst() {
+  void secondLeaderPartitionedFromWorkersLikeFirst() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      ControllerModel first = w.leaders().get(0);
-      ControllerModel second = follower(w, 0);
-      ControllerModel third = follower(w, 1);
-      w.cutBoth(first.name, "workers");
-      w.cutBoth(second.name, "workers");
-      w.runTo(35);
-      assertEquals(List.of(third), w.leaders(), w.story());
-      w.runTo(95);
-      assertEquals(0, w.checker.killedByLease, w.story());
-      w.healBoth(first.name, "workers");
-      w.healBoth(second.name, "workers");
-      w.runTo(120);
-      sound(w);
-      assertEquals(List.of(), w.checker.returned, w.story());
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel first = simulation.leaders().get(0);
+      ControllerModel second = follower(simulation, 0);
+      ControllerModel third = follower(simulation, 1);
+      simulation.cutBoth(first.name, "workers");
+      simulation.cutBoth(second.name, "workers");
+      simulation.runTo(35);
+      assertEquals(List.of(third), simulation.leaders(), simulation.recentLog());
+      simulation.runTo(95);
+      assertEquals(0, simulation.checker.killedByLease, simulation.recentLog());
+      simulation.healBoth(first.name, "workers");
+      simulation.healBoth(second.name, "workers");
+      simulation.runTo(120);
+      assertSound(simulation);
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
     }
   }
 
   @Test
-  void allAreCutAtOnceAndComeBackOneByOne() {
+  void allControllersPartitionedAndHealedOneByOne() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      w.nodes.forEach(n -> w.cutBoth(n.name, "workers"));
-      int before = w.checker.leaders.size();
-      w.runTo(90);
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "workers"));
+      int before = simulation.checker.leaders.size();
+      simulation.runTo(90);
       assertEquals(
-          before, w.checker.leaders.size(), "nobody reaches them: one stays\n" + w.story());
-      ControllerModel back = follower(w, 1);
-      w.healBoth(back.name, "workers");
-      w.runTo(110);
-      assertEquals(List.of(back), w.leaders(), w.story());
-      w.nodes.forEach(n -> w.healBoth(n.name, "workers"));
-      w.runTo(150);
-      sound(w);
-      assertEquals(before + 1, w.checker.leaders.size(), w.story());
-      assertEquals(List.of(), w.checker.returned, w.story());
-      assertTrue(running(w) >= 180, running(w) + " run\n" + w.story());
+          before,
+          simulation.checker.leaders.size(),
+          "nobody reaches them: one stays\n" + simulation.recentLog());
+      ControllerModel back = follower(simulation, 1);
+      simulation.healBoth(back.name, "workers");
+      simulation.runTo(110);
+      assertEquals(List.of(back), simulation.leaders(), simulation.recentLog());
+      simulation.controllers.forEach(controller -> simulation.healBoth(controller.name, "workers"));
+      simulation.runTo(150);
+      assertSound(simulation);
+      assertEquals(before + 1, simulation.checker.leaders.size(), simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
   @Test
-  void requestsOfWorkersArriveAndAnswersDoNot() {
+  void leaderOutboundPartitionedFromWorkers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      ControllerModel first = w.leaders().get(0);
-      w.cut(first.name, "workers");
-      w.runTo(80);
-      sound(w);
-      assertEquals(List.of(), w.checker.returned, w.story());
-      w.heal(first.name, "workers");
-      w.runTo(110);
-      sound(w);
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel first = simulation.leaders().get(0);
+      simulation.cut(first.name, "workers");
+      simulation.runTo(80);
+      assertSound(simulation);
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      simulation.heal(first.name, "workers");
+      simulation.runTo(110);
+      assertSound(simulation);
     }
   }
 
@@ -211,49 +220,51 @@
    * the leader starts in the next ones lives by their own beginning, not by the last report.
    */
   @Test
-  void reportsAreLostAndOrdersAreNot() {
+  void heartbeatsLostWhileCommandsPass() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      w.nodes.forEach(n -> n.full(40_000));
-      w.runTo(100);
-      sound(w);
-      assertNotEquals(0, w.checker.killedByLease, w.story());
-      assertTrue(running(w) >= 180, running(w) + " run\n" + w.story());
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.controllers.forEach(controller -> controller.rejectHeartbeats(40_000));
+      simulation.runTo(100);
+      assertSound(simulation);
+      assertNotEquals(0, simulation.checker.killedByLease, simulation.recentLog());
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
   @Test
-  void aLeaderIsCutOffInTheMiddleOfReturning() {
+  void leaderPartitionedDuringScaleIn() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      ControllerModel first = w.leaders().get(0);
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel first = simulation.leaders().get(0);
       for (int i = 0; i < 12; i++) {
-        w.cloud.die("vm-" + i);
+        simulation.cloud.die("vm-" + i);
       }
-      w.runTo(23.5 + seed % 25 * 0.1);
-      w.cutBoth(first.name, "workers");
-      w.runTo(60);
-      sound(w);
-      assertNotEquals(List.of(first), w.leaders(), w.story());
-      assertEquals(12, w.checker.returned.size(), w.story());
-      w.healBoth(first.name, "workers");
-      w.runTo(100);
-      sound(w);
+      simulation.runTo(23.5 + seed % 25 * 0.1);
+      simulation.cutBoth(first.name, "workers");
+      simulation.runTo(60);
+      assertSound(simulation);
+      assertNotEquals(List.of(first), simulation.leaders(), simulation.recentLog());
+      assertEquals(12, simulation.checker.released.size(), simulation.recentLog());
+      simulation.healBoth(first.name, "workers");
+      simulation.runTo(100);
+      assertSound(simulation);
     }
   }
 
   @Test
-  void manyAreDeadAtTheMomentOfATakeover() {
-    Simulation w = rested(1, Setup.of(3, 600));
-    ControllerModel first = w.leaders().get(0);
+  void manyMachinesDeadAtFailover() {
+    Simulation simulation = loadedSimulation(1, Setup.of(3, 600));
+    ControllerModel first = simulation.leaders().get(0);
     for (int i = 0; i < 180; i++) {
-      w.cloud.die("vm-" + i);
+      simulation.cloud.die("vm-" + i);
     }
     first.crash();
-    w.runTo(60);
-    sound(w);
-    assertEquals(180, w.checker.returned.size(), w.story());
-    assertTrue(running(w) >= 1800, running(w) + " run\n" + w.story());
+    simulation.runTo(60);
+    assertSound(simulation);
+    assertEquals(180, simulation.checker.released.size(), simulation.recentLog());
+    assertTrue(
+        running(simulation) >= 1800, running(simulation) + " run\n" + simulation.recentLog());
   }
 
   /**
@@ -261,51 +272,56 @@
    * what its machines may hold counts until they are gone.
    */
   @Test
-  void aLimitHoldsThroughAChangeOfLeaders() {
+  void teamLimitHoldsAcrossFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = atItsLimit(seed);
-      loseLeaderAndZone(w);
-      w.runTo(90);
-      sound(w);
-      assertEquals(120, running(w), w.story());
+      Simulation simulation = simulationAtTeamLimit(seed);
+      crashLeaderAndCutZone(simulation);
+      simulation.runTo(90);
+      assertSound(simulation);
+      assertEquals(120, running(simulation), simulation.recentLog());
     }
   }
 
   /** Reports of a zone arrive and nothing that is said to it, while leaders change. */
   @Test
-  void whatIsSaidToAZoneDoesNotArrive() {
+  void zoneInboundPartitionedDuringFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      w.nodes.forEach(n -> w.cut(n.name, "zone a"));
-      w.runTo(21 + seed % 10);
-      w.leaders().get(0).crash();
-      w.runTo(40);
-      w.submit(job("wk-3", JobKind.ARRAY, 60), 5_000L);
-      w.runTo(100);
-      sound(w);
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.controllers.forEach(controller -> simulation.cut(controller.name, "zone a"));
+      simulation.runTo(21 + seed % 10);
+      simulation.leaders().get(0).crash();
+      simulation.runTo(40);
+      simulation.submit(job("wk-3", JobKind.ARRAY, 60), 5_000L);
+      simulation.runTo(100);
+      assertSound(simulation);
       // What was opened before waits for none of them for ever: they are given up, and replaced.
-      assertTrue(running(w) >= 180, running(w) + " run\n" + w.story());
       assertTrue(
-          w.checker.returned.stream().allMatch(m -> w.workers.get(m).zone.equals("a")), w.story());
-      w.nodes.forEach(n -> w.heal(n.name, "zone a"));
-      w.runTo(130);
-      sound(w);
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+      assertTrue(
+          simulation.checker.released.stream()
+              .allMatch(m -> simulation.workers.get(m).zone.equals("a")),
+          simulation.recentLog());
+      simulation.controllers.forEach(controller -> simulation.heal(controller.name, "zone a"));
+      simulation.runTo(130);
+      assertSound(simulation);
     }
   }
 
   /** A few such machines under a leader that stays: they get nothing new, and are used again. */
   @Test
-  void whatIsSaidToAFewDoesNotArriveForAWhile() {
+  void machineInboundPartitionedForAWhile() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      w.nodes.forEach(n -> w.cut(n.name, "vm-7"));
-      w.submit(job("wk-3", JobKind.SERVICE, 30), null);
-      w.runTo(32);
-      assertTrue(running(w) >= 210, running(w) + " run\n" + w.story());
-      w.nodes.forEach(n -> w.heal(n.name, "vm-7"));
-      w.runTo(80);
-      sound(w);
-      assertTrue(running(w) >= 210, running(w) + " run\n" + w.story());
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.controllers.forEach(controller -> simulation.cut(controller.name, "vm-7"));
+      simulation.submit(job("wk-3", JobKind.SERVICE, 30), null);
+      simulation.runTo(32);
+      assertTrue(
+          running(simulation) >= 210, running(simulation) + " run\n" + simulation.recentLog());
+      simulation.controllers.forEach(controller -> simulation.heal(controller.name, "vm-7"));
+      simulation.runTo(80);
+      assertSound(simulation);
+      assertTrue(
+          running(simulation) >= 210, running(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
@@ -315,147 +331,179 @@
    * it.
    */
   @Test
-  void oneMachineDoesNotHoldUpAllForEver() {
+  void oneUnreconciledMachineDoesNotBlockAllJobs() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      w.leaders().get(0).crash();
-      w.nodes.stream().filter(n -> !n.crashed()).forEach(n -> w.cut(n.name, "vm-3"));
-      w.runTo(24);
-      ControllerModel next = w.leaders().get(0);
-      w.nodes.stream().filter(n -> n != next).forEach(n -> w.heal(n.name, "vm-3"));
-      w.submit(job("wk-3", JobKind.ARRAY, 60), 5_000L);
-      w.runTo(70);
-      sound(w);
-      assertFalse(next.starting(), w.story());
-      assertTrue(running(w) >= 180, running(w) + " run\n" + w.story());
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.leaders().get(0).crash();
+      simulation.controllers.stream()
+          .filter(controller -> !controller.crashed())
+          .forEach(controller -> simulation.cut(controller.name, "vm-3"));
+      simulation.runTo(24);
+      ControllerModel next = simulation.leaders().get(0);
+      simulation.controllers.stream()
+          .filter(controller -> controller != next)
+          .forEach(controller -> simulation.heal(controller.name, "vm-3"));
+      simulation.submit(job("wk-3", JobKind.ARRAY, 60), 5_000L);
+      simulation.runTo(70);
+      assertSound(simulation);
+      assertFalse(next.reconciling(), simulation.recentLog());
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
   /** Of each report a copy comes up to three leases later, at any node, also after a takeover. */
   @Test
-  void copiesOfReportsComeLate() {
+  void duplicateHeartbeatsArriveLate() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = copied(seed);
-      sound(w);
-      assertEquals(List.of(), w.checker.returned, w.story());
-      assertTrue(running(w) >= 180, running(w) + " run\n" + w.story());
+      Simulation simulation = playDuplicates(seed);
+      assertSound(simulation);
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
     }
-    Simulation w = copied(1, Mutation.COPIES_ARE_NEWS);
-    assertFalse(w.checker.broken.isEmpty(), "a fence was taken away");
+    Simulation simulation = playDuplicates(1, Mutation.ACCEPT_DUPLICATE_HEARTBEATS);
+    assertFalse(simulation.checker.violations.isEmpty(), "a fence was taken away");
   }
 
-  private static Simulation copied(long seed, Mutation... mutants) {
-    Simulation w = rested(seed, Setup.of(3, 60));
-    w.mutants.addAll(List.of(mutants));
-    w.copied = 1;
+  private static Simulation playDuplicates(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+    simulation.mutations.addAll(List.of(mutations));
+    simulation.duplicateShare = 1;
     for (int i = 0; i < 30; i++) {
       int id = i;
-      w.after(i * 2000L, () -> w.submit(job("wk-1" + id, JobKind.ARRAY, 20), 8_000L));
+      simulation.after(
+          i * 2000L, () -> simulation.submit(job("wk-1" + id, JobKind.ARRAY, 20), 8_000L));
     }
-    w.runTo(40);
-    w.leaders().get(0).crash();
-    w.runTo(60);
-    w.leaders().get(0).crash();
-    w.nodes.stream().filter(n -> n.crashed()).findFirst().orElseThrow().start();
-    w.runTo(140);
-    return w;
+    simulation.runTo(40);
+    simulation.leaders().get(0).crash();
+    simulation.runTo(60);
+    simulation.leaders().get(0).crash();
+    simulation.controllers.stream()
+        .filter(controller -> controller.crashed())
+        .findFirst()
+        .orElseThrow()
+        .start();
+    simulation.runTo(140);
+    return simulation;
   }
 
   /** Machines are back within a second, under their names, in the middle of an election. */
   @Test
-  void machinesBeginAnewInTheMiddleOfAnElection() {
+  void machinesRestartDuringElection() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      w.copied = 0.2;
-      w.leaders().get(0).crash();
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.duplicateShare = 0.2;
+      simulation.leaders().get(0).crash();
       for (int i = 0; i < 12; i++) {
-        WorkerModel machine = w.workers.get("vm-" + (seed + 5 * i) % 60);
-        w.after(w.random.nextLong(4000), () -> machine.beginAnew(50 + w.random.nextLong(900)));
+        WorkerModel machine = simulation.workers.get("vm-" + (seed + 5 * i) % 60);
+        simulation.after(
+            simulation.random.nextLong(4000),
+            () -> machine.restart(50 + simulation.random.nextLong(900)));
       }
-      w.runTo(80);
-      sound(w);
-      assertTrue(running(w) >= 180, running(w) + " run\n" + w.story());
+      simulation.runTo(80);
+      assertSound(simulation);
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
   /** Alone with its workers the old leader goes on for as long as none has heard of another. */
   @Test
-  void aControllerLosesTheStateServiceAndTheOthersAndNotItsWorkers() {
+  void leaderPartitionedFromAllButItsWorkers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      ControllerModel old = w.leaders().get(0);
-      for (String host : List.of("state", follower(w, 0).name, follower(w, 1).name)) {
-        w.cutBoth(old.name, host);
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel old = simulation.leaders().get(0);
+      for (String host :
+          List.of("state", follower(simulation, 0).name, follower(simulation, 1).name)) {
+        simulation.cutBoth(old.name, host);
       }
-      w.runTo(30);
+      simulation.runTo(30);
       if (seed % 2 == 0) {
-        w.leaders().stream()
-            .filter(n -> n != old)
+        simulation.leaders().stream()
+            .filter(controller -> controller != old)
             .forEach(ControllerModel::crash); // in the election
       }
-      w.submit(job("wk-3", JobKind.ARRAY, 60), 5_000L);
-      w.runTo(70);
-      sound(w);
-      assertEquals(0, w.checker.killedByLease, w.story());
-      assertEquals(List.of(), w.checker.returned, w.story());
-      assertTrue(running(w) >= 180, running(w) + " run\n" + w.story());
-      assertEquals(1, w.leaders().stream().filter(n -> n != old).count(), w.story());
+      simulation.submit(job("wk-3", JobKind.ARRAY, 60), 5_000L);
+      simulation.runTo(70);
+      assertSound(simulation);
+      assertEquals(0, simulation.checker.killedByLease, simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+      assertEquals(
+          1,
+          simulation.leaders().stream().filter(controller -> controller != old).count(),
+          simulation.recentLog());
     }
   }
 
-  private static void loseLeaderAndZone(Simulation w) {
-    w.nodes.forEach(n -> w.cutBoth(n.name, "zone a"));
-    w.leaders().get(0).crash();
+  private static void crashLeaderAndCutZone(Simulation simulation) {
+    simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
+    simulation.leaders().get(0).crash();
   }
 
-  private static Simulation atItsLimit(long seed) {
-    Simulation w = new Simulation(seed, Setup.of(3, 60));
-    w.teamLimit = 120;
-    w.runTo(4);
-    w.submit(job("wk-1", JobKind.SERVICE, 110), null);
-    w.runTo(20);
-    w.submit(job("wk-2", JobKind.SERVICE, 40), null);
-    w.runTo(25);
-    assertEquals(120, running(w), w.story());
-    return w;
+  private static Simulation simulationAtTeamLimit(long seed) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 60));
+    simulation.teamCpuLimit = 120;
+    simulation.runTo(4);
+    simulation.submit(job("wk-1", JobKind.SERVICE, 110), null);
+    simulation.runTo(20);
+    simulation.submit(job("wk-2", JobKind.SERVICE, 40), null);
+    simulation.runTo(25);
+    assertEquals(120, running(simulation), simulation.recentLog());
+    return simulation;
   }
 
   @Test
-  void aZoneIsCutOffWithTheLeaderInIt() {
+  void zonePartitionedWithLeader() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      ControllerModel first = w.leaders().get(0);
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel first = simulation.leaders().get(0);
       for (String host :
-          List.of("state", "cloud", "zone b", "zone c", follower(w, 0).name, follower(w, 1).name)) {
-        w.cutBoth(first.name, host);
+          List.of(
+              "state",
+              "cloud",
+              "zone b",
+              "zone c",
+              follower(simulation, 0).name,
+              follower(simulation, 1).name)) {
+        simulation.cutBoth(first.name, host);
       }
-      for (ControllerModel n : w.nodes) {
-        if (n != first) {
-          w.cutBoth(n.name, "zone a");
+      for (ControllerModel controller : simulation.controllers) {
+        if (controller != first) {
+          simulation.cutBoth(controller.name, "zone a");
         }
       }
-      w.runTo(50);
-      assertEquals(List.of(), w.checker.broken, w.story());
+      simulation.runTo(50);
+      assertEquals(List.of(), simulation.checker.violations, simulation.recentLog());
       // The zone's machines are reached by nobody who could use them: given up, and replaced.
-      assertTrue(w.checker.returned.size() >= 20, w.story()); // and what was rented there before
       assertTrue(
-          w.checker.returned.stream().allMatch(m -> w.workers.get(m).zone.equals("a")), w.story());
-      assertTrue(w.nodes.stream().anyMatch(n -> n != first && n.leads()), w.story());
+          simulation.checker.released.size() >= 20,
+          simulation.recentLog()); // and what was rented there before
+      assertTrue(
+          simulation.checker.released.stream()
+              .allMatch(m -> simulation.workers.get(m).zone.equals("a")),
+          simulation.recentLog());
+      assertTrue(
+          simulation.controllers.stream()
+              .anyMatch(controller -> controller != first && controller.leads()),
+          simulation.recentLog());
     }
   }
 
   @Test
-  void aLoneControllerStillGivesUpTheDead() {
+  void loneControllerReleasesDeadMachines() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      follower(w, 0).crash();
-      follower(w, 1).crash();
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      follower(simulation, 0).crash();
+      follower(simulation, 1).crash();
       for (int i = 0; i < 10; i++) {
-        w.cloud.die("vm-" + i);
+        simulation.cloud.die("vm-" + i);
       }
-      w.runTo(45); // before the cloud says that they failed
-      sound(w);
-      assertEquals(10, w.checker.returned.size(), w.story());
+      simulation.runTo(45); // before the cloud says that they failed
+      assertSound(simulation);
+      assertEquals(10, simulation.checker.released.size(), simulation.recentLog());
     }
   }
 
@@ -464,36 +512,46 @@
    * tell. Where they stay away, and nobody reaches the zone, it goes all the same.
    */
   @Test
-  void aLeaderAloneKeepsAZoneUntilTheOthersAreBack() {
+  void loneLeaderKeepsZoneUntilPeersReturn() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, Setup.of(3, 60));
-      ControllerModel leader = w.leaders().get(0);
-      List<ControllerModel> others = w.nodes.stream().filter(n -> n != leader).toList();
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel leader = simulation.leaders().get(0);
+      List<ControllerModel> others =
+          simulation.controllers.stream().filter(controller -> controller != leader).toList();
       others.forEach(ControllerModel::crash);
-      w.cutBoth(leader.name, "zone a");
-      others.forEach(n -> w.after(7000 + w.random.nextLong(3000), n::start));
-      w.runTo(60);
-      sound(w);
-      int few = w.checker.returned.size(); // by its own ears, before most of the zone was overdue
-      assertTrue(few <= 4, w.story());
-      w.nodes.forEach(n -> w.cutBoth(n.name, "zone a"));
-      w.nodes.stream().filter(n -> !n.leads()).forEach(ControllerModel::crash);
-      w.runTo(85);
-      sound(w);
-      assertTrue(w.checker.returned.size() - few >= 16, w.story());
+      simulation.cutBoth(leader.name, "zone a");
+      others.forEach(
+          controller ->
+              simulation.after(7000 + simulation.random.nextLong(3000), controller::start));
+      simulation.runTo(60);
+      assertSound(simulation);
+      int few =
+          simulation.checker.released
+              .size(); // by its own ears, before most of the zone was overdue
+      assertTrue(few <= 4, simulation.recentLog());
+      simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
+      simulation.controllers.stream()
+          .filter(controller -> !controller.leads())
+          .forEach(ControllerModel::crash);
+      simulation.runTo(85);
+      assertSound(simulation);
+      assertTrue(simulation.checker.released.size() - few >= 16, simulation.recentLog());
     }
   }
 
   @Test
-  void twoHalvesOfControllersReachHalfOfTheWorkersEach() {
+  void controllersSplitBetweenHalvesOfWorkers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation w = rested(seed, new Setup(5, 60, List.of("a", "b"), 2000, 14_000));
+      Simulation simulation =
+          loadedSimulation(seed, new Setup(5, 60, List.of("a", "b"), 2000, 14_000));
       for (int i = 0; i < 5; i++) {
-        w.cutBoth("n" + i, i < 3 ? "zone a" : "zone b");
+        simulation.cutBoth("n" + i, i < 3 ? "zone a" : "zone b");
       }
-      w.runTo(100);
-      sound(w);
-      assertTrue(w.checker.leaders.size() <= 4, w.checker.leaders + "\n" + w.story());
+      simulation.runTo(100);
+      assertSound(simulation);
+      assertTrue(
+          simulation.checker.leaders.size() <= 4,
+          simulation.checker.leaders + "\n" + simulation.recentLog());
     }
   }
 }
--- a/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
@@ -26,7 +26,7 @@
   private enum Fate {
     CRASHES,
     HANDS_OVER,
-    STANDS_STILL
+    PAUSES
   }
 
   /** How long before they are taken machines are told, against what they are told. */
@@ -43,47 +43,52 @@
     }
   }
 
-  private static Simulation world(long seed) {
-    Simulation w = new Simulation(seed, Setup.of(3, 6));
-    w.cloud.offer(new MachineType(SPOT, 4, 0, 16, 50, 0.5, 2, 0.1, 10, w.setup.zones()));
+  private static Simulation loadedSimulation(long seed) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 6));
+    simulation.cloud.addType(
+        new MachineType(SPOT, 4, 0, 16, 50, 0.5, 2, 0.1, 10, simulation.setup.zones()));
     for (int i = 0; i < MACHINES; i++) {
-      String zone = w.setup.zones().get(i % 3);
-      w.cloud.add("vm-spot" + i, new CloudModel.Kind(SPOT, zone, true), true);
+      String zone = simulation.setup.zones().get(i % 3);
+      simulation.cloud.addMachine("vm-spot" + i, new CloudModel.Kind(SPOT, zone, true), true);
     }
-    w.runTo(4);
+    simulation.runTo(4);
     JobDraft replicas = JobDraft.array("wk-s", REPLICAS).kind(JobKind.SERVICE).spread();
-    w.submit(replicas.spot().only(SPOT).spec(), null);
-    w.submit(JobDraft.gang("wk-g0", 4).spot().only(SPOT).oneZone().saves(1).spec(), 25_000L);
-    w.submit(JobDraft.gang("wk-g1", 4).spot().spread().saves(1).spec(), 25_000L);
-    w.submit(JobDraft.array("wk-a", 6).spot().spec(), 25_000L);
-    w.runTo(18);
-    w.onlyLeader();
-    assertEquals(REPLICAS, w.checker.on("wk-s"), w.story());
-    return w;
+    simulation.submit(replicas.spot().only(SPOT).spec(), null);
+    simulation.submit(
+        JobDraft.gang("wk-g0", 4).spot().only(SPOT).oneZone().saves(1).spec(), 25_000L);
+    simulation.submit(JobDraft.gang("wk-g1", 4).spot().spread().saves(1).spec(), 25_000L);
+    simulation.submit(JobDraft.array("wk-a", 6).spot().spec(), 25_000L);
+    simulation.runTo(18);
+    simulation.onlyLeader();
+    assertEquals(REPLICAS, simulation.checker.tasksOnMachines("wk-s"), simulation.recentLog());
+    return simulation;
   }
 
-  private static void suffer(Simulation w, Fate fate) {
-    ControllerModel old = w.onlyLeader();
+  private static void apply(Simulation simulation, Fate fate) {
+    ControllerModel old = simulation.onlyLeader();
     switch (fate) {
       case CRASHES -> {
         old.crash();
-        w.after(300 + w.random.nextLong(4000), old::start);
+        simulation.after(300 + simulation.random.nextLong(4000), old::start);
       }
-      case HANDS_OVER -> old.handOver();
-      default -> old.freeze(4000 + w.random.nextLong(6000));
+      case HANDS_OVER -> old.resign();
+      default -> old.freeze(4000 + simulation.random.nextLong(6000));
     }
   }
 
   /** So long later all replicas run, all else is done, and no rule was broken. */
-  private static void assertServed(Simulation w, double afterS) {
-    w.healAll();
-    w.leftWaiting.troublesAreOver();
-    w.runTo(w.now() / 1000.0 + afterS);
-    assertEquals(List.of(), w.checker.broken, () -> "seed " + w.seed + "\n" + w.wholeStory());
-    for (String job : w.users.accepted()) {
-      String message = "seed " + w.seed + ": " + job + " is left\n";
-      boolean ends = w.users.runMsOf(job, 0) != null;
-      assertTrue(!ends || w.checker.isOver(job), () -> message + w.wholeStory());
+  private static void assertServed(Simulation simulation, double afterS) {
+    simulation.healAll();
+    simulation.starvationCheck.onFaultsHealed();
+    simulation.runTo(simulation.now() / 1000.0 + afterS);
+    assertEquals(
+        List.of(),
+        simulation.checker.violations,
+        () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
+    for (String job : simulation.users.accepted()) {
+      String message = "seed " + simulation.seed + ": " + job + " is left\n";
+      boolean ends = simulation.users.runMsOf(job, 0) != null;
+      assertTrue(!ends || simulation.checker.isEnded(job), () -> message + simulation.fullLog());
     }
   }
 
@@ -92,7 +97,7 @@
    * go, or in between; in half of the seeds one cannot be reached from the notice on.
    */
   @Test
-  void spotMachinesAreTakenBackAsTheLeaderChanges() {
+  void spotMachinesPreemptedDuringFailover() {
     int taken = 0;
     int moved = 0;
     int broken = 0;
@@ -100,28 +105,32 @@
     for (Notice notice : Notice.values()) {
       for (Fate fate : Fate.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation w = world(seed);
+          Simulation simulation = loadedSimulation(seed);
           List<String> spot = new ArrayList<>();
           for (int i = (int) (seed % 3); i < MACHINES; i++) {
             spot.add("vm-spot" + i);
           }
           for (String machine : spot) {
-            w.after(w.random.nextLong(1500), () -> takeBack(w, machine, notice));
+            simulation.after(
+                simulation.random.nextLong(1500), () -> preempt(simulation, machine, notice));
           }
           if (seed % 2 == 0) {
-            String machine = spot.get(w.random.nextInt(spot.size()));
-            w.nodes.forEach(n -> w.cutBoth(n.name, machine));
+            String machine = spot.get(simulation.random.nextInt(spot.size()));
+            simulation.controllers.forEach(
+                controller -> simulation.cutBoth(controller.name, machine));
           }
           long goMs = Math.round(NOTICE_MS * notice.times);
-          w.after(
-              List.of(500L, goMs / 2, goMs + 1000).get((int) (seed % 3)), () -> suffer(w, fate));
-          w.runTo(20 + goMs / 1000.0);
-          moved += REPLICAS - w.checker.on("wk-s");
-          boolean back = w.runUntil(() -> w.checker.on("wk-s") == REPLICAS, 90);
-          assertTrue(back, w.wholeStory());
-          assertServed(w, 100);
-          taken += w.cloud.takenWithTasks;
-          broken += w.gangs.broken;
+          simulation.after(
+              List.of(500L, goMs / 2, goMs + 1000).get((int) (seed % 3)),
+              () -> apply(simulation, fate));
+          simulation.runTo(20 + goMs / 1000.0);
+          moved += REPLICAS - simulation.checker.tasksOnMachines("wk-s");
+          boolean back =
+              simulation.runUntil(() -> simulation.checker.tasksOnMachines("wk-s") == REPLICAS, 90);
+          assertTrue(back, simulation.fullLog());
+          assertServed(simulation, 100);
+          taken += simulation.cloud.preemptedWithTasks;
+          broken += simulation.gangs.lostWhileRunning;
           played++;
         }
       }
@@ -131,11 +140,11 @@
     assertTrue(broken >= played / 2, broken + " gangs lost a task");
   }
 
-  private static void takeBack(Simulation w, String machine, Notice notice) {
+  private static void preempt(Simulation simulation, String machine, Notice notice) {
     if (notice == Notice.NONE) {
-      w.cloud.take(machine);
+      simulation.cloud.preempt(machine);
     } else {
-      w.cloud.recall(machine, NOTICE_MS, notice.times);
+      simulation.cloud.announcePreemption(machine, NOTICE_MS, notice.times);
     }
   }
 
@@ -144,33 +153,36 @@
    * they are drained as the leader changes, and given back.
    */
   @Test
-  void faultyMachinesAreDrainedAsTheLeaderChanges() {
+  void faultyMachinesDrainedDuringFailover() {
     int drained = 0;
     int halted = 0;
     int saved = 0;
     int played = 0;
     for (Fate fate : Fate.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        Simulation w = world(seed);
+        Simulation simulation = loadedSimulation(seed);
         String type = CloudModel.TYPE;
-        w.submit(JobDraft.gang("wk-gang", 6).only(type).takes(3, 0).saves(1).spec(), 60_000L);
-        w.runTo(24);
+        simulation.submit(
+            JobDraft.gang("wk-gang", 6).only(type).takes(3, 0).saves(1).spec(), 60_000L);
+        simulation.runTo(24);
         List<String> faulty = List.of("vm-" + seed % 6, "vm-" + (seed + 2) % 6);
-        faulty.forEach(machine -> w.workers.get(machine).faulty = true);
+        faulty.forEach(machine -> simulation.workers.get(machine).faulty = true);
         for (int i = 0; i < 20; i++) {
-          JobDraft d = i % 4 == 0 ? JobDraft.gang("wk-f" + i, 2) : JobDraft.array("wk-f" + i, 1);
-          w.after(300L * i, () -> w.userSubmits(d.only(type).spec(), 4_000L, () -> {}));
+          JobDraft draft =
+              i % 4 == 0 ? JobDraft.gang("wk-f" + i, 2) : JobDraft.array("wk-f" + i, 1);
+          simulation.after(
+              300L * i, () -> simulation.userSubmits(draft.only(type).spec(), 4_000L, () -> {}));
         }
-        w.after(1000 + 500 * seed, () -> suffer(w, fate));
-        w.runTo(70);
-        halted += w.checker.halted;
-        saved += w.gangs.stoppedInOrder;
+        simulation.after(1000 + 500 * seed, () -> apply(simulation, fate));
+        simulation.runTo(70);
+        halted += simulation.checker.stopped;
+        saved += simulation.gangs.stoppedInOrder;
         for (String machine : faulty) {
-          WorkerModel m = w.workers.get(machine);
-          drained += m.alive() ? 0 : 1;
-          m.faulty = false;
+          WorkerModel worker = simulation.workers.get(machine);
+          drained += worker.alive() ? 0 : 1;
+          worker.faulty = false;
         }
-        assertServed(w, 120);
+        assertServed(simulation, 120);
         played++;
       }
     }
--- a/src/test/java/org/astershift/simulation/StarvationCheck.java
+++ b/src/test/java/org/astershift/simulation/StarvationCheck.java
@@ -20,15 +20,15 @@
  */
 final class StarvationCheck {
   /** The operators' page. */
-  static final long MOST_MS = 90_000;
+  static final long MAX_WAIT_MS = 90_000;
 
-  private static final long LOOK_MS = 1000;
+  private static final long CHECK_INTERVAL_MS = 1000;
 
   /** A report, the pass and the order that follow, and the task's start. */
   private static final long SETTLED_MS = 5000;
 
   private static final double TOLERANCE = 1e-6;
-  private final Simulation world;
+  private final Simulation simulation;
 
   /** By job, since when it has waited beside room without a start. */
   private final Map<String, Long> sinceMs = new HashMap<>();
@@ -36,14 +36,14 @@
   /** By job, since when each machine has had room for a task of it. */
   private final Map<String, Map<String, Long>> roomSinceMs = new HashMap<>();
 
-  private final Set<String> told = new HashSet<>();
+  private final Set<String> reported = new HashSet<>();
 
   private long longestMs;
 
   private String longest = "none";
 
-  StarvationCheck(Simulation world) {
-    this.world = world;
+  StarvationCheck(Simulation simulation) {
+    this.simulation = simulation;
   }
 
   /** What is left of a live machine. */
@@ -54,43 +54,43 @@
     double gpus;
     double memory;
 
-    Room(String machine, CloudModel.Kind kind, MachineType t) {
+    Room(String machine, CloudModel.Kind kind, MachineType type) {
       this.machine = machine;
       this.kind = kind;
-      cpus = t.cpus();
-      gpus = t.gpus();
-      memory = t.memoryGb();
+      cpus = type.cpus();
+      gpus = type.gpus();
+      memory = type.memoryGb();
     }
 
-    void take(JobSpec s) {
-      cpus -= s.cpus();
-      gpus -= s.gpus();
-      memory -= s.memoryGb();
+    void take(JobSpec spec) {
+      cpus -= spec.cpus();
+      gpus -= spec.gpus();
+      memory -= spec.memoryGb();
     }
 
     /** How many such tasks find room, at most {@code most}. */
-    int fits(JobSpec s, int most) {
+    int fits(JobSpec spec, int most) {
       int n = 0;
       while (n < most
-          && cpus + TOLERANCE >= (n + 1) * s.cpus()
-          && gpus + TOLERANCE >= (n + 1) * s.gpus()
-          && memory + TOLERANCE >= (n + 1) * s.memoryGb()) {
+          && cpus + TOLERANCE >= (n + 1) * spec.cpus()
+          && gpus + TOLERANCE >= (n + 1) * spec.gpus()
+          && memory + TOLERANCE >= (n + 1) * spec.memoryGb()) {
         n++;
       }
       return n;
     }
 
-    boolean allows(JobSpec s) {
-      return (s.machineTypes() == null || s.machineTypes().contains(kind.type()))
-          && (!kind.spot() || s.spotAllowed())
-          && (s.zone() == null || s.zone().equals(kind.zone()));
+    boolean allows(JobSpec spec) {
+      return (spec.machineTypes() == null || spec.machineTypes().contains(kind.type()))
+          && (!kind.spot() || spec.spotAllowed())
+          && (spec.zone() == null || spec.zone().equals(kind.zone()));
     }
   }
 
   /** From now on no trouble is left. */
-  void troublesAreOver() {
+  void onFaultsHealed() {
     sinceMs.clear();
-    look();
+    check();
   }
 
   /** The longest that any job waited beside room once the troubles were over, and which. */
@@ -102,41 +102,44 @@
     return longestMs;
   }
 
-  private void look() {
+  private void check() {
     Map<String, Room> rooms = rooms();
-    for (String job : world.users.accepted()) {
-      JobSpec spec = world.users.spec(job);
-      List<Integer> waiting = world.checker.waiting(spec);
+    for (String job : simulation.users.accepted()) {
+      JobSpec spec = simulation.users.spec(job);
+      List<Integer> waiting = simulation.checker.waiting(spec);
       if (waiting.isEmpty() || !mayStart(spec, waiting.size(), rooms)) {
         sinceMs.remove(job);
         continue;
       }
-      long since = Math.max(sinceMs.getOrDefault(job, world.now()), world.checker.lastStart(job));
+      long since =
+          Math.max(sinceMs.getOrDefault(job, simulation.now()), simulation.checker.lastStart(job));
       sinceMs.put(job, since);
-      if (world.now() - since > longestMs) {
-        longestMs = world.now() - since;
+      if (simulation.now() - since > longestMs) {
+        longestMs = simulation.now() - since;
         longest = job + " for " + longestMs + " ms";
       }
-      if (world.now() - since >= MOST_MS && told.add(job)) {
-        world.checker.broken.add(
+      if (simulation.now() - since >= MAX_WAIT_MS && reported.add(job)) {
+        simulation.checker.violations.add(
             "left waiting: " + waiting.size() + " of " + spec + " since " + since);
       }
     }
-    world.after(LOOK_MS, this::look);
+    simulation.after(CHECK_INTERVAL_MS, this::check);
   }
 
   private Map<String, Room> rooms() {
     Map<String, Room> rooms = new LinkedHashMap<>();
-    world.workers.forEach(
-        (name, w) -> {
-          if (w.alive() && !w.hung()) {
-            rooms.put(name, new Room(name, w.kind, world.cloud.types().get(w.kind.type())));
+    simulation.workers.forEach(
+        (name, worker) -> {
+          if (worker.alive() && !worker.paused()) {
+            rooms.put(
+                name,
+                new Room(name, worker.kind, simulation.cloud.types().get(worker.kind.type())));
           }
         });
-    world.checker.eachOnMachine(
+    simulation.checker.eachOnMachine(
         (task, machine) -> {
           if (rooms.containsKey(machine)) {
-            rooms.get(machine).take(world.users.spec(task.substring(0, task.indexOf('/'))));
+            rooms.get(machine).take(simulation.users.spec(task.substring(0, task.indexOf('/'))));
           }
         });
     return rooms;
@@ -145,28 +148,29 @@
   /** Whether one of the waiting tasks could start, or all of a gang's together. */
   private boolean mayStart(JobSpec spec, int waiting, Map<String, Room> rooms) {
     int need = spec.kind() == JobKind.GANG ? waiting : 1;
-    double[] use = world.checker.use(spec.team());
-    Team team = world.teams().get(spec.team());
+    double[] use = simulation.checker.usage(spec.team());
+    Team team = simulation.teams().get(spec.team());
     if (!team.allows(use[0] + need * spec.cpus(), use[1] + need * spec.gpus())) {
       return false;
     }
     Map<String, Integer> zones = new HashMap<>();
-    world.checker.eachOnMachine(
+    simulation.checker.eachOnMachine(
         (task, machine) -> {
           if (task.startsWith(spec.id() + "/")) {
-            zones.merge(world.workers.get(machine).zone, 1, Integer::sum);
+            zones.merge(simulation.workers.get(machine).zone, 1, Integer::sum);
           }
         });
     Map<String, Integer> found = new HashMap<>();
     Map<String, Long> since = roomSinceMs.computeIfAbsent(spec.id(), j -> new HashMap<>());
     since.keySet().retainAll(rooms.keySet());
-    for (Room r : rooms.values()) {
-      String zone = r.kind.zone();
-      if (r.allows(spec) && (!spec.oneZone() || zones.isEmpty() || zones.containsKey(zone))) {
-        int fits = r.fits(spec, need);
+    for (Room room : rooms.values()) {
+      String zone = room.kind.zone();
+      if (room.allows(spec) && (!spec.oneZone() || zones.isEmpty() || zones.containsKey(zone))) {
+        int fits = room.fits(spec, need);
         if (fits == 0) {
-          since.remove(r.machine);
-        } else if (world.now() - since.computeIfAbsent(r.machine, n -> world.now()) >= SETTLED_MS) {
+          since.remove(room.machine);
+        } else if (simulation.now() - since.computeIfAbsent(room.machine, n -> simulation.now())
+            >= SETTLED_MS) {
           found.merge(zone, fits, Integer::sum);
         }
       }
--- a/src/test/java/org/astershift/simulation/StoreModel.java
+++ b/src/test/java/org/astershift/simulation/StoreModel.java
@@ -18,40 +18,40 @@
  */
 final class StoreModel {
   static final String LEADER = "leader";
-  private final Simulation world;
+  private final Simulation simulation;
   private final TreeMap<String, Row> rows = new TreeMap<>();
   private final List<Row> changes = new ArrayList<>();
   private final Map<Long, Long> leases = new HashMap<>();
   private long revision;
   private long leaseNumber;
-  private boolean down;
-  private final Map<Long, Long> lives = new HashMap<>();
+  private boolean unavailable;
+  private final Map<Long, Long> leaseTtlMs = new HashMap<>();
 
   /** Controllers that get 503 while the others are served. */
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> refusedControllers = new HashSet<>();
 
   /** Share of the transactions that get no answer and are carried out 2 to 12 s later. */
   double lateShare;
 
   /** Share of the transactions that are carried out at once and get no answer. */
-  double unheardShare;
+  double unansweredShare;
 
   /** By key, which controller wrote it last and heard nothing of that. */
-  private final Map<String, String> unheardOf = new HashMap<>();
+  private final Map<String, String> unansweredWriter = new HashMap<>();
 
   /** Such writes, by the first part of their keys, and how many of them another one has read. */
-  final Map<String, Integer> unheard = new TreeMap<>();
+  final Map<String, Integer> unansweredWrites = new TreeMap<>();
 
-  final Map<String, Integer> unheardRead = new TreeMap<>();
+  final Map<String, Integer> unansweredRead = new TreeMap<>();
 
   /** Answers take up to so long. */
-  long slowMs;
+  long answerDelayMs;
 
   /** Transactions that were carried out late, after a newer one of the same controller. */
-  int lateAfterNewer;
+  int appliedAfterNewer;
 
   /** By controller, how many of its transactions were carried out. */
-  private final Map<String, Integer> carriedOut = new HashMap<>();
+  private final Map<String, Integer> applied = new HashMap<>();
 
   /** A key as it was set, or with {@code value} null as it was removed. */
   record Row(String key, Object value, long revision, long lease) {}
@@ -74,61 +74,64 @@
   /** 503: not carried out, and never will be. */
   static final Outcome REFUSED = new Outcome(-2, List.of());
 
-  StoreModel(Simulation world) {
-    this.world = world;
+  StoreModel(Simulation simulation) {
+    this.simulation = simulation;
   }
 
-  void down(boolean now) {
-    down = now;
+  void unavailable(boolean now) {
+    unavailable = now;
     if (!now) {
-      leases.replaceAll((lease, until) -> world.now() + lives.get(lease));
+      leases.replaceAll((lease, until) -> simulation.now() + leaseTtlMs.get(lease));
       leases.keySet().forEach(this::watchLease);
     }
   }
 
-  boolean isDown() {
-    return down;
+  boolean isUnavailable() {
+    return unavailable;
   }
 
   void refuse(String node, boolean now) {
-    world.note("state", (now ? "refuses " : "serves ") + node);
+    simulation.log("state", (now ? "refuses " : "serves ") + node);
     if (now) {
-      refused.add(node);
+      refusedControllers.add(node);
     } else {
-      refused.remove(node);
+      refusedControllers.remove(node);
     }
   }
 
   boolean refuses(String node) {
-    return refused.contains(node);
+    return refusedControllers.contains(node);
   }
 
   /** Carries a transaction out for a controller. */
-  Outcome commit(String node, Map<String, Long> when, List<Write> writes) {
-    carriedOut.merge(node, 1, Integer::sum);
-    return commit(when, writes);
+  Outcome commit(String node, Map<String, Long> conditions, List<Write> writes) {
+    applied.merge(node, 1, Integer::sum);
+    return commit(conditions, writes);
   }
 
   /** The same 2 to 12 s later, when nobody waits for it any more. */
-  void commitLate(String node, Map<String, Long> when, List<Write> writes) {
-    int before = carriedOut.getOrDefault(node, 0);
-    world.after(2000 + world.random.nextLong(10_000), () -> late(node, when, writes, before));
+  void commitLate(String node, Map<String, Long> conditions, List<Write> writes) {
+    int before = applied.getOrDefault(node, 0);
+    simulation.after(
+        2000 + simulation.random.nextLong(10_000),
+        () -> applyLate(node, conditions, writes, before));
   }
 
-  private void late(String node, Map<String, Long> when, List<Write> writes, int before) {
-    if (down) {
-      world.after(1000, () -> late(node, when, writes, before));
+  private void applyLate(
+      String node, Map<String, Long> conditions, List<Write> writes, int before) {
+    if (unavailable) {
+      simulation.after(1000, () -> applyLate(node, conditions, writes, before));
       return;
     }
-    lateAfterNewer += carriedOut.getOrDefault(node, 0) > before ? 1 : 0;
-    Outcome o = commit(node, when, writes);
-    world.note("state", "late for " + node + ": " + writes + " " + o);
+    appliedAfterNewer += applied.getOrDefault(node, 0) > before ? 1 : 0;
+    Outcome outcome = commit(node, conditions, writes);
+    simulation.log("state", "late for " + node + ": " + writes + " " + outcome);
   }
 
   long grant(long lifeMs) {
     long lease = ++leaseNumber;
-    lives.put(lease, lifeMs);
-    prolong(lease);
+    leaseTtlMs.put(lease, lifeMs);
+    extendLease(lease);
     return lease;
   }
 
@@ -136,21 +139,21 @@
     if (!leases.containsKey(lease)) {
       return false;
     }
-    prolong(lease);
+    extendLease(lease);
     return true;
   }
 
-  private void prolong(long lease) {
-    leases.put(lease, world.now() + lives.get(lease) + world.random.nextLong(100));
+  private void extendLease(long lease) {
+    leases.put(lease, simulation.now() + leaseTtlMs.get(lease) + simulation.random.nextLong(100));
     watchLease(lease);
   }
 
   private void watchLease(long lease) {
     Long until = leases.get(lease);
-    world.after(
-        until - world.now(),
+    simulation.after(
+        until - simulation.now(),
         () -> {
-          if (!down && leases.containsKey(lease) && leases.get(lease) <= world.now()) {
+          if (!unavailable && leases.containsKey(lease) && leases.get(lease) <= simulation.now()) {
             revoke(lease);
           }
         });
@@ -177,15 +180,15 @@
     changes.add(row);
   }
 
-  /** {@code when}: keys and the revisions they must have, 0 for none. */
-  Outcome commit(Map<String, Long> when, List<Write> writes) {
-    for (Write w : writes) {
-      if (w.lease() != 0 && !leases.containsKey(w.lease())) {
+  /** {@code conditions}: keys and the revisions they must have, 0 for none. */
+  Outcome commit(Map<String, Long> conditions, List<Write> writes) {
+    for (Write write : writes) {
+      if (write.lease() != 0 && !leases.containsKey(write.lease())) {
         return new Outcome(-1, List.of());
       }
     }
     List<String> failed = new ArrayList<>();
-    for (Map.Entry<String, Long> c : when.entrySet()) {
+    for (Map.Entry<String, Long> c : conditions.entrySet()) {
       Row row = rows.get(c.getKey());
       if ((row == null ? 0 : row.revision()) != c.getValue()) {
         failed.add(c.getKey());
@@ -195,11 +198,11 @@
       return new Outcome(0, failed);
     }
     revision++;
-    for (Write w : writes) {
-      if (w.value() != null || rows.containsKey(w.key())) {
-        put(w.key(), w.value(), w.lease());
-        if (w.key().startsWith("d/")) {
-          world.checker.ended(w.key(), (EndRow) w.value());
+    for (Write write : writes) {
+      if (write.value() != null || rows.containsKey(write.key())) {
+        put(write.key(), write.value(), write.lease());
+        if (write.key().startsWith("d/")) {
+          simulation.checker.onJobEnded(write.key(), (EndRow) write.value());
         }
       }
     }
@@ -207,28 +210,29 @@
   }
 
   /** The transaction was carried out, or not, and its answer is lost. */
-  void unheard(String node, List<Write> writes, Outcome o) {
-    for (Write w : writes) {
-      if (o.revision() > 0 && w.value() != null) {
-        unheard.merge(w.key().substring(0, 2), 1, Integer::sum);
-        unheardOf.put(w.key(), node);
+  void loseAnswer(String node, List<Write> writes, Outcome outcome) {
+    for (Write write : writes) {
+      if (outcome.revision() > 0 && write.value() != null) {
+        unansweredWrites.merge(write.key().substring(0, 2), 1, Integer::sum);
+        unansweredWriter.put(write.key(), node);
       }
     }
-    world.note("state", "carried out and not answered for " + node + ": " + writes + " " + o);
+    simulation.log(
+        "state", "carried out and not answered for " + node + ": " + writes + " " + outcome);
   }
 
-  private void read(String node, String key) {
-    String writer = unheardOf.get(key);
+  private void noteRead(String node, String key) {
+    String writer = unansweredWriter.get(key);
     if (writer != null && !writer.equals(node)) {
-      unheardOf.remove(key);
-      unheardRead.merge(key.substring(0, 2), 1, Integer::sum);
+      unansweredWriter.remove(key);
+      unansweredRead.merge(key.substring(0, 2), 1, Integer::sum);
     }
   }
 
   /** What a controller reads. */
   Row get(String node, String key) {
     if (rows.containsKey(key)) {
-      read(node, key);
+      noteRead(node, key);
     }
     return rows.get(key);
   }
@@ -242,17 +246,17 @@
   }
 
   /** All changes after this revision, as a controller's mirror reads them. */
-  List<Row> since(String node, long after) {
-    List<Row> news = since(after);
+  List<Row> changesAfter(String node, long after) {
+    List<Row> news = changesAfter(after);
     for (Row row : news) {
       if (!row.key().startsWith("d/")) { // which no mirror holds
-        read(node, row.key());
+        noteRead(node, row.key());
       }
     }
     return news;
   }
 
-  private List<Row> since(long after) {
+  private List<Row> changesAfter(long after) {
     int from = changes.size();
     while (from > 0 && changes.get(from - 1).revision() > after) {
       from--;
@@ -261,12 +265,12 @@
   }
 
   /** A user's job, accepted by whichever controller reaches the service. */
-  void accept(JobSpec spec) {
+  void putJob(JobSpec spec) {
     revision++;
-    put("j/" + spec.id(), new JobRow(spec, world.now()), 0);
+    put("j/" + spec.id(), new JobRow(spec, simulation.now()), 0);
   }
 
-  static Map<String, Object> below(Map<String, Row> mirror, String prefix) {
+  static Map<String, Object> withPrefix(Map<String, Row> mirror, String prefix) {
     Map<String, Object> out = new LinkedHashMap<>();
     mirror.forEach(
         (key, row) -> {
