--- a/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -1,8 +1,8 @@
 package org.astershift.simulation;
 
-import static org.astershift.simulation.CombinedFaultsTest.assertMissed;
+import static org.astershift.simulation.CombinedFaultsTest.assertDetected;
 import static org.astershift.simulation.CombinedFaultsTest.assertSound;
-import static org.astershift.simulation.CombinedFaultsTest.busy;
+import static org.astershift.simulation.CombinedFaultsTest.loadedSimulation;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -32,35 +32,40 @@
     BOTH
   }
 
-  private static void change(Simulation w, Change change) {
-    for (ControllerModel n : w.leaders()) {
+  private static void apply(Simulation simulation, Change change) {
+    for (ControllerModel controller : simulation.leaders()) {
       if (change == Change.HANDS_OVER || change == Change.BOTH) {
-        n.handOver();
+        controller.resign();
       }
       if (change == Change.CRASHES || change == Change.BOTH) {
-        w.after(change == Change.BOTH ? w.random.nextLong(20) : 0, n::crash);
-        w.after(300 + w.random.nextLong(5000), n::start);
+        simulation.after(
+            change == Change.BOTH ? simulation.random.nextLong(20) : 0, controller::crash);
+        simulation.after(300 + simulation.random.nextLong(5000), controller::start);
       }
     }
   }
 
   /** Each is served in the end: over, and told so by each node. */
-  private static void assertOver(Simulation w, int from, int jobs) {
+  private static void assertEnded(Simulation simulation, int from, int jobs) {
     for (int i = from; i < from + jobs; i++) {
-      for (ControllerModel n : w.nodes) {
-        String said = w.checker.lastTold("wk-" + i, n.name);
-        assertTrue("done".equals(said) || "withdrawn".equals(said), i + ": " + said + w.story());
+      for (ControllerModel controller : simulation.controllers) {
+        String state = simulation.checker.lastReportedState("wk-" + i, controller.name);
+        assertTrue(
+            "done".equals(state) || "withdrawn".equals(state),
+            i + ": " + state + simulation.recentLog());
       }
     }
   }
 
-  private static void submit(Simulation w, int from, int jobs, long withinMs, long runMs) {
+  private static void submit(Simulation simulation, int from, int jobs, long withinMs, long runMs) {
     for (int i = from; i < from + jobs; i++) {
       String job = "wk-" + i;
       int tasks = 1 + i % 3;
-      w.after(
-          w.random.nextLong(withinMs),
-          () -> w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
+      simulation.after(
+          simulation.random.nextLong(withinMs),
+          () ->
+              simulation.userSubmits(
+                  SimulationTest.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
     }
   }
 
@@ -70,37 +75,38 @@
    * every other seed, and the leader changes in the middle, or not.
    */
   @Test
-  void allNodesAreAskedWithinMilliseconds() {
+  void allControllersQueriedWithinMilliseconds() {
     int looks = 0;
     int repeats = 0;
     int cancelled = 0;
     for (Change change : Change.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation w = closeLooks(seed, change);
-        assertSound(w);
-        assertOver(w, 100, 24);
-        looks += w.users.looksAnswered;
-        repeats += w.users.repeatsAnswered;
-        cancelled += w.users.cancelledAtOnce;
+        Simulation simulation = playCloseQueries(seed, change);
+        assertSound(simulation);
+        assertEnded(simulation, 100, 24);
+        looks += simulation.users.closeQueriesAnswered;
+        repeats += simulation.users.resubmissionsAnswered;
+        cancelled += simulation.users.cancelledOnAccept;
       }
     }
     assertTrue(looks > 10_000 && repeats > 2000, looks + " looks, " + repeats + " repeats");
     assertTrue(cancelled > 100, cancelled + " cancelled at once");
-    for (Mutation m : List.of(Mutation.SHARES_THE_ROUND_IN_WORK, Mutation.TOLD_FROM_THE_MIRROR)) {
-      assertMissed(m, seed -> closeLooks(seed, Change.NONE, m));
+    for (Mutation mutation :
+        List.of(Mutation.JOIN_REQUEST_IN_FLIGHT, Mutation.ANSWER_FROM_WATCH_CACHE)) {
+      assertDetected(mutation, seed -> playCloseQueries(seed, Change.NONE, mutation));
     }
   }
 
-  private static Simulation closeLooks(long seed, Change change, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    w.stuckMs = seed % 2 == 0 ? 1500 : 0;
-    w.users.closeLooks = 1;
-    w.users.cancelsAtOnce = 0.3;
-    w.askAll();
-    submit(w, 100, 24, 20_000, 3000);
-    w.after(10_000, () -> change(w, change));
-    w.runTo(75);
-    return w;
+  private static Simulation playCloseQueries(long seed, Change change, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    simulation.threadStallMs = seed % 2 == 0 ? 1500 : 0;
+    simulation.users.closeQueryShare = 1;
+    simulation.users.cancelOnAcceptShare = 0.3;
+    simulation.pollAllJobs();
+    submit(simulation, 100, 24, 20_000, 3000);
+    simulation.after(10_000, () -> apply(simulation, change));
+    simulation.runTo(75);
+    return simulation;
   }
 
   /**
@@ -109,41 +115,43 @@
    * reads the state service itself; the leader changes, or not.
    */
   @Test
-  void onlyTheAnswerIsLost() {
+  void writeAnswersAreLost() {
     for (Change change : Change.values()) {
       int live = 0;
       int ends = 0;
       int notes = 0;
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation w = unheard(seed, change);
-        assertSound(w);
-        assertOver(w, 100, 16);
-        live += w.store.unheardRead.getOrDefault("j/", 0);
-        ends += w.store.unheardRead.getOrDefault("d/", 0);
-        notes += w.store.unheardRead.getOrDefault("o/", 0);
+        Simulation simulation = playLostAnswers(seed, change);
+        assertSound(simulation);
+        assertEnded(simulation, 100, 16);
+        live += simulation.store.unansweredRead.getOrDefault("j/", 0);
+        ends += simulation.store.unansweredRead.getOrDefault("d/", 0);
+        notes += simulation.store.unansweredRead.getOrDefault("o/", 0);
       }
       assertTrue(live > 10 && ends > 10 && notes > 10, live + " " + ends + " " + notes);
     }
-    assertMissed(
-        Mutation.TOLD_WHILE_ENDING, seed -> unheard(seed, Change.NONE, Mutation.TOLD_WHILE_ENDING));
+    assertDetected(
+        Mutation.ANSWER_WHILE_ENDING,
+        seed -> playLostAnswers(seed, Change.NONE, Mutation.ANSWER_WHILE_ENDING));
   }
 
-  private static Simulation unheard(long seed, Change change, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    w.users.closeLooks = 1;
-    w.users.cancelsAtOnce = 0.2;
-    w.askAll();
-    w.store.unheardShare = 0.4;
-    ControllerModel leader = w.leaders().get(0);
-    ControllerModel apart = w.nodes.get(w.nodes.indexOf(leader) == 0 ? 1 : 0);
-    w.cutBoth(leader.name, apart.name);
-    submit(w, 100, 16, 15_000, 3000);
-    w.after(8000, () -> change(w, change));
-    w.runTo(50);
-    w.store.unheardShare = 0;
-    w.healAll();
-    w.runTo(80);
-    return w;
+  private static Simulation playLostAnswers(long seed, Change change, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    simulation.users.closeQueryShare = 1;
+    simulation.users.cancelOnAcceptShare = 0.2;
+    simulation.pollAllJobs();
+    simulation.store.unansweredShare = 0.4;
+    ControllerModel leader = simulation.leaders().get(0);
+    ControllerModel apart =
+        simulation.controllers.get(simulation.controllers.indexOf(leader) == 0 ? 1 : 0);
+    simulation.cutBoth(leader.name, apart.name);
+    submit(simulation, 100, 16, 15_000, 3000);
+    simulation.after(8000, () -> apply(simulation, change));
+    simulation.runTo(50);
+    simulation.store.unansweredShare = 0;
+    simulation.healAll();
+    simulation.runTo(80);
+    return simulation;
   }
 
   /**
@@ -151,53 +159,57 @@
    * work changes hands: some run for long, of others the starts are on their way.
    */
   @Test
-  void cancelledAsTheWorkChangesHands() {
+  void jobsCancelledDuringFailover() {
     int byTheNext = 0;
     int starting = 0;
     for (Change change : List.of(Change.HANDS_OVER, Change.CRASHES, Change.BOTH)) {
       for (int afterMs : List.of(0, 5, 100, 400)) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation w = changesHands(seed, change, afterMs);
-          assertSound(w);
+          Simulation simulation = playChangeOfHands(seed, change, afterMs);
+          assertSound(simulation);
           for (int i = 0; i < 18; i++) {
             String job = "wk-" + (i < 6 ? 10 + i : 94 + i);
-            assertNotNull(w.checker.confirmedMs(job), job + w.wholeStory());
-            byTheNext += w.checker.confirmedMs(job) > 20_000 + 1000 + afterMs ? 1 : 0;
+            assertNotNull(simulation.checker.cancelConfirmedMs(job), job + simulation.fullLog());
+            byTheNext +=
+                simulation.checker.cancelConfirmedMs(job) > 20_000 + 1000 + afterMs ? 1 : 0;
           }
-          starting += w.checker.leftAtConfirmation;
+          starting += simulation.checker.leftAtConfirmation;
         }
       }
     }
     assertTrue(byTheNext > 300, byTheNext + " confirmed after the change");
     assertTrue(starting > 100, starting + " tasks left as their job was confirmed");
-    Mutation m = Mutation.CONFIRMS_WHILE_STARTING;
-    assertMissed(m, seed -> changesHands(seed, Change.HANDS_OVER, 25 * (int) seed, m));
+    Mutation mutation = Mutation.CONFIRM_CANCEL_WHILE_STARTING;
+    assertDetected(
+        mutation, seed -> playChangeOfHands(seed, Change.HANDS_OVER, 25 * (int) seed, mutation));
   }
 
-  private static Simulation changesHands(
-      long seed, Change change, int afterMs, Mutation... mutants) {
-    Simulation w = busy(seed, 16, mutants);
-    w.store.slowMs = seed % 2 == 0 ? 1500 : 0; // the next leader's mirror lags
+  private static Simulation playChangeOfHands(
+      long seed, Change change, int afterMs, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 16, mutations);
+    simulation.store.answerDelayMs = seed % 2 == 0 ? 1500 : 0; // the next leader's mirror lags
     // Half of these are accepted within the last moments before it.
     for (int i = 0; i < 12; i++) {
       String job = "wk-" + (100 + i);
-      long atMs = i < 6 ? 0 : 600 + w.random.nextLong(300);
-      w.after(
-          atMs, () -> w.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), LONG_MS, () -> {}));
+      long atMs = i < 6 ? 0 : 600 + simulation.random.nextLong(300);
+      simulation.after(
+          atMs,
+          () ->
+              simulation.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), LONG_MS, () -> {}));
     }
-    w.after(
+    simulation.after(
         1000,
         () -> {
           for (int i = 0; i < 18; i++) {
             String job = "wk-" + (i < 6 ? 10 + i : 94 + i);
-            w.after(w.random.nextLong(200), () -> w.userCancels(job));
+            simulation.after(simulation.random.nextLong(200), () -> simulation.userCancels(job));
           }
         });
-    w.after(1000 + afterMs, () -> change(w, change));
-    w.runTo(30);
-    w.store.slowMs = 0;
-    w.runTo(80);
-    return w;
+    simulation.after(1000 + afterMs, () -> apply(simulation, change));
+    simulation.runTo(30);
+    simulation.store.answerDelayMs = 0;
+    simulation.runTo(80);
+    return simulation;
   }
 
   /**
@@ -205,32 +217,34 @@
    * milliseconds of it, and within the time in which that gets around; nothing else is wrong.
    */
   @Test
-  void cancelledAsTheLastTaskEnds() {
-    int asked = 0;
+  void jobsCancelledAsLastTaskEnds() {
+    int askedOrder = 0;
     int confirmed = 0;
     int looks = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      Simulation w = atTheEnd(seed);
-      assertSound(w);
-      assertOver(w, 100, 40);
-      asked += w.users.cancelledAtEnd;
-      confirmed += w.checker.confirmed();
-      looks += w.users.looksAnswered + w.users.repeatsAnswered;
+      Simulation simulation = playCancellationAtEnd(seed);
+      assertSound(simulation);
+      assertEnded(simulation, 100, 40);
+      askedOrder += simulation.users.cancelledAtEnd;
+      confirmed += simulation.checker.cancelsConfirmed();
+      looks += simulation.users.closeQueriesAnswered + simulation.users.resubmissionsAnswered;
     }
-    assertTrue(asked > 200, asked + " cancelled around their end");
-    assertTrue(confirmed > 20 && confirmed < asked - 20, confirmed + " of " + asked);
+    assertTrue(askedOrder > 200, askedOrder + " cancelled around their end");
+    assertTrue(confirmed > 20 && confirmed < askedOrder - 20, confirmed + " of " + askedOrder);
     assertTrue(looks > 5000, looks + " looks");
-    assertMissed(Mutation.ENDS_REPLACE_ENDS, seed -> atTheEnd(seed, Mutation.ENDS_REPLACE_ENDS));
+    assertDetected(
+        Mutation.OVERWRITE_JOB_END,
+        seed -> playCancellationAtEnd(seed, Mutation.OVERWRITE_JOB_END));
   }
 
-  private static Simulation atTheEnd(long seed, Mutation... mutants) {
-    Simulation w = busy(seed, 16, mutants);
-    w.users.closeLooks = 1;
-    w.users.cancelsAtEnd = 1;
-    w.askAll();
-    submit(w, 100, 40, 20_000, 2000);
-    w.runTo(60);
-    return w;
+  private static Simulation playCancellationAtEnd(long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 16, mutations);
+    simulation.users.closeQueryShare = 1;
+    simulation.users.cancelAtEndShare = 1;
+    simulation.pollAllJobs();
+    submit(simulation, 100, 40, 20_000, 2000);
+    simulation.runTo(60);
+    return simulation;
   }
 
   /**
@@ -239,64 +253,70 @@
    * task may live, and workers go on reporting to the old leader.
    */
   @Test
-  void cancelledAtTheMomentOfARefusal() {
+  void jobsCancelledWhileStoreRefuses() {
     int onRecord = 0;
     int not = 0;
-    int inDoubt = 0;
+    int withUncertainLease = 0;
     for (int afterMs : List.of(2, 6, 12, 60, 250)) {
       for (boolean hands : List.of(false, true)) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Refused p = refused(seed, afterMs, hands);
-          assertSound(p.world);
-          onRecord += p.onRecord;
-          not += 6 - p.onRecord;
-          inDoubt += p.inDoubt;
+          RefusalPlay played = playRefusal(seed, afterMs, hands);
+          assertSound(played.simulation);
+          onRecord += played.onRecord;
+          not += 6 - played.onRecord;
+          withUncertainLease += played.leaseUncertain;
           for (int i = 10; i < 16; i++) {
-            assertNotNull(p.world.checker.confirmedMs("wk-" + i), p.world.wholeStory());
+            assertNotNull(
+                played.simulation.checker.cancelConfirmedMs("wk-" + i),
+                played.simulation.fullLog());
           }
         }
       }
     }
     assertTrue(onRecord > 30 && not > 30, onRecord + " on record before the outage, not " + not);
-    assertTrue(inDoubt > 500, inDoubt + " reports answered in doubt");
-    assertMissed(
-        Mutation.IN_DOUBT_STOPS_NOTHING,
-        seed -> refused(seed, 4 + (int) seed % 12, true, Mutation.IN_DOUBT_STOPS_NOTHING).world);
+    assertTrue(withUncertainLease > 500, withUncertainLease + " reports answered in doubt");
+    assertDetected(
+        Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE,
+        seed ->
+            playRefusal(seed, 4 + (int) seed % 12, true, Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE)
+                .simulation);
   }
 
-  private record Refused(Simulation world, int onRecord, int inDoubt) {}
+  private record RefusalPlay(Simulation simulation, int onRecord, int leaseUncertain) {}
 
-  private static Refused refused(long seed, int afterMs, boolean hands, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    ControllerModel old = w.leaders().get(0);
+  private static RefusalPlay playRefusal(
+      long seed, int afterMs, boolean hands, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    ControllerModel old = simulation.leaders().get(0);
     for (int i = 10; i < 16; i++) {
-      w.userCancels("wk-" + i);
+      simulation.userCancels("wk-" + i);
     }
-    w.runTo((w.now() + afterMs) / 1000.0);
+    simulation.runTo((simulation.now() + afterMs) / 1000.0);
     if (hands) {
-      old.handOver();
-      for (ControllerModel n : w.nodes) {
-        if (n != old) {
-          w.cutBoth(n.name, "zone b"); // which the next leader hears when it is in doubt itself
-          w.after(6000, () -> w.healBoth(n.name, "zone b"));
+      old.resign();
+      for (ControllerModel controller : simulation.controllers) {
+        if (controller != old) {
+          simulation.cutBoth(
+              controller.name, "zone b"); // which the next leader hears when it is in doubt itself
+          simulation.after(6000, () -> simulation.healBoth(controller.name, "zone b"));
         }
       }
-      w.runTo((w.now() + 10) / 1000.0);
+      simulation.runTo((simulation.now() + 10) / 1000.0);
     }
-    w.store.refuse(old.name, true);
-    w.runTo(w.now() / 1000.0 + 1);
+    simulation.store.refuse(old.name, true);
+    simulation.runTo(simulation.now() / 1000.0 + 1);
     int onRecord = 0;
     for (int i = 10; i < 16; i++) {
-      onRecord += w.store.get("d/wk-" + i) == null ? 0 : 1;
+      onRecord += simulation.store.get("d/wk-" + i) == null ? 0 : 1;
     }
-    w.store.down(true);
-    int before = old.answeredInDoubt();
-    w.runTo((w.now() + InvariantChecker.CANCEL_MS) / 1000.0 + 10);
-    int inDoubt = old.answeredInDoubt() - before;
-    w.store.refuse(old.name, false);
-    w.store.down(false);
-    w.runTo(w.now() / 1000.0 + 40);
-    return new Refused(w, onRecord, inDoubt);
+    simulation.store.unavailable(true);
+    int before = old.answeredWithUncertainLease();
+    simulation.runTo((simulation.now() + InvariantChecker.CANCEL_MS) / 1000.0 + 10);
+    int withUncertainLease = old.answeredWithUncertainLease() - before;
+    simulation.store.refuse(old.name, false);
+    simulation.store.unavailable(false);
+    simulation.runTo(simulation.now() / 1000.0 + 40);
+    return new RefusalPlay(simulation, onRecord, withUncertainLease);
   }
 
   /**
@@ -304,18 +324,18 @@
    * in the middle, or not.
    */
   @Test
-  void oneTaskJobsFourASecond() {
+  void fourOneTaskJobsPerSecond() {
     List<Long> quietMs = new ArrayList<>();
     for (Change change : List.of(Change.NONE, Change.CRASHES, Change.HANDS_OVER)) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation w = stream(seed, change);
-        assertSound(w);
-        assertEquals(480, w.users.accepted().size() - 1, w.story());
-        int confirmed = w.checker.confirmed();
-        assertTrue(confirmed > 40, confirmed + " confirmed\n" + w.story());
-        assertEquals(480, w.checker.ended(), w.story());
+        Simulation simulation = playStream(seed, change);
+        assertSound(simulation);
+        assertEquals(480, simulation.users.accepted().size() - 1, simulation.recentLog());
+        int confirmed = simulation.checker.cancelsConfirmed();
+        assertTrue(confirmed > 40, confirmed + " confirmed\n" + simulation.recentLog());
+        assertEquals(480, simulation.checker.jobsEnded(), simulation.recentLog());
         if (change == Change.NONE) {
-          quietMs.addAll(w.checker.confirmedAfterMs);
+          quietMs.addAll(simulation.checker.cancelLatencyMs);
         }
       }
     }
@@ -323,59 +343,64 @@
     Collections.sort(quietMs);
     long most = quietMs.get(quietMs.size() * 98 / 100);
     assertTrue(most < LoopTiming.CANCEL_WAIT_MS, quietMs.toString());
-    assertMissed(
-        Mutation.CONFIRMS_WHILE_STARTING,
-        seed -> stream(seed, Change.NONE, Mutation.CONFIRMS_WHILE_STARTING));
+    assertDetected(
+        Mutation.CONFIRM_CANCEL_WHILE_STARTING,
+        seed -> playStream(seed, Change.NONE, Mutation.CONFIRM_CANCEL_WHILE_STARTING));
   }
 
-  private static Simulation stream(long seed, Change change, Mutation... mutants) {
-    Simulation w = new Simulation(seed, Setup.of(3, 20));
-    w.mutants.addAll(List.of(mutants));
-    w.runTo(4);
-    w.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 20), null);
-    w.runTo(15);
-    w.users.stream(1000, 480, 4000);
-    w.after(60_000, () -> change(w, change));
-    w.runTo(165);
-    return w;
+  private static Simulation playStream(long seed, Change change, Mutation... mutations) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 20));
+    simulation.mutations.addAll(List.of(mutations));
+    simulation.runTo(4);
+    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 20), null);
+    simulation.runTo(15);
+    simulation.users.stream(1000, 480, 4000);
+    simulation.after(60_000, () -> apply(simulation, change));
+    simulation.runTo(165);
+    return simulation;
   }
 
   /** The leader changes ten times in two minutes, half of that inside an outage, or without one. */
   @Test
-  void tenLeadersInTwoMinutes() {
+  void tenFailoversInTwoMinutes() {
     int confirmed = 0;
     for (boolean outage : List.of(false, true)) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation w = tenLeaders(seed, outage);
-        assertSound(w);
-        assertTrue(w.checker.leaders.size() >= 10, w.checker.leaders + w.story());
-        assertOver(w, 100, 30);
-        confirmed += w.checker.confirmed();
+        Simulation simulation = playTenLeaders(seed, outage);
+        assertSound(simulation);
+        assertTrue(
+            simulation.checker.leaders.size() >= 10,
+            simulation.checker.leaders + simulation.recentLog());
+        assertEnded(simulation, 100, 30);
+        confirmed += simulation.checker.cancelsConfirmed();
       }
     }
     assertTrue(confirmed > 100, confirmed + " confirmed");
-    assertMissed(Mutation.NO_ROSTER, seed -> tenLeaders(seed, true, Mutation.NO_ROSTER));
+    assertDetected(
+        Mutation.NO_INHERITED_MACHINES,
+        seed -> playTenLeaders(seed, true, Mutation.NO_INHERITED_MACHINES));
   }
 
-  private static Simulation tenLeaders(long seed, boolean outage, Mutation... mutants) {
-    Simulation w = busy(seed, 12, mutants);
-    w.users.closeLooks = 0.5;
-    w.users.cancelsAtOnce = 0.2;
-    w.askAll();
-    submit(w, 100, 30, 110_000, 4000);
+  private static Simulation playTenLeaders(long seed, boolean outage, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    simulation.users.closeQueryShare = 0.5;
+    simulation.users.cancelOnAcceptShare = 0.2;
+    simulation.pollAllJobs();
+    submit(simulation, 100, 30, 110_000, 4000);
     for (int i = 0; i < 10; i++) {
-      w.after(i * 2000, () -> w.users.cancelNow(1));
+      simulation.after(i * 2000, () -> simulation.users.cancelNow(1));
       List<Change> all = new ArrayList<>(List.of(Change.values()));
       all.remove(Change.NONE);
-      Change change = all.get(w.random.nextInt(all.size()));
-      w.after(1000 + i * 12_000 + w.random.nextLong(6000), () -> change(w, change));
+      Change change = all.get(simulation.random.nextInt(all.size()));
+      simulation.after(
+          1000 + i * 12_000 + simulation.random.nextLong(6000), () -> apply(simulation, change));
       if (outage) {
         // Each change falls into an outage of some seconds, or just before or after it.
-        w.after(2000 + i * 12_000, () -> w.store.down(true));
-        w.after(6000 + i * 12_000, () -> w.store.down(false));
+        simulation.after(2000 + i * 12_000, () -> simulation.store.unavailable(true));
+        simulation.after(6000 + i * 12_000, () -> simulation.store.unavailable(false));
       }
     }
-    w.runTo(190);
-    return w;
+    simulation.runTo(190);
+    return simulation;
   }
 }
--- a/src/test/java/org/astershift/simulation/UserModel.java
+++ b/src/test/java/org/astershift/simulation/UserModel.java
@@ -26,64 +26,64 @@
   private static final long POLL_MS = 5000;
 
   /** Within so long after news all nodes are asked, so many times each. */
-  private static final long CLOSE_MS = 40;
+  private static final long CLOSE_QUERY_MS = 40;
 
-  private static final int LOOKS = 4;
+  private static final int CLOSE_QUERIES = 4;
 
-  private final Simulation world;
+  private final Simulation simulation;
   private final Map<String, Long> runMs = new HashMap<>();
   private final Map<String, JobSpec> submitted = new LinkedHashMap<>();
   private final Set<String> accepted = new LinkedHashSet<>();
   private final Set<String> cancelled = new HashSet<>();
   private final Map<String, Set<Integer>> completed = new HashMap<>();
-  private boolean asking;
+  private boolean polling;
 
   /** Share of the news that is followed by close looks. */
-  double closeLooks;
+  double closeQueryShare;
 
   /** Share of the jobs that are cancelled within milliseconds of the news of their acceptance. */
-  double cancelsAtOnce;
+  double cancelOnAcceptShare;
 
   /** Share of the jobs that are cancelled as their last task ends: just before, at or after it. */
-  double cancelsAtEnd;
+  double cancelAtEndShare;
 
   /** Tasks that run longer than the others of their job, by name, in milliseconds. */
-  final Map<String, Long> slower = new HashMap<>();
+  final Map<String, Long> taskRunMs = new HashMap<>();
 
   /** Questions and repeated submissions within milliseconds of news, and how many got an answer. */
-  int looks;
+  int closeQueries;
 
-  int looksAnswered;
-  int repeatsAnswered;
+  int closeQueriesAnswered;
+  int resubmissionsAnswered;
 
   /** Cancellations asked for within milliseconds of an acceptance, and around a job's end. */
-  int cancelledAtOnce;
+  int cancelledOnAccept;
 
   int cancelledAtEnd;
 
-  UserModel(Simulation world) {
-    this.world = world;
+  UserModel(Simulation simulation) {
+    this.simulation = simulation;
   }
 
   // ---- jobs ----
 
   /** A job is on record; {@code ms}: how long its tasks run, null for a service. */
-  void accept(JobSpec spec, Long ms) {
-    know(spec, ms);
-    world.store.accept(spec);
-    accepted(spec.id());
+  void acceptDirectly(JobSpec spec, Long ms) {
+    remember(spec, ms);
+    simulation.store.putJob(spec);
+    onAccepted(spec.id());
   }
 
-  private void know(JobSpec spec, Long ms) {
+  private void remember(JobSpec spec, Long ms) {
     submitted.put(spec.id(), spec);
     if (ms != null) {
       runMs.put(spec.id(), ms);
     }
   }
 
-  private boolean accepted(String job) {
+  private boolean onAccepted(String job) {
     boolean news = accepted.add(job);
-    if (news && asking) {
+    if (news && polling) {
       poll(job);
     }
     return news;
@@ -91,17 +91,17 @@
 
   /** A user submits the job until it is accepted; {@code then}: what follows that. */
   void submit(JobSpec spec, Long ms, Runnable then) {
-    know(spec, ms);
+    remember(spec, ms);
     request(
         spec.id(),
-        (n, answer) -> n.submit(spec, answer),
+        (controller, answer) -> controller.submit(spec, answer),
         () -> {
-          if (accepted(spec.id())) {
+          if (onAccepted(spec.id())) {
             then.run();
-            news(spec.id());
-            if (world.random.nextDouble() < cancelsAtOnce) {
-              cancelledAtOnce++;
-              world.after(world.random.nextLong(CLOSE_MS), () -> cancel(spec.id()));
+            queryClosely(spec.id());
+            if (simulation.random.nextDouble() < cancelOnAcceptShare) {
+              cancelledOnAccept++;
+              simulation.after(simulation.random.nextLong(CLOSE_QUERY_MS), () -> cancel(spec.id()));
             }
           }
         });
@@ -110,8 +110,8 @@
   /** Its user wants it cancelled. */
   void cancel(String job) {
     if (cancelled.add(job)) {
-      world.checker.cancelAsked(job);
-      request(job, (n, answer) -> n.cancel(job, true, answer), () -> {});
+      simulation.checker.cancelRequestedMs(job);
+      request(job, (controller, answer) -> controller.cancel(job, true, answer), () -> {});
     }
   }
 
@@ -119,11 +119,11 @@
   int cancelNow(int count) {
     List<String> run =
         accepted.stream()
-            .filter(job -> !cancelled.contains(job) && world.checker.on(job) > 0)
+            .filter(job -> !cancelled.contains(job) && simulation.checker.tasksOnMachines(job) > 0)
             .filter(job -> submitted.get(job).kind() != JobKind.SERVICE)
             .limit(count)
             .toList();
-    run.forEach(job -> world.after(world.random.nextLong(200), () -> cancel(job)));
+    run.forEach(job -> simulation.after(simulation.random.nextLong(200), () -> cancel(job)));
     return run.size();
   }
 
@@ -134,11 +134,11 @@
   void stream(int id, int jobs, long ms) {
     for (int i = 0; i < jobs; i++) {
       String job = "wk-" + (id + i);
-      boolean cancels = world.random.nextInt(4) == 0;
-      long afterMs = world.random.nextLong(2 * ms);
-      Runnable then = () -> world.after(afterMs, () -> cancel(job));
-      world.after(
-          i * 250L + world.random.nextLong(250),
+      boolean cancels = simulation.random.nextInt(4) == 0;
+      long afterMs = simulation.random.nextLong(2 * ms);
+      Runnable then = () -> simulation.after(afterMs, () -> cancel(job));
+      simulation.after(
+          i * 250L + simulation.random.nextLong(250),
           () -> submit(SimulationTest.job(job, JobKind.ARRAY, 1), ms, cancels ? then : () -> {}));
     }
   }
@@ -146,38 +146,40 @@
   /** A user's request about a job, at some node, and again at some node until it is answered. */
   private void request(
       String job, BiConsumer<ControllerModel, Consumer<String>> service, Runnable answered) {
-    ControllerModel n = world.nodes.get(world.random.nextInt(world.nodes.size()));
-    ask(
+    ControllerModel controller =
+        simulation.controllers.get(simulation.random.nextInt(simulation.controllers.size()));
+    send(
         job,
-        n,
+        controller,
         REQUEST_MS,
         service,
-        said -> {
-          if (said == null || said.equals("503")) {
-            world.after(1000 + world.random.nextLong(500), () -> request(job, service, answered));
+        state -> {
+          if (state == null || state.equals("503")) {
+            simulation.after(
+                1000 + simulation.random.nextLong(500), () -> request(job, service, answered));
           } else {
             answered.run();
           }
         });
   }
 
-  private void ask(
+  private void send(
       String job,
-      ControllerModel n,
+      ControllerModel controller,
       long waitMs,
       BiConsumer<ControllerModel, Consumer<String>> service,
       Consumer<String> done) {
-    long asked = world.checker.asked();
-    world.call(
+    long askedOrder = simulation.checker.onQuestion();
+    simulation.call(
         "user",
-        n.name,
+        controller.name,
         waitMs,
-        (Consumer<String> answer) -> service.accept(n, answer),
-        (String said) -> {
-          boolean over = world.checker.told(job, n.name, said, asked);
-          done.accept(said);
+        (Consumer<String> answer) -> service.accept(controller, answer),
+        (String state) -> {
+          boolean over = simulation.checker.onAnswer(job, controller.name, state, askedOrder);
+          done.accept(state);
           if (over) {
-            news(job);
+            queryClosely(job);
           }
         });
   }
@@ -185,58 +187,68 @@
   // ---- questions ----
 
   /** From now on each node is asked about each accepted job every five seconds. */
-  void askAll() {
-    asking = true;
+  void pollAll() {
+    polling = true;
     accepted.forEach(this::poll);
     poll("wk-of-nobody");
   }
 
   private void poll(String job) {
-    for (ControllerModel n : world.nodes) {
-      world.after(world.random.nextLong(POLL_MS), () -> poll(job, n));
+    for (ControllerModel controller : simulation.controllers) {
+      simulation.after(simulation.random.nextLong(POLL_MS), () -> poll(job, controller));
     }
   }
 
-  private void poll(String job, ControllerModel n) {
-    ask(
+  private void poll(String job, ControllerModel controller) {
+    send(
         job,
-        n,
+        controller,
         QUESTION_MS,
-        (node, answer) -> node.ask(job, true, answer),
-        said -> world.after(POLL_MS, () -> poll(job, n)));
+        (node, answer) -> node.jobState(job, true, answer),
+        state -> simulation.after(POLL_MS, () -> poll(job, controller)));
   }
 
   /** A user has just learnt that the job is accepted, or that it is over. */
-  private void news(String job) {
-    if (world.random.nextDouble() >= closeLooks) {
+  private void queryClosely(String job) {
+    if (simulation.random.nextDouble() >= closeQueryShare) {
       return;
     }
-    for (ControllerModel n : world.nodes) {
-      for (int i = 0; i < LOOKS; i++) {
-        soon(job, n, QUESTION_MS, (node, a) -> node.ask(job, true, a), () -> looksAnswered++);
+    for (ControllerModel controller : simulation.controllers) {
+      for (int i = 0; i < CLOSE_QUERIES; i++) {
+        querySoon(
+            job,
+            controller,
+            QUESTION_MS,
+            (node, answer) -> node.jobState(job, true, answer),
+            () -> closeQueriesAnswered++);
       }
       JobSpec spec = submitted.get(job);
-      soon(job, n, REQUEST_MS, (node, a) -> node.submit(spec, a), () -> repeatsAnswered++);
+      querySoon(
+          job,
+          controller,
+          REQUEST_MS,
+          (node, answer) -> node.submit(spec, answer),
+          () -> resubmissionsAnswered++);
     }
   }
 
-  private void soon(
+  private void querySoon(
       String job,
-      ControllerModel n,
+      ControllerModel controller,
       long waitMs,
       BiConsumer<ControllerModel, Consumer<String>> service,
       Runnable answered) {
-    looks++;
-    world.after(
-        world.random.nextLong(CLOSE_MS),
+    closeQueries++;
+    simulation.after(
+        simulation.random.nextLong(CLOSE_QUERY_MS),
         () ->
-            ask(
+            send(
                 job,
-                n,
+                controller,
                 waitMs,
                 service,
-                said -> {
-                  if (said != null && !said.equals("503")) {
+                state -> {
+                  if (state != null && !state.equals("503")) {
                     answered.run();
                   }
                 }));
@@ -246,20 +258,20 @@
 
   /** A task is being started on a machine, and will end after so long if nothing happens. */
   void started(String job, int index, long endsMs) {
-    if (cancelsAtEnd > 0 && world.random.nextDouble() < cancelsAtEnd) {
+    if (cancelAtEndShare > 0 && simulation.random.nextDouble() < cancelAtEndShare) {
       // A request takes some milliseconds, and the news of the end some hundred.
-      long aroundMs = world.random.nextBoolean() ? 10 : 600;
-      long atMs = endsMs + world.random.nextLong(2 * aroundMs) - aroundMs;
-      world.after(atMs, () -> cancelLast(job, index));
+      long aroundMs = simulation.random.nextBoolean() ? 10 : 600;
+      long atMs = endsMs + simulation.random.nextLong(2 * aroundMs) - aroundMs;
+      simulation.after(atMs, () -> cancelLast(job, index));
     }
   }
 
   /** The same for a gang, which completes as a whole. */
   void started(String gang, long endsMs) {
-    if (cancelsAtEnd > 0 && world.random.nextDouble() < cancelsAtEnd) {
-      long aroundMs = world.random.nextBoolean() ? 10 : 600;
-      long atMs = endsMs + world.random.nextLong(2 * aroundMs) - aroundMs;
-      world.after(
+    if (cancelAtEndShare > 0 && simulation.random.nextDouble() < cancelAtEndShare) {
+      long aroundMs = simulation.random.nextBoolean() ? 10 : 600;
+      long atMs = endsMs + simulation.random.nextLong(2 * aroundMs) - aroundMs;
+      simulation.after(
           atMs,
           () -> {
             if (!cancelled.contains(gang)) {
@@ -286,7 +298,7 @@
 
   /** How long a task runs; null: until it is stopped. */
   Long runMsOf(String job, int index) {
-    return slower.getOrDefault(job + "/" + index, runMs.get(job));
+    return taskRunMs.getOrDefault(job + "/" + index, runMs.get(job));
   }
 
   Set<String> accepted() {
--- a/src/test/java/org/astershift/simulation/WorkerModel.java
+++ b/src/test/java/org/astershift/simulation/WorkerModel.java
@@ -21,41 +21,41 @@
  * on the machine until the lease is over: up to then it may go on, later it cannot.
  */
 final class WorkerModel {
-  private static final long ANSWER_MS = 4000;
-  private static final long NEXT_MS = 1000;
-  private static final long FETCH_MS = 800;
-  static final long FAILS_MS = 300;
+  private static final long HEARTBEAT_TIMEOUT_MS = 4000;
+  private static final long NEXT_CONTROLLER_MS = 1000;
+  private static final long IMAGE_FETCH_MS = 800;
+  static final long FAILS_AFTER_MS = 300;
   final String name;
   final String zone;
   final CloudModel.Kind kind;
-  private final Simulation world;
+  private final Simulation simulation;
   private boolean alive;
 
   /** Which of its lives this is: what was under way in an earlier one ends with it. */
-  private int life;
+  private int incarnation;
 
-  private long token;
-  private long session = 1;
-  private long seq;
-  private long answeredSentMs;
-  private int node;
+  private long fencingToken;
+  private long epoch = 1;
+  private long sequence;
+  private long leaseStartMs;
+  private int controllerIndex;
 
   /** Since when it hangs, or -1; until when; and for how long it did before, in this life. */
-  private long hungSinceMs = -1;
+  private long pausedSinceMs = -1;
 
-  private long hungUntilMs;
-  private long hungBeforeMs;
-  private long wentOnMs = -1;
-  private long hangNextMs;
+  private long pausedUntilMs;
+  private long pausedBeforeMs;
+  private long resumedMs = -1;
+  private long pauseAfterHeartbeatMs;
 
   /** What waits for it to go on. */
-  private final List<Runnable> waiting = new ArrayList<>();
+  private final List<Runnable> deferred = new ArrayList<>();
 
   /** Until then it reaches no controller, while orders to it and their answers work. */
-  private long muteUntilMs;
+  private long outboundPartitionedUntilMs;
 
   /** The connection that it had as it became mute keeps what is sent last, and delivers it then. */
-  private boolean keptLast;
+  private boolean lastHeartbeatDelayed;
 
   private final Map<String, Task> tasks = new LinkedHashMap<>();
 
@@ -65,34 +65,34 @@
   long startedMs = -1;
 
   /** Tasks started while it was mute. */
-  int startedMute;
+  int startedWhilePartitioned;
 
   /** Reports that reached no controller. */
-  int unsaid;
+  int undeliveredHeartbeats;
 
   /** Orders that waited for it to go on, and were executed then. */
-  int executedLate;
+  int commandsAfterPause;
 
   /** Answers to reports that waited for it to go on, and were in time. */
-  int answeredLate;
+  int answersAfterPause;
 
   /** Tasks that went on after it hung. */
-  int wentOn;
+  int tasksResumed;
 
   /** The same of tasks whose user had been told meanwhile that they are cancelled. */
-  int wentOnCancelled;
+  int cancelledTasksResumed;
 
   /** Whatever runs on it fails. */
   boolean faulty;
 
   /** Tasks started while it was known here that the cloud will take it back. */
-  int startedRecalled;
+  int startedAfterPreemptionNotice;
 
   /** How often it has hung. */
-  private int hangs;
+  private int pauses;
 
   /** When the cloud takes it back, as it was told; -1: it was told nothing. */
-  private long recalledMs = -1;
+  private long preemptedAtMs = -1;
 
   /** A task on the machine, exited ones until they are forgotten. */
   static final class Task {
@@ -110,24 +110,25 @@
       this.attempt = attempt;
     }
 
-    String task() {
+    String name() {
       return job + "/" + index;
     }
 
-    boolean ofGang(Simulation world) {
-      JobSpec spec = world.users.spec(job);
+    boolean isGang(Simulation simulation) {
+      JobSpec spec = simulation.users.spec(job);
       return spec != null && spec.kind() == JobKind.GANG;
     }
   }
 
   /** The answer to a report: 200 with a token, or 421 with the leader's name or null. */
-  record Answer(boolean ok, long token, List<Command> orders, String leader) {}
+  record HeartbeatAnswer(
+      boolean accepted, long fencingToken, List<Command> commands, String leader) {}
 
   /** The answer to direct commands. */
-  record Executed(boolean ok, Heartbeat report) {}
+  record CommandAnswer(boolean accepted, Heartbeat heartbeat) {}
 
-  WorkerModel(Simulation world, String name, CloudModel.Kind kind) {
-    this.world = world;
+  WorkerModel(Simulation simulation, String name, CloudModel.Kind kind) {
+    this.simulation = simulation;
     this.name = name;
     this.zone = kind.zone();
     this.kind = kind;
@@ -137,143 +138,143 @@
     return alive;
   }
 
-  int life() {
-    return life;
+  int incarnation() {
+    return incarnation;
   }
 
-  long session() {
-    return session;
+  long epoch() {
+    return epoch;
   }
 
-  long token() {
-    return token;
+  long fencingToken() {
+    return fencingToken;
   }
 
   void start() {
     alive = true;
-    answeredSentMs = world.now();
+    leaseStartMs = simulation.now();
     watchLease();
-    node = world.random.nextInt(world.nodes.size());
-    report();
+    controllerIndex = simulation.random.nextInt(simulation.controllers.size());
+    sendHeartbeat();
   }
 
   /** It ends and is back soon, under its name, with nothing of before: session 1, no token. */
-  void beginAnew(long afterMs) {
+  void restart(long afterMs) {
     if (!alive) {
       return;
     }
-    world.note(name, "begins anew in " + afterMs + " ms");
+    simulation.log(name, "begins anew in " + afterMs + " ms");
     die();
-    token = 0;
-    session = 1;
-    seq = 0;
-    int of = life;
-    world.after(
+    fencingToken = 0;
+    epoch = 1;
+    sequence = 0;
+    int startedIn = incarnation;
+    simulation.after(
         afterMs,
         () -> {
-          if (of == life) {
-            world.changed(); // nobody can know yet that it is there again
+          if (startedIn == incarnation) {
+            simulation.markConnectivityChanged(); // nobody can know yet that it is there again
             start();
           }
         });
   }
 
   /** It does nothing for a while, and then goes on as if no time had passed for it. */
-  void hang(long forMs) {
+  void pause(long forMs) {
     if (!alive) {
       return;
     }
-    world.note(name, "hangs for " + forMs + " ms");
-    hungUntilMs = Math.max(hungUntilMs, world.now() + forMs);
-    if (!hung()) {
-      hungSinceMs = world.now();
-      hangs++;
-      world.gangs.hangs(this);
+    simulation.log(name, "hangs for " + forMs + " ms");
+    pausedUntilMs = Math.max(pausedUntilMs, simulation.now() + forMs);
+    if (!paused()) {
+      pausedSinceMs = simulation.now();
+      pauses++;
+      simulation.gangs.onMachinePaused(this);
     }
-    int of = life;
-    world.after(forMs, () -> goOn(of));
+    int startedIn = incarnation;
+    simulation.after(forMs, () -> resume(startedIn));
   }
 
   /** It hangs as soon as its next report is on its way, so that the answer waits for it. */
-  void hangNext(long forMs) {
-    hangNextMs = forMs;
+  void pauseAfterHeartbeat(long forMs) {
+    pauseAfterHeartbeatMs = forMs;
   }
 
-  boolean hung() {
-    return hungSinceMs >= 0;
+  boolean paused() {
+    return pausedSinceMs >= 0;
   }
 
-  int hangs() {
-    return hangs;
+  int pauses() {
+    return pauses;
   }
 
-  private void goOn(int of) {
-    if (!alive || life != of || !hung() || world.now() < hungUntilMs) {
+  private void resume(int startedIn) {
+    if (!alive || incarnation != startedIn || !paused() || simulation.now() < pausedUntilMs) {
       return;
     }
-    world.note(name, "goes on");
-    hungBeforeMs += world.now() - hungSinceMs;
-    hungSinceMs = -1;
-    wentOnMs = world.now();
-    world.changed(); // nobody can know yet
-    expire();
-    for (String task : holds()) {
-      wentOn++;
+    simulation.log(name, "goes on");
+    pausedBeforeMs += simulation.now() - pausedSinceMs;
+    pausedSinceMs = -1;
+    resumedMs = simulation.now();
+    simulation.markConnectivityChanged(); // nobody can know yet
+    expireLease();
+    for (String task : liveTasks()) {
+      tasksResumed++;
       String job = task.substring(0, task.indexOf('/'));
-      wentOnCancelled += world.checker.confirmedMs(job) == null ? 0 : 1;
+      cancelledTasksResumed += simulation.checker.cancelConfirmedMs(job) == null ? 0 : 1;
     }
-    List<Runnable> all = new ArrayList<>(waiting);
-    waiting.clear();
-    all.forEach(r -> world.after(0, () -> here(of, r)));
+    List<Runnable> all = new ArrayList<>(deferred);
+    deferred.clear();
+    all.forEach(r -> simulation.after(0, () -> runIn(startedIn, r)));
   }
 
   /** It reaches no controller; its last report may arrive when it does again. */
-  void mute(long forMs) {
-    world.note(name, "is mute for " + forMs + " ms");
-    muteUntilMs = Math.max(muteUntilMs, world.now() + forMs);
-    keptLast = world.random.nextBoolean();
-    world.after(forMs, world::changed);
+  void partitionOutbound(long forMs) {
+    simulation.log(name, "is mute for " + forMs + " ms");
+    outboundPartitionedUntilMs = Math.max(outboundPartitionedUntilMs, simulation.now() + forMs);
+    lastHeartbeatDelayed = simulation.random.nextBoolean();
+    simulation.after(forMs, simulation::markConnectivityChanged);
   }
 
-  boolean mute() {
-    return world.now() < muteUntilMs;
+  boolean outboundPartitioned() {
+    return simulation.now() < outboundPartitionedUntilMs;
   }
 
   /** It reaches the controllers again. */
-  void unmute() {
-    muteUntilMs = 0;
+  void healOutbound() {
+    outboundPartitionedUntilMs = 0;
   }
 
   /** A request to it, maybe held up on its way: served at once, when it goes on, or never. */
   void serve(Runnable request) {
-    here(life, request);
+    runIn(incarnation, request);
   }
 
   void die() {
     alive = false;
-    hungSinceMs = -1;
-    hungUntilMs = 0;
-    hungBeforeMs = 0;
-    hangNextMs = 0;
-    waiting.clear();
-    life++;
-    recalledMs = -1;
+    pausedSinceMs = -1;
+    pausedUntilMs = 0;
+    pausedBeforeMs = 0;
+    pauseAfterHeartbeatMs = 0;
+    deferred.clear();
+    incarnation++;
+    preemptedAtMs = -1;
     List<Task> all = tasks();
     tasks.clear();
-    all.forEach(this::gone);
+    all.forEach(this::onTaskGone);
   }
 
-  private void gone(Task t) {
-    if (t.phase != Heartbeat.TaskPhase.EXITED) {
-      world.checker.over(t.task(), name);
-      world.gangs.left(t);
+  private void onTaskGone(Task task) {
+    if (task.phase != Heartbeat.TaskPhase.EXITED) {
+      simulation.checker.onTaskGone(task.name(), name);
+      simulation.gangs.onTaskGone(task);
     }
   }
 
   /** The cloud will take it back; its next report says so, as will all after that. */
-  void recalled(long inMs) {
-    world.note(name, "is told that it will be taken back in " + inMs + " ms");
-    recalledMs = world.now() + inMs;
+  void noticePreemption(long inMs) {
+    simulation.log(name, "is told that it will be taken back in " + inMs + " ms");
+    preemptedAtMs = simulation.now() + inMs;
   }
 
   /** All tasks here, exited ones too. */
@@ -281,34 +282,46 @@
     return new ArrayList<>(tasks.values());
   }
 
-  private Heartbeat says() {
+  private Heartbeat heartbeat() {
     List<Heartbeat.TaskStatus> items = new ArrayList<>();
-    for (Task t : tasks.values()) {
-      items.add(new Heartbeat.TaskStatus(t.job, t.index, t.attempt, t.phase, t.cause));
+    for (Task task : tasks.values()) {
+      items.add(
+          new Heartbeat.TaskStatus(task.job, task.index, task.attempt, task.phase, task.cause));
     }
     return new Heartbeat(
-        name, name, kind.type(), zone, kind.spot(), session, ++seq, token, recall(), items);
+        name,
+        name,
+        kind.type(),
+        zone,
+        kind.spot(),
+        epoch,
+        ++sequence,
+        fencingToken,
+        preemptionNoticeS(),
+        items);
   }
 
-  private Double recall() {
-    return recalledMs < 0 ? null : (Double) (Math.max(0, recalledMs - world.now()) / 1000.0);
+  private Double preemptionNoticeS() {
+    return preemptedAtMs < 0
+        ? null
+        : (Double) (Math.max(0, preemptedAtMs - simulation.now()) / 1000.0);
   }
 
   /** As soon as it is not hung, if the task is still there. */
-  void when(Task t, Runnable body) {
-    here(
-        life,
+  void whenRunning(Task task, Runnable body) {
+    runIn(
+        incarnation,
         () -> {
-          if (tasks.containsValue(t)) {
+          if (tasks.containsValue(task)) {
             body.run();
           }
         });
   }
 
-  private void here(int of, Runnable body) {
-    if (alive && life == of) {
-      if (hung()) {
-        waiting.add(body);
+  private void runIn(int startedIn, Runnable body) {
+    if (alive && incarnation == startedIn) {
+      if (paused()) {
+        deferred.add(body);
       } else {
         body.run();
       }
@@ -317,285 +330,298 @@
 
   /** How long it has been at work in this life: what its tasks' run time is counted by. */
   private long workedMs() {
-    return world.now() - hungBeforeMs - (hung() ? world.now() - hungSinceMs : 0);
+    return simulation.now() - pausedBeforeMs - (paused() ? simulation.now() - pausedSinceMs : 0);
   }
 
   void afterWork(long ms, Runnable body) {
-    whenWorked(life, workedMs() + ms, body);
+    whenWorked(incarnation, workedMs() + ms, body);
   }
 
-  private void whenWorked(int of, long atMs, Runnable body) {
-    world.after(
+  private void whenWorked(int startedIn, long atMs, Runnable body) {
+    simulation.after(
         atMs - workedMs(),
         () ->
-            here(
-                of,
+            runIn(
+                startedIn,
                 () -> {
                   if (workedMs() < atMs) {
-                    whenWorked(of, atMs, body); // it hung meanwhile
+                    whenWorked(startedIn, atMs, body); // it hung meanwhile
                   } else {
                     body.run();
                   }
                 }));
   }
 
-  private void reportAfter(long ms) {
-    int of = life;
-    world.after(ms, () -> here(of, this::report));
+  private void sendHeartbeatAfter(long ms) {
+    int startedIn = incarnation;
+    simulation.after(ms, () -> runIn(startedIn, this::sendHeartbeat));
   }
 
   /** A copy of what it said, from seconds to well over a lease later, at whatever node. */
-  private void copy(Heartbeat r) {
-    if (world.random.nextDouble() < world.copied) {
-      ControllerModel to = world.nodes.get(world.random.nextInt(world.nodes.size()));
-      long ms = 1000 + world.random.nextLong(3 * world.setup.leaseMs());
-      world.after(ms, () -> to.copy(aged(r)));
+  private void duplicate(Heartbeat heartbeat) {
+    if (simulation.random.nextDouble() < simulation.duplicateShare) {
+      ControllerModel receiver =
+          simulation.controllers.get(simulation.random.nextInt(simulation.controllers.size()));
+      long ms = 1000 + simulation.random.nextLong(3 * simulation.setup.leaseMs());
+      simulation.after(ms, () -> receiver.onDuplicateHeartbeat(asReadLate(heartbeat)));
     }
   }
 
   /** As it was sent, or as a leader would read it that does not order what it is told. */
-  Heartbeat aged(Heartbeat r) {
-    boolean news = world.mutants.contains(Mutation.COPIES_ARE_NEWS);
-    boolean shows = world.mutants.contains(Mutation.COPIES_SHOW_THE_TOKEN);
+  Heartbeat asReadLate(Heartbeat heartbeat) {
+    boolean news = simulation.mutations.contains(Mutation.ACCEPT_DUPLICATE_HEARTBEATS);
+    boolean shows = simulation.mutations.contains(Mutation.DUPLICATES_CARRY_CURRENT_TOKEN);
     return new Heartbeat(
-        r.machineName(),
-        r.address(),
-        r.typeName(),
-        r.zone(),
-        r.spot(),
-        r.epoch(),
-        news ? seq + 1 : r.sequence(),
-        news ? token : shows ? world.latestToken() : r.fencingToken(),
-        r.preemptionNoticeS(),
-        r.tasks());
-  }
-
-  private void report() {
-    expire();
-    long sentMs = world.now();
-    long sentIn = session;
-    Heartbeat r = says();
-    copy(r);
-    world.lateReports.said(this, r);
-    int of = life;
-    ControllerModel to = world.nodes.get(node);
-    if (mute()) {
-      noWay(r, to);
+        heartbeat.machineName(),
+        heartbeat.address(),
+        heartbeat.typeName(),
+        heartbeat.zone(),
+        heartbeat.spot(),
+        heartbeat.epoch(),
+        news ? sequence + 1 : heartbeat.sequence(),
+        news ? fencingToken : shows ? simulation.latestToken() : heartbeat.fencingToken(),
+        heartbeat.preemptionNoticeS(),
+        heartbeat.tasks());
+  }
+
+  private void sendHeartbeat() {
+    expireLease();
+    long sentMs = simulation.now();
+    long sentEpoch = epoch;
+    Heartbeat heartbeat = heartbeat();
+    duplicate(heartbeat);
+    simulation.delayedHeartbeats.onHeartbeatSent(this, heartbeat);
+    int startedIn = incarnation;
+    ControllerModel receiver = simulation.controllers.get(controllerIndex);
+    if (outboundPartitioned()) {
+      failToSend(heartbeat, receiver);
       return;
     }
-    world.call(
+    simulation.call(
         name,
-        to.name,
-        ANSWER_MS,
-        world.lateReports.way(to, answer -> arrives(to, r, answer)),
-        (Answer a) -> here(of, () -> answered(a, sentMs, sentIn)));
-    if (hangNextMs > 0) {
-      hang(hangNextMs);
-      hangNextMs = 0;
+        receiver.name,
+        HEARTBEAT_TIMEOUT_MS,
+        simulation.delayedHeartbeats.delayIfDrawn(
+            receiver, answer -> deliver(receiver, heartbeat, answer)),
+        (HeartbeatAnswer answer) -> runIn(startedIn, () -> onAnswer(answer, sentMs, sentEpoch)));
+    if (pauseAfterHeartbeatMs > 0) {
+      pause(pauseAfterHeartbeatMs);
+      pauseAfterHeartbeatMs = 0;
     }
   }
 
   /** A report that arrives after newer ones is as a copy of it. */
-  private void arrives(ControllerModel to, Heartbeat r, Consumer<Answer> answer) {
-    if (seq > r.sequence() && world.mutants.contains(Mutation.COPIES_ARE_NEWS)) {
-      to.copy(aged(r));
+  private void deliver(
+      ControllerModel receiver, Heartbeat heartbeat, Consumer<HeartbeatAnswer> answer) {
+    if (sequence > heartbeat.sequence()
+        && simulation.mutations.contains(Mutation.ACCEPT_DUPLICATE_HEARTBEATS)) {
+      receiver.onDuplicateHeartbeat(asReadLate(heartbeat));
     } else {
-      to.report(seq > r.sequence() ? aged(r) : r, answer);
+      receiver.onHeartbeat(
+          sequence > heartbeat.sequence() ? asReadLate(heartbeat) : heartbeat, answer);
     }
   }
 
   /** It is refused at once, or waits in vain for a connection. */
-  private void noWay(Heartbeat r, ControllerModel to) {
-    if (keptLast) {
-      keptLast = false;
-      world.after(muteUntilMs - world.now() + 1, () -> to.report(r, a -> {}));
+  private void failToSend(Heartbeat heartbeat, ControllerModel receiver) {
+    if (lastHeartbeatDelayed) {
+      lastHeartbeatDelayed = false;
+      simulation.after(
+          outboundPartitionedUntilMs - simulation.now() + 1,
+          () -> receiver.onHeartbeat(heartbeat, answer -> {}));
     }
-    int of = life;
-    long sentMs = world.now();
-    long sentIn = session;
-    unsaid++;
-    long ms = world.random.nextBoolean() ? 1 : ANSWER_MS;
-    world.after(ms, () -> here(of, () -> answered(null, sentMs, sentIn)));
-  }
-
-  private void answered(Answer a, long sentMs, long sentIn) {
-    boolean late = world.now() - sentMs > ANSWER_MS; // it hung, and no longer waits for that
-    if (a == null || late || (!a.ok() && a.leader() == null)) {
-      node = (node + 1) % world.nodes.size();
-      reportAfter(NEXT_MS);
-    } else if (!a.ok()) {
-      int named = Integer.parseInt(a.leader().substring(1));
-      boolean same = named == node;
-      node = same ? (node + 1) % world.nodes.size() : named;
-      reportAfter(same ? NEXT_MS : world.random.nextLong(500));
+    int startedIn = incarnation;
+    long sentMs = simulation.now();
+    long sentEpoch = epoch;
+    undeliveredHeartbeats++;
+    long ms = simulation.random.nextBoolean() ? 1 : HEARTBEAT_TIMEOUT_MS;
+    simulation.after(ms, () -> runIn(startedIn, () -> onAnswer(null, sentMs, sentEpoch)));
+  }
+
+  private void onAnswer(HeartbeatAnswer answer, long sentMs, long sentEpoch) {
+    boolean late =
+        simulation.now() - sentMs > HEARTBEAT_TIMEOUT_MS; // it hung, and no longer waits for that
+    if (answer == null || late || (!answer.accepted() && answer.leader() == null)) {
+      controllerIndex = (controllerIndex + 1) % simulation.controllers.size();
+      sendHeartbeatAfter(NEXT_CONTROLLER_MS);
+    } else if (!answer.accepted()) {
+      int named = Integer.parseInt(answer.leader().substring(1));
+      boolean same = named == controllerIndex;
+      controllerIndex = same ? (controllerIndex + 1) % simulation.controllers.size() : named;
+      sendHeartbeatAfter(same ? NEXT_CONTROLLER_MS : simulation.random.nextLong(500));
     } else {
-      if (a.token() >= token && sentIn == session) {
-        answeredLate += wentOnMs == world.now() ? 1 : 0;
-        token = a.token();
-        answeredSentMs = Math.max(answeredSentMs, sentMs);
+      if (answer.fencingToken() >= fencingToken && sentEpoch == epoch) {
+        answersAfterPause += resumedMs == simulation.now() ? 1 : 0;
+        fencingToken = answer.fencingToken();
+        leaseStartMs = Math.max(leaseStartMs, sentMs);
         watchLease();
-        a.orders().forEach(this::execute);
+        answer.commands().forEach(this::execute);
       }
-      long gap = world.setup.reportMs();
-      reportAfter(gap * 3 / 4 + world.random.nextLong(gap / 2));
+      long gap = simulation.setup.heartbeatMs();
+      sendHeartbeatAfter(gap * 3 / 4 + simulation.random.nextLong(gap / 2));
     }
   }
 
   /** Without an answer for the length of the lease it kills and forgets all of its tasks. */
-  private void expire() {
-    if (world.now() - answeredSentMs <= world.setup.leaseMs()) {
+  private void expireLease() {
+    if (simulation.now() - leaseStartMs <= simulation.setup.leaseMs()) {
       return;
     }
-    for (Task t : tasks()) {
-      if (t.phase != Heartbeat.TaskPhase.EXITED) {
-        world.checker.killedByLease++;
-        world.note(name, t.task() + " is killed by the lease");
-        gone(t);
+    for (Task task : tasks()) {
+      if (task.phase != Heartbeat.TaskPhase.EXITED) {
+        simulation.checker.killedByLease++;
+        simulation.log(name, task.name() + " is killed by the lease");
+        onTaskGone(task);
       }
     }
-    if (hung()) {
+    if (paused()) {
       return; // nothing of it can go on any more; it will do this itself, first of all
     }
     tasks.clear();
-    session++;
-    answeredSentMs = world.now();
+    epoch++;
+    leaseStartMs = simulation.now();
     watchLease();
   }
 
   private void watchLease() {
-    int of = life;
-    world.after(
-        answeredSentMs + world.setup.leaseMs() + 1 - world.now(),
+    int startedIn = incarnation;
+    simulation.after(
+        leaseStartMs + simulation.setup.leaseMs() + 1 - simulation.now(),
         () -> {
-          if (alive && life == of) {
-            expire();
+          if (alive && incarnation == startedIn) {
+            expireLease();
           }
         });
   }
 
   /** Commands sent straight to it, maybe minutes ago. */
-  Executed orders(long helm, long ofSession, List<Command> orders) {
-    expire();
-    if (helm < token || ofSession != session) {
-      return new Executed(false, says());
+  CommandAnswer onCommands(long senderToken, long senderEpoch, List<Command> commands) {
+    expireLease();
+    if (senderToken < fencingToken || senderEpoch != epoch) {
+      return new CommandAnswer(false, heartbeat());
     }
-    token = helm;
-    executedLate += wentOnMs == world.now() ? orders.size() : 0;
-    orders.forEach(this::execute);
-    return new Executed(true, says());
+    fencingToken = senderToken;
+    commandsAfterPause += resumedMs == simulation.now() ? commands.size() : 0;
+    commands.forEach(this::execute);
+    return new CommandAnswer(true, heartbeat());
   }
 
-  private void execute(Command o) {
-    world.digest.command(world.now(), name, o);
-    String key = o.jobId() + "/" + o.index() + "@" + o.attemptNumber();
-    Task t = tasks.get(key);
-    switch (o.kind()) {
+  private void execute(Command command) {
+    simulation.digest.command(simulation.now(), name, command);
+    String key = command.jobId() + "/" + command.index() + "@" + command.attemptNumber();
+    Task task = tasks.get(key);
+    switch (command.kind()) {
       case START -> {
-        if (t == null) {
-          Task fresh = new Task(this, o.jobId(), o.index(), o.attemptNumber());
+        if (task == null) {
+          Task fresh = new Task(this, command.jobId(), command.index(), command.attemptNumber());
           tasks.put(key, fresh);
-          startedMs = world.now();
-          startedMute += mute() ? 1 : 0;
-          startedRecalled += recalledMs < 0 ? 0 : 1;
-          world.checker.started(fresh.task(), name, o.attemptNumber());
-          if (fresh.ofGang(world)) {
-            afterWork(FETCH_MS, () -> when(fresh, () -> fetched(fresh)));
+          startedMs = simulation.now();
+          startedWhilePartitioned += outboundPartitioned() ? 1 : 0;
+          startedAfterPreemptionNotice += preemptedAtMs < 0 ? 0 : 1;
+          simulation.checker.onTaskStarted(fresh.name(), name, command.attemptNumber());
+          if (fresh.isGang(simulation)) {
+            afterWork(IMAGE_FETCH_MS, () -> whenRunning(fresh, () -> onImageFetched(fresh)));
             return;
           }
-          afterWork(FETCH_MS, () -> phase(fresh, Heartbeat.TaskPhase.RUNNING, null));
-          fails(fresh, FETCH_MS + FAILS_MS);
-          Long runMs = world.users.runMsOf(o.jobId(), o.index());
+          afterWork(IMAGE_FETCH_MS, () -> moveTo(fresh, Heartbeat.TaskPhase.RUNNING, null));
+          failIfFaulty(fresh, IMAGE_FETCH_MS + FAILS_AFTER_MS);
+          Long runMs = simulation.users.runMsOf(command.jobId(), command.index());
           if (runMs != null) {
-            world.users.started(o.jobId(), o.index(), FETCH_MS + runMs);
-            afterWork(FETCH_MS + runMs, () -> phase(fresh, Heartbeat.TaskPhase.EXITED, "done"));
+            simulation.users.started(command.jobId(), command.index(), IMAGE_FETCH_MS + runMs);
+            afterWork(
+                IMAGE_FETCH_MS + runMs, () -> moveTo(fresh, Heartbeat.TaskPhase.EXITED, "done"));
           }
         }
       }
       case STOP -> {
-        if (t != null) {
-          world.checker.halted += t.phase == Heartbeat.TaskPhase.EXITED ? 0 : 1;
-          stop(t, o.graceS());
+        if (task != null) {
+          simulation.checker.stopped += task.phase == Heartbeat.TaskPhase.EXITED ? 0 : 1;
+          stop(task, command.graceS());
         }
       }
       case FORGET -> {
-        if (t != null && t.phase == Heartbeat.TaskPhase.EXITED) {
+        if (task != null && task.phase == Heartbeat.TaskPhase.EXITED) {
           tasks.remove(key);
         }
       }
-      default -> throw new IllegalArgumentException(o.toString());
+      default -> throw new IllegalArgumentException(command.toString());
     }
   }
 
   /** On a faulty machine the task fails so long from now. */
-  void fails(Task t, long ms) {
+  void failIfFaulty(Task task, long ms) {
     if (faulty) {
-      afterWork(ms, () -> phase(t, Heartbeat.TaskPhase.EXITED, "error"));
+      afterWork(ms, () -> moveTo(task, Heartbeat.TaskPhase.EXITED, "error"));
     }
   }
 
-  private void fetched(Task t) {
-    if (t.phase == Heartbeat.TaskPhase.FETCHING) {
-      world.gangs.arrives(t);
+  private void onImageFetched(Task task) {
+    if (task.phase == Heartbeat.TaskPhase.FETCHING) {
+      simulation.gangs.onImageFetched(task);
     }
   }
 
   /** One that may save does so first, if it is given the time for it. */
-  private void stop(Task t, double graceS) {
-    JobSpec spec = world.users.spec(t.job);
+  private void stop(Task task, double graceS) {
+    JobSpec spec = simulation.users.spec(task.job);
     boolean saves =
         spec != null && spec.checkpointIntervalS() > 0 && graceS >= spec.checkpointSaveS();
-    if (t.ofGang(world)
-        && (t.phase == Heartbeat.TaskPhase.RUNNING || t.phase == Heartbeat.TaskPhase.SAVING)) {
-      world.gangs.stop(t, saves);
+    if (task.isGang(simulation)
+        && (task.phase == Heartbeat.TaskPhase.RUNNING
+            || task.phase == Heartbeat.TaskPhase.SAVING)) {
+      simulation.gangs.stop(task, saves);
       return;
     }
-    if (saves && t.phase == Heartbeat.TaskPhase.RUNNING) {
-      t.phase = Heartbeat.TaskPhase.SAVING;
+    if (saves && task.phase == Heartbeat.TaskPhase.RUNNING) {
+      task.phase = Heartbeat.TaskPhase.SAVING;
       long ms = Math.round(spec.checkpointSaveS() * 1000);
-      afterWork(ms, () -> phase(t, Heartbeat.TaskPhase.EXITED, "halted"));
-    } else if (!saves || t.phase != Heartbeat.TaskPhase.SAVING) {
-      phase(t, Heartbeat.TaskPhase.EXITED, "halted");
+      afterWork(ms, () -> moveTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
+    } else if (!saves || task.phase != Heartbeat.TaskPhase.SAVING) {
+      moveTo(task, Heartbeat.TaskPhase.EXITED, "halted");
     }
   }
 
   /** The task moves on, unless it has ended or its lease is over. */
-  void phase(Task t, Heartbeat.TaskPhase phase, String cause) {
-    boolean here = alive && tasks.containsValue(t) && t.phase != Heartbeat.TaskPhase.EXITED;
-    if (here && world.now() - answeredSentMs > world.setup.leaseMs()) {
-      expire();
+  void moveTo(Task task, Heartbeat.TaskPhase phase, String cause) {
+    boolean here = alive && tasks.containsValue(task) && task.phase != Heartbeat.TaskPhase.EXITED;
+    if (here && simulation.now() - leaseStartMs > simulation.setup.leaseMs()) {
+      expireLease();
       return;
     }
     if (here) {
-      t.phase = phase;
-      t.cause = cause;
-      world.digest.phase(world.now(), t.task(), name, phase, cause);
-      if (phase == (t.ofGang(world) ? Heartbeat.TaskPhase.WAITING : Heartbeat.TaskPhase.RUNNING)) {
-        world.checker.begins(t.task(), name);
+      task.phase = phase;
+      task.cause = cause;
+      simulation.digest.phase(simulation.now(), task.name(), name, phase, cause);
+      if (phase
+          == (task.isGang(simulation)
+              ? Heartbeat.TaskPhase.WAITING
+              : Heartbeat.TaskPhase.RUNNING)) {
+        simulation.checker.onImageFetched(task.name(), name);
       } else if ("done".equals(cause)) {
-        world.users.completed(t.job, t.index);
+        simulation.users.completed(task.job, task.index);
       }
       if (phase == Heartbeat.TaskPhase.EXITED) {
-        world.checker.over(t.task(), name);
-        world.gangs.left(t);
+        simulation.checker.onTaskGone(task.name(), name);
+        simulation.gangs.onTaskGone(task);
         if ("done".equals(cause)) {
-          world.checker.completed(t.task());
+          simulation.checker.onTaskCompleted(task.name());
         }
       }
     }
   }
 
   /** Tasks on it, exited ones not, as "job/index". */
-  List<String> holds() {
+  List<String> liveTasks() {
     return tasks.values().stream()
-        .filter(t -> t.phase != Heartbeat.TaskPhase.EXITED)
-        .map(Task::task)
+        .filter(task -> task.phase != Heartbeat.TaskPhase.EXITED)
+        .map(Task::name)
         .toList();
   }
 
-  int running() {
+  int runningTasks() {
     int n = 0;
-    for (Task t : tasks.values()) {
-      n += t.phase == Heartbeat.TaskPhase.RUNNING ? 1 : 0;
+    for (Task task : tasks.values()) {
+      n += task.phase == Heartbeat.TaskPhase.RUNNING ? 1 : 0;
     }
     return n;
   }
