--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -1,11 +1,11 @@
 package org.astershift.controller;
 
-import org.astershift.http.TaskPool;
 import java.util.List;
 import java.util.Map;
 import org.astershift.config.Settings;
 import org.astershift.config.ThreadBudget;
 import org.astershift.coordination.Candidacy;
+import org.astershift.http.TaskPool;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Heartbeat;
