--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/AttemptAdoption.java
@@ -0,0 +1,130 @@
+package org.astershift.scheduler;
+
+import java.util.BitSet;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Takes in tasks found on a machine that this leader did not place there. */
+final class AttemptAdoption {
+  private static final Logger LOG = LoggerFactory.getLogger(AttemptAdoption.class);
+
+  private final ClusterState cluster;
+  private final TaskExitHandler exitHandler;
+
+  AttemptAdoption(ClusterState cluster, TaskExitHandler exitHandler) {
+    this.cluster = cluster;
+    this.exitHandler = exitHandler;
+  }
+
+  /** Adds the task's attempt; it holds the task unless another one does, or nobody wants it. */
+  void adopt(Machine machine, Heartbeat.TaskStatus status, long sequence, long nowMs) {
+    Job job = cluster.jobs.get(status.jobId());
+    if (job == null || status.index() >= job.spec.tasks()) {
+      job = orphanedJob(status);
+    }
+    TaskAttempt attempt = attemptOf(job, machine, status, sequence, nowMs);
+    cluster.attempts.adopt(attempt);
+    if (status.closesAttempt()) {
+      job.closeAttempt(attempt.attemptNumber);
+    }
+    if (attempt.exited()) {
+      exitHandler.onExited(attempt, nowMs);
+      return;
+    }
+    if (status.phase() == Heartbeat.TaskPhase.RUNNING) {
+      attempt.runningSinceMs = nowMs;
+    }
+    if (status.phase() != Heartbeat.TaskPhase.FETCHING) {
+      machine.touchImage(job.spec.image(), job.spec.imageGb());
+    }
+    TaskAttempt other = holderBeside(attempt);
+    if (job.state != Job.State.LIVE || job.doneTasks.get(attempt.index) || other != null) {
+      stopUnwanted(attempt, other != null);
+      return;
+    }
+    cluster.attempts.holdTask(attempt);
+    cluster.attempts.completeGangStop(attempt);
+    job.opened = true;
+    if (status.phase() == Heartbeat.TaskPhase.RUNNING) {
+      cluster.serviceStatistics.onStarted(job, nowMs);
+    }
+  }
+
+  private static TaskAttempt attemptOf(
+      Job job, Machine machine, Heartbeat.TaskStatus status, long sequence, long nowMs) {
+    TaskAttempt attempt =
+        new TaskAttempt(job, status.index(), status.attemptNumber(), machine, nowMs);
+    attempt.startSent = true;
+    attempt.phase = status.phase();
+    attempt.exitReason = ExitReason.of(status.exitReason());
+    attempt.lastShownSequence = sequence;
+    return attempt;
+  }
+
+  /** The attempt that keeps the task from the adopted one; null if there is none, or it yields. */
+  private TaskAttempt holderBeside(TaskAttempt attempt) {
+    Job job = attempt.job;
+    Machine machine = attempt.machine;
+    TaskAttempt other = job.attempts.get(attempt.index);
+    if (other != null && !other.startSent && !other.startPending()) {
+      cluster.attempts.drop(other);
+      other = null;
+    }
+    if (other != null && machine.fenced && !other.machine.fenced && job.state == Job.State.LIVE) {
+      // The other machine's status may be a delayed copy. This machine is fenced, so its status is
+      // current, and a task is never on two machines.
+      LOG.info(
+          "task held elsewhere: task={} machine={} not_on={}",
+          attempt.name(),
+          machine.name,
+          other.machine.name);
+      job.release(other);
+      job.duplicateAttempts.add(other);
+      other.stopping = true;
+      other = null;
+    }
+    return other;
+  }
+
+  private static void stopUnwanted(TaskAttempt attempt, boolean duplicate) {
+    LOG.info(
+        "stopping unwanted task: task={} attempt={} machine={}",
+        attempt.name(),
+        attempt.attemptNumber,
+        attempt.machine.name);
+    attempt.stopping = true;
+    if (duplicate) {
+      attempt.job.duplicateAttempts.add(attempt);
+    }
+  }
+
+  /** A placeholder for a job that this leader does not manage: its tasks are only stopped. */
+  private static Job orphanedJob(Heartbeat.TaskStatus status) {
+    JobSpec spec =
+        new JobSpec(
+            status.jobId(),
+            "",
+            "",
+            JobKind.ARRAY,
+            Priority.LOW,
+            0,
+            0,
+            0,
+            0,
+            "",
+            0,
+            null,
+            null,
+            false,
+            false,
+            true,
+            0,
+            0,
+            0,
+            null);
+    Job job = new Job(spec, 0, true, new BitSet(), ClassObjectives.NONE);
+    job.state = Job.State.CANCELLED;
+    job.orphaned = true;
+    return job;
+  }
+}
--- a/src/main/java/org/astershift/scheduler/AttemptRegistry.java
+++ b/src/main/java/org/astershift/scheduler/AttemptRegistry.java
@@ -140,6 +140,29 @@
     cluster.requestPass();
   }
 
+  /**
+   * Stops the rest of a gang that an earlier leader began to stop. Tasks that are stopped later
+   * than {@code gang_peer_s} after the first fail their checkpoint, and the stopped ones end
+   * anyway.
+   */
+  void completeGangStop(TaskAttempt attempt) {
+    Job job = attempt.job;
+    if (job.spec.kind() != JobKind.GANG || job.state != Job.State.LIVE) {
+      return;
+    }
+    boolean stopBegun = false;
+    boolean someNotStopping = false;
+    for (TaskAttempt other : job.attempts.values()) {
+      boolean sameAttempt = other.attemptNumber == attempt.attemptNumber && !other.exited();
+      stopBegun |= sameAttempt && other.phase == Heartbeat.TaskPhase.SAVING;
+      someNotStopping |= sameAttempt && !other.stopping;
+    }
+    if (stopBegun && someNotStopping) {
+      stop(attempt);
+      cluster.requestPass();
+    }
+  }
+
   private void markStopping(TaskAttempt attempt) {
     attempt.stopping = true;
     attempt.machine.preemptible = null;
--- a/src/main/java/org/astershift/scheduler/ClassObjectives.java
+++ b/src/main/java/org/astershift/scheduler/ClassObjectives.java
@@ -1,9 +1,11 @@
 package org.astershift.scheduler;
 
 /**
- * What the operators aim at for a class of jobs, in seconds: the tightest aim on starting its tasks
- * and the tightest on finishing its jobs, null where there is none; {@code anyObjective}: there is
- * some aim.
+ * The service-level objectives of one job class.
+ *
+ * @param startS the tightest objective for starting its tasks, seconds; null if there is none
+ * @param finishS the tightest objective for finishing its jobs, seconds; null if there is none
+ * @param anyObjective whether there is an objective of any kind
  */
 public record ClassObjectives(Double startS, Double finishS, boolean anyObjective) {
   static final ClassObjectives NONE = new ClassObjectives(null, null, false);
--- a/src/main/java/org/astershift/scheduler/ClusterState.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -1,6 +1,7 @@
 package org.astershift.scheduler;
 
 import java.util.ArrayList;
+import java.util.BitSet;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -165,6 +166,18 @@
     }
   }
 
+  /** The done tasks of jobs whose record is behind, since the last call. */
+  Map<String, BitSet> drainUnpersistedProgress() {
+    Map<String, BitSet> doneTasksByJob = new LinkedHashMap<>();
+    for (Job job : unpersistedProgress) {
+      if (!job.complete()) {
+        doneTasksByJob.put(job.spec.id(), (BitSet) job.doneTasks.clone());
+      }
+    }
+    unpersistedProgress.clear();
+    return doneTasksByJob;
+  }
+
   void addMachine(Machine machine) {
     machine.type = machineTypes.all().get(machine.typeName);
     machines.put(machine.name, machine);
@@ -224,7 +237,7 @@
   /** Whether so few machines are unreconciled that the fault is theirs, not this leader's. */
   boolean fewUnreconciled() {
     return unreconciledMachines
-        <= Math.max(FailureDetector.SILENT_FEW_MACHINES, machines.size() * UNRECONCILED_SHARE);
+        <= Math.max(FleetAssessment.SILENT_FEW_MACHINES, machines.size() * UNRECONCILED_SHARE);
   }
 
   /**
--- a/src/main/java/org/astershift/scheduler/Command.java
+++ b/src/main/java/org/astershift/scheduler/Command.java
@@ -1,9 +1,9 @@
 package org.astershift.scheduler;
 
-/** A command to a worker. */
+/** A command to a worker; {@code graceS}: seconds that a stop leaves for a checkpoint. */
 public record Command(Kind kind, String jobId, int index, long attemptNumber, double graceS) {
 
-  /** The commands there are. */
+  /** What the worker is to do with the attempt. */
   public enum Kind {
     START,
     STOP,
--- a/src/main/java/org/astershift/scheduler/CommandConcurrencyLimit.java
+++ b/src/main/java/org/astershift/scheduler/CommandConcurrencyLimit.java
@@ -4,39 +4,34 @@
 import java.util.Map;
 
 /**
- * How many direct orders may be under way at once. It follows what is being answered: some more
- * with each answer in time, half as many once answers come late, since then this node, or its
- * network, has more to do than it can. After a change of leaders of a large fleet each machine had
- * an order of its own beside its report, a thousand at once on a fifth of a core, and the renewals,
- * lists and passes that all waited for came seconds late. What finds no place waits for the answer
- * to its machine's next report, which carries the same commands.
+ * Limits the direct commands in flight: additive increase with each answer in time, multiplicative
+ * decrease once answers are late, since then this node or its network is overloaded. What exceeds
+ * the limit goes with the response to its machine's next heartbeat.
  */
 final class CommandConcurrencyLimit {
-  /** Direct orders that may be under way at once when a term begins. */
+  /** The limit when a term begins. */
   static final int CONCURRENT_COMMANDS_INITIAL = 64;
 
-  /** The least and the most that this may become: threads for a few, and a whole large fleet. */
+  /** The limit never falls below this. */
   static final int CONCURRENT_COMMANDS_MIN = 16;
 
+  /** The limit never rises above this: a whole large fleet. */
   private static final int CONCURRENT_COMMANDS_MAX = 1024;
 
-  /** Direct orders more for each that is answered in time. */
+  /** Increase of the limit with each answer in time. */
   private static final double CONCURRENT_COMMANDS_INCREASE = 1;
 
-  /**
-   * Milliseconds beyond which an answer to a direct order is late: usual are a few, and a machine's
-   * next report comes after some seconds anyway.
-   */
+  /** An answer that takes longer is late; usual are a few milliseconds. */
   private static final long COMMAND_SLOW_MS = 400;
 
-  /** A direct order of which nothing was heard for so many milliseconds is under way no more. */
+  /** A command without a result for so long is no longer in flight. */
   static final long COMMAND_LOST_MS = 15_000;
 
   private final Map<String, Long> sentMsByMachine = new HashMap<>();
   private double limit = CONCURRENT_COMMANDS_INITIAL;
   private long lastDecreaseMs = Long.MIN_VALUE / 2;
 
-  /** Whether one more may go out. */
+  /** Whether one more command may be sent. */
   boolean hasCapacity() {
     return sentMsByMachine.size() < limit;
   }
@@ -45,28 +40,28 @@
     sentMsByMachine.put(machineName, nowMs);
   }
 
-  /** The order, if one was under way, has its answer, or will get none. */
+  /** The command, if one was in flight, was answered or will not be. */
   void onSettled(String machineName, boolean answered, long nowMs) {
     Long sentMs = sentMsByMachine.remove(machineName);
     if (sentMs == null || !answered) {
-      return; // a machine that does not answer says nothing of this node
+      return; // a missing answer is the fault of the machine, not an overload here
     }
     if (nowMs - sentMs <= COMMAND_SLOW_MS) {
       limit = Math.min(CONCURRENT_COMMANDS_MAX, limit + CONCURRENT_COMMANDS_INCREASE);
     } else if (sentMs > lastDecreaseMs) {
-      // Once for all that were under way together.
+      // Once for all that were in flight together.
       lastDecreaseMs = nowMs;
       limit = Math.max(CONCURRENT_COMMANDS_MIN, limit / 2);
     }
   }
 
-  /** Forgets those whose end was not told: none takes so long. */
+  /** Removes commands that never got a result. */
   void removeLost(long nowMs) {
     sentMsByMachine.values().removeIf(sentMs -> nowMs - sentMs > COMMAND_LOST_MS);
   }
 
   @Override
   public String toString() {
-    return sentMsByMachine.size() + " of " + (int) limit + " direct orders under way";
+    return sentMsByMachine.size() + " of " + (int) limit + " direct commands in flight";
   }
 }
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -4,29 +4,26 @@
 import java.util.List;
 
 /**
- * The difference between the attempts wanted on a machine and those it reports, as commands: in the
- * answer to its report, or straight to it where that should not wait.
+ * Turns the difference between the attempts wanted on a machine and those it shows into commands:
+ * in the response to its heartbeat, or directly where they should not wait for the next one.
  */
 final class CommandReconciler {
   /**
-   * Milliseconds of a term after which an inherited machine that has not reported is asked: workers
+   * Milliseconds of a term after which an inherited machine without a heartbeat is asked: workers
    * that lose their controller try the next one after a second.
    */
   private static final long FENCE_UNSEEN_MS = 1500;
 
-  /**
-   * Milliseconds after a report in which an inherited machine should have reported with the new
-   * token: half a second by the protocol, and more on a busy node.
-   */
+  /** Milliseconds after a heartbeat in which an inherited machine should show the new token. */
   private static final long FENCE_SEEN_MS = 2500;
 
-  /** Milliseconds between tries to make an inherited machine show this leader's token. */
+  /** Between direct commands to a machine that is to be fenced or probed. */
   private static final long FENCE_RETRY_INTERVAL_MS = 1000;
 
-  /** Milliseconds between questions to such a machine: the first answer makes it whole again. */
+  /** Between probes of an inbound-partitioned machine: the first answer ends the partition. */
   private static final long PARTITION_PROBE_INTERVAL_MS = 3000;
 
-  /** Deadline of one direct order, milliseconds. */
+  /** Deadline of direct commands. */
   private static final int COMMAND_TIMEOUT_MS = 2500;
 
   private final ClusterState cluster;
@@ -36,24 +33,24 @@
     this.cluster = cluster;
   }
 
-  /** What to say in the answer to the newest report: everything wanted and not yet so. */
+  /** The response to the newest heartbeat: every command whose effect is not shown yet. */
   List<Command> heartbeatResponse(Machine machine, long nowMs) {
     List<Command> commands = new ArrayList<>(4);
     for (TaskAttempt attempt : machine.attempts.values()) {
-      // One report is under way at a time: the answer to the one before arrived or never will.
+      // A worker sends one heartbeat at a time: the response before arrived or never will.
       attempt.startInHeartbeatResponse = false;
     }
     dropNeverStarted(machine);
     boolean usable = cluster.incarnations.usable(machine, nowMs);
     for (TaskAttempt attempt : machine.attempts.values()) {
       if (attempt.exited()) {
-        // Forgetting an attempt whose start may still arrive would let that start run it again.
+        // A start that arrives after its attempt was forgotten would run the task again.
         if (!attempt.startUnconfirmed && !attempt.startInFlight && forgettable(attempt)) {
           commands.add(Command.forget(attempt));
         }
       } else if (attempt.unwanted()) {
         if (attempt.phase == null && usable) {
-          // Make the worker remember the attempt, so that the late start has no effect.
+          // The worker remembers the attempt then, and a late start has no effect.
           attempt.startInHeartbeatResponse = true;
           commands.add(Command.start(attempt));
         }
@@ -68,10 +65,9 @@
   }
 
   /**
-   * Attempts that are not wanted any more and of which no start was executed, nor can be any more:
-   * they hold nothing. Also where only answers to orders tell of a machine, since it began anew in
-   * this term: a task stopped before its start went out stayed placed there for ever, beside room,
-   * and held its team's limit (seed 1615 of the swarm, as old as the code).
+   * Drops unwanted attempts of which no start was executed, nor can be any more. Called also after
+   * an answer to direct commands: a machine that restarted in this term is known by these alone,
+   * and an attempt kept there would hold its room and its team's quota forever.
    */
   void dropNeverStarted(Machine machine) {
     List<TaskAttempt> neverStarted = new ArrayList<>(0);
@@ -89,9 +85,9 @@
   }
 
   /**
-   * Stops for what a report shows of jobs that are over. Each answer with this token may renew the
-   * machine's lease, also one to a report that proves nothing; so each carries these, or a task
-   * whose user was told that it is cancelled would live on for as long as only such reports come.
+   * Stops for tasks in the heartbeat whose jobs are over. Any response may renew the machine's
+   * lease, also one to a heartbeat that proves nothing; without these a task whose cancellation was
+   * confirmed would outlive it for as long as only such heartbeats arrive.
    */
   List<Command> stopsForEndedJobs(Heartbeat heartbeat) {
     List<Command> commands = new ArrayList<>(0);
@@ -107,16 +103,14 @@
     return commands;
   }
 
-  /**
-   * What a machine says is done is kept there until it is on record: a successor may ask for it.
-   */
+  /** A completed attempt stays on its machine until its end is persisted, for a next leader. */
   private static boolean forgettable(TaskAttempt attempt) {
     return attempt.job.state != Job.State.LIVE
-        || !"done".equals(attempt.exitReason)
+        || attempt.exitReason != ExitReason.DONE
         || attempt.job.persistedDoneTasks.get(attempt.index);
   }
 
-  /** Whether a command waits that should not wait for the machine's next report. */
+  /** Whether some command should not wait for the machine's next heartbeat. */
   static boolean urgentCommandDue(Machine machine) {
     for (TaskAttempt attempt : machine.attempts.values()) {
       if (startDue(attempt) || stopDue(attempt)) {
@@ -127,8 +121,8 @@
   }
 
   /**
-   * Whether its commands should go out now and not with the answer to its next report: stops at any
-   * time, since those of a gang have to arrive together, starts as far as the budget goes.
+   * Whether the machine's urgent commands may go out now: stops always, since those of a gang have
+   * to arrive together, starts as far as the concurrency limit allows.
    */
   boolean maySendNow(Machine machine) {
     if (concurrencyLimit.hasCapacity()) {
@@ -142,12 +136,12 @@
     return false;
   }
 
-  /** The books of the direct orders under way. */
+  /** The limit of direct commands in flight. */
   CommandConcurrencyLimit concurrencyLimit() {
     return concurrencyLimit;
   }
 
-  /** A machine that began anew may hold a start in doubt: not before it is on record again. */
+  /** A restarted machine may hold an unconfirmed start, so it has to be registered again first. */
   private static boolean startDue(TaskAttempt attempt) {
     return attempt.phase == null
         && !attempt.startSent
@@ -165,10 +159,10 @@
   }
 
   /**
-   * Commands that should not wait for the machine's next report; null if there are none. Starts
-   * only while this leader is {@code leaseCertain}: a machine that has shown a later leader's token
-   * and begins anew has none, and executes a direct start of an earlier leader that stood still
-   * meanwhile (seed 6651 of the swarm). In an answer it goes to who has just shown this token.
+   * Commands that should not wait for the machine's next heartbeat; null if there are none. Starts
+   * only while this leader's lease is certain: a machine that was fenced by a later leader and
+   * restarts has no token, and would execute a direct start of a leader that was suspended
+   * meanwhile. A heartbeat response reaches only an incarnation that has just shown its token.
    */
   Decision.SendCommands urgentCommands(Machine machine, boolean leaseCertain, long nowMs) {
     if (machine.commandInFlight
@@ -196,18 +190,11 @@
   }
 
   /**
-   * The claim of an inherited machine, or the question whether a machine whose report is overdue is
-   * still there; null if neither is due.
+   * A direct command that fences an inherited machine, or probes one whose heartbeat is overdue or
+   * whose incarnation is in doubt; null if neither is due.
    */
   Decision.SendCommands fenceOrProbe(Machine machine, boolean leaseCertain, long nowMs) {
-    if (machine.commandInFlight
-        || machine.address == null
-        || machine.state == Machine.State.BOOTING
-        || (machine.state == Machine.State.LEASE_EXPIRED
-            && !machine.staleMessageSeen
-            && machine.directCommandFailures > 0)
-        || machine.state == Machine.State.RELEASING
-        || nowMs - machine.lastDirectCommandMs < FENCE_RETRY_INTERVAL_MS) {
+    if (!mayFenceOrProbe(machine, nowMs)) {
       return null;
     }
     boolean fence = fenceDue(machine, nowMs);
@@ -225,12 +212,24 @@
         : null;
   }
 
+  private static boolean mayFenceOrProbe(Machine machine, long nowMs) {
+    boolean givenUp =
+        machine.state == Machine.State.LEASE_EXPIRED
+            && !machine.staleMessageSeen
+            && machine.directCommandFailures > 0;
+    return !machine.commandInFlight
+        && machine.address != null
+        && machine.state != Machine.State.BOOTING
+        && !givenUp
+        && machine.state != Machine.State.RELEASING
+        && nowMs - machine.lastDirectCommandMs >= FENCE_RETRY_INTERVAL_MS;
+  }
+
   /**
-   * What was sent and of which no effect was seen yet: where no report comes, no answer to one
-   * repeats it, and a question that goes there anyway may. Of a machine that began anew in this
-   * term no report tells either, so a start in doubt is repeated with the question. One that is not
-   * wanted any more goes with its stop, so that the machine remembers the attempt: a cancellation
-   * waited for ever for a start in doubt of the life before (seeds 4939 and 7641 of the swarm).
+   * Commands that were sent and have shown no effect: without heartbeats no response repeats them,
+   * so a probe does. Heartbeats of a machine that restarted in this term prove nothing, so an
+   * unconfirmed start is repeated with the probe too. One that is unwanted by now goes with its
+   * stop, so that the worker remembers the attempt: else a cancellation would wait for it forever.
    */
   private List<Command> unacknowledgedCommands(Machine machine, boolean leaseCertain, long nowMs) {
     List<Command> commands = new ArrayList<>(0);
@@ -244,13 +243,12 @@
           && attempt.phase == null
           && attempt.startUnconfirmed
           && attempt.job.state == Job.State.LIVE) {
-        if (attempt.unwanted()
-            || (attempt.job.opened
-                && !cluster.heartbeatTiming.outboundPartitioned(machine, nowMs))) {
+        if (attempt.unwanted()) {
+          commands.add(directStart(attempt));
+          commands.add(Command.stop(attempt, attempt.graceS()));
+        } else if (attempt.job.opened
+            && !cluster.heartbeatTiming.outboundPartitioned(machine, nowMs)) {
           commands.add(directStart(attempt));
-          if (attempt.unwanted()) {
-            commands.add(Command.stop(attempt, attempt.graceS()));
-          }
         }
       } else if (!attempt.exited() && attempt.unwanted() && attempt.stopSent) {
         commands.add(Command.stop(attempt, attempt.graceS()));
@@ -260,10 +258,10 @@
   }
 
   /**
-   * Most inherited machines report by themselves, and again once they have seen the new token; only
-   * those that do not are asked. To ask a thousand at once costs a node on a fifth of a core more
-   * than all their reports. Counted from the first that was heard of it: copies of what it said
-   * before, each newer than the last, put the question off for as long as they came.
+   * Most inherited machines send heartbeats by themselves, and show the new token in the next one;
+   * only those that do not get a direct command, since commands to a whole fleet at once would
+   * overload the leader. The wait counts from the first message in this term, so that a series of
+   * delayed copies cannot put it off.
    */
   private static boolean fenceDue(Machine machine, long nowMs) {
     boolean messageSeen = machine.firstMessageMs >= 0;
@@ -275,7 +273,7 @@
     return !machine.fenced && machine.inherited && nowMs - sinceMs >= waitMs;
   }
 
-  /** Whether a question that has waited for its turn is still worth asking. */
+  /** Whether a fence or probe that has waited for its turn is still of use. */
   boolean fenceOrProbeStillDue(Machine machine, long nowMs) {
     return fenceDue(machine, nowMs)
         || machine.staleMessageSeen
@@ -284,8 +282,8 @@
   }
 
   /**
-   * A start in a direct order, which is under way from now on, and meant for the present session:
-   * whoever sends one without noting both takes the attempt for gone while it may still start.
+   * A start in a direct command for the machine's present epoch. Recorded as in flight, since the
+   * attempt must not be dropped while the start may still arrive.
    */
   private static Command directStart(TaskAttempt attempt) {
     attempt.startSent = true;
@@ -307,7 +305,7 @@
         machine.name, machine.address, Math.max(1, machine.epoch), commands, timeoutMs);
   }
 
-  /** A direct order has its answer, or will get none. */
+  /** A direct command was answered, or will not be. */
   static void onSettled(Machine machine, boolean outcomeUnknown) {
     machine.commandInFlight = false;
     for (TaskAttempt attempt : machine.attempts.values()) {
--- a/src/main/java/org/astershift/scheduler/Decision.java
+++ b/src/main/java/org/astershift/scheduler/Decision.java
@@ -3,24 +3,24 @@
 import java.util.List;
 import java.util.Set;
 
-/** What the core wants done outside. Each is repeated by a later pass until its effect is told. */
+/** What the scheduler wants done; a later pass repeats it until its effect is reported. */
 public sealed interface Decision {
 
   /**
-   * Record that commands for this job may go out; none goes out before that is durable. {@code
-   * replicaMachineNames}: for a service, the machines that get its replicas now; see {@link
-   * PersistPlacement}.
+   * Record that the job is open; no command for it goes out before that is durable.
+   *
+   * @param replicaMachineNames for a service, the machines of its first replicas; see {@link
+   *     PersistPlacement}
    */
   record OpenJob(String jobId, List<String> replicaMachineNames) implements Decision {}
 
   /**
-   * Record some time where the replicas of this service are now. A hint for a leader that finds all
-   * of them dead after a fall of all controllers: these machines have the image. No rule depends on
-   * it.
+   * Record where the replicas of a service are, without haste: a hint for a leader that finds all
+   * of them dead, as these machines have the image. No rule depends on it.
    */
   record PersistPlacement(String jobId, List<String> replicaMachineNames) implements Decision {}
 
-  /** Send these commands straight to the machine. */
+  /** Send these commands directly to the machine; none: a fence or probe of it. */
   record SendCommands(
       String machineName, String address, long epoch, List<Command> commands, int timeoutMs)
       implements Decision {}
@@ -28,16 +28,17 @@
   /** Record that the job is done. */
   record FinishJob(String jobId) implements Decision {}
 
-  /** Rent machines. */
+  /** Scale out: provision machines. */
   record ProvisionMachines(String typeName, String zone, boolean spot, int count)
       implements Decision {}
 
-  /** Give machines back. {@code silent}: only because nothing is heard of them. */
+  /** Scale in: release machines. {@code silent}: only because they are silent. */
   record ReleaseMachines(List<String> machineNames, boolean silent) implements Decision {}
 
   /**
-   * Record a machine, so that a successor knows of it. Until a record that is not {@code
-   * newlyProvisioned} is durable it gets no task, so a successor need not wait for a fresh one.
+   * Record a machine, so that a next leader knows of it. Until a record that is not {@code
+   * newlyProvisioned} is durable the machine gets no task, so a next leader need not wait for one
+   * without.
    */
   record RegisterMachine(
       String machineName,
@@ -52,9 +53,10 @@
   record DeregisterMachine(String machineName, String address) implements Decision {}
 
   /**
-   * Have the other controllers ask these machines whether they are there: they are silent here, and
-   * so many that this leader's own ears may be the trouble. {@code controls} are machines that were
-   * heard here a moment ago: a controller that does not reach these either cannot tell.
+   * Have the other controllers probe silent machines, since the fault may be this leader's network.
+   *
+   * @param controls machines seen here a moment ago: a peer that does not reach these cannot tell
+   * @param probedMs when this was decided
    */
   record ProbeThroughPeers(
       List<MachineAddress> suspects, List<MachineAddress> controls, long probedMs)
@@ -63,6 +65,6 @@
   /** A machine and where it is reached. */
   record MachineAddress(String machineName, String address) {}
 
-  /** What one other controller found: machines that answered it, and those asked in vain. */
+  /** The result of one peer: machines that answered it, and those that did not. */
   record PeerProbeResult(Set<String> reached, Set<String> unreached) {}
 }
--- a/src/main/java/org/astershift/scheduler/DeploymentLimits.java
+++ b/src/main/java/org/astershift/scheduler/DeploymentLimits.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What the settings say of the deployment, as far as scheduling needs it. */
+/** The settings of the deployment that scheduling needs; durations in seconds. */
 public record DeploymentLimits(
     Map<String, Team> teams,
     List<ServiceLevelObjective> objectives,
@@ -16,7 +16,7 @@
     double cancellationS,
     double listLagS) {
 
-  /** What is aimed at for this class. */
+  /** The objectives of this class. */
   public ClassObjectives objectivesFor(String jobClass) {
     Double startS = null;
     Double finishS = null;
@@ -34,9 +34,7 @@
     return new ClassObjectives(startS, finishS, anyObjective);
   }
 
-  /**
-   * By how many times its deadline a job should be done, as far as the operators care; ascending.
-   */
+  /** Multiples of its deadline by which a job should be done, ascending; 1 is always included. */
   public Set<Double> deadlineMultiples() {
     Set<Double> multiples = new TreeSet<>(Set.of(1.0));
     for (ServiceLevelObjective objective : objectives) {
--- a/src/main/java/org/astershift/scheduler/FaultAttribution.java
+++ b/src/main/java/org/astershift/scheduler/FaultAttribution.java
@@ -5,35 +5,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whose fault a failed task is. A faulty machine fails every job, a job submitted with a mistake
- * fails on every machine, and a first failure tells neither. So blame follows distinct machines for
- * a job and distinct jobs for a machine; what one verdict explains counts no more for the other.
+ * Attributes failed tasks to jobs or machines. A faulty machine fails every job, a broken job fails
+ * on every machine, and a first failure shows neither. So a job is judged by distinct machines and
+ * a machine by distinct jobs; what one verdict explains no longer counts for the other.
  */
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
-  /** Milliseconds without new starts on a machine where a task failed. */
+  /** Time without new starts on a machine where a task failed. */
   private static final long TASK_FAILED_BACKOFF_MS = 1500;
 
   /**
-   * Jobs that failed on a machine, or failures there of jobs that are sound elsewhere, that convict
-   * it, without a completed task between.
+   * Jobs that failed on a machine, or failures there of jobs proven sound, without a completed task
+   * between, that put it into quarantine.
    */
   private static final int FAILURES_TO_QUARANTINE = 2;
 
-  /** Machines on which a job failed, without ever completing a task, that make it a suspect. */
+  /** Machines on which a job that never completed a task failed that make it suspect. */
   private static final int FAILED_MACHINES_TO_SUSPECT = 2;
 
-  /** Milliseconds that a task has run after which its job is no job that fails on every machine. */
+  /** A task that has run for so long proves its job sound. */
   private static final long PROVEN_RUN_MS = 10_000;
 
-  /** Milliseconds between the first probes of a job that is probably broken; doubled each time. */
+  /** Pause after the first probe of a suspect job; doubled each time. */
   private static final long JOB_PROBE_INTERVAL_MS = 4000;
 
-  /**
-   * So often at the most, up to 64 s: a sound job whose faulty machines are replaced may wait for
-   * less than 90 s beside room, its probe's first seconds included.
-   */
+  /** Limits the pause to 64 s, as a sound job beside free room must not wait for longer. */
   private static final int JOB_PROBE_MAX_DOUBLINGS = 4;
 
   private final ClusterState cluster;
@@ -48,7 +45,7 @@
     Job job = attempt.job;
     Machine machine = attempt.machine;
     if (machine.quarantined) {
-      return; // explained already
+      return; // explained by the machine
     }
     job.lastFailureMsByMachine.put(machine.name, nowMs);
     boolean provenSound = isProvenSound(job, nowMs);
@@ -67,20 +64,21 @@
     }
   }
 
-  /** A task of the job completed there: neither is broken. */
+  /** A task of the job completed on the machine: neither is broken. */
   void onTaskCompleted(Job job, Machine machine) {
     machine.provenJobFailures = 0;
     machine.failedJobs.clear();
     if (!job.hasCompletedTask) {
       job.hasCompletedTask = true;
       if (job.isSuspect()) {
-        LOG.info("job {} is sound after all: a task completed on {}", job.spec.id(), machine.name);
+        LOG.info(
+            "suspicion cleared, a task completed: job={} machine={}", job.spec.id(), machine.name);
         clearSuspicion(job);
       }
     }
   }
 
-  /** A task of it has completed, or runs for so long that it is no job that fails at once. */
+  /** Whether a task of it has completed, or has run for long enough. */
   private static boolean isProvenSound(Job job, long nowMs) {
     if (job.hasCompletedTask) {
       return true;
@@ -95,13 +93,12 @@
     return false;
   }
 
-  /** The job is probed from now on: a task at a time (a gang as a whole), with growing pauses. */
+  /** From now on one task at a time probes the job (a gang as a whole), with growing pauses. */
   private void suspectJob(Job job, long nowMs) {
     boolean first = !job.isSuspect();
     if (first) {
       LOG.info(
-          "job {} ({}) failed on {} machines and nowhere completed a task: taken to be broken,"
-              + " probed with growing pauses",
+          "job suspect, probed with growing pauses: job={} class={} failed_machines={}",
           job.spec.id(),
           job.spec.jobClass(),
           job.lastFailureMsByMachine.size());
@@ -118,7 +115,7 @@
         }
       }
     }
-    // What fails together is one probe.
+    // Tasks that fail together are one probe.
     if (nowMs >= job.pausedUntilMs) {
       int doublings = Math.min(job.probeCount++, JOB_PROBE_MAX_DOUBLINGS);
       job.pausedUntilMs = nowMs + (JOB_PROBE_INTERVAL_MS << doublings);
@@ -128,7 +125,7 @@
   private void quarantine(Machine machine) {
     machine.quarantined = true;
     LOG.info(
-        "machine {} ({} in {}) fails tasks of several jobs: no more work, to be returned",
+        "machine quarantined, to be released: machine={} type={} zone={}",
         machine.name,
         machine.typeName,
         machine.zone);
@@ -137,7 +134,7 @@
           && job.isSuspect()
           && job.lastFailureMsByMachine.size() < FAILED_MACHINES_TO_SUSPECT) {
         LOG.info(
-            "job {} is taken to be sound again: machine {} was faulty",
+            "suspicion cleared, the machine was faulty: job={} machine={}",
             job.spec.id(),
             machine.name);
         clearSuspicion(job);
@@ -146,12 +143,12 @@
   }
 
   /**
-   * Whether its probe shows the job to be sound: it runs for longer than what fails at once does. A
-   * replica never completes, and one that ran for good kept all others of its service waiting.
+   * Clears the suspicion of a job whose probe has run for long enough. A replica never completes,
+   * so its service could not leave the suspicion otherwise.
    */
   static void checkProbe(Job job, long nowMs) {
     if (job.isSuspect() && isProvenSound(job, nowMs)) {
-      LOG.info("job {} is sound after all: its probe runs", job.spec.id());
+      LOG.info("suspicion cleared, the probe runs: job={}", job.spec.id());
       clearSuspicion(job);
     }
   }
--- a/src/main/java/org/astershift/scheduler/Heartbeat.java
+++ b/src/main/java/org/astershift/scheduler/Heartbeat.java
@@ -2,7 +2,14 @@
 
 import java.util.List;
 
-/** What a worker said of its machine. The larger (session, seq) is the newer one. */
+/**
+ * A worker's status of its machine, sent as a heartbeat or in answer to direct commands. Epoch and
+ * sequence order the messages of one incarnation.
+ *
+ * @param fencingToken the highest token that the worker has seen
+ * @param preemptionNoticeS seconds until the cloud takes the machine back; null if it does not
+ * @param tasks all tasks on the machine, exited ones until the worker is told to forget them
+ */
 public record Heartbeat(
     String machineName,
     String address,
@@ -15,33 +22,38 @@
     Double preemptionNoticeS,
     List<TaskStatus> tasks) {
 
-  /** One task on the machine. */
+  /** One task on the machine; {@code exitReason} is the worker's word, null if it gave none. */
   public record TaskStatus(
       String jobId, int index, long attemptNumber, TaskPhase phase, String exitReason) {
 
     /**
-     * Whether this shows that the attempt can take no more tasks: the task, and so all of its gang,
-     * has run, or it gave up waiting for the others.
+     * Whether no task may start under this attempt number any more: the task, and so all of its
+     * gang, has run, or it gave up waiting for the others.
      */
     boolean closesAttempt() {
-      return phase == TaskPhase.RUNNING
-          || phase == TaskPhase.SAVING
-          || "peers".equals(exitReason)
-          || "incomplete".equals(exitReason)
-          || "done".equals(exitReason);
+      if (phase == TaskPhase.RUNNING || phase == TaskPhase.SAVING) {
+        return true;
+      }
+      return switch (ExitReason.of(exitReason)) {
+        case PEERS, INCOMPLETE, DONE -> true;
+        case ERROR, NO_ROOM, IN_USE, UNKNOWN_JOB, OTHER -> false;
+      };
     }
   }
 
   /** States of a task on its machine. */
   public enum TaskPhase {
+    /** Waits for its image. */
     FETCHING,
+    /** Waits for the other tasks of its gang. */
     WAITING,
     RUNNING,
+    /** Saves a checkpoint after it was told to stop. */
     SAVING,
     EXITED
   }
 
-  /** Whether it names this attempt, in whatever state. */
+  /** Whether it shows this attempt, in whatever phase. */
   boolean showsAttempt(TaskAttempt.Key key) {
     for (TaskStatus status : tasks) {
       if (status.index() == key.index()
@@ -53,7 +65,7 @@
     return false;
   }
 
-  /** Whether this report is newer than the given position. */
+  /** Whether this message is newer than the one at the given position. */
   public boolean newerThan(long otherEpoch, long otherSequence) {
     return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
   }
--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/HeartbeatHandler.java
@@ -0,0 +1,79 @@
+package org.astershift.scheduler;
+
+import java.util.List;
+
+/** Answers a heartbeat: reconciles the machine, places tasks on it and returns its commands. */
+final class HeartbeatHandler {
+  private final ClusterState cluster;
+  private final HeartbeatClassifier classifier;
+  private final HeartbeatReconciler heartbeatReconciler;
+  private final CommandReconciler commandReconciler;
+  private final Placement placement;
+
+  HeartbeatHandler(
+      ClusterState cluster,
+      HeartbeatReconciler heartbeatReconciler,
+      CommandReconciler commandReconciler,
+      Placement placement) {
+    this.cluster = cluster;
+    this.classifier = new HeartbeatClassifier(cluster.fencingToken);
+    this.heartbeatReconciler = heartbeatReconciler;
+    this.commandReconciler = commandReconciler;
+    this.placement = placement;
+  }
+
+  /** The commands of the response; null if the heartbeat must not be answered. */
+  List<Command> onHeartbeat(Heartbeat heartbeat, long nowMs) {
+    if (cluster.removedMachines.contains(heartbeat.machineName())) {
+      return commandReconciler.stopsForEndedJobs(heartbeat); // a delayed one of a machine now gone
+    }
+    Machine machine = heartbeatReconciler.senderOf(heartbeat, nowMs);
+    if (heartbeatReconciler.deposed()) {
+      return List.of();
+    }
+    return switch (classifier.classify(machine, heartbeat)) {
+      case STALE -> {
+        machine.staleMessageSeen = true;
+        yield commandReconciler.stopsForEndedJobs(heartbeat);
+      }
+      case CONTRADICTORY -> {
+        machine.staleMessageSeen = true;
+        yield null;
+      }
+      case LIVENESS_ONLY -> {
+        machine.staleMessageSeen = true;
+        renewLease(machine, nowMs);
+        yield commandReconciler.stopsForEndedJobs(heartbeat);
+      }
+      case CURRENT -> onCurrentHeartbeat(machine, heartbeat, nowMs);
+    };
+  }
+
+  private List<Command> onCurrentHeartbeat(Machine machine, Heartbeat heartbeat, long nowMs) {
+    boolean unfenced =
+        !machine.fenced
+            && machine.heartbeatEpoch > 0
+            && heartbeat.fencingToken() < cluster.fencingToken;
+    machine.unfencedHeartbeats += unfenced ? 1 : 0;
+    machine.heartbeatEpoch = heartbeat.epoch();
+    machine.heartbeatSequence = heartbeat.sequence();
+    heartbeatReconciler.trackIncarnation(machine, heartbeat, false, nowMs);
+    heartbeatReconciler.recordContact(machine, heartbeat, nowMs);
+    boolean previousAnswered = nowMs - machine.leaseFromMs < cluster.limits.leaseS() * 500;
+    renewLease(machine, nowMs);
+    int heldBefore = machine.heldAttemptCount();
+    if (!heartbeatReconciler.reconcile(machine, heartbeat, previousAnswered, nowMs)) {
+      return commandReconciler.stopsForEndedJobs(heartbeat);
+    }
+    placement.placeOnMachine(machine, nowMs);
+    if (machine.heldAttemptCount() < heldBefore && placement.hasWaitingGang(machine)) {
+      cluster.requestPass();
+    }
+    return commandReconciler.heartbeatResponse(machine, nowMs);
+  }
+
+  private static void renewLease(Machine machine, long nowMs) {
+    machine.leaseFromMs = nowMs;
+    machine.leaseRenewedMs = nowMs;
+  }
+}
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -6,25 +6,24 @@
 /**
  * Tells the incarnations of machines apart, and decides whether this leader may use one.
  *
- * <p>A leader whose lease is uncertain may have a successor. That starts the tasks of opened jobs
- * once each machine on record has shown its token, or is gone. So the incarnation that this leader
- * uses must have been there before the lease became uncertain: then the successor either makes it
- * show the later token, after which it executes nothing of this leader, or hears a later
- * incarnation, with which this one is gone. One that may have begun since then proves nothing: the
- * successor may have claimed the one before it. It waits until the lease is certain again, and
- * where the machine was not heard before in this term also for a record of its own.
+ * <p>A leader whose lease is uncertain may have a successor, which starts the tasks of opened jobs
+ * once each registered machine is fenced or gone. So the incarnation that this leader uses must
+ * have existed before its lease became uncertain: then the successor either fences it, after which
+ * it executes nothing of this leader, or sees a later incarnation, with which this one is gone. One
+ * that may have begun since then proves nothing, as the successor may have fenced the one before.
+ * It waits until the lease is certain again, and where the machine was not seen before in this term
+ * also for a record of its own.
  */
 final class IncarnationTracker {
   private static final Logger LOG = LoggerFactory.getLogger(IncarnationTracker.class);
 
   /**
-   * Messages that a machine sends in a second at the most: reports half a second apart, and answers
-   * to orders and questions of all controllers. An incarnation that has sent more since some moment
-   * began before it.
+   * The most messages that a machine sends per second: heartbeats, and answers to all controllers.
+   * An incarnation that has sent more since some moment began before it.
    */
   private static final double MACHINE_MESSAGES_PER_S = 10;
 
-  /** Messages that may come on top of these, see {@link #MACHINE_MESSAGES_PER_S}. */
+  /** Messages that may come on top of these. */
   private static final double MACHINE_MESSAGE_BURST = 10;
 
   private final long fencingToken;
@@ -35,7 +34,7 @@
     this.fencingToken = fencingToken;
   }
 
-  /** Up to then no other node can have led; it grows with each renewal of the lease. */
+  /** No other node can have led up to this time; it grows with each renewal of the lease. */
   void extendLeaseCertainty(long untilMs) {
     leaseCertainUntilMs = untilMs;
   }
@@ -45,7 +44,7 @@
     return nowMs >= leaseCertainUntilMs;
   }
 
-  /** Whether tasks may start on the machine as it is: the one predicate for all commands. */
+  /** Whether tasks may start on the machine's present incarnation; holds for all commands. */
   boolean usable(Machine machine, long nowMs) {
     return !leaseUncertain(nowMs) || machine.incarnation.hadMessageBy(lastCertainMs(nowMs));
   }
@@ -58,10 +57,9 @@
 
   /**
    * Whether a message that came while the lease is uncertain is certainly of the incarnation known.
-   * The next one has no token until this leader tells it: with a direct order that was not answered
-   * for, since a report that shows an earlier token of a claimed machine gets no answer. So a
-   * report with this token, of a machine to which no such order is on its way, is of the
-   * incarnation that was claimed.
+   * The next one gets this leader's token only by a direct command without an answer: a heartbeat
+   * of a fenced machine with an earlier token is not answered. So a heartbeat with this token, of a
+   * machine to which no such command is in flight, is of the incarnation that was fenced.
    */
   boolean isSameIncarnation(
       Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
@@ -72,8 +70,8 @@
   }
 
   /**
-   * Whether a message is of the incarnation known, whatever may have reached another: it shows a
-   * task that only this one has, or it has sent more messages than one could that began since.
+   * Whether a message is of the incarnation known, whatever commands may have reached another: it
+   * shows a task that only this one has, or one that began since cannot have sent so many messages.
    */
   boolean isProvenSameIncarnation(Machine machine, Heartbeat heartbeat, long nowMs) {
     return machine.incarnation.isKnown()
@@ -81,7 +79,7 @@
             || sequenceExcludesRestart(machine, heartbeat, nowMs));
   }
 
-  /** A task shown before, whose start cannot have reached another incarnation as well. */
+  /** Whether it shows a task whose start cannot have reached another incarnation as well. */
   private static boolean showsKnownAttempt(Machine machine, Heartbeat heartbeat) {
     for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
       TaskAttempt attempt =
@@ -105,7 +103,7 @@
     return heartbeat.sequence() > MACHINE_MESSAGE_BURST + sinceS * MACHINE_MESSAGES_PER_S;
   }
 
-  /** Notes what a newer message proves: that its incarnation is there, and since when. */
+  /** Records what a newer message proves: that its incarnation exists, and since when. */
   void onMessage(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
     boolean first = !machine.incarnation.isKnown();
     machine.incarnation.onMessage(nowMs);
@@ -114,19 +112,19 @@
       machine.incarnation.confirmExistence(
           machine.lastDirectCommandMs); // it was asked then, or later
     } else if (heartbeat.fencingToken() == fencingToken) {
-      machine.incarnation.confirmExistence(machine.firstKnownMs); // it has heard of this term
+      machine.incarnation.confirmExistence(machine.firstKnownMs); // it has seen this term's token
     }
     if (first) {
       LOG.debug(
-          "machine {} has an incarnation not seen before: session {}, sequence {}, token {},"
-              + " {}, in {}; the lease is {}",
+          "new incarnation: machine={} epoch={} sequence={} token={} registered={}"
+              + " direct_response={} lease_uncertain={}",
           machine.name,
           heartbeat.epoch(),
           heartbeat.sequence(),
           heartbeat.fencingToken(),
-          machine.registered ? "on record" : "to be recorded",
-          directResponse ? "an answer" : "a report",
-          leaseUncertain(nowMs) ? "uncertain since " + leaseCertainUntilMs : "certain");
+          machine.registered,
+          directResponse,
+          leaseUncertain(nowMs));
     }
   }
 }
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -1,32 +1,31 @@
 package org.astershift.scheduler;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** A machine as the leader knows it. */
+/** A machine as the leader knows it. Times are milliseconds of the steady clock. */
 final class Machine {
   /**
-   * Direct orders in a row without an answer after which nothing new goes to a machine, though its
-   * reports arrive: what is said to it may not.
+   * Unanswered direct commands in a row after which a machine counts as inbound-partitioned, though
+   * its heartbeats arrive.
    */
   static final int INBOUND_PARTITION_TRIES = 2;
 
   /** What this leader may do with it. */
   enum State {
-    /** Rented, its worker has not reported yet, and it was never given a task. */
+    /** Provisioned; its worker has sent nothing yet and it was never given a task. */
     BOOTING,
-    /** Named by an earlier leader; may hold anything until it answers to this token. */
+    /** Of an earlier leader, or restarted; may hold anything until it is fenced. */
     UNRECONCILED,
-    /** Answers to this leader's token. */
+    /** In use. */
     LIVE,
-    /** Its lease with this leader has run out: it holds nothing, but may come back. */
+    /** Its lease with this leader has expired: it holds nothing, but may come back. */
     LEASE_EXPIRED,
-    /** To be given back; repeated until the cloud says it is gone. */
+    /** Being released; repeated until the cloud confirms that it is gone. */
     RELEASING
   }
 
@@ -39,19 +38,19 @@
   String address;
   State state;
 
-  /** Its type, once that is known. */
+  /** Null until the cloud's machine types are known. */
   MachineType type;
 
-  /** Its name is durable, so tasks may be placed on it. */
+  /** Its record is durable, so tasks may be placed on it. */
   boolean registered;
 
-  /** It has shown this leader's token in {@link #epoch}: no older leader can renew its lease. */
+  /** It has acknowledged this leader's fencing token in {@link #epoch}. */
   boolean fenced;
 
-  /** Named by an earlier leader: until it is claimed it may hold that leader's tasks. */
+  /** Registered by an earlier leader: until it is fenced it may hold that leader's tasks. */
   boolean inherited;
 
-  /** Tasks here, not exited, of jobs that this leader does not look after. */
+  /** Held attempts of jobs that this leader does not manage. */
   private int orphanedAttempts;
 
   long epoch;
@@ -59,105 +58,95 @@
   final long firstKnownMs;
 
   /**
-   * From when its lease with this leader counts: a report answered, the first sight of its token,
-   * or of a new session, whichever came last. What came later may be alive for a whole lease.
+   * From when its lease with this leader counts: the latest of the last heartbeat answered, the
+   * first sight of this leader's token, and the first message of an epoch.
    */
   long leaseFromMs;
 
-  /** When it last said anything, be it in answer to an order. */
+  /** Its last message, heartbeat or answer. */
   long lastMessageMs;
 
-  /** When a report of it was last answered, or since when this leader may do that. */
+  /** Its last answered heartbeat, or since when this leader may answer one. */
   long leaseRenewedMs;
 
-  /** It was said in the log that it is mute. */
   boolean outboundPartitionLogged;
 
   int directCommandFailures;
 
-  /** The direct order under way was sent while its report was overdue, or it was never heard. */
+  /** The direct command in flight was sent while it was silent or not yet seen. */
   boolean commandSentWhileSilent;
 
-  /** Such an order got no answer, and nothing was heard since. */
+  /** Such a command was not answered, and no message came since. */
   boolean silentCommandUnanswered;
 
-  /**
-   * Direct orders and questions in a row that it left unanswered, whatever it reported meanwhile;
-   * none once something shows that it receives.
-   */
+  /** Direct commands in a row without an answer or another proof that it receives. */
   int consecutiveUnanswered;
 
-  /**
-   * Since when it may hold what this leader does not know of: the begin of the term, or of its
-   * life.
-   */
+  /** Since when it may hold what this leader does not know: the term's begin or its restart. */
   long unreconciledSinceMs;
 
-  /** When it was first said to be there since then; -1: it was not yet. */
+  /** Its first message since then; -1: none yet. */
   long firstMessageMs = -1;
 
-  /** Reports without this leader's token that came after another one was answered with it. */
+  /** Heartbeats without this leader's token that came after one was answered with it. */
   int unfencedHeartbeats;
 
-  /** Position of the newest message that came as a report, which an answer may have renewed. */
+  /**
+   * Position of the newest message that came as a heartbeat, whose response may have renewed it.
+   */
   long heartbeatEpoch;
 
   long heartbeatSequence;
 
-  /** What is known of its present incarnation. */
   MachineIncarnation incarnation = new MachineIncarnation();
 
-  /** The incarnation for which the record was asked that is being written; null: none was. */
+  /** The incarnation for which a record is being written; null if none is. */
   MachineIncarnation registeringIncarnation;
 
   /**
-   * A report showed a lower token than it had, or lacked a task that was there: it may have
-   * restarted, or this is an old copy.
+   * A heartbeat showed a lower token than before or lacked a task: a restart, or a delayed copy.
    */
   boolean restartSuspected;
 
-  /** A direct order got no answer in this term, so it may reach a later incarnation. */
+  /** A direct command got no answer in this term, so it may reach a later incarnation. */
   boolean directCommandLost;
 
-  /** It began anew in this term: of which life a report is nobody can tell any more. */
+  /** It restarted in this term: heartbeats no longer show of which incarnation they are. */
   boolean restartedInTerm;
 
-  /** What was known of it when the question under way was decided: its answer is younger. */
+  /** Its position when the direct command in flight was sent: the answer is newer. */
   long epochWhenCommandSent;
 
   long sequenceWhenCommandSent;
 
-  /** A message came that is older than what it said before: only its own answer tells why. */
+  /** A message older than its last one came: only its own answer shows whether it restarted. */
   boolean staleMessageSeen;
 
   /**
-   * Nothing but a report speaks for it, which may be as old as any: neither record nor list, nor a
-   * report that shows this leader's token.
+   * Known from heartbeats alone, which may be delayed by any time: neither a record nor a list
+   * names it, nor has it shown this leader's token.
    */
   boolean unverified;
 
-  /** What other controllers found when they were asked to reach it. */
   final PeerProbeResults peerProbeResults = new PeerProbeResults();
 
   /**
-   * When it was last known to exist for the cloud: listed, rented, reported, or on record when the
-   * term began. A list that is certainly younger and lacks it proves that it is gone.
+   * When the cloud was last known to have it: listed, provisioned, seen, or registered at the
+   * term's begin. A later list that lacks it proves that it is gone.
    */
   long lastListedMs;
 
+  /** Seconds until the cloud takes it back; null if it does not. */
   Double preemptionNoticeS;
 
-  /** Jobs not known to be sound that failed here since a task last completed here. */
+  /** Jobs not proven sound that failed here since a task last completed here. */
   final Set<Job> failedJobs = new HashSet<>();
 
-  /** Failures here since then of jobs that are sound elsewhere. */
+  /** Failures here since then of jobs that are proven sound. */
   int provenJobFailures;
 
   boolean quarantined;
-
-  /** Given back because nothing was heard of it. */
   boolean releasedAsSilent;
-
   long idleSinceMs;
   long cordonedUntilMs;
   boolean commandInFlight;
@@ -166,28 +155,17 @@
   /** Held attempts, and exited ones until the worker has forgotten them. */
   final Map<TaskAttempt.Key, TaskAttempt> attempts = new LinkedHashMap<>();
 
-  /** Images believed to be here, least recently used first: the worker does not report them. */
-  final LinkedHashMap<String, Double> cachedImages = new LinkedHashMap<>(16, 0.75f, true);
-
-  /** Within a pass: room made for tasks that wait for it. */
+  /** Within a pass: room kept for tasks that wait for it. */
   private Reservation reserved = Reservation.NONE;
 
-  /** Within a pass: what it could give up, as far as that was asked; null once that changes. */
+  /** Within a pass: what could be preempted here, if computed; null once that changes. */
   Preemption.Stoppable preemptible;
 
-  /** Within a pass: tasks given to it. */
+  /** Within a pass: tasks placed here. */
   int placedInPass;
 
-  /** Tasks held here, by image. */
-  private final Map<String, Integer> attemptsByImage = new HashMap<>();
-
-  private double usedCpus;
-  private double usedGpus;
-  private double usedMemoryGb;
-  private double replicaCpus;
-  private double nonGpuCpus;
-  private double nonGpuMemoryGb;
-  private int heldAttemptCount;
+  private final ImageCache images = new ImageCache();
+  private final MachineResources resources = new MachineResources();
 
   Machine(
       String name,
@@ -212,26 +190,24 @@
     this.idleSinceMs = nowMs;
   }
 
-  /** Tasks failed here lately, so it gets one at a time until one completes. */
+  /** Whether tasks failed here lately: it gets one at a time until one completes. */
   boolean hasRecentFailures() {
     return provenJobFailures > 0 || !failedJobs.isEmpty();
   }
 
-  /** Its reports arrive and nothing that is said to it does. */
+  /** Whether its heartbeats arrive and nothing sent to it does. */
   boolean inboundPartitioned() {
     return consecutiveUnanswered >= INBOUND_PARTITION_TRIES;
   }
 
-  /** The same of one that an earlier leader named: it goes on showing that leader's token. */
+  /** The same of an unreconciled machine: it goes on showing an earlier leader's token. */
   boolean inboundPartitionedUnreconciled() {
     return state == State.UNRECONCILED
         && inboundPartitioned()
         && unfencedHeartbeats >= INBOUND_PARTITION_TRIES;
   }
 
-  /**
-   * When it last said anything that counts: of one that answers nothing, only until it was known.
-   */
+  /** Its last message; what an inbound-partitioned unreconciled machine sends does not count. */
   long lastContactMs() {
     return inboundPartitionedUnreconciled()
         ? unreconciledSinceMs
@@ -239,9 +215,8 @@
   }
 
   /**
-   * The machine began anew, under its name and without what was on it: as if it had never been
-   * heard, and not to be used before this is on record, so that no leader it may have listened to
-   * meanwhile can take it for its own.
+   * The machine has restarted under its name: as if it had never been seen. It is to be registered
+   * again before it is used, so that no leader it followed meanwhile takes it for reconciled.
    */
   void resetAfterRestart() {
     restartedInTerm = true;
@@ -256,9 +231,10 @@
     inherited = true;
     registered = false;
     preemptionNoticeS = null;
-    cachedImages.clear();
+    images.clear();
   }
 
+  /** Whether new tasks may go here as far as its own state shows. */
   boolean usable(long nowMs) {
     return state == State.LIVE
         && registered
@@ -280,68 +256,57 @@
     preemptible = null;
   }
 
-  /** Takes or gives back what a task of this job needs. */
+  /** Takes or frees what a task of this job needs. */
   void addUsage(JobSpec spec, int sign) {
     preemptible = null;
-    usedCpus += sign * spec.cpus();
-    usedGpus += sign * spec.gpus();
-    usedMemoryGb += sign * spec.memoryGb();
-    replicaCpus += spec.kind() == JobKind.SERVICE ? sign * spec.cpus() : 0;
-    if (spec.gpus() == 0) {
-      nonGpuCpus += sign * spec.cpus();
-      nonGpuMemoryGb += sign * spec.memoryGb();
-    }
-    heldAttemptCount += sign;
-    attemptsByImage.merge(spec.image(), sign, (a, b) -> a + b == 0 ? null : a + b);
-    if (heldAttemptCount == 0) {
-      // Sums of fractions drift: an empty machine is exactly empty.
-      usedCpus = 0;
-      usedGpus = 0;
-      usedMemoryGb = 0;
-      replicaCpus = 0;
-      nonGpuCpus = 0;
-      nonGpuMemoryGb = 0;
-    }
+    resources.add(spec, sign);
+    images.addAttempts(spec.image(), sign);
   }
 
   double usedCpus() {
-    return usedCpus;
+    return resources.usedCpus();
   }
 
   double usedGpus() {
-    return usedGpus;
+    return resources.usedGpus();
   }
 
   double usedMemoryGb() {
-    return usedMemoryGb;
+    return resources.usedMemoryGb();
   }
 
-  /** Processors that tasks without accelerators take. */
+  /** Processors of tasks without accelerators. */
   double nonGpuCpus() {
-    return nonGpuCpus;
+    return resources.nonGpuCpus();
   }
 
+  /** Memory of tasks without accelerators. */
   double nonGpuMemoryGb() {
-    return nonGpuMemoryGb;
+    return resources.nonGpuMemoryGb();
+  }
+
+  /** Processors of service replicas. */
+  double replicaCpus() {
+    return resources.replicaCpus();
   }
 
-  /** Whether it may hold tasks of which this leader does not know what they take. */
+  /** Whether it may hold tasks whose usage this leader does not know. */
   boolean mayHoldUnobservedUsage() {
     return (inherited && !fenced) || orphanedAttempts > 0;
   }
 
-  /** Tasks here, not exited, of jobs that this leader does not look after: more or fewer. */
+  /** Changes the number of held attempts of jobs that this leader does not manage. */
   void addOrphanedAttempts(int delta) {
     orphanedAttempts += delta;
   }
 
   /**
-   * Nothing is here of what the machine is for: of one with accelerators, neither work that needs
-   * them nor work that no other type is enough for. What only fills its gaps does not keep it.
+   * Whether no held task needs this machine. One with accelerators is idle also while its tasks use
+   * none of them and fit other types: backfill does not keep it.
    */
   boolean idle() {
-    if (heldAttemptCount == 0 || type == null || type.gpus() == 0 || usedGpus > TOLERANCE) {
-      return heldAttemptCount == 0;
+    if (!hasAttempts() || type == null || type.gpus() == 0 || usedGpus() > TOLERANCE) {
+      return !hasAttempts();
     }
     for (TaskAttempt attempt : attempts.values()) {
       if (!attempt.exited() && attempt.job.usableTypes.contains(typeName)) {
@@ -351,11 +316,7 @@
     return true;
   }
 
-  /** Processors that replicas of services take. */
-  double replicaCpus() {
-    return replicaCpus;
-  }
-
+  /** Whether a task with these needs finds room; the machine's type must be known. */
   boolean fits(double cpus, double gpus, double memoryGb) {
     return freeTaskSlots() > 0
         && freeCpus() + TOLERANCE >= cpus
@@ -363,12 +324,12 @@
         && freeMemoryGb() + TOLERANCE >= memoryGb;
   }
 
-  /** Whether one task of this kind finds room. */
+  /** Whether one task of this job finds room. */
   boolean fits(JobSpec spec) {
     return fits(spec.cpus(), spec.gpus(), spec.memoryGb());
   }
 
-  /** How many tasks of this kind find room, at most {@code limit}. */
+  /** How many tasks of this job find room, at most {@code limit}. */
   int fitCount(JobSpec spec, int limit) {
     if (!fits(spec)) {
       return 0;
@@ -386,7 +347,7 @@
     return (int) count;
   }
 
-  /** Nothing is kept from anybody any more; gives what was, for {@link #reserve(Reservation)}. */
+  /** Ends the reservation and returns it, for {@link #reserve(Reservation)}. */
   Reservation clearReservation() {
     preemptible = null;
     Reservation previous = reserved;
@@ -399,38 +360,38 @@
   }
 
   double freeCpus() {
-    return type.cpus() - usedCpus - reserved.cpus();
+    return type.cpus() - usedCpus() - reserved.cpus();
   }
 
   double freeGpus() {
-    return type.gpus() - usedGpus - reserved.gpus();
+    return type.gpus() - usedGpus() - reserved.gpus();
   }
 
   double freeMemoryGb() {
-    return type.memoryGb() - usedMemoryGb - reserved.memoryGb();
+    return type.memoryGb() - usedMemoryGb() - reserved.memoryGb();
   }
 
-  /** How many more tasks its reports can name. */
+  /** How many more tasks its heartbeats can name. */
   int freeTaskSlots() {
     return MachineType.MAX_TASKS_PER_MACHINE - attempts.size() - reserved.tasks();
   }
 
-  /** Keeps room for so many tasks from others, until the next pass. */
+  /** Reserves room for this many more tasks until the next pass. */
   void reserve(JobSpec spec, int tasks) {
     reserved = reserved.plus(spec, tasks);
   }
 
-  /** Keeps this room from others, until the next pass. */
+  /** Replaces the reservation until the next pass. */
   void reserve(Reservation reservation) {
     reserved = reservation;
   }
 
   boolean hasAttempts() {
-    return heldAttemptCount > 0;
+    return resources.heldAttemptCount() > 0;
   }
 
   int heldAttemptCount() {
-    return heldAttemptCount;
+    return resources.heldAttemptCount();
   }
 
   List<TaskAttempt> heldAttempts() {
@@ -443,28 +404,17 @@
     return unexited;
   }
 
-  /** 1 if the image is there, less if it is being fetched, 0 otherwise. */
+  boolean hasCachedImage(String image) {
+    return images.contains(image);
+  }
+
+  /** 1 if the image is cached here, less if it may be being fetched, 0 otherwise. */
   double imageLocality(String image) {
-    if (cachedImages.containsKey(image)) {
-      return 1;
-    }
-    return attemptsByImage.containsKey(image) ? 0.5 : 0;
+    return images.locality(image);
   }
 
-  /** Notes that a task with this image had its image here. */
+  /** A task with this image has its image here. */
   void touchImage(String image, double sizeGb) {
-    cachedImages.put(image, sizeGb);
-    if (type == null) {
-      return;
-    }
-    double totalGb = 0;
-    for (double imageGb : cachedImages.values()) {
-      totalGb += imageGb;
-    }
-    var leastRecentlyUsed = cachedImages.entrySet().iterator();
-    while (totalGb > type.cacheGb() && cachedImages.size() > 1 && leastRecentlyUsed.hasNext()) {
-      totalGb -= leastRecentlyUsed.next().getValue();
-      leastRecentlyUsed.remove();
-    }
+    images.touch(image, sizeGb, type);
   }
 }
--- a/src/main/java/org/astershift/scheduler/MachineIncarnation.java
+++ b/src/main/java/org/astershift/scheduler/MachineIncarnation.java
@@ -1,9 +1,9 @@
 package org.astershift.scheduler;
 
 /**
- * One incarnation of a machine: its life from one start of its worker to the next, under the same
- * name. The protocol gives it no identity, and sessions and sequence numbers begin anew with it; so
- * evidence about one incarnation is kept here, apart from that about the next.
+ * One incarnation of a machine, from a start of its worker to the next under the same name. The
+ * protocol does not identify it, and epochs and sequence numbers start again with it; so evidence
+ * of one incarnation is kept here, apart from that of the next.
  */
 final class MachineIncarnation {
   private static final long NEVER_MS = Long.MAX_VALUE;
@@ -11,7 +11,7 @@
   private long firstMessageMs = NEVER_MS;
   private long lastConfirmedMs = NEVER_MS;
 
-  /** A message of it arrived. */
+  /** A message of it has arrived. */
   void onMessage(long nowMs) {
     firstMessageMs = Math.min(firstMessageMs, nowMs);
   }
@@ -21,12 +21,12 @@
     lastConfirmedMs = lastConfirmedMs == NEVER_MS ? atMs : Math.max(lastConfirmedMs, atMs);
   }
 
-  /** Whether anything was heard of it. */
+  /** Whether any message of it has arrived. */
   boolean isKnown() {
     return firstMessageMs != NEVER_MS;
   }
 
-  /** Whether it was there by then: a message of it had arrived. */
+  /** Whether a message of it had arrived by then. */
   boolean hadMessageBy(long timeMs) {
     return firstMessageMs <= timeMs;
   }
--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/MachineResources.java
@@ -0,0 +1,69 @@
+package org.astershift.scheduler;
+
+/** Sums of what the held tasks of one machine use. */
+final class MachineResources {
+  private double usedCpus;
+  private double usedGpus;
+  private double usedMemoryGb;
+  private double replicaCpus;
+  private double nonGpuCpus;
+  private double nonGpuMemoryGb;
+  private int heldAttemptCount;
+
+  /** Adds one task of the job, or removes one where {@code sign} is -1. */
+  void add(JobSpec spec, int sign) {
+    usedCpus += sign * spec.cpus();
+    usedGpus += sign * spec.gpus();
+    usedMemoryGb += sign * spec.memoryGb();
+    replicaCpus += spec.kind() == JobKind.SERVICE ? sign * spec.cpus() : 0;
+    if (spec.gpus() == 0) {
+      nonGpuCpus += sign * spec.cpus();
+      nonGpuMemoryGb += sign * spec.memoryGb();
+    }
+    heldAttemptCount += sign;
+    if (heldAttemptCount == 0) {
+      clear();
+    }
+  }
+
+  /** Sums of fractions drift: an empty machine has exactly nothing in use. */
+  private void clear() {
+    usedCpus = 0;
+    usedGpus = 0;
+    usedMemoryGb = 0;
+    replicaCpus = 0;
+    nonGpuCpus = 0;
+    nonGpuMemoryGb = 0;
+  }
+
+  double usedCpus() {
+    return usedCpus;
+  }
+
+  double usedGpus() {
+    return usedGpus;
+  }
+
+  double usedMemoryGb() {
+    return usedMemoryGb;
+  }
+
+  /** Processors of service replicas. */
+  double replicaCpus() {
+    return replicaCpus;
+  }
+
+  /** Processors of tasks without accelerators. */
+  double nonGpuCpus() {
+    return nonGpuCpus;
+  }
+
+  /** Memory of tasks without accelerators. */
+  double nonGpuMemoryGb() {
+    return nonGpuMemoryGb;
+  }
+
+  int heldAttemptCount() {
+    return heldAttemptCount;
+  }
+}
--- a/src/main/java/org/astershift/scheduler/MachineType.java
+++ b/src/main/java/org/astershift/scheduler/MachineType.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A machine type of the cloud, with its current prices an hour. */
+/** A machine type of the cloud, with its current prices per hour. */
 public record MachineType(
     String name,
     double cpus,
@@ -15,13 +15,12 @@
     double bootS,
     List<String> zones) {
   /**
-   * Tasks that a machine gets at most, however little they take. Its reports name them all, ended
-   * ones too, with up to some 140 bytes each, and a body may have 64 KiB: a machine whose reports
-   * are refused loses its lease, and with it all of its tasks, again and again.
+   * Tasks on one machine, however small. A heartbeat names them all, exited ones too, in a body of
+   * limited size: a machine whose heartbeats are rejected loses its lease and all of its tasks.
    */
   static final int MAX_TASKS_PER_MACHINE = 400;
 
-  /** Price an hour of one kind of this type. */
+  /** Price per hour as a spot or a regular instance. */
   public double hourlyPrice(boolean spot) {
     return spot ? spotHourlyPrice : hourlyPrice;
   }
--- a/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
+++ b/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
@@ -15,7 +15,7 @@
   private Map<String, MachineType> types = Map.of();
   private final Map<String, UnusedCapacity> unusedBesideAccelerators = new HashMap<>();
 
-  /** What is left of a machine with accelerators by the work that needs these. */
+  /** What jobs that need accelerators leave of a machine type, at the least. */
   private static final class UnusedCapacity {
     private double cpus;
     private double memoryGb;
@@ -37,13 +37,13 @@
     return types;
   }
 
-  /** The types are known now, or have changed: jobs have to be fitted anew. */
+  /** Replaces the types; {@link #resolveTypes} is to be called again for all jobs. */
   void update(Map<String, MachineType> newTypes) {
     types = newTypes;
     unusedBesideAccelerators.clear();
   }
 
-  /** Finds the types for the job, and what it leaves over on those with accelerators. */
+  /** Sets the types that the job may use, and those that it may backfill. */
   void resolveTypes(Job job) {
     JobSpec spec = job.spec;
     job.usableTypes = usableTypes(spec);
@@ -70,8 +70,9 @@
   }
 
   /**
-   * Whether a task without accelerators fits beside those with, on what these cannot use anyway: it
-   * never keeps one of them from the machine. Only while one is there, so that it may go when idle.
+   * Whether a task without accelerators fits into what jobs with accelerators cannot use anyway, so
+   * that it never keeps one of them from the machine. Only while one is there: an idle machine with
+   * accelerators should be released.
    */
   boolean fitsBesideAccelerators(Machine machine, Job job) {
     UnusedCapacity unused = unusedBesideAccelerators.get(machine.typeName);
@@ -91,7 +92,7 @@
     return zones;
   }
 
-  /** Types that a task of the job may go to; those with accelerators only if it needs them. */
+  /** Types that the job may use; those with accelerators only if it needs them. */
   private Set<String> usableTypes(JobSpec spec) {
     Set<String> fitting = new LinkedHashSet<>();
     List<MachineType> withoutAccelerators = new ArrayList<>();
@@ -103,7 +104,7 @@
         }
       }
     }
-    // Work without accelerators stays off machines with them, where others are enough for it.
+    // A job without accelerators stays off machines with them where others suffice.
     if (spec.gpus() == 0 && Eligibility.noPlacementReason(spec, withoutAccelerators) == null) {
       fitting.retainAll(withoutAccelerators.stream().map(MachineType::name).toList());
     }
--- a/src/main/java/org/astershift/scheduler/OutstandingDecisions.java
+++ b/src/main/java/org/astershift/scheduler/OutstandingDecisions.java
@@ -4,33 +4,33 @@
 import java.util.Set;
 
 /**
- * Decisions that were given to the loops around the scheduler and whose outcome is not known yet:
- * each is given once, until it is carried out, has failed, or what it is about is gone.
+ * Decisions that were returned by a pass and are neither carried out nor failed: each is returned
+ * once until then.
  */
 final class OutstandingDecisions {
-  /** What a decision asks for. */
+  /** The kinds of decisions that are tracked. */
   enum Kind {
     OPEN_JOB,
     FINISH_JOB,
     REGISTER_MACHINE
   }
 
-  /** A decision by what it asks for and the job or machine that it is about. */
+  /** A decision and the job or machine that it is about. */
   private record Key(Kind kind, String subject) {}
 
   private final Set<Key> outstanding = new HashSet<>();
 
-  /** Notes the decision; false if the same one is outstanding already. */
+  /** Adds the decision; false if it is outstanding already. */
   boolean add(Kind kind, String subject) {
     return outstanding.add(new Key(kind, subject));
   }
 
-  /** The decision was carried out, has failed, or is about what is gone. */
+  /** The decision was carried out, has failed, or its subject is gone. */
   void onSettled(Kind kind, String subject) {
     outstanding.remove(new Key(kind, subject));
   }
 
-  /** The same for a decision as it was given; one that is never noted here is ignored. */
+  /** A decision failed; one of a kind that is not tracked is ignored. */
   void onFailed(Decision decision) {
     if (decision instanceof Decision.OpenJob openJob) {
       onSettled(Kind.OPEN_JOB, openJob.jobId());
--- a/src/main/java/org/astershift/scheduler/PeerProbeResults.java
+++ b/src/main/java/org/astershift/scheduler/PeerProbeResults.java
@@ -1,43 +1,43 @@
 package org.astershift.scheduler;
 
 /**
- * What the other controllers found when they were asked to reach one machine. A finding counts only
- * while the machine says nothing to the leader, and for a limited time.
+ * The results of peers that probed one machine. A result counts only while the machine sends
+ * nothing to the leader, and for a limited time.
  */
 final class PeerProbeResults {
-  /** Milliseconds for which it counts that another controller reached a machine. */
+  /** Time for which it counts that a peer reached the machine, or that none could tell. */
   static final long PEER_PROBE_REACHED_VALID_MS = 10_000;
 
-  /** Milliseconds for which it counts that none did: the cut may be over by then. */
+  /** Time for which it counts that none did: a partition may be over by then. */
   private static final long PEER_PROBE_UNREACHED_VALID_MS = 3000;
 
   /**
-   * Milliseconds beyond patience that one of a few silent machines waits for what others say:
-   * longer than the deadline of their answer.
+   * Beyond the release timeout, time for which one of a few silent machines waits for the results
+   * of peers: longer than their deadline.
    */
   static final long PEER_PROBE_WAIT_MS = 3000;
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
-  /** When they were last asked and one of them had an answer. */
+  /** When peers were last asked and one of them reached it. */
   private long reachedMs = NEVER_MS;
 
-  /** When they were last asked and all that could tell failed. */
+  /** When they were last asked and none that could tell reached it. */
   private long unreachedMs = NEVER_MS;
 
-  /** The same for the first time since the machine said anything or was reached. */
+  /** The same for the first time since the machine sent anything or was reached. */
   private long firstUnreachedMs = NEVER_MS;
 
   /** When they were last asked and none of them could tell. */
   private long inconclusiveMs = NEVER_MS;
 
-  /** One of them had an answer. */
+  /** A peer reached the machine. */
   void onReached(long probedMs) {
     reachedMs = probedMs;
     unreachedMs = NEVER_MS;
   }
 
-  /** All that could tell failed; {@code lastContactMs}: when the machine last said anything. */
+  /** No peer that could tell reached it; {@code lastContactMs}: the last message here. */
   void onUnreached(long probedMs, long lastContactMs) {
     if (unreachedMs <= lastContactMs) {
       firstUnreachedMs = probedMs;
@@ -45,20 +45,17 @@
     unreachedMs = probedMs;
   }
 
-  /** None of them could tell. */
+  /** No peer could tell. */
   void onInconclusive(long probedMs) {
     inconclusiveMs = probedMs;
   }
 
-  /**
-   * Whether it counts that one of them reached it; {@code lastContactMs}: when it last said
-   * anything.
-   */
+  /** Whether it counts that a peer reached it; {@code lastContactMs}: the last message here. */
   boolean isReached(long lastContactMs, long nowMs) {
     return reachedMs > lastContactMs && nowMs - reachedMs <= PEER_PROBE_REACHED_VALID_MS;
   }
 
-  /** Whether one of them reached it after it last said anything here, however long ago. */
+  /** Whether a peer reached it after its last message here, however long ago. */
   boolean reachedSince(long lastContactMs) {
     return reachedMs > lastContactMs;
   }
@@ -68,20 +65,17 @@
     return isReached(lastContactMs, nowMs + PEER_PROBE_WAIT_MS);
   }
 
-  /**
-   * Whether none reached it when they were asked after that time: counts for less long than an
-   * answer, since a cut may just have ended.
-   */
+  /** Whether it counts that no peer reached it when asked after {@code sinceMs}. */
   boolean isUnreached(long sinceMs, long nowMs) {
     return unreachedMs > sinceMs && nowMs - unreachedMs <= PEER_PROBE_UNREACHED_VALID_MS;
   }
 
-  /** When none reached it for the first time in a row. */
+  /** When none reached it, for the first time in a row. */
   long firstUnreachedMs() {
     return firstUnreachedMs;
   }
 
-  /** Whether it counts that none of them could tell. */
+  /** Whether it counts that no peer could tell. */
   boolean isInconclusive(long lastContactMs, long nowMs) {
     return inconclusiveMs > lastContactMs && nowMs - inconclusiveMs <= PEER_PROBE_REACHED_VALID_MS;
   }
--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/PeerProber.java
@@ -0,0 +1,200 @@
+package org.astershift.scheduler;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Chooses the machines that other controllers are to probe, and takes in their results. Each probe
+ * includes controls, machines seen a moment ago: a peer that does not reach those cannot tell.
+ */
+final class PeerProber {
+  private static final Logger LOG = LoggerFactory.getLogger(PeerProber.class);
+
+  /** Suspects in one probe: as many as a busy peer can probe within its deadline. */
+  private static final int PEER_PROBE_BATCH_MACHINES = 56;
+
+  /** Controls in one probe. */
+  private static final int PEER_PROBE_CONTROL_MACHINES = 8;
+
+  private static final long NEVER_MS = Long.MIN_VALUE / 2;
+
+  private final ClusterState cluster;
+  private final SilenceEvidence evidence;
+  private boolean probeInFlight;
+  private long lastInconclusiveMs = NEVER_MS;
+  private long lastUnansweredMs = NEVER_MS;
+  private long lastConclusiveMs = NEVER_MS;
+
+  PeerProber(ClusterState cluster, SilenceEvidence evidence) {
+    this.cluster = cluster;
+    this.evidence = evidence;
+  }
+
+  /** When peers were last asked and none of them could tell; long ago if that never was. */
+  long lastInconclusiveMs() {
+    return lastInconclusiveMs;
+  }
+
+  /** When peers were last asked and none of them answered at all. */
+  long lastUnansweredMs() {
+    return lastUnansweredMs;
+  }
+
+  /** When peers were last asked and one of them could tell. */
+  long lastConclusiveMs() {
+    return lastConclusiveMs;
+  }
+
+  /**
+   * The machines that peers should probe, or null if there are none or a probe is in flight. They
+   * are chosen as soon as heartbeats are overdue, so that the results are there when the machines
+   * may be released; first a sample of each zone, which suffices where a whole zone is partitioned.
+   */
+  Decision.ProbeThroughPeers nextProbe(FleetAssessment fleet, long nowMs) {
+    // A leader that sees next to nothing releases nothing, whatever its peers say.
+    if (probeInFlight || !(fleet.fewOverdue() || fleet.observesEnough())) {
+      return null;
+    }
+    List<Machine> suspects = suspectsSampledByZone(fleet, nowMs);
+    if (suspects.isEmpty()) {
+      return null;
+    }
+    probeInFlight = true;
+    return new Decision.ProbeThroughPeers(
+        addressesOf(suspects, PEER_PROBE_BATCH_MACHINES),
+        addressesOf(controls(nowMs), PEER_PROBE_CONTROL_MACHINES),
+        nowMs);
+  }
+
+  private List<Machine> suspectsSampledByZone(FleetAssessment fleet, long nowMs) {
+    Map<String, Integer> sampled = new HashMap<>();
+    List<Machine> sample = new ArrayList<>();
+    List<Machine> remaining = new ArrayList<>();
+    for (Machine machine : cluster.allMachines()) {
+      if (machine.address == null
+          || !isSuspect(machine, fleet.fewOverdue(), nowMs)
+          || resultsCurrent(machine, nowMs)) {
+        continue;
+      }
+      ZoneHealth zone = fleet.zone(machine.zone);
+      int probedBefore = zone == null ? 0 : zone.probedCount();
+      if (probedBefore + sampled.merge(machine.zone, 1, Integer::sum)
+          <= ZoneHealth.PEER_PROBE_ZONE_SAMPLE_MACHINES) {
+        sample.add(machine);
+      } else if (zone == null || !zone.confirmedByPeers()) {
+        remaining.add(machine);
+      }
+    }
+    sample.addAll(remaining);
+    return sample;
+  }
+
+  /** Whether the machine may have to be released soon. */
+  private boolean isSuspect(Machine machine, boolean fewOverdue, long nowMs) {
+    if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.RELEASING) {
+      return false;
+    }
+    if (cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
+      return fewOverdue || machine.directCommandFailures > 0;
+    }
+    // One of the last unreconciled machines: peers probe it along with this leader's second try.
+    return machine.state == Machine.State.UNRECONCILED
+        && machine.directCommandFailures > 0
+        && cluster.fewUnreconciled();
+  }
+
+  /**
+   * Whether peers can add nothing to what is known of the machine. They are asked again before
+   * their results grow old, and once more when a restart no longer explains a failed probe.
+   */
+  private boolean resultsCurrent(Machine machine, long nowMs) {
+    boolean askedTooEarly = machine.peerProbeResults.isUnreached(machine.lastContactMs(), nowMs);
+    return evidence.unreachedByPeers(machine, nowMs)
+        || (askedTooEarly && nowMs < cluster.heartbeatTiming.restartExcludedFromMs(machine))
+        || machine.peerProbeResults.isFreshlyReached(machine.lastContactMs(), nowMs);
+  }
+
+  /** Machines with a message in this term, the latest first. */
+  private List<Machine> controls(long nowMs) {
+    List<Machine> controls = new ArrayList<>(cluster.allMachines());
+    controls.removeIf(
+        machine ->
+            machine.address == null
+                || machine.lastMessageMs == machine.firstKnownMs
+                || cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs));
+    // One that answers nothing would make every peer look partitioned.
+    controls.sort(
+        Comparator.comparing((Machine machine) -> machine.consecutiveUnanswered > 0)
+            .thenComparingLong(machine -> -machine.lastMessageMs));
+    return controls;
+  }
+
+  private static List<Decision.MachineAddress> addressesOf(List<Machine> machines, int limit) {
+    List<Decision.MachineAddress> addresses = new ArrayList<>();
+    for (Machine machine : machines.subList(0, Math.min(machines.size(), limit))) {
+      addresses.add(new Decision.MachineAddress(machine.name, machine.address));
+    }
+    return addresses;
+  }
+
+  /**
+   * The results of the peers that answered. A machine that any peer reached counts as reached; a
+   * failure counts only of a peer that reached the controls, since one that was partitioned a
+   * moment ago, maybe together with this leader, may not know it yet.
+   */
+  void onResults(Decision.ProbeThroughPeers probe, List<Decision.PeerProbeResult> results) {
+    probeInFlight = false;
+    Set<String> reached = new HashSet<>();
+    Set<String> unreached = new HashSet<>();
+    int conclusiveCount = 0;
+    for (Decision.PeerProbeResult result : results) {
+      reached.addAll(result.reached());
+      if (reachesControls(probe, result)) {
+        conclusiveCount++;
+        unreached.addAll(result.unreached());
+      }
+    }
+    lastConclusiveMs = conclusiveCount == 0 ? lastConclusiveMs : probe.probedMs();
+    lastInconclusiveMs = conclusiveCount == 0 ? probe.probedMs() : NEVER_MS;
+    lastUnansweredMs = results.isEmpty() ? probe.probedMs() : NEVER_MS;
+    int reachedCount = 0;
+    for (Decision.MachineAddress suspect : probe.suspects()) {
+      Machine machine = cluster.machines.get(suspect.machineName());
+      if (machine == null) {
+        continue;
+      }
+      if (reached.contains(machine.name)) {
+        machine.peerProbeResults.onReached(probe.probedMs());
+        reachedCount++;
+      } else if (unreached.contains(machine.name)) {
+        machine.peerProbeResults.onUnreached(probe.probedMs(), machine.lastContactMs());
+      } else if (conclusiveCount == 0 && !results.isEmpty()) {
+        // Only for the machines of this probe: of others the peers may be able to tell.
+        machine.peerProbeResults.onInconclusive(probe.probedMs());
+      }
+    }
+    LOG.debug(
+        "peer probe: suspects={} reached={} conclusive_peers={} answering_peers={}",
+        probe.suspects().size(),
+        reachedCount,
+        conclusiveCount,
+        results.size());
+    cluster.requestPass();
+  }
+
+  private static boolean reachesControls(
+      Decision.ProbeThroughPeers probe, Decision.PeerProbeResult result) {
+    int answered = 0;
+    for (Decision.MachineAddress control : probe.controls()) {
+      answered += result.reached().contains(control.machineName()) ? 1 : 0;
+    }
+    return answered * 2 >= probe.controls().size();
+  }
+}
--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -219,7 +219,7 @@
     if (!stoppable.canMakeRoomFor(machine, spec)) {
       return null;
     }
-    boolean imageHit = machine.cachedImages.containsKey(spec.image());
+    boolean imageHit = machine.hasCachedImage(spec.image());
     if ((imageHitsOnly && !imageHit) || !placement.isMachineAllowed(machine, job, nowMs)) {
       return null;
     }
--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/SchedulingPass.java
@@ -0,0 +1,197 @@
+package org.astershift.scheduler;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.astershift.scheduler.OutstandingDecisions.Kind;
+
+/**
+ * The scheduling pass: places waiting tasks, sends urgent commands and asks for the records that
+ * these need. A sweep over the fleet and the plan for scaling run as parts of it, at intervals.
+ */
+final class SchedulingPass {
+  /** Between sweeps for expired leases and silent machines. */
+  private static final long SWEEP_INTERVAL_MS = 250;
+
+  /** Between plans for scaling in and out. */
+  private static final long PROVISION_PLAN_INTERVAL_MS = 1000;
+
+  /** After a failover, time without scaling out while machines are unreconciled. */
+  private static final long PROVISION_AFTER_FAILOVER_MS = 5000;
+
+  private final ClusterState cluster;
+  private final Placement placement;
+  private final CommandReconciler commandReconciler;
+  private final FailureDetector failureDetector;
+  private final ScaleIn scaleIn;
+  private final ScaleOut scaleOut;
+  private final OutstandingDecisions outstandingDecisions;
+  private final LeaseExpiry leaseExpiry;
+  private final CostStatistics costStatistics = new CostStatistics();
+  private long lastSweepMs = Long.MIN_VALUE / 2;
+  private long lastPlanMs = Long.MIN_VALUE / 2;
+  private long firstPlanMs = -1;
+  private FleetVisibility fleetVisibility = new FleetVisibility(0, 0, false, false);
+
+  SchedulingPass(
+      ClusterState cluster,
+      Placement placement,
+      CommandReconciler commandReconciler,
+      FailureDetector failureDetector,
+      ScaleIn scaleIn,
+      ScaleOut scaleOut,
+      OutstandingDecisions outstandingDecisions) {
+    this.cluster = cluster;
+    this.placement = placement;
+    this.commandReconciler = commandReconciler;
+    this.failureDetector = failureDetector;
+    this.scaleIn = scaleIn;
+    this.scaleOut = scaleOut;
+    this.outstandingDecisions = outstandingDecisions;
+    this.leaseExpiry = new LeaseExpiry(cluster);
+  }
+
+  /** One pass; up to {@code leaseCertainUntilMs} no other node can have led beside this one. */
+  List<Decision> run(long nowMs, long leaseCertainUntilMs) {
+    cluster.clearPassRequest();
+    cluster.incarnations.extendLeaseCertainty(leaseCertainUntilMs);
+    boolean leaseCertain = nowMs < leaseCertainUntilMs;
+    boolean sweepDue = nowMs - lastSweepMs >= SWEEP_INTERVAL_MS;
+    List<Decision> decisions = new ArrayList<>();
+    if (sweepDue) {
+      lastSweepMs = nowMs;
+      leaseExpiry.sweep(nowMs, leaseCertainUntilMs);
+      detectFailures(decisions, nowMs);
+    }
+    placement.runPass(nowMs);
+    sendUrgentCommands(decisions, leaseCertain, nowMs);
+    if (sweepDue) {
+      fenceAndProbeMachines(decisions, leaseCertain, nowMs);
+    }
+    registerMachines(decisions);
+    openJobs(decisions);
+    persistPlacements(decisions);
+    finishJobs(decisions);
+    planScaling(decisions, leaseCertain, nowMs);
+    deregisterMachines(decisions);
+    return decisions;
+  }
+
+  /** Has the next pass plan the scaling, whatever the interval. */
+  void requestPlan() {
+    lastPlanMs = Long.MIN_VALUE / 2;
+  }
+
+  /** How much of the fleet was visible at the last sweep. */
+  FleetVisibility fleetVisibility() {
+    return fleetVisibility;
+  }
+
+  CostStatistics costStatistics() {
+    return costStatistics;
+  }
+
+  private void detectFailures(List<Decision> decisions, long nowMs) {
+    failureDetector.assessFleet(nowMs);
+    fleetVisibility = failureDetector.fleetVisibility();
+    Decision.ProbeThroughPeers peerProbe = failureDetector.nextPeerProbe(nowMs);
+    if (peerProbe != null) {
+      decisions.add(peerProbe);
+    }
+  }
+
+  private void sendUrgentCommands(List<Decision> decisions, boolean leaseCertain, long nowMs) {
+    List<Machine> machinesWithCommands = new ArrayList<>(cluster.commandsPending);
+    cluster.commandsPending.clear();
+    for (Machine machine : machinesWithCommands) {
+      if (!commandReconciler.maySendNow(machine)) {
+        cluster.commandsPending.add(machine);
+        continue;
+      }
+      Decision.SendCommands urgentCommands =
+          commandReconciler.urgentCommands(machine, leaseCertain, nowMs);
+      if (urgentCommands != null) {
+        decisions.add(urgentCommands);
+      } else if (machine.commandInFlight) {
+        cluster.commandsPending.add(machine);
+      }
+    }
+  }
+
+  private void fenceAndProbeMachines(List<Decision> decisions, boolean leaseCertain, long nowMs) {
+    commandReconciler.concurrencyLimit().removeLost(nowMs);
+    for (Machine machine : cluster.allMachines()) {
+      Decision.SendCommands fenceOrProbe =
+          commandReconciler.fenceOrProbe(machine, leaseCertain, nowMs);
+      if (fenceOrProbe != null) {
+        decisions.add(fenceOrProbe);
+      }
+    }
+  }
+
+  private void registerMachines(List<Decision> decisions) {
+    for (Machine machine : cluster.unregistered) {
+      if (!machine.unverified && outstandingDecisions.add(Kind.REGISTER_MACHINE, machine.name)) {
+        decisions.add(
+            new Decision.RegisterMachine(
+                machine.name,
+                machine.address,
+                machine.typeName,
+                machine.zone,
+                machine.spot,
+                false));
+        machine.registeringIncarnation = machine.incarnation;
+      }
+    }
+  }
+
+  private void openJobs(List<Decision> decisions) {
+    for (Job job : cluster.jobsToOpen) {
+      if (!job.cancellationRequested
+          && !job.attempts.isEmpty()
+          && outstandingDecisions.add(Kind.OPEN_JOB, job.spec.id())) {
+        decisions.add(new Decision.OpenJob(job.spec.id(), job.replicaMachineNames()));
+      }
+    }
+  }
+
+  private void persistPlacements(List<Decision> decisions) {
+    for (Job job : cluster.placementsToPersist) {
+      if (job.state == Job.State.LIVE && !job.attempts.isEmpty()) {
+        decisions.add(new Decision.PersistPlacement(job.spec.id(), job.replicaMachineNames()));
+      }
+    }
+    cluster.placementsToPersist.clear();
+  }
+
+  private void finishJobs(List<Decision> decisions) {
+    cluster.completionCandidates.removeIf(job -> !job.complete());
+    for (Job job : cluster.completionCandidates) {
+      if (outstandingDecisions.add(Kind.FINISH_JOB, job.spec.id())) {
+        decisions.add(new Decision.FinishJob(job.spec.id()));
+      }
+    }
+  }
+
+  private void planScaling(List<Decision> decisions, boolean leaseCertain, long nowMs) {
+    boolean planDue = nowMs - lastPlanMs >= PROVISION_PLAN_INTERVAL_MS || scaleOut.planDue();
+    if (!planDue || cluster.machineTypes.all().isEmpty()) {
+      return;
+    }
+    lastPlanMs = nowMs;
+    costStatistics.accrue(cluster.allMachines(), nowMs);
+    scaleIn.plan(decisions, leaseCertain, nowMs);
+    firstPlanMs = firstPlanMs < 0 ? nowMs : firstPlanMs;
+    // Unreconciled machines run a part of the queue already, or will take it.
+    if (!cluster.anyUnreconciled() || nowMs - firstPlanMs > PROVISION_AFTER_FAILOVER_MS) {
+      scaleOut.plan(decisions, nowMs);
+    }
+  }
+
+  private void deregisterMachines(List<Decision> decisions) {
+    for (Decision.DeregisterMachine deregistration :
+        cluster.removedMachines.drainDeregistrations()) {
+      outstandingDecisions.onSettled(Kind.REGISTER_MACHINE, deregistration.machineName());
+      decisions.add(deregistration);
+    }
+  }
+}
--- a/src/main/java/org/astershift/scheduler/TaskAttempt.java
+++ b/src/main/java/org/astershift/scheduler/TaskAttempt.java
@@ -1,8 +1,8 @@
 package org.astershift.scheduler;
 
-/** One attempt of one task on one machine, from the decision to place it until its proof of end. */
+/** One attempt of one task on one machine, from its placement until the proof of its end. */
 final class TaskAttempt {
-  /** Names an attempt on its machine. */
+  /** Identifies an attempt on its machine. */
   record Key(String jobId, int index, long attemptNumber) {}
 
   final Job job;
@@ -12,45 +12,48 @@
   final long placedMs;
   final Key key;
 
-  /** What the machine last reported; null while it has not shown the task in this session. */
+  /** The phase last reported; null while the machine has not shown the task in this epoch. */
   Heartbeat.TaskPhase phase;
 
-  /** Position of the newest report that showed it. */
+  /** Sequence of the newest message that showed it. */
   long lastShownSequence = -1;
 
-  /** A start command went out, in whatever way. */
+  /** A start command went out, directly or in a heartbeat response. */
   boolean startSent;
 
   /**
-   * A direct order with this start got no answer, so the start may still be executed minutes later
-   * while token and session match. Until the session is over the attempt must not be cleared: that
-   * would make the worker forget it, and the late start would run the task a second time.
+   * A direct start got no answer and may still be executed while fencing token and epoch match.
+   * Until the epoch is over the worker must not forget the attempt, or the late start would run the
+   * task a second time.
    */
   boolean startUnconfirmed;
 
-  /** Direct orders with this start that are under way now. */
+  /** A direct start is in flight. */
   boolean startInFlight;
 
   /**
-   * The lease of the machine's life for which a start in doubt was meant has run out: only a
-   * machine that begins anew could execute it now.
+   * The lease of the incarnation for which an unconfirmed start was meant has expired: only a
+   * restarted machine could execute it now.
    */
   boolean startLeaseExpired;
 
-  /** The session for which the last of them was meant: in a later one it has no effect. */
+  /** The epoch for which the last direct start was meant: it has no effect in a later one. */
   long startEpoch;
 
   /**
-   * A start went with the answer to the newest report: whether it arrived shows the next one, since
-   * a worker has one under way at a time. Time alone shows nothing: an answer taken at the last
-   * moment was a start that its leader knew nothing of for a report's interval more.
+   * A start went with the newest heartbeat response. Only the next heartbeat shows whether it
+   * arrived: a worker may take a response at the last moment before its deadline.
    */
   boolean startInHeartbeatResponse;
 
   boolean stopping;
   boolean stopSent;
   double stopGraceS;
-  String exitReason;
+
+  /** Why it exited; null before that. */
+  ExitReason exitReason;
+
+  /** When it was first seen running; -1: not yet. */
   long runningSinceMs = -1;
 
   TaskAttempt(Job job, int index, long attemptNumber, Machine machine, long placedMs) {
@@ -67,17 +70,17 @@
   }
 
   /**
-   * Whether a direct order may still start it, which the machine has not shown yet. That its lease
-   * ran out proves nothing of this: a machine that begins anew has the first session again, and no
-   * token, so the order held on its way starts the task there (seed 94 of the swarm).
+   * Whether a direct start that the machine has not shown yet may still be executed. An expired
+   * lease does not exclude it: a restarted machine is in its first epoch again and has no fencing
+   * token, so it would execute a delayed start.
    */
   boolean startPending() {
     return phase == null && (startUnconfirmed || startInFlight);
   }
 
   /**
-   * Whether the task may still start, though no further command is sent: a start is on its way or
-   * in doubt, with a direct order or with an answer, or its image is being fetched.
+   * Whether the task may still start without a further command: a start is in flight or
+   * unconfirmed, directly or in a response, or its image is being fetched.
    */
   boolean mayStart() {
     return phase == Heartbeat.TaskPhase.FETCHING
@@ -89,29 +92,29 @@
     return phase == Heartbeat.TaskPhase.RUNNING || phase == Heartbeat.TaskPhase.SAVING;
   }
 
-  /** Whether, as far as its estimate tells, it will have left its room at this time. */
+  /** Whether it will have ended at this time by its estimate. */
   boolean expectedDoneBy(long atMs) {
     return job.spec.kind() == JobKind.ARRAY
         && !exited()
         && placedMs + job.spec.estimateS() * 1000 < atMs;
   }
 
-  /** Nobody wants it to run any more. */
+  /** Whether it should not run any more. */
   boolean unwanted() {
     return stopping || resultUnused();
   }
 
-  /** Its job is over or about to be: nothing that it could still save is of use to anybody. */
+  /** Its job is over or about to be, so a checkpoint is of no use. */
   private boolean resultUnused() {
     return job.state != Job.State.LIVE || job.cancellationRequested;
   }
 
-  /** The grace of a stop: none for what is useless, so that one that saves is ended, too. */
+  /** Seconds that a stop leaves for a checkpoint; 0 where that is of no use. */
   double graceS() {
     return resultUnused() ? 0 : stopGraceS;
   }
 
-  /** A stop that gave time to save has to go out once more where that is of no use now. */
+  /** Has a stop that left time for a checkpoint sent again without. */
   void shortenGrace() {
     stopSent &= stopGraceS == 0;
   }
--- a/src/main/java/org/astershift/scheduler/Team.java
+++ b/src/main/java/org/astershift/scheduler/Team.java
@@ -1,15 +1,15 @@
 package org.astershift.scheduler;
 
-/** A team's guarantee and limit; 0 means none. */
+/** A team with its guaranteed quota and its limit; 0 means none. */
 public record Team(
     String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
 
-  /** Whether anything limits what the team's tasks use at any time. */
+  /** Whether the team has any limit. */
   public boolean isLimited() {
     return maxCpus > 0 || maxGpus > 0;
   }
 
-  /** Tasks of the job that may run at once: of an array as many as the limit allows. */
+  /** Tasks of the job that can run at once: of an array as many as the team's limit allows. */
   public int maxConcurrentTasks(JobSpec spec) {
     double tasks = spec.tasks();
     if (spec.kind() == JobKind.ARRAY) {
@@ -19,7 +19,7 @@
     return (int) tasks;
   }
 
-  /** Whether use may grow to these amounts. */
+  /** Whether the limit allows a usage of these amounts. */
   public boolean allows(double usedCpus, double usedGpus) {
     return (maxCpus <= 0 || usedCpus <= maxCpus + 1e-9)
         && (maxGpus <= 0 || usedGpus <= maxGpus + 1e-9);
--- a/src/main/java/org/astershift/scheduler/UnobservedUsage.java
+++ b/src/main/java/org/astershift/scheduler/UnobservedUsage.java
@@ -4,26 +4,23 @@
 import java.util.Set;
 
 /**
- * The most that tasks this leader does not know of may take, so that teams with a limit can start
- * work after a change of leaders before every machine on record was heard. Whatever an earlier
- * leader started, and still starts while it is cut off, is on such a machine, and on a machine is
- * no more than it has: its whole size counts against every team, in full against each, since any of
- * them may hold all of it.
+ * An upper bound of what tasks unknown to this leader use, so that teams with a limit can start
+ * work after a failover before all machines are reconciled. Such tasks run on unobserved machines
+ * only, and use no more than these have: their whole capacity counts against every team, since any
+ * team may use all of it.
  *
- * <p>A machine is in the dark until it shows this leader's token, and again while it holds tasks of
- * jobs that are over, of which nobody knows any more what they take and for which team. Waiting
- * until none was left stopped a site on which each team has a limit for 5 s at each change of
- * leaders, and for as long as a single machine was slow.
+ * <p>A machine is unobserved until it is fenced, and while it holds tasks of jobs that are over,
+ * whose needs and teams are not known any more.
  */
 final class UnobservedUsage {
   private final Set<Machine> machines = new HashSet<>();
   private double cpus;
   private double gpus;
 
-  /** Machines among them whose type is not known: nothing bounds what they hold. */
+  /** Unobserved machines whose type is not known: nothing bounds their usage. */
   private int machinesOfUnknownType;
 
-  /** Brings the sums up to what is known of the machine now. */
+  /** Updates the sums to the machine's present state; {@code present}: it is not gone. */
   void update(Machine machine, boolean present) {
     boolean unobserved = present && machine.mayHoldUnobservedUsage();
     if (unobserved ? machines.add(machine) : machines.remove(machine)) {
@@ -44,7 +41,7 @@
     }
   }
 
-  /** The machines' types have changed. */
+  /** Recomputes the sums after a change of machine types. */
   void recompute() {
     cpus = 0;
     gpus = 0;
@@ -54,7 +51,7 @@
     }
   }
 
-  /** Processors that unknown tasks of any one team may take. */
+  /** Processors that unknown tasks of any one team may use. */
   double cpus() {
     return machinesOfUnknownType > 0 ? Double.MAX_VALUE : cpus;
   }
--- a/src/main/java/org/astershift/scheduler/Utilization.java
+++ b/src/main/java/org/astershift/scheduler/Utilization.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Busy and allocated processors, of machines with and without accelerators. */
+/** Used and provisioned processors, of machines with and without accelerators. */
 final class Utilization {
   private final Pool withoutAccelerators = new Pool();
   private final Pool withAccelerators = new Pool();
 
-  /** Machines that can stand in for each other. */
+  /** Sums over machines that can replace each other. */
   private static final class Pool {
     double usedCpus;
     double liveCpus;
@@ -21,12 +21,12 @@
     return machine.type != null && machine.type.gpus() > 0 ? withAccelerators : withoutAccelerators;
   }
 
-  /** Processors of the machine come into use, or are free again where there are fewer than 0. */
+  /** Adds used processors of the machine; negative: they are free again. */
   void addUsedCpus(Machine machine, double cpus) {
     pool(machine).usedCpus += cpus;
   }
 
-  /** Sums up anew; in between, {@link #addUsedCpus} keeps up what is used. */
+  /** Recomputes all sums; in between, {@link #addUsedCpus} updates what is used. */
   void recount(Collection<Machine> machines) {
     for (Pool pool : List.of(withoutAccelerators, withAccelerators)) {
       pool.usedCpus = 0;
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Processors of machines without accelerators, there or on their way. */
+  /** Processors of machines without accelerators, live or booting. */
   double processorsWithoutAccelerators() {
     return withoutAccelerators.liveCpus + withoutAccelerators.bootingCpus;
   }
@@ -63,13 +63,13 @@
         : withAccelerators.liveCpus;
   }
 
-  /** Busy over allocated processors, of the machines that can stand in for this one. */
+  /** Share of the processors in use, of the machines that can replace this one. */
   double of(Machine machine) {
     Pool pool = pool(machine);
     return pool.liveCpus == 0 ? 0 : pool.usedCpus / pool.liveCpus;
   }
 
-  /** For the log: what is used of machines without and with accelerators. */
+  /** For the log: used processors of machines without and with accelerators. */
   String summary() {
     return String.format(
         Locale.ROOT,
--- a/src/main/java/org/astershift/scheduler/package-info.java
+++ b/src/main/java/org/astershift/scheduler/package-info.java
@@ -1,7 +1,11 @@
 /**
- * Scheduling itself, as values in and values out. Nothing here does input or output, reads a clock
- * or starts a thread: time comes in as an argument in milliseconds of one steady clock, and
- * decisions leave as {@link org.astershift.scheduler.Decision} values for the loops around it to
- * carry out.
+ * The scheduler of one leader's term. It takes in events and returns {@link
+ * org.astershift.scheduler.Decision} values for its caller to carry out. Nothing here does input or
+ * output, reads a clock or starts a thread: time comes in as an argument, in milliseconds of one
+ * steady clock, and the caller's lock guards all state.
+ *
+ * <p>{@link org.astershift.scheduler.Scheduler} is the entry. {@code ClusterState} holds the state
+ * of the term; heartbeats and command results update it ({@code HeartbeatReconciler}, {@code
+ * DirectCommands}), and {@code SchedulingPass} decides from it.
  */
 package org.astershift.scheduler;
