--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -116,7 +116,7 @@
     if (!work.canMakeRoomFor(machine, spec)) {
       return null;
     }
-    boolean imageHit = machine.cachedImages.containsKey(spec.image());
+    boolean imageHit = machine.hasCachedImage(spec.image());
     if ((imageHitsOnly && !imageHit) || !PlacementRules.isMachineAllowed(machine, job, nowMs)) {
       return null;
     }
