--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/CapacityPool.java
@@ -0,0 +1,12 @@
+package org.astershift.scheduler;
+
+/** Machines of one type, zone and kind, which the cloud grants or refuses together. */
+record CapacityPool(String typeName, String zone, boolean spot) {
+  static CapacityPool of(Decision.ProvisionMachines request) {
+    return new CapacityPool(request.typeName(), request.zone(), request.spot());
+  }
+
+  Decision.ProvisionMachines request(int count) {
+    return new Decision.ProvisionMachines(typeName, zone, spot, count);
+  }
+}
--- a/src/main/java/org/astershift/scheduler/CostStatistics.java
+++ b/src/main/java/org/astershift/scheduler/CostStatistics.java
@@ -3,16 +3,17 @@
 import java.util.Collection;
 import java.util.Locale;
 
-/** Where this term's money goes, for the log: by what each machine does at the time. */
+/** The cost of machines in this leader's term, for the log, by what each machine was doing. */
 final class CostStatistics {
   private static final double MS_PER_HOUR = 3_600_000;
-  private long lastMs = -1;
+  private long lastMs = -1; // -1: nothing is accrued yet
   private double bootingCost;
   private double idleCost;
   private double unusedCost;
   private double usedCost;
   private double silentCost;
 
+  /** Adds the cost since the last call, by what each machine does now. */
   void accrue(Collection<Machine> machines, long nowMs) {
     double hours = lastMs < 0 ? 0 : (nowMs - lastMs) / MS_PER_HOUR;
     lastMs = nowMs;
@@ -22,27 +23,34 @@
         continue;
       }
       double cost = type.hourlyPrice(machine.spot) * hours;
-      double share =
-          Math.max(
-              machine.usedCpus() / type.cpus(),
-              Math.max(
-                  machine.usedMemoryGb() / type.memoryGb(),
-                  type.gpus() > 0 ? machine.usedGpus() / type.gpus() : 0));
       switch (machine.state) {
         case BOOTING -> bootingCost += cost;
-        case LIVE -> {
-          if (!machine.idle()) {
-            usedCost += cost * share;
-            unusedCost += cost * (1 - share);
-          } else {
-            idleCost += cost;
-          }
-        }
+        case LIVE -> accrueLive(machine, cost);
         default -> silentCost += cost;
       }
     }
   }
 
+  private void accrueLive(Machine machine, double cost) {
+    if (machine.idle()) {
+      idleCost += cost;
+    } else {
+      double share = usedShare(machine);
+      usedCost += cost * share;
+      unusedCost += cost * (1 - share);
+    }
+  }
+
+  /** Share of the resource that is used most. */
+  private static double usedShare(Machine machine) {
+    MachineType type = machine.type;
+    return Math.max(
+        machine.usedCpus() / type.cpus(),
+        Math.max(
+            machine.usedMemoryGb() / type.memoryGb(),
+            type.gpus() > 0 ? machine.usedGpus() / type.gpus() : 0));
+  }
+
   @Override
   public String toString() {
     return String.format(
--- a/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
+++ b/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
@@ -8,19 +8,19 @@
 import java.util.PriorityQueue;
 
 /**
- * Which arrays can still meet their deadlines together. Where machines are short, serving all in
- * the order of their deadlines makes all of them late; so of those that do not fit, the largest are
- * put off, which leaves most jobs in time (Moore's rule). What is put off is served after the
+ * Which job arrays can still meet their deadlines together. Where machines are short, earliest
+ * deadline first makes all of them late; so of those that do not fit, the largest are postponed,
+ * which leaves most jobs in time (the Moore-Hodgson rule). Postponed jobs are served after the
  * others.
  */
 final class DeadlineAdmission {
-  /** Share of its run that a running task has left, on average. */
+  /** Share of its estimate that a running task has left, on average. */
   private static final double REMAINING_RUN_SHARE = 0.5;
 
-  /** Share of its estimate by which a job may seem to end too late: estimates are often wrong. */
+  /** Share of its estimate by which a job may be late and still counts as in time. */
   private static final double LATENESS_TOLERANCE_SHARE = 0.5;
 
-  /** Jobs put off queue behind all others of their priority: by more than any deadline. */
+  /** Milliseconds by which postponed jobs queue behind all others: more than any deadline. */
   private static final double POSTPONED_DELAY_MS = 1e9;
 
   private final ClusterState cluster;
@@ -29,28 +29,16 @@
     this.cluster = cluster;
   }
 
-  /** Sets the urgency of these waiting arrays of one priority, all with a deadline. */
+  /** Sets the urgency of these waiting arrays of one priority, all with a completion deadline. */
   void assignUrgency(Priority priority, List<Job> jobs, long nowMs) {
-    double availableCpus = cluster.utilization.processorsWithoutAccelerators();
-    double loadCpuS = 0;
-    for (Job job : cluster.jobs.values()) {
-      JobSpec spec = job.spec;
-      if (spec.gpus() > 0) {
-        continue;
-      }
-      double heldCpus = job.attempts.size() * spec.cpus();
-      if (spec.priority().compareTo(priority) < 0) {
-        availableCpus -= heldCpus;
-      } else if (spec.priority() == priority) {
-        loadCpuS += heldCpus * spec.estimateS() * REMAINING_RUN_SHARE;
-      }
-    }
-    double capacityPerMs = Math.max(availableCpus, 1) / 1000;
+    CpuLoad running = runningLoad(priority);
+    double capacityPerMs = Math.max(running.availableCpus(), 1) / 1000;
+    double loadCpuS = running.loadCpuS();
     List<Job> undecided = new ArrayList<>(jobs.size());
-    // What waits so long that its longer aims are in danger is put off no more.
     for (Job job : jobs) {
       double objectiveRiskMs = job.objectiveAtRiskMs();
       if (nowMs >= objectiveRiskMs && nowMs < job.objectiveMissedMs()) {
+        // It is postponed no more: its longer objectives are at risk.
         job.urgencyMs = objectiveRiskMs;
         loadCpuS += waitingLoadCpuS(job);
       } else {
@@ -62,22 +50,47 @@
     for (double deadlineFactor : cluster.limits.deadlineMultiples()) {
       List<Job> postponed = new ArrayList<>();
       loadCpuS = admit(undecided, deadlineFactor, loadCpuS, capacityPerMs, postponed, nowMs);
-      for (Job job : undecided) {
-        job.urgencyMs = job.latestStartMs() + delayMs;
-      }
+      setUrgency(undecided, delayMs);
       undecided = postponed;
       undecided.sort(Comparator.comparingDouble(Job::latestStartMs));
       delayMs += POSTPONED_DELAY_MS;
     }
-    for (Job job : undecided) {
+    setUrgency(undecided, delayMs);
+  }
+
+  private static void setUrgency(List<Job> jobs, double delayMs) {
+    for (Job job : jobs) {
       job.urgencyMs = job.latestStartMs() + delayMs;
     }
   }
 
+  /** Processors that jobs of a priority may use, and the processor seconds they still need. */
+  private record CpuLoad(double availableCpus, double loadCpuS) {}
+
+  /** Jobs of higher priority keep what they hold; those of the same one add to the load. */
+  private CpuLoad runningLoad(Priority priority) {
+    double availableCpus = cluster.utilization.processorsWithoutAccelerators();
+    double loadCpuS = 0;
+    for (Job job : cluster.jobs.values()) {
+      JobSpec spec = job.spec;
+      if (spec.gpus() > 0) {
+        continue;
+      }
+      double heldCpus = job.attempts.size() * spec.cpus();
+      if (spec.priority().compareTo(priority) < 0) {
+        availableCpus -= heldCpus;
+      } else if (spec.priority() == priority) {
+        loadCpuS += heldCpus * spec.estimateS() * REMAINING_RUN_SHARE;
+      }
+    }
+    return new CpuLoad(availableCpus, loadCpuS);
+  }
+
   /**
-   * Moves jobs from {@code undecided} to {@code postponed} until the others can be in time, each
-   * with what is due before it: on all machines, and on as many as its team's limit allows. Gives
-   * their load.
+   * Moves jobs from {@code undecided}, which is in the order of their latest starts, to {@code
+   * postponed} until the others can be in time, each with what is due before it: on all machines,
+   * and on as many as its team's quota allows. Returns the load of the admitted jobs, in processor
+   * seconds.
    */
   private double admit(
       List<Job> undecided,
@@ -147,7 +160,7 @@
         : Math.min(capacityPerMs, team.maxCpus() / 1000);
   }
 
-  /** Processor seconds that what the team's tasks hold is still taken for. */
+  /** Processor seconds that the team's running tasks still need. */
   private double heldLoadCpuS(String teamName) {
     double loadCpuS = 0;
     for (Job job : cluster.unfinishedJobs(teamName)) {
@@ -157,7 +170,7 @@
     return loadCpuS;
   }
 
-  /** Processor seconds that its waiting tasks need. */
+  /** Processor seconds that the job's waiting tasks need. */
   private static double waitingLoadCpuS(Job job) {
     return job.waitingCount() * job.spec.cpus() * Math.max(job.spec.estimateS(), 1);
   }
--- a/src/main/java/org/astershift/scheduler/Demand.java
+++ b/src/main/java/org/astershift/scheduler/Demand.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * Tasks of one job for which a plan looks for room. What has to be in one zone is covered only by
- * one zone's room, and what is spread by no more of a zone than it may use: else such a job would
- * wait for ever beside room that it cannot take.
+ * Tasks of one job for which a scale-out plan looks for room. A job that has to be in one zone is
+ * covered by one zone's room only, and a spread job by no more of a zone than it may use: otherwise
+ * nothing would be requested for it, and it would wait beside room that it cannot take.
  */
 final class Demand {
   final Job job;
@@ -41,13 +41,14 @@
         : remaining;
   }
 
+  /** Takes room for as many of the remaining tasks as may and can run on these machines. */
   void fill(List<PlannedMachine> machines) {
     for (PlannedMachine machine : machines) {
       if (remaining == 0) {
         return;
       }
       if (!machine.hasRoomFor(job.spec)) {
-        continue; // most are full: this is asked for each job and machine
+        continue; // most are full, and this runs for each job and machine
       }
       for (int n = allowedIn(machine.zone); n > 0 && machine.take(job.spec); n--) {
         takenByZone.merge(machine.zone, 1, Integer::sum);
--- a/src/main/java/org/astershift/scheduler/Eligibility.java
+++ b/src/main/java/org/astershift/scheduler/Eligibility.java
@@ -5,21 +5,20 @@
 import java.util.Set;
 
 /**
- * Whether a job could ever run, on paper: with all machines that the cloud offers and all of its
- * team's limit free. What might run is accepted, however unlikely it is; what cannot is refused at
+ * Whether a job could ever run, given all machines that the cloud offers and its team's whole
+ * quota. A job that might run is accepted, however unlikely that is; one that cannot is rejected at
  * once, since its user would wait for ever.
  *
- * <p>Gangs and services run as a whole: all tasks of a gang at once, all replicas of a service from
- * its start until it is cancelled. So all of them have to be possible together. Machines are as
- * many as wanted (capacity is not published), so what binds them is the team's limit and the zones.
- * Of n tasks at most half, rounded up, may be in one zone: of two or more a part has to be in a
- * second one, and two always suffice, as twice the half rounded up is n or more. So if they are
- * bound to one zone, by {@code oneZone}, by {@code zone}, or since no other has a type that one
- * fits, they never run together; otherwise two zones can be had, and they may. Both flags of a
- * single task agree.
+ * <p>All tasks of a gang run at once, and so do all replicas of a service, so all of them have to
+ * be possible together. The cloud publishes no capacity, so machines count as unlimited, and only
+ * the team's quota and the zones restrict such a job. Of n spread tasks at most half, rounded up,
+ * may be in one zone: two or more tasks need a second zone, and two zones always suffice. So spread
+ * tasks can never run together if they are bound to one zone: by {@code oneZone}, by {@code zone},
+ * or because no other zone has a type that they fit. A single task may be both in one zone and
+ * spread.
  *
- * <p>Of an array each task counts alone, and only those held at the same time are spread: the first
- * half of them runs in one zone, and then the next. So for it a place for one task is enough.
+ * <p>Tasks of an array need not run together, and only those held at the same time are spread: one
+ * half may run after the other in the same zone. So room for one task is enough.
  */
 public final class Eligibility {
   private Eligibility() {}
@@ -38,7 +37,7 @@
         : "more than the team's limit";
   }
 
-  /** The same whatever its team may have. */
+  /** The same apart from the team's quota. */
   static String noPlacementReason(JobSpec spec, Collection<MachineType> types) {
     Set<String> zones = new HashSet<>();
     for (MachineType type : types) {
--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -141,7 +141,7 @@
   private long closedAttemptNumber;
 
   /** What the largest jobs of its class got is counted by this; set when it is taken in. */
-  ServiceStatistics.JobOutcome outcome;
+  JobOutcome outcome;
 
   /** The operators were told that it has not begun. */
   boolean startWarningLogged;
--- a/src/main/java/org/astershift/scheduler/JobKind.java
+++ b/src/main/java/org/astershift/scheduler/JobKind.java
@@ -1,8 +1,11 @@
 package org.astershift.scheduler;
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job relate to each other. */
 public enum JobKind {
+  /** Independent tasks. */
   ARRAY,
+  /** Tasks that start and run together. */
   GANG,
+  /** Replicas that run until the job is cancelled. */
   SERVICE
 }
--- a/src/main/java/org/astershift/scheduler/JobSpec.java
+++ b/src/main/java/org/astershift/scheduler/JobSpec.java
@@ -37,7 +37,7 @@
         && (zone == null || type.zones().contains(zone));
   }
 
-  /** Kinds of machines that it may use: spot ones, if at all, first. */
+  /** Whether machines may be spot: the choices that the job has, spot first. */
   public List<Boolean> spotChoices() {
     return spotAllowed ? List.of(true, false) : List.of(false);
   }
--- a/src/main/java/org/astershift/scheduler/MinimumRequirements.java
+++ b/src/main/java/org/astershift/scheduler/MinimumRequirements.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The least that any task of some jobs takes, and the types that any may use: a machine without
- * even that is passed over, without a look at each of the jobs.
+ * The least that any waiting task of some jobs needs, and the machine types that any may use: a
+ * machine without even that is skipped without a check of each job.
  */
 final class MinimumRequirements {
   private final Set<String> types = new HashSet<>();
@@ -26,6 +26,7 @@
     }
   }
 
+  /** Whether one of the jobs may find room there; false only if certainly none does. */
   boolean satisfiedBy(Machine machine) {
     return machine.fits(cpus, gpus, memoryGb) && types.contains(machine.typeName);
   }
--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/PoolSelector.java
@@ -0,0 +1,127 @@
+package org.astershift.scheduler;
+
+import java.util.List;
+
+/** Chooses the cheapest pools and zones for a demand within one scale-out plan. */
+final class PoolSelector {
+  /** Seconds over which the price of a machine's boot is spread: most live for some minutes. */
+  private static final double EXPECTED_MACHINE_LIFETIME_S = 300;
+
+  /** Share of the price by which each machine of a zone makes it dearer: a tie goes elsewhere. */
+  private static final double ZONE_SPREAD_PRICE_SHARE = 0.001;
+
+  private final MachineTypeCatalog types;
+  private final PoolAvailability availability;
+  private final ZoneLoad zoneLoad;
+  private final long nowMs;
+
+  PoolSelector(
+      MachineTypeCatalog types, PoolAvailability availability, ZoneLoad zoneLoad, long nowMs) {
+    this.types = types;
+    this.availability = availability;
+    this.zoneLoad = zoneLoad;
+    this.nowMs = nowMs;
+  }
+
+  /**
+   * The cheapest machines for what is left of the demand; null if none can be had now. If no zone
+   * that is reachable has any, one machine in a partitioned zone: it shows when the zone is back,
+   * which matters to jobs that may run nowhere else.
+   */
+  Decision.ProvisionMachines cheapestRequest(Demand demand) {
+    Decision.ProvisionMachines request = cheapestRequest(demand, false);
+    return request == null ? cheapestRequest(demand, true) : request;
+  }
+
+  private Decision.ProvisionMachines cheapestRequest(Demand demand, boolean inPartitionedZone) {
+    JobSpec spec = demand.job.spec;
+    Decision.ProvisionMachines best = null;
+    double bestCost = Double.MAX_VALUE;
+    for (String name : demand.job.usableTypes) {
+      MachineType type = types.all().get(name);
+      int tasksPerMachine = Math.max(1, type.capacity(spec));
+      int machinesNeeded = divideRoundingUp(demand.remaining(), tasksPerMachine);
+      for (boolean spot : spec.spotChoices()) {
+        for (String zone : type.zones()) {
+          CapacityPool pool = new CapacityPool(name, zone, spot);
+          int allowedTasks = demand.allowedIn(zone);
+          double cost = cost(type, pool, machinesNeeded);
+          if (allowedTasks > 0 && canRequest(pool, inPartitionedZone) && cost < bestCost) {
+            int allowedMachines =
+                Math.min(machinesNeeded, divideRoundingUp(allowedTasks, tasksPerMachine));
+            int count = spreadCount(spec, type, machinesNeeded, allowedMachines);
+            bestCost = cost;
+            best = pool.request(inPartitionedZone ? 1 : count);
+          }
+        }
+      }
+    }
+    return best;
+  }
+
+  private boolean canRequest(CapacityPool pool, boolean inPartitionedZone) {
+    return inPartitionedZone
+        ? availability.isAvailableInPartition(pool, nowMs) && !zoneLoad.hasPending(pool.zone())
+        : availability.isAvailable(pool, nowMs);
+  }
+
+  private double cost(MachineType type, CapacityPool pool, int machines) {
+    double price = type.hourlyPrice(pool.spot()) * (1 + type.bootS() / EXPECTED_MACHINE_LIFETIME_S);
+    return machines * price * (1 + ZONE_SPREAD_PRICE_SHARE * zoneLoad.machinesIn(pool.zone()));
+  }
+
+  /** No more than a zone's even part, unless the job has to be in one zone. */
+  private static int spreadCount(
+      JobSpec spec, MachineType type, int machinesNeeded, int allowedMachines) {
+    int zoneShare = Math.max(1, divideRoundingUp(machinesNeeded, type.zones().size()));
+    return spec.oneZone() ? allowedMachines : Math.min(allowedMachines, zoneShare);
+  }
+
+  private static int divideRoundingUp(int dividend, int divisor) {
+    return (dividend + divisor - 1) / divisor;
+  }
+
+  /** The zone that lacks least of what the job needs, among those where the rest can be had. */
+  String cheapestZone(
+      Demand demand, List<PlannedMachine> freeMachines, List<PlannedMachine> pendingMachines) {
+    String best = "";
+    String fallback = "";
+    double bestCost = Double.MAX_VALUE;
+    for (String zone : types.zones()) {
+      int maxTasks = demand.allowedIn(zone);
+      // An array that is spread as well runs there one part after the other.
+      boolean mayRunInParts = demand.job.spec.kind() == JobKind.ARRAY && maxTasks > 0;
+      if (maxTasks < demand.remaining() && !mayRunInParts) {
+        continue;
+      }
+      fallback = zone;
+      int missingTasks =
+          Math.max(
+              0,
+              maxTasks
+                  - demand.fittingTasks(freeMachines, zone)
+                  - demand.fittingTasks(pendingMachines, zone));
+      double price = missingTasks == 0 ? 0 : lowestPrice(demand.job, zone);
+      double cost = missingTasks * price;
+      if (cost < bestCost) {
+        best = zone;
+        bestCost = cost;
+      }
+    }
+    return best.isEmpty() ? fallback : best;
+  }
+
+  private double lowestPrice(Job job, String zone) {
+    double lowest = Double.MAX_VALUE;
+    for (String name : job.usableTypes) {
+      MachineType type = types.all().get(name);
+      for (boolean spot : job.spec.spotChoices()) {
+        if (type.zones().contains(zone)
+            && availability.isAvailable(new CapacityPool(name, zone, spot), nowMs)) {
+          lowest = Math.min(lowest, type.hourlyPrice(spot));
+        }
+      }
+    }
+    return lowest;
+  }
+}
--- a/src/main/java/org/astershift/scheduler/Priority.java
+++ b/src/main/java/org/astershift/scheduler/Priority.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** Priorities, the most urgent first, so that the ordinal sorts the queue. */
+/** Priorities, the most urgent first: their natural order sorts the queue. */
 public enum Priority {
   PRODUCTION,
   HIGH,
--- a/src/main/java/org/astershift/scheduler/RemainingQuota.java
+++ b/src/main/java/org/astershift/scheduler/RemainingQuota.java
@@ -4,16 +4,46 @@
 import java.util.Map;
 
 /**
- * What each team may still take of its limits, used up by one job after the other: for whoever
- * looks at many jobs of a team at once, since each alone may fit where all together do not.
+ * What each team may still take of its quota, used up by one job after the other: several jobs of a
+ * team may each fit alone and not all together.
  */
 final class RemainingQuota {
   private static final double TOLERANCE = 1e-6;
   private final ClusterState cluster;
-  private final Map<String, double[]> remaining = new HashMap<>();
+  private final Map<String, Amounts> remaining = new HashMap<>();
 
-  /** What of each team's use is thought to be over soon. */
-  private final Map<String, double[]> soonReleased = new HashMap<>();
+  /** What of each team's use is expected to be released soon. */
+  private final Map<String, Amounts> soonReleased = new HashMap<>();
+
+  /** Processors and accelerators that a team may take. */
+  private static final class Amounts {
+    private double cpus;
+    private double gpus;
+
+    Amounts(double cpus, double gpus) {
+      this.cpus = cpus;
+      this.gpus = gpus;
+    }
+
+    /** Moves what is over the quota from {@code now} to here: it has to be released first. */
+    void absorbDebt(Amounts now) {
+      cpus += Math.min(0, now.cpus);
+      now.cpus = Math.max(0, now.cpus);
+      gpus += Math.min(0, now.gpus);
+      now.gpus = Math.max(0, now.gpus);
+    }
+
+    /** Takes as many tasks as fit, at most {@code limit}; returns how many. */
+    int take(JobSpec spec, int limit) {
+      double count = limit;
+      count = spec.cpus() > 0 ? Math.min(count, cpus / spec.cpus() + TOLERANCE) : count;
+      count = spec.gpus() > 0 ? Math.min(count, gpus / spec.gpus() + TOLERANCE) : count;
+      int taken = (int) Math.max(0, count);
+      cpus -= taken * spec.cpus();
+      gpus -= taken * spec.gpus();
+      return taken;
+    }
+  }
 
   RemainingQuota(ClusterState cluster) {
     this.cluster = cluster;
@@ -22,36 +52,34 @@
   /** This task will soon be over, and its team may have as much again from then on. */
   void expectRelease(TaskAttempt attempt) {
     JobSpec spec = attempt.job.spec;
-    double[] available = soonReleased.computeIfAbsent(spec.team(), t -> new double[2]);
-    available[0] += spec.cpus();
-    available[1] += spec.gpus();
+    Amounts amounts = soonReleasedOf(spec.team());
+    amounts.cpus += spec.cpus();
+    amounts.gpus += spec.gpus();
   }
 
   /** How many of {@code limit} tasks of the job its team may have, which are taken. */
   int take(Job job, int limit) {
-    return take(
-        job.spec, limit, remaining.computeIfAbsent(job.spec.team(), cluster::remainingTeamQuota));
+    return remainingOf(job.spec.team()).take(job.spec, limit);
   }
 
-  /** The same with what the team will have when its tasks that are soon over have left. */
+  /** The same with what the team will have when its tasks that are soon over are released. */
   int takeIncludingSoonReleased(Job job, int limit) {
-    double[] now = remaining.computeIfAbsent(job.spec.team(), cluster::remainingTeamQuota);
-    double[] later = soonReleased.computeIfAbsent(job.spec.team(), t -> new double[2]);
-    for (int i = 0; i < now.length; i++) {
-      later[i] += Math.min(0, now[i]); // what is over a limit has to be made good first
-      now[i] = Math.max(0, now[i]);
-    }
-    int taken = take(job.spec, limit, later);
+    Amounts later = soonReleasedOf(job.spec.team());
+    later.absorbDebt(remainingOf(job.spec.team()));
+    int taken = later.take(job.spec, limit);
     return taken + take(job, limit - taken);
   }
 
-  private static int take(JobSpec spec, int limit, double[] available) {
-    double count = limit;
-    count = spec.cpus() > 0 ? Math.min(count, available[0] / spec.cpus() + TOLERANCE) : count;
-    count = spec.gpus() > 0 ? Math.min(count, available[1] / spec.gpus() + TOLERANCE) : count;
-    int taken = (int) Math.max(0, count);
-    available[0] -= taken * spec.cpus();
-    available[1] -= taken * spec.gpus();
-    return taken;
+  private Amounts remainingOf(String team) {
+    return remaining.computeIfAbsent(team, this::remainingNow);
+  }
+
+  private Amounts remainingNow(String team) {
+    double[] cpusAndGpus = cluster.remainingTeamQuota(team);
+    return new Amounts(cpusAndGpus[0], cpusAndGpus[1]);
+  }
+
+  private Amounts soonReleasedOf(String team) {
+    return soonReleased.computeIfAbsent(team, name -> new Amounts(0, 0));
   }
 }
--- a/src/main/java/org/astershift/scheduler/Reservation.java
+++ b/src/main/java/org/astershift/scheduler/Reservation.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** Room of a machine that a pass keeps for tasks which do not fit yet. */
+/** Room of a machine that a pass reserves for tasks which do not fit yet. */
 record Reservation(double cpus, double gpus, double memoryGb, int tasks) {
   static final Reservation NONE = new Reservation(0, 0, 0, 0);
 
--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
@@ -0,0 +1,142 @@
+package org.astershift.scheduler;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** One plan of scale-out: which machines the waiting jobs lack, the most urgent job first. */
+final class ScaleOutPlan {
+  /** Pools that one plan may request machines of for one job. */
+  private static final int POOLS_PER_JOB = 20;
+
+  private final ClusterState cluster;
+  private final ConcurrencyEstimator concurrency;
+  private final PoolSelector selector;
+  private final long nowMs;
+
+  /** When the fastest machine requested now would be up. */
+  private final long soonAtMs;
+
+  private final ZoneLoad zoneLoad = new ZoneLoad();
+  private final RemainingQuota remainingQuota;
+  private final List<PlannedMachine> pendingMachines = new ArrayList<>();
+  private final List<PlannedMachine> freeMachines = new ArrayList<>();
+
+  /** The free machines, with the room that tasks leave by {@link #soonAtMs}. */
+  private final List<PlannedMachine> soonFreeMachines = new ArrayList<>();
+
+  private final Map<CapacityPool, Decision.ProvisionMachines> requests = new LinkedHashMap<>();
+
+  ScaleOutPlan(ClusterState cluster, PoolAvailability availability, long nowMs) {
+    this.cluster = cluster;
+    this.concurrency = new ConcurrencyEstimator(cluster.machineTypes);
+    this.selector = new PoolSelector(cluster.machineTypes, availability, zoneLoad, nowMs);
+    this.nowMs = nowMs;
+    this.soonAtMs = nowMs + concurrency.fastestBootMs();
+    this.remainingQuota = new RemainingQuota(cluster);
+  }
+
+  /** One request for each pool; {@code pendingRequests}: calls to the cloud that are under way. */
+  Collection<Decision.ProvisionMachines> requestsForDemand(
+      Collection<Decision.ProvisionMachines> pendingRequests) {
+    for (Machine machine : cluster.allMachines()) {
+      addMachine(machine);
+    }
+    for (Decision.ProvisionMachines request : pendingRequests) {
+      addPending(request);
+    }
+    for (Job job : waitingJobs()) {
+      requestMachinesFor(job);
+    }
+    return requests.values();
+  }
+
+  private void addMachine(Machine machine) {
+    zoneLoad.add(machine);
+    if (machine.type != null
+        && machine.state == Machine.State.BOOTING
+        && !cluster.isZonePartitioned(machine.zone, nowMs)) {
+      pendingMachines.add(new PlannedMachine(machine.type, machine.zone, machine.spot));
+    } else if (cluster.usable(machine, nowMs)) {
+      freeMachines.add(new PlannedMachine(machine));
+      soonFreeMachines.add(PlannedMachine.withExpectedReleases(machine, soonAtMs));
+      for (TaskAttempt attempt : machine.attempts.values()) {
+        if (attempt.expectedDoneBy(soonAtMs)) {
+          remainingQuota.expectRelease(attempt);
+        }
+      }
+    }
+  }
+
+  private void addPending(Decision.ProvisionMachines request) {
+    MachineType type = cluster.machineTypes.all().get(request.typeName());
+    for (int i = 0; type != null && i < request.count(); i++) {
+      pendingMachines.add(new PlannedMachine(type, request.zone(), request.spot()));
+    }
+    zoneLoad.addPending(request);
+  }
+
+  private List<Job> waitingJobs() {
+    List<Job> jobs = new ArrayList<>();
+    for (Job job : cluster.waitingJobs) {
+      // Tasks that may run on an unreconciled machine need no other.
+      boolean mayBeRunningUnobserved = cluster.anyUnreconciled() && job.inherited;
+      if (!mayBeRunningUnobserved && !job.cancellationRequested && nowMs >= job.pausedUntilMs) {
+        jobs.add(job);
+      }
+    }
+    jobs.sort(
+        Comparator.comparing((Job job) -> job.spec.priority())
+            .thenComparing(job -> !job.hasObjective));
+    return jobs;
+  }
+
+  private void requestMachinesFor(Job job) {
+    Demand demand = uncoveredDemand(job);
+    for (int i = 0; demand.remaining() > 0 && i < POOLS_PER_JOB; i++) {
+      Decision.ProvisionMachines request = selector.cheapestRequest(demand);
+      if (request == null) {
+        break;
+      }
+      int firstNew = pendingMachines.size();
+      addPending(request);
+      demand.fill(pendingMachines.subList(firstNew, pendingMachines.size()));
+      requests.merge(
+          CapacityPool.of(request),
+          request,
+          (a, b) -> CapacityPool.of(a).request(a.count() + b.count()));
+    }
+  }
+
+  /** The tasks that neither free nor pending machines take. */
+  private Demand uncoveredDemand(Job job) {
+    boolean mayUseSoonFree = mayUseSoonFree(job);
+    int maxTasks = concurrency.desiredConcurrency(job, nowMs);
+    // Tasks that end soon free their team's quota as well as their room: counting only the room
+    // would let it cover all that the quota allows now, and nothing would be requested.
+    int tasks =
+        mayUseSoonFree
+            ? remainingQuota.takeIncludingSoonReleased(job, maxTasks)
+            : remainingQuota.take(job, maxTasks);
+    Demand demand = new Demand(job, tasks);
+    if (job.spec.oneZone()) {
+      demand.restrictToZone(selector.cheapestZone(demand, freeMachines, pendingMachines));
+    }
+    if (job.spec.kind() == JobKind.GANG) {
+      demand.fill(freeMachines);
+    } else if (mayUseSoonFree) {
+      demand.fill(soonFreeMachines);
+    }
+    demand.fill(pendingMachines);
+    return demand;
+  }
+
+  /** What is free before a new machine could be up needs no new machine. */
+  private boolean mayUseSoonFree(Job job) {
+    return job.spec.kind() != JobKind.GANG
+        && (job.startObjectiveS == null || job.startObjectiveS * 1000 > soonAtMs - nowMs);
+  }
+}
--- a/src/main/java/org/astershift/scheduler/WaitQueue.java
+++ b/src/main/java/org/astershift/scheduler/WaitQueue.java
@@ -3,30 +3,31 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumMap;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
  * The wait queue's window: the first tasks that may start now, as jobs, since all tasks of a job
- * share image and needs. Sorted anew by each pass; between passes it is used as it was.
+ * share image and requirements. Each pass sorts it anew; between passes it is used as it was.
  */
 final class WaitQueue {
-  /**
-   * Tasks of each kind of place and need that are looked at beyond the window: as many as one
-   * machine is given in a pass. The window may be full of what fits nowhere for now, and what could
-   * start elsewhere waited behind it beside room.
-   */
-  private static final int WINDOW_OVERFLOW_TASKS = 64;
+  private static final double TOLERANCE = 1e-9;
+
+  private static final Comparator<Job> SERVICE_ORDER =
+      Comparator.comparing((Job job) -> job.spec.priority())
+          .thenComparing(Job::isSuspect)
+          .thenComparing(job -> !job.withinGuaranteedQuota)
+          .thenComparing(job -> job.bestEffort)
+          .thenComparingDouble(job -> job.urgencyMs)
+          .thenComparingLong(job -> job.submittedMs);
 
   private final ClusterState cluster;
-  private final Map<Priority, List<Job>> jobsByPriority = new EnumMap<>(Priority.class);
+  private final DeadlineAdmission deadlineAdmission;
+  private Map<Priority, List<Job>> jobsByPriority = Map.of();
 
-  /** Those of them for which something is aimed at, gangs apart. */
+  /** Jobs of the window with objectives, gangs apart. */
   private final List<Job> withObjective = new ArrayList<>();
 
-  private final DeadlineAdmission deadlineAdmission;
-
   /** Of all jobs in the window, as they were when it was sorted. */
   private MinimumRequirements minimumRequirements = new MinimumRequirements(List.of());
 
@@ -43,8 +44,8 @@
   }
 
   /**
-   * Whether a job with an aim waits that may use the machine: then room that is too small for its
-   * tasks must not go to those with no aim, or it would never become large enough.
+   * Whether a job with an objective waits that may use the machine: then room that is too small for
+   * its tasks must not go to jobs without, or it would never become large enough.
    */
   boolean hasWaitingObjectiveWork(Machine machine) {
     for (Job job : withObjective) {
@@ -68,10 +69,19 @@
     return jobsByPriority.isEmpty();
   }
 
+  /** Sorts all waiting jobs anew and selects the window. */
   void refresh(long nowMs) {
-    jobsByPriority.clear();
-    List<Job> queue = new ArrayList<>();
-    Map<Priority, List<Job>> deadlineJobs = new EnumMap<>(Priority.class);
+    jobsByPriority = Map.of();
+    List<Job> startable = startableJobs(nowMs);
+    cluster.minimumShare.refresh(startable, nowMs);
+    assignDeadlineUrgency(startable, nowMs);
+    startable.sort(SERVICE_ORDER);
+    fillWindow(startable);
+  }
+
+  /** The jobs with tasks that may start now, with what they are sorted by. */
+  private List<Job> startableJobs(long nowMs) {
+    List<Job> startable = new ArrayList<>();
     for (Job job : cluster.waitingJobs) {
       FaultAttribution.checkProbe(job, nowMs);
       if (isStartable(job, nowMs)) {
@@ -79,59 +89,39 @@
         job.urgencyMs =
             byStartObjective ? job.submittedMs + job.startObjectiveS * 1000 : job.latestStartMs();
         job.bestEffort = !job.hasObjective && !isBelowGuarantee(job);
-        queue.add(job);
-        if (job.isDeadlineDriven() && !job.isSuspect()) {
-          deadlineJobs.computeIfAbsent(job.spec.priority(), priority -> new ArrayList<>()).add(job);
-        }
+        startable.add(job);
+      }
+    }
+    return startable;
+  }
+
+  private void assignDeadlineUrgency(List<Job> startable, long nowMs) {
+    Map<Priority, List<Job>> deadlineJobs = new EnumMap<>(Priority.class);
+    for (Job job : startable) {
+      if (job.isDeadlineDriven() && !job.isSuspect()) {
+        deadlineJobs.computeIfAbsent(job.spec.priority(), priority -> new ArrayList<>()).add(job);
       }
     }
-    cluster.minimumShare.refresh(queue, nowMs);
     deadlineJobs.forEach(
         (priority, jobs) -> deadlineAdmission.assignUrgency(priority, jobs, nowMs));
-    queue.sort(
-        Comparator.comparing((Job job) -> job.spec.priority())
-            .thenComparing(Job::isSuspect)
-            .thenComparing(job -> !job.withinGuaranteedQuota)
-            .thenComparing(job -> job.bestEffort)
-            .thenComparingDouble(job -> job.urgencyMs)
-            .thenComparingLong(job -> job.submittedMs));
-    fillWindow(queue);
   }
 
   private void fillWindow(List<Job> queue) {
-    int tasks = 0;
-    int tasksOverQuota = 0;
-    Map<Job.PlacementConstraints, Integer> tasksByConstraints = new HashMap<>();
-    RemainingQuota remainingQuota = new RemainingQuota(cluster);
-    List<Job> windowJobs = new ArrayList<>();
-    withObjective.clear();
+    QueueWindow window = new QueueWindow(cluster);
     for (Job job : queue) {
-      // What its team's limit keeps from starting takes no place of what may start: the window was
-      // full of one team's tasks while a tenth of the machines stood idle and others' waited.
-      int startableTasks = remainingQuota.take(job, job.waitingCount());
-      tasks += startableTasks;
-      tasksOverQuota += job.waitingCount() - startableTasks;
-      if (startableTasks == 0 && tasksOverQuota >= cluster.policy.windowTasks()) {
-        continue;
-      }
-      // Nor does what fits nowhere keep from it what may start elsewhere: of each kind of place and
-      // need some are looked at beyond its end.
-      int sameConstraintTasks =
-          tasksByConstraints.merge(job.placementConstraints, startableTasks, Integer::sum)
-              - startableTasks;
-      if (tasks - startableTasks >= cluster.policy.windowTasks()
-          && (startableTasks == 0 || sameConstraintTasks >= WINDOW_OVERFLOW_TASKS)) {
-        continue;
-      }
+      window.offer(job);
+    }
+    jobsByPriority = window.jobsByPriority();
+    withObjective.clear();
+    for (Job job : window.jobs()) {
       if (job.hasObjective && job.spec.kind() != JobKind.GANG && !job.isSuspect()) {
         withObjective.add(job);
       }
-      jobsByPriority.computeIfAbsent(job.spec.priority(), priority -> new ArrayList<>()).add(job);
-      windowJobs.add(job);
     }
-    // What is starved goes before the window, and most of it stands beyond its end.
-    cluster.minimumShare.starved().forEach(group -> windowJobs.addAll(group.agedJobs()));
-    minimumRequirements = new MinimumRequirements(windowJobs);
+    // Starved groups are served whatever the window holds.
+    List<Job> servedJobs = new ArrayList<>(window.jobs());
+    cluster.minimumShare.starved().forEach(group -> servedJobs.addAll(group.agedJobs()));
+    minimumRequirements = new MinimumRequirements(servedJobs);
   }
 
   /** Whether tasks of the job may be placed now. */
@@ -142,11 +132,11 @@
         || nowMs < job.pausedUntilMs) {
       return false;
     }
-    // A broken job is probed by one task at a time.
+    // A suspect job is probed by one task at a time.
     if (job.probeInProgress()) {
       return false;
     }
-    // What is not heard may hold tasks of opened jobs; what it may use of limits is in teamAllows.
+    // Unreconciled machines may hold tasks of inherited jobs; teamQuotaAllows counts what they use.
     return !cluster.anyUnreconciled() || !job.inherited;
   }
 
@@ -156,9 +146,11 @@
       return false;
     }
     double[] usage = cluster.teamUsage(team.name());
+    double usedCpus = usage[0];
+    double usedGpus = usage[1];
     JobSpec spec = job.spec;
     return spec.gpus() > 0
-        ? usage[1] + spec.gpus() <= team.guaranteedGpus() + 1e-9
-        : usage[0] + spec.cpus() <= team.guaranteedCpus() + 1e-9;
+        ? usedGpus + spec.gpus() <= team.guaranteedGpus() + TOLERANCE
+        : usedCpus + spec.cpus() <= team.guaranteedCpus() + TOLERANCE;
   }
 }
