--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -107,7 +107,7 @@
   private long closedAttemptNumber;
 
   /** Its entry in the service statistics; set when it is added. */
-  ServiceStatistics.JobOutcome outcome;
+  JobOutcome outcome;
 
   /** The warning that it does not start was logged. */
   boolean startWarningLogged;
