--- /dev/null
+++ b/src/main/java/org/astershift/controller/CloudPoller.java
@@ -0,0 +1,107 @@
+package org.astershift.controller;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import org.astershift.cloud.CloudClient;
+import org.astershift.http.JsonFormatException;
+import org.astershift.http.Threads;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.store.RateLimiter;
+import org.astershift.store.RecordCodec;
+import org.astershift.store.StoreClient;
+import org.astershift.store.WatchCache;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Reads the cloud's machine list and machine types for the leader's scheduler. */
+final class CloudPoller {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudPoller.class);
+
+  private final CloudClient cloud;
+  private final StoreClient store;
+  private final WatchCache watchCache;
+  private final Runnable requestPass;
+  private volatile Map<String, MachineType> types = Map.of();
+
+  CloudPoller(CloudClient cloud, StoreClient store, WatchCache watchCache, Runnable requestPass) {
+    this.cloud = cloud;
+    this.store = store;
+    this.watchCache = watchCache;
+    this.requestPass = requestPass;
+  }
+
+  /** Machine types by name; empty until the cloud or the store was read. Any thread. */
+  Map<String, MachineType> types() {
+    return types;
+  }
+
+  /** The leader's record of the types, for nodes that start while the cloud is unavailable. */
+  void onTypesRecord(Map<String, Object> value) {
+    try {
+      types = RecordCodec.decodeTypes(value);
+    } catch (JsonFormatException e) {
+      LOG.error("record of machine types cannot be decoded: {}", e.getMessage());
+    }
+  }
+
+  /** Polls until the term is over. */
+  void pollLoop(LeaderTerm term) {
+    long typesFetchedMs = 0;
+    while (!term.ended()) {
+      try {
+        long nowMs = LeaderTerm.nowMs();
+        if (typesFetchedMs == 0 || nowMs - typesFetchedMs > LoopTiming.MACHINE_TYPES_INTERVAL_MS) {
+          refreshTypes(term);
+          typesFetchedMs = nowMs;
+        }
+        refreshMachines(term);
+        Thread.sleep(LoopTiming.MACHINE_LIST_INTERVAL_MS);
+      } catch (IOException e) {
+        LOG.info("cloud call failed, token={}: {}", term.token, e.getMessage());
+        CloudBackoff.sleep();
+      } catch (InterruptedException e) {
+        return;
+      } catch (RuntimeException e) {
+        LOG.error("cloud poll failed, token={}", term.token, e);
+        Threads.backOff();
+      }
+    }
+  }
+
+  private void refreshMachines(LeaderTerm term) throws IOException {
+    long requestedMs = LeaderTerm.nowMs();
+    List<Scheduler.ListedMachine> listed = cloud.listMachines();
+    term.scheduler.onMachineList(listed, requestedMs);
+    requestPass.run();
+  }
+
+  private void refreshTypes(LeaderTerm term) throws IOException, InterruptedException {
+    Map<String, MachineType> fetchedTypes = cloud.listMachineTypes();
+    boolean changed = !fingerprint(fetchedTypes).equals(fingerprint(types));
+    types = fetchedTypes;
+    term.scheduler.updateMachineTypes(fetchedTypes);
+    requestPass.run();
+    if (changed || watchCache.get(RecordCodec.TYPES) == null) {
+      StoreClient.Transaction txn =
+          term.transaction().put(RecordCodec.TYPES, RecordCodec.encodeTypes(fetchedTypes));
+      term.checkLeadershipLost(
+          store.commit(txn, RateLimiter.Urgency.INTERACTIVE, StoreClient.STORE_RATE_WAIT_MS));
+    }
+  }
+
+  /** What is worth a write when it changes; prices, which change all the time, are not. */
+  private static String fingerprint(Map<String, MachineType> types) {
+    StringBuilder fingerprint = new StringBuilder();
+    for (MachineType type : types.values()) {
+      fingerprint
+          .append(type.name())
+          .append(type.cpus())
+          .append(type.gpus())
+          .append(type.memoryGb())
+          .append(type.zones());
+    }
+    return fingerprint.toString();
+  }
+}
--- a/src/main/java/org/astershift/controller/CommandDispatcher.java
+++ b/src/main/java/org/astershift/controller/CommandDispatcher.java
@@ -1,7 +1,7 @@
 package org.astershift.controller;
 
-import org.astershift.http.TaskPool;
 import org.astershift.config.ThreadBudget;
+import org.astershift.http.TaskPool;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Decision;
 import org.astershift.worker.CommandSender;
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -16,11 +16,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Makes the ends of jobs durable before anybody is told of them. */
+/** Makes the ends of jobs durable before any user sees them. Callable from any thread. */
 final class CompletionWriter {
   private static final Logger LOG = LoggerFactory.getLogger(CompletionWriter.class);
 
-  /** Changes that the end of a job takes: its record goes from the live ones to the ended. */
+  /** Changes that the end of a job takes: its record moves from the live ones to the ended. */
   private static final int CHANGES_PER_END = 2;
 
   private final Settings.StoreLimits limits;
@@ -28,7 +28,7 @@
   private final EndedJobCache endedJobs;
   private final Runnable requestPass;
 
-  /** {@code requestPass}: brings a pass of the scheduler about, since room may have become free. */
+  /** {@code requestPass}: asks for a scheduling pass, since capacity may have become free. */
   CompletionWriter(
       Settings.StoreLimits limits,
       StoreClient store,
@@ -40,7 +40,7 @@
     this.requestPass = requestPass;
   }
 
-  /** Writes the ends of completed jobs, as many in a transaction as it may have. */
+  /** Writes the ends of completed jobs in batches, until the term is over. */
   void writeLoop(LeaderTerm term) throws InterruptedException {
     int maxJobs = Math.max(1, limits.txnOps() / CHANGES_PER_END);
     maxJobs = Math.min(maxJobs, LoopTiming.COMPLETION_BATCH_JOBS);
@@ -52,7 +52,7 @@
       try {
         persistEnds(term, jobIds);
       } catch (RuntimeException | Error e) {
-        LOG.error("ends could not be written", e);
+        LOG.error("writing job ends failed, token={}", term.token, e);
         retryLater(term, jobIds);
       }
     }
@@ -79,12 +79,7 @@
       requestPass.run();
     } else if (outcome instanceof Outcome.ConditionFailed && !term.checkLeadershipLost(outcome)) {
       ends.keySet().forEach(term.termJobs()::onEndWriteRejected);
-      // One of them was cancelled meanwhile, or an earlier try without an answer was applied.
-      for (String jobId : ends.keySet()) {
-        if (persistEnd(term, jobId, false, StoreClient.STORE_RATE_WAIT_MS) == null) {
-          retryLater(term, List.of(jobId));
-        }
-      }
+      persistSingly(term, ends.keySet());
     } else {
       if (outcome instanceof Outcome.Rejected) {
         ends.keySet().forEach(term.termJobs()::onEndWriteRejected);
@@ -93,6 +88,16 @@
     }
   }
 
+  /** One of them was cancelled meanwhile, or an earlier attempt without an answer was applied. */
+  private void persistSingly(LeaderTerm term, Collection<String> jobIds)
+      throws InterruptedException {
+    for (String jobId : jobIds) {
+      if (persistEnd(term, jobId, false, StoreClient.STORE_RATE_WAIT_MS) == null) {
+        retryLater(term, List.of(jobId));
+      }
+    }
+  }
+
   private static void retryLater(LeaderTerm term, Collection<String> jobIds) {
     if (!term.ended()) {
       Threads.backOff();
@@ -106,7 +111,8 @@
   }
 
   /**
-   * Done and cancelled exclude each other, also for tries whose answer was lost: the first stays.
+   * Done and cancelled exclude each other, also for attempts whose answer was lost: the first that
+   * is applied stays.
    */
   private static void addEndRecord(
       StoreClient.Transaction txn, String jobId, RecordCodec.JobEnd end) {
@@ -117,12 +123,12 @@
   private void onEndPersisted(LeaderTerm term, String jobId, RecordCodec.JobEnd end) {
     endedJobs.put(jobId, end);
     term.onJobEnded(jobId, end.cancelled());
-    LOG.debug("job {} is {}", jobId, end.cancelled() ? "cancelled" : "done");
+    LOG.debug("job ended, job={} cancelled={}", jobId, end.cancelled());
   }
 
   /**
-   * The end of a job was read. Where this leader wrote it, got no answer and was asked no more, its
-   * term would keep the job, its records and its place among the team's for ever.
+   * The end of a job was read from the store. Where this leader wrote it without getting an answer,
+   * the term would otherwise keep the job, its records and its share of the team's quota.
    *
    * @param term the present term, or null
    */
@@ -134,7 +140,7 @@
     }
   }
 
-  /** Makes the job's end durable, before anyone is told; null if that is not certain yet. */
+  /** Makes the job's end durable; gives the end that stands, or null if none is certain yet. */
   RecordCodec.JobEnd persistEnd(LeaderTerm term, String jobId, boolean cancelled, long timeoutMs)
       throws InterruptedException {
     if (!term.manages(jobId)) {
@@ -149,21 +155,25 @@
       term.termJobs().onEndWriteRejected(jobId);
     }
     if (outcome instanceof Outcome.ConditionFailed && !term.checkLeadershipLost(outcome)) {
-      try {
-        StoreClient.Entry entry = store.get(RecordCodec.ENDED + jobId);
-        if (entry.data() == null) {
-          return null;
-        }
-        end = RecordCodec.decodeEnd(entry.data());
-      } catch (IOException | JsonFormatException e) {
-        LOG.debug("end of {}: {}", jobId, e.toString());
-        return null;
-      }
+      end = readEnd(jobId);
     } else if (!(outcome instanceof Outcome.Committed)) {
-      return null;
+      end = null;
+    }
+    if (end != null) {
+      onEndPersisted(term, jobId, end);
+      requestPass.run();
     }
-    onEndPersisted(term, jobId, end);
-    requestPass.run();
     return end;
   }
+
+  /** Null if the job has no recorded end, or it cannot be read. */
+  private RecordCodec.JobEnd readEnd(String jobId) {
+    try {
+      StoreClient.Entry entry = store.get(RecordCodec.ENDED + jobId);
+      return entry.data() == null ? null : RecordCodec.decodeEnd(entry.data());
+    } catch (IOException | JsonFormatException e) {
+      LOG.debug("reading a job's end failed, job={}: {}", jobId, e.toString());
+      return null;
+    }
+  }
 }
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -10,6 +10,7 @@
 import org.astershift.coordination.WorkerReachability;
 import org.astershift.http.Threads;
 import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerOperation;
 import org.astershift.store.StoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -125,7 +126,7 @@
     }
     if (transfer.successor() != null) {
       for (JobService.PeerChannel other : peers.values()) {
-        notifyPeer(other, "yield", transfer.successor());
+        notifyPeer(other, PeerOperation.ANNOUNCE_TRANSFER, transfer.successor());
       }
     }
     String reason =
@@ -141,7 +142,9 @@
   private static Candidacy.PeerStatus queryWorkerReachability(
       String node, JobService.PeerChannel peer) {
     try {
-      JobAnswer answer = peer.call("reach", "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
+      JobAnswer answer =
+          peer.call(
+              PeerOperation.WORKER_REACHABILITY, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
       WorkerReachability.Measurement measurement =
           new WorkerReachability.Measurement(answer.runningTasks(), answer.doneTasks());
       return new Candidacy.PeerStatus(
@@ -152,7 +155,8 @@
     }
   }
 
-  private static void notifyPeer(JobService.PeerChannel peer, String operation, String argument) {
+  private static void notifyPeer(
+      JobService.PeerChannel peer, PeerOperation operation, String argument) {
     try {
       peer.call(operation, argument, LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
     } catch (IOException | RuntimeException e) {
@@ -182,7 +186,8 @@
     for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
       try {
         JobAnswer answer =
-            peer.getValue().call("state", "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
+            peer.getValue()
+                .call(PeerOperation.STORE_STATUS, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
         answered++;
         if (answer.status() == 200) {
           reported = parseLeader(answer.phase());
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -1,11 +1,12 @@
 package org.astershift.controller;
 
-import org.astershift.http.TaskPool;
 import java.util.List;
 import java.util.Map;
+import org.astershift.cloud.CloudClient;
 import org.astershift.config.Settings;
 import org.astershift.config.ThreadBudget;
 import org.astershift.coordination.Candidacy;
+import org.astershift.http.TaskPool;
 import org.astershift.http.Threads;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Heartbeat;
@@ -31,7 +32,9 @@
   private final StoreClient store;
   private final WatchCache watchCache;
   private final LeaderElector elector;
+  private final CloudPoller cloudPoller;
   private final CloudProvisioner provisioner;
+  private final MachineReleaser releaser;
   private final ReachabilityProber prober;
   private final CommandDispatcher commands;
   private final ConnectivityMonitor connectivity;
@@ -62,7 +65,10 @@
     this.elector =
         new LeaderElector(
             settings.nodeName(), store, watchCache, this, candidacy, prober::measurement);
-    this.provisioner = new CloudProvisioner(settings, store, watchCache, this::requestPass);
+    CloudClient cloud = new CloudClient(settings);
+    this.cloudPoller = new CloudPoller(cloud, store, watchCache, this::requestPass);
+    this.provisioner = new CloudProvisioner(cloud);
+    this.releaser = new MachineReleaser(cloud, this::requestPass);
     this.connectivity = new ConnectivityMonitor(store, peers, this, candidacy);
     this.completionWriter =
         new CompletionWriter(settings.storeLimits(), store, endedJobs, this::requestPass);
@@ -124,7 +130,7 @@
 
   /** Machine types by name; empty until the cloud or the store was read. */
   public Map<String, MachineType> types() {
-    return provisioner.types();
+    return cloudPoller.types();
   }
 
   /** The present term, or null. */
@@ -147,7 +153,7 @@
       if (entry.key().equals(RecordCodec.LEADER)) {
         elector.wakeLoop();
       } else if (entry.key().equals(RecordCodec.TYPES) && entry.data() != null && term == null) {
-        provisioner.onTypesRecord(entry.data());
+        cloudPoller.onTypesRecord(entry.data());
       } else if (entry.key().startsWith(RecordCodec.JOB) && entry.data() != null) {
         onJobRecord(entry);
       }
@@ -181,7 +187,7 @@
       store.setLeading(true);
     }
     LeaderTerm term = createTerm(token);
-    term.scheduler.updateMachineTypes(provisioner.types());
+    term.scheduler.updateMachineTypes(cloudPoller.types());
     term.load(watchCache);
     synchronized (termLock) {
       if (elector.token() != token) {
@@ -214,11 +220,11 @@
    * all loops would hold the lease and place nothing.
    */
   private void startLoops(LeaderTerm term) {
-    DecisionExecutor executor = new DecisionExecutor(term, commands, provisioner, prober);
+    DecisionExecutor executor = new DecisionExecutor(term, commands, provisioner, releaser, prober);
     PassLoop passLoop = new PassLoop(term, settings.nodeName(), passSignal, executor);
     Threads.start("records", () -> term.records.writeLoop(term));
     Threads.start("pass", passLoop::run);
-    Threads.start("cloud", () -> provisioner.pollLoop(term));
+    Threads.start("cloud", () -> cloudPoller.pollLoop(term));
     Threads.start("progress", () -> ProgressSaver.saveLoop(term));
     Threads.start("completions", () -> completionWriter.writeLoop(term));
   }
--- a/src/main/java/org/astershift/controller/DecisionExecutor.java
+++ b/src/main/java/org/astershift/controller/DecisionExecutor.java
@@ -14,16 +14,19 @@
   private final LeaderTerm term;
   private final CommandDispatcher commands;
   private final CloudProvisioner provisioner;
+  private final MachineReleaser releaser;
   private final ReachabilityProber prober;
 
   DecisionExecutor(
       LeaderTerm term,
       CommandDispatcher commands,
       CloudProvisioner provisioner,
+      MachineReleaser releaser,
       ReachabilityProber prober) {
     this.term = term;
     this.commands = commands;
     this.provisioner = provisioner;
+    this.releaser = releaser;
     this.prober = prober;
   }
 
@@ -32,6 +35,7 @@
     commands.startQueuedTasks();
     prober.startQueuedTasks();
     provisioner.startQueuedTasks();
+    releaser.startQueuedTasks();
   }
 
   @Override
@@ -71,7 +75,7 @@
 
   @Override
   public void visit(Decision.ReleaseMachines decision) {
-    provisioner.releaseMachines(term, decision);
+    releaser.release(term, decision);
   }
 
   @Override
--- /dev/null
+++ b/src/main/java/org/astershift/controller/JobCanceller.java
@@ -0,0 +1,117 @@
+package org.astershift.controller;
+
+import org.astershift.coordination.Cancellation;
+import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerOperation;
+import org.astershift.store.RecordCodec;
+
+/**
+ * Carries out what {@link Cancellation} decides about a user's cancellation, until it is durable or
+ * its deadline has passed.
+ */
+final class JobCanceller {
+  private final ControllerRuntime runtime;
+  private final EndedJobCache endedJobs;
+  private final JobLookup lookup;
+
+  JobCanceller(ControllerRuntime runtime, JobLookup lookup) {
+    this.runtime = runtime;
+    this.endedJobs = runtime.endedJobs();
+    this.lookup = lookup;
+  }
+
+  /** Cancels; confirmed only once it is durable and no task of the job can outlive it. */
+  JobAnswer cancel(String jobId, boolean mayForward) throws InterruptedException {
+    return new Request(jobId, mayForward, runtime.currentTerm(), LeaderTerm.nowMs()).answer();
+  }
+
+  /** One cancellation, in its user's thread. */
+  private final class Request {
+    private final String jobId;
+    private final boolean mayForward;
+    private final LeaderTerm term;
+    private final long arrivedMs;
+    private final long deadlineMs;
+    private boolean cancelRequested;
+    private boolean storeRead;
+
+    Request(String jobId, boolean mayForward, LeaderTerm term, long arrivedMs) {
+      this.jobId = jobId;
+      this.mayForward = mayForward;
+      this.term = term;
+      this.arrivedMs = arrivedMs;
+      this.deadlineMs = arrivedMs + LoopTiming.CANCEL_WAIT_MS;
+    }
+
+    JobAnswer answer() throws InterruptedException {
+      while (true) {
+        Cancellation.Action action = Cancellation.next(view());
+        if (action.needsTerm() && !cancelRequested) {
+          requestCancel();
+        }
+        JobAnswer answer = execute(action);
+        if (answer != null) {
+          return answer;
+        }
+        if (action.needsTerm()) {
+          Thread.sleep(LoopTiming.CANCEL_POLL_INTERVAL_MS);
+        }
+      }
+    }
+
+    /** From here on no task of the job starts, however long the write of its end takes. */
+    private void requestCancel() {
+      cancelRequested = true;
+      term.requestCancel(jobId, arrivedMs);
+      runtime.requestPass();
+    }
+
+    /** Null if the user has to wait on. */
+    private JobAnswer execute(Cancellation.Action action) throws InterruptedException {
+      return switch (action) {
+        case REPLY_WITH_END -> answerWith(endedJobs.get(jobId));
+        case FORWARD -> lookup.askLeader(PeerOperation.CANCEL_JOB, jobId);
+        case REJECT -> JobAnswer.UNDECIDED;
+        case READ_STORE -> readStore();
+        case WAIT -> null;
+        case WRITE_CANCELLED -> answerWith(runtime.persistEnd(term, jobId, true, remainingMs()));
+        case WRITE_DONE -> answerWith(runtime.persistEnd(term, jobId, false, remainingMs()));
+      };
+    }
+
+    private JobAnswer readStore() {
+      JobAnswer answer = lookup.queryStore(jobId);
+      storeRead = true;
+      return answer.status() == 200 ? null : answer;
+    }
+
+    private static JobAnswer answerWith(RecordCodec.JobEnd end) {
+      return end == null ? null : JobLookup.toAnswer(end);
+    }
+
+    private long remainingMs() {
+      return Math.max(1, deadlineMs - LeaderTerm.nowMs());
+    }
+
+    private Cancellation.View view() {
+      boolean deadlinePassed = LeaderTerm.nowMs() >= deadlineMs;
+      boolean ended = endedJobs.get(jobId) != null;
+      boolean managed = term != null && term.manages(jobId);
+      LeaderTerm.CancellationState state =
+          !ended && managed
+              ? term.cancellationState(jobId)
+              : LeaderTerm.CancellationState.NOT_MANAGED;
+      return new Cancellation.View(
+          ended,
+          mayForward,
+          term != null,
+          term != null && !term.ended() && runtime.leaseCertain(term),
+          managed,
+          storeRead,
+          state.fenced(),
+          state.startInFlight(),
+          state.complete(),
+          deadlinePassed);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/astershift/controller/JobLookup.java
@@ -0,0 +1,92 @@
+package org.astershift.controller;
+
+import java.io.IOException;
+import java.util.Map;
+import org.astershift.http.JsonFormatException;
+import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerClient;
+import org.astershift.peer.PeerOperation;
+import org.astershift.store.RecordCodec;
+import org.astershift.store.StoreClient;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** What the leader and the store say of a job. Callable from any thread; waits for the answer. */
+final class JobLookup {
+  private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
+
+  private final ControllerRuntime runtime;
+  private final StoreClient store;
+  private final EndedJobCache endedJobs;
+  private final Map<String, JobService.PeerChannel> peers;
+
+  /** {@code peers}: channels to the other controllers, by node name. */
+  JobLookup(
+      ControllerRuntime runtime, StoreClient store, Map<String, JobService.PeerChannel> peers) {
+    this.runtime = runtime;
+    this.store = store;
+    this.endedJobs = runtime.endedJobs();
+    this.peers = peers;
+  }
+
+  static JobAnswer toAnswer(RecordCodec.JobEnd end) {
+    return new JobAnswer(200, end.cancelled() ? "withdrawn" : "done", end.done(), 0);
+  }
+
+  /** What the leader says, or else the store. */
+  JobAnswer queryLeader(String jobId) {
+    JobAnswer answer = askLeader(PeerOperation.POLL_JOB, jobId);
+    return answer.status() == 503 ? queryStore(jobId) : answer;
+  }
+
+  /**
+   * What the store holds, never older than the call: the live record is read first, since an ended
+   * job has lost it before its end can be read.
+   */
+  JobAnswer queryStore(String jobId) {
+    if (store.unavailable()) {
+      return JobAnswer.UNDECIDED; // at once: no user waits for the deadline of a read
+    }
+    try {
+      StoreClient.Entry liveEntry = store.get(RecordCodec.JOB + jobId);
+      if (liveEntry.data() != null) {
+        runtime.onJobRecord(liveEntry);
+        return new JobAnswer(200, "queued", 0, 0);
+      }
+      StoreClient.Entry endedEntry = store.get(RecordCodec.ENDED + jobId);
+      if (endedEntry.data() == null) {
+        return JobAnswer.UNKNOWN;
+      }
+      RecordCodec.JobEnd end = RecordCodec.decodeEnd(endedEntry.data());
+      runtime.onEndRead(jobId, end);
+      return toAnswer(end);
+    } catch (IOException | JsonFormatException e) {
+      LOG.debug("reading job failed, job={}: {}", jobId, e.toString());
+      return JobAnswer.UNDECIDED;
+    }
+  }
+
+  /** The leader's answer about a job, whose end is remembered; undecided without an answer. */
+  JobAnswer askLeader(PeerOperation operation, String jobId) {
+    JobAnswer answer = callLeader(operation, jobId);
+    if ("done".equals(answer.phase()) || "withdrawn".equals(answer.phase())) {
+      endedJobs.put(
+          jobId, new RecordCodec.JobEnd(answer.phase().equals("withdrawn"), answer.doneTasks()));
+    }
+    return answer;
+  }
+
+  private JobAnswer callLeader(PeerOperation operation, String jobId) {
+    String leader = runtime.otherLeader();
+    JobService.PeerChannel peer = leader == null ? null : peers.get(leader);
+    if (peer == null) {
+      return JobAnswer.UNDECIDED;
+    }
+    try {
+      return peer.call(operation, jobId, PeerClient.PEER_TIMEOUT_MS);
+    } catch (IOException e) {
+      LOG.debug("leader does not answer, node={} job={}: {}", leader, jobId, e.toString());
+      return JobAnswer.UNDECIDED;
+    }
+  }
+}
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -16,7 +16,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out what {@link Election} decides: the requests to the state service, the waits. */
+/**
+ * Carries out what {@link Election} decides: requests to the store, waits, begin and end of terms.
+ */
 public final class LeaderElector {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElector.class);
 
@@ -28,15 +30,16 @@
   private final Election election;
   private final Object electionSignal = new Object();
 
-  /** Takes up and lays down the leader's work. */
+  /** Begins and ends terms. */
   public interface TermListener {
+    /** Begins a term; it may be over by now. In a thread of its own, which may throw. */
     void onTermBegin(long token);
 
     /** Ends the term of this token, if it has begun. */
     void onTermEnd(long token, String reason);
   }
 
-  /** {@code workerReachability}: what this node reaches of the fleet. */
+  /** {@code workerReachability}: how much of the fleet this node reaches. */
   public LeaderElector(
       String node,
       StoreClient store,
@@ -52,11 +55,12 @@
     this.election = new Election(node, candidacy);
   }
 
+  /** Starts the election loop. */
   public void start() {
-    Threads.startLoop("leadership", this::electionLoop);
+    Threads.startLoop("election", this::electionLoop);
   }
 
-  /** 0 if this node does not lead. */
+  /** The fencing token; 0 if this node does not lead. */
   public long token() {
     return election.token();
   }
@@ -66,7 +70,7 @@
     return election.leaseCertain(termToken, LeaderTerm.nowMs());
   }
 
-  /** Until when, on the steady clock, no other node can have become leader. */
+  /** Steady-clock milliseconds before which no other node can have become leader. */
   long leaseCertainUntilMs() {
     return election.leaseCertainUntilMs();
   }
@@ -82,28 +86,29 @@
     return entry == null ? null : String.valueOf(entry.data().get("node"));
   }
 
-  /** The leader's key has changed, or a worker has shown a higher token. */
+  /** Ends the loop's rest: the leader's key has changed, or a term has ended. */
   public void wakeLoop() {
     synchronized (electionSignal) {
       electionSignal.notifyAll();
     }
   }
 
-  /** Another node says who leads: if that one came later, this one does no longer. */
+  /** Another node reports the leader's token: a higher one ends this node's term. */
   void onLeaderObserved(long observedToken) {
     executeAll(election.onLeaderObserved(observedToken));
   }
 
-  /** Gives the leadership up: it is certain that another has it. */
+  /** Ends the term of this token, since another leader is certain. */
   public void stepDown(long termToken, String reason) {
     executeAll(election.stepDown(termToken, reason));
   }
 
-  /** Lets another node lead, because this one reaches too few workers. */
+  /** Gives the leadership up, since this node reaches too few workers. */
   public void resign(long termToken, String reason) {
     executeAll(election.resign(termToken, reason, LeaderTerm.nowMs()));
   }
 
+  /** Actions that may come from outside the election loop, too: the end of a term. */
   private void executeAll(List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Action.EndTerm endTerm) {
@@ -119,7 +124,7 @@
     try {
       store.revoke(lease);
     } catch (IOException e) {
-      LOG.debug("the lease ends by itself: {}", e.toString());
+      LOG.debug("revoking the lease failed, it will expire: {}", e.toString());
     }
   }
 
@@ -136,7 +141,7 @@
           }
         }
       } catch (IOException | RuntimeException e) {
-        LOG.debug("leadership: {}", e.toString());
+        LOG.debug("election step failed: {}", e.toString());
         Threads.backOff();
       }
     }
@@ -156,51 +161,61 @@
         store.silenceMs());
   }
 
-  /** Does what was decided and tells what came of it; true if a rest follows. */
+  /** Carries an action out and reports its outcome to the election; true if a rest follows. */
   private boolean execute(Action action) throws IOException, InterruptedException {
     if (action instanceof Action.ReadKey) {
-      store.get(RecordCodec.LEADER); // so that this node notices if it is cut off
+      store.get(RecordCodec.LEADER); // so that this node notices a partition from the store
       return false;
     } else if (action instanceof Action.Defer defer) {
-      LOG.info(
-          "{} reaches {} of {} workers asked: the others may stand first",
-          node,
-          defer.workerReachability().answered(),
-          defer.workerReachability().probed());
-    } else if (action instanceof Action.RemoveStaleKey r) {
-      store.commit(
-          new StoreClient.Transaction()
-              .when(RecordCodec.LEADER, r.revision())
-              .delete(RecordCodec.LEADER),
-          RateLimiter.Urgency.LEASE,
-          LoopTiming.LEADER_KEY_TIMEOUT_MS);
+      logDeferral(defer.workerReachability());
+    } else if (action instanceof Action.RemoveStaleKey stale) {
+      removeStaleKey(stale.revision());
     } else if (action instanceof Action.GrantLease grant) {
       election.onLeaseGranted(store.grant(grant.ttlMs()));
       return false;
-    } else if (action instanceof Action.CreateKey c) {
-      createKey(c.lease());
+    } else if (action instanceof Action.CreateKey create) {
+      createKey(create.lease());
       return false;
     } else if (action instanceof Action.VerifyKey verify) {
       election.onKeyVerified(revisionIfOnLease(verify.lease()));
       return false;
-    } else if (action instanceof Action.CatchUp c) {
-      boolean caughtUp = watchCache.awaitRevision(c.revision(), Election.LEADER_LEASE_MS);
-      if (!caughtUp) {
-        LOG.info("won token {} but could not read up to it: given up", c.revision());
-      }
-      election.onCaughtUp(c.revision(), caughtUp);
+    } else if (action instanceof Action.CatchUp catchUp) {
+      catchUp(catchUp.revision());
       return false;
     } else if (action instanceof Action.BeginTerm begin) {
       startTermAsync(begin.token());
-    } else if (action instanceof Action.RenewLease r) {
-      return renew(r.lease());
+    } else if (action instanceof Action.RenewLease renewal) {
+      return renew(renewal.lease());
     } else {
       executeAll(List.of(action));
     }
     return true;
   }
 
-  /** True if a rest follows: not after what ends a term, nor after a try that got no answer. */
+  private void logDeferral(WorkerReachability.Measurement reachability) {
+    LOG.info(
+        "deferring candidacy, node={} workers_reached={} workers_probed={}",
+        node,
+        reachability.answered(),
+        reachability.probed());
+  }
+
+  private void removeStaleKey(long revision) throws InterruptedException {
+    store.commit(
+        new StoreClient.Transaction().when(RecordCodec.LEADER, revision).delete(RecordCodec.LEADER),
+        RateLimiter.Urgency.LEASE,
+        LoopTiming.LEADER_KEY_TIMEOUT_MS);
+  }
+
+  private void catchUp(long revision) throws InterruptedException {
+    boolean caughtUp = watchCache.awaitRevision(revision, Election.LEADER_LEASE_MS);
+    if (!caughtUp) {
+      LOG.info("giving up a won election: cache is behind, token={}", revision);
+    }
+    election.onCaughtUp(revision, caughtUp);
+  }
+
+  /** True if a rest follows: not after the end of the lease, nor after a timeout. */
   private boolean renew(long lease) throws IOException {
     long sentMs = LeaderTerm.nowMs();
     try {
@@ -211,7 +226,7 @@
       if (LeaderTerm.nowMs() - sentMs < StoreClient.LEADER_LEASE_RENEW_TIMEOUT_MS) {
         throw e;
       }
-      LOG.debug("renewal of the lease: {}", e.toString());
+      LOG.debug("lease renewal timed out: {}", e.toString());
       return false;
     }
   }
@@ -232,12 +247,12 @@
     }
   }
 
-  /** The revision of the key, if it stands on this lease and that could be prolonged; else 0. */
+  /** The revision of the key, if it is on this lease and that could be renewed; else 0. */
   private long revisionIfOnLease(long lease) {
     try {
       return store.renew(lease) ? store.revisionOnLease(lease, RecordCodec.LEADER) : 0;
     } catch (IOException e) {
-      LOG.debug("whether a claim was carried out is not known: {}", e.toString());
+      LOG.debug("outcome of the key's creation is unknown: {}", e.toString());
       return 0;
     }
   }
@@ -245,9 +260,8 @@
   private void startTermAsync(long termToken) {
     LOG.info("{} leads with token {}", node, termToken);
     try {
-      // Taking over a large fleet takes longer than the lease lives on a small share of a
-      // processor: this loop renews meanwhile.
-      Threads.start("begin", () -> startTerm(termToken));
+      // Loading a large fleet may take longer than the lease: this loop goes on renewing it.
+      Threads.start("term-begin", () -> startTerm(termToken));
     } catch (ThreadUnavailableException e) {
       abandonTerm(termToken, e);
     }
@@ -262,7 +276,7 @@
   }
 
   private void abandonTerm(long termToken, Throwable reason) {
-    LOG.error("a term could not begin", reason);
+    LOG.error("term could not begin, node={} token={}", node, termToken, reason);
     executeAll(election.onTermStartFailed(termToken, LeaderTerm.nowMs()));
   }
 }
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -1,6 +1,5 @@
 package org.astershift.controller;
 
-import org.astershift.http.JsonFormatException;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -8,6 +7,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.astershift.coordination.CancellationLatency;
 import org.astershift.coordination.TermJobs;
+import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.Heartbeat;
--- /dev/null
+++ b/src/main/java/org/astershift/controller/MachineReleaser.java
@@ -0,0 +1,49 @@
+package org.astershift.controller;
+
+import java.io.IOException;
+import org.astershift.cloud.CloudClient;
+import org.astershift.config.ThreadBudget;
+import org.astershift.http.TaskPool;
+import org.astershift.http.Threads;
+import org.astershift.scheduler.Decision;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Releases machines to the cloud, in threads of its own. */
+final class MachineReleaser {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
+
+  private final CloudClient cloud;
+  private final Runnable requestPass;
+  private final TaskPool pool = Threads.pool("release", ThreadBudget.RELEASE_THREADS);
+
+  MachineReleaser(CloudClient cloud, Runnable requestPass) {
+    this.cloud = cloud;
+    this.requestPass = requestPass;
+  }
+
+  /** Queues the release. */
+  void release(LeaderTerm term, Decision.ReleaseMachines request) {
+    pool.execute("release", () -> send(term, request));
+  }
+
+  /** Starts queued releases that found no thread. */
+  void startQueuedTasks() {
+    pool.startWaitingWork();
+  }
+
+  private void send(LeaderTerm term, Decision.ReleaseMachines request) {
+    if (term.ended()) {
+      return;
+    }
+    try {
+      cloud.releaseMachines(request.machineNames());
+      term.scheduler.onMachinesReleased(request.machineNames());
+      requestPass.run();
+    } catch (IOException e) {
+      LOG.info("release failed, machines={}: {}", request.machineNames(), e.toString());
+      CloudBackoff.sleep();
+      term.scheduler.onReleaseFailed(request.machineNames());
+    }
+  }
+}
--- a/src/main/java/org/astershift/controller/PersistedRecordHandler.java
+++ b/src/main/java/org/astershift/controller/PersistedRecordHandler.java
@@ -1,8 +1,8 @@
 package org.astershift.controller;
 
-import org.astershift.http.JsonFormatException;
 import java.util.BitSet;
 import java.util.function.Supplier;
+import org.astershift.http.JsonFormatException;
 import org.astershift.store.RecordCodec;
 
 /** Does what had to wait until a record of the term was durable. */
--- a/src/main/java/org/astershift/controller/ReachabilityProber.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -20,6 +20,7 @@
 import org.astershift.http.Threads;
 import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerClient;
+import org.astershift.peer.PeerOperation;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.Scheduler;
 import org.astershift.store.RecordCodec;
@@ -172,7 +173,10 @@
             Decision.PeerProbeResult result = null;
             try {
               JobAnswer answer =
-                  peer.call("witness", addresses.toString(), PeerClient.PEER_TIMEOUT_MS);
+                  peer.call(
+                      PeerOperation.PROBE_MACHINES,
+                      addresses.toString(),
+                      PeerClient.PEER_TIMEOUT_MS);
               result =
                   answer.status() == 200 ? parsePeerProbeResult(machines, answer.phase()) : null;
             } catch (IOException | RuntimeException e) {
--- a/src/main/java/org/astershift/peer/PeerClient.java
+++ b/src/main/java/org/astershift/peer/PeerClient.java
@@ -15,32 +15,35 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Asks one other controller, with a deadline. */
+/** Sends requests to one other controller, each with a deadline. Callable from any thread. */
 public final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
 
-  /** Milliseconds in which a controller that did not answer is not asked again. */
+  /** Milliseconds for which a controller is not asked again after a timeout. */
   private static final long PEER_BACKOFF_MS = 1000;
 
-  /** Deadline of a request forwarded to the leader, within the user's two seconds for a poll. */
+  /** Milliseconds for a request forwarded to the leader, within the two seconds of a poll. */
   public static final int PEER_TIMEOUT_MS = 1500;
 
   private final Settings.Endpoint endpoint;
   private final Deque<IdleConnection> idleConnections = new ArrayDeque<>();
   private volatile long backoffUntilNs = System.nanoTime();
 
-  /** A connection without a question on it. */
+  /** A connection without a request in flight. */
   private record IdleConnection(Socket socket, long idleSinceNs) {}
 
+  /** Connects at the first request. */
   public PeerClient(Settings.Endpoint endpoint) {
     this.endpoint = endpoint;
   }
 
   /**
-   * A controller that did not answer in time is left alone for a while: its askers have other ways,
-   * and each would wait for the whole deadline.
+   * Sends a request and waits for its answer. Fails at once for a while after a timeout: callers
+   * have alternatives, and each would wait for the whole deadline.
+   *
+   * @throws IOException without an answer in time; the request may have been handled
    */
-  public JobAnswer ask(String operation, String jobId, int timeoutMs) throws IOException {
+  public JobAnswer ask(PeerOperation operation, String argument, int timeoutMs) throws IOException {
     if (System.nanoTime() - backoffUntilNs < 0) {
       throw new IOException("did not answer a moment ago");
     }
@@ -48,24 +51,23 @@
       Socket reused = takeIdle();
       if (reused != null) {
         try {
-          return call(reused, operation, jobId, timeoutMs);
+          return call(reused, operation, argument, timeoutMs);
         } catch (SocketTimeoutException e) {
           throw e;
         } catch (IOException e) {
-          // Closed at the other end meanwhile, as after its restart: a leader that took this for
-          // silence believed the one witness that was cut off with it. Every question may be asked
-          // twice.
-          LOG.debug("a kept connection has ended: {}", e.toString());
+          // Closed by the peer meanwhile, as after its restart, which is no sign of a partition.
+          // All requests are idempotent.
+          LOG.debug("idle peer connection was closed: {}", e.toString());
         }
       }
-      return call(null, operation, jobId, timeoutMs);
+      return call(null, operation, argument, timeoutMs);
     } catch (SocketTimeoutException e) {
       backoffUntilNs = System.nanoTime() + PEER_BACKOFF_MS * 1_000_000;
       throw e;
     }
   }
 
-  private JobAnswer call(Socket reused, String operation, String jobId, int timeoutMs)
+  private JobAnswer call(Socket reused, PeerOperation operation, String argument, int timeoutMs)
       throws IOException {
     Socket socket = reused;
     boolean succeeded = false;
@@ -80,7 +82,7 @@
       socket.setSoTimeout(timeoutMs);
       DataOutputStream out =
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
-      PeerCodec.write(out, new PeerCodec.PeerRequest(operation, jobId));
+      PeerCodec.write(out, new PeerCodec.PeerRequest(operation.word(), argument));
       JobAnswer answer = PeerCodec.readAnswer(new DataInputStream(socket.getInputStream()));
       succeeded = true;
       return answer;
--- a/src/main/java/org/astershift/peer/PeerCodec.java
+++ b/src/main/java/org/astershift/peer/PeerCodec.java
@@ -13,7 +13,7 @@
 
   private PeerCodec() {}
 
-  /** A user's question that only the leader can answer. */
+  /** A request as it is on the wire; {@code jobId}: the argument of whatever operation. */
   record PeerRequest(String operation, String jobId) {}
 
   static void write(DataOutputStream out, PeerRequest request) throws IOException {
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -15,24 +15,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the other controllers' questions. */
+/** Serves the requests of the other controllers, a thread for each connection. */
 public final class PeerServer {
   private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
 
-  /** Answers without forwarding again. */
+  /** Answers a request without forwarding it. */
   public interface RequestHandler {
-    JobAnswer answer(String operation, String jobId) throws InterruptedException;
+    /** {@code operation} may be {@link PeerOperation#UNKNOWN}. */
+    JobAnswer answer(PeerOperation operation, String argument) throws InterruptedException;
   }
 
   private final ServerSocket server;
   private final RequestHandler handler;
   private final Semaphore connectionSlots = new Semaphore(ThreadBudget.PEER_CONNECTIONS);
 
+  /** Listens from now on; connections are accepted after {@link #start}. */
   public PeerServer(String host, int port, RequestHandler handler) throws IOException {
     this.handler = handler;
     this.server = HttpServer.listen(host, port, ThreadBudget.PEER_CONNECTIONS);
   }
 
+  /** Starts to accept connections. */
   public void start() {
     Threads.startLoop("peer-accept", this::acceptLoop);
   }
@@ -48,13 +51,12 @@
         try {
           Threads.start("peer", () -> serve(socket));
         } catch (ThreadUnavailableException e) {
-          connectionSlots
-              .release(); // else the place is taken for ever by a connection that nobody serves
+          connectionSlots.release(); // nobody serves this connection
           socket.close();
           throw e;
         }
       } catch (IOException | ThreadUnavailableException e) {
-        LOG.info("a peer's connection could not be taken: {}", e.toString());
+        LOG.info("accepting a peer connection failed: {}", e.toString());
         Threads.backOff();
       }
     }
@@ -69,7 +71,8 @@
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
       while (true) {
         PeerCodec.PeerRequest request = PeerCodec.readRequest(in);
-        PeerCodec.write(out, handler.answer(request.operation(), request.jobId()));
+        PeerCodec.write(
+            out, handler.answer(PeerOperation.ofWord(request.operation()), request.jobId()));
       }
     } catch (IOException | RuntimeException e) {
       LOG.debug("peer connection: {}", e.toString());
--- a/src/main/java/org/astershift/store/RecordCodec.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -9,10 +9,8 @@
 import org.astershift.http.Json;
 import org.astershift.http.JsonFormatException;
 import org.astershift.scheduler.Decision;
-import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
 import org.astershift.scheduler.MachineType;
-import org.astershift.scheduler.Priority;
 
 /**
  * Keys and values in the state service. All that is live is below one prefix, which nodes watch.
@@ -52,8 +50,8 @@
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("c", spec.jobClass());
     fields.put("t", spec.team());
-    fields.put("k", spec.kind().ordinal());
-    fields.put("p", spec.priority().ordinal());
+    fields.put("k", EnumCodes.of(spec.kind()));
+    fields.put("p", EnumCodes.of(spec.priority()));
     fields.put("n", spec.tasks());
     fields.put("cpu", spec.cpus());
     fields.put("gpu", spec.gpus());
@@ -94,8 +92,8 @@
             key.substring(JOB.length()),
             Json.string(fields, "c"),
             Json.string(fields, "t"),
-            JobKind.values()[(int) Json.integer(fields, "k")],
-            Priority.values()[(int) Json.integer(fields, "p")],
+            EnumCodes.jobKind(Json.integer(fields, "k")),
+            EnumCodes.priority(Json.integer(fields, "p")),
             (int) Json.integer(fields, "n"),
             Json.number(fields, "cpu"),
             Json.number(fields, "gpu"),
--- a/src/test/java/org/astershift/emulator/InProcessControllers.java
+++ b/src/test/java/org/astershift/emulator/InProcessControllers.java
@@ -18,6 +18,7 @@
 import org.astershift.http.HttpServer;
 import org.astershift.http.Json;
 import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerOperation;
 import org.astershift.store.StoreClient;
 import org.astershift.store.WatchCache;
 
@@ -102,7 +103,7 @@
     http.start();
   }
 
-  private JobAnswer asked(String node, String op, String job) throws IOException {
+  private JobAnswer asked(String node, PeerOperation op, String job) throws IOException {
     JobService desk;
     synchronized (desks) {
       desk = desks.get(node);
--- a/src/test/java/org/astershift/golden/PeerRequestsTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -19,6 +19,7 @@
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
 import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerOperation;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.Priority;
 import org.astershift.simulation.JobDraft;
@@ -83,12 +84,12 @@
     director.start();
   }
 
-  private JobAnswer asked(String op, String job) {
+  private JobAnswer asked(PeerOperation op, String job) {
     if (!job.equals(JOB)) {
       return new JobAnswer(200, "", 0, 0); // what nodes ask each other of themselves
     }
-    passedOn.add(op + " " + job);
-    return op.equals("cancel") ? CANCELLED : RUNNING;
+    passedOn.add(op.word() + " " + job);
+    return op == PeerOperation.CANCEL_JOB ? CANCELLED : RUNNING;
   }
 
   @AfterEach
@@ -103,12 +104,13 @@
   }
 
   private void add(Golden g, String label, String op, String job) throws Exception {
-    g.add(label, text(desk.answerPeer(op, job)));
+    g.add(label, text(desk.answerPeer(PeerOperation.ofWord(op), job)));
   }
 
   /** Asks until the node has read what is on record. */
   private void ready() throws Exception {
-    while (desk.poll(JOB, true).status() != 200 || desk.answerPeer("state", "").phase().isEmpty()) {
+    while (desk.poll(JOB, true).status() != 200
+        || desk.answerPeer(PeerOperation.STORE_STATUS, "").phase().isEmpty()) {
       Thread.sleep(20);
     }
   }
--- /dev/null
+++ b/src/test/java/org/astershift/store/EnumCodesTest.java
@@ -0,0 +1,31 @@
+package org.astershift.store;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.Priority;
+import org.junit.jupiter.api.Test;
+
+/** Each kind and priority is read back from its own number, and other numbers are refused. */
+class EnumCodesTest {
+  @Test
+  void kindsComeBack() {
+    for (JobKind kind : JobKind.values()) {
+      assertEquals(kind, EnumCodes.jobKind(EnumCodes.of(kind)));
+    }
+    assertEquals(2, EnumCodes.of(JobKind.SERVICE));
+    assertThrows(RuntimeException.class, () -> EnumCodes.jobKind(3));
+    assertThrows(RuntimeException.class, () -> EnumCodes.jobKind(-1));
+  }
+
+  @Test
+  void prioritiesComeBack() {
+    for (Priority priority : Priority.values()) {
+      assertEquals(priority, EnumCodes.priority(EnumCodes.of(priority)));
+    }
+    assertEquals(3, EnumCodes.of(Priority.LOW));
+    assertThrows(RuntimeException.class, () -> EnumCodes.priority(4));
+    assertThrows(RuntimeException.class, () -> EnumCodes.priority(-1));
+  }
+}
