--- a/src/test/java/org/astershift/ConcurrentUsers.java
+++ b/src/test/java/org/astershift/ConcurrentUsers.java
@@ -21,12 +21,12 @@
 import org.astershift.http.JsonFormatException;
 
 /**
- * Users who ask all nodes at once as soon as one has told them something, repeat their submissions,
- * and cancel a quarter of their jobs at once. What a user was told before he sent a question bounds
- * the answer to it from below: a newer answer may come at any time, an older one never.
+ * Users who poll all nodes as soon as one has answered, repeat their submissions, and cancel a
+ * quarter of their jobs. The state known before a request is sent bounds its answer from below: a
+ * newer state may come at any time, an older one never.
  */
 final class ConcurrentUsers implements AutoCloseable {
-  /** A question counts as one of a close look if it was sent so soon after another's answer. */
+  /** A request counts as a close look if it is sent within this time of another node's answer. */
   private static final long CLOSE_NS = 30_000_000;
 
   private static final long PATIENCE_NS = 100_000_000_000L;
@@ -34,7 +34,7 @@
   private static final int USERS = 12;
   private static final int KEPT = 16;
 
-  /** What users know of a job, from the oldest to the newest. */
+  /** What users know of a job, from the oldest to the newest state. */
   enum Known {
     NOTHING,
     ACCEPTED,
@@ -46,14 +46,14 @@
     }
   }
 
-  /** One job and what its user was told. */
+  /** One job and the latest state known to its user. */
   static final class Job {
     final String id;
     final boolean cancels;
     private Known known = Known.NOTHING;
     private long knownNs;
     private long confirmedNs = Long.MAX_VALUE;
-    private int toldBy = -1;
+    private int source = -1;
 
     Job(String id, boolean cancels) {
       this.id = id;
@@ -64,7 +64,7 @@
       return known;
     }
 
-    /** When the answer that it is cancelled had come. */
+    /** When the cancellation was confirmed. */
     synchronized long confirmedNs() {
       return confirmedNs;
     }
@@ -72,19 +72,21 @@
 
   private final int tasks;
   private final Queue<Job> waiting = new ConcurrentLinkedQueue<>();
-  private final Queue<String> broken = new ConcurrentLinkedQueue<>();
+  private final Queue<String> violations = new ConcurrentLinkedQueue<>();
   private final List<Job> jobs = new ArrayList<>();
   private final AtomicInteger over = new AtomicInteger();
   private final Map<Known, AtomicInteger> looks = new EnumMap<>(Known.class);
 
-  /** How many more jobs may be begun. */
-  private final Semaphore turns = new Semaphore(0);
+  /** One permit for each further job that may be started. */
+  private final Semaphore permits = new Semaphore(0);
 
   private final ExecutorService threads = Executors.newCachedThreadPool();
   private final List<Future<?>> users = new ArrayList<>();
   private final List<HttpClient> clients = new ArrayList<>();
 
-  /** {@code jobs} jobs of so many tasks, numbered from {@code first}; every fourth is cancelled. */
+  /**
+   * {@code jobs} jobs of {@code tasks} tasks from number {@code first}; each fourth is cancelled.
+   */
   ConcurrentUsers(ControllerProcesses nodes, int first, int jobs, int tasks) {
     this.tasks = tasks;
     for (int i = 0; i < jobs; i++) {
@@ -94,8 +96,8 @@
     for (int i = 0; i < ControllerProcesses.NODES; i++) {
       clients.add(new HttpClient("127.0.0.1", nodes.port(i), KEPT));
     }
-    for (Known k : Known.values()) {
-      looks.put(k, new AtomicInteger());
+    for (Known state : Known.values()) {
+      looks.put(state, new AtomicInteger());
     }
   }
 
@@ -103,38 +105,38 @@
     return jobs;
   }
 
-  /** So many jobs are over, and all nodes have said so. */
+  /** Number of jobs that all nodes have answered to be over. */
   int over() {
     return over.get();
   }
 
-  /** So many answers came to questions sent just after another node had told this. */
+  /** Number of answers to close looks after this state was known. */
   int looks(Known known) {
     return looks.get(known).get();
   }
 
-  /** Every rule that was broken, with the job and both answers. */
-  List<String> broken() {
-    return new ArrayList<>(broken);
+  /** All violations, each with the job and both answers. */
+  List<String> violations() {
+    return new ArrayList<>(violations);
   }
 
-  /** The users come, and begin with so many of the jobs. */
-  void start(int begun) {
-    more(begun);
+  /** Starts the users with {@code count} of the jobs. */
+  void start(int count) {
+    more(count);
     for (int i = 0; i < USERS; i++) {
       int number = i;
       users.add(threads.submit(() -> serve(number)));
     }
   }
 
-  /** So many jobs more may be begun: what follows a trouble waits for it. */
-  void more(int begun) {
-    turns.release(begun);
+  /** Lets {@code count} further jobs start, so that a fault can come before them. */
+  void more(int count) {
+    permits.release(count);
   }
 
-  /** Until all jobs are over; fails with the first user that did not get there. */
+  /** Waits until all jobs are over; fails if a user did. */
   void join() throws Exception {
-    more(USERS); // who finds no job left goes
+    more(USERS); // users who find no job end
     for (Future<?> user : users) {
       user.get(2 * PATIENCE_NS, TimeUnit.NANOSECONDS);
     }
@@ -149,20 +151,20 @@
   private Void serve(int number) throws Exception {
     int node = number;
     while (true) {
-      turns.acquire();
+      permits.acquire();
       Job job = waiting.poll();
       if (job == null) {
         return null;
       }
       node++;
-      live(job, node % ControllerProcesses.NODES);
+      runJob(job, node % ControllerProcesses.NODES);
       over.incrementAndGet();
     }
   }
 
-  private void live(Job job, int node) throws Exception {
-    // As the balancer sends it elsewhere: a node that says 503 for a while would else take all
-    // users one by one, and with them whatever the others should be tried with meanwhile.
+  private void runJob(Job job, int node) throws Exception {
+    // Each attempt goes to another node, as with a load balancer: a node that answers 503 for a
+    // while would else block all users one by one.
     AtomicInteger next = new AtomicInteger(node);
     Await.until(
         job.id + " to be accepted",
@@ -170,13 +172,13 @@
           int at = next.getAndIncrement() % ControllerProcesses.NODES;
           return ask(job, at, Request.SUBMIT) != Known.NOTHING;
         });
-    List<Callable<Known>> atOnce = everywhere(job, Request.ASK);
-    atOnce.addAll(everywhere(job, Request.SUBMIT));
+    List<Callable<Known>> requests = everywhere(job, Request.ASK);
+    requests.addAll(everywhere(job, Request.SUBMIT));
     if (job.cancels) {
       int other = (node + 1) % ControllerProcesses.NODES;
-      atOnce.add(() -> ask(job, other, Request.CANCEL));
+      requests.add(() -> ask(job, other, Request.CANCEL));
     }
-    together(atOnce);
+    invokeAll(requests);
     Await.until(
         job.id + " to be over",
         () -> {
@@ -184,36 +186,36 @@
           if (job.cancels) {
             again.add(() -> ask(job, node, Request.CANCEL));
           }
-          together(again);
+          invokeAll(again);
           return job.known().over();
         });
     List<Callable<Known>> after = everywhere(job, Request.ASK);
     after.addAll(everywhere(job, Request.SUBMIT));
     after.addAll(everywhere(job, Request.CANCEL));
-    together(after);
+    invokeAll(after);
     for (int i = 0; i < ControllerProcesses.NODES; i++) {
       int each = i;
-      Await.until("node " + i + " to say how " + job.id + " ended", () -> tells(job, each));
+      Await.until("node " + i + " to say how " + job.id + " ended", () -> reportsEnd(job, each));
     }
   }
 
-  private boolean tells(Job job, int node) throws IOException {
+  private boolean reportsEnd(Job job, int node) throws IOException {
     return ask(job, node, Request.ASK).over();
   }
 
   private List<Callable<Known>> everywhere(Job job, Request request) {
-    List<Callable<Known>> out = new ArrayList<>();
+    List<Callable<Known>> requests = new ArrayList<>();
     for (int i = 0; i < ControllerProcesses.NODES; i++) {
       int node = i;
-      out.add(() -> ask(job, node, request));
+      requests.add(() -> ask(job, node, request));
     }
-    return out;
+    return requests;
   }
 
-  /** All at the same time; the end of the last. */
-  private void together(List<Callable<Known>> requests) throws Exception {
-    for (Future<Known> f : threads.invokeAll(requests)) {
-      f.get();
+  /** Sends all requests at the same time and waits for the last. */
+  private void invokeAll(List<Callable<Known>> requests) throws Exception {
+    for (Future<Known> future : threads.invokeAll(requests)) {
+      future.get();
     }
   }
 
@@ -223,82 +225,83 @@
     CANCEL
   }
 
-  /** What this answer says, or NOTHING if it is none. */
+  /** The state in the answer; NOTHING without one. */
   private Known ask(Job job, int node, Request request) throws IOException {
     Known before;
     long beforeNs;
-    int toldBy;
+    int source;
     synchronized (job) {
       before = job.known;
       beforeNs = job.knownNs;
-      toldBy = job.toldBy;
+      source = job.source;
     }
     long sentNs = System.nanoTime();
-    HttpClient.Response a;
+    HttpClient.Response response;
     try {
       HttpClient client = clients.get(node);
       String path = "/v2/runs/" + job.id;
       byte[] body =
           ControllerProcesses.job(job.id, "sweep", tasks).getBytes(StandardCharsets.UTF_8);
-      a =
+      response =
           switch (request) {
             case SUBMIT -> client.call("POST", "/v2/runs", body, TIMEOUT_MS);
             case ASK -> client.call("GET", path, null, TIMEOUT_MS);
             case CANCEL -> client.call("POST", path + "/withdraw", null, TIMEOUT_MS);
           };
     } catch (IOException e) {
-      return Known.NOTHING; // killed, or starting: asked again
+      return Known.NOTHING; // killed, or starting: tried again
     }
-    String said = request + " at " + node + ": " + a.status() + " " + text(a);
-    if (a.status() == 503) {
+    String description = request + " at " + node + ": " + response.status() + " " + text(response);
+    if (response.status() == 503) {
       return Known.NOTHING;
     }
-    Known now = known(a);
-    if (before != Known.NOTHING && sentNs - beforeNs < CLOSE_NS && node != toldBy) {
+    Known now = known(response);
+    if (before != Known.NOTHING && sentNs - beforeNs < CLOSE_NS && node != source) {
       looks.get(before).incrementAndGet();
     }
     boolean older = before.over() ? now != before : now.compareTo(before) < 0;
-    boolean twice = before != Known.NOTHING && a.status() == 201;
-    boolean unkept = request == Request.CANCEL && now == Known.ACCEPTED;
-    boolean odd = a.status() >= 400 && (a.status() != 404 || request == Request.SUBMIT);
-    if (older || twice || unkept || odd) {
-      broken.add(job.id + " was " + before + " by " + toldBy + ", then " + said);
+    boolean twice = before != Known.NOTHING && response.status() == 201;
+    boolean ignored = request == Request.CANCEL && now == Known.ACCEPTED;
+    boolean odd =
+        response.status() >= 400 && (response.status() != 404 || request == Request.SUBMIT);
+    if (older || twice || ignored || odd) {
+      violations.add(job.id + " was " + before + " by " + source + ", then " + description);
     }
-    learn(job, node, now, said);
+    recordAnswer(job, node, now, description);
     return now;
   }
 
-  private void learn(Job job, int node, Known now, String said) {
+  private void recordAnswer(Job job, int node, Known now, String description) {
     synchronized (job) {
       if (now == Known.CANCELLED && job.confirmedNs == Long.MAX_VALUE) {
         job.confirmedNs = System.nanoTime();
       }
       if (job.known.over() && now.over() && now != job.known) {
-        broken.add(job.id + " ended as " + job.known + ", and then " + said);
+        violations.add(job.id + " ended as " + job.known + ", and then " + description);
       } else if (now.compareTo(job.known) > 0) {
         job.known = now;
         job.knownNs = System.nanoTime();
-        job.toldBy = node;
+        job.source = node;
       }
     }
   }
 
-  private static Known known(HttpClient.Response a) throws IOException {
-    if (a.status() >= 400) {
+  private static Known known(HttpClient.Response response) throws IOException {
+    if (response.status() >= 400) {
       return Known.NOTHING;
     }
     try {
-      return switch (Json.string(Json.object(a.body()), "phase")) {
+      return switch (Json.string(Json.object(response.body()), "phase")) {
         case "done" -> Known.DONE;
         case "withdrawn" -> Known.CANCELLED;
         default -> Known.ACCEPTED;
       };
     } catch (JsonFormatException e) {
-      throw new IOException("an answer that makes no sense: " + text(a), e);
+      throw new IOException("invalid answer: " + text(response), e);
     }
   }
 
-  private static String text(HttpClient.Response a) {
-    return new String(a.body(), StandardCharsets.UTF_8);
+  private static String text(HttpClient.Response response) {
+    return new String(response.body(), StandardCharsets.UTF_8);
   }
 }
--- a/src/test/java/org/astershift/ControllerProcesses.java
+++ b/src/test/java/org/astershift/ControllerProcesses.java
@@ -19,10 +19,7 @@
 import org.astershift.emulator.StoreEmulator;
 import org.astershift.http.HttpClient;
 
-/**
- * Three real controllers, a process each, on loopback against stand-ins. Whoever waits here waits
- * for what must come, however slow the machine is, but not for ever: what did not come is named.
- */
+/** Three real controllers, a process each, on loopback against emulators. */
 final class ControllerProcesses implements AutoCloseable {
   static final int NODES = 3;
 
@@ -32,21 +29,21 @@
   private final PortBlock block;
   private final List<Integer> ports;
   private final List<Process> nodes = new ArrayList<>();
-  final List<StoreEmulator.StoreAddress> doors = new ArrayList<>();
+  final List<StoreEmulator.StoreAddress> storeAddresses = new ArrayList<>();
   final StoreEmulator store;
   final CloudEmulator cloud;
   private final UnaryOperator<String> settings;
   private int starts;
 
-  /** Which start of all the one of each node was that now runs. */
+  /** The number of the start of each node's present process, which names its log. */
   private final Map<Integer, Integer> logs = new HashMap<>();
 
-  /** {@code dir}: for settings and logs. They are asked to start, and may not be ready yet. */
+  /** Starts the processes, which may not be ready yet; {@code dir} is for settings and logs. */
   ControllerProcesses(Path dir, long taskMs) throws Exception {
     this(dir, taskMs, s -> s);
   }
 
-  /** {@code settings}: what is changed of the settings of the first job. */
+  /** {@code settings} changes the text of the default settings. */
   ControllerProcesses(Path dir, long taskMs, UnaryOperator<String> settings) throws Exception {
     this.dir = dir;
     this.settings = settings;
@@ -54,16 +51,16 @@
     ports = block.ports(2 * NODES);
     store = new StoreEmulator(0);
     cloud = new CloudEmulator(0, ports.subList(0, NODES), taskMs);
-    for (int i = 0; i < NODES; i++) {
-      doors.add(store.door());
+    for (int node = 0; node < NODES; node++) {
+      storeAddresses.add(store.door());
       nodes.add(null);
     }
-    for (int i = 0; i < NODES; i++) {
-      start(i);
+    for (int node = 0; node < NODES; node++) {
+      start(node);
     }
   }
 
-  /** The port on which users and workers find it. */
+  /** The port for users and workers. */
   int port(int node) {
     return ports.get(node);
   }
@@ -76,28 +73,28 @@
     nodes.get(node).destroyForcibly().waitFor();
   }
 
-  /** Starts a process for this node, whether or not the former one has ended. */
-  void start(int i) throws Exception {
+  /** Starts a process for a node, whether or not the previous one has ended. */
+  void start(int node) throws Exception {
     StringBuilder others = new StringBuilder();
-    for (int j = 0; j < NODES; j++) {
-      if (j != i) {
-        others.append("[[others]]\nmember = \"n").append(j).append("\"\ndomain = \"a\"\n");
-        others.append("endpoint = \"127.0.0.1:").append(ports.get(NODES + j)).append("\"\n");
+    for (int other = 0; other < NODES; other++) {
+      if (other != node) {
+        others.append("[[others]]\nmember = \"n").append(other).append("\"\ndomain = \"a\"\n");
+        others.append("endpoint = \"127.0.0.1:").append(ports.get(NODES + other)).append("\"\n");
       }
     }
     String text =
         settings
             .apply(Files.readString(Path.of("src/test/resources/first-job.toml")))
-            .replace("member = \"one\"", "member = \"n" + i + "\"")
-            .replace("127.0.0.1:18080", "127.0.0.1:" + ports.get(i))
-            .replace("127.0.0.1:18081", "127.0.0.1:" + ports.get(NODES + i))
+            .replace("member = \"one\"", "member = \"n" + node + "\"")
+            .replace("127.0.0.1:18080", "127.0.0.1:" + ports.get(node))
+            .replace("127.0.0.1:18081", "127.0.0.1:" + ports.get(NODES + node))
             .replace("127.0.0.1:18443", "127.0.0.1:" + cloud.port())
-            .replace("127.0.0.1:18379", "127.0.0.1:" + doors.get(i).port())
+            .replace("127.0.0.1:18379", "127.0.0.1:" + storeAddresses.get(node).port())
             .replace("[external]", others + "[external]");
-    Path file = Files.writeString(dir.resolve("n" + i + ".toml"), text);
-    logs.put(i, ++starts);
+    Path file = Files.writeString(dir.resolve("n" + node + ".toml"), text);
+    logs.put(node, ++starts);
     nodes.set(
-        i,
+        node,
         new ProcessBuilder(
                 System.getProperty("java.home") + "/bin/java",
                 "-cp",
@@ -105,17 +102,17 @@
                 "org.astershift.Main",
                 "--config",
                 file.toString())
-            .redirectError(dir.resolve(log(i)).toFile())
+            .redirectError(dir.resolve(log(node)).toFile())
             .start());
   }
 
   @Override
   public void close() throws IOException {
-    for (Process p : nodes) {
-      p.destroyForcibly().onExit().join();
+    for (Process process : nodes) {
+      process.destroyForcibly().onExit().join();
     }
     cloud.close();
-    for (StoreEmulator.StoreAddress door : doors) {
+    for (StoreEmulator.StoreAddress door : storeAddresses) {
       door.close();
     }
     store.close();
@@ -129,7 +126,7 @@
     }
   }
 
-  /** Repeats a request, as users do, until the answer holds the word. */
+  /** Repeats a request until it succeeds and the response contains the word. */
   void await(int node, String method, String path, String body, String word) throws Exception {
     String[] last = {"no answer"};
     String what = method + " " + path + " at node " + node + " to be answered with " + word;
@@ -138,13 +135,14 @@
           what,
           () -> {
             try {
-              HttpClient.Response a = call(node, method, path, body);
-              last[0] = a.status() + " " + new String(a.body(), StandardCharsets.UTF_8);
-              if (a.status() < 400 && last[0].contains(word)) {
+              HttpClient.Response response = call(node, method, path, body);
+              last[0] =
+                  response.status() + " " + new String(response.body(), StandardCharsets.UTF_8);
+              if (response.status() < 400 && last[0].contains(word)) {
                 return true;
               }
             } catch (IOException e) {
-              last[0] = e.toString(); // not up, or killed: asked again
+              last[0] = e.toString(); // not up, or killed: tried again
             }
             assertTrue(nodes.get(node).isAlive(), "node " + node + " has ended: " + tail(node));
             return false;
@@ -161,40 +159,40 @@
   }
 
   void awaitReady() throws Exception {
-    for (int i = 0; i < NODES; i++) {
-      await(i, "GET", "/ready", null, "ready");
+    for (int node = 0; node < NODES; node++) {
+      await(node, "GET", "/ready", null, "ready");
     }
   }
 
-  /** The log of the process that now stands for this node. */
+  /** The log file of a node's present process. */
   private String log(int node) {
     return "n" + node + "-" + logs.get(node) + ".log";
   }
 
-  String said(int node) throws IOException {
+  String logText(int node) throws IOException {
     return Files.readString(dir.resolve(log(node)));
   }
 
   private String tail(int node) throws IOException {
-    String all = said(node);
-    return all.substring(Math.max(0, all.length() - 1000));
+    String text = logText(node);
+    return text.substring(Math.max(0, text.length() - 1000));
   }
 
-  /** Whether this process has led at some time. */
+  /** Whether the present process has been leader. */
   boolean hasLed(int node) throws IOException {
-    return LEADS.matcher(said(node)).find();
+    return LEADS.matcher(logText(node)).find();
   }
 
-  /** The node that was the last to begin to lead. */
+  /** The node with the highest fencing token so far. */
   int leader() throws IOException {
     int found = 0;
     long most = 0;
-    for (int i = 0; i < NODES; i++) {
-      Matcher m = LEADS.matcher(said(i));
-      while (m.find()) {
-        if (Long.parseLong(m.group(1)) > most) {
-          most = Long.parseLong(m.group(1));
-          found = i;
+    for (int node = 0; node < NODES; node++) {
+      Matcher matcher = LEADS.matcher(logText(node));
+      while (matcher.find()) {
+        if (Long.parseLong(matcher.group(1)) > most) {
+          most = Long.parseLong(matcher.group(1));
+          found = node;
         }
       }
     }
--- a/src/test/java/org/astershift/EndToEndTest.java
+++ b/src/test/java/org/astershift/EndToEndTest.java
@@ -19,13 +19,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Three real controllers on loopback against stand-ins, with the state service down for a while and
- * controllers killed. It waits for what must come, however slow the machine is.
- */
+/** Three real controllers on loopback against emulators, with store outages and crashes. */
 @Timeout(240)
 class EndToEndTest {
-  /** What the settings of these tests promise to users. */
+  /** Deadline of cancellations in the settings of these tests, seconds. */
   private static final int CANCEL_S = 40;
 
   @TempDir Path dir;
@@ -55,11 +52,11 @@
   }
 
   private List<String> started() {
-    List<String> out = new ArrayList<>();
-    for (WorkerEmulator w : nodes.cloud.workers()) {
-      out.addAll(w.started());
+    List<String> names = new ArrayList<>();
+    for (WorkerEmulator worker : nodes.cloud.workers()) {
+      names.addAll(worker.started());
     }
-    return out;
+    return names;
   }
 
   @Test
@@ -80,7 +77,7 @@
             .status());
     assertEquals(405, call(1, "DELETE", "/v2/runs", null).status());
 
-    // Jobs opened before an outage go on in it; their end is told when it can be written.
+    // Jobs accepted before an outage continue in it; their end is visible once it is written.
     await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000002", "sweep", 8), "wk-000002");
     await(1, "GET", "/v2/runs/wk-000002", null, "running\":");
     nodes.store.down(true);
@@ -90,7 +87,7 @@
     nodes.store.down(false);
     await(0, "GET", "/v2/runs/wk-000002", null, "\"done\",");
 
-    // Every controller in turn is killed and started again.
+    // Each controller in turn is killed and restarted.
     await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000004", "sweep", 20), "wk-000004");
     for (int i = 0; i < 3; i++) {
       nodes.kill(i);
@@ -124,8 +121,8 @@
     await(0, "GET", "/v2/runs/wk-000005", null, "withdrawn");
     await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000006", "sweep", 1), "wk-000006");
     await(1, "GET", "/v2/runs/wk-000006", null, "\"done\",");
-    for (WorkerEmulator w : nodes.cloud.workers()) {
-      assertEquals(List.of(), w.running());
+    for (WorkerEmulator worker : nodes.cloud.workers()) {
+      assertEquals(List.of(), worker.running());
     }
     assertEquals(
         200,
@@ -133,26 +130,27 @@
   }
 
   /**
-   * The end of a job is on record, and its leader has no answer to that write yet: another node may
-   * read it and tell it, so the leader tells nothing older meanwhile.
+   * The completion of a job is written, but the leader has no response yet: other nodes may already
+   * answer with it, so the leader must not answer with an older state.
    */
   @Test
   void whatIsOverOnRecordIsToldByNobodyAsLive() throws Exception {
     await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000008", "sweep", 3), "wk-000008");
-    nodes.doors.forEach(d -> d.holdEnds(true));
-    Await.until("the end on record", () -> nodes.store.has("d/wk-000008"));
+    nodes.storeAddresses.forEach(address -> address.holdEnds(true));
+    Await.until("the completion in the store", () -> nodes.store.has("d/wk-000008"));
     for (int i = 0; i < 3; i++) {
-      HttpClient.Response a = call(i, "GET", "/v2/runs/wk-000008", null);
-      String said = new String(a.body(), StandardCharsets.UTF_8);
-      assertTrue(a.status() == 503 || said.contains("\"done\","), a.status() + " " + said);
+      HttpClient.Response response = call(i, "GET", "/v2/runs/wk-000008", null);
+      String text = new String(response.body(), StandardCharsets.UTF_8);
+      assertTrue(
+          response.status() == 503 || text.contains("\"done\","), response.status() + " " + text);
     }
-    nodes.doors.forEach(d -> d.holdEnds(false));
+    nodes.storeAddresses.forEach(address -> address.holdEnds(false));
     await(1, "GET", "/v2/runs/wk-000008", null, "\"done\",");
   }
 
   /**
-   * Processes that end are back at once, the leader five times in a row and then all of them; a
-   * process that starts while its predecessor still lives waits for its addresses.
+   * Processes restart at once, the leader five times in a row and then all; a process that starts
+   * while its predecessor still runs waits for its addresses.
    */
   @Test
   void processesAreBackAtOnce() throws Exception {
@@ -172,8 +170,9 @@
     Await.until(
         "a process that waits for its address",
         () -> {
-          assertTrue(nodes.process(2).isAlive(), "a process whose address is taken has ended");
-          return nodes.said(2).contains("waiting for address");
+          assertTrue(
+              nodes.process(2).isAlive(), "a process has ended because its address is in use");
+          return nodes.logText(2).contains("waiting for address");
         });
     old.destroyForcibly().waitFor();
     await(2, "GET", "/v2/runs/wk-000007", null, "\"done\",");
@@ -182,8 +181,8 @@
   }
 
   /**
-   * Copies of what machines said, old and new, come at every node; one machine begins anew; to
-   * another nothing that is said arrives while the leader is killed, and then all at once, late.
+   * Old and new heartbeats are replayed at every node; one worker restarts; another is inbound-
+   * partitioned while the leader is killed, and then gets all delayed requests at once.
    */
   @Test
   void copiesComeLateMachinesBeginAnewAndOneHearsNothing() throws Exception {
@@ -209,13 +208,13 @@
     assertEquals(new HashSet<>(starts).size(), starts.size(), "started twice: " + starts);
   }
 
-  /** Sends a part of all that was reported so far once more, to each node. */
+  /** Replays a part of all heartbeats so far to each node. */
   private void replay() throws Exception {
-    for (WorkerEmulator w : nodes.cloud.workers()) {
-      List<String> said = w.said();
-      for (int i = 0; i < said.size(); i += 1 + said.size() / 4) {
-        for (int n = 0; n < 3; n++) {
-          int status = call(n, "POST", "/agent/beat", said.get(i)).status();
+    for (WorkerEmulator worker : nodes.cloud.workers()) {
+      List<String> heartbeats = worker.said();
+      for (int i = 0; i < heartbeats.size(); i += 1 + heartbeats.size() / 4) {
+        for (int node = 0; node < 3; node++) {
+          int status = call(node, "POST", "/agent/beat", heartbeats.get(i)).status();
           assertTrue(Set.of(200, 421, 503).contains(status), "status " + status);
         }
       }
@@ -223,8 +222,8 @@
   }
 
   /**
-   * Whichever node the state service refuses, the leader or another: it stops being ready, says so
-   * at once to those who still submit to it, and asks the others who leads; jobs go on meanwhile.
+   * A node partitioned from the store, leader or not, is no longer ready, rejects submissions at
+   * once, and asks its peers about jobs; jobs continue meanwhile.
    */
   @Test
   void aNodeRefusedByTheStateServiceAloneSendsUsersElsewhere() throws Exception {
@@ -233,7 +232,7 @@
       String before = "wk-00001" + i;
       String during = "wk-00002" + i;
       await(i, "POST", "/v2/runs", ControllerProcesses.job(before, "sweep", 3), before);
-      nodes.doors.get(i).refuse(true);
+      nodes.storeAddresses.get(i).refuse(true);
       nodes.awaitStatus(i, "/ready", 503);
       assertEquals(
           503, call(i, "POST", "/v2/runs", ControllerProcesses.job(during, "sweep", 3)).status());
@@ -242,7 +241,7 @@
       await(other, "GET", "/v2/runs/" + during, null, "\"done\",");
       await(i, "GET", "/v2/runs/" + during, null, "\"done\",");
       await(i, "GET", "/v2/runs/" + before, null, "\"done\",");
-      nodes.doors.get(i).refuse(false);
+      nodes.storeAddresses.get(i).refuse(false);
       nodes.awaitStatus(i, "/ready", 200);
     }
     List<String> starts = started();
@@ -250,9 +249,9 @@
   }
 
   /**
-   * The state service refuses the leader alone; another one confirms a cancellation; then it is
-   * down for all, and the tasks are gone in time all the same. A cancellation that cannot be
-   * confirmed is refused at once, with when to come again.
+   * The leader is partitioned from the store; another node confirms a cancellation; then the store
+   * is down for all, and the tasks still stop in time. A cancellation that cannot be persisted is
+   * rejected at once.
    */
   @Test
   void confirmedByAnotherJustBeforeAnOutage() throws Exception {
@@ -262,7 +261,7 @@
     }
     int old = nodes.leader();
     nodes.cloud.workers().forEach(WorkerEmulator::answeredBy);
-    nodes.doors.get(old).refuse(true);
+    nodes.storeAddresses.get(old).refuse(true);
     int other = (old + 1) % 3;
     long askedNs = System.nanoTime();
     await(other, "POST", "/v2/runs/wk-900000/withdraw", null, "withdrawn");
@@ -270,25 +269,27 @@
     nodes.store.down(true);
     assertNotEquals(old, nodes.leader(), "another one leads");
     assertTrue(
-        nodes.cloud.workers().stream().anyMatch(w -> w.answeredBy().contains(nodes.port(old))),
-        "workers went on reporting to the old leader");
+        nodes.cloud.workers().stream()
+            .anyMatch(worker -> worker.answeredBy().contains(nodes.port(old))),
+        "workers kept sending heartbeats to the old leader");
     HttpClient.Response refused = call(old, "POST", "/v2/runs/wk-900001/withdraw", null);
     assertEquals(503, refused.status());
-    while (nodes.cloud.workers().stream().anyMatch(w -> runs(w, "wk-900000"))) {
-      long s = (System.nanoTime() - confirmedNs) / 1_000_000_000;
-      assertTrue(s < CANCEL_S, "left " + s + " s after " + (confirmedNs - askedNs) / 1_000_000);
+    while (nodes.cloud.workers().stream().anyMatch(worker -> runs(worker, "wk-900000"))) {
+      long seconds = (System.nanoTime() - confirmedNs) / 1_000_000_000;
+      assertTrue(
+          seconds < CANCEL_S,
+          "left " + seconds + " s after " + (confirmedNs - askedNs) / 1_000_000);
       synchronized (this) {
         wait(50);
       }
     }
     nodes.store.down(false);
-    nodes.doors.get(old).refuse(false);
+    nodes.storeAddresses.get(old).refuse(false);
     for (int i = 0; i < 3; i++) {
       await(i, "POST", "/v2/runs/wk-900001/withdraw", null, "withdrawn");
       await(i, "GET", "/v2/runs/wk-900000", null, "withdrawn");
       await(i, "POST", "/v2/runs", endless("wk-900000"), "withdrawn");
-      // Nobody's: 503 while the node cannot tell yet, as its user repeats it, and nothing but 404
-      // then.
+      // An unknown job: 503 while the node cannot decide yet, then 404.
       int node = i;
       Await.until(
           "node " + i + " to know nothing of wk-999999",
@@ -300,12 +301,12 @@
     }
   }
 
-  /** Its tasks run until they are stopped, and their owner says so. */
+  /** A job whose tasks run until they are stopped. */
   private static String endless(String id) {
     return ControllerProcesses.job(id, "sweep", 2).replace("\"expect_s\":1", "\"expect_s\":600");
   }
 
-  private static boolean runs(WorkerEmulator w, String job) {
-    return w.running().stream().anyMatch(t -> t.startsWith(job + "/"));
+  private static boolean runs(WorkerEmulator worker, String job) {
+    return worker.running().stream().anyMatch(task -> task.startsWith(job + "/"));
   }
 }
--- a/src/test/java/org/astershift/MainTest.java
+++ b/src/test/java/org/astershift/MainTest.java
@@ -15,15 +15,15 @@
   private static final Path GOOD = Path.of("src/test/resources/first-job.toml");
   @TempDir Path dir;
 
-  private static void expect(int code, String part, String... args) {
+  private static void expect(int code, String text, String... args) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     ExitCode exitCode = Main.run(args, new PrintStream(out), new PrintStream(err)).orElseThrow();
     assertEquals(code, exitCode.value());
-    String said = code == 0 ? out.toString() : err.toString();
-    assertTrue(said.contains(part), said);
+    String output = code == 0 ? out.toString() : err.toString();
+    assertTrue(output.contains(text), output);
     if (code != 0) {
-      assertEquals(1, said.lines().count(), said);
+      assertEquals(1, output.lines().count(), output);
     }
   }
 
@@ -42,48 +42,52 @@
 
   @Test
   void settings() throws Exception {
-    String good = Files.readString(GOOD);
+    String valid = Files.readString(GOOD);
     expect(0, "settings are fine", "--check", "--config", GOOD.toString());
-    expect(0, "fine", "--check", "--config", file("more.toml", "later = 1\n" + good));
+    expect(0, "fine", "--check", "--config", file("more.toml", "later = 1\n" + valid));
     expect(2, "cannot be read", "--check", "--config", dir.resolve("none").toString());
     expect(2, "not TOML", "--check", "--config", file("bad.toml", "= ["));
-    String wrong =
-        good.replace("lease_s = 14.0", "lease_s = -1.0")
+    String invalid =
+        valid
+            .replace("lease_s = 14.0", "lease_s = -1.0")
             .replace("member = \"one\"", "")
             .replace("127.0.0.1:18443", "nowhere");
-    String path = file("wrong.toml", wrong);
+    String path = file("wrong.toml", invalid);
     expect(2, "member is missing", "--check", "--config", path);
     expect(2, "facts.workers.lease_s is out of range: -1.0", "--check", "--config", path);
     expect(2, "external.cloud is not host:port: nowhere", "--check", "--config", path);
   }
 
-  /** What no deployment should say of its teams and aims, and may: served, or one clear line. */
+  /** Unusual teams and objectives are accepted, or rejected with one clear line. */
   @Test
   void oddTeamsAndAims() throws Exception {
-    String good = Files.readString(GOOD);
-    String odd =
-        good.replace("cpus = 0.0", "cpus = 90000.0")
+    String valid = Files.readString(GOOD);
+    String unusual =
+        valid
+                .replace("cpus = 0.0", "cpus = 90000.0")
                 .replace("cpus_max = 0.0", "cpus_max = 4.0")
                 .replace("name = \"demo\"", "name = \"demo\"\nlater = true")
             + "\n[[facts.objectives]]\nkind = \"of-later\"\nclass = \"nobodys\"\n";
-    expect(0, "settings are fine", "--check", "--config", file("odd.toml", odd));
-    String below = good.replace("cpus_max = 0.0", "cpus_max = -1.0");
+    expect(0, "settings are fine", "--check", "--config", file("odd.toml", unusual));
+    String below = valid.replace("cpus_max = 0.0", "cpus_max = -1.0");
     expect(2, "cpus_max is out of range: -1.0", "--check", "--config", file("below.toml", below));
-    String small = good.replaceAll("value_kb = [0-9.]+", "value_kb = 0.0");
+    String small = valid.replaceAll("value_kb = [0-9.]+", "value_kb = 0.0");
     expect(2, "value_kb is out of range: 0.0", "--check", "--config", file("small.toml", small));
-    String none = good.replaceAll("txn_ops = [0-9]+", "txn_ops = 0");
+    String none = valid.replaceAll("txn_ops = [0-9]+", "txn_ops = 0");
     expect(2, "txn_ops is out of range: 0", "--check", "--config", file("none.toml", none));
   }
 
   @Test
   void operatorsFile() throws Exception {
     String config = GOOD.toString();
-    String good = file("good.ini", "[placement]\nwindow = 100\n[fleet]\nidle_release_s = 5\n");
-    expect(0, "fine", "--check", "--ini", good, "--config", config);
-    String wrong = file("bad.ini", "[placement]\nwindow = x\nwidow = 1\n[flet]\na = 1\n");
-    expect(2, "placement.window is not a number: x", "--check", "--ini", wrong, "--config", config);
-    expect(2, "placement.widow is not a known key", "--check", "--ini", wrong, "--config", config);
-    expect(2, "[flet] is not a known section", "--check", "--ini", wrong, "--config", config);
+    String valid = file("good.ini", "[placement]\nwindow = 100\n[fleet]\nidle_release_s = 5\n");
+    expect(0, "fine", "--check", "--ini", valid, "--config", config);
+    String invalid = file("bad.ini", "[placement]\nwindow = x\nwidow = 1\n[flet]\na = 1\n");
+    expect(
+        2, "placement.window is not a number: x", "--check", "--ini", invalid, "--config", config);
+    expect(
+        2, "placement.widow is not a known key", "--check", "--ini", invalid, "--config", config);
+    expect(2, "[flet] is not a known section", "--check", "--ini", invalid, "--config", config);
     String range = file("range.ini", "[placement]\nutilization = 2\n");
     expect(2, "out of range: 2", "--check", "--ini", range, "--config", config);
   }
--- a/src/test/java/org/astershift/api/ConcurrencyGateTest.java
+++ b/src/test/java/org/astershift/api/ConcurrencyGateTest.java
@@ -6,18 +6,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An overloaded leader worked on nothing but reports that their workers had given up. */
+/** A request that waited too long is rejected: its client has given up. */
 @Timeout(60)
 class ConcurrencyGateTest {
   @Test
   void whoWaitedTooLongGetsNoTurn() throws Exception {
-    ConcurrencyGate turns = new ConcurrencyGate(2, 1);
-    assertTrue(turns.tryEnter());
-    assertTrue(turns.tryEnter());
-    assertFalse(turns.tryEnter(), "two are at work");
-    turns.leave();
-    assertTrue(turns.tryEnter(), "the one that gave up holds no turn");
-    turns.leave();
-    turns.leave();
+    ConcurrencyGate gate = new ConcurrencyGate(2, 1);
+    assertTrue(gate.tryEnter());
+    assertTrue(gate.tryEnter());
+    assertFalse(gate.tryEnter(), "both permits are taken");
+    gate.leave();
+    assertTrue(gate.tryEnter(), "a rejected request holds no permit");
+    gate.leave();
+    gate.leave();
   }
 }
--- a/src/test/java/org/astershift/api/JobCodecTest.java
+++ b/src/test/java/org/astershift/api/JobCodecTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A submission is read whole or refused with the field that is wrong. */
+/** A submission is decoded, or rejected with the name of the invalid field. */
 class JobCodecTest {
   private static final String GOOD =
       "{\"id\":\"wk-000412\",\"berth_class\":\"train\",\"crew\":\"vision\",\"shape\":\"gang\","
@@ -26,11 +26,11 @@
 
   @Test
   void readsWhatTheProtocolShows() throws JsonFormatException {
-    JobSpec s = read(GOOD);
-    assertEquals(JobKind.GANG, s.kind());
-    assertEquals(16, s.tasks());
-    assertEquals(900.0, s.deadlineS());
-    assertEquals(null, s.zone());
+    JobSpec spec = read(GOOD);
+    assertEquals(JobKind.GANG, spec.kind());
+    assertEquals(16, spec.tasks());
+    assertEquals(900.0, spec.deadlineS());
+    assertEquals(null, spec.zone());
   }
 
   @ParameterizedTest
@@ -50,10 +50,10 @@
         "\"due_s\":900.0 | \"due_s\":-1 | due_s is out of range",
         "\"one_zone\":true | \"one_zone\":1 | one_zone is missing or not true or false"
       })
-  void namesTheFieldThatIsWrong(String part, String wrong, String message) {
-    JsonFormatException bad =
-        assertThrows(JsonFormatException.class, () -> read(GOOD.replace(part, wrong)));
-    assertEquals(message, bad.getMessage());
+  void namesTheFieldThatIsWrong(String original, String replacement, String message) {
+    JsonFormatException error =
+        assertThrows(JsonFormatException.class, () -> read(GOOD.replace(original, replacement)));
+    assertEquals(message, error.getMessage());
   }
 
   @ParameterizedTest
@@ -61,7 +61,7 @@
       delimiter = '|',
       value = {"[1] | not an object", "{\"a\": | not JSON", "'' | not JSON"})
   void refusesWhatIsNoObject(String text, String message) {
-    JsonFormatException bad = assertThrows(JsonFormatException.class, () -> read(text));
-    assertEquals(message, bad.getMessage());
+    JsonFormatException error = assertThrows(JsonFormatException.class, () -> read(text));
+    assertEquals(message, error.getMessage());
   }
 }
--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -31,8 +31,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What users send, through sockets, parser, desk and state service: nothing is stored that lacks a
- * field or can never run, and nothing that was accepted is refused (rule forgotten).
+ * Submissions through sockets, codec, job service and store: none is stored that lacks a field or
+ * can never run, and none that was accepted is rejected when repeated.
  */
 @Timeout(240)
 class SubmissionTest {
@@ -40,7 +40,7 @@
       "[[facts.teams]]\nname = \"limited\"\ncpus_max = 6.0\ngpus_max = 0.0\n";
   private static final String JOBS = "/v2/runs";
 
-  /** Fields of a submission, as they are written; it can run on the stand-in's machines. */
+  /** Fields of a submission as JSON text; it can run on the emulated machines. */
   private static final Map<String, String> GOOD = new LinkedHashMap<>();
 
   static {
@@ -97,7 +97,7 @@
     nodes = new InProcessControllers(count, store.port(), cloudPort, ports, LIMITED, dir);
   }
 
-  /** Waits until a node knows the machine types: until then nothing new is taken or refused. */
+  /** Waits until a node knows the machine types, before which it decides nothing new. */
   private void typesKnown(int node) throws Exception {
     nodes.await(node, "POST", JOBS, text(with("vcpus", "99")), 422, "");
   }
@@ -106,30 +106,30 @@
     return String.format("wk-%06d", ++ids);
   }
 
-  /** A good submission under a new id, but for these names and texts; a null text leaves it out. */
+  /** A valid submission with a new id and these changes, name then text; null removes a field. */
   private Map<String, String> with(String... changes) {
-    Map<String, String> m = new LinkedHashMap<>(GOOD);
-    m.put("id", "\"" + id() + "\"");
+    Map<String, String> fields = new LinkedHashMap<>(GOOD);
+    fields.put("id", "\"" + id() + "\"");
     for (int i = 0; i < changes.length; i += 2) {
       if (changes[i + 1] == null) {
-        m.remove(changes[i]);
+        fields.remove(changes[i]);
       } else {
-        m.put(changes[i], changes[i + 1]);
+        fields.put(changes[i], changes[i + 1]);
       }
     }
-    return m;
+    return fields;
   }
 
   private static String text(Map<String, String> fields) {
-    List<String> out = new ArrayList<>();
-    fields.forEach((name, value) -> out.add("\"" + name + "\":" + value));
-    return "{" + String.join(",", out) + "}";
+    List<String> result = new ArrayList<>();
+    fields.forEach((name, value) -> result.add("\"" + name + "\":" + value));
+    return "{" + String.join(",", result) + "}";
   }
 
   private Set<String> stored() {
-    Set<String> out = new TreeSet<>(store.below(RecordCodec.JOB));
-    out.addAll(store.below(RecordCodec.ENDED));
-    return out;
+    Set<String> result = new TreeSet<>(store.below(RecordCodec.JOB));
+    result.addAll(store.below(RecordCodec.ENDED));
+    return result;
   }
 
   private HttpClient.Response submit(String body) throws Exception {
@@ -137,43 +137,46 @@
   }
 
   private void refused(int status, String body) throws Exception {
-    HttpClient.Response a = submit(body);
-    String said = new String(a.body(), StandardCharsets.UTF_8);
+    HttpClient.Response response = submit(body);
+    String text = new String(response.body(), StandardCharsets.UTF_8);
     String shown = body.length() > 600 ? body.substring(0, 600) + "..." : body;
-    assertEquals(status, a.status(), said + " to " + shown);
-    assertTrue(Json.object(a.body()).containsKey("error"), said);
+    assertEquals(status, response.status(), text + " to " + shown);
+    assertTrue(Json.object(response.body()).containsKey("error"), text);
   }
 
-  /** What is wrong for each field, whatever the other fields say. */
+  /** Invalid values of each field, whatever the other fields are. */
   private static Map<String, List<String>> wrong() {
-    Map<String, List<String>> out = new LinkedHashMap<>();
+    Map<String, List<String>> result = new LinkedHashMap<>();
     List<String> noText = List.of("7", "true", "[\"a\"]", "{}");
-    for (String f : GOOD.keySet()) {
-      List<String> bad = new ArrayList<>();
-      if (!MAY_BE_NULL.contains(f)) {
-        bad.add(null);
-        bad.add("null");
+    for (String field : GOOD.keySet()) {
+      List<String> values = new ArrayList<>();
+      if (!MAY_BE_NULL.contains(field)) {
+        values.add(null);
+        values.add("null");
       }
-      out.put(f, bad);
+      result.put(field, values);
     }
     for (List<String> texts : List.of(List.of("id"), TEXTS, WORDS)) {
-      for (String f : texts) {
-        out.get(f).addAll(noText);
-        out.get(f).add("\"\"");
+      for (String field : texts) {
+        result.get(field).addAll(noText);
+        result.get(field).add("\"\"");
       }
     }
-    out.get("id").addAll(List.of("\"wk-\"", "\"job 1\"", "\"WK-1\"", "\"wk-1/0\"", "\"wk-1\\n\""));
-    WORDS.forEach(f -> out.get(f).add("\"heap\""));
-    for (String f : FLAGS) {
-      out.get(f).addAll(List.of("0", "1", "\"true\"", "\"\"", "[]", "{}"));
+    result
+        .get("id")
+        .addAll(List.of("\"wk-\"", "\"job 1\"", "\"WK-1\"", "\"wk-1/0\"", "\"wk-1\\n\""));
+    WORDS.forEach(field -> result.get(field).add("\"heap\""));
+    for (String field : FLAGS) {
+      result.get(field).addAll(List.of("0", "1", "\"true\"", "\"\"", "[]", "{}"));
     }
     List<String> noNumber =
         List.of("\"1\"", "true", "[1]", "{}", "NaN", "Infinity", "1e400", "-1e400", "-1", "-0.5");
     for (List<String> numbers : List.of(AMOUNTS, List.of("shards", "due_s"))) {
-      numbers.forEach(f -> out.get(f).addAll(noNumber));
+      numbers.forEach(field -> result.get(field).addAll(noNumber));
     }
-    AMOUNTS.forEach(f -> out.get(f).add("1e10"));
-    out.get("shards")
+    AMOUNTS.forEach(field -> result.get(field).add("1e10"));
+    result
+        .get("shards")
         .addAll(
             List.of(
                 "0",
@@ -184,9 +187,9 @@
                 "4294967297",
                 "9223372036854775809",
                 "18446744073709551617"));
-    out.get("hulls").addAll(List.of("\"small\"", "7", "true", "{}", "[7]", "[null]", "[[]]"));
-    out.get("harbor").addAll(List.of("7", "true", "[\"a\"]", "{}"));
-    return out;
+    result.get("hulls").addAll(List.of("\"small\"", "7", "true", "{}", "[7]", "[null]", "[[]]"));
+    result.get("harbor").addAll(List.of("7", "true", "[\"a\"]", "{}"));
+    return result;
   }
 
   @Test
@@ -194,9 +197,9 @@
     nodes(1, cloud.port());
     typesKnown(0);
     int cases = 0;
-    for (Map.Entry<String, List<String>> e : wrong().entrySet()) {
-      for (String value : e.getValue()) {
-        refused(400, text(with(e.getKey(), value)));
+    for (Map.Entry<String, List<String>> entry : wrong().entrySet()) {
+      for (String value : entry.getValue()) {
+        refused(400, text(with(entry.getKey(), value)));
         cases++;
       }
     }
@@ -211,24 +214,24 @@
     refused(400, good + good);
     refused(400, "[".repeat(60_000));
     refused(400, good.replace("}", ",\"x\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
-    refused(400, good.replace("}", ",\"shards\":0}")); // of a name given twice the last counts
+    refused(400, good.replace("}", ",\"shards\":0}")); // the last of two equal names counts
     refused(413, good.replace("}", ",\"x\":\"" + "y".repeat(65_536) + "\"}"));
     assertEquals(Set.of(), stored());
 
-    // The same without a cause to be refused: it was not the rest of these bodies.
+    // Valid bodies are accepted: the rejections above were due to the changed field.
     List<Map<String, String>> fine = new ArrayList<>(List.of(with(), with("new", "{\"f\":[1]}")));
-    for (String f : MAY_BE_NULL) {
-      fine.add(with(f, null));
-      fine.add(with(f, "null"));
+    for (String field : MAY_BE_NULL) {
+      fine.add(with(field, null));
+      fine.add(with(field, "null"));
     }
     fine.add(with("vcpus", "0", "gpus", "0", "mem_gb", "0"));
     fine.add(with("vcpus", "0.0", "expect_s", "0", "image_gb", "0", "due_s", "0"));
     fine.add(with("shards", "100000", "vcpus", "0.001"));
     Set<String> ids = new TreeSet<>();
-    for (Map<String, String> m : fine) {
-      HttpClient.Response a = submit(text(m));
-      assertEquals(201, a.status(), text(m));
-      ids.add((String) Json.object(a.body()).get("id"));
+    for (Map<String, String> fields : fine) {
+      HttpClient.Response response = submit(text(fields));
+      assertEquals(201, response.status(), text(fields));
+      ids.add((String) Json.object(response.body()).get("id"));
     }
     Set<String> seen = new TreeSet<>();
     stored().forEach(key -> seen.add(key.substring(key.lastIndexOf('/') + 1)));
@@ -239,7 +242,7 @@
   void whatCanNeverRunIsRefusedAndNotStored() throws Exception {
     nodes(1, cloud.port());
     typesKnown(0);
-    for (Map<String, String> m :
+    for (Map<String, String> fields :
         List.of(
             with("crew", "\"nobody\""),
             with("vcpus", "4.5"),
@@ -253,20 +256,20 @@
             with("crew", "\"limited\"", "shape", "\"service\"", "shards", "7"),
             with("shape", "\"gang\"", "harbor", null, "apart", "true"),
             with("shape", "\"service\"", "one_zone", "false", "apart", "true"))) {
-      refused(422, text(m));
+      refused(422, text(fields));
     }
     assertEquals(Set.of(), stored());
-    for (Map<String, String> m :
+    for (Map<String, String> fields :
         List.of(
             with("crew", "\"limited\"", "shape", "\"gang\"", "shards", "6"),
             with("crew", "\"limited\"", "shards", "7"),
             with("apart", "true"),
             with("shape", "\"gang\"", "harbor", null, "one_zone", "false", "apart", "true"))) {
-      assertEquals(201, submit(text(m)).status(), text(m));
+      assertEquals(201, submit(text(fields)).status(), text(fields));
     }
   }
 
-  /** Puts a job on record as a controller that accepted it did. */
+  /** Writes a job into the store, as a controller does that accepts it. */
   private void onRecord(String id, int cpus) throws Exception {
     JobSpec spec =
         JobDraft.array(id, 1)
@@ -288,7 +291,7 @@
     }
   }
 
-  /** Known by its state, at all nodes, whatever its body lacks and whatever the cloud offers. */
+  /** A repeated submission gets the state of its job at all nodes, however invalid it is now. */
   private void known(int count, String id, String phase) throws Exception {
     String quoted = "\"" + id + "\"";
     for (String body :
@@ -306,7 +309,7 @@
     }
   }
 
-  /** Also jobs whose machine type is gone, and bodies that only an earlier version accepted. */
+  /** Even if its machine type no longer exists, or only an earlier version accepted its body. */
   @Test
   void whatWasAcceptedIsNotRefusedLater() throws Exception {
     onRecord("wk-old1", 99);
@@ -321,7 +324,7 @@
     known(2, "wk-old1", "withdrawn");
     assertEquals(Set.of(RecordCodec.ENDED + "wk-old1"), stored());
 
-    // While nobody can say whether it is known, only what no version accepted is refused.
+    // While the store is down, only bodies that no version accepted are rejected as invalid.
     store.down(true);
     refused(503, text(with("one_zone", null)));
     refused(503, text(with("vcpus", "99")));
@@ -333,13 +336,14 @@
     assertEquals(Set.of(RecordCodec.ENDED + "wk-old1"), stored());
   }
 
-  /** The cloud is out from the start: what is new waits, and what is known is told. */
+  /** Without the cloud new jobs have to wait, and known ones are answered. */
   @Test
   void withoutMachineTypesOnlyWhatIsKnownIsDecided() throws Exception {
-    try (HttpServer out = new HttpServer("127.0.0.1", 0, 50, r -> Response.error(503, "trouble"))) {
-      out.start();
+    try (HttpServer result =
+        new HttpServer("127.0.0.1", 0, 50, request -> Response.error(503, "trouble"))) {
+      result.start();
       onRecord("wk-old1", 1);
-      nodes(1, out.port());
+      nodes(1, result.port());
       refused(503, text(with()));
       refused(503, text(with("vcpus", "99")));
       refused(400, text(with("apart", null)));
@@ -349,7 +353,7 @@
     }
   }
 
-  /** Users repeat, cancel what is over and ask for what never was: at all nodes the same. */
+  /** Repeated, late and unknown requests get the same answers at all nodes. */
   @Test
   void oddRequestsGetTheStateOfTheJobAtAllNodes() throws Exception {
     nodes(3, cloud.port());
@@ -384,9 +388,9 @@
 
   private void expect(int node, String method, String path, String body, int status, String word)
       throws Exception {
-    HttpClient.Response a = nodes.call(node, method, path, body);
-    String said = new String(a.body(), StandardCharsets.UTF_8);
-    assertEquals(status, a.status(), said + ": " + method + " " + path + " at " + node);
-    assertTrue(said.contains(word), said + ": " + method + " " + path + " at " + node);
+    HttpClient.Response response = nodes.call(node, method, path, body);
+    String text = new String(response.body(), StandardCharsets.UTF_8);
+    assertEquals(status, response.status(), text + ": " + method + " " + path + " at " + node);
+    assertTrue(text.contains(word), text + ": " + method + " " + path + " at " + node);
   }
 }
--- a/src/test/java/org/astershift/emulator/Await.java
+++ b/src/test/java/org/astershift/emulator/Await.java
@@ -1,32 +1,29 @@
 package org.astershift.emulator;
 
-/** Waits for what must come, however slow the machine is, but not for ever. */
+/** Waits for a condition, with a timeout that only a failure reaches. */
 public final class Await {
-  /**
-   * Far longer than anything takes on a machine that several test runs share, and short enough that
-   * a run ends with a verdict.
-   */
-  private static final long PATIENCE_S = 100;
+  /** Long enough for a machine shared by several test runs, short enough for a verdict. */
+  private static final long TIMEOUT_S = 100;
 
-  private static final long LOOK_MS = 20;
+  private static final long POLL_INTERVAL_MS = 20;
 
   private Await() {}
 
-  /** A condition that is looked at until it holds. */
+  /** A condition that is polled until it holds. */
   public interface Condition {
     boolean holds() throws Exception;
   }
 
-  /** Looks until the condition holds; {@code what} is said of one that does not. */
+  /** Polls until the condition holds; {@code what} names it in the failure. */
   public static void until(String what, Condition condition) throws Exception {
-    long began = System.nanoTime();
+    long startNs = System.nanoTime();
     Object pause = new Object();
     while (!condition.holds()) {
-      if (System.nanoTime() - began > PATIENCE_S * 1_000_000_000) {
-        throw new AssertionError("waited " + PATIENCE_S + " s for: " + what);
+      if (System.nanoTime() - startNs > TIMEOUT_S * 1_000_000_000) {
+        throw new AssertionError("waited " + TIMEOUT_S + " s for: " + what);
       }
       synchronized (pause) {
-        pause.wait(LOOK_MS);
+        pause.wait(POLL_INTERVAL_MS);
       }
     }
   }
--- a/src/test/java/org/astershift/emulator/CloudEmulator.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulator.java
@@ -15,21 +15,21 @@
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
 
-/** A cloud of one machine type whose machines boot at once, each with a {@link WorkerEmulator}. */
+/** A cloud with one machine type whose machines boot at once, each as a {@link WorkerEmulator}. */
 public final class CloudEmulator implements AutoCloseable {
   private final List<Integer> controllers;
-  private final Map<String, List<String>> rentals = new HashMap<>();
+  private final Map<String, List<String>> provisioned = new HashMap<>();
   private final TreeMap<String, WorkerEmulator> machines = new TreeMap<>();
-  private final List<WorkerEmulator> ever = new ArrayList<>();
+  private final List<WorkerEmulator> allWorkers = new ArrayList<>();
   private final long taskMs;
-  private int made;
-  private int refusal;
+  private int machineCount;
+  private int rejectionStatus;
   private boolean closed;
-  private final Set<String> refused = new HashSet<>();
+  private final Set<String> rejectedRequests = new HashSet<>();
   private Consumer<String> beforeAnswer = name -> {};
   private final HttpServer http;
 
-  /** Workers report to the controllers at these ports, and their tasks take so long. */
+  /** Workers send heartbeats to these ports; their tasks take {@code taskMs}, 0 for ever. */
   public CloudEmulator(int port, List<Integer> controllers, long taskMs) throws IOException {
     this.controllers = controllers;
     this.taskMs = taskMs;
@@ -41,22 +41,22 @@
     return http.port();
   }
 
-  /** Workers of the machines that there are. */
+  /** Workers of the present machines. */
   public synchronized List<WorkerEmulator> workers() {
     return new ArrayList<>(machines.values());
   }
 
-  /** Called with each machine that is rented, before its renter knows of it. */
-  public synchronized void rented(Consumer<String> by) {
-    beforeAnswer = by;
+  /** Sets a listener that gets the name of each new machine before the response is sent. */
+  public synchronized void rented(Consumer<String> listener) {
+    beforeAnswer = listener;
   }
 
-  /** The same with those of machines that were given back. */
+  /** Workers of the present machines and of those released. */
   public synchronized List<WorkerEmulator> everRented() {
-    return new ArrayList<>(ever);
+    return new ArrayList<>(allWorkers);
   }
 
-  /** Ends it with all workers that it ever had: none of them sends anything afterwards. */
+  /** Ends it with all workers that it ever had; none sends anything afterwards. */
   @Override
   public void close() throws IOException {
     List<WorkerEmulator> workers = closeToRequests();
@@ -74,33 +74,33 @@
     return everRented();
   }
 
-  private synchronized Response handle(Request r) throws Exception {
+  private synchronized Response handle(Request request) throws Exception {
     if (closed) {
       return Response.error(503, "closed");
     }
-    switch (r.path()) {
+    switch (request.path()) {
       case "/flavors" -> {
-        Map<String, Object> t = new LinkedHashMap<>();
-        t.put("name", "small");
-        t.put("vcpus", 4.0);
-        t.put("gpus", 0.0);
-        t.put("mem_gb", 16.0);
-        t.put("local_gb", 50.0);
-        t.put("pull_gb_per_s", 1.0);
-        t.put("hourly", 0.2);
-        t.put("low_price", 0.1);
-        t.put("ready_s", 1.0);
-        t.put("harbors", List.of("a", "b"));
-        return Response.of(200, Map.of("hulls", List.of(t)));
+        Map<String, Object> type = new LinkedHashMap<>();
+        type.put("name", "small");
+        type.put("vcpus", 4.0);
+        type.put("gpus", 0.0);
+        type.put("mem_gb", 16.0);
+        type.put("local_gb", 50.0);
+        type.put("pull_gb_per_s", 1.0);
+        type.put("hourly", 0.2);
+        type.put("low_price", 0.1);
+        type.put("ready_s", 1.0);
+        type.put("harbors", List.of("a", "b"));
+        return Response.of(200, Map.of("hulls", List.of(type)));
       }
       case "/hosts" -> {
-        return r.method().equals("POST") ? rent(Json.object(r.body())) : list();
+        return request.method().equals("POST") ? provision(Json.object(request.body())) : list();
       }
       case "/hosts/return" -> {
-        for (Object name : Json.list(Json.object(r.body()), "vessels")) {
-          WorkerEmulator w = machines.remove(String.valueOf(name));
-          if (w != null) {
-            w.close();
+        for (Object name : Json.list(Json.object(request.body()), "vessels")) {
+          WorkerEmulator worker = machines.remove(String.valueOf(name));
+          if (worker != null) {
+            worker.close();
           }
         }
         return Response.of(200, Map.of());
@@ -111,51 +111,52 @@
     }
   }
 
-  /** From now on rentals are refused with this status; 0: they are carried out. */
+  /** From now on rejects provisioning with this status; 0 for accepting it. */
   public synchronized void refuseRentals(int status) {
-    refusal = status;
+    rejectionStatus = status;
   }
 
-  /** Names of the rentals that were refused so. */
+  /** Ids of the requests that were rejected so. */
   public synchronized Set<String> rentalsRefused() {
-    return new HashSet<>(refused);
+    return new HashSet<>(rejectedRequests);
   }
 
-  private Response rent(Map<String, Object> m) throws Exception {
-    String rental = Json.string(m, "charter");
-    if (refusal != 0) {
-      refused.add(rental);
-      return Response.error(refusal, "malformed");
+  private Response provision(Map<String, Object> fields) throws Exception {
+    String requestId = Json.string(fields, "charter");
+    if (rejectionStatus != 0) {
+      rejectedRequests.add(requestId);
+      return Response.error(rejectionStatus, "malformed");
     }
-    List<String> names = rentals.get(rental);
+    List<String> names = provisioned.get(requestId);
     if (names == null) {
       names = new ArrayList<>();
-      for (long i = Json.integer(m, "number"); i > 0; i--) {
-        String name = String.format("vm-%06d", ++made);
-        WorkerEmulator w = new WorkerEmulator(name, Json.string(m, "harbor"), controllers, taskMs);
-        machines.put(name, w);
-        ever.add(w);
+      for (long i = Json.integer(fields, "number"); i > 0; i--) {
+        String name = String.format("vm-%06d", ++machineCount);
+        WorkerEmulator worker =
+            new WorkerEmulator(name, Json.string(fields, "harbor"), controllers, taskMs);
+        machines.put(name, worker);
+        allWorkers.add(worker);
         beforeAnswer.accept(name);
         names.add(name);
       }
-      rentals.put(rental, names);
+      provisioned.put(requestId, names);
     }
     return Response.of(200, Map.of("vessels", names));
   }
 
   private Response list() {
-    List<Object> out = new ArrayList<>();
-    for (WorkerEmulator w : machines.values()) {
-      Map<String, Object> m = new LinkedHashMap<>();
-      m.put("id", w.name());
-      m.put("addr", w.addr());
-      m.put("hull", "small");
-      m.put("harbor", w.zone());
-      m.put("ebbtide", false);
-      m.put("phase", "running");
-      m.put("held_s", 1.0);
-      out.add(m);
+    List<Object> machineRows = new ArrayList<>();
+    for (WorkerEmulator worker : machines.values()) {
+      Map<String, Object> fields = new LinkedHashMap<>();
+      fields.put("id", worker.name());
+      fields.put("addr", worker.addr());
+      fields.put("hull", "small");
+      fields.put("harbor", worker.zone());
+      fields.put("ebbtide", false);
+      fields.put("phase", "running");
+      fields.put("held_s", 1.0);
+      machineRows.add(fields);
     }
-    return Response.of(200, Map.of("vessels", out, "more", false));
+    return Response.of(200, Map.of("vessels", machineRows, "more", false));
   }
 }
--- a/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a test leaves behind must not take part in the next one. */
+/** Nothing of one test may take part in the next. */
 @Timeout(200)
 class CloudEmulatorTest {
 
-  /** A rental is on its way as the test that began it ends: no worker outlives its cloud. */
+  /** A provisioning request in flight when a test ends makes no worker. */
   @Test
   void aRentalThatArrivesAsTheCloudClosesBringsNoMachine() throws Exception {
     CloudEmulator cloud = new CloudEmulator(0, List.of(1), 0);
@@ -23,11 +23,11 @@
     Thread renter = new Thread(() -> rent(port));
     synchronized (cloud) {
       renter.start();
-      Await.until("the rental to wait for the cloud", CloudEmulatorTest::aRequestWaits);
+      Await.until("the request to wait for the cloud", CloudEmulatorTest::aRequestWaits);
       cloud.close();
     }
     renter.join();
-    Await.until("the rental to be over", () -> !aRequestWaits());
+    Await.until("the request to end", () -> !aRequestWaits());
     synchronized (cloud) {
       assertEquals(List.of(), cloud.everRented());
     }
@@ -38,7 +38,7 @@
     try (HttpClient client = new HttpClient("127.0.0.1", port, 1)) {
       client.call("POST", "/hosts", order, 10_000);
     } catch (IOException e) {
-      // its connection is closed with the cloud: only what the cloud makes of it matters
+      // the connection is closed with the cloud; only the effect on the cloud matters
     }
   }
 
--- a/src/test/java/org/astershift/emulator/Emulators.java
+++ b/src/test/java/org/astershift/emulator/Emulators.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import org.astershift.config.Settings;
 
-/** The stand-ins on fixed ports, for the first job in the README. */
+/** The emulators on fixed ports, for the first job in the README. */
 public final class Emulators {
   private Emulators() {}
 
   /**
-   * Settings of a single node against stand-ins on these ports, written to this directory. Its
-   * limits are far above what a test asks of the state service.
+   * Settings of a single node against emulators on these ports, written to this directory, with
+   * store limits that no test reaches.
    */
   public static Settings settings(Path dir, int store, int cloud) throws Exception {
     return settings(dir, store, cloud, 20_000);
   }
 
-  /** The same with so many requests to the state service, and as many changes, a second. */
+  /** As above, with store limits of {@code rps} requests and as many writes a second. */
   public static Settings settings(Path dir, int store, int cloud, double rps) throws Exception {
     String text =
         Files.readString(Path.of("src/test/resources/first-job.toml"))
--- a/src/test/java/org/astershift/emulator/InProcessControllers.java
+++ b/src/test/java/org/astershift/emulator/InProcessControllers.java
@@ -22,21 +22,21 @@
 import org.astershift.store.WatchCache;
 
 /**
- * Real controllers in this process, at ports that the system chooses. Users, workers, the state
- * service and the cloud are behind sockets; what controllers ask each other is a plain call.
+ * Real controllers in this process, on ports that the system chooses. Users, workers, store and
+ * cloud are reached through sockets, the other controllers by plain calls.
  */
 public final class InProcessControllers implements AutoCloseable {
-  private static final long PATIENCE_MS = 60_000;
+  private static final long TIMEOUT_MS = 60_000;
 
-  /** Whatever the controllers start is in here, so that it can be ended. */
+  /** All threads of the controllers, so that they can be interrupted. */
   private final ThreadGroup threads = new ThreadGroup("controllers");
 
   private final List<HttpServer> servers = new ArrayList<>();
-  private final Map<String, JobService> desks = new HashMap<>();
+  private final Map<String, JobService> jobServices = new HashMap<>();
 
-  /** {@code ports} gets theirs; {@code more}: tables that the settings have besides. */
+  /** Adds their ports to {@code ports}; {@code extraTables} go into the settings. */
   public InProcessControllers(
-      int count, int storePort, int cloudPort, List<Integer> ports, String more, Path dir)
+      int count, int storePort, int cloudPort, List<Integer> ports, String extraTables, Path dir)
       throws Exception {
     Exception[] failure = new Exception[1];
     Thread starter =
@@ -44,8 +44,8 @@
             threads,
             () -> {
               try {
-                for (int i = 0; i < count; i++) {
-                  start(settings(i, count, storePort, cloudPort, more, dir));
+                for (int index = 0; index < count; index++) {
+                  start(settings(index, count, storePort, cloudPort, extraTables, dir));
                 }
               } catch (IOException | ConfigurationException e) {
                 failure[0] = e;
@@ -56,69 +56,69 @@
     if (failure[0] != null) {
       throw failure[0];
     }
-    servers.forEach(s -> ports.add(s.port()));
-    for (int i = 0; i < count; i++) {
-      await(i, "GET", "/ready", null, 200, "ready");
+    servers.forEach(server -> ports.add(server.port()));
+    for (int index = 0; index < count; index++) {
+      await(index, "GET", "/ready", null, 200, "ready");
     }
   }
 
   private static Settings settings(
-      int i, int count, int storePort, int cloudPort, String more, Path dir)
+      int index, int count, int storePort, int cloudPort, String extraTables, Path dir)
       throws IOException, ConfigurationException {
     StringBuilder others = new StringBuilder();
-    for (int j = 0; j < count; j++) {
-      if (j != i) {
-        others.append("[[others]]\nmember = \"n").append(j).append("\"\ndomain = \"a\"\n");
+    for (int other = 0; other < count; other++) {
+      if (other != index) {
+        others.append("[[others]]\nmember = \"n").append(other).append("\"\ndomain = \"a\"\n");
         others.append("endpoint = \"127.0.0.1:1\"\n");
       }
     }
     String text =
         Files.readString(Path.of("src/test/resources/first-job.toml"))
-            .replace("member = \"one\"", "member = \"n" + i + "\"")
+            .replace("member = \"one\"", "member = \"n" + index + "\"")
             .replace("127.0.0.1:18443", "127.0.0.1:" + cloudPort)
             .replace("127.0.0.1:18379", "127.0.0.1:" + storePort)
             .replace("[external]", others + "[external]")
-            .replace("[facts.workers]", more + "[facts.workers]");
-    return Settings.load(Files.writeString(dir.resolve("n" + i + ".toml"), text));
+            .replace("[facts.workers]", extraTables + "[facts.workers]");
+    return Settings.load(Files.writeString(dir.resolve("n" + index + ".toml"), text));
   }
 
   private void start(Settings settings) throws IOException {
     StoreClient store = new StoreClient(settings);
-    Map<String, JobService.PeerChannel> askers = new HashMap<>();
-    for (Settings.Peer p : settings.peers()) {
-      askers.put(p.nodeName(), (op, job, timeoutMs) -> asked(p.nodeName(), op, job));
+    Map<String, JobService.PeerChannel> peerChannels = new HashMap<>();
+    for (Settings.Peer peer : settings.peers()) {
+      peerChannels.put(peer.nodeName(), (op, job, timeoutMs) -> asked(peer.nodeName(), op, job));
     }
-    ControllerRuntime director =
+    ControllerRuntime controller =
         new ControllerRuntime(
-            settings, OperatorSettings.defaults(), store, new WatchCache(store), askers);
-    JobService desk = new JobService(director, store, askers);
-    synchronized (desks) {
-      desks.put(settings.nodeName(), desk);
+            settings, OperatorSettings.defaults(), store, new WatchCache(store), peerChannels);
+    JobService jobService = new JobService(controller, store, peerChannels);
+    synchronized (jobServices) {
+      jobServices.put(settings.nodeName(), jobService);
     }
-    PublicApi api = new PublicApi(director, desk, settings.limits().teams());
+    PublicApi api = new PublicApi(controller, jobService, settings.limits().teams());
     HttpServer http = new HttpServer("127.0.0.1", 0, 100, api);
     servers.add(http);
-    director.start();
+    controller.start();
     http.start();
   }
 
   private JobAnswer asked(String node, String op, String job) throws IOException {
-    JobService desk;
-    synchronized (desks) {
-      desk = desks.get(node);
+    JobService jobService;
+    synchronized (jobServices) {
+      jobService = jobServices.get(node);
     }
-    if (desk == null) {
+    if (jobService == null) {
       throw new IOException("not up yet");
     }
     try {
-      return desk.answerPeer(op, job);
+      return jobService.answerPeer(op, job);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("ends");
     }
   }
 
-  /** One request of a user, on a connection of its own. */
+  /** Sends one request on a new connection. */
   public HttpClient.Response call(int node, String method, String path, String body)
       throws IOException {
     try (HttpClient client = new HttpClient("127.0.0.1", servers.get(node).port(), 1)) {
@@ -127,16 +127,16 @@
     }
   }
 
-  /** Repeats a request, as users do, until the answer has this status and holds the word. */
+  /** Repeats a request until the response has this status and contains the word. */
   public Map<String, Object> await(
       int node, String method, String path, String body, int status, String word) throws Exception {
-    long deadline = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000;
     String last = "nothing";
     while (System.nanoTime() < deadline) {
-      HttpClient.Response a = call(node, method, path, body);
-      last = a.status() + " " + new String(a.body(), StandardCharsets.UTF_8);
-      if (a.status() == status && last.contains(word)) {
-        return Json.object(a.body());
+      HttpClient.Response response = call(node, method, path, body);
+      last = response.status() + " " + new String(response.body(), StandardCharsets.UTF_8);
+      if (response.status() == status && last.contains(word)) {
+        return Json.object(response.body());
       }
       synchronized (this) {
         wait(20);
@@ -148,8 +148,8 @@
 
   @Override
   public void close() throws IOException {
-    for (HttpServer s : servers) {
-      s.close();
+    for (HttpServer server : servers) {
+      server.close();
     }
     threads.interrupt();
   }
--- a/src/test/java/org/astershift/emulator/PortBlock.java
+++ b/src/test/java/org/astershift/emulator/PortBlock.java
@@ -9,18 +9,17 @@
 import java.util.List;
 
 /**
- * Ports for processes that take theirs from settings and are killed and started again on them, so
- * that nobody can hold them meanwhile. The first port of a block is held open for as long as the
- * block is in use: test runs beside each other so never have the same one. All blocks lie below the
- * range from which systems take ports by themselves (from 32768 on, or later), so no outgoing
- * connection and no server that lets the system choose takes one between two processes.
+ * Ports for processes that are killed and restarted on the same ones. The first port of a block is
+ * kept open while the block is in use, so that parallel test runs never share a block. All blocks
+ * lie below the ephemeral range (32768 and up), so no outgoing connection or other server takes a
+ * port between two processes.
  */
 public final class PortBlock implements AutoCloseable {
   private static final int FIRST = 22_000;
   private static final int PAST_LAST = 32_000;
   private static final int SIZE = 10;
 
-  /** Where this process looks next: what an earlier test left behind finds nobody. */
+  /** Where the search goes on: blocks are not reused soon, so leftovers reach nothing. */
   private static int next = FIRST;
 
   private final ServerSocket held;
@@ -29,7 +28,7 @@
     this.held = held;
   }
 
-  /** The next block of which all ports are free, each once before any comes a second time. */
+  /** The next block whose ports are all free, in turn. */
   public static synchronized PortBlock take() throws IOException {
     for (int tries = (PAST_LAST - FIRST) / SIZE; tries > 0; tries--) {
       int first = next;
@@ -47,38 +46,38 @@
 
   private static boolean othersFree(int first) throws IOException {
     for (int port = first + 1; port < first + SIZE; port++) {
-      ServerSocket s = bound(port);
-      if (s == null) {
+      ServerSocket socket = bound(port);
+      if (socket == null) {
         return false;
       }
-      s.close();
+      socket.close();
     }
     return true;
   }
 
-  /** Null if it is somebody else's, on whatever address. */
+  /** A socket bound to the port; null if it is in use on any address. */
   private static ServerSocket bound(int port) throws IOException {
-    ServerSocket s = new ServerSocket();
+    ServerSocket socket = new ServerSocket();
     try {
-      s.setReuseAddress(true);
-      s.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port));
-      return s;
+      socket.setReuseAddress(true);
+      socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port));
+      return socket;
     } catch (BindException e) {
-      s.close();
+      socket.close();
       return null;
     }
   }
 
-  /** So many ports that are this block's until it is closed. */
-  public List<Integer> ports(int n) {
-    if (n >= SIZE) {
-      throw new IllegalArgumentException("a block has " + (SIZE - 1) + " ports: " + n);
+  /** The block's first {@code count} ports, valid until it is closed. */
+  public List<Integer> ports(int count) {
+    if (count >= SIZE) {
+      throw new IllegalArgumentException("a block has " + (SIZE - 1) + " ports: " + count);
     }
-    List<Integer> out = new ArrayList<>();
-    for (int i = 1; i <= n; i++) {
-      out.add(held.getLocalPort() + i);
+    List<Integer> result = new ArrayList<>();
+    for (int i = 1; i <= count; i++) {
+      result.add(held.getLocalPort() + i);
     }
-    return out;
+    return result;
   }
 
   @Override
--- a/src/test/java/org/astershift/emulator/StoreEmulator.java
+++ b/src/test/java/org/astershift/emulator/StoreEmulator.java
@@ -19,18 +19,18 @@
 import org.astershift.store.StoreClient;
 
 /**
- * A state service in memory, by its published protocol; it can be down, and it can carry
- * transactions out and lose the answers.
+ * An in-memory key-value store that speaks the published protocol. It can be unavailable, and it
+ * can commit transactions and lose the responses.
  */
 public final class StoreEmulator implements AutoCloseable {
   private record Value(Object data, long revision, long lease) {}
 
   private record Event(long revision, Map<String, Object> news, String key) {}
 
-  /** By so much leases end late. */
+  /** Delay of lease expiry. */
   private long lateMs;
 
-  /** Changes up to this revision are not kept any more. */
+  /** Changes up to this revision are compacted. */
   private long forgotten = -1;
 
   private final TreeMap<String, Value> rows = new TreeMap<>();
@@ -41,13 +41,13 @@
   private boolean down;
   private final HttpServer http;
 
-  /** Of the transactions carried out, so many get no answer. */
+  /** Share of the committed transactions whose responses are lost. */
   private double lostShare;
 
   private final SplittableRandom random = new SplittableRandom(7);
   private final Map<String, Integer> lost = new HashMap<>();
 
-  /** Keys written by transactions whose senders wait for an answer that does not come. */
+  /** Keys written by transactions whose senders wait in vain for a response. */
   private final Set<String> unanswered = new HashSet<>();
 
   private int readMeanwhile;
@@ -61,19 +61,17 @@
     return http.port();
   }
 
-  /**
-   * Sees a request before it is carried out or refused, and again before it is answered; if it
-   * throws, the request is refused.
-   */
+  /** Called before a request is executed or rejected, and before its response is sent. */
   public interface Watcher {
-    void sees(Request r, boolean carriedOut) throws Exception;
+    /** An exception rejects the request. */
+    void sees(Request request, boolean carriedOut) throws Exception;
   }
 
-  /** A way in for one node, which can be refused there while all others are served. */
+  /** An address for one node, whose requests can be rejected while others are served. */
   public final class StoreAddress implements AutoCloseable {
     private final HttpServer server;
     private volatile boolean refused;
-    private volatile Watcher watcher = (r, carriedOut) -> {};
+    private volatile Watcher watcher = (request, carriedOut) -> {};
     private boolean held;
 
     private StoreAddress() throws IOException {
@@ -81,30 +79,30 @@
       server.start();
     }
 
-    private Response answer(Request r) throws Exception {
-      watcher.sees(r, false);
+    private Response answer(Request request) throws Exception {
+      watcher.sees(request, false);
       if (refused) {
         return Response.error(503, "trouble");
       }
-      Response answer = handle(r);
-      watcher.sees(r, true);
-      boolean end = new String(r.body(), StandardCharsets.UTF_8).contains("\"set\":\"d/");
+      Response response = handle(request);
+      watcher.sees(request, true);
+      boolean end = new String(request.body(), StandardCharsets.UTF_8).contains("\"set\":\"d/");
       synchronized (this) {
         while (held && end) {
           wait();
         }
       }
-      return answer;
+      return response;
     }
 
-    /** Whatever comes through here is shown to this one. */
-    public void watched(Watcher by) {
-      watcher = by;
+    /** Shows all requests to this address to a watcher. */
+    public void watched(Watcher newWatcher) {
+      watcher = newWatcher;
     }
 
-    /** From now on ends of jobs are written and their writer gets no answer, until let go. */
-    public synchronized void holdEnds(boolean is) {
-      held = is;
+    /** While set, writes of job completions are committed but not answered. */
+    public synchronized void holdEnds(boolean active) {
+      held = active;
       notifyAll();
     }
 
@@ -112,8 +110,8 @@
       return server.port();
     }
 
-    public void refuse(boolean is) {
-      refused = is;
+    public void refuse(boolean active) {
+      refused = active;
     }
 
     @Override
@@ -122,16 +120,17 @@
     }
   }
 
+  /** A new address, for one node. */
   public StoreAddress door() throws IOException {
     return new StoreAddress();
   }
 
-  /** Leases end so much too late, so that a test that stands still for a while loses none. */
-  public synchronized void leasesEndLate(long ms) {
-    lateMs = ms;
+  /** Delays lease expiry, so that no lease expires while a test is paused. */
+  public synchronized void leasesEndLate(long delayMs) {
+    lateMs = delayMs;
   }
 
-  /** No watch can go on from what happened so far. */
+  /** Compacts all changes so far: no watch can resume from them. */
   public synchronized void forgetChanges() {
     forgotten = revision;
     notifyAll();
@@ -141,34 +140,33 @@
     return rows.containsKey(key);
   }
 
-  /** All keys below a prefix. */
+  /** All keys with a prefix. */
   public synchronized Set<String> below(String prefix) {
     return new TreeSet<>(rows.subMap(prefix, prefix + Character.MAX_VALUE).keySet());
   }
 
   /**
-   * From now on this share of transactions is carried out at once, and only the answer is lost: of
-   * every eight such one is never answered, and the others break off, so that their sender knows at
-   * once that it knows nothing.
+   * From now on this share of transactions is committed and its responses are lost: one in eight of
+   * them is never sent, and the others are cut short, so that the sender notices at once.
    */
   public synchronized void loseAnswers(double share) {
     lostShare = share;
     notifyAll();
   }
 
-  /** So many transactions that set a key with this prefix have lost their answers. */
+  /** Number of transactions that set a key with this prefix and lost their responses. */
   public synchronized int lost(String prefix) {
     return lost.getOrDefault(prefix, 0);
   }
 
-  /** So often somebody read a key while the one who wrote it waited for an answer in vain. */
+  /** Number of reads of a key whose writer waited in vain for its response. */
   public synchronized int readMeanwhile() {
     return readMeanwhile;
   }
 
-  /** While down every request gets 503; afterwards each lease has its full time again. */
-  public synchronized void down(boolean is) {
-    down = is;
+  /** While down every request gets 503; afterwards each lease has its full duration again. */
+  public synchronized void down(boolean active) {
+    down = active;
     for (long[] lease : leases.values()) {
       lease[1] = now() + lease[0];
     }
@@ -184,34 +182,34 @@
     return System.nanoTime() / 1_000_000;
   }
 
-  private synchronized Response handle(Request r) throws Exception {
+  private synchronized Response handle(Request request) throws Exception {
     expire();
     if (down) {
       return Response.error(503, "trouble");
     }
-    Map<String, String> q = new HashMap<>();
-    for (String pair : r.query().split("&")) {
-      int eq = pair.indexOf('=');
-      if (eq > 0) {
-        q.put(pair.substring(0, eq), pair.substring(eq + 1));
+    Map<String, String> query = new HashMap<>();
+    for (String pair : request.query().split("&")) {
+      int equals = pair.indexOf('=');
+      if (equals > 0) {
+        query.put(pair.substring(0, equals), pair.substring(equals + 1));
       }
     }
-    String path = r.path();
+    String path = request.path();
     if (path.equals("/store")) {
-      return list(q);
+      return list(query);
     } else if (path.startsWith("/store/")) {
       String key = path.substring("/store/".length());
-      Value v = rows.get(key);
+      Value value = rows.get(key);
       readMeanwhile += unanswered.contains(key) ? 1 : 0;
-      return v == null
+      return value == null
           ? Response.of(404, Map.of("epoch", revision))
-          : Response.of(200, row(key, v));
+          : Response.of(200, row(key, value));
     } else if (path.equals("/multi")) {
-      return multi(Json.object(r.body()));
+      return multi(Json.object(request.body()));
     } else if (path.equals("/watch")) {
-      return watch(q);
+      return watch(query);
     } else if (path.equals("/grants")) {
-      leases.put(++lastLease, new long[] {Json.integer(Json.object(r.body()), "life_ms"), 0});
+      leases.put(++lastLease, new long[] {Json.integer(Json.object(request.body()), "life_ms"), 0});
       leases.get(lastLease)[1] = now() + leases.get(lastLease)[0];
       return Response.of(200, Map.of("mooring", lastLease));
     } else if (path.endsWith("/renew")) {
@@ -221,7 +219,7 @@
       }
       lease[1] = now() + lease[0];
       return Response.of(200, Map.of("mooring", Long.parseLong(path.split("/")[2])));
-    } else if (path.startsWith("/grants/") && r.method().equals("DELETE")) {
+    } else if (path.startsWith("/grants/") && request.method().equals("DELETE")) {
       long[] lease = leases.get(Long.parseLong(path.split("/")[2]));
       if (lease != null) {
         lease[1] = 0;
@@ -258,78 +256,79 @@
     notifyAll();
   }
 
-  private static Map<String, Object> row(String key, Value v) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("k", key);
-    m.put("data", v.data());
-    m.put("stamp", v.revision());
-    if (v.lease() != 0) {
-      m.put("mooring", v.lease());
+  private static Map<String, Object> row(String key, Value value) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("k", key);
+    fields.put("data", value.data());
+    fields.put("stamp", value.revision());
+    if (value.lease() != 0) {
+      fields.put("mooring", value.lease());
     }
-    return m;
+    return fields;
   }
 
-  private Response list(Map<String, String> q) {
-    int limit = Integer.parseInt(q.getOrDefault("limit", "1000"));
-    List<Object> out = new ArrayList<>();
+  private Response list(Map<String, String> query) {
+    int limit = Integer.parseInt(query.getOrDefault("limit", "1000"));
+    List<Object> rowsFound = new ArrayList<>();
     boolean more = false;
-    for (Map.Entry<String, Value> e : rows.tailMap(q.getOrDefault("from", ""), false).entrySet()) {
-      if (e.getKey().startsWith(q.get("starts"))) {
-        if (out.size() == limit) {
+    for (Map.Entry<String, Value> entry :
+        rows.tailMap(query.getOrDefault("from", ""), false).entrySet()) {
+      if (entry.getKey().startsWith(query.get("starts"))) {
+        if (rowsFound.size() == limit) {
           more = true;
           break;
         }
-        out.add(row(e.getKey(), e.getValue()));
+        rowsFound.add(row(entry.getKey(), entry.getValue()));
       }
     }
-    return Response.of(200, Map.of("rows", out, "more", more, "epoch", revision));
+    return Response.of(200, Map.of("rows", rowsFound, "more", more, "epoch", revision));
   }
 
   private Response multi(Map<String, Object> body) throws Exception {
     List<Object> failed = new ArrayList<>();
-    for (Object o : Json.list(body, "if")) {
-      Map<String, Object> c = Json.object(o, "condition");
-      Value v = rows.get(Json.string(c, "k"));
-      if ((v == null ? 0 : v.revision()) != Json.integer(c, "stamp")) {
-        failed.add(c.get("k"));
+    for (Object item : Json.list(body, "if")) {
+      Map<String, Object> fields = Json.object(item, "condition");
+      Value value = rows.get(Json.string(fields, "k"));
+      if ((value == null ? 0 : value.revision()) != Json.integer(fields, "stamp")) {
+        failed.add(fields.get("k"));
       }
     }
     if (!failed.isEmpty()) {
       return Response.of(409, Map.of("failed", failed, "epoch", revision));
     }
     List<?> changes = Json.list(body, "writes");
-    for (Object o : changes) {
-      Map<String, Object> c = Json.object(o, "change");
-      if (c.get("mooring") != null && !leases.containsKey(Json.integer(c, "mooring"))) {
+    for (Object item : changes) {
+      Map<String, Object> fields = Json.object(item, "change");
+      if (fields.get("mooring") != null && !leases.containsKey(Json.integer(fields, "mooring"))) {
         return Response.error(400, "no such lease");
       }
     }
     revision++;
-    for (Object o : changes) {
-      Map<String, Object> c = Json.object(o, "change");
-      String key = Json.stringOrNull(c, "set");
+    for (Object item : changes) {
+      Map<String, Object> fields = Json.object(item, "change");
+      String key = Json.stringOrNull(fields, "set");
       if (key == null) {
-        remove(Json.string(c, "remove"));
+        remove(Json.string(fields, "remove"));
         continue;
       }
-      long lease = c.get("mooring") == null ? 0 : Json.integer(c, "mooring");
-      rows.put(key, new Value(c.get("data"), revision, lease));
+      long lease = fields.get("mooring") == null ? 0 : Json.integer(fields, "mooring");
+      rows.put(key, new Value(fields.get("data"), revision, lease));
       Map<String, Object> news = new LinkedHashMap<>();
       news.put("set", key);
-      news.put("data", c.get("data"));
+      news.put("data", fields.get("data"));
       news.put("stamp", revision);
       events.add(new Event(revision, news, key));
     }
     notifyAll();
-    Response answer = Response.of(200, Map.of("epoch", revision));
-    return random.nextDouble() < lostShare ? lost(changes, answer) : answer;
+    Response response = Response.of(200, Map.of("epoch", revision));
+    return random.nextDouble() < lostShare ? lost(changes, response) : response;
   }
 
-  /** The transaction is carried out, and its sender is not to learn of it. */
-  private Response lost(List<?> changes, Response answer) throws Exception {
+  /** Withholds the response of a committed transaction from its sender. */
+  private Response lost(List<?> changes, Response response) throws Exception {
     List<String> keys = new ArrayList<>();
-    for (Object o : changes) {
-      String key = Json.stringOrNull(Json.object(o, "change"), "set");
+    for (Object item : changes) {
+      String key = Json.stringOrNull(Json.object(item, "change"), "set");
       if (key != null) {
         keys.add(key);
         lost.merge(key.substring(0, key.lastIndexOf('/') + 1), 1, Integer::sum);
@@ -339,29 +338,29 @@
       return new Response(200, new byte[0], 0);
     }
     unanswered.addAll(keys);
-    long until = now() + 2 * StoreClient.STORE_TIMEOUT_MS;
-    while (now() < until && lostShare > 0) {
-      wait(Math.max(1, until - now()));
+    long untilMs = now() + 2 * StoreClient.STORE_TIMEOUT_MS;
+    while (now() < untilMs && lostShare > 0) {
+      wait(Math.max(1, untilMs - now()));
     }
     unanswered.removeAll(keys);
-    return answer; // nobody hears it any more
+    return response; // the sender has given up
   }
 
-  private Response watch(Map<String, String> q) throws InterruptedException {
-    long from = Long.parseLong(q.get("from"));
-    long deadline = now() + Long.parseLong(q.getOrDefault("block_ms", "0"));
+  private Response watch(Map<String, String> query) throws InterruptedException {
+    long from = Long.parseLong(query.get("from"));
+    long deadlineMs = now() + Long.parseLong(query.getOrDefault("block_ms", "0"));
     while (true) {
       expire();
       if (from < forgotten) {
         return Response.error(410, "too old");
       }
       List<Object> news = new ArrayList<>();
-      for (Event e : events) {
-        if (e.revision() > from && e.key().startsWith(q.get("starts"))) {
-          news.add(e.news());
+      for (Event entry : events) {
+        if (entry.revision() > from && entry.key().startsWith(query.get("starts"))) {
+          news.add(entry.news());
         }
       }
-      if (!down && (!news.isEmpty() || now() >= deadline)) {
+      if (!down && (!news.isEmpty() || now() >= deadlineMs)) {
         return Response.of(200, Map.of("epoch", revision, "news", news));
       }
       wait(20);
--- a/src/test/java/org/astershift/emulator/WorkerEmulator.java
+++ b/src/test/java/org/astershift/emulator/WorkerEmulator.java
@@ -14,9 +14,9 @@
 import org.astershift.http.Json;
 import org.astershift.http.JsonFormatException;
 
-/** A worker by its published protocol; its tasks take a fixed time, and no image. */
+/** A worker that speaks the published protocol; its tasks take a fixed time and need no image. */
 public final class WorkerEmulator implements AutoCloseable {
-  private static final long REPORT_MS = 150;
+  private static final long HEARTBEAT_INTERVAL_MS = 150;
   private final String name;
   private final String zone;
   private final List<Integer> controllers;
@@ -25,24 +25,24 @@
   private final Map<String, Map<String, Object>> tasks = new LinkedHashMap<>();
   private final Map<String, Long> startedMs = new LinkedHashMap<>();
   private final List<Start> starts = new ArrayList<>();
-  private long seq;
+  private long sequence;
   private long token;
   private volatile boolean closed;
   private final Thread reports;
-  private int at;
+  private int controllerIndex;
 
   private final List<Integer> answeredBy = new ArrayList<>();
 
-  /** A task that was started, and when, by {@link System#nanoTime}. */
+  /** A start of a task, and its time by {@link System#nanoTime}. */
   public record Start(String task, long atNs) {}
 
-  /** What it reported so far, for those who send it once more. */
+  /** The heartbeats sent so far, for replay. */
   private final List<String> said = new ArrayList<>();
 
-  /** What is said to it arrives once this is over: packets held by a cut. */
+  /** Inbound partition: requests to it are delayed until it ends. */
   private boolean deaf;
 
-  /** It sends no report. */
+  /** It sends no heartbeats. */
   private boolean silent;
 
   WorkerEmulator(String name, String zone, List<Integer> controllers, long taskMs)
@@ -70,61 +70,61 @@
     return "127.0.0.1:" + http.port();
   }
 
-  /** Every start so far, as task names. */
+  /** The names of all tasks started so far, once a start. */
   public List<String> started() {
     return starts().stream().map(Start::task).collect(Collectors.toCollection(ArrayList::new));
   }
 
-  /** Every start so far. */
+  /** All starts so far. */
   public synchronized List<Start> starts() {
     return new ArrayList<>(starts);
   }
 
-  /** Every report so far, as it was sent. */
+  /** All heartbeats so far, as sent. */
   public synchronized List<String> said() {
     return new ArrayList<>(said);
   }
 
-  /** Its reports arrive; answers to them are lost, and orders wait until this is over. */
-  public synchronized void deaf(boolean now) {
-    deaf = now;
+  /** Inbound partition: heartbeats arrive, their responses are lost, and commands are delayed. */
+  public synchronized void deaf(boolean active) {
+    deaf = active;
     notifyAll();
   }
 
-  /** A leader with this token has spoken to it; its next reports are held back. */
-  public synchronized void seenUnsaid(long later) {
-    token = Math.max(token, later);
+  /** Records a later fencing token, and sends no more heartbeats. */
+  public synchronized void seenUnsaid(long laterToken) {
+    token = Math.max(token, laterToken);
     silent = true;
   }
 
-  /** It ends and is there again: no task, no token, and the first tick. Says what it lost. */
+  /** Restarts without tasks, fencing token and sequence number; returns the lost tasks. */
   public synchronized List<String> beginAnew() {
     List<String> lost = new ArrayList<>();
-    tasks.values().forEach(t -> lost.add(String.valueOf(t.get("shard"))));
+    tasks.values().forEach(task -> lost.add(String.valueOf(task.get("shard"))));
     tasks.clear();
     startedMs.clear();
     token = 0;
-    seq = 0;
+    sequence = 0;
     return lost;
   }
 
-  /** Which controllers' answers it took, by port, since this was last asked. */
+  /** Ports of the controllers whose responses it accepted since the last call. */
   public synchronized List<Integer> answeredBy() {
-    List<Integer> out = new ArrayList<>(answeredBy);
+    List<Integer> result = new ArrayList<>(answeredBy);
     answeredBy.clear();
-    return out;
+    return result;
   }
 
-  /** Tasks that run now. */
+  /** Names of the running tasks. */
   public synchronized List<String> running() {
-    List<String> out = new ArrayList<>();
+    List<String> result = new ArrayList<>();
     tasks.forEach(
-        (k, t) -> {
-          if (t.get("phase").equals("running")) {
-            out.add(String.valueOf(t.get("shard")));
+        (key, task) -> {
+          if (task.get("phase").equals("running")) {
+            result.add(String.valueOf(task.get("shard")));
           }
         });
-    return out;
+    return result;
   }
 
   @Override
@@ -134,7 +134,7 @@
     http.close();
   }
 
-  /** Waits, once it is closed, for the report that may still be on its way. */
+  /** Waits, once it is closed, for a heartbeat that may be in flight. */
   void awaitEnd() {
     try {
       reports.join();
@@ -144,72 +144,74 @@
   }
 
   private synchronized Map<String, Object> report() {
-    long now = System.nanoTime() / 1_000_000;
+    long nowMs = System.nanoTime() / 1_000_000;
     tasks.forEach(
-        (k, t) -> {
-          // A job whose number begins with 9 runs until it is stopped.
-          boolean service = taskMs <= 0 || String.valueOf(t.get("shard")).startsWith("wk-9");
-          if (t.get("phase").equals("running") && !service && now - startedMs.get(k) >= taskMs) {
-            t.put("phase", "exited");
-            t.put("cause", "done");
+        (key, task) -> {
+          // Jobs numbered from 900000 run until they are stopped.
+          boolean service = taskMs <= 0 || String.valueOf(task.get("shard")).startsWith("wk-9");
+          if (task.get("phase").equals("running")
+              && !service
+              && nowMs - startedMs.get(key) >= taskMs) {
+            task.put("phase", "exited");
+            task.put("cause", "done");
           }
         });
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("vessel", name);
-    m.put("addr", addr());
-    m.put("hull", "small");
-    m.put("harbor", zone);
-    m.put("ebbtide", false);
-    m.put("watch", 1);
-    m.put("tick", ++seq);
-    m.put("helm", token);
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("vessel", name);
+    fields.put("addr", addr());
+    fields.put("hull", "small");
+    fields.put("harbor", zone);
+    fields.put("ebbtide", false);
+    fields.put("watch", 1);
+    fields.put("tick", ++sequence);
+    fields.put("helm", token);
     List<Object> shards = new ArrayList<>();
-    tasks.values().forEach(t -> shards.add(new LinkedHashMap<>(t)));
-    m.put("shards", shards);
-    return m;
+    tasks.values().forEach(task -> shards.add(new LinkedHashMap<>(task)));
+    fields.put("shards", shards);
+    return fields;
   }
 
-  private synchronized Response handle(Request r) throws Exception {
+  private synchronized Response handle(Request request) throws Exception {
     while (deaf && !closed) {
       wait();
     }
-    if (!r.path().equals("/orders")) {
+    if (!request.path().equals("/orders")) {
       return Response.of(200, report());
     }
-    Map<String, Object> m = Json.object(r.body());
-    if (Json.integer(m, "helm") < token || Json.integer(m, "watch") != 1) {
+    Map<String, Object> fields = Json.object(request.body());
+    if (Json.integer(fields, "helm") < token || Json.integer(fields, "watch") != 1) {
       return Response.of(409, report());
     }
-    obey(m);
+    execute(fields);
     return Response.of(200, report());
   }
 
-  private synchronized void obey(Map<String, Object> m) throws JsonFormatException {
-    if (m.get("helm") == null || Json.integer(m, "helm") < token) {
+  private synchronized void execute(Map<String, Object> fields) throws JsonFormatException {
+    if (fields.get("helm") == null || Json.integer(fields, "helm") < token) {
       return;
     }
-    token = Json.integer(m, "helm");
-    for (Object o : Json.list(m, "orders")) {
-      Map<String, Object> order = Json.object(o, "order");
-      String task = Json.string(order, "shard");
-      String key = task + "@" + Json.integer(order, "launch");
-      switch (Json.string(order, "verb")) {
+    token = Json.integer(fields, "helm");
+    for (Object item : Json.list(fields, "orders")) {
+      Map<String, Object> command = Json.object(item, "order");
+      String taskName = Json.string(command, "shard");
+      String key = taskName + "@" + Json.integer(command, "launch");
+      switch (Json.string(command, "verb")) {
         case "run" -> {
           if (!tasks.containsKey(key)) {
-            Map<String, Object> t = new LinkedHashMap<>();
-            t.put("shard", task);
-            t.put("launch", order.get("launch"));
-            t.put("phase", "running");
-            tasks.put(key, t);
+            Map<String, Object> task = new LinkedHashMap<>();
+            task.put("shard", taskName);
+            task.put("launch", command.get("launch"));
+            task.put("phase", "running");
+            tasks.put(key, task);
             startedMs.put(key, System.nanoTime() / 1_000_000);
-            starts.add(new Start(task, System.nanoTime()));
+            starts.add(new Start(taskName, System.nanoTime()));
           }
         }
         case "stop" -> {
-          Map<String, Object> t = tasks.get(key);
-          if (t != null && !t.get("phase").equals("exited")) {
-            t.put("phase", "exited");
-            t.put("cause", "halted");
+          Map<String, Object> task = tasks.get(key);
+          if (task != null && !task.get("phase").equals("exited")) {
+            task.put("phase", "exited");
+            task.put("cause", "halted");
           }
         }
         default -> tasks.remove(key);
@@ -217,37 +219,37 @@
     }
   }
 
-  /** Waits for the next report's time on the object's monitor, so that closing need not wait. */
-  private synchronized void rest() throws InterruptedException {
+  /** Waits on the object's monitor, so that closing need not wait for it. */
+  private synchronized void awaitNextHeartbeat() throws InterruptedException {
     do {
-      wait(REPORT_MS);
+      wait(HEARTBEAT_INTERVAL_MS);
     } while (silent && !closed);
   }
 
-  private synchronized void answered(String report, HttpClient.Response a)
+  private synchronized void onResponse(String report, HttpClient.Response response)
       throws JsonFormatException {
     said.add(report);
     if (!deaf) {
-      answeredBy.add(controllers.get(at % controllers.size()));
-      obey(Json.object(a.body()));
+      answeredBy.add(controllers.get(controllerIndex % controllers.size()));
+      execute(Json.object(response.body()));
     }
   }
 
   private void loop() {
     while (!closed) {
       try {
-        rest();
-        int port = controllers.get(at % controllers.size());
+        awaitNextHeartbeat();
+        int port = controllers.get(controllerIndex % controllers.size());
         HttpClient client = new HttpClient("127.0.0.1", port, 1);
         byte[] report = Json.bytes(report());
-        HttpClient.Response a = client.call("POST", "/agent/beat", report, 2000);
-        if (a.status() == 200) {
-          answered(new String(report, StandardCharsets.UTF_8), a);
+        HttpClient.Response response = client.call("POST", "/agent/beat", report, 2000);
+        if (response.status() == 200) {
+          onResponse(new String(report, StandardCharsets.UTF_8), response);
         } else {
-          at++;
+          controllerIndex++;
         }
       } catch (IOException | JsonFormatException e) {
-        at++;
+        controllerIndex++;
       } catch (InterruptedException e) {
         return;
       }
--- /dev/null
+++ b/src/test/java/org/astershift/emulator/package-info.java
@@ -0,0 +1,2 @@
+/** Emulators of store, cloud and workers, and harnesses to run real controllers against them. */
+package org.astershift.emulator;
--- a/src/test/java/org/astershift/http/ConnectionSlotsTest.java
+++ b/src/test/java/org/astershift/http/ConnectionSlotsTest.java
@@ -11,176 +11,177 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Who keeps a place when there are more connections than threads. */
+/** Which connections keep a slot when there are more connections than slots. */
 class ConnectionSlotsTest {
   private long now;
 
-  private Connection come(ConnectionSlots places, List<Connection> closed) {
-    Connection c = new Connection(++now);
-    closed.addAll(places.admit(c));
-    return c;
+  private Connection come(ConnectionSlots slots, List<Connection> closed) {
+    Connection connection = new Connection(++now);
+    closed.addAll(slots.admit(connection));
+    return connection;
   }
 
-  private Connection come(ConnectionSlots places, boolean worker, List<Connection> closed) {
-    Connection c = come(places, closed);
-    c.onRequestStarted(now);
-    closed.addAll(places.onRequest(c, worker));
-    c.onIdle(++now);
-    return c;
+  private Connection come(ConnectionSlots slots, boolean worker, List<Connection> closed) {
+    Connection connection = come(slots, closed);
+    connection.onRequestStarted(now);
+    closed.addAll(slots.onRequest(connection, worker));
+    connection.onIdle(++now);
+    return connection;
   }
 
-  /** A storm of users took the places of workers, whose reports keep leases alive. */
+  /** Workers' heartbeats keep leases alive: users cannot take their reserved slots. */
   @Test
   void usersStormLeavesWorkersTheirPlaces() {
-    ConnectionSlots places = new ConnectionSlots(100, 30);
+    ConnectionSlots slots = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> workers = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
-      workers.add(come(places, true, closed));
+      workers.add(come(slots, true, closed));
     }
     closed.clear();
     for (int i = 0; i < 5000; i++) {
-      come(places, false, closed);
+      come(slots, false, closed);
     }
     closed.retainAll(workers);
     assertEquals(List.of(), closed);
   }
 
-  /** Connections that never ask for anything go first. */
+  /** Connections that never send a request are evicted first. */
   @Test
   void silentConnectionsKeepNobodyOut() {
-    ConnectionSlots places = new ConnectionSlots(10, 3);
+    ConnectionSlots slots = new ConnectionSlots(10, 3);
     List<Connection> closed = new ArrayList<>();
     List<Connection> silent = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      silent.add(come(places, closed));
+      silent.add(come(slots, closed));
     }
     assertEquals(List.of(), closed);
     for (int i = 0; i < 7; i++) {
-      come(places, true, closed);
+      come(slots, true, closed);
     }
     assertEquals(silent.subList(0, 7), closed);
   }
 
-  /** As long as there is room, a group may have more than its part: workers that of the users. */
+  /** While slots are free, workers may exceed their share and use that of the users. */
   @Test
   void workersUseWhatUsersLeave() {
-    ConnectionSlots places = new ConnectionSlots(10, 3);
+    ConnectionSlots slots = new ConnectionSlots(10, 3);
     List<Connection> closed = new ArrayList<>();
     List<Connection> workers = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      workers.add(come(places, true, closed));
+      workers.add(come(slots, true, closed));
     }
     assertEquals(List.of(), closed);
-    come(places, false, closed);
-    assertEquals(workers.subList(0, 1), closed, "beyond the workers' part the idlest goes");
+    come(slots, false, closed);
+    assertEquals(
+        workers.subList(0, 1), closed, "beyond the workers' share the longest idle is evicted");
   }
 
-  /** One report on its connection, or on a new one; null if it ends with the answer. */
-  private Connection report(ConnectionSlots places, Connection open, List<Connection> closed) {
-    Connection c = open == null ? come(places, closed) : open;
-    c.onRequestStarted(++now);
-    closed.addAll(places.onRequest(c, true));
-    boolean stays = places.mayKeepAlive(c);
-    c.onIdle(++now);
+  /** Sends a heartbeat on a connection, or a new one; null if it closes with the response. */
+  private Connection report(ConnectionSlots slots, Connection current, List<Connection> closed) {
+    Connection connection = current == null ? come(slots, closed) : current;
+    connection.onRequestStarted(++now);
+    closed.addAll(slots.onRequest(connection, true));
+    boolean stays = slots.mayKeepAlive(connection);
+    connection.onIdle(++now);
     if (!stays) {
-      places.release(c);
+      slots.release(connection);
     }
-    return stays ? c : null;
+    return stays ? connection : null;
   }
 
   /**
-   * At 1,676 machines and 1,533 places each new connection gave up an idle one: 40,000 in a day,
-   * and each worker that lost its connection so took the node for dead and tried another.
+   * With more workers than slots no idle connection is closed: its worker would try another node.
    */
   @Test
   void moreWorkersThanPlacesComeAndGoWithTheirReports() {
-    ConnectionSlots places = new ConnectionSlots(100, 30);
+    ConnectionSlots slots = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     Connection[] workers = new Connection[170];
     int handshakes = 0;
     for (int round = 0; round < 10; round++) {
       for (int i = 0; i < workers.length; i++) {
         handshakes += workers[i] == null ? 1 : 0;
-        workers[i] = report(places, workers[i], closed);
+        workers[i] = report(slots, workers[i], closed);
       }
     }
     for (int i = 0; i < 20; i++) {
-      come(places, false, closed);
+      come(slots, false, closed);
       for (int j = 5 * i; j < 5 * (i + 1); j++) {
-        workers[j] = report(places, workers[j], closed);
+        workers[j] = report(slots, workers[j], closed);
       }
     }
-    assertEquals(List.of(), closed, "nobody who waits for an answer or is idle is cut off");
-    assertTrue(handshakes < 10 * 85 + 90, handshakes + " connections: those kept stay");
+    assertEquals(List.of(), closed, "no idle or busy connection is evicted");
+    assertTrue(
+        handshakes < 10 * 85 + 90, handshakes + " connections opened: those kept alive are reused");
   }
 
-  /** All machines connect in one second after a cut: users and health checks still get in. */
+  /** All machines connect at once after a partition: users and health checks are still admitted. */
   @Test
   void allWorkersAtOnceLeaveRoomForUsers() {
-    ConnectionSlots places = new ConnectionSlots(100, 30);
+    ConnectionSlots slots = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> refused = new ArrayList<>();
     for (int i = 0; i < 170; i++) {
-      Connection c = come(places, closed);
-      c.onRequestStarted(++now);
-      for (Connection over : places.onRequest(c, true)) {
-        refused.add(over);
-        assertEquals(c, over, "a report at work is not given up for another");
+      Connection connection = come(slots, closed);
+      connection.onRequestStarted(++now);
+      for (Connection evicted : slots.onRequest(connection, true)) {
+        refused.add(evicted);
+        assertEquals(connection, evicted, "a busy heartbeat is not evicted for another");
       }
     }
-    assertTrue(refused.size() <= 170 - 90, refused.size() + " refused");
+    assertTrue(refused.size() <= 170 - 90, refused.size() + " rejected");
     for (int i = 0; i < 5; i++) {
-      come(places, false, closed).onRequestStarted(++now);
+      come(slots, false, closed).onRequestStarted(++now);
     }
     assertEquals(List.of(), closed);
   }
 
-  /** Old connections of machines that come anew are half open: they go first. */
+  /** Old connections of machines that reconnect are half open: they are evicted first. */
   @Test
   void halfOpenConnectionsGoFirst() {
-    ConnectionSlots places = new ConnectionSlots(100, 30);
+    ConnectionSlots slots = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> dead = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
-      dead.add(report(places, null, closed));
+      dead.add(report(slots, null, closed));
     }
     for (int i = 0; i < 90; i++) {
-      Connection c = come(places, closed);
-      c.onRequestStarted(++now);
-      closed.addAll(places.onRequest(c, true));
+      Connection connection = come(slots, closed);
+      connection.onRequestStarted(++now);
+      closed.addAll(slots.onRequest(connection, true));
     }
     assertTrue(closed.size() > 50, closed.size() + " closed");
     assertEquals(dead.subList(0, closed.size()), closed);
   }
 
-  /** Whoever finds all others at work is told so instead of waiting unserved. */
+  /** A connection that finds all others busy is rejected instead of waiting. */
   @Test
   void nobodyAtWorkIsGivenUp() {
-    ConnectionSlots places = new ConnectionSlots(2, 2);
+    ConnectionSlots slots = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
-    come(places, false, closed).onRequestStarted(now);
-    come(places, false, closed).onRequestStarted(now);
-    Connection third = come(places, closed);
+    come(slots, false, closed).onRequestStarted(now);
+    come(slots, false, closed).onRequestStarted(now);
+    Connection third = come(slots, closed);
     assertEquals(List.of(third), closed);
   }
 
-  /** A connection closed and reported twice must not free two places. */
+  /** A connection released twice must not free two slots. */
   @Test
   void leavingTwiceFreesOnePlace() {
-    ConnectionSlots places = new ConnectionSlots(2, 2);
+    ConnectionSlots slots = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
-    Connection first = come(places, false, closed);
-    come(places, false, closed);
-    places.release(first);
-    places.release(first);
-    come(places, false, closed);
+    Connection first = come(slots, false, closed);
+    come(slots, false, closed);
+    slots.release(first);
+    slots.release(first);
+    come(slots, false, closed);
     assertEquals(List.of(), closed);
-    come(places, false, closed);
+    come(slots, false, closed);
     assertEquals(1, closed.size());
   }
 
-  /** 0.75 of 3,473 sockets were 2,604 threads, beside pools of over 90, where 2,000 are allowed. */
+  /** However many sockets are allowed, connections and pools fit into the allowed threads. */
   @ParameterizedTest
   @ValueSource(ints = {16, 1200, 1500, 2411, 3473, 1_000_000})
   void threadsStayWithinTheirLimit(int sockets) {
--- a/src/test/java/org/astershift/http/HostileInputTest.java
+++ b/src/test/java/org/astershift/http/HostileInputTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What breaks HTTP gets the fitting status, a closed connection and nothing of our insides. */
+/** Malformed HTTP gets the right status, and no response shows internals. */
 class HostileInputTest {
   @ParameterizedTest(name = "{0}")
   @CsvSource(
@@ -34,9 +34,9 @@
       })
   void answers(String what, String request, int status) throws Exception {
     String text = request.replace("~", "\r\n").replace("^", "\n");
-    String answer = exchange(text);
-    assertEquals("HTTP/1.1 " + status, answer.substring(0, 12), answer);
-    assertFalse(answer.contains("Exception") || answer.contains("org.astershift"), answer);
+    String response = exchange(text);
+    assertEquals("HTTP/1.1 " + status, response.substring(0, 12), response);
+    assertFalse(response.contains("Exception") || response.contains("org.astershift"), response);
   }
 
   @org.junit.jupiter.api.Test
@@ -53,28 +53,31 @@
             "127.0.0.1",
             0,
             10,
-            r -> {
+            request -> {
               throw new IllegalStateException("secret");
             })) {
       server.start();
       HttpClient client = new HttpClient("127.0.0.1", server.port(), 1);
-      HttpClient.Response a = client.call("GET", "/", null, 5000);
-      assertEquals(503, a.status());
-      assertFalse(new String(a.body(), StandardCharsets.UTF_8).contains("secret"));
+      HttpClient.Response response = client.call("GET", "/", null, 5000);
+      assertEquals(503, response.status());
+      assertFalse(new String(response.body(), StandardCharsets.UTF_8).contains("secret"));
     }
   }
 
   private static String exchange(String text) throws Exception {
     try (HttpServer server =
         new HttpServer(
-            "127.0.0.1", 0, 10, r -> HttpServer.Response.of(200, Map.of("n", r.body().length)))) {
+            "127.0.0.1",
+            0,
+            10,
+            request -> HttpServer.Response.of(200, Map.of("n", request.body().length)))) {
       server.start();
       try (Socket socket = new Socket("127.0.0.1", server.port())) {
         socket.setSoTimeout(20_000);
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         byte[] buffer = new byte[4096];
-        int n = socket.getInputStream().read(buffer);
-        return new String(buffer, 0, Math.max(n, 0), StandardCharsets.ISO_8859_1);
+        int count = socket.getInputStream().read(buffer);
+        return new String(buffer, 0, Math.max(count, 0), StandardCharsets.ISO_8859_1);
       }
     }
   }
--- a/src/test/java/org/astershift/http/HttpClientTest.java
+++ b/src/test/java/org/astershift/http/HttpClientTest.java
@@ -14,59 +14,59 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections that are kept for the next request, and end meanwhile. */
+/** Pooled connections that the server closes. */
 @Timeout(60)
 class HttpClientTest {
   private static final int KEPT = 6;
   private static final byte[] OK =
       "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-  /** The first requests are answered once all of them have come, each on a connection. */
+  /** The first requests are answered once all have arrived, so that each opens a connection. */
   private final CountDownLatch all = new CountDownLatch(KEPT);
 
   private final List<Socket> open = new ArrayList<>();
 
   /**
-   * The service was away and is back. One request learns that by failing, since it may have been
-   * carried out; the others that are kept have ended, too. Each of them failed one renewal of the
-   * leader's lease, and six in a row took longer than it lives.
+   * The server restarts. One request has to fail, since it may have been executed; the other pooled
+   * connections are discarded with its own. If each failed one lease renewal, the lease would
+   * expire.
    */
   @Test
   void oneRequestLearnsThatTheServiceBeganAnew() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         HttpClient client = new HttpClient("127.0.0.1", server.getLocalPort(), KEPT)) {
       new Thread(() -> accept(server)).start();
-      List<FutureTask<Integer>> together = new ArrayList<>();
+      List<FutureTask<Integer>> calls = new ArrayList<>();
       for (int i = 0; i < KEPT; i++) {
-        FutureTask<Integer> f = new FutureTask<>(() -> status(client));
-        together.add(f);
-        new Thread(f).start();
+        FutureTask<Integer> call = new FutureTask<>(() -> status(client));
+        calls.add(call);
+        new Thread(call).start();
       }
-      for (FutureTask<Integer> f : together) {
-        assertEquals(200, f.get());
+      for (FutureTask<Integer> call : calls) {
+        assertEquals(200, call.get());
       }
       synchronized (open) {
         assertEquals(KEPT, open.size());
-        for (Socket s : open) {
-          s.close();
+        for (Socket socket : open) {
+          socket.close();
         }
       }
-      List<Integer> said = new ArrayList<>();
+      List<Integer> statuses = new ArrayList<>();
       for (int i = 0; i < 3; i++) {
-        said.add(status(client));
+        statuses.add(status(client));
       }
-      assertEquals(List.of(0, 200, 200), said);
+      assertEquals(List.of(0, 200, 200), statuses);
     }
   }
 
   private void accept(ServerSocket server) {
     while (!server.isClosed()) {
       try {
-        Socket s = server.accept();
+        Socket socket = server.accept();
         synchronized (open) {
-          open.add(s);
+          open.add(socket);
         }
-        new Thread(Threads.logFailures("connection", () -> serve(s))).start();
+        new Thread(Threads.logFailures("connection", () -> serve(socket))).start();
       } catch (IOException e) {
         return; // the test is over
       }
@@ -75,19 +75,19 @@
 
   private void serve(Socket socket) throws InterruptedException {
     try (socket) {
-      HttpMessageReader wire = new HttpMessageReader(socket);
-      while (wire.awaitFirstByte()) {
-        wire.readRequest(HttpServer.MAX_REQUEST_BODY_BYTES);
+      HttpMessageReader reader = new HttpMessageReader(socket);
+      while (reader.awaitFirstByte()) {
+        reader.readRequest(HttpServer.MAX_REQUEST_BODY_BYTES);
         all.countDown();
         all.await();
         socket.getOutputStream().write(OK);
       }
     } catch (IOException e) {
-      // closed by the test, or by the client at its end
+      // closed by the test or the client
     }
   }
 
-  /** 0 without an answer. */
+  /** The status of a response; 0 without one. */
   private static int status(HttpClient client) {
     try {
       return client.call("GET", "/", null, 5000).status();
--- a/src/test/java/org/astershift/http/HttpServerTest.java
+++ b/src/test/java/org/astershift/http/HttpServerTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** More connections than a node can serve. */
+/** More connections than the server can handle. */
 @Timeout(60)
 class HttpServerTest {
-  private static HttpServer.Response ok(HttpServer.Request r) {
-    return HttpServer.Response.of(200, Map.of("path", r.path()));
+  private static HttpServer.Response ok(HttpServer.Request request) {
+    return HttpServer.Response.of(200, Map.of("path", request.path()));
   }
 
-  /** A thread that the system refuses to start, as it does when a process has too many. */
+  /** A thread that cannot start, as when the process has too many. */
   private static final class Unstartable extends Thread {
     @Override
     public synchronized void start() {
@@ -35,45 +35,48 @@
     return new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
   }
 
-  private static void ask(Socket s, String path) throws IOException {
-    s.getOutputStream()
+  private static void ask(Socket socket, String path) throws IOException {
+    socket
+        .getOutputStream()
         .write(("GET " + path + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Reads one answer, headers and body, from a connection that stays open. */
-  private static String answer(Socket s) throws IOException {
+  /** Reads one response from a connection that stays open; returns its head. */
+  private static String answer(Socket socket) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
-      int b = s.getInputStream().read();
-      if (b < 0) {
+      int next = socket.getInputStream().read();
+      if (next < 0) {
         return head.toString();
       }
-      head.append((char) b);
+      head.append((char) next);
     }
     String length = head.toString().replaceAll("(?s).*Content-Length: ([0-9]+).*", "$1");
-    s.getInputStream().readNBytes(Integer.parseInt(length));
+    socket.getInputStream().readNBytes(Integer.parseInt(length));
     return head.toString();
   }
 
-  /**
-   * The socket stayed open with nobody serving it: it hung for its user, and counted as open until
-   * the node had no places left.
-   */
+  /** Without a thread a connection is closed with 503, and does not keep its slot. */
   @Test
   void connectionWhoseThreadCannotStartIsClosed() throws Exception {
-    AtomicInteger refused = new AtomicInteger(5);
-    ThreadFactory scarce =
-        r ->
-            refused.getAndDecrement() > 0
+    AtomicInteger refusals = new AtomicInteger(5);
+    ThreadFactory scarceThreads =
+        request ->
+            refusals.getAndDecrement() > 0
                 ? new Unstartable()
-                : Threads.connectionThreadFactory().newThread(r);
+                : Threads.connectionThreadFactory().newThread(request);
     try (HttpServer server =
         new HttpServer(
-            "127.0.0.1", 0, new ConnectionSlots(2, 2), p -> false, HttpServerTest::ok, scarce)) {
+            "127.0.0.1",
+            0,
+            new ConnectionSlots(2, 2),
+            path -> false,
+            HttpServerTest::ok,
+            scarceThreads)) {
       server.start();
       for (int i = 0; i < 5; i++) {
-        try (Socket s = new Socket("127.0.0.1", server.port())) {
-          String text = all(s.getInputStream());
+        try (Socket socket = new Socket("127.0.0.1", server.port())) {
+          String text = all(socket.getInputStream());
           assertTrue(text.startsWith("HTTP/1.1 503") && text.contains("Retry-After: "), text);
         }
       }
@@ -83,7 +86,7 @@
     }
   }
 
-  /** The connections of workers outlast a storm of users: reports keep leases alive. */
+  /** Workers' connections outlast any number of users' connections. */
   @Test
   void usersStormLeavesReportsTheirConnections() throws Exception {
     List<Socket> sockets = new ArrayList<>();
@@ -92,45 +95,45 @@
             "127.0.0.1",
             0,
             new ConnectionSlots(20, 5),
-            p -> p.equals("/report"),
+            path -> path.equals("/report"),
             HttpServerTest::ok)) {
       server.start();
       List<Socket> workers = new ArrayList<>();
       for (int i = 0; i < 15; i++) {
-        Socket s = new Socket("127.0.0.1", server.port());
-        sockets.add(s);
-        workers.add(s);
-        ask(s, "/report");
-        assertTrue(answer(s).startsWith("HTTP/1.1 200"));
+        Socket socket = new Socket("127.0.0.1", server.port());
+        sockets.add(socket);
+        workers.add(socket);
+        ask(socket, "/report");
+        assertTrue(answer(socket).startsWith("HTTP/1.1 200"));
       }
       for (int i = 0; i < 200; i++) {
-        Socket s = new Socket("127.0.0.1", server.port());
-        sockets.add(s);
-        ask(s, "/job");
-        assertTrue(answer(s).startsWith("HTTP/1.1 200"), "a new user is served as well");
+        Socket socket = new Socket("127.0.0.1", server.port());
+        sockets.add(socket);
+        ask(socket, "/job");
+        assertTrue(answer(socket).startsWith("HTTP/1.1 200"), "a new user is served as well");
       }
-      for (Socket s : workers) {
-        ask(s, "/report");
-        assertTrue(answer(s).startsWith("HTTP/1.1 200"), "a worker lost its connection");
+      for (Socket socket : workers) {
+        ask(socket, "/report");
+        assertTrue(answer(socket).startsWith("HTTP/1.1 200"), "a worker lost its connection");
       }
     } finally {
-      for (Socket s : sockets) {
-        s.close();
+      for (Socket socket : sockets) {
+        socket.close();
       }
     }
   }
 
-  /** A pool whose thread could not start threw the refusal at the pass, and forgot the work. */
+  /** A task stays queued if no thread can start, and runs once one can. */
   @Test
   void workOutlastsAThreadThatCannotStart() throws Exception {
-    AtomicInteger refused = new AtomicInteger(1);
+    AtomicInteger refusals = new AtomicInteger(1);
     TaskPool pool =
         new TaskPool(
             2,
-            r ->
-                refused.getAndDecrement() > 0
+            request ->
+                refusals.getAndDecrement() > 0
                     ? new Unstartable()
-                    : Threads.connectionThreadFactory().newThread(r));
+                    : Threads.connectionThreadFactory().newThread(request));
     CountDownLatch done = new CountDownLatch(1);
     pool.execute("work", done::countDown);
     assertEquals(1, done.getCount());
--- a/src/test/java/org/astershift/worker/CommandSenderTest.java
+++ b/src/test/java/org/astershift/worker/CommandSenderTest.java
@@ -11,23 +11,25 @@
 import org.astershift.http.HttpServer.Response;
 import org.astershift.scheduler.Command;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a start may have done of which no proper answer came: it holds its task's place. */
+/** When the outcome of commands is unknown: a start then still occupies its task's place. */
 class CommandSenderTest {
   private static final String REPORT =
       "{\"vessel\":\"vm-1\",\"addr\":\"127.0.0.1:1\",\"hull\":\"small\",\"harbor\":\"a\","
           + "\"ebbtide\":false,\"watch\":1,\"tick\":7,\"helm\":5,\"shards\":[]}";
 
-  private static String sent(String addr) {
-    CommandSender.Result r = new CommandSender().send(addr, 5, 1, List::of, 2000);
-    return (r.outcomeUnknown() ? "unknown" : "known")
-        + (r.heartbeat() == null ? "" : " with a report");
+  private static String sent(String address) {
+    CommandSender.Result result = new CommandSender().send(address, 5, 1, List::of, 2000);
+    return (result.outcomeUnknown() ? "unknown" : "known")
+        + (result.heartbeat() == null ? "" : " with a report");
   }
 
   private static String answered(int status, String body) throws Exception {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     try (HttpServer worker =
-        new HttpServer("127.0.0.1", 0, 5, r -> new Response(status, bytes, 0))) {
+        new HttpServer("127.0.0.1", 0, 5, result -> new Response(status, bytes, 0))) {
       worker.start();
       return sent("127.0.0.1:" + worker.port());
     }
@@ -37,44 +39,52 @@
   void onlyWhatCertainlyDidNothingIsKnown() throws Exception {
     assertEquals("known with a report", answered(200, REPORT));
     assertEquals("known with a report", answered(409, REPORT));
-    assertEquals("known", answered(400, "{}"), "refused as it is: nothing is executed");
-    for (int status : new int[] {404, 500, 503}) {
-      assertEquals("unknown", answered(status, "{}"));
-    }
-    assertEquals("unknown", answered(200, REPORT.substring(0, 60)), "it may have been executed");
-    HttpServer gone = new HttpServer("127.0.0.1", 0, 5, r -> Response.of(200, null));
-    String addr = "127.0.0.1:" + gone.port();
-    gone.close();
-    assertEquals("known", sent(addr), "no connection: nothing was sent");
+    assertEquals("known", answered(400, "{}"), "rejected as malformed: nothing is executed");
+    assertEquals(
+        "unknown",
+        answered(200, REPORT.substring(0, 60)),
+        "it may have been executed before the response broke off");
+    HttpServer closedServer = new HttpServer("127.0.0.1", 0, 5, result -> Response.of(200, null));
+    String address = "127.0.0.1:" + closedServer.port();
+    closedServer.close();
+    assertEquals("known", sent(address), "no connection: nothing was sent");
     assertEquals("known", sent("nowhere"));
-    assertEquals("known", sent("127.0.0.1:70000"), "no port");
+    assertEquals("known", sent("127.0.0.1:70000"), "not a port");
     assertFalse(new CommandSender().isReachable("127.0.0.1:70000", 2000));
   }
 
+  /** Other errors leave it open whether the commands were executed. */
+  @ParameterizedTest
+  @ValueSource(ints = {404, 500, 503})
+  void outcomeIsUnknownAfterAnError(int status) throws Exception {
+    assertEquals("unknown", answered(status, "{}"));
+  }
+
   /**
-   * What to send is decided once there is a connection: until then the leader's lease may have run
-   * out, and who accepts it may have begun anew.
+   * Commands are made once the connection is established: until then the leader's lease may expire
+   * or the agent restart.
    */
   @Test
   void ordersAreMadeUpOnceThereIsAConnection() throws Exception {
-    AtomicInteger madeUp = new AtomicInteger();
-    Supplier<List<Command>> orders =
+    AtomicInteger calls = new AtomicInteger();
+    Supplier<List<Command>> commands =
         () -> {
-          madeUp.incrementAndGet();
+          calls.incrementAndGet();
           return List.of();
         };
-    HttpServer gone = new HttpServer("127.0.0.1", 0, 5, r -> Response.of(200, null));
-    String addr = "127.0.0.1:" + gone.port();
-    gone.close();
-    new CommandSender().send(addr, 5, 1, orders, 2000);
-    assertEquals(0, madeUp.get(), "nobody accepts a connection");
-    byte[] report = REPORT.getBytes(StandardCharsets.UTF_8);
-    try (HttpServer worker = new HttpServer("127.0.0.1", 0, 5, r -> new Response(200, report, 0))) {
+    HttpServer closedServer = new HttpServer("127.0.0.1", 0, 5, result -> Response.of(200, null));
+    String address = "127.0.0.1:" + closedServer.port();
+    closedServer.close();
+    new CommandSender().send(address, 5, 1, commands, 2000);
+    assertEquals(0, calls.get(), "no connection was accepted");
+    byte[] heartbeat = REPORT.getBytes(StandardCharsets.UTF_8);
+    try (HttpServer worker =
+        new HttpServer("127.0.0.1", 0, 5, result -> new Response(200, heartbeat, 0))) {
       worker.start();
       CommandSender sender = new CommandSender();
       for (int i = 1; i <= 2; i++) {
-        sender.send("127.0.0.1:" + worker.port(), 5, 1, orders, 2000);
-        assertEquals(i, madeUp.get(), "once a request, also over a connection that was kept");
+        sender.send("127.0.0.1:" + worker.port(), 5, 1, commands, 2000);
+        assertEquals(i, calls.get(), "once a request, also on a reused connection");
       }
     }
   }
