--- a/src/test/java/org/astershift/ConsistentAnswersTest.java
+++ b/src/test/java/org/astershift/ConsistentAnswersTest.java
@@ -52,7 +52,7 @@
 
   /** Single-task jobs, a quarter of them cancelled, without faults. */
   @Test
-  void aStreamOfShortJobs() throws Exception {
+  void streamOfShortJobs() throws Exception {
     try (ConcurrentUsers users = new ConcurrentUsers(nodes, 1, 150, 1)) {
       users.start(users.jobs().size());
       users.join();
@@ -66,7 +66,7 @@
    * an uncertain lease while another leads.
    */
   @Test
-  void answersAreLostAndLeadersChange() throws Exception {
+  void responsesAreLostAndLeadersChange() throws Exception {
     try (ConcurrentUsers users = new ConcurrentUsers(nodes, 1001, 150, 2)) {
       nodes.store.loseAnswers(0.33);
       // A part of the jobs is left for each fault, however fast the users are.
--- a/src/test/java/org/astershift/EndToEndTest.java
+++ b/src/test/java/org/astershift/EndToEndTest.java
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void jobsSurviveAnOutageAndTheLossOfControllers() throws Exception {
+  void jobsSurviveAStoreOutageAndControllerCrashes() throws Exception {
     await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000001", "sweep", 6), "wk-000001");
     await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000001", "sweep", 6), "wk-000001");
     await(2, "GET", "/v2/runs/wk-000001", null, "\"done\",");
@@ -134,7 +134,7 @@
    * answer with it, so the leader must not answer with an older state.
    */
   @Test
-  void whatIsOverOnRecordIsToldByNobodyAsLive() throws Exception {
+  void noNodeAnswersOlderThanAWrittenCompletion() throws Exception {
     await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000008", "sweep", 3), "wk-000008");
     nodes.storeAddresses.forEach(address -> address.holdEnds(true));
     Await.until("the completion in the store", () -> nodes.store.has("d/wk-000008"));
@@ -153,7 +153,7 @@
    * while its predecessor still runs waits for its addresses.
    */
   @Test
-  void processesAreBackAtOnce() throws Exception {
+  void processesRestartAtOnce() throws Exception {
     await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000007", "sweep", 60), "wk-000007");
     await(1, "GET", "/v2/runs/wk-000007", null, "\"running\",");
     for (int round = 0; round < 5; round++) {
@@ -185,13 +185,13 @@
    * partitioned while the leader is killed, and then gets all delayed requests at once.
    */
   @Test
-  void copiesComeLateMachinesBeginAnewAndOneHearsNothing() throws Exception {
+  void heartbeatsAreReplayedAndWorkersRestartedAndPartitioned() throws Exception {
     await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000030", "sweep", 60), "wk-000030");
     await(1, "GET", "/v2/runs/wk-000030", null, "\"running\",");
-    List<String> lost = nodes.cloud.workers().get(0).beginAnew();
+    List<String> lost = nodes.cloud.workers().get(0).restart();
     replay();
-    WorkerEmulator deaf = nodes.cloud.workers().get(nodes.cloud.workers().size() - 1);
-    deaf.deaf(true);
+    WorkerEmulator partitioned = nodes.cloud.workers().get(nodes.cloud.workers().size() - 1);
+    partitioned.inboundPartitioned(true);
     for (int i = 0; i < 3; i++) {
       if (nodes.hasLed(i)) {
         nodes.kill(i);
@@ -200,7 +200,7 @@
       }
     }
     replay();
-    deaf.deaf(false);
+    partitioned.inboundPartitioned(false);
     replay();
     await(2, "GET", "/v2/runs/wk-000030", null, "\"done\",");
     List<String> starts = started();
@@ -226,7 +226,7 @@
    * once, and asks its peers about jobs; jobs continue meanwhile.
    */
   @Test
-  void aNodeRefusedByTheStateServiceAloneSendsUsersElsewhere() throws Exception {
+  void nodePartitionedFromTheStoreIsNotReady() throws Exception {
     for (int i = 0; i < 3; i++) {
       int other = (i + 1) % 3;
       String before = "wk-00001" + i;
@@ -254,7 +254,7 @@
    * rejected at once.
    */
   @Test
-  void confirmedByAnotherJustBeforeAnOutage() throws Exception {
+  void cancellationConfirmedByAnotherNodeBeforeAnOutage() throws Exception {
     for (int i = 0; i < 3; i++) {
       await(i, "POST", "/v2/runs", endless("wk-90000" + i), "wk-90000" + i);
       await(i, "GET", "/v2/runs/wk-90000" + i, null, "\"running\",");
--- a/src/test/java/org/astershift/MainTest.java
+++ b/src/test/java/org/astershift/MainTest.java
@@ -12,7 +12,7 @@
 
 /** Bad usage and bad settings: one line that says what is wrong, and exit code 2. */
 class MainTest {
-  private static final Path GOOD = Path.of("src/test/resources/first-job.toml");
+  private static final Path VALID = Path.of("src/test/resources/first-job.toml");
   @TempDir Path dir;
 
   private static void expect(int code, String text, String... args) {
@@ -37,13 +37,13 @@
     expect(0, "astershift", "--version");
     expect(2, "--config FILE is required");
     expect(2, "--nonsense", "--nonsense");
-    expect(2, "unexpected argument: more", "--config", GOOD.toString(), "more");
+    expect(2, "unexpected argument: more", "--config", VALID.toString(), "more");
   }
 
   @Test
   void settings() throws Exception {
-    String valid = Files.readString(GOOD);
-    expect(0, "settings are fine", "--check", "--config", GOOD.toString());
+    String valid = Files.readString(VALID);
+    expect(0, "settings are fine", "--check", "--config", VALID.toString());
     expect(0, "fine", "--check", "--config", file("more.toml", "later = 1\n" + valid));
     expect(2, "cannot be read", "--check", "--config", dir.resolve("none").toString());
     expect(2, "not TOML", "--check", "--config", file("bad.toml", "= ["));
@@ -60,8 +60,8 @@
 
   /** Unusual teams and objectives are accepted, or rejected with one clear line. */
   @Test
-  void oddTeamsAndAims() throws Exception {
-    String valid = Files.readString(GOOD);
+  void unusualTeamsAndObjectives() throws Exception {
+    String valid = Files.readString(VALID);
     String unusual =
         valid
                 .replace("cpus = 0.0", "cpus = 90000.0")
@@ -79,7 +79,7 @@
 
   @Test
   void operatorsFile() throws Exception {
-    String config = GOOD.toString();
+    String config = VALID.toString();
     String valid = file("good.ini", "[placement]\nwindow = 100\n[fleet]\nidle_release_s = 5\n");
     expect(0, "fine", "--check", "--ini", valid, "--config", config);
     String invalid = file("bad.ini", "[placement]\nwindow = x\nwidow = 1\n[flet]\na = 1\n");
--- a/src/test/java/org/astershift/api/JobCodecTest.java
+++ b/src/test/java/org/astershift/api/JobCodecTest.java
@@ -1,6 +1,7 @@
 package org.astershift.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
@@ -13,7 +14,7 @@
 
 /** A submission is decoded, or rejected with the name of the invalid field. */
 class JobCodecTest {
-  private static final String GOOD =
+  private static final String VALID =
       "{\"id\":\"wk-000412\",\"berth_class\":\"train\",\"crew\":\"vision\",\"shape\":\"gang\","
           + "\"rank\":\"urgent\",\"shards\":16,\"vcpus\":8.0,\"gpus\":1.0,\"mem_gb\":64.0,"
           + "\"payload\":\"img-07\",\"image_gb\":6.2,\"hulls\":[\"g8\"],\"harbor\":null,"
@@ -25,12 +26,12 @@
   }
 
   @Test
-  void readsWhatTheProtocolShows() throws JsonFormatException {
-    JobSpec spec = read(GOOD);
+  void decodesTheExampleOfTheProtocol() throws JsonFormatException {
+    JobSpec spec = read(VALID);
     assertEquals(JobKind.GANG, spec.kind());
     assertEquals(16, spec.tasks());
     assertEquals(900.0, spec.deadlineS());
-    assertEquals(null, spec.zone());
+    assertNull(spec.zone());
   }
 
   @ParameterizedTest
@@ -50,9 +51,9 @@
         "\"due_s\":900.0 | \"due_s\":-1 | due_s is out of range",
         "\"one_zone\":true | \"one_zone\":1 | one_zone is missing or not true or false"
       })
-  void namesTheFieldThatIsWrong(String original, String replacement, String message) {
+  void namesTheInvalidField(String original, String replacement, String message) {
     JsonFormatException error =
-        assertThrows(JsonFormatException.class, () -> read(GOOD.replace(original, replacement)));
+        assertThrows(JsonFormatException.class, () -> read(VALID.replace(original, replacement)));
     assertEquals(message, error.getMessage());
   }
 
@@ -60,7 +61,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"[1] | not an object", "{\"a\": | not JSON", "'' | not JSON"})
-  void refusesWhatIsNoObject(String text, String message) {
+  void rejectsWhatIsNoObject(String text, String message) {
     JsonFormatException error = assertThrows(JsonFormatException.class, () -> read(text));
     assertEquals(message, error.getMessage());
   }
--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -41,29 +41,29 @@
   private static final String JOBS = "/v2/runs";
 
   /** Fields of a submission as JSON text; it can run on the emulated machines. */
-  private static final Map<String, String> GOOD = new LinkedHashMap<>();
+  private static final Map<String, String> VALID = new LinkedHashMap<>();
 
   static {
-    GOOD.put("id", null);
-    GOOD.put("berth_class", "\"c\"");
-    GOOD.put("crew", "\"demo\"");
-    GOOD.put("shape", "\"sweep\"");
-    GOOD.put("rank", "\"standard\"");
-    GOOD.put("shards", "2");
-    GOOD.put("vcpus", "1.0");
-    GOOD.put("gpus", "0.0");
-    GOOD.put("mem_gb", "1.0");
-    GOOD.put("payload", "\"i\"");
-    GOOD.put("image_gb", "1.0");
-    GOOD.put("hulls", "[\"small\"]");
-    GOOD.put("harbor", "\"a\"");
-    GOOD.put("one_zone", "true");
-    GOOD.put("apart", "false");
-    GOOD.put("ebbtide", "false");
-    GOOD.put("expect_s", "1.0");
-    GOOD.put("anchor_s", "0.0");
-    GOOD.put("stow_s", "0.0");
-    GOOD.put("due_s", "9.0");
+    VALID.put("id", null);
+    VALID.put("berth_class", "\"c\"");
+    VALID.put("crew", "\"demo\"");
+    VALID.put("shape", "\"sweep\"");
+    VALID.put("rank", "\"standard\"");
+    VALID.put("shards", "2");
+    VALID.put("vcpus", "1.0");
+    VALID.put("gpus", "0.0");
+    VALID.put("mem_gb", "1.0");
+    VALID.put("payload", "\"i\"");
+    VALID.put("image_gb", "1.0");
+    VALID.put("hulls", "[\"small\"]");
+    VALID.put("harbor", "\"a\"");
+    VALID.put("one_zone", "true");
+    VALID.put("apart", "false");
+    VALID.put("ebbtide", "false");
+    VALID.put("expect_s", "1.0");
+    VALID.put("anchor_s", "0.0");
+    VALID.put("stow_s", "0.0");
+    VALID.put("due_s", "9.0");
   }
 
   private static final List<String> TEXTS = List.of("berth_class", "crew", "payload");
@@ -98,7 +98,7 @@
   }
 
   /** Waits until a node knows the machine types, before which it decides nothing new. */
-  private void typesKnown(int node) throws Exception {
+  private void awaitMachineTypes(int node) throws Exception {
     nodes.await(node, "POST", JOBS, text(with("vcpus", "99")), 422, "");
   }
 
@@ -108,7 +108,7 @@
 
   /** A valid submission with a new id and these changes, name then text; null removes a field. */
   private Map<String, String> with(String... changes) {
-    Map<String, String> fields = new LinkedHashMap<>(GOOD);
+    Map<String, String> fields = new LinkedHashMap<>(VALID);
     fields.put("id", "\"" + id() + "\"");
     for (int i = 0; i < changes.length; i += 2) {
       if (changes[i + 1] == null) {
@@ -136,7 +136,7 @@
     return nodes.call(0, "POST", JOBS, body);
   }
 
-  private void refused(int status, String body) throws Exception {
+  private void assertRejected(int status, String body) throws Exception {
     HttpClient.Response response = submit(body);
     String text = new String(response.body(), StandardCharsets.UTF_8);
     String shown = body.length() > 600 ? body.substring(0, 600) + "..." : body;
@@ -145,10 +145,10 @@
   }
 
   /** Invalid values of each field, whatever the other fields are. */
-  private static Map<String, List<String>> wrong() {
+  private static Map<String, List<String>> invalidValues() {
     Map<String, List<String>> result = new LinkedHashMap<>();
     List<String> noText = List.of("7", "true", "[\"a\"]", "{}");
-    for (String field : GOOD.keySet()) {
+    for (String field : VALID.keySet()) {
       List<String> values = new ArrayList<>();
       if (!MAY_BE_NULL.contains(field)) {
         values.add(null);
@@ -193,13 +193,13 @@
   }
 
   @Test
-  void whatLacksAFieldIsRefusedAndNotStored() throws Exception {
+  void malformedIsRejectedAndNotStored() throws Exception {
     nodes(1, cloud.port());
-    typesKnown(0);
+    awaitMachineTypes(0);
     int cases = 0;
-    for (Map.Entry<String, List<String>> entry : wrong().entrySet()) {
+    for (Map.Entry<String, List<String>> entry : invalidValues().entrySet()) {
       for (String value : entry.getValue()) {
-        refused(400, text(with(entry.getKey(), value)));
+        assertRejected(400, text(with(entry.getKey(), value)));
         cases++;
       }
     }
@@ -208,14 +208,15 @@
     List<String> noObjects =
         Arrays.asList("", "no", "null", "7", "\"x\"", "[" + good + "]", "{" + good, good + "}");
     for (String body : noObjects) {
-      refused(400, body);
+      assertRejected(400, body);
     }
-    refused(400, good.substring(0, good.length() - 1));
-    refused(400, good + good);
-    refused(400, "[".repeat(60_000));
-    refused(400, good.replace("}", ",\"x\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
-    refused(400, good.replace("}", ",\"shards\":0}")); // the last of two equal names counts
-    refused(413, good.replace("}", ",\"x\":\"" + "y".repeat(65_536) + "\"}"));
+    assertRejected(400, good.substring(0, good.length() - 1));
+    assertRejected(400, good + good);
+    assertRejected(400, "[".repeat(60_000));
+    assertRejected(
+        400, good.replace("}", ",\"x\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
+    assertRejected(400, good.replace("}", ",\"shards\":0}")); // the last of two equal names counts
+    assertRejected(413, good.replace("}", ",\"x\":\"" + "y".repeat(65_536) + "\"}"));
     assertEquals(Set.of(), stored());
 
     // Valid bodies are accepted: the rejections above were due to the changed field.
@@ -239,9 +240,9 @@
   }
 
   @Test
-  void whatCanNeverRunIsRefusedAndNotStored() throws Exception {
+  void impossibleIsRejectedAndNotStored() throws Exception {
     nodes(1, cloud.port());
-    typesKnown(0);
+    awaitMachineTypes(0);
     for (Map<String, String> fields :
         List.of(
             with("crew", "\"nobody\""),
@@ -256,7 +257,7 @@
             with("crew", "\"limited\"", "shape", "\"service\"", "shards", "7"),
             with("shape", "\"gang\"", "harbor", null, "apart", "true"),
             with("shape", "\"service\"", "one_zone", "false", "apart", "true"))) {
-      refused(422, text(fields));
+      assertRejected(422, text(fields));
     }
     assertEquals(Set.of(), stored());
     for (Map<String, String> fields :
@@ -270,7 +271,7 @@
   }
 
   /** Writes a job into the store, as a controller does that accepts it. */
-  private void onRecord(String id, int cpus) throws Exception {
+  private void writeJob(String id, int cpus) throws Exception {
     JobSpec spec =
         JobDraft.array(id, 1)
             .kind(JobKind.SERVICE)
@@ -292,7 +293,7 @@
   }
 
   /** A repeated submission gets the state of its job at all nodes, however invalid it is now. */
-  private void known(int count, String id, String phase) throws Exception {
+  private void assertKnown(int count, String id, String phase) throws Exception {
     String quoted = "\"" + id + "\"";
     for (String body :
         List.of(
@@ -311,26 +312,26 @@
 
   /** Even if its machine type no longer exists, or only an earlier version accepted its body. */
   @Test
-  void whatWasAcceptedIsNotRefusedLater() throws Exception {
-    onRecord("wk-old1", 99);
+  void acceptedIsNotRejectedLater() throws Exception {
+    writeJob("wk-old1", 99);
     nodes(2, cloud.port());
-    typesKnown(0);
-    typesKnown(1);
-    known(2, "wk-old1", "queued");
+    awaitMachineTypes(0);
+    awaitMachineTypes(1);
+    assertKnown(2, "wk-old1", "queued");
     assertEquals(Set.of(RecordCodec.JOB + "wk-old1"), stored());
     for (int node = 0; node < 2; node++) {
       nodes.await(node, "POST", JOBS + "/wk-old1/withdraw", null, 200, "withdrawn");
     }
-    known(2, "wk-old1", "withdrawn");
+    assertKnown(2, "wk-old1", "withdrawn");
     assertEquals(Set.of(RecordCodec.ENDED + "wk-old1"), stored());
 
     // While the store is down, only bodies that no version accepted are rejected as invalid.
     store.down(true);
-    refused(503, text(with("one_zone", null)));
-    refused(503, text(with("vcpus", "99")));
-    refused(400, text(with("one_zone", "1")));
-    refused(400, text(with("shards", null)));
-    refused(400, text(with("id", null)));
+    assertRejected(503, text(with("one_zone", null)));
+    assertRejected(503, text(with("vcpus", "99")));
+    assertRejected(400, text(with("one_zone", "1")));
+    assertRejected(400, text(with("shards", null)));
+    assertRejected(400, text(with("id", null)));
     store.down(false);
     nodes.await(0, "POST", JOBS, text(with("one_zone", null)), 400, "one_zone");
     assertEquals(Set.of(RecordCodec.ENDED + "wk-old1"), stored());
@@ -338,27 +339,27 @@
 
   /** Without the cloud new jobs have to wait, and known ones are answered. */
   @Test
-  void withoutMachineTypesOnlyWhatIsKnownIsDecided() throws Exception {
+  void withoutMachineTypesOnlyKnownJobsAreAnswered() throws Exception {
     try (HttpServer result =
         new HttpServer("127.0.0.1", 0, 50, request -> Response.error(503, "trouble"))) {
       result.start();
-      onRecord("wk-old1", 1);
+      writeJob("wk-old1", 1);
       nodes(1, result.port());
-      refused(503, text(with()));
-      refused(503, text(with("vcpus", "99")));
-      refused(400, text(with("apart", null)));
-      refused(400, text(with("vcpus", null)));
-      known(1, "wk-old1", "queued");
+      assertRejected(503, text(with()));
+      assertRejected(503, text(with("vcpus", "99")));
+      assertRejected(400, text(with("apart", null)));
+      assertRejected(400, text(with("vcpus", null)));
+      assertKnown(1, "wk-old1", "queued");
       assertEquals(Set.of(RecordCodec.JOB + "wk-old1"), stored());
     }
   }
 
   /** Repeated, late and unknown requests get the same answers at all nodes. */
   @Test
-  void oddRequestsGetTheStateOfTheJobAtAllNodes() throws Exception {
+  void repeatedRequestsGetTheStateOfTheJobAtAllNodes() throws Exception {
     nodes(3, cloud.port());
     for (int node = 0; node < 3; node++) {
-      typesKnown(node);
+      awaitMachineTypes(node);
     }
     Map<String, String> lasting = with("id", "\"wk-9\"", "shape", "\"service\"", "shards", "1");
     nodes.await(0, "POST", JOBS, text(lasting), 201, "queued");
--- a/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
@@ -17,33 +17,33 @@
 
   /** A provisioning request in flight when a test ends makes no worker. */
   @Test
-  void aRentalThatArrivesAsTheCloudClosesBringsNoMachine() throws Exception {
+  void requestInFlightAtCloseMakesNoMachine() throws Exception {
     CloudEmulator cloud = new CloudEmulator(0, List.of(1), 0);
     int port = cloud.port();
-    Thread renter = new Thread(() -> rent(port));
+    Thread requester = new Thread(() -> provision(port));
     synchronized (cloud) {
-      renter.start();
-      Await.until("the request to wait for the cloud", CloudEmulatorTest::aRequestWaits);
+      requester.start();
+      Await.until("the request to wait for the cloud", CloudEmulatorTest::isRequestWaiting);
       cloud.close();
     }
-    renter.join();
-    Await.until("the request to end", () -> !aRequestWaits());
+    requester.join();
+    Await.until("the request to end", () -> !isRequestWaiting());
     synchronized (cloud) {
       assertEquals(List.of(), cloud.everRented());
     }
   }
 
-  private static void rent(int port) {
-    byte[] order = Json.bytes(Map.of("charter", "r", "hull", "small", "harbor", "a", "number", 1L));
+  private static void provision(int port) {
+    byte[] body = Json.bytes(Map.of("charter", "r", "hull", "small", "harbor", "a", "number", 1L));
     try (HttpClient client = new HttpClient("127.0.0.1", port, 1)) {
-      client.call("POST", "/hosts", order, 10_000);
+      client.call("POST", "/hosts", body, 10_000);
     } catch (IOException e) {
       // the connection is closed with the cloud; only the effect on the cloud matters
     }
   }
 
   /** Whether a thread is in the cloud's handler of requests. */
-  private static boolean aRequestWaits() {
+  private static boolean isRequestWaiting() {
     return Thread.getAllStackTraces().values().stream()
         .flatMap(Arrays::stream)
         .anyMatch(CloudEmulatorTest::isHandler);
--- a/src/test/java/org/astershift/emulator/StoreEmulator.java
+++ b/src/test/java/org/astershift/emulator/StoreEmulator.java
@@ -16,6 +16,7 @@
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
+import org.astershift.http.JsonFormatException;
 import org.astershift.store.StoreClient;
 
 /**
@@ -25,6 +26,20 @@
 public final class StoreEmulator implements AutoCloseable {
   private record Value(Object data, long revision, long lease) {}
 
+  private static final class Lease {
+    final long durationMs;
+    long expiresAtMs;
+
+    Lease(long durationMs) {
+      this.durationMs = durationMs;
+      renew();
+    }
+
+    void renew() {
+      expiresAtMs = now() + durationMs;
+    }
+  }
+
   private record Event(long revision, Map<String, Object> news, String key) {}
 
   /** Delay of lease expiry. */
@@ -35,7 +50,7 @@
 
   private final TreeMap<String, Value> rows = new TreeMap<>();
   private final List<Event> events = new ArrayList<>();
-  private final Map<Long, long[]> leases = new HashMap<>();
+  private final Map<Long, Lease> leases = new HashMap<>();
   private long revision;
   private long lastLease;
   private boolean down;
@@ -167,9 +182,7 @@
   /** While down every request gets 503; afterwards each lease has its full duration again. */
   public synchronized void down(boolean active) {
     down = active;
-    for (long[] lease : leases.values()) {
-      lease[1] = now() + lease[0];
-    }
+    leases.values().forEach(Lease::renew);
     notifyAll();
   }
 
@@ -187,55 +200,74 @@
     if (down) {
       return Response.error(503, "trouble");
     }
-    Map<String, String> query = new HashMap<>();
-    for (String pair : request.query().split("&")) {
-      int equals = pair.indexOf('=');
-      if (equals > 0) {
-        query.put(pair.substring(0, equals), pair.substring(equals + 1));
-      }
-    }
     String path = request.path();
+    Map<String, String> query = parseQuery(request.query());
     if (path.equals("/store")) {
       return list(query);
     } else if (path.startsWith("/store/")) {
-      String key = path.substring("/store/".length());
-      Value value = rows.get(key);
-      readMeanwhile += unanswered.contains(key) ? 1 : 0;
-      return value == null
-          ? Response.of(404, Map.of("epoch", revision))
-          : Response.of(200, row(key, value));
+      return read(path.substring("/store/".length()));
     } else if (path.equals("/multi")) {
       return multi(Json.object(request.body()));
     } else if (path.equals("/watch")) {
       return watch(query);
     } else if (path.equals("/grants")) {
-      leases.put(++lastLease, new long[] {Json.integer(Json.object(request.body()), "life_ms"), 0});
-      leases.get(lastLease)[1] = now() + leases.get(lastLease)[0];
-      return Response.of(200, Map.of("mooring", lastLease));
+      return grantLease(Json.integer(Json.object(request.body()), "life_ms"));
     } else if (path.endsWith("/renew")) {
-      long[] lease = leases.get(Long.parseLong(path.split("/")[2]));
-      if (lease == null) {
-        return Response.error(404, "no such lease");
-      }
-      lease[1] = now() + lease[0];
-      return Response.of(200, Map.of("mooring", Long.parseLong(path.split("/")[2])));
+      return renewLease(Long.parseLong(path.split("/")[2]));
     } else if (path.startsWith("/grants/") && request.method().equals("DELETE")) {
-      long[] lease = leases.get(Long.parseLong(path.split("/")[2]));
-      if (lease != null) {
-        lease[1] = 0;
-        expire();
-      }
-      return Response.of(200, Map.of());
+      return revokeLease(Long.parseLong(path.split("/")[2]));
     }
     return Response.error(404, "no such path");
   }
 
+  private static Map<String, String> parseQuery(String text) {
+    Map<String, String> query = new HashMap<>();
+    for (String pair : text.split("&")) {
+      int equals = pair.indexOf('=');
+      if (equals > 0) {
+        query.put(pair.substring(0, equals), pair.substring(equals + 1));
+      }
+    }
+    return query;
+  }
+
+  private Response read(String key) {
+    Value value = rows.get(key);
+    readMeanwhile += unanswered.contains(key) ? 1 : 0;
+    return value == null
+        ? Response.of(404, Map.of("epoch", revision))
+        : Response.of(200, row(key, value));
+  }
+
+  private Response grantLease(long durationMs) {
+    leases.put(++lastLease, new Lease(durationMs));
+    return Response.of(200, Map.of("mooring", lastLease));
+  }
+
+  private Response renewLease(long id) {
+    Lease lease = leases.get(id);
+    if (lease == null) {
+      return Response.error(404, "no such lease");
+    }
+    lease.renew();
+    return Response.of(200, Map.of("mooring", id));
+  }
+
+  private Response revokeLease(long id) {
+    Lease lease = leases.get(id);
+    if (lease != null) {
+      lease.expiresAtMs = 0;
+      expire();
+    }
+    return Response.of(200, Map.of());
+  }
+
   private void expire() {
     if (down) {
       return;
     }
     for (long id : new ArrayList<>(leases.keySet())) {
-      if (leases.get(id)[1] + lateMs <= now()) {
+      if (leases.get(id).expiresAtMs + lateMs <= now()) {
         leases.remove(id);
         for (String key : new ArrayList<>(rows.keySet())) {
           if (rows.get(key).lease() == id) {
@@ -285,45 +317,53 @@
   }
 
   private Response multi(Map<String, Object> body) throws Exception {
-    List<Object> failed = new ArrayList<>();
-    for (Object item : Json.list(body, "if")) {
-      Map<String, Object> fields = Json.object(item, "condition");
-      Value value = rows.get(Json.string(fields, "k"));
-      if ((value == null ? 0 : value.revision()) != Json.integer(fields, "stamp")) {
-        failed.add(fields.get("k"));
-      }
-    }
+    List<Object> failed = failedConditions(Json.list(body, "if"));
     if (!failed.isEmpty()) {
       return Response.of(409, Map.of("failed", failed, "epoch", revision));
     }
     List<?> changes = Json.list(body, "writes");
     for (Object item : changes) {
-      Map<String, Object> fields = Json.object(item, "change");
-      if (fields.get("mooring") != null && !leases.containsKey(Json.integer(fields, "mooring"))) {
+      Map<String, Object> change = Json.object(item, "change");
+      if (change.get("mooring") != null && !leases.containsKey(Json.integer(change, "mooring"))) {
         return Response.error(400, "no such lease");
       }
     }
     revision++;
     for (Object item : changes) {
-      Map<String, Object> fields = Json.object(item, "change");
-      String key = Json.stringOrNull(fields, "set");
-      if (key == null) {
-        remove(Json.string(fields, "remove"));
-        continue;
-      }
-      long lease = fields.get("mooring") == null ? 0 : Json.integer(fields, "mooring");
-      rows.put(key, new Value(fields.get("data"), revision, lease));
-      Map<String, Object> news = new LinkedHashMap<>();
-      news.put("set", key);
-      news.put("data", fields.get("data"));
-      news.put("stamp", revision);
-      events.add(new Event(revision, news, key));
+      apply(Json.object(item, "change"));
     }
     notifyAll();
     Response response = Response.of(200, Map.of("epoch", revision));
     return random.nextDouble() < lostShare ? lost(changes, response) : response;
   }
 
+  private List<Object> failedConditions(List<?> conditions) throws JsonFormatException {
+    List<Object> failed = new ArrayList<>();
+    for (Object item : conditions) {
+      Map<String, Object> condition = Json.object(item, "condition");
+      Value value = rows.get(Json.string(condition, "k"));
+      if ((value == null ? 0 : value.revision()) != Json.integer(condition, "stamp")) {
+        failed.add(condition.get("k"));
+      }
+    }
+    return failed;
+  }
+
+  private void apply(Map<String, Object> change) throws JsonFormatException {
+    String key = Json.stringOrNull(change, "set");
+    if (key == null) {
+      remove(Json.string(change, "remove"));
+      return;
+    }
+    long lease = change.get("mooring") == null ? 0 : Json.integer(change, "mooring");
+    rows.put(key, new Value(change.get("data"), revision, lease));
+    Map<String, Object> news = new LinkedHashMap<>();
+    news.put("set", key);
+    news.put("data", change.get("data"));
+    news.put("stamp", revision);
+    events.add(new Event(revision, news, key));
+  }
+
   /** Withholds the response of a committed transaction from its sender. */
   private Response lost(List<?> changes, Response response) throws Exception {
     List<String> keys = new ArrayList<>();
--- a/src/test/java/org/astershift/emulator/WorkerEmulator.java
+++ b/src/test/java/org/astershift/emulator/WorkerEmulator.java
@@ -28,7 +28,7 @@
   private long sequence;
   private long token;
   private volatile boolean closed;
-  private final Thread reports;
+  private final Thread heartbeatThread;
   private int controllerIndex;
 
   private final List<Integer> answeredBy = new ArrayList<>();
@@ -40,7 +40,7 @@
   private final List<String> said = new ArrayList<>();
 
   /** Inbound partition: requests to it are delayed until it ends. */
-  private boolean deaf;
+  private boolean inboundPartitioned;
 
   /** It sends no heartbeats. */
   private boolean silent;
@@ -53,9 +53,9 @@
     this.taskMs = taskMs;
     this.http = new HttpServer("127.0.0.1", 0, 20, this::handle);
     http.start();
-    reports = new Thread(this::loop, "worker " + name);
-    reports.setDaemon(true);
-    reports.start();
+    heartbeatThread = new Thread(this::loop, "worker " + name);
+    heartbeatThread.setDaemon(true);
+    heartbeatThread.start();
   }
 
   public String name() {
@@ -86,8 +86,8 @@
   }
 
   /** Inbound partition: heartbeats arrive, their responses are lost, and commands are delayed. */
-  public synchronized void deaf(boolean active) {
-    deaf = active;
+  public synchronized void inboundPartitioned(boolean active) {
+    inboundPartitioned = active;
     notifyAll();
   }
 
@@ -98,7 +98,7 @@
   }
 
   /** Restarts without tasks, fencing token and sequence number; returns the lost tasks. */
-  public synchronized List<String> beginAnew() {
+  public synchronized List<String> restart() {
     List<String> lost = new ArrayList<>();
     tasks.values().forEach(task -> lost.add(String.valueOf(task.get("shard"))));
     tasks.clear();
@@ -130,20 +130,20 @@
   @Override
   public void close() throws IOException {
     closed = true;
-    deaf(false);
+    inboundPartitioned(false);
     http.close();
   }
 
   /** Waits, once it is closed, for a heartbeat that may be in flight. */
   void awaitEnd() {
     try {
-      reports.join();
+      heartbeatThread.join();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private synchronized Map<String, Object> report() {
+  private synchronized Map<String, Object> heartbeat() {
     long nowMs = System.nanoTime() / 1_000_000;
     tasks.forEach(
         (key, task) -> {
@@ -172,18 +172,18 @@
   }
 
   private synchronized Response handle(Request request) throws Exception {
-    while (deaf && !closed) {
+    while (inboundPartitioned && !closed) {
       wait();
     }
     if (!request.path().equals("/orders")) {
-      return Response.of(200, report());
+      return Response.of(200, heartbeat());
     }
     Map<String, Object> fields = Json.object(request.body());
     if (Json.integer(fields, "helm") < token || Json.integer(fields, "watch") != 1) {
-      return Response.of(409, report());
+      return Response.of(409, heartbeat());
     }
     execute(fields);
-    return Response.of(200, report());
+    return Response.of(200, heartbeat());
   }
 
   private synchronized void execute(Map<String, Object> fields) throws JsonFormatException {
@@ -226,10 +226,10 @@
     } while (silent && !closed);
   }
 
-  private synchronized void onResponse(String report, HttpClient.Response response)
+  private synchronized void onResponse(String heartbeat, HttpClient.Response response)
       throws JsonFormatException {
-    said.add(report);
-    if (!deaf) {
+    said.add(heartbeat);
+    if (!inboundPartitioned) {
       answeredBy.add(controllers.get(controllerIndex % controllers.size()));
       execute(Json.object(response.body()));
     }
@@ -241,10 +241,10 @@
         awaitNextHeartbeat();
         int port = controllers.get(controllerIndex % controllers.size());
         HttpClient client = new HttpClient("127.0.0.1", port, 1);
-        byte[] report = Json.bytes(report());
-        HttpClient.Response response = client.call("POST", "/agent/beat", report, 2000);
+        byte[] heartbeat = Json.bytes(heartbeat());
+        HttpClient.Response response = client.call("POST", "/agent/beat", heartbeat, 2000);
         if (response.status() == 200) {
-          onResponse(new String(report, StandardCharsets.UTF_8), response);
+          onResponse(new String(heartbeat, StandardCharsets.UTF_8), response);
         } else {
           controllerIndex++;
         }
--- a/src/test/java/org/astershift/http/ConnectionSlotsTest.java
+++ b/src/test/java/org/astershift/http/ConnectionSlotsTest.java
@@ -31,7 +31,7 @@
 
   /** Workers' heartbeats keep leases alive: users cannot take their reserved slots. */
   @Test
-  void usersStormLeavesWorkersTheirPlaces() {
+  void usersCannotTakeReservedSlots() {
     ConnectionSlots slots = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> workers = new ArrayList<>();
@@ -48,7 +48,7 @@
 
   /** Connections that never send a request are evicted first. */
   @Test
-  void silentConnectionsKeepNobodyOut() {
+  void connectionsWithoutRequestsAreEvictedFirst() {
     ConnectionSlots slots = new ConnectionSlots(10, 3);
     List<Connection> closed = new ArrayList<>();
     List<Connection> silent = new ArrayList<>();
@@ -64,7 +64,7 @@
 
   /** While slots are free, workers may exceed their share and use that of the users. */
   @Test
-  void workersUseWhatUsersLeave() {
+  void workersUseFreeSlotsOfUsers() {
     ConnectionSlots slots = new ConnectionSlots(10, 3);
     List<Connection> closed = new ArrayList<>();
     List<Connection> workers = new ArrayList<>();
@@ -78,7 +78,7 @@
   }
 
   /** Sends a heartbeat on a connection, or a new one; null if it closes with the response. */
-  private Connection report(ConnectionSlots slots, Connection current, List<Connection> closed) {
+  private Connection heartbeat(ConnectionSlots slots, Connection current, List<Connection> closed) {
     Connection connection = current == null ? come(slots, closed) : current;
     connection.onRequestStarted(++now);
     closed.addAll(slots.onRequest(connection, true));
@@ -94,7 +94,7 @@
    * With more workers than slots no idle connection is closed: its worker would try another node.
    */
   @Test
-  void moreWorkersThanPlacesComeAndGoWithTheirReports() {
+  void moreWorkersThanSlotsReconnectForHeartbeats() {
     ConnectionSlots slots = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     Connection[] workers = new Connection[170];
@@ -102,13 +102,13 @@
     for (int round = 0; round < 10; round++) {
       for (int i = 0; i < workers.length; i++) {
         handshakes += workers[i] == null ? 1 : 0;
-        workers[i] = report(slots, workers[i], closed);
+        workers[i] = heartbeat(slots, workers[i], closed);
       }
     }
     for (int i = 0; i < 20; i++) {
       come(slots, false, closed);
       for (int j = 5 * i; j < 5 * (i + 1); j++) {
-        workers[j] = report(slots, workers[j], closed);
+        workers[j] = heartbeat(slots, workers[j], closed);
       }
     }
     assertEquals(List.of(), closed, "no idle or busy connection is evicted");
@@ -118,7 +118,7 @@
 
   /** All machines connect at once after a partition: users and health checks are still admitted. */
   @Test
-  void allWorkersAtOnceLeaveRoomForUsers() {
+  void workersAtOnceLeaveRoomForUsers() {
     ConnectionSlots slots = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> refused = new ArrayList<>();
@@ -139,12 +139,12 @@
 
   /** Old connections of machines that reconnect are half open: they are evicted first. */
   @Test
-  void halfOpenConnectionsGoFirst() {
+  void halfOpenConnectionsAreEvictedFirst() {
     ConnectionSlots slots = new ConnectionSlots(100, 30);
     List<Connection> closed = new ArrayList<>();
     List<Connection> dead = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
-      dead.add(report(slots, null, closed));
+      dead.add(heartbeat(slots, null, closed));
     }
     for (int i = 0; i < 90; i++) {
       Connection connection = come(slots, closed);
@@ -157,7 +157,7 @@
 
   /** A connection that finds all others busy is rejected instead of waiting. */
   @Test
-  void nobodyAtWorkIsGivenUp() {
+  void busyConnectionsAreNotEvicted() {
     ConnectionSlots slots = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
     come(slots, false, closed).onRequestStarted(now);
@@ -168,7 +168,7 @@
 
   /** A connection released twice must not free two slots. */
   @Test
-  void leavingTwiceFreesOnePlace() {
+  void releasingTwiceFreesOneSlot() {
     ConnectionSlots slots = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
     Connection first = come(slots, false, closed);
--- a/src/test/java/org/astershift/http/HostileInputTest.java
+++ b/src/test/java/org/astershift/http/HostileInputTest.java
@@ -6,6 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -39,15 +40,15 @@
     assertFalse(response.contains("Exception") || response.contains("org.astershift"), response);
   }
 
-  @org.junit.jupiter.api.Test
+  @Test
   void endlessHeadersAreRefused() throws Exception {
     String head =
         "GET / HTTP/1.1\r\nA: " + "x".repeat(HttpMessageReader.MAX_HEAD_BYTES) + "\r\n\r\n";
     assertEquals("HTTP/1.1 431", exchange(head).substring(0, 12));
   }
 
-  @org.junit.jupiter.api.Test
-  void failuresInsideSayNothingOutside() throws Exception {
+  @Test
+  void internalErrorsAreNotShown() throws Exception {
     try (HttpServer server =
         new HttpServer(
             "127.0.0.1",
--- a/src/test/java/org/astershift/http/HttpClientTest.java
+++ b/src/test/java/org/astershift/http/HttpClientTest.java
@@ -32,7 +32,7 @@
    * expire.
    */
   @Test
-  void oneRequestLearnsThatTheServiceBeganAnew() throws Exception {
+  void oneRequestFailsAfterAServerRestart() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         HttpClient client = new HttpClient("127.0.0.1", server.getLocalPort(), KEPT)) {
       new Thread(() -> accept(server)).start();
--- a/src/test/java/org/astershift/http/HttpServerTest.java
+++ b/src/test/java/org/astershift/http/HttpServerTest.java
@@ -31,18 +31,18 @@
     }
   }
 
-  private static String all(InputStream in) throws IOException {
+  private static String readAll(InputStream in) throws IOException {
     return new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
   }
 
-  private static void ask(Socket socket, String path) throws IOException {
+  private static void send(Socket socket, String path) throws IOException {
     socket
         .getOutputStream()
         .write(("GET " + path + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
   }
 
   /** Reads one response from a connection that stays open; returns its head. */
-  private static String answer(Socket socket) throws IOException {
+  private static String readResponseHead(Socket socket) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       int next = socket.getInputStream().read();
@@ -76,7 +76,7 @@
       server.start();
       for (int i = 0; i < 5; i++) {
         try (Socket socket = new Socket("127.0.0.1", server.port())) {
-          String text = all(socket.getInputStream());
+          String text = readAll(socket.getInputStream());
           assertTrue(text.startsWith("HTTP/1.1 503") && text.contains("Retry-After: "), text);
         }
       }
@@ -88,14 +88,14 @@
 
   /** Workers' connections outlast any number of users' connections. */
   @Test
-  void usersStormLeavesReportsTheirConnections() throws Exception {
+  void usersLeaveWorkersTheirConnections() throws Exception {
     List<Socket> sockets = new ArrayList<>();
     try (HttpServer server =
         new HttpServer(
             "127.0.0.1",
             0,
             new ConnectionSlots(20, 5),
-            path -> path.equals("/report"),
+            path -> path.equals("/heartbeat"),
             HttpServerTest::ok)) {
       server.start();
       List<Socket> workers = new ArrayList<>();
@@ -103,18 +103,20 @@
         Socket socket = new Socket("127.0.0.1", server.port());
         sockets.add(socket);
         workers.add(socket);
-        ask(socket, "/report");
-        assertTrue(answer(socket).startsWith("HTTP/1.1 200"));
+        send(socket, "/heartbeat");
+        assertTrue(readResponseHead(socket).startsWith("HTTP/1.1 200"));
       }
       for (int i = 0; i < 200; i++) {
         Socket socket = new Socket("127.0.0.1", server.port());
         sockets.add(socket);
-        ask(socket, "/job");
-        assertTrue(answer(socket).startsWith("HTTP/1.1 200"), "a new user is served as well");
+        send(socket, "/job");
+        assertTrue(
+            readResponseHead(socket).startsWith("HTTP/1.1 200"), "a new user is served as well");
       }
       for (Socket socket : workers) {
-        ask(socket, "/report");
-        assertTrue(answer(socket).startsWith("HTTP/1.1 200"), "a worker lost its connection");
+        send(socket, "/heartbeat");
+        assertTrue(
+            readResponseHead(socket).startsWith("HTTP/1.1 200"), "a worker lost its connection");
       }
     } finally {
       for (Socket socket : sockets) {
@@ -125,7 +127,7 @@
 
   /** A task stays queued if no thread can start, and runs once one can. */
   @Test
-  void workOutlastsAThreadThatCannotStart() throws Exception {
+  void taskStaysQueuedIfNoThreadCanStart() throws Exception {
     AtomicInteger refusals = new AtomicInteger(1);
     TaskPool pool =
         new TaskPool(
--- a/src/test/java/org/astershift/worker/CommandSenderTest.java
+++ b/src/test/java/org/astershift/worker/CommandSenderTest.java
@@ -16,14 +16,14 @@
 
 /** When the outcome of commands is unknown: a start then still occupies its task's place. */
 class CommandSenderTest {
-  private static final String REPORT =
+  private static final String HEARTBEAT =
       "{\"vessel\":\"vm-1\",\"addr\":\"127.0.0.1:1\",\"hull\":\"small\",\"harbor\":\"a\","
           + "\"ebbtide\":false,\"watch\":1,\"tick\":7,\"helm\":5,\"shards\":[]}";
 
   private static String sent(String address) {
     CommandSender.Result result = new CommandSender().send(address, 5, 1, List::of, 2000);
     return (result.outcomeUnknown() ? "unknown" : "known")
-        + (result.heartbeat() == null ? "" : " with a report");
+        + (result.heartbeat() == null ? "" : " with a heartbeat");
   }
 
   private static String answered(int status, String body) throws Exception {
@@ -36,13 +36,13 @@
   }
 
   @Test
-  void onlyWhatCertainlyDidNothingIsKnown() throws Exception {
-    assertEquals("known with a report", answered(200, REPORT));
-    assertEquals("known with a report", answered(409, REPORT));
+  void outcomeIsKnownOnlyIfNothingCanHaveHappened() throws Exception {
+    assertEquals("known with a heartbeat", answered(200, HEARTBEAT));
+    assertEquals("known with a heartbeat", answered(409, HEARTBEAT));
     assertEquals("known", answered(400, "{}"), "rejected as malformed: nothing is executed");
     assertEquals(
         "unknown",
-        answered(200, REPORT.substring(0, 60)),
+        answered(200, HEARTBEAT.substring(0, 60)),
         "it may have been executed before the response broke off");
     HttpServer closedServer = new HttpServer("127.0.0.1", 0, 5, result -> Response.of(200, null));
     String address = "127.0.0.1:" + closedServer.port();
@@ -65,7 +65,7 @@
    * or the agent restart.
    */
   @Test
-  void ordersAreMadeUpOnceThereIsAConnection() throws Exception {
+  void commandsAreMadeOnceConnected() throws Exception {
     AtomicInteger calls = new AtomicInteger();
     Supplier<List<Command>> commands =
         () -> {
@@ -77,7 +77,7 @@
     closedServer.close();
     new CommandSender().send(address, 5, 1, commands, 2000);
     assertEquals(0, calls.get(), "no connection was accepted");
-    byte[] heartbeat = REPORT.getBytes(StandardCharsets.UTF_8);
+    byte[] heartbeat = HEARTBEAT.getBytes(StandardCharsets.UTF_8);
     try (HttpServer worker =
         new HttpServer("127.0.0.1", 0, 5, result -> new Response(200, heartbeat, 0))) {
       worker.start();
