--- a/src/test/java/org/astershift/api/JobCodecTest.java
+++ b/src/test/java/org/astershift/api/JobCodecTest.java
@@ -1,6 +1,7 @@
 package org.astershift.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
@@ -11,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A submission is read whole or refused with the field that is wrong. */
+/** A submission is decoded, or rejected with the name of the invalid field. */
 class JobCodecTest {
-  private static final String GOOD =
+  private static final String VALID =
       "{\"id\":\"wk-000412\",\"berth_class\":\"train\",\"crew\":\"vision\",\"shape\":\"gang\","
           + "\"rank\":\"urgent\",\"shards\":16,\"vcpus\":8.0,\"gpus\":1.0,\"mem_gb\":64.0,"
           + "\"payload\":\"img-07\",\"image_gb\":6.2,\"hulls\":[\"g8\"],\"harbor\":null,"
@@ -25,12 +26,12 @@
   }
 
   @Test
-  void readsWhatTheProtocolShows() throws JsonFormatException {
-    JobSpec s = read(GOOD);
-    assertEquals(JobKind.GANG, s.kind());
-    assertEquals(16, s.tasks());
-    assertEquals(900.0, s.deadlineS());
-    assertEquals(null, s.zone());
+  void decodesTheExampleOfTheProtocol() throws JsonFormatException {
+    JobSpec spec = read(VALID);
+    assertEquals(JobKind.GANG, spec.kind());
+    assertEquals(16, spec.tasks());
+    assertEquals(900.0, spec.deadlineS());
+    assertNull(spec.zone());
   }
 
   @ParameterizedTest
@@ -50,18 +51,18 @@
         "\"due_s\":900.0 | \"due_s\":-1 | due_s is out of range",
         "\"one_zone\":true | \"one_zone\":1 | one_zone is missing or not true or false"
       })
-  void namesTheFieldThatIsWrong(String part, String wrong, String message) {
-    JsonFormatException bad =
-        assertThrows(JsonFormatException.class, () -> read(GOOD.replace(part, wrong)));
-    assertEquals(message, bad.getMessage());
+  void namesTheInvalidField(String original, String replacement, String message) {
+    JsonFormatException error =
+        assertThrows(JsonFormatException.class, () -> read(VALID.replace(original, replacement)));
+    assertEquals(message, error.getMessage());
   }
 
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
       value = {"[1] | not an object", "{\"a\": | not JSON", "'' | not JSON"})
-  void refusesWhatIsNoObject(String text, String message) {
-    JsonFormatException bad = assertThrows(JsonFormatException.class, () -> read(text));
-    assertEquals(message, bad.getMessage());
+  void rejectsWhatIsNoObject(String text, String message) {
+    JsonFormatException error = assertThrows(JsonFormatException.class, () -> read(text));
+    assertEquals(message, error.getMessage());
   }
 }
