--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -165,7 +165,7 @@
    * meanwhile. A heartbeat response reaches only an incarnation that has just shown its token.
    */
   Decision.SendCommands urgentCommands(Machine machine, boolean leaseCertain, long nowMs) {
-    if (machine.commandInFlight
+    if (machine.directCommands.inFlight()
         || machine.address == null
         || machine.epoch == 0
         || machine.state != Machine.State.LIVE) {
@@ -202,7 +202,7 @@
     boolean restartCheck =
         machine.staleMessageSeen
             || (machine.inboundPartitioned()
-                && nowMs - machine.lastDirectCommandMs >= PARTITION_PROBE_INTERVAL_MS);
+                && nowMs - machine.directCommands.lastSentMs() >= PARTITION_PROBE_INTERVAL_MS);
     return fence || probe || restartCheck
         ? directCommands(
             machine,
@@ -216,13 +216,13 @@
     boolean givenUp =
         machine.state == Machine.State.LEASE_EXPIRED
             && !machine.staleMessageSeen
-            && machine.directCommandFailures > 0;
-    return !machine.commandInFlight
+            && machine.directCommands.failures() > 0;
+    return !machine.directCommands.inFlight()
         && machine.address != null
         && machine.state != Machine.State.BOOTING
         && !givenUp
         && machine.state != Machine.State.RELEASING
-        && nowMs - machine.lastDirectCommandMs >= FENCE_RETRY_INTERVAL_MS;
+        && nowMs - machine.directCommands.lastSentMs() >= FENCE_RETRY_INTERVAL_MS;
   }
 
   /**
@@ -294,20 +294,17 @@
 
   private Decision.SendCommands directCommands(
       Machine machine, List<Command> commands, int timeoutMs, long nowMs) {
-    machine.commandInFlight = true;
-    machine.commandSentWhileSilent =
+    boolean silent =
         machine.state == Machine.State.UNRECONCILED
             || cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs);
-    machine.lastDirectCommandMs = nowMs;
-    machine.epochWhenCommandSent = machine.epoch;
-    machine.sequenceWhenCommandSent = machine.sequence;
+    machine.directCommands.onSent(machine, silent, nowMs);
     return new Decision.SendCommands(
         machine.name, machine.address, Math.max(1, machine.epoch), commands, timeoutMs);
   }
 
   /** A direct command was answered, or will not be. */
   static void onSettled(Machine machine, boolean outcomeUnknown) {
-    machine.commandInFlight = false;
+    machine.directCommands.onSettled();
     for (TaskAttempt attempt : machine.attempts.values()) {
       if (attempt.startInFlight) {
         attempt.startInFlight = false;
--- /dev/null
+++ b/src/main/java/org/astershift/scheduler/DirectCommandState.java
@@ -0,0 +1,69 @@
+package org.astershift.scheduler;
+
+/** The direct commands to one machine: what is in flight, and what was left unanswered. */
+final class DirectCommandState {
+  private boolean inFlight;
+  private boolean sentWhileSilent;
+  private boolean silentUnanswered;
+  private boolean lost;
+  private int failures;
+  private long epochWhenSent;
+  private long sequenceWhenSent;
+  private long lastSentMs = -1_000_000;
+
+  /** A command goes out; {@code silent}: the machine is silent or was never seen. */
+  void onSent(Machine machine, boolean silent, long nowMs) {
+    inFlight = true;
+    sentWhileSilent = silent;
+    lastSentMs = nowMs;
+    epochWhenSent = machine.epoch;
+    sequenceWhenSent = machine.sequence;
+  }
+
+  /** The command in flight was answered, or will not be. */
+  void onSettled() {
+    inFlight = false;
+  }
+
+  /** It will not be answered; {@code outcomeUnknown}: it may still arrive. */
+  void onUnanswered(boolean outcomeUnknown) {
+    lost |= outcomeUnknown;
+    failures++;
+    silentUnanswered |= sentWhileSilent;
+  }
+
+  /** The machine has sent a message: earlier failures show nothing any more. */
+  void clearFailures() {
+    failures = 0;
+    silentUnanswered = false;
+  }
+
+  boolean inFlight() {
+    return inFlight;
+  }
+
+  /** When a command was last sent; long ago if none was. */
+  long lastSentMs() {
+    return lastSentMs;
+  }
+
+  /** Commands left unanswered since the last message of the machine. */
+  int failures() {
+    return failures;
+  }
+
+  /** Whether a command sent while the machine was silent was left unanswered since. */
+  boolean silentUnanswered() {
+    return silentUnanswered;
+  }
+
+  /** Whether a command of this term got no answer, so that a later incarnation may get it. */
+  boolean lost() {
+    return lost;
+  }
+
+  /** Whether the message is newer than the last one before the command was sent. */
+  boolean precedes(Heartbeat heartbeat) {
+    return heartbeat.newerThan(epochWhenSent, sequenceWhenSent);
+  }
+}
--- a/src/main/java/org/astershift/scheduler/DirectCommands.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommands.java
@@ -91,7 +91,7 @@
     }
     machine.consecutiveUnanswered = 0;
     machine.staleMessageSeen = false;
-    if (!heartbeat.newerThan(machine.epochWhenCommandSent, machine.sequenceWhenCommandSent)) {
+    if (!machine.directCommands.precedes(heartbeat)) {
       cluster.onMachineRestarted(machine, nowMs);
     } else if (machine.restartSuspected
         && !cluster.incarnations.isProvenSameIncarnation(machine, heartbeat, nowMs)) {
@@ -105,9 +105,7 @@
   }
 
   private void onNoAnswer(Machine machine, boolean outcomeUnknown, long nowMs) {
-    machine.directCommandLost |= outcomeUnknown;
-    machine.directCommandFailures++;
-    machine.silentCommandUnanswered |= machine.commandSentWhileSilent;
+    machine.directCommands.onUnanswered(outcomeUnknown);
     machine.consecutiveUnanswered++;
     if (machine.consecutiveUnanswered == Machine.INBOUND_PARTITION_TRIES
         && !cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -115,8 +115,7 @@
     machine.epoch = heartbeat.epoch();
     machine.sequence = heartbeat.sequence();
     if (!machine.inboundPartitionedUnreconciled()) {
-      machine.directCommandFailures = 0;
-      machine.silentCommandUnanswered = false;
+      machine.directCommands.clearFailures();
     }
     recordPreemptionNotice(machine, heartbeat);
     List<Heartbeat.TaskStatus> unknownTasks = updateKnownAttempts(machine, heartbeat, nowMs);
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -64,7 +64,7 @@
   boolean isSameIncarnation(
       Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
     boolean noUnansweredCommand =
-        !directResponse && !machine.commandInFlight && !machine.directCommandLost;
+        !directResponse && !machine.directCommands.inFlight() && !machine.directCommands.lost();
     return (noUnansweredCommand && machine.fenced && heartbeat.fencingToken() == fencingToken)
         || isProvenSameIncarnation(machine, heartbeat, nowMs);
   }
@@ -110,7 +110,7 @@
     lastCertainMs(nowMs);
     if (directResponse) {
       machine.incarnation.confirmExistence(
-          machine.lastDirectCommandMs); // it was asked then, or later
+          machine.directCommands.lastSentMs()); // it was asked then, or later
     } else if (heartbeat.fencingToken() == fencingToken) {
       machine.incarnation.confirmExistence(machine.firstKnownMs); // it has seen this term's token
     }
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -71,13 +71,7 @@
 
   boolean outboundPartitionLogged;
 
-  int directCommandFailures;
-
-  /** The direct command in flight was sent while it was silent or not yet seen. */
-  boolean commandSentWhileSilent;
-
-  /** Such a command was not answered, and no message came since. */
-  boolean silentCommandUnanswered;
+  final DirectCommandState directCommands = new DirectCommandState();
 
   /** Direct commands in a row without an answer or another proof that it receives. */
   int consecutiveUnanswered;
@@ -103,22 +97,12 @@
   /** The incarnation for which a record is being written; null if none is. */
   MachineIncarnation registeringIncarnation;
 
-  /**
-   * A heartbeat showed a lower token than before or lacked a task: a restart, or a delayed copy.
-   */
+  /** A heartbeat had a lower token or lacked a task: it restarted, or this was a delayed copy. */
   boolean restartSuspected;
 
-  /** A direct command got no answer in this term, so it may reach a later incarnation. */
-  boolean directCommandLost;
-
   /** It restarted in this term: heartbeats no longer show of which incarnation they are. */
   boolean restartedInTerm;
 
-  /** Its position when the direct command in flight was sent: the answer is newer. */
-  long epochWhenCommandSent;
-
-  long sequenceWhenCommandSent;
-
   /** A message older than its last one came: only its own answer shows whether it restarted. */
   boolean staleMessageSeen;
 
@@ -130,10 +114,7 @@
 
   final PeerProbeResults peerProbeResults = new PeerProbeResults();
 
-  /**
-   * When the cloud was last known to have it: listed, provisioned, seen, or registered at the
-   * term's begin. A later list that lacks it proves that it is gone.
-   */
+  /** When the cloud was last known to have it: a later list without it proves that it is gone. */
   long lastListedMs;
 
   /** Seconds until the cloud takes it back; null if it does not. */
@@ -149,8 +130,6 @@
   boolean releasedAsSilent;
   long idleSinceMs;
   long cordonedUntilMs;
-  boolean commandInFlight;
-  long lastDirectCommandMs = -1_000_000;
 
   /** Held attempts, and exited ones until the worker has forgotten them. */
   final Map<TaskAttempt.Key, TaskAttempt> attempts = new LinkedHashMap<>();
--- a/src/main/java/org/astershift/scheduler/PeerProber.java
+++ b/src/main/java/org/astershift/scheduler/PeerProber.java
@@ -102,11 +102,11 @@
       return false;
     }
     if (cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
-      return fewOverdue || machine.directCommandFailures > 0;
+      return fewOverdue || machine.directCommands.failures() > 0;
     }
     // One of the last unreconciled machines: peers probe it along with this leader's second try.
     return machine.state == Machine.State.UNRECONCILED
-        && machine.directCommandFailures > 0
+        && machine.directCommands.failures() > 0
         && cluster.fewUnreconciled();
   }
 
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -103,8 +103,8 @@
 
   /** Machines of a scale-out request, still booting; fewer than requested: no more capacity now. */
   public void onMachinesProvisioned(
-      String rentalId, List<String> machineNames, Decision.ProvisionMachines request, long nowMs) {
-    scaleOut.onSettled(rentalId);
+      String requestId, List<String> machineNames, Decision.ProvisionMachines request, long nowMs) {
+    scaleOut.onSettled(requestId);
     if (machineNames.size() < request.count()) {
       scaleOut.onNoCapacity(request, nowMs);
     }
@@ -126,8 +126,8 @@
 
   /** A scale-out request was rejected or failed. */
   public void onProvisioningFailed(
-      String rentalId, Decision.ProvisionMachines request, boolean noCapacity, long nowMs) {
-    scaleOut.onSettled(rentalId);
+      String requestId, Decision.ProvisionMachines request, boolean noCapacity, long nowMs) {
+    scaleOut.onSettled(requestId);
     if (noCapacity) {
       scaleOut.onNoCapacity(request, nowMs);
     }
@@ -135,8 +135,8 @@
   }
 
   /** A scale-out request with this id is in progress. */
-  public void onProvisioningStarted(String rentalId, Decision.ProvisionMachines request) {
-    scaleOut.onRequested(rentalId, request);
+  public void onProvisioningStarted(String requestId, Decision.ProvisionMachines request) {
+    scaleOut.onRequested(requestId, request);
   }
 
   /** Where an earlier leader's record placed the replicas of a service: these have its image. */
--- a/src/main/java/org/astershift/scheduler/SchedulingPass.java
+++ b/src/main/java/org/astershift/scheduler/SchedulingPass.java
@@ -111,7 +111,7 @@
           commandReconciler.urgentCommands(machine, leaseCertain, nowMs);
       if (urgentCommands != null) {
         decisions.add(urgentCommands);
-      } else if (machine.commandInFlight) {
+      } else if (machine.directCommands.inFlight()) {
         cluster.commandsPending.add(machine);
       }
     }
--- a/src/main/java/org/astershift/scheduler/SilenceEvidence.java
+++ b/src/main/java/org/astershift/scheduler/SilenceEvidence.java
@@ -20,7 +20,7 @@
   /** Whether the machine has sent nothing for longer than allowed, though it was probed. */
   boolean isSilent(Machine machine, long nowMs) {
     if (machine.state == Machine.State.UNRECONCILED
-        && machine.directCommandFailures >= FENCE_TRIES
+        && machine.directCommands.failures() >= FENCE_TRIES
         && cluster.heartbeatTiming.silenceMs(machine, nowMs) > FENCE_TIMEOUT_MS
         && cluster.fewUnreconciled()) {
       return true;
@@ -38,8 +38,8 @@
    */
   private boolean probedInVain(Machine machine, long nowMs) {
     return cluster.incarnations.leaseUncertain(nowMs)
-        ? machine.silentCommandUnanswered
-        : machine.directCommandFailures > 0;
+        ? machine.directCommands.silentUnanswered()
+        : machine.directCommands.failures() > 0;
   }
 
   /** Whether some peer has reached the machine lately. */
