--- /dev/null
+++ b/src/test/java/org/astershift/scheduler/FuzzGang.java
@@ -0,0 +1,35 @@
+package org.astershift.scheduler;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Tasks of one attempt of a gang that wait for one another, or run together. */
+final class FuzzGang {
+  final Map<FuzzTask, FuzzWorker> members = new LinkedHashMap<>();
+  boolean running;
+  boolean broken;
+
+  /** A gang that still runs, undisturbed, completes as a whole. */
+  void complete(FuzzSimulation sim) {
+    for (FuzzWorker member : List.copyOf(members.values())) {
+      member.expire(); // takes what its lease no longer covers out of the gang
+    }
+    boolean fine = !broken;
+    for (Map.Entry<FuzzTask, FuzzWorker> e : members.entrySet()) {
+      fine &= !e.getKey().stopped && !e.getValue().hung && e.getValue().alive;
+    }
+    if (!fine) {
+      // Whoever hangs is gone for the others; these exit, and the last leases end the rest.
+      for (Map.Entry<FuzzTask, FuzzWorker> e : new LinkedHashMap<>(members).entrySet()) {
+        e.getValue().later(0, () -> e.getValue().exit(e.getKey(), "peers"));
+      }
+      return;
+    }
+    broken = true;
+    Map<FuzzTask, FuzzWorker> all = new LinkedHashMap<>(members);
+    all.keySet().forEach(t -> sim.rules.completed(t.job, t.index));
+    all.keySet().forEach(t -> sim.digest.completed(sim.now, t.task()));
+    all.forEach((t, w) -> w.exit(t, "done"));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/scheduler/FuzzSimulation.java
@@ -0,0 +1,165 @@
+package org.astershift.scheduler;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import org.astershift.EventDigest;
+
+/** Clock, links and state that all parts of a seed of {@link SchedulerFuzzer} share. */
+final class FuzzSimulation {
+  static final long REPORT_MS = 2000;
+  static final long LEASE_MS = 14_000;
+  static final long GANG_WAIT_MS = 30_000;
+  static final long GANG_PEER_MS = 4000;
+  static final long ANSWER_MS = 4000;
+  static final long KEY_MS = 2000;
+  static final long CANCEL_MS = 16_000;
+  static final double LIST_LAG_S = 3;
+  static final int MOST_MACHINES = 14;
+
+  final ReferenceRules rules;
+  final Map<String, Integer> happened = new TreeMap<>();
+  final Random random;
+
+  /** From then on nothing fails any more, so that all jobs have to end. */
+  final long troublesMs;
+
+  final long endMs;
+  long now;
+
+  /** Orders events of the same time, and writes. */
+  long order;
+
+  final DeploymentLimits limits;
+  final Map<String, MachineType> types = new LinkedHashMap<>();
+  final Map<String, Team> teams = new LinkedHashMap<>();
+  final List<FuzzController> controllers = new ArrayList<>();
+  final Map<String, FuzzWorker> workers = new TreeMap<>();
+  final FuzzStore store = new FuzzStore(this);
+  final FuzzCloud cloud = new FuzzCloud(this);
+  final FuzzNetwork network = new FuzzNetwork(this);
+  final FuzzUsers users = new FuzzUsers(this);
+  final Map<String, JobSpec> specs = new LinkedHashMap<>();
+
+  /** Milliseconds that a task of the job runs. */
+  final Map<String, Long> durations = new HashMap<>();
+
+  /** Jobs whose user asked to cancel them. */
+  final Set<String> wished = new HashSet<>();
+
+  final Map<String, FuzzGang> gangs = new HashMap<>();
+
+  /** Copies of heartbeats that reach a later leader. */
+  final List<Heartbeat> kept = new ArrayList<>();
+
+  final List<String> log = new ArrayList<>();
+  final EventDigest digest = new EventDigest();
+  boolean outage;
+  boolean cloudAway;
+  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  private final boolean story;
+
+  // Probability of each fault, drawn for the seed: most seeds have some of them, few have all.
+
+  final double copies;
+  final double slow;
+  final double cuts;
+  final double deaths;
+  final double anews;
+  final double hangs;
+  final double recalls;
+  final double successions;
+  final double pauses;
+  final double refusals;
+  final double cancels;
+  final double errors;
+  final double lostWrites;
+
+  private record Event(long atMs, long order, Runnable what) implements Comparable<Event> {
+    @Override
+    public int compareTo(Event o) {
+      return atMs != o.atMs ? Long.compare(atMs, o.atMs) : Long.compare(order, o.order);
+    }
+  }
+
+  FuzzSimulation(long seed, boolean story) {
+    this.story = story;
+    this.random = new Random(seed * 0x9E3779B97F4A7C15L + 1);
+    copies = level(0.3);
+    slow = level(0.15);
+    cuts = level(0.25);
+    deaths = level(0.05);
+    anews = level(0.15);
+    hangs = level(0.1);
+    recalls = level(0.05);
+    successions = level(0.12);
+    pauses = level(0.1);
+    refusals = level(0.1);
+    cancels = level(0.4);
+    errors = level(0.1);
+    lostWrites = level(0.2);
+    troublesMs = 30_000 + random.nextInt(60_000);
+    endMs = troublesMs + 240_000;
+    types.put("p", new MachineType("p", 4, 0, 16, 20, 0.5, 1, 0.3, 8, List.of("a", "b")));
+    types.put("g", new MachineType("g", 8, 2, 32, 20, 0.5, 4, 1.2, 8, List.of("a", "b")));
+    teams.put("tight", new Team("tight", 2, 4 + random.nextInt(5), 0, 2));
+    teams.put("free", new Team("free", 0, 0, 0, 0));
+    teams.put("mixed", new Team("mixed", 4, 8 + random.nextInt(8), 0, random.nextInt(2) * 3));
+    limits =
+        new DeploymentLimits(
+            teams,
+            List.of(new ServiceLevelObjective("wait", "quick", 4, 0.9, 1)),
+            REPORT_MS / 1000.0,
+            LEASE_MS / 1000.0,
+            GANG_WAIT_MS / 1000.0,
+            GANG_PEER_MS / 1000.0,
+            CANCEL_MS / 1000.0,
+            LIST_LAG_S);
+    rules = new ReferenceRules(teams, CANCEL_MS);
+  }
+
+  private double level(double most) {
+    return random.nextInt(3) == 0 ? 0 : random.nextDouble() * most;
+  }
+
+  boolean chance(double p) {
+    return now < troublesMs && random.nextDouble() < p;
+  }
+
+  void after(long ms, Runnable what) {
+    events.add(new Event(now + Math.max(0, ms), ++order, what));
+  }
+
+  void did(String what) {
+    happened.merge(what, 1, Integer::sum);
+  }
+
+  void note(String what) {
+    if (story) {
+      log.add(now + " " + what);
+    }
+  }
+
+  /** Plays events in the order of their times until there are none, a rule is broken or the end. */
+  void playEvents() {
+    while (!events.isEmpty() && rules.broken.isEmpty()) {
+      Event e = events.poll();
+      now = e.atMs();
+      if (now > endMs) {
+        break;
+      }
+      e.what().run();
+    }
+  }
+
+  void clearEvents() {
+    events.clear();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/scheduler/FuzzStore.java
@@ -0,0 +1,85 @@
+package org.astershift.scheduler;
+
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/** The consensus-backed store. Writes of records go through only for whom the lease is. */
+final class FuzzStore {
+  private final FuzzSimulation sim;
+  final Map<String, Long> live = new LinkedHashMap<>();
+  final Map<String, Long> submitted = new HashMap<>();
+  final Map<String, Boolean> ended = new HashMap<>();
+  final Set<String> opened = new HashSet<>();
+  final Map<String, Decision.RegisterMachine> machines = new LinkedHashMap<>();
+  final Map<String, BitSet> progress = new HashMap<>();
+  final Map<String, Decision.ProvisionMachines> rentals = new LinkedHashMap<>();
+  final Map<String, Long> stamps = new HashMap<>();
+  FuzzController holder;
+  long keyEndsMs;
+  long revision = 10;
+
+  FuzzStore(FuzzSimulation sim) {
+    this.sim = sim;
+  }
+
+  void accept(String id, Runnable then) {
+    if (sim.outage) {
+      sim.after(1000, () -> accept(id, then));
+      return;
+    }
+    live.put(id, ++revision);
+    submitted.put(id, sim.now);
+    then.run();
+  }
+
+  /** {@code result}: true applied, false certainly not, null no answer. */
+  void write(FuzzController by, Runnable apply, Consumer<Boolean> result, String key) {
+    if (sim.outage || by.storeCut) {
+      sim.after(500 + sim.random.nextInt(1500), () -> by.handle(() -> result.accept(null)));
+      return;
+    }
+    long stamp = ++sim.order;
+    boolean silent = sim.chance(sim.lostWrites);
+    boolean atOnce = sim.random.nextBoolean();
+    long ms = silent && !atOnce ? 2000 + sim.random.nextInt(10_000) : 1 + sim.random.nextInt(20);
+    sim.after(
+        ms,
+        () -> {
+          if (sim.outage) {
+            sim.after(3000, () -> by.handle(() -> result.accept(null)));
+            return;
+          }
+          boolean applies = holder == by && stamps.getOrDefault(key, 0L) < stamp;
+          if (applies) {
+            revision++;
+            stamps.put(key, stamp);
+            apply.run();
+          }
+          if (!silent) {
+            long back =
+                sim.chance(sim.slow) ? sim.random.nextInt(3000) : 1 + sim.random.nextInt(10);
+            boolean lost = holder != by;
+            sim.after(
+                back,
+                () ->
+                    by.handle(
+                        () -> {
+                          if (lost) {
+                            by.over("a write found another leader");
+                          } else {
+                            result.accept(applies);
+                          }
+                        }));
+          }
+        });
+    if (silent) {
+      sim.did("lost write");
+      sim.after(2500, () -> by.handle(() -> result.accept(null)));
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/scheduler/FuzzTask.java
@@ -0,0 +1,27 @@
+package org.astershift.scheduler;
+
+/** A task on a worker. */
+final class FuzzTask {
+  final String job;
+  final int index;
+  final long attempt;
+  Heartbeat.TaskPhase phase = Heartbeat.TaskPhase.FETCHING;
+  String cause;
+  boolean on;
+  boolean stopped;
+  long waitsSinceMs;
+
+  FuzzTask(String job, int index, long attempt) {
+    this.job = job;
+    this.index = index;
+    this.attempt = attempt;
+  }
+
+  String task() {
+    return job + "/" + index;
+  }
+
+  boolean exited() {
+    return phase == Heartbeat.TaskPhase.EXITED;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/scheduler/FuzzUsers.java
@@ -0,0 +1,146 @@
+package org.astershift.scheduler;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import org.astershift.coordination.Cancellation;
+
+/** Users, who submit jobs and cancel some. */
+final class FuzzUsers {
+  private final FuzzSimulation sim;
+  private int jobNumber;
+
+  FuzzUsers(FuzzSimulation sim) {
+    this.sim = sim;
+  }
+
+  void submitting() {
+    if (sim.now >= sim.troublesMs) {
+      return;
+    }
+    submit();
+    sim.after(sim.random.nextInt(4000), this::submitting);
+  }
+
+  private void submit() {
+    String id = String.format("wk-%06d", ++jobNumber);
+    int kindOf = sim.random.nextInt(10);
+    JobKind kind = kindOf < 6 ? JobKind.ARRAY : kindOf < 9 ? JobKind.GANG : JobKind.SERVICE;
+    boolean accelerated = sim.random.nextInt(4) == 0;
+    int tasks = 1 + sim.random.nextInt(kind == JobKind.ARRAY ? 6 : 3);
+    String team = List.of("tight", "tight", "mixed", "free").get(sim.random.nextInt(4));
+    double gpus = accelerated ? 1 : 0;
+    if (accelerated && team.equals("tight")) {
+      tasks = Math.min(2, tasks);
+    }
+    boolean oneZone = sim.random.nextInt(3) == 0;
+    boolean spread = !oneZone && tasks > 1 && sim.random.nextInt(3) == 0;
+    boolean saves = sim.random.nextBoolean();
+    JobSpec spec =
+        new JobSpec(
+            id,
+            sim.random.nextInt(3) == 0 ? "quick" : "slow",
+            team,
+            kind,
+            Priority.values()[sim.random.nextInt(4)],
+            tasks,
+            sim.random.nextInt(8) == 0 ? 0 : 0.5 + 0.5 * sim.random.nextInt(3),
+            gpus,
+            1 + sim.random.nextInt(4),
+            "img-" + sim.random.nextInt(4),
+            1,
+            sim.random.nextInt(4) == 0 ? List.of(accelerated ? "g" : "p") : null,
+            sim.random.nextInt(4) == 0 ? "a" : null,
+            oneZone,
+            spread,
+            sim.random.nextBoolean(),
+            kind == JobKind.SERVICE ? 0 : 8,
+            saves ? 3 : 0,
+            saves ? 1 : 0,
+            sim.random.nextInt(3) == 0 ? 60.0 : null);
+    if (Eligibility.rejectionReason(spec, sim.types.values(), sim.teams.get(team)) != null) {
+      jobNumber--;
+      return;
+    }
+    sim.specs.put(id, spec);
+    sim.durations.put(
+        id, (long) (500 + sim.random.nextInt(sim.random.nextInt(4) == 0 ? 40_000 : 9000)));
+    sim.rules.job(spec);
+    long submitted = sim.now;
+    sim.store.accept(
+        id,
+        () -> {
+          for (FuzzController ctl : new ArrayList<>(sim.controllers)) {
+            learn(ctl, id, submitted);
+          }
+        });
+    if (sim.chance(sim.cancels)) {
+      sim.after(sim.random.nextInt(40_000), () -> wish(id));
+    }
+    if (kind == JobKind.SERVICE) {
+      sim.after(sim.troublesMs - sim.now + sim.random.nextInt(20_000), () -> wish(id));
+    }
+  }
+
+  /** A controller reads a record, and takes in what it read at once or much later. */
+  void learn(FuzzController ctl, String id, long submitted) {
+    Long revision = sim.store.live.get(id);
+    if (revision != null) {
+      long ms = sim.chance(0.2) ? sim.random.nextInt(15_000) : sim.random.nextInt(200);
+      sim.after(ms, () -> ctl.handle(() -> ctl.take(id, revision, false, new BitSet(), submitted)));
+    }
+  }
+
+  private void wish(String id) {
+    if (sim.rules.over(id) || !sim.wished.add(id)) {
+      return;
+    }
+    sim.did("wish");
+    sim.note("wish " + id);
+    asking(id);
+  }
+
+  private void asking(String id) {
+    if (sim.rules.over(id)) {
+      return;
+    }
+    for (FuzzController ctl : new ArrayList<>(sim.controllers)) {
+      if (ctl == sim.store.holder || sim.chance(0.2)) {
+        long until = sim.now + 1200;
+        sim.after(sim.random.nextInt(30), () -> cancelling(ctl, id, until));
+      }
+    }
+    sim.after(1000 + sim.random.nextInt(2000), () -> asking(id));
+  }
+
+  private void cancelling(FuzzController ctl, String id, long untilMs) {
+    ctl.handle(
+        () -> {
+          boolean managed = ctl.termJobs.manages(id);
+          Scheduler s = ctl.scheduler;
+          if (managed && ctl.clock() < ctl.soleUntilMs) {
+            s.requestCancellation(id);
+          }
+          Scheduler.JobProgress view = s.progress(id);
+          Cancellation.Action act =
+              Cancellation.next(
+                  new Cancellation.View(
+                      false,
+                      false,
+                      true,
+                      ctl.clock() < ctl.soleUntilMs,
+                      managed,
+                      true,
+                      managed && s.canConfirmCancellation(id),
+                      managed && s.mayStart(id),
+                      view != null && view.complete(),
+                      sim.now > untilMs));
+          switch (act) {
+            case WRITE_CANCELLED -> ctl.end(id, true);
+            case WRITE_DONE -> ctl.end(id, false);
+            case WAIT -> sim.after(50, () -> cancelling(ctl, id, untilMs));
+            default -> {}
+          }
+        });
+  }
+}
