--- a/src/main/java/org/astershift/scheduler/Cancellation.java
+++ b/src/main/java/org/astershift/scheduler/JobCancellation.java
@@ -1,10 +1,10 @@
 package org.astershift.scheduler;
 
 /** Cancellations that users request: what they stop at once, and when they may be confirmed. */
-final class Cancellation {
+final class JobCancellation {
   private final ClusterState cluster;
 
-  Cancellation(ClusterState cluster) {
+  JobCancellation(ClusterState cluster) {
     this.cluster = cluster;
   }
 
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -39,7 +39,7 @@
   private final DirectCommands directCommands;
   private final MachineListReconciler machineListReconciler;
   private final SchedulingPass schedulingPass;
-  private final Cancellation cancellation;
+  private final JobCancellation cancellation;
   private final LogSummary logSummary;
   private final FailureDetector failureDetector;
   private final ScaleIn scaleIn;
@@ -68,7 +68,7 @@
             scaleIn,
             scaleOut,
             outstandingDecisions);
-    this.cancellation = new Cancellation(cluster);
+    this.cancellation = new JobCancellation(cluster);
     this.logSummary =
         new LogSummary(
             cluster, commandReconciler.concurrencyLimit(), schedulingPass.costStatistics());
@@ -218,7 +218,7 @@
 
   /** Whether a lease that nobody renews expires within the time promised for a cancellation. */
   public static boolean leaseFitsCancellationTime(DeploymentLimits limits) {
-    return Cancellation.leaseFitsCancellationTime(limits);
+    return JobCancellation.leaseFitsCancellationTime(limits);
   }
 
   /** Whether a worker showed a higher fencing token: another leader has taken over. */
