--- a/src/main/java/org/astershift/controller/CompletionQueue.java
+++ b/src/main/java/org/astershift/controller/CompletionQueue.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Completed jobs whose end is not on record yet, in the order in which their users wait. While one
- * transaction is under way those that complete gather for the next, so that many ends at once cost
- * few requests.
+ * Completed jobs whose end is not durable yet, first in first out. Those that complete while one
+ * transaction is in flight gather for the next, so that many ends cost few requests. Callable from
+ * any thread.
  */
 final class CompletionQueue {
   private final ArrayDeque<String> pending = new ArrayDeque<>();
@@ -18,7 +18,7 @@
     notifyAll();
   }
 
-  /** Waits for the first and takes at most so many; none once the term is over. */
+  /** Waits for the first and takes up to {@code maxJobs}; empty once closed. */
   synchronized List<String> takeBatch(int maxJobs) throws InterruptedException {
     while (pending.isEmpty() && !closed) {
       wait();
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -1,13 +1,9 @@
 package org.astershift.controller;
 
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Map;
-import java.util.OptionalDouble;
 import org.astershift.coordination.Candidacy;
 import org.astershift.coordination.StoreReachability;
-import org.astershift.coordination.WorkerReachability;
 import org.astershift.http.Threads;
 import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerOperation;
@@ -16,24 +12,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What this node asks the others about its own reach. Whether it alone has lost the state service:
- * by itself it cannot tell that from an outage. In an outage it stays ready: no node could do more.
- * Cut off alone, it sends users elsewhere, and learns from the others who leads by now. And whether
- * one of them reaches more workers than this one, where it leads and hears few.
+ * Tells a partition of this node from an outage of the store, by asking its peers, and learns from
+ * them who leads. A partitioned node is not ready. While the store responds, the same loop runs the
+ * {@link LeadershipTransferCheck}.
  */
 final class ConnectivityMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectivityMonitor.class);
+
   private final StoreClient store;
   private final Map<String, JobService.PeerChannel> peers;
   private final ControllerRuntime runtime;
   private final Candidacy candidacy;
+  private final LeadershipTransferCheck transferCheck;
+  private final StoreReachability storeReachability = new StoreReachability();
   private volatile ObservedLeader observedLeader;
   private volatile boolean isolated;
-  private final StoreReachability storeReachability = new StoreReachability();
   private boolean storeSilent;
 
-  /** Who leads, as another node says; {@code node} empty if nobody does. */
-  private record ObservedLeader(String node, long token) {}
+  /** The leader as a peer reports it; {@code node} empty if nobody leads. */
+  private record ObservedLeader(String node, long token) {
+    static ObservedLeader parse(String text) {
+      int space = text == null ? -1 : text.lastIndexOf(' ');
+      return space < 0
+          ? new ObservedLeader("", 0)
+          : new ObservedLeader(text.substring(0, space), Long.parseLong(text.substring(space + 1)));
+    }
+  }
+
+  /** What the peers say: how many answered, and the first that the store responds to, or null. */
+  private record PeerReports(int answered, String servedPeer, ObservedLeader leader) {}
 
   ConnectivityMonitor(
       StoreClient store,
@@ -44,24 +51,25 @@
     this.peers = peers;
     this.runtime = runtime;
     this.candidacy = candidacy;
+    this.transferCheck = new LeadershipTransferCheck(peers, runtime, candidacy);
   }
 
   void start() {
-    Threads.startLoop("reach", this::monitorLoop);
+    Threads.startLoop("connectivity", this::monitorLoop);
   }
 
-  /** The state service answers others and not this node, or nobody answers it at all. */
+  /** Whether the store responds to a peer and not to this node, or nobody responds to it. */
   boolean partitionedFromStore() {
     return observedLeader != null || isolated;
   }
 
-  /** The leader as another node told; null where this node knows better, or nobody leads. */
+  /** The leader that a peer reported; null where the store responds, or nobody leads. */
   String reportedLeader() {
     ObservedLeader current = observedLeader;
     return current == null || current.node().isEmpty() ? null : current.node();
   }
 
-  /** What this node tells another that asks whether the state service answers. */
+  /** Answers a peer that asks whether the store responds, and who leads. */
   JobAnswer answerStoreStatus() {
     if (store.unavailable()) {
       return JobAnswer.UNDECIDED;
@@ -71,117 +79,61 @@
         200, entry == null ? "" : entry.data().get("node") + " " + entry.revision(), 0, 0);
   }
 
-  private void monitorLoop() throws InterruptedException {
-    while (true) {
-      Thread.sleep(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS);
-      if (!store.unavailable()) {
-        if (storeSilent) {
-          LOG.info("the state service answers again");
-        }
-        storeSilent = false;
-        observedLeader = null;
-        isolated = false;
-        storeReachability.onServed();
-        checkFleetVisibility();
-        continue;
-      }
-      queryStoreThroughPeers();
-    }
+  /** Answers a peer that asks how much of the fleet this node reaches. */
+  JobAnswer answerWorkerReachability() {
+    return PeerReachability.encode(runtime.prober().measurement(), !store.unavailable());
   }
 
-  /**
-   * A leader that hears few of its machines asks the others whether one of them reaches more. While
-   * the state service is away it stays: nobody could take the leadership up.
-   */
-  private void checkFleetVisibility() throws InterruptedException {
-    LeaderTerm term = runtime.currentTerm();
-    if (term == null) {
-      return;
-    }
-    OptionalDouble shareIfIsolated =
-        term.scheduler.call(
-            scheduler ->
-                scheduler.isolated()
-                    ? OptionalDouble.of(scheduler.observedShare())
-                    : OptionalDouble.empty());
-    if (shareIfIsolated.isEmpty()) {
-      return;
-    }
-    double visibleShare = shareIfIsolated.getAsDouble();
-    List<Candidacy.PeerStatus> statuses = new ArrayList<>();
-    for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
-      Candidacy.PeerStatus other = queryWorkerReachability(peer.getKey(), peer.getValue());
-      if (other != null) {
-        statuses.add(other);
-      }
-    }
-    Candidacy.LeadershipTransfer transfer =
-        candidacy.handOverTarget(
-            visibleShare, statuses, peers.size(), term.beganMs, LeaderTerm.nowMs());
-    if (transfer == null) {
-      Thread.sleep(
-          LoopTiming
-              .REACHABILITY_SAMPLE_INTERVAL_MS); // what the others reach does not change sooner
-      return;
-    }
-    if (transfer.successor() != null) {
-      for (JobService.PeerChannel other : peers.values()) {
-        notifyPeer(other, PeerOperation.ANNOUNCE_TRANSFER, transfer.successor());
-      }
+  /** The leader announces a transfer to this node or to another one, which goes first. */
+  JobAnswer onTransferAnnounced(String successor) {
+    if (!successor.equals(runtime.node())) {
+      candidacy.deferToSuccessor(LeaderTerm.nowMs());
     }
-    String reason =
-        transfer.successor() == null
-            ? "no other node could be asked"
-            : transfer.successor() + " reaches more of them";
-    runtime.transferLeadership(
-        term,
-        "only " + Math.round(visibleShare * 100) + "% of its machines are heard, and " + reason);
+    return new JobAnswer(200, "", 0, 0);
   }
 
-  /** What another node tells of itself; null if it does not answer. */
-  private static Candidacy.PeerStatus queryWorkerReachability(
-      String node, JobService.PeerChannel peer) {
-    try {
-      JobAnswer answer =
-          peer.call(
-              PeerOperation.WORKER_REACHABILITY, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
-      WorkerReachability.Measurement measurement =
-          new WorkerReachability.Measurement(answer.runningTasks(), answer.doneTasks());
-      return new Candidacy.PeerStatus(
-          node, answer.status() == 200 && "".equals(answer.phase()), measurement);
-    } catch (IOException | RuntimeException e) {
-      LOG.debug("asking {}: {}", node, e.toString());
-      return null;
+  private void monitorLoop() throws InterruptedException {
+    while (true) {
+      Thread.sleep(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS);
+      if (store.unavailable()) {
+        onStoreSilent();
+      } else {
+        onStoreServed();
+        transferCheck.run();
+      }
     }
   }
 
-  private static void notifyPeer(
-      JobService.PeerChannel peer, PeerOperation operation, String argument) {
-    try {
-      peer.call(operation, argument, LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
-    } catch (IOException | RuntimeException e) {
-      LOG.debug("telling another node: {}", e.toString());
+  private void onStoreServed() {
+    if (storeSilent) {
+      LOG.info("store responds again, node={}", runtime.node());
     }
+    storeSilent = false;
+    observedLeader = null;
+    isolated = false;
+    storeReachability.onServed();
   }
 
-  /** The leader is about to hand over to this node, or to another one, which has to go first. */
-  JobAnswer onTransferAnnounced(String successor) {
-    if (!successor.equals(runtime.node())) {
-      candidacy.deferToSuccessor(LeaderTerm.nowMs());
+  private void onStoreSilent() {
+    PeerReports reports = queryPeers();
+    ObservedLeader reported = reports.leader();
+    logIfChanged(reports);
+    storeSilent = true;
+    observedLeader = reported;
+    boolean wasIsolated = isolated;
+    isolated =
+        storeReachability.onPeersAsked(
+                peers.size(), reports.answered(), reported != null, LeaderTerm.nowMs())
+            == StoreReachability.Verdict.ISOLATED;
+    if (isolated && !wasIsolated) {
+      LOG.info("neither store nor peers respond: not ready, node={}", runtime.node());
+    }
+    if (reported != null && !keepsTermBeside(reported)) {
+      runtime.onLeaderObserved(reported.token());
     }
-    return new JobAnswer(200, "", 0, 0);
-  }
-
-  /** What this node tells another that asks how much of the fleet it reaches. */
-  JobAnswer answerWorkerReachability() {
-    WorkerReachability.Measurement measurement = runtime.prober().measurement();
-    return new JobAnswer(
-        200, store.unavailable() ? "apart" : "", measurement.answered(), measurement.probed());
   }
 
-  private void queryStoreThroughPeers() {
-    ObservedLeader reported = null;
-    String servedPeer = null;
+  private PeerReports queryPeers() {
     int answered = 0;
     for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
       try {
@@ -190,41 +142,35 @@
                 .call(PeerOperation.STORE_STATUS, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
         answered++;
         if (answer.status() == 200) {
-          reported = parseLeader(answer.phase());
-          servedPeer = peer.getKey();
-          break;
+          return new PeerReports(answered, peer.getKey(), ObservedLeader.parse(answer.phase()));
         }
       } catch (IOException | RuntimeException e) {
-        LOG.debug("asking {}: {}", peer.getKey(), e.toString());
-      }
-    }
-    if (!storeSilent || (reported == null) != (observedLeader == null)) {
-      if (reported == null) {
-        LOG.info("the state service does not answer, nor does it answer another node reached");
-      } else {
-        LOG.info("the state service answers {} and not this node: not ready", servedPeer);
+        LOG.debug("peer does not answer, node={}: {}", peer.getKey(), e.toString());
       }
     }
-    storeSilent = true;
-    observedLeader = reported;
-    boolean wasIsolated = isolated;
-    isolated =
-        storeReachability.onPeersAsked(peers.size(), answered, reported != null, LeaderTerm.nowMs())
-            == StoreReachability.Verdict.ISOLATED;
-    if (isolated && !wasIsolated) {
-      LOG.info("neither the state service nor another node answers this one: cut off, not ready");
+    return new PeerReports(answered, null, null);
+  }
+
+  private void logIfChanged(PeerReports reports) {
+    if (storeSilent && (reports.leader() == null) == (observedLeader == null)) {
+      return;
     }
-    if (reported != null && !inboundPartitioned(reported)) {
-      runtime.onLeaderObserved(reported.token());
+    if (reports.leader() == null) {
+      LOG.info("store responds neither here nor to a reachable peer, node={}", runtime.node());
+    } else {
+      LOG.info(
+          "store responds to a peer only: not ready, node={} peer={}",
+          runtime.node(),
+          reports.servedPeer());
     }
   }
 
   /**
-   * A later leader that reaches few workers, while this one reaches them: it goes on answering them
-   * under its token, so that their leases and tasks live on. That is safe beside any successor,
-   * since a machine that has seen the later token drops what comes from here.
+   * Whether this node keeps its term beside a later leader, because that one reaches few workers
+   * and this one reaches them: it goes on answering under its token, so that their leases and tasks
+   * live on. That is safe, since a worker that has seen the later token drops what comes from here.
    */
-  private boolean inboundPartitioned(ObservedLeader laterLeader) {
+  private boolean keepsTermBeside(ObservedLeader laterLeader) {
     LeaderTerm term = runtime.currentTerm();
     JobService.PeerChannel peer = peers.get(laterLeader.node());
     if (term == null || laterLeader.token() <= term.token || peer == null) {
@@ -233,15 +179,8 @@
     if (!runtime.prober().measurement().reachesEnough()) {
       return false;
     }
-    // A node that does not know the question tells 0 of 0, which is not few.
-    Candidacy.PeerStatus status = queryWorkerReachability(laterLeader.node(), peer);
+    // A peer of a version without this request answers 0 of 0, which is not few.
+    Candidacy.PeerStatus status = PeerReachability.query(laterLeader.node(), peer);
     return status != null && status.workerReachability().reachesFew();
   }
-
-  private static ObservedLeader parseLeader(String text) {
-    int space = text == null ? -1 : text.lastIndexOf(' ');
-    return space < 0
-        ? new ObservedLeader("", 0)
-        : new ObservedLeader(text.substring(0, space), Long.parseLong(text.substring(space + 1)));
-  }
 }
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -36,6 +36,7 @@
   private final CloudProvisioner provisioner;
   private final MachineReleaser releaser;
   private final ReachabilityProber prober;
+  private final PeerProbes peerProbes;
   private final CommandDispatcher commands;
   private final ConnectivityMonitor connectivity;
   private final EndedJobCache endedJobs = new EndedJobCache();
@@ -61,7 +62,8 @@
     TaskPool probePool = Threads.pool("probe", ThreadBudget.MACHINE_PROBE_THREADS);
     Candidacy candidacy = new Candidacy();
     this.commands = new CommandDispatcher(sender, probePool);
-    this.prober = new ReachabilityProber(watchCache, sender, probePool, peers.values());
+    this.prober = new ReachabilityProber(watchCache, sender, probePool);
+    this.peerProbes = new PeerProbes(peers.values());
     this.elector =
         new LeaderElector(
             settings.nodeName(), store, watchCache, this, candidacy, prober::measurement);
@@ -220,7 +222,8 @@
    * all loops would hold the lease and place nothing.
    */
   private void startLoops(LeaderTerm term) {
-    DecisionExecutor executor = new DecisionExecutor(term, commands, provisioner, releaser, prober);
+    DecisionExecutor executor =
+        new DecisionExecutor(term, commands, provisioner, releaser, peerProbes);
     PassLoop passLoop = new PassLoop(term, settings.nodeName(), passSignal, executor);
     Threads.start("records", () -> term.records.writeLoop(term));
     Threads.start("pass", passLoop::run);
--- a/src/main/java/org/astershift/controller/DecisionExecutor.java
+++ b/src/main/java/org/astershift/controller/DecisionExecutor.java
@@ -15,25 +15,25 @@
   private final CommandDispatcher commands;
   private final CloudProvisioner provisioner;
   private final MachineReleaser releaser;
-  private final ReachabilityProber prober;
+  private final PeerProbes peerProbes;
 
   DecisionExecutor(
       LeaderTerm term,
       CommandDispatcher commands,
       CloudProvisioner provisioner,
       MachineReleaser releaser,
-      ReachabilityProber prober) {
+      PeerProbes peerProbes) {
     this.term = term;
     this.commands = commands;
     this.provisioner = provisioner;
     this.releaser = releaser;
-    this.prober = prober;
+    this.peerProbes = peerProbes;
   }
 
   /** Starts queued work that found no thread. */
   void startQueuedTasks() {
     commands.startQueuedTasks();
-    prober.startQueuedTasks();
+    peerProbes.startQueuedTasks();
     provisioner.startQueuedTasks();
     releaser.startQueuedTasks();
   }
@@ -100,7 +100,7 @@
 
   @Override
   public void visit(Decision.ProbeThroughPeers decision) {
-    prober.probeThroughPeers(
+    peerProbes.request(
         decision,
         results -> {
           term.scheduler.onPeerProbeResults(decision, results);
--- a/src/main/java/org/astershift/controller/EndedJobCache.java
+++ b/src/main/java/org/astershift/controller/EndedJobCache.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import org.astershift.store.RecordCodec;
 
-/** The ends of jobs seen lately, so that most late polls need no read. */
+/** Ends of jobs, so that most polls of ended jobs need no read. Callable from any thread. */
 final class EndedJobCache {
-  /** Ended jobs kept in memory; others are read from the state service. */
+  /** Ends kept, the latest; others are read from the store. */
   private static final int ENDED_JOBS_KEPT = 50_000;
 
   private final Map<String, RecordCodec.JobEnd> ends =
@@ -23,6 +23,7 @@
     ends.put(jobId, end);
   }
 
+  /** The end of the job; null if it is not cached. */
   synchronized RecordCodec.JobEnd get(String jobId) {
     return ends.get(jobId);
   }
--- /dev/null
+++ b/src/main/java/org/astershift/controller/PeerReachability.java
@@ -0,0 +1,38 @@
+package org.astershift.controller;
+
+import java.io.IOException;
+import org.astershift.coordination.Candidacy;
+import org.astershift.coordination.WorkerReachability;
+import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerOperation;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The requests by which controllers compare how much of the fleet they reach. */
+final class PeerReachability {
+  private static final Logger LOG = LoggerFactory.getLogger(PeerReachability.class);
+
+  private PeerReachability() {}
+
+  /** What this node answers; {@code storeAvailable}: the store responds to it. */
+  static JobAnswer encode(WorkerReachability.Measurement measurement, boolean storeAvailable) {
+    return new JobAnswer(
+        200, storeAvailable ? "" : "apart", measurement.answered(), measurement.probed());
+  }
+
+  /** What a peer reports of itself; null if it does not answer. */
+  static Candidacy.PeerStatus query(String node, JobService.PeerChannel peer) {
+    try {
+      JobAnswer answer =
+          peer.call(
+              PeerOperation.WORKER_REACHABILITY, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
+      WorkerReachability.Measurement measurement =
+          new WorkerReachability.Measurement(answer.runningTasks(), answer.doneTasks());
+      return new Candidacy.PeerStatus(
+          node, answer.status() == 200 && "".equals(answer.phase()), measurement);
+    } catch (IOException | RuntimeException e) {
+      LOG.debug("peer does not answer, node={}: {}", node, e.toString());
+      return null;
+    }
+  }
+}
--- a/src/main/java/org/astershift/controller/RequestCoalescer.java
+++ b/src/main/java/org/astershift/controller/RequestCoalescer.java
@@ -6,11 +6,11 @@
 import org.astershift.coordination.CoalescerState.Ticket;
 
 /**
- * Lets those who ask the same at the same time share an answer: the waits of {@link
- * CoalescerState}.
+ * Lets concurrent callers with the same key share an answer; {@link CoalescerState} decides who
+ * computes and who waits. Callable from any thread.
  */
 final class RequestCoalescer<A> {
-  /** Finds the answer; each call begins after all who share it have asked. */
+  /** Computes an answer; each call begins after all callers that share it have asked. */
   interface Work<A> {
     A compute(String key) throws InterruptedException;
   }
@@ -22,7 +22,7 @@
     this.work = work;
   }
 
-  /** Null where the one who worked it out failed: whoever shared its answer asks again. */
+  /** The answer; null if the caller that computed it failed. */
   A get(String key) throws InterruptedException {
     synchronized (this) {
       Ticket<A> ticket = state.join(key);
--- a/src/main/java/org/astershift/coordination/Cancellation.java
+++ b/src/main/java/org/astershift/coordination/Cancellation.java
@@ -1,46 +1,45 @@
 package org.astershift.coordination;
 
 /**
- * What a controller does next about a user's wish to cancel a job. Nothing is confirmed that could
- * be outlived by a task: the end is written by the leader, under its key, and only when each
- * machine that may hold a task of the job answers to its token or is gone. From then on whoever
- * renews the lease of such a machine stops the task in the same answer, and if nobody does the
- * lease runs out. And nothing starts any more: a start that is on its way is seen to its end first.
- * What cannot be confirmed now is refused at once or within the patience, to be asked again.
+ * The next step of a user's cancellation. It is confirmed only when no task can outlive it: the
+ * leader writes the end under its key, and only once each machine that may hold a task of the job
+ * is fenced by its token or gone, and no start is in flight. From then on whoever renews such a
+ * machine's lease stops the task in the same response, and without renewal the lease expires. What
+ * cannot be confirmed by the deadline is answered with 503, to be repeated.
  */
 public final class Cancellation {
   private Cancellation() {}
 
   /** What to do next. */
   public enum Action {
-    /** Tell the end that is known: it is on record and does not change any more. */
+    /** Answer with the known end: it is durable and final. */
     REPLY_WITH_END,
-    /** Ask the leader. */
+    /** Forward to the leader. */
     FORWARD,
-    /** Not now: 503. */
+    /** Answer 503. */
     REJECT,
-    /** Read the state service: the job is over, unknown, or not known here yet. */
+    /** Read the store: the job has ended, is unknown, or is not loaded here yet. */
     READ_STORE,
-    /** Look again shortly: machines are being claimed, tasks stopped. */
+    /** Check again shortly: machines are being fenced, starts settled. */
     WAIT,
-    /** Write that it is cancelled, and tell that once it is certain. */
+    /** Write the end as cancelled, and confirm it once it is durable. */
     WRITE_CANCELLED,
-    /** Write that it is done: all of its tasks were before they could be stopped. */
+    /** Write the end as done: all tasks completed before they could be stopped. */
     WRITE_DONE;
 
-    /** Whether the term keeps the job and works on its end: nothing of it may start any more. */
+    /** Whether the term works on the job's end, so that none of its tasks may start. */
     public boolean needsTerm() {
       return this == WAIT || this == WRITE_CANCELLED || this == WRITE_DONE;
     }
   }
 
   /**
-   * What is known here. {@code ended}: the job's end is known; {@code mayForward}: the leader may
-   * be asked; {@code leading}: this controller has a term, which is {@code leaseCertain} as long as
-   * no other can have begun; {@code managed}: the term looks after the job; {@code storeRead}: the
-   * state service was asked about it; {@code fenced}: no machine that may hold a task of it can be
-   * renewed by an older leader; {@code startInFlight}: a start of it is on its way; {@code
-   * complete}: all of its tasks are done; {@code deadlinePassed}: the patience is used up.
+   * What this controller knows. {@code ended}: the job's end; {@code mayForward}: the leader may be
+   * asked; {@code leading}: this controller has a term, which is {@code leaseCertain} while no
+   * other can have begun; {@code managed}: the term manages the job; {@code storeRead}: the store
+   * was read for it; {@code fenced}: no machine that may hold a task of it can be renewed by an
+   * older leader; {@code startInFlight}: a start of it is being sent; {@code complete}: all of its
+   * tasks are done; {@code deadlinePassed}: the user's request must be answered.
    */
   public record View(
       boolean ended,
@@ -54,7 +53,7 @@
       boolean complete,
       boolean deadlinePassed) {}
 
-  /** What to do next about a cancellation that stands so. */
+  /** The next step in this situation. */
   public static Action next(View view) {
     if (view.ended()) {
       return Action.REPLY_WITH_END;
--- a/src/main/java/org/astershift/coordination/CancellationLatency.java
+++ b/src/main/java/org/astershift/coordination/CancellationLatency.java
@@ -7,9 +7,8 @@
 import java.util.Map;
 
 /**
- * How long users wait for their cancellations, for the log: from a cancellation's first arrival at
- * the leader, however often it is refused and repeated, to its confirmation. Its caller holds a
- * lock; only live jobs are asked for here, so what waits is bounded by these.
+ * Latency of cancellations, for the log: from the first request at the leader, however often it is
+ * rejected and repeated, to the durable end. Needs the caller's lock. Bounded by the live jobs.
  */
 public final class CancellationLatency {
   private static final double MEDIAN = 0.5;
@@ -17,12 +16,12 @@
   private final Map<String, Long> requestedMs = new HashMap<>();
   private final List<Long> latenciesMs = new ArrayList<>();
 
-  /** A user asks to cancel this job. */
+  /** A user requests the cancellation of this live job. */
   public void onCancelRequested(String jobId, long nowMs) {
     requestedMs.putIfAbsent(jobId, nowMs);
   }
 
-  /** The job's end is on record; one that was done first is no confirmation. */
+  /** The job's end is durable; one that was done first does not count. */
   public void onJobEnded(String jobId, boolean cancelled, long nowMs) {
     Long cancelRequestedMs = requestedMs.remove(jobId);
     if (cancelRequestedMs != null && cancelled) {
@@ -30,7 +29,7 @@
     }
   }
 
-  /** A line for the log on what was confirmed since the last one; null if there is nothing. */
+  /** A log line on the cancellations since the last one; null if there were none. */
   public String summary(long nowMs) {
     if (latenciesMs.isEmpty() && requestedMs.isEmpty()) {
       return null;
@@ -54,7 +53,7 @@
     return text.toString();
   }
 
-  /** By the nearest rank: the least time within which so large a share was confirmed. */
+  /** By nearest rank, of the sorted latencies. */
   private long quantile(double share) {
     return latenciesMs.get((int) Math.ceil(share * latenciesMs.size()) - 1);
   }
--- a/src/main/java/org/astershift/coordination/Candidacy.java
+++ b/src/main/java/org/astershift/coordination/Candidacy.java
@@ -6,52 +6,48 @@
 import org.astershift.coordination.WorkerReachability.Measurement;
 
 /**
- * Whether a controller stands for the leadership, and when a leader hands it over. Nothing here is
- * needed for safety, which stays with the lease: these decisions only bring the leadership to a
- * controller that reaches workers, and keep it there.
+ * Whether a controller becomes a candidate, and when a leader transfers its leadership. Safety does
+ * not depend on it, only on the lease: these decisions bring the leadership to a controller that
+ * reaches workers, and keep it there.
  *
- * <p>Standing is ranked by delay and not by agreement: all controllers see the free leadership at
- * the same moment, and one that knows that it reaches few workers lets the others go first. That
- * needs no word between them, so it holds when they refuse each other. Handing over is for the
- * leader that was cut off afterwards: it asks the others whether one reaches more. If none answers,
- * it lets each of them have a turn, once; if those that answer reach no more, it stays, and gives
- * nothing away.
+ * <p>Candidates are ranked by delay and not by agreement: one that reaches few workers waits longer
+ * after the key has gone, which works also while controllers cannot reach each other. Transfer is
+ * for a leader that is partitioned later: it goes to a peer that reaches more workers. If no peer
+ * answers, each gets one turn; if those that answer reach no more, the leader stays.
  */
 public final class Candidacy {
-  /** Share by which another has to reach more machines for a leader to hand over. */
+  /** By how much a peer's reached share must exceed the leader's for a transfer. */
   private static final double REACHABILITY_HANDOVER_SHARE = 0.3;
 
   /**
-   * Milliseconds by which a controller that reaches few workers stands later than the others: they
-   * see the free leadership at the same moment and look for it every 300 ms.
+   * Milliseconds for which a controller that reaches few workers leaves the election to the others,
+   * which check for a missing key every 300 ms.
    */
   static final long CANDIDACY_DELAY_MS = 3000;
 
-  /** Milliseconds that a term lasts at least before its leader hands over for want of reach. */
+  /** Shortest age of a term that its leader transfers, milliseconds. */
   static final long HANDOVER_MIN_TERM_MS = 8000;
 
-  /** It does not give up again for so long: then the trouble is not with its own network. */
+  /** Shortest time between two resignations, milliseconds, if no other leader came between. */
   static final long RESIGN_MIN_INTERVAL_MS = 60_000;
 
   private final Map<String, Long> lastLedMs = new HashMap<>();
   private long freeSinceMs = -1;
   private long deferredMs = Long.MIN_VALUE / 2;
 
-  /**
-   * What one other controller told of itself; {@code storeAvailable}: the state service answers it.
-   */
+  /** What a peer reports of itself; {@code storeAvailable}: the store responds to it. */
   public record PeerStatus(String node, boolean storeAvailable, Measurement workerReachability) {}
 
-  /** A leader's wish to hand over to this controller, or to any where {@code successor} is null. */
+  /** A transfer to this controller, or to any where {@code successor} is null. */
   public record LeadershipTransfer(String successor) {}
 
-  /** The leadership is held by this controller, as far as known here. */
+  /** The leader's key names this controller. */
   public synchronized void onHolderObserved(String node, long nowMs) {
     freeSinceMs = -1;
     lastLedMs.put(node, nowMs);
   }
 
-  /** The leadership is free: whether this controller, which reaches so much, stands for it now. */
+  /** The key does not exist: whether this controller becomes a candidate now. */
   public synchronized boolean shouldStand(Measurement own, long nowMs) {
     if (freeSinceMs < 0) {
       freeSinceMs = nowMs;
@@ -60,15 +56,15 @@
     return !deferring && nowMs - freeSinceMs >= (own.reachesFew() ? CANDIDACY_DELAY_MS : 0);
   }
 
-  /** The leader is about to hand over to another controller than this one. */
+  /** The leader announces a transfer to another controller than this one. */
   public synchronized void deferToSuccessor(long nowMs) {
     deferredMs = nowMs;
   }
 
   /**
-   * The wish of a leader that hears only {@code visibleShare} of its machines; null: it stays.
-   * {@code statuses}: those of the {@code peerCount} that answered; {@code termBeganMs}: when its
-   * term began, since a cut that comes and goes must not turn the leadership round with it.
+   * The transfer by a leader that observes only {@code visibleShare} of its machines; null: it
+   * stays. {@code statuses}: of those of the {@code peerCount} that answered; {@code termBeganMs}:
+   * the term must have lasted a while, so that an unstable link does not move the leadership often.
    */
   public synchronized LeadershipTransfer handOverTarget(
       double visibleShare, List<PeerStatus> statuses, int peerCount, long termBeganMs, long nowMs) {
@@ -93,7 +89,7 @@
     if (!statuses.isEmpty()) {
       return null;
     }
-    // Nobody answers, so nothing is known of the others: each that has not led lately has its turn.
+    // No peer answers: each that has not led lately gets one turn.
     lastLedMs.values().removeIf(lastLed -> nowMs - lastLed > RESIGN_MIN_INTERVAL_MS);
     return lastLedMs.size() <= peerCount ? new LeadershipTransfer(null) : null;
   }
--- a/src/main/java/org/astershift/coordination/CoalescerState.java
+++ b/src/main/java/org/astershift/coordination/CoalescerState.java
@@ -4,45 +4,45 @@
 import java.util.Map;
 
 /**
- * Which of those who ask the same share an answer (request coalescing). An answer may be given only
- * to who asked before the work for it began: otherwise a user who has heard from another controller
- * meanwhile that the job is over would be told something older. So who comes while an answer is
- * being worked out shares the next one, and however many ask, one is in work and one follows. Its
- * caller holds a lock, and waits.
+ * Request coalescing: which callers share a result. A result may go only to callers that asked
+ * before its computation began; otherwise a user who has seen a newer state at another controller
+ * could get an older one. So callers that arrive during a computation share the next one: for each
+ * key at most one computes and one is queued. Needs the caller's lock; the caller does the waiting.
  */
 public final class CoalescerState<A> {
-  /** Those who get one answer. */
+  /** The callers that share one result. */
   public static final class Round<A> {
     private A answer;
     private boolean completed;
 
+    /** Whether the computation is over. */
     public boolean completed() {
       return completed;
     }
 
-    /** Null before it is over, and where whoever worked it out failed. */
+    /** The result; null before completion, and if the computation failed. */
     public A answer() {
       return answer;
     }
   }
 
-  /** What one who asks does. */
+  /** What a caller does. */
   public enum Role {
-    /** Works the answer out, now. */
+    /** Computes the result now. */
     COMPUTE,
-    /** Works it out once the present round is over, and begins then. */
+    /** Computes it after the present round. */
     QUEUED,
-    /** Waits until its round is over. */
+    /** Waits until its round is complete. */
     SHARE
   }
 
-  /** The round of one who asks, and its part in it. */
+  /** A caller's round and role. */
   public record Ticket<A>(Round<A> round, Role role) {}
 
   private final Map<String, Round<A>> computing = new HashMap<>();
   private final Map<String, Round<A>> queued = new HashMap<>();
 
-  /** Somebody asks. */
+  /** A caller arrives. */
   public Ticket<A> join(String key) {
     Round<A> round = queued.get(key);
     if (round != null) {
@@ -57,22 +57,22 @@
     return new Ticket<>(round, Role.COMPUTE);
   }
 
-  /** Whether an answer is being worked out: who follows begins when there is none. */
+  /** Whether a computation is running; the queued caller begins when none is. */
   public boolean isComputing(String key) {
     return computing.containsKey(key);
   }
 
-  /** Who follows begins its work: who asks from now on does not share it. */
+  /** The queued caller begins to compute; callers from now on do not share its result. */
   public void beginQueued(String key) {
     computing.put(key, queued.remove(key));
   }
 
-  /** Who follows gives up before it began: nobody waits for its answer any more. */
+  /** The queued caller gives up; those who share its round get null. */
   public void abandonQueued(String key) {
     queued.remove(key).completed = true;
   }
 
-  /** The work is over, with this answer; null if it failed. */
+  /** The computation is over; {@code answer} null if it failed. */
   public void complete(String key, A answer) {
     Round<A> round = computing.remove(key);
     round.answer = answer;
--- a/src/main/java/org/astershift/coordination/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -8,31 +8,30 @@
 import org.astershift.coordination.WorkerReachability.Measurement;
 
 /**
- * One controller's part in who leads: the holder of one key in the state service, on a lease. The
- * token is the revision of the key's creation, so a later holder always has a higher one. A process
- * never inherits the key of its predecessor. A leader whose lease may have run out is no longer
- * {@link #leaseCertain}, and answers nothing that another leader could contradict; it leads on
- * until it sees that there is another.
+ * One controller's part in the leader election. The leader holds one key of the store on a lease;
+ * its fencing token is the revision at which the key was created, so a later leader has a higher
+ * one. A process never inherits its predecessor's key. Once the lease may have expired, the leader
+ * is no longer {@link #leaseCertain} and answers nothing that another leader could contradict; it
+ * leads on until it sees another leader.
  *
- * <p>Its caller asks for the next {@link Action}, carries it out, tells what came of it, and asks
- * again. What ends a term may come at any time, from any thread. Times are milliseconds of the
+ * <p>The caller gets the next {@link Action}, carries it out, reports the outcome, and repeats. The
+ * end of a term may be called for at any time, from any thread. Times are milliseconds of the
  * steady clock.
  */
 public final class Election {
   /**
-   * Life of the leadership's lease. Shorter means faster takeover, longer survives slow renewals.
+   * Duration of the leader's lease, milliseconds: shorter means faster failover, longer survives
+   * slow renewals.
    */
   public static final long LEADER_LEASE_MS = 2000;
 
   /**
-   * A leader that gave up because it reached too few machines lets the others try for so long: they
-   * stand within 300 ms, or 3 s where they reach few themselves.
+   * Milliseconds for which a leader that resigned leaves the election to the others, who become
+   * candidates within 300 ms, or 3 s where they reach few workers themselves.
    */
   private static final long RESIGN_BACKOFF_MS = 5000;
 
-  /**
-   * Milliseconds without an answer after which a node that needs nothing asks for a sign of life.
-   */
+  /** Milliseconds without a response of the store after which an idle follower reads the key. */
   private static final long STORE_KEEPALIVE_MS = 700;
 
   private final String node;
@@ -47,15 +46,16 @@
   private long resignAllowedMs = Long.MIN_VALUE / 2;
   private long contestAllowedMs = Long.MIN_VALUE / 2;
 
-  /** This process has tried to lead: a key with its node's name may be its own. */
+  /** This process was a candidate: a key with its node's name may be its own. */
   private boolean triedToLead;
 
   /** Another controller has led since this one resigned. */
   private boolean otherLedSinceResigning;
 
-  /** It was said that this one lets others stand first. */
+  /** The deferral to other candidates was reported. */
   private boolean deferralReported;
 
+  /** How far this controller has come towards leading. */
   private enum Step {
     FOLLOWER,
     LEASE_GRANTED,
@@ -66,43 +66,43 @@
 
   /** What the caller should do. */
   public sealed interface Action {
-    /** Nothing now: ask again after a rest, or when the key has changed. */
+    /** Nothing now: ask again after a pause, or when the key has changed. */
     record Wait() implements Action {}
 
-    /** Read the key, as a sign of life: nothing was heard of the state service for a while. */
+    /** Read the key, to learn whether the store responds. */
     record ReadKey() implements Action {}
 
-    /** The others may stand first: this one reaches so few workers. */
+    /** Leave the election to others for now: this controller reaches few workers. */
     record Defer(Measurement workerReachability) implements Action {}
 
-    /** Remove the key at this revision: it was left by this controller's predecessor. */
+    /** Delete the key at this revision: this node's previous process left it. */
     record RemoveStaleKey(long revision) implements Action {}
 
-    /** Get a lease; told by {@link #onLeaseGranted}. */
+    /** Get a lease; outcome to {@link #onLeaseGranted}. */
     record GrantLease(long ttlMs) implements Action {}
 
-    /** Create the key, if absent, on this lease; told by {@link #onKeyCreation}. */
+    /** Create the key, if absent, on this lease; outcome to {@link #onKeyCreation}. */
     record CreateKey(long lease) implements Action {}
 
     /**
-     * Prolong the lease, and read whether the key stands on it; told by {@link #onKeyVerified}. A
-     * claim had no answer.
+     * The creation had no answer: renew the lease and read whether the key is on it; outcome to
+     * {@link #onKeyVerified}.
      */
     record VerifyKey(long lease) implements Action {}
 
-    /** Bring the mirror up to this revision; told by {@link #onCaughtUp}. */
+    /** Wait until the cache has reached this revision; outcome to {@link #onCaughtUp}. */
     record CatchUp(long revision) implements Action {}
 
-    /** Take up the leader's work; {@link #onTermStartFailed} if that cannot be. */
+    /** Begin the term; {@link #onTermStartFailed} if that fails. */
     record BeginTerm(long token) implements Action {}
 
-    /** Prolong the lease; told by {@link #onLeaseRenewed}. */
+    /** Renew the lease; outcome to {@link #onLeaseRenewed}. */
     record RenewLease(long lease) implements Action {}
 
-    /** End the lease at once, so that the key does not stand for this controller any more. */
+    /** Revoke the lease, so that the key does not name this controller any more. */
     record RevokeLease(long lease) implements Action {}
 
-    /** Lay the leader's work down. */
+    /** End the term. */
     record EndTerm(long token, String reason) implements Action {}
   }
 
@@ -110,9 +110,9 @@
   public record Holder(String node, long revision) {}
 
   /**
-   * What is known here at the moment. {@code cacheLoaded}: the mirror holds something; {@code
-   * holder} null: the key does not exist, as far as the mirror knows; {@code storeSilenceMs}: since
-   * the state service last answered this controller.
+   * What this controller knows. {@code cacheLoaded}: the cache holds a state of the store; {@code
+   * holder} null: the key does not exist in it; {@code storeSilenceMs}: milliseconds since the
+   * store last responded.
    */
   public record View(
       long nowMs,
@@ -121,38 +121,35 @@
       Measurement workerReachability,
       long storeSilenceMs) {}
 
-  /** What came of creating the key. */
+  /** Outcome of the key's creation. */
   public enum KeyCreation {
     CREATED,
     REJECTED,
     UNKNOWN
   }
 
+  /** {@code node}: this controller's name. */
   public Election(String node, Candidacy candidacy) {
     this.node = node;
     this.candidacy = candidacy;
   }
 
-  // ---- what others ask ----
-
-  /** 0 if this controller does not lead. */
+  /** The fencing token; 0 if this controller does not lead. */
   public synchronized long token() {
     return token;
   }
 
-  /** Whether no other controller can have become leader yet. */
+  /** Whether no other controller can have become leader since this term began. */
   public synchronized boolean leaseCertain(long termToken, long nowMs) {
     return token == termToken && termToken != 0 && nowMs < leaseCertainUntilMs;
   }
 
-  /** Until when no other controller can have become leader. */
+  /** Before this time no other controller can have become leader. */
   public synchronized long leaseCertainUntilMs() {
     return leaseCertainUntilMs;
   }
 
-  // ---- what to do next ----
-
-  /** What to do next, as things stand. */
+  /** The next action. */
   public synchronized Action next(View view) {
     if (!pendingActions.isEmpty()) {
       return pendingActions.poll();
@@ -184,7 +181,7 @@
       candidacy.onHolderObserved(view.holder().node(), view.nowMs());
       deferralReported = false;
       otherLedSinceResigning |= !ownKey;
-      // Left by this controller's predecessor, which is dead since this process runs in its place.
+      // A key of this node's previous process, which is dead, since this one has its addresses.
       return ownKey && !triedToLead
           ? new Action.RemoveStaleKey(view.holder().revision())
           : new Action.Wait();
@@ -194,7 +191,7 @@
       deferralReported = true;
       return alreadyReported ? new Action.Wait() : new Action.Defer(view.workerReachability());
     }
-    // Counted from here: the lease may have been granted as soon as it was asked for.
+    // The lease may begin as soon as it is requested.
     leaseRequestedMs = view.nowMs();
     return new Action.GrantLease(LEADER_LEASE_MS);
   }
@@ -209,8 +206,6 @@
     return new Action.RenewLease(lease);
   }
 
-  // ---- what came of it ----
-
   /** A lease was granted. */
   public synchronized void onLeaseGranted(long grantedLease) {
     if (step == Step.FOLLOWER) {
@@ -219,7 +214,7 @@
     }
   }
 
-  /** {@code revision}: of the key, where it was created. */
+  /** Outcome of the key's creation; {@code revision}: the key's, if it was created. */
   public synchronized void onKeyCreation(KeyCreation outcome, long revision) {
     if (step != Step.LEASE_GRANTED) {
       return;
@@ -232,9 +227,9 @@
   }
 
   /**
-   * {@code revision}: of the key, if it stands on this claim's lease, which nobody else has; 0 if
-   * it does not, or nothing is known. Given up unread, claims that had been carried out were taken
-   * back one after the other, and nobody led while the answers of most writes were lost.
+   * {@code revision}: the key's, if it is on this candidate's lease, which nobody else has; 0 if it
+   * is not, or that is unknown. Read rather than given up, so that somebody leads also while the
+   * answers of most writes are lost.
    */
   public synchronized void onKeyVerified(long revision) {
     if (step != Step.CREATION_UNKNOWN) {
@@ -244,7 +239,7 @@
       onKeyCreated(revision);
       return;
     }
-    // It may be carried out yet: the key, if it comes to exist, must not stand for this one.
+    // The creation may still be applied: the key must not name this controller then.
     step = Step.FOLLOWER;
     pendingActions.add(new Action.RevokeLease(lease));
   }
@@ -256,9 +251,9 @@
   }
 
   /**
-   * Whether the mirror now holds all that was there at this revision. Only that of the key which
-   * was won last counts: told late of an earlier one, a term began without what had been recorded
-   * between the two, and refused the news of it as older than itself (seed 6643 of the swarm).
+   * Whether the cache has reached this revision. Only the key created last counts: after an earlier
+   * one a term would begin without what was recorded between the two, and ignore it as older than
+   * its token.
    */
   public synchronized void onCaughtUp(long revision, boolean caughtUp) {
     if (step != Step.KEY_CREATED || revision != createdRevision) {
@@ -274,7 +269,7 @@
     pendingActions.add(new Action.BeginTerm(token));
   }
 
-  /** {@code renewed} null: no answer, so nothing is known; false: the lease has ended. */
+  /** {@code renewed} null: no answer; false: the lease has expired. */
   public synchronized void onLeaseRenewed(Boolean renewed) {
     if (step != Step.LEADER || renewed == null) {
       return;
@@ -286,20 +281,18 @@
     }
   }
 
-  /** A term that cannot begin would hold the lease and place nothing: another is to try. */
+  /** A term that cannot begin gives the leadership up, instead of holding it without effect. */
   public synchronized List<Action> onTermStartFailed(long termToken, long nowMs) {
     contestAllowedMs = nowMs + RESIGN_BACKOFF_MS;
     return endAndRevoke(termToken, "it could not begin");
   }
 
-  // ---- what ends a term ----
-
-  /** It is certain that another leads. */
+  /** Ends the term of this token: another leader is certain. */
   public synchronized List<Action> stepDown(long termToken, String reason) {
     return endTerm(termToken, reason) ? drainPending() : List.of();
   }
 
-  /** Another controller says who leads: if that one came later, this one does no longer. */
+  /** Another controller reports the leader's token: a higher one ends this term. */
   public synchronized List<Action> onLeaderObserved(long observedToken) {
     return observedToken > token
         ? stepDown(token, "another node says that a later one leads, with token " + observedToken)
@@ -307,8 +300,8 @@
   }
 
   /**
-   * Lets another controller lead, because this one reaches too few workers; not twice in a short
-   * time if nobody else took it, since then the others reach no more.
+   * Gives the leadership up, since this controller reaches too few workers; not twice in a short
+   * time if nobody else led between, since then the others reach no more.
    */
   public synchronized List<Action> resign(long termToken, String reason, long nowMs) {
     if ((nowMs < resignAllowedMs && !otherLedSinceResigning)
--- a/src/main/java/org/astershift/coordination/JobQuery.java
+++ b/src/main/java/org/astershift/coordination/JobQuery.java
@@ -1,31 +1,31 @@
 package org.astershift.coordination;
 
 /**
- * Where a controller takes the answer to a user's question about a job from. Once any controller
- * has told that a job was accepted, is done or cancelled, none tells anything older, whatever its
- * memory holds: only a leader that is certainly the only one answers from memory, since only a
- * leader ends jobs; everybody else asks it, or reads what is on record after the question came.
+ * The source of a controller's answer to a poll. Polls are linearizable: once any controller has
+ * reported a job accepted, done or cancelled, none reports an older state. So only a leader whose
+ * lease is certainly held answers from memory, since only a leader ends jobs; all others ask it, or
+ * read the store after the poll arrived.
  */
 public final class JobQuery {
   private JobQuery() {}
 
   /** Where the answer comes from. */
   public enum Source {
-    /** The end that is known here: it is on record and does not change any more. */
+    /** The end in this node's cache: it is durable and final. */
     KNOWN_END,
-    /** The leader's memory. */
+    /** This leader's memory. */
     LEADER_MEMORY,
-    /** The leader, another controller. */
+    /** The leader on another node. */
     REMOTE_LEADER,
-    /** The state service. */
+    /** The store. */
     STORE
   }
 
   /**
-   * What is known here. {@code ended}: the job's end is known; {@code leading}: this controller has
-   * a term; {@code answerableFromMemory}: the term looks after the job and has no end of it under
-   * way; {@code leaseCertain}: looked at after that, no other controller can have begun to lead;
-   * {@code mayForward}: the leader may be asked.
+   * What this controller knows. {@code ended}: the job's end; {@code leading}: it has a term;
+   * {@code answerableFromMemory}: the term manages the job and has no write of its end in flight;
+   * {@code leaseCertain}: checked after that, no other leader can have begun; {@code mayForward}:
+   * the leader may be asked.
    */
   public record View(
       boolean ended,
@@ -34,7 +34,7 @@
       boolean leaseCertain,
       boolean mayForward) {}
 
-  /** Where the answer to a question about a job comes from. */
+  /** The source for a poll in this situation. */
   public static Source source(View view) {
     if (view.ended()) {
       return Source.KNOWN_END;
--- a/src/main/java/org/astershift/coordination/StoreReachability.java
+++ b/src/main/java/org/astershift/coordination/StoreReachability.java
@@ -1,38 +1,38 @@
 package org.astershift.coordination;
 
 /**
- * What it means that the state service does not answer this node, from what the others say. In an
- * outage it stays ready: no node could do more. Where others are served it sends users there. Where
- * no other answers at all either, it is cut off: nothing that users ask of it can be answered,
- * while the others may be served well; it keeps its workers, and tells the balancer the truth.
+ * Why the store does not respond to this node, judged by what its peers report. In an outage the
+ * node stays ready, since no node could do more. If a peer is served, or no peer responds either,
+ * the node is partitioned: it reports not ready, so that users go elsewhere, and keeps its workers.
+ * Used by one thread.
  */
 public final class StoreReachability {
   /**
-   * Milliseconds in which neither the state service nor any other controller answers after which a
-   * node takes itself for cut off: longer than all others take to crash and be back in an outage.
+   * Milliseconds without a response of the store or of any peer after which a node counts as
+   * isolated: longer than a restart of all peers in an outage takes.
    */
   static final long ISOLATED_AFTER_MS = 6000;
 
-  /** What this node takes the silence for. */
+  /** The reason. */
   public enum Verdict {
-    /** Others are not served either, or it is too early to say. */
+    /** Peers are not served either, or it is too early to say. */
     OUTAGE,
-    /** Another node is served. */
+    /** A peer is served. */
     PARTITIONED,
-    /** Neither the state service nor any other node has answered for a while. */
+    /** Neither the store nor any peer has responded for a while. */
     ISOLATED
   }
 
   private long lastAnsweredMs = -1;
 
-  /** The state service answers this node. */
+  /** The store responds to this node. */
   public void onServed() {
     lastAnsweredMs = -1;
   }
 
   /**
-   * {@code peerCount} were asked, {@code answered} of them answered, and one of these is served or
-   * none is.
+   * The verdict after {@code peerCount} peers were asked, of which {@code answered} answered;
+   * {@code peerServed}: the store responds to one of them.
    */
   public Verdict onPeersAsked(int peerCount, int answered, boolean peerServed, long nowMs) {
     if (peerServed) {
--- a/src/main/java/org/astershift/coordination/TermJobs.java
+++ b/src/main/java/org/astershift/coordination/TermJobs.java
@@ -7,29 +7,28 @@
 import java.util.Set;
 
 /**
- * Which jobs one term looks after, and of which the end may be on record though the leader does not
- * know it yet. A job's live record is written once and removed by its end, and from this term's
- * token on only this term can end jobs; so what is live is what was live at the token, and what was
- * recorded after it, less what ended here.
+ * Which jobs one term manages, and which of them may have ended without the leader knowing it yet.
+ * A job's live record is written once and deleted by its end, and from the term's token on only
+ * this term can end jobs; so live are those that were live at the token and those recorded after
+ * it, less those that ended here. Callable from any thread.
  */
 public final class TermJobs {
-  /** Jobs ended in this term that are remembered against late news of their acceptance. */
+  /** Ended jobs that are remembered against late reads of their live record. */
   static final int ENDED_IN_TERM_JOBS = 10_000;
 
   private final long token;
   private final Set<String> managed = new HashSet<>();
 
   /**
-   * Jobs that ended in this term, the oldest first. What was read of a job before its end may
-   * arrive after it, from another thread: taken in again, the job's tasks would start once more.
+   * Jobs that ended in this term, the oldest first. A live record read before the end may arrive
+   * after it, from another thread: adopted again, the job's tasks would start once more.
    */
   private final Set<String> endedInTerm = new LinkedHashSet<>();
 
   /**
-   * Jobs whose end may be durable though this leader does not know it yet, by the tries under way
-   * or without an answer. Nothing older may be told of them from memory: another node that reads
-   * the state service tells that they are over, and on a node short of processor time seconds pass
-   * between the write and the news of it (a user was told done, then queued).
+   * Jobs whose end may be durable, with the number of writes in flight or without an answer. Their
+   * progress in memory must not be reported any more: another node may have read the end and
+   * reported it.
    */
   private final Map<String, Integer> unconfirmedEnds = new HashMap<>();
 
@@ -40,17 +39,16 @@
     this.token = token;
   }
 
-  /** All jobs that were live on record at the token have been taken in. */
+  /** All jobs that were live at the token have been adopted. */
   public synchronized void onLoaded() {
     loaded = true;
   }
 
   /**
-   * A job whose live record, of this revision, was read some time; whether the term looks after it
-   * from now on. A record from before the token that was not there at the token is that of a job
-   * that is over: read or accepted by this node as a follower, and told late by a thread that stood
-   * still while the node became leader. Its tasks would start though its user was told that it is
-   * cancelled.
+   * Adopts a job whose live record of this revision was read at some time; false if the term does
+   * not begin to manage it now. A record from before the token that did not exist at the token is
+   * of a job that has ended: a thread read or wrote it while the node was a follower and was
+   * delayed until it led. Its tasks would start though its user may have seen it cancelled.
    */
   public synchronized boolean adopt(String jobId, long revision) {
     if (loaded && revision < token) {
@@ -59,27 +57,27 @@
     return !endedInTerm.contains(jobId) && managed.add(jobId);
   }
 
-  /** Whether this term looks after the job. */
+  /** Whether this term manages the job. */
   public synchronized boolean manages(String jobId) {
     return managed.contains(jobId);
   }
 
-  /** A write of the job's end is about to go out. */
+  /** A write of the job's end is about to be sent. */
   public synchronized void onEndWriteStarted(String jobId) {
     unconfirmedEnds.merge(jobId, 1, Integer::sum);
   }
 
-  /** Such a write was certainly not applied, nor will be. */
+  /** Such a write was not applied and never will be. */
   public synchronized void onEndWriteRejected(String jobId) {
     unconfirmedEnds.computeIfPresent(jobId, (key, tries) -> tries > 1 ? tries - 1 : null);
   }
 
-  /** Whether nothing may be told of the job from memory. */
+  /** Whether the job's progress in memory may be outdated by its end. */
   public synchronized boolean mayHaveEnded(String jobId) {
     return unconfirmedEnds.containsKey(jobId);
   }
 
-  /** The job's end is on record. */
+  /** The job's end is durable. */
   public synchronized void onEnded(String jobId) {
     managed.remove(jobId);
     unconfirmedEnds.remove(jobId);
--- a/src/main/java/org/astershift/coordination/WorkerReachability.java
+++ b/src/main/java/org/astershift/coordination/WorkerReachability.java
@@ -4,21 +4,21 @@
 import java.util.Deque;
 
 /**
- * How much of the fleet this controller reaches by itself, from small samples of machines that it
- * asks all the time, whether it leads or not: when it is to lead, or to tell whether a silent
- * machine is dead, it must know already.
+ * How much of the fleet this controller reaches, from small samples of machines that it probes all
+ * the time, leading or not: an election, or a peer's question about a silent machine, cannot wait
+ * for a measurement. Callable from any thread.
  */
 public final class WorkerReachability {
-  /** Samples that count; the last alone if nobody answered it, so that a cut shows in 3 s. */
+  /** Samples that count; the last alone if none answered, so that a partition shows soon. */
   private static final int REACHABILITY_SAMPLES = 2;
 
-  /** A sample older than this says nothing any more, milliseconds. */
+  /** Age at which a sample no longer counts, milliseconds. */
   static final long REACHABILITY_SAMPLE_VALID_MS = 8000;
 
-  /** Fewer answers and failures than this say nothing. */
+  /** Probes below which nothing is known. */
   private static final int REACHABILITY_MIN_RESULTS = 3;
 
-  /** A controller that reaches less than this share of the machines it asks reaches few. */
+  /** Share of answered probes below which a controller reaches few machines. */
   private static final double REACHABILITY_POOR_SHARE = 0.25;
 
   private final Deque<Sample> samples = new ArrayDeque<>();
@@ -26,12 +26,14 @@
   private record Sample(int probed, int answered, long probedMs) {}
 
   /**
-   * What a controller reaches of the machines it asked lately; {@code probed} 0: nothing is known,
-   * as on a node that has just started or a site without machines.
+   * How many of the machines probed lately answered; {@code probed} 0: nothing is known, as after a
+   * start or in a fleet without machines.
    */
   public record Measurement(int probed, int answered) {
+    /** Of a node that has probed nothing. */
     public static final Measurement UNKNOWN = new Measurement(0, 0);
 
+    /** Whether enough machines were probed. */
     public boolean known() {
       return probed >= REACHABILITY_MIN_RESULTS;
     }
@@ -41,18 +43,18 @@
       return probed == 0 ? 0 : (double) answered / probed;
     }
 
-    /** It is known that next to no machine answers. */
+    /** Enough machines were probed, and nearly none answered. */
     public boolean reachesFew() {
       return known() && share() < REACHABILITY_POOR_SHARE;
     }
 
-    /** It is known that a fair part answers: who does not answer here either is probably gone. */
+    /** Enough machines were probed and answered: one that does not answer is probably gone. */
     public boolean reachesEnough() {
       return known() && !reachesFew();
     }
   }
 
-  /** One sample has come back; {@code probedMs}: when it was asked. */
+  /** The result of one sample; {@code probedMs}: when it was probed. */
   public synchronized void onSample(int probed, int answered, long probedMs) {
     if (probed > 0) {
       samples.addLast(new Sample(probed, answered, probedMs));
@@ -62,11 +64,11 @@
     }
   }
 
-  /** How many of its machines this node reached lately. */
+  /** The measurement from the samples that still count. */
   public synchronized Measurement measurement(long nowMs) {
     Sample last = samples.peekLast();
     if (last != null && last.answered == 0 && last.probed >= REACHABILITY_MIN_RESULTS) {
-      samples.removeIf(sample -> sample != last); // cut off since the one before
+      samples.removeIf(sample -> sample != last); // partitioned since the one before
     }
     int probed = 0;
     int answered = 0;
--- a/src/main/java/org/astershift/coordination/package-info.java
+++ b/src/main/java/org/astershift/coordination/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What controllers decide about each other: who reaches what, who stands for the leadership and who
- * hands it over; and what a leader may say and do about jobs that others may have ended. Values in
- * and values out, as in {@link org.astershift.scheduler}: time is an argument in milliseconds of
- * one steady clock, and no clock, thread or socket is used here.
+ * Decisions of controllers about each other and about jobs: election, candidacy, reachability, the
+ * sources of answers to polls, and cancellation. Values in and values out, as in {@link
+ * org.astershift.scheduler}: time is an argument in milliseconds of one steady clock, and no clock,
+ * thread or socket is used here.
  */
 package org.astershift.coordination;
--- /dev/null
+++ b/src/main/java/org/astershift/peer/package-info.java
@@ -0,0 +1,2 @@
+/** Requests between controllers: client, server and frames. */
+package org.astershift.peer;
--- a/src/main/java/org/astershift/store/RateLimiter.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -4,44 +4,43 @@
 import java.util.Deque;
 
 /**
- * Spends this node's share of a limit per second that all nodes keep together. What users or starts
- * wait for is served in the order of asking, so that neither a burst of acceptances nor one of
- * records keeps the others waiting for ever; what can wait takes what these leave.
+ * Token bucket for this node's share of a limit per second that all nodes share. Interactive
+ * requests are served first in, first out, so that no burst of one kind starves the others;
+ * background requests get what these leave. Callable from any thread.
  */
 public final class RateLimiter {
-  /** Share of what may be spent at once that has to be left by what can wait. */
+  /** Share of the burst that background requests must leave. */
   private static final double DEFERRABLE_RESERVE_SHARE = 0.5;
 
-  /** Seconds without spending once the state service says that the limit is reached. */
+  /** Seconds without requests after the store has answered that the limit is reached. */
   static final double STORE_EXHAUSTED_PAUSE_S = 0.1;
 
-  /** Uses of the limit. */
+  /** Order of service. */
   public enum Urgency {
     /**
-     * The leader's key and its lease, which lives for two seconds: before all that wait. In line
-     * behind users' questions a renewal was refused for as long as there were more of them than the
-     * limit allows, and whoever led next lost its lease, too.
+     * The leader's key and lease: before all waiting requests, since a renewal queued behind a
+     * lasting overload would cost every leader its lease.
      */
     LEASE,
-    /** Somebody waits for it. */
+    /** A user or a task start waits for it. */
     INTERACTIVE,
-    /** Better soon than late. */
+    /** Nobody waits for it. */
     BACKGROUND
   }
 
   private final double limitPerS;
   private double ratePerS;
 
-  /** Most that may be spent at once. */
+  /** Capacity of the bucket. */
   private double burst;
 
   private double available;
   private long refilledNs;
 
-  /** Askers that somebody waits for, the first to serve first. */
+  /** Waiting callers but those of background requests, in the order of service. */
   private final Deque<Object> queue = new ArrayDeque<>();
 
-  /** The whole limit is this node's until {@link #setShare} says otherwise. */
+  /** A limiter with the whole limit, until {@link #setShare}. */
   public RateLimiter(double limitPerS) {
     this.limitPerS = limitPerS;
     this.refilledNs = System.nanoTime();
@@ -50,8 +49,8 @@
   }
 
   /**
-   * Changes this node's share of the limit, and how many seconds of it may be spent at once: others
-   * rarely spend at the same time, and the service says so when they do.
+   * Sets this node's share of the limit, and the burst as seconds of that share. Shares of all
+   * nodes may add up to more than the limit, which the store enforces.
    */
   public synchronized void setShare(double share, double burstS) {
     refill();
@@ -67,15 +66,15 @@
     refilledNs = nowNs;
   }
 
-  /** The limit proved to be spent, so what was thought left is not there: waits a little. */
+  /** The store answered that the limit is reached: empties the bucket for a moment. */
   public synchronized void drain() {
     refill();
     available = Math.min(available, 1 - ratePerS * STORE_EXHAUSTED_PAUSE_S);
   }
 
   /**
-   * Waits until {@code permits} may be spent; false, as soon as that is known, if it would take
-   * longer than allowed.
+   * Waits until {@code permits} are available; false, as soon as that is known, if it would take
+   * longer than {@code timeoutMs}.
    */
   public synchronized boolean acquire(Urgency urgency, int permits, long timeoutMs)
       throws InterruptedException {
@@ -89,7 +88,7 @@
     try {
       while (true) {
         refill();
-        // More than one may go into debt: a batch must not wait behind all that asks for little.
+        // A batch may overdraw: it must not wait until all of its permits are there at once.
         double required =
             urgency == Urgency.BACKGROUND
                 ? Math.min(burst, permits + queue.size() + DEFERRABLE_RESERVE_SHARE * burst)
--- a/src/main/java/org/astershift/store/RecordCodec.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -13,34 +13,41 @@
 import org.astershift.scheduler.MachineType;
 
 /**
- * Keys and values in the state service. All that is live is below one prefix, which nodes watch.
+ * Keys and values in the store. Everything live is below one prefix, which all nodes watch. The
+ * forms outlive releases: golden files hold them.
  */
 public final class RecordCodec {
-  /** Most bytes of one page of notes: each change writes its page anew. */
+  /** Most bytes of one page of leader records: each change rewrites its page. */
   public static final int MAX_PAGE_BYTES = 4096;
 
-  /** Tasks in one note of done tasks: as base64 it stays below the size of a page. */
+  /** Tasks in one progress segment, which as base64 fits into a page. */
   public static final int SEGMENT_TASKS = 16_384;
 
   private RecordCodec() {}
 
+  /** Prefix of all live keys. */
   public static final String LIVE = "l/";
+
+  /** The key that the leader holds. */
   public static final String LEADER = LIVE + "leader";
+
+  /** The machine types. */
   public static final String TYPES = LIVE + "types";
+
+  /** Prefix of live jobs, by id. */
   public static final String JOB = LIVE + "j/";
 
-  /** What a leader notes for its successor, many entries to a record; see the leader's notes. */
+  /** Prefix of the pages in which a leader keeps records for its successor. */
   public static final String PAGES = LIVE + "n/";
 
-  /** Ended jobs stay for ever, out of the way of a takeover. */
+  /** Prefix of ended jobs, by id: kept for ever, and not watched, so that failover stays fast. */
   public static final String ENDED = "d/";
 
+  /** The leader's key names its node. */
   public static Map<String, Object> encodeLeader(String node) {
     return Map.of("node", node);
   }
 
-  // ---- jobs ----
-
   /** A job's record; {@code submittedMs} is the time of day of its acceptance. */
   public record JobRecord(JobSpec spec, long submittedMs) {}
 
@@ -115,31 +122,34 @@
   /** How a job ended. */
   public record JobEnd(boolean cancelled, int done) {}
 
+  /** A job's end as its record holds it. */
   public static Map<String, Object> encodeEnd(JobEnd end) {
     return Map.of("cancelled", end.cancelled(), "done", end.done());
   }
 
+  /** The end in a record. */
   public static JobEnd decodeEnd(Map<String, Object> fields) throws JsonFormatException {
     return new JobEnd(Json.bool(fields, "cancelled"), (int) Json.integer(fields, "done"));
   }
 
-  // ---- progress: a bit a task, so that any pattern of 100,000 fits ----
-
+  /** Progress segments of a job with so many tasks. */
   public static int segmentCount(int tasks) {
     return (tasks + SEGMENT_TASKS - 1) / SEGMENT_TASKS;
   }
 
+  /** One segment of a job's done tasks: a bit for each task, as base64. */
   public static String segment(BitSet done, int segment) {
     int from = segment * SEGMENT_TASKS;
     BitSet part = done.get(from, from + SEGMENT_TASKS);
     return Base64.getEncoder().encodeToString(part.toByteArray());
   }
 
+  /** The key of a segment among the leader records. */
   public static String progressKey(String jobId, int segment) {
     return jobId + "/" + segment;
   }
 
-  /** Adds one note of done tasks; gives the job that it is about. */
+  /** Adds the tasks of one progress segment to {@code done}; gives the job's id. */
   public static String mergeSegment(BitSet done, String key, Object value)
       throws JsonFormatException {
     int slash = key.lastIndexOf('/');
@@ -155,8 +165,6 @@
     }
   }
 
-  // ---- machines and rentals: short, since many share a record ----
-
   /** A machine as a page of machines holds it. */
   public static List<Object> encodeMachine(Decision.RegisterMachine machine) {
     List<Object> values =
@@ -183,6 +191,7 @@
     throw new JsonFormatException("not a machine");
   }
 
+  /** A rental as a page of rentals holds it. */
   public static List<Object> encodeRental(Decision.ProvisionMachines request) {
     return List.of(request.typeName(), request.zone(), request.spot(), request.count());
   }
@@ -199,8 +208,6 @@
     throw new JsonFormatException("not a rental");
   }
 
-  // ---- machine types ----
-
   /** Machine types as their record holds them. */
   public static Map<String, Object> encodeTypes(Map<String, MachineType> types) {
     List<Object> rows = new ArrayList<>();
@@ -260,14 +267,12 @@
     return types;
   }
 
-  /**
-   * The note that a job is opened, with the machines that its replicas are on, if any are named.
-   */
+  /** The record that a job is opened, with the machines of its replicas, if any are named. */
   public static Object encodePlacement(List<String> machines) {
     return machines.isEmpty() ? (Object) 1 : String.join(" ", machines);
   }
 
-  /** Machines named by such a note; null is no note. */
+  /** The machines named by such a record; {@code value} null: there is none. */
   public static List<String> decodePlacement(Object value) {
     return value instanceof String s ? List.of(s.split(" ")) : List.of();
   }
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -13,41 +13,42 @@
 import org.astershift.http.JsonFormatException;
 import org.astershift.http.RequestNotSentException;
 
-/** Speaks the state service's protocol, within this node's share of its limits. */
+/**
+ * Client of the consensus-backed key-value store, within this node's share of its rate limits.
+ * Callable from any thread; calls block up to their timeouts.
+ */
 public final class StoreClient {
   /**
-   * Milliseconds after which a renewal of the lease is given up and tried again: answers normally
-   * take under 10 ms, now and then a few hundred, and a busy node reads them late.
+   * Timeout of one attempt to renew the lease, milliseconds: leaves time for another attempt within
+   * the lease's duration.
    */
   public static final int LEADER_LEASE_RENEW_TIMEOUT_MS = 700;
 
-  /** The leader's share of the state service's limits; the others have parts of the rest. */
+  /** The leader's share of the store's limits; the followers share the rest. */
   public static final double LEADER_STORE_SHARE = 0.6;
 
-  /** Times their equal part of the rest that each of the others may spend: rarely all do. */
+  /** Multiple of its equal part of the rest that a follower may use: rarely all do at once. */
   private static final double FOLLOWER_OVERCOMMIT_FACTOR = 4;
 
   /**
-   * Seconds of its share that a follower may spend at once: it only accepts jobs, which come in
-   * bursts on one node while the others rest.
+   * Burst of a follower, as seconds of its share: it only accepts jobs, which come in bursts at one
+   * node.
    */
   private static final double FOLLOWER_BURST_S = 3;
 
-  /**
-   * Deadline of one request to the state service, milliseconds: slow answers take a few hundred.
-   */
+  /** Timeout of one request, milliseconds. */
   public static final int STORE_TIMEOUT_MS = 1500;
 
-  /** Milliseconds without service after which this node asks the others whether it is an outage. */
+  /** Milliseconds without a response after which the store counts as unavailable. */
   public static final long STORE_OUTAGE_CHECK_AFTER_MS = 1500;
 
-  /** How long a watch of the state service blocks. */
+  /** Milliseconds that a watch blocks without changes. */
   public static final int WATCH_BLOCK_MS = 10_000;
 
-  /** How long a write may wait for its share of the limits. */
+  /** Milliseconds that a write may wait for the rate limit. */
   public static final long STORE_RATE_WAIT_MS = 3000;
 
-  /** Rows asked for in one list of the state service. */
+  /** Most rows in one page of a list. */
   static final int MAX_LIST_ROWS = 1000;
 
   private static final int OVER_LIMIT_STATUS = 429;
@@ -59,7 +60,7 @@
   private final int peerCount;
   private volatile long lastServedNs = System.nanoTime();
 
-  /** A client of the state service that the settings name. */
+  /** A client of the store in the settings, with a follower's share. */
   public StoreClient(Settings settings) {
     String host = settings.store().host();
     int port = settings.store().port();
@@ -72,8 +73,8 @@
   }
 
   /**
-   * Whether this node spends as leader or as one of the others. Together the shares are more than
-   * one: jobs come to some nodes more than to others, and the service says when it is too much.
+   * Sets the share of the rate limits. All shares add up to more than one, since load is uneven;
+   * the store answers 429 when it is too much.
    */
   public void setLeading(boolean leading) {
     if (peerCount > 0) {
@@ -87,12 +88,12 @@
     }
   }
 
-  /** Whether the service has not served this node for a while. */
+  /** Whether the store has not responded to this node for a while. */
   public boolean unavailable() {
     return silenceMs() > STORE_OUTAGE_CHECK_AFTER_MS;
   }
 
-  /** Milliseconds since it last served this node. */
+  /** Milliseconds since the store last responded to this node. */
   public long silenceMs() {
     return (System.nanoTime() - lastServedNs) / 1_000_000;
   }
@@ -104,7 +105,7 @@
     return response;
   }
 
-  /** Why a transaction was refused that will be refused again as it is: too large, too many. */
+  /** Reason of a rejection that repeats as long as the transaction is the same: too large. */
   public static final String MALFORMED_REASON = "status 400";
 
   /** One key; {@code data} null if it does not exist. */
@@ -113,10 +114,10 @@
   /** Part of the keys below a prefix. */
   public record Page(List<Entry> entries, boolean hasMore, long revision) {}
 
-  /** Changes since a revision; {@code data} null for a removal. {@code compacted}: read again. */
+  /** Changes since a revision; {@code compacted}: they are gone, and the keys must be listed. */
   public record WatchResponse(List<Entry> entries, long revision, boolean compacted) {}
 
-  /** The service did not answer as it should; nothing is known of the effect of a change. */
+  /** The store answered with an error; whether a change was applied is unknown. */
   public static final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -125,7 +126,7 @@
     }
   }
 
-  /** What became of a transaction. */
+  /** The outcome of a transaction. */
   public sealed interface Outcome {
     /** Applied, at this revision. */
     record Committed(long revision) implements Outcome {}
@@ -133,14 +134,14 @@
     /** Not applied: these keys had other revisions. */
     record ConditionFailed(Set<String> keys) implements Outcome {}
 
-    /** Not applied and never will be: refused, or not even sent. */
+    /** Not applied and never will be: rejected by the store, or not sent. */
     record Rejected(String reason) implements Outcome {}
 
-    /** No answer: applied, or not, or applied later. */
+    /** No response: applied, not applied, or applied later. */
     record Unknown(String reason) implements Outcome {}
   }
 
-  /** A transaction in the making. */
+  /** A compare-and-swap over several keys. Built by one thread. */
   public static final class Transaction {
     private final List<Map<String, Object>> conditions = new ArrayList<>();
     private final List<Map<String, Object>> changes = new ArrayList<>();
@@ -154,11 +155,12 @@
       return this;
     }
 
+    /** Sets a key without a lease. */
     public Transaction put(String key, Map<String, Object> value) {
       return put(key, value, 0);
     }
 
-    /** A lease of 0 attaches the key to none. */
+    /** Sets a key, which is deleted when the lease ends; 0: no lease. */
     public Transaction put(String key, Map<String, Object> value, long lease) {
       Map<String, Object> change = new LinkedHashMap<>();
       change.put("set", key);
@@ -170,17 +172,19 @@
       return this;
     }
 
+    /** Deletes a key. */
     public Transaction delete(String key) {
       changes.add(Map.of("remove", key));
       return this;
     }
 
+    /** Number of changes, which the rate limit counts. */
     public int size() {
       return changes.size();
     }
   }
 
-  /** Reads a key; its row has no data if there is none. */
+  /** Reads a key; its entry has no data if it does not exist. */
   public Entry get(String key) throws IOException {
     HttpClient.Response response = call("GET", "/store/" + key, null);
     if (response.status() == 404) {
@@ -194,7 +198,7 @@
     }
   }
 
-  /** The revision of the key if it hangs on this lease; 0 if it is not there, or does not. */
+  /** The revision of the key if it is attached to this lease; otherwise 0. */
   public long revisionOnLease(long lease, String key) throws IOException {
     HttpClient.Response response = call(RateLimiter.Urgency.LEASE, "GET", "/store/" + key, null);
     if (response.status() == 404) {
@@ -209,7 +213,7 @@
     }
   }
 
-  /** One page of the rows below a prefix, after a key or from the first. */
+  /** One page of the keys with a prefix; {@code after}: the last key before it, or null. */
   public Page list(String prefix, String after) throws IOException {
     String path = "/store?starts=" + prefix + "&limit=" + MAX_LIST_ROWS;
     if (after != null) {
@@ -232,7 +236,7 @@
     }
   }
 
-  /** Waits a while for changes below a prefix after a revision. */
+  /** Blocks up to {@link #WATCH_BLOCK_MS} for changes of keys with a prefix after a revision. */
   public WatchResponse watch(String prefix, long after) throws IOException {
     String path = "/watch?starts=" + prefix + "&from=" + after + "&block_ms=" + WATCH_BLOCK_MS;
     acquire(requests, RateLimiter.Urgency.INTERACTIVE);
@@ -260,7 +264,10 @@
     }
   }
 
-  /** Applies a transaction, if this node's share of the limits allows it within its patience. */
+  /**
+   * Commits a transaction; rejected without being sent if the rate limit does not allow it within
+   * {@code timeoutMs}.
+   */
   public Outcome commit(Transaction txn, RateLimiter.Urgency urgency, long timeoutMs)
       throws InterruptedException {
     long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
@@ -278,7 +285,7 @@
           && rejected.reason().equals(OVER_LIMIT_REASON))) {
         return outcome;
       }
-      writes.drain(); // the nodes' shares were spent at once: this one stands back
+      writes.drain(); // the nodes together reached the limit
     }
   }
 
@@ -308,7 +315,7 @@
     }
   }
 
-  /** A new lease; 0 if the service did not give one. */
+  /** Grants a lease of this duration. */
   public long grant(long ttlMs) throws IOException {
     try {
       byte[] body = Json.bytes(Map.of("life_ms", ttlMs));
@@ -319,7 +326,7 @@
     }
   }
 
-  /** False if the lease is over. */
+  /** Renews a lease; false if it has ended. */
   public boolean renew(long lease) throws IOException {
     String path = "/grants/" + lease + "/renew";
     HttpClient.Response response =
@@ -331,6 +338,7 @@
     return true;
   }
 
+  /** Ends a lease and deletes the keys attached to it. */
   public void revoke(long lease) throws IOException {
     requireOk(call(RateLimiter.Urgency.LEASE, "DELETE", "/grants/" + lease, null));
   }
@@ -353,7 +361,7 @@
     return response;
   }
 
-  /** The nodes' shares were spent at once: this one waits a little before its next request. */
+  /** The nodes together reached the limit: pauses this one. */
   private void backOffIfOverLimit(HttpClient.Response response) {
     if (response.status() == OVER_LIMIT_STATUS) {
       requests.drain();
--- a/src/main/java/org/astershift/store/WatchCache.java
+++ b/src/main/java/org/astershift/store/WatchCache.java
@@ -11,13 +11,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Every node's copy of what is live in the state service, kept up by a watch: a node that becomes
- * leader has to read nothing. It may lag; what must not be old is read from the service itself.
+ * Each node's copy of the live keys of the store, kept up to date by a watch, so that a failover
+ * needs no reads. It may lag; what must be current is read from the store. Callable from any
+ * thread.
  */
 public class WatchCache {
   private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
 
-  /** Milliseconds after an answer to a watch until the next: each answer costs a request. */
+  /** Pause after a watch response, so that changes close together cost one request. */
   private static final long WATCH_GAP_MS = 25;
 
   private final StoreClient store;
@@ -25,33 +26,39 @@
   private long revision = -1;
   private Listener listener = changes -> {};
 
-  /** Told of changes, in order, by the thread that applies them. */
+  /** Gets changes in the order of their revisions. */
   public interface Listener {
+    /** In the thread that applies the changes, without the cache's lock. */
     void onChanges(List<StoreClient.Entry> changes);
   }
 
+  /** Empty until {@link #start}. */
   public WatchCache(StoreClient store) {
     this.store = store;
   }
 
+  /** Starts to load and watch the store. */
   public void start(Listener listener) {
     this.listener = listener;
-    Threads.startLoop("mirror", this::watchLoop);
+    Threads.startLoop("watch", this::watchLoop);
   }
 
+  /** Whether the cache holds a state of the store. */
   public synchronized boolean loaded() {
     return revision >= 0;
   }
 
+  /** The key as far as the cache knows; null if it does not exist. */
   public synchronized StoreClient.Entry get(String key) {
     return entries.get(key);
   }
 
+  /** The keys with this prefix, in order. */
   public synchronized List<StoreClient.Entry> entriesWithPrefix(String prefix) {
     return new ArrayList<>(entries.subMap(prefix, prefix + Character.MAX_VALUE).values());
   }
 
-  /** Waits until changes up to this revision are in. */
+  /** Waits until the cache has reached this revision; false if the time is up before. */
   public synchronized boolean awaitRevision(long targetRevision, long timeoutMs)
       throws InterruptedException {
     long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
@@ -73,21 +80,20 @@
         }
         StoreClient.WatchResponse response = store.watch(RecordCodec.LIVE, revision);
         if (response.compacted()) {
-          LOG.info("the watch fell too far behind: reading everything again");
+          LOG.info("watch fell behind compaction: reloading");
           reload();
         } else if (response.revision() > revision) {
           apply(response.entries(), response.revision());
-          // Each answer to a watch costs a request: changes close together come in one.
           Thread.sleep(WATCH_GAP_MS);
         }
       } catch (IOException | RuntimeException e) {
-        LOG.debug("mirror: {}", e.toString());
+        LOG.debug("watch failed: {}", e.toString());
         Threads.backOff();
       }
     }
   }
 
-  /** Reads all pages. Later pages may be newer than the first: the watch goes on from the first. */
+  /** Lists all live keys. Later pages may be newer; the watch goes on from the first one's. */
   private void reload() throws IOException {
     Map<String, StoreClient.Entry> latest = new HashMap<>();
     long firstRevision = -1;
@@ -120,7 +126,7 @@
       revision = firstRevision;
       notifyAll();
     }
-    LOG.info("read {} records at revision {}", latest.size(), firstRevision);
+    LOG.info("cache loaded, keys={} revision={}", latest.size(), firstRevision);
     listener.onChanges(changes);
   }
 
