--- /dev/null
+++ b/src/test/java/org/astershift/simulation/CloudProvisionerModel.java
@@ -0,0 +1,117 @@
+package org.astershift.simulation;
+
+import java.util.List;
+import java.util.function.Consumer;
+import org.astershift.controller.LoopTiming;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.simulation.StoreModel.MachineRow;
+
+/** A leader's requests to the cloud: provisioning, releases and the list of machines. */
+final class CloudProvisionerModel {
+  private static final long TIMEOUT_MS = 5000;
+
+  private final ControllerModel controller;
+  private final Simulation simulation;
+  private final LeaderTermModel term;
+
+  /** Provisioning requests so far: part of the name of the next one. */
+  private int requests;
+
+  CloudProvisionerModel(ControllerModel controller, LeaderTermModel term) {
+    this.controller = controller;
+    this.simulation = controller.simulation;
+    this.term = term;
+  }
+
+  /** A new request, sent once its name is on record: repeated, it provisions nothing more. */
+  void begin(Decision.ProvisionMachines decision) {
+    requests++;
+    String request = "as-" + term.token() + "-" + requests;
+    term.scheduler().onProvisioningStarted(request, decision);
+    term.records().persist("i/" + request, decision, () -> provision(request, decision));
+  }
+
+  /** Sends a request until it is answered. */
+  void provision(String request, Decision.ProvisionMachines decision) {
+    controller.request(
+        "cloud",
+        TIMEOUT_MS,
+        (Consumer<List<String>> answer) -> simulation.cloud.provision(request, decision, answer),
+        (List<String> machines) -> {
+          if (!term.isCurrent()) {
+            return;
+          }
+          if (machines == null) {
+            controller.later(LoopTiming.CLOUD_RETRY_BACKOFF_MS, () -> provision(request, decision));
+            return;
+          }
+          onProvisioned(request, decision, machines);
+        });
+  }
+
+  private void onProvisioned(
+      String request, Decision.ProvisionMachines decision, List<String> machines) {
+    int[] left = {1};
+    Runnable onPersisted =
+        () -> {
+          left[0]--;
+          if (left[0] == 0) {
+            // Not before its machines are on record.
+            term.records().persist("i/" + request, null, () -> {});
+          }
+        };
+    for (String machine : machines) {
+      if (!term.markRegistered(machine) || controller.watchCache().contains("m/" + machine)) {
+        continue; // it may have tasks already, and is no longer newly provisioned
+      }
+      left[0]++;
+      Decision.RegisterMachine registration =
+          new Decision.RegisterMachine(
+              machine, null, decision.typeName(), decision.zone(), decision.spot(), true);
+      term.records().persist("m/" + machine, new MachineRow(registration), onPersisted);
+    }
+    term.scheduler().onMachinesProvisioned(request, machines, decision, controller.clock());
+    onPersisted.run();
+  }
+
+  void release(Decision.ReleaseMachines decision) {
+    if (decision.silent()) {
+      simulation.checker.onSilentRelease(controller, decision.machineNames());
+    }
+    controller.request(
+        "cloud",
+        TIMEOUT_MS,
+        answer -> {
+          simulation.cloud.release(decision.machineNames(), decision.silent());
+          answer.accept(true);
+        },
+        (Boolean released) -> {
+          if (term.isCurrent() && released != null) {
+            term.scheduler().onMachinesReleased(decision.machineNames(), controller.clock());
+          } else if (term.isCurrent()) {
+            controller.later(
+                LoopTiming.CLOUD_RETRY_BACKOFF_MS,
+                () -> term.scheduler().onReleaseFailed(decision.machineNames()));
+          }
+        });
+  }
+
+  /** Reads the list of machines, and goes on doing so while the term lasts. */
+  void pollMachineList() {
+    if (!term.isCurrent()) {
+      return;
+    }
+    long requestedMs = controller.clock();
+    controller.request(
+        "cloud",
+        TIMEOUT_MS,
+        answer -> answer.accept(simulation.cloud.listMachines()),
+        (List<Scheduler.ListedMachine> listed) -> {
+          if (term.isCurrent() && listed != null) {
+            term.scheduler().onMachineList(listed, requestedMs, controller.clock());
+          }
+          controller.later(LoopTiming.MACHINE_LIST_INTERVAL_MS, this::pollMachineList);
+        });
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/CombinedFaults.java
@@ -0,0 +1,125 @@
+package org.astershift.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.function.LongFunction;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.MachineType;
+import org.astershift.simulation.Simulation.Setup;
+
+/** Set-up, faults and assertions that the combined-faults tests share. */
+final class CombinedFaults {
+  /** Longer than any test: such tasks end only if they are stopped. */
+  static final long ENDLESS_MS = 300_000;
+
+  private static final int ACCELERATOR_MACHINES = 6;
+  private static final double MS_PER_S = 1000.0;
+
+  private CombinedFaults() {}
+
+  /** What happens to the leader. */
+  enum LeaderFault {
+    CRASHES,
+    HANDS_OVER,
+    PAUSES
+  }
+
+  /** A crashed or paused leader is back after some seconds. */
+  static void apply(Simulation simulation, ControllerModel leader, LeaderFault fault) {
+    switch (fault) {
+      case CRASHES -> {
+        leader.crash();
+        simulation.after(300 + simulation.random.nextLong(4000), leader::start);
+      }
+      case HANDS_OVER -> leader.resign();
+      case PAUSES -> leader.freeze(4000 + simulation.random.nextLong(6000));
+    }
+  }
+
+  /** Not started yet: at time 0, without the safety measures that the mutations take away. */
+  static Simulation simulation(long seed, int machines, Mutation... mutations) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, machines));
+    simulation.mutations.addAll(List.of(mutations));
+    return simulation;
+  }
+
+  /**
+   * A service with a task for each machine and the arrays {@code wk-10} to {@code wk-15}, which do
+   * not end, under one leader.
+   */
+  static Simulation withArrays(long seed, int machines, int tasks, Mutation... mutations) {
+    Simulation simulation = simulation(seed, machines, mutations);
+    simulation.runTo(4);
+    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, machines), null);
+    for (int i = 10; i < 16; i++) {
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, tasks), ENDLESS_MS, () -> {});
+    }
+    simulation.runTo(20);
+    simulation.onlyLeader();
+    return simulation;
+  }
+
+  /** Beside the others there are machines with accelerators, in each zone as many. */
+  static void addAcceleratorMachines(Simulation simulation) {
+    List<String> zones = simulation.setup.zones();
+    simulation.cloud.addType(new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, zones));
+    for (int i = 0; i < ACCELERATOR_MACHINES; i++) {
+      String zone = zones.get(i % 3);
+      simulation.cloud.addMachine("vm-acc" + i, new CloudModel.Kind("accel", zone, false), true);
+    }
+  }
+
+  static double nowS(Simulation simulation) {
+    return simulation.now() / MS_PER_S;
+  }
+
+  static void runForS(Simulation simulation, double seconds) {
+    simulation.runTo(nowS(simulation) + seconds);
+  }
+
+  /** Whether another controller than this one leads. */
+  static boolean leadsBeside(Simulation simulation, ControllerModel old) {
+    return simulation.leaders().stream().anyMatch(controller -> controller != old);
+  }
+
+  /** No invariant was violated. */
+  static void assertSound(Simulation simulation) {
+    assertEquals(
+        List.of(),
+        simulation.checker.violations,
+        () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
+  }
+
+  /** All faults are healed: so long later all that ends is done, and no invariant was violated. */
+  static void assertServed(Simulation simulation, double afterS) {
+    simulation.healAll();
+    simulation.delayedHeartbeats.release();
+    simulation.starvationCheck.onFaultsHealed();
+    runForS(simulation, afterS);
+    assertSound(simulation);
+    for (String job : simulation.users.accepted()) {
+      boolean ends = simulation.users.runMsOf(job, 0) != null;
+      String message = "seed " + simulation.seed + ": " + job + " is left\n";
+      assertTrue(!ends || simulation.checker.isEnded(job), () -> message + simulation.fullLog());
+    }
+  }
+
+  /** The mutation violates an invariant under one of the seeds from 1 to {@code lastSeed}. */
+  static void assertDetected(Mutation mutation, int lastSeed, LongFunction<Simulation> play) {
+    assertDetected(mutation, lastSeed, "", play);
+  }
+
+  /** The same, where the violation is of the rule with this name. */
+  static void assertDetected(
+      Mutation mutation, int lastSeed, String rule, LongFunction<Simulation> play) {
+    for (long seed = 1; seed <= lastSeed; seed++) {
+      List<String> violations = play.apply(seed).checker.violations;
+      if (violations.stream().anyMatch(violation -> violation.startsWith(rule))) {
+        return;
+      }
+    }
+    assertEquals("detected", "not detected", mutation + " taken away");
+  }
+}
--- a/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
@@ -1,14 +1,18 @@
 package org.astershift.simulation;
 
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.leadsBeside;
+import static org.astershift.simulation.CombinedFaults.nowS;
+import static org.astershift.simulation.CombinedFaults.runForS;
+import static org.astershift.simulation.CombinedFaults.withArrays;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.function.LongFunction;
 import org.astershift.scheduler.JobKind;
-import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -17,6 +21,7 @@
  */
 class CombinedFaultsTest {
   private static final int SEEDS = 20;
+  private static final int MUTANT_SEEDS = 4 * SEEDS;
 
   /** Which machines the other controllers reach once the leader is refused. */
   private enum PeerReach {
@@ -26,7 +31,7 @@
   }
 
   /** What the new leader does just after it has confirmed a cancellation, or has won. */
-  private enum Fate {
+  private enum LeaderFault {
     STAYS,
     CRASHES,
     BACK_AT_ONCE,
@@ -41,28 +46,7 @@
     BEFORE_ANYBODY_WINS
   }
 
-  private record OutageCase(PeerReach reach, Fate fate, OutageStart outage) {}
-
-  static Simulation loadedSimulation(long seed, int machines, Mutation... mutations) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, machines));
-    simulation.mutations.addAll(List.of(mutations));
-    simulation.runTo(4);
-    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, machines), null);
-    for (int i = 10; i < 16; i++) {
-      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 3), 300_000L, () -> {});
-    }
-    simulation.runTo(20);
-    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
-    return simulation;
-  }
-
-  static boolean leadsBeside(Simulation simulation, ControllerModel old) {
-    return simulation.leaders().stream().anyMatch(controller -> controller != old);
-  }
-
-  static void assertSound(Simulation simulation) {
-    assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
-  }
+  private record OutageCase(PeerReach reach, LeaderFault fault, OutageStart outage) {}
 
   /**
    * The state service refuses the leader alone; another one confirms cancellations; then it is down
@@ -74,10 +58,10 @@
     int confirmedBefore = 0;
     int answeredByOld = 0;
     for (PeerReach heard : PeerReach.values()) {
-      for (Fate fate : Fate.values()) {
+      for (LeaderFault fault : LeaderFault.values()) {
         for (OutageStart down : OutageStart.values()) {
           for (long seed = 1; seed <= 6; seed++) {
-            Played played = playOutage(new OutageCase(heard, fate, down), seed);
+            Played played = playOutage(new OutageCase(heard, fault, down), seed);
             assertSound(played.simulation);
             confirmedBefore += played.confirmedBefore;
             answeredByOld += played.answeredByOld;
@@ -101,7 +85,7 @@
   private record Played(Simulation simulation, int confirmedBefore, int answeredByOld) {}
 
   private static Played playOutage(OutageCase outageCase, long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     List<ControllerModel> others =
         simulation.controllers.stream().filter(controller -> controller != old).toList();
@@ -125,12 +109,13 @@
       Runnable then =
           () ->
               simulation.after(simulation.random.nextLong(400), () -> simulation.userCancels(job));
-      simulation.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 300_000L, then);
+      simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 300_000L, then);
     }
     if (outageCase.outage != OutageStart.BEFORE_ANYBODY_WINS) {
       simulation.runUntil(() -> leadsBeside(simulation, old), 30);
     }
-    if (outageCase.outage == OutageStart.AFTER_A_CONFIRMATION || outageCase.fate != Fate.STAYS) {
+    if (outageCase.outage == OutageStart.AFTER_A_CONFIRMATION
+        || outageCase.fault != LeaderFault.STAYS) {
       simulation.runUntil(() -> simulation.checker.anyCancelConfirmed(), 30);
     }
     ControllerModel winner =
@@ -138,7 +123,7 @@
             .filter(controller -> controller != old)
             .findFirst()
             .orElse(others.get(0));
-    apply(simulation, winner, outageCase.fate, others);
+    apply(simulation, winner, outageCase.fault, others);
     if (outageCase.outage == OutageStart.AS_THE_NEXT_WINS) {
       simulation.runUntil(() -> leadsBeside(simulation, old) && !winner.leads(), 35);
     }
@@ -150,31 +135,34 @@
     simulation.store.answerDelayMs = 0;
     simulation.after(12_000, () -> simulation.store.refuse(old.name, false));
     double outageS = 3 * InvariantChecker.CANCEL_MS / 1000.0;
-    simulation.runTo(simulation.now() / 1000.0 + outageS);
+    runForS(simulation, outageS);
     answered = old.answeredWithUncertainLease() - answered;
     simulation.healAll();
     simulation.store.unavailable(false);
-    simulation.runTo(simulation.now() / 1000.0 + 15);
+    runForS(simulation, 15);
     // The second meeting, as on the operators' day: refused 1.5 s before all are.
     if (winner.crashed()) {
       winner.start();
     }
-    simulation.runUntil(() -> !simulation.leaders().isEmpty(), simulation.now() / 1000.0 + 10);
+    simulation.runUntil(() -> !simulation.leaders().isEmpty(), nowS(simulation) + 10);
     ControllerModel next = simulation.leaders().get(0);
     simulation.store.refuse(next.name, true);
     simulation.userCancels("wk-14");
-    simulation.runTo(simulation.now() / 1000.0 + 1.5);
+    runForS(simulation, 1.5);
     simulation.store.unavailable(true);
-    simulation.runTo(simulation.now() / 1000.0 + outageS);
+    runForS(simulation, outageS);
     simulation.store.refuse(next.name, false);
     simulation.store.unavailable(false);
-    simulation.runTo(simulation.now() / 1000.0 + 50);
+    runForS(simulation, 50);
     return new Played(simulation, confirmed, answered);
   }
 
   private static void apply(
-      Simulation simulation, ControllerModel winner, Fate fate, List<ControllerModel> others) {
-    switch (fate) {
+      Simulation simulation,
+      ControllerModel winner,
+      LeaderFault fault,
+      List<ControllerModel> others) {
+    switch (fault) {
       case CRASHES -> {
         winner.crash();
         for (ControllerModel controller : others) {
@@ -192,22 +180,14 @@
     }
   }
 
-  static void assertDetected(Mutation mutation, LongFunction<Simulation> played) {
-    for (long seed = 1; seed <= 4 * SEEDS; seed++) {
-      if (!played.apply(seed).checker.violations.isEmpty()) {
-        return;
-      }
-    }
-    assertEquals("missed", "not missed", mutation + " taken away");
-  }
-
   /** A cancellation that does not wait for unheard machines is outlived at the old leader. */
   @Test
   void confirmingBeforeReconciliationIsDetected() {
     OutageCase outageCase =
-        new OutageCase(PeerReach.NONE, Fate.STAYS, OutageStart.AFTER_A_CONFIRMATION);
+        new OutageCase(PeerReach.NONE, LeaderFault.STAYS, OutageStart.AFTER_A_CONFIRMATION);
     assertDetected(
         Mutation.CONFIRM_CANCEL_UNRECONCILED,
+        MUTANT_SEEDS,
         seed -> playOutage(outageCase, seed, Mutation.CONFIRM_CANCEL_UNRECONCILED).simulation);
   }
 
@@ -226,11 +206,12 @@
     assertNotEquals(0, left, "none was left when it was confirmed");
     assertDetected(
         Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE,
+        MUTANT_SEEDS,
         seed -> crashAfterConfirmation(seed, Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE));
   }
 
   private static Simulation crashAfterConfirmation(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     ControllerModel first = simulation.leaders().get(0);
     for (int i = 10; i < 14; i++) {
       simulation.userCancels("wk-" + i);
@@ -240,14 +221,14 @@
     apply(
         simulation,
         first,
-        Fate.CRASHES,
+        LeaderFault.CRASHES,
         simulation.controllers.stream().filter(controller -> controller != first).toList());
     assertTrue(
         simulation.runUntil(() -> leadsBeside(simulation, first), 35), simulation.recentLog());
     simulation.store.unavailable(true);
     simulation.runTo((simulation.now() + 3 * InvariantChecker.CANCEL_MS) / 1000.0);
     simulation.store.unavailable(false);
-    simulation.runTo(simulation.now() / 1000.0 + 30);
+    runForS(simulation, 30);
     return simulation;
   }
 
@@ -261,11 +242,13 @@
       assertSound(delayedJobRead(seed));
     }
     assertDetected(
-        Mutation.ADOPT_STALE_JOBS, seed -> delayedJobRead(seed, Mutation.ADOPT_STALE_JOBS));
+        Mutation.ADOPT_STALE_JOBS,
+        MUTANT_SEEDS,
+        seed -> delayedJobRead(seed, Mutation.ADOPT_STALE_JOBS));
   }
 
   private static Simulation delayedJobRead(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     simulation.threadStallMs = 8000;
     for (ControllerModel controller : simulation.controllers) {
       for (int i = 10; i < 16; i++) {
@@ -288,6 +271,7 @@
   void leaseExpiryProvesNothingWhileLeaseUncertain() {
     assertDetected(
         Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE,
+        MUTANT_SEEDS,
         seed -> SimulationTest.twoLeaders(seed, Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE));
   }
 
@@ -299,13 +283,14 @@
     }
     assertDetected(
         Mutation.START_BEFORE_JOB_OPENED,
+        MUTANT_SEEDS,
         s -> isolatedOnSubmission(s, Mutation.START_BEFORE_JOB_OPENED));
   }
 
   private static Simulation isolatedOnSubmission(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
-    simulation.submit(SimulationTest.job("wk-30", JobKind.ARRAY, 6), 60_000L);
+    simulation.submit(JobDraft.job("wk-30", JobKind.ARRAY, 6), 60_000L);
     assertTrue(simulation.runUntil(() -> old.manages("wk-30"), 25), simulation.recentLog());
     simulation.cutBoth(old.name, "state");
     for (ControllerModel controller : simulation.controllers) {
@@ -334,20 +319,21 @@
     assertNotEquals(0, late, "none came after a newer one");
     assertDetected(
         Mutation.UNCONDITIONAL_RECORD_WRITES,
+        MUTANT_SEEDS,
         s -> delayedWrites(s, Mutation.UNCONDITIONAL_RECORD_WRITES));
   }
 
   private static Simulation delayedWrites(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 6, mutations);
+    Simulation simulation = withArrays(seed, 6, 3, mutations);
     simulation.store.lateShare = 0.5;
     simulation.submit(
-        SimulationTest.job("wk-40", JobKind.SERVICE, 40), null); // machines are rented for it
+        JobDraft.job("wk-40", JobKind.SERVICE, 40), null); // machines are rented for it
     simulation.runTo(24);
     simulation.store.lateShare = seed % 2 == 0 ? 0.3 : 0;
     for (int i = 0; i < 8; i++) {
       String job = "wk-5" + i;
       Runnable then = () -> simulation.after(3000, () -> simulation.userCancels(job));
-      simulation.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 5_000L, then);
+      simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 5_000L, then);
     }
     simulation.runTo(33 + simulation.random.nextInt(4));
     simulation.store.lateShare = 0;
@@ -363,9 +349,9 @@
   @Test
   void tasksEndFarApartAcrossFailovers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, 12);
-      simulation.userSubmits(SimulationTest.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
-      simulation.userSubmits(SimulationTest.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
+      Simulation simulation = withArrays(seed, 12, 3);
+      simulation.userSubmits(JobDraft.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
+      simulation.userSubmits(JobDraft.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
       simulation.users.taskRunMs.put("wk-60/1", 45_000L);
       simulation.users.taskRunMs.put("wk-61/2", 45_000L);
       // The early tasks are done, their record is on its way or late, and the leader ends.
@@ -399,7 +385,7 @@
   @Test
   void leadershipTransfersAndAllControllersCrash() {
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, 12);
+      Simulation simulation = withArrays(seed, 12, 3);
       simulation.pollAllJobs();
       for (int i = 10; i < 13; i++) {
         simulation.userCancels("wk-" + i);
@@ -447,11 +433,12 @@
     }
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
+        MUTANT_SEEDS,
         seed -> unreachableMachines(seed, Mutation.NO_INHERITED_MACHINES));
   }
 
   private static Simulation unreachableMachines(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     old.crash();
     for (ControllerModel controller : simulation.controllers) {
@@ -478,7 +465,7 @@
   void commandsHeldWhileMachinesContinue() {
     int held = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, 12);
+      Simulation simulation = withArrays(seed, 12, 3);
       ControllerModel old = simulation.leaders().get(0);
       for (int i = 0; i < 4; i++) {
         String machine = "vm-" + (seed + 3 * i) % 12;
@@ -493,7 +480,7 @@
                 simulation.after(
                     simulation.random.nextLong(6000), () -> simulation.userCancels(job));
         simulation.userSubmits(
-            SimulationTest.job(job, JobKind.ARRAY, 2), 3_000L, i % 2 == 0 ? then : () -> {});
+            JobDraft.job(job, JobKind.ARRAY, 2), 3_000L, i % 2 == 0 ? then : () -> {});
       }
       if (seed % 2 == 0) {
         simulation.after(simulation.random.nextLong(6000), old::resign);
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/ElectionModel.java
@@ -0,0 +1,231 @@
+package org.astershift.simulation;
+
+import java.util.List;
+import java.util.Map;
+import org.astershift.controller.LoopTiming;
+import org.astershift.coordination.Election;
+import org.astershift.coordination.Election.Action;
+import org.astershift.http.Threads;
+import org.astershift.simulation.StoreModel.Outcome;
+import org.astershift.simulation.StoreModel.Write;
+
+/** Carries out what the program's {@link Election} decides, one action at a time. */
+final class ElectionModel {
+  private final ControllerModel controller;
+  private final Simulation simulation;
+  private final Election election;
+
+  /** Numbers the waits, so that only the newest ends in a round. */
+  private long wait;
+
+  /** No action is under way: the next round waits for its time or for the leader's key. */
+  private boolean waiting;
+
+  ElectionModel(ControllerModel controller) {
+    this.controller = controller;
+    this.simulation = controller.simulation;
+    this.election = new Election(controller.name, controller.peers().candidacy());
+  }
+
+  private Election.View view() {
+    return new Election.View(
+        controller.clock(),
+        controller.watchCache().isLoaded(),
+        controller.watchCache().leaderHolder(),
+        controller.peers().reachability(),
+        controller.clock() - controller.storeAnsweredMs());
+  }
+
+  /** The leader's key has changed: the next round comes at once, unless one is under way. */
+  void onLeaderKeyChanged() {
+    if (waiting) {
+      runAfter(0);
+    }
+  }
+
+  private void runAfter(long ms) {
+    waiting = true;
+    long own = ++wait;
+    controller.later(
+        ms,
+        () -> {
+          if (own == wait) {
+            run();
+          }
+        });
+  }
+
+  private long intervalMs() {
+    return election.token() == 0
+        ? LoopTiming.ELECTION_POLL_INTERVAL_MS
+        : LoopTiming.LEADER_LEASE_RENEW_INTERVAL_MS;
+  }
+
+  /** One round of the election; it arranges for the next. */
+  void run() {
+    waiting = false;
+    wait++;
+    Action action = election.next(view());
+    long intervalMs = intervalMs();
+    if (action instanceof Action.ReadKey) {
+      readKey();
+    } else if (action instanceof Action.RemoveStaleKey removal) {
+      removeStaleKey(removal, intervalMs);
+    } else if (action instanceof Action.GrantLease grant) {
+      grantLease(grant);
+    } else if (action instanceof Action.CreateKey creation) {
+      createKey(creation);
+    } else if (action instanceof Action.VerifyKey verification) {
+      verifyKey(verification);
+    } else if (action instanceof Action.CatchUp catchUp) {
+      catchUp(catchUp.revision(), controller.clock() + Election.LEADER_LEASE_MS);
+    } else if (action instanceof Action.BeginTerm begin) {
+      beginTerm(begin.token());
+      runAfter(intervalMs);
+    } else if (action instanceof Action.RenewLease renewal) {
+      renewLease(renewal, intervalMs);
+    } else {
+      execute(List.of(action));
+      runAfter(intervalMs);
+    }
+  }
+
+  private void readKey() {
+    controller.storeRequest(
+        () -> simulation.store.revision(),
+        revision -> runAfter(revision == null ? Threads.RETRY_BACKOFF_MS : 0));
+  }
+
+  private void removeStaleKey(Action.RemoveStaleKey removal, long intervalMs) {
+    controller.compareAndSwap(
+        Map.of(StoreModel.LEADER, removal.revision()),
+        List.of(new Write(StoreModel.LEADER, null, 0)),
+        outcome -> runAfter(intervalMs));
+  }
+
+  private void grantLease(Action.GrantLease grant) {
+    controller.storeRequest(
+        () -> simulation.store.grant(grant.ttlMs()),
+        lease -> {
+          if (lease != null) {
+            election.onLeaseGranted(lease);
+          }
+          runAfter(lease == null ? Threads.RETRY_BACKOFF_MS : 0);
+        });
+  }
+
+  private void createKey(Action.CreateKey creation) {
+    simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.BEFORE_KEY_CREATION, controller);
+    controller.compareAndSwap(
+        Map.of(StoreModel.LEADER, 0L),
+        List.of(new Write(StoreModel.LEADER, controller.name, creation.lease())),
+        outcome -> {
+          election.onKeyCreation(keyCreation(outcome), outcome == null ? 0 : outcome.revision());
+          if (outcome != null && outcome.revision() > 0) {
+            simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.KEY_CREATED, controller);
+          }
+          runAfter(0);
+        });
+  }
+
+  private static Election.KeyCreation keyCreation(Outcome outcome) {
+    if (outcome == null) {
+      return Election.KeyCreation.UNKNOWN;
+    }
+    return outcome.revision() > 0 ? Election.KeyCreation.CREATED : Election.KeyCreation.REJECTED;
+  }
+
+  private void verifyKey(Action.VerifyKey verification) {
+    controller.storeRequest(
+        () -> {
+          StoreModel.Row row =
+              simulation.store.renew(verification.lease())
+                  ? simulation.store.get(StoreModel.LEADER)
+                  : null;
+          return row != null && row.lease() == verification.lease() ? row.revision() : 0L;
+        },
+        revision -> {
+          election.onKeyVerified(revision == null ? 0 : revision);
+          runAfter(0);
+        });
+  }
+
+  private void renewLease(Action.RenewLease renewal, long intervalMs) {
+    controller.storeRequest(
+        () -> simulation.store.renew(renewal.lease()),
+        renewed -> {
+          election.onLeaseRenewed(renewed);
+          if (renewed == null) {
+            runAfter(Threads.RETRY_BACKOFF_MS);
+          } else {
+            runAfter(election.token() == 0 ? 0 : intervalMs);
+          }
+        });
+  }
+
+  private void catchUp(long revision, long untilMs) {
+    simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.CATCHING_UP, controller);
+    boolean done =
+        controller.watchCache().revision() >= revision || controller.mutated(Mutation.NO_CATCH_UP);
+    if (done || controller.clock() > untilMs) {
+      election.onCaughtUp(revision, done);
+      runAfter(0);
+    } else {
+      controller.later(WatchCacheModel.POLL_MS / 2, () -> catchUp(revision, untilMs));
+    }
+  }
+
+  private void beginTerm(long token) {
+    if (election.token() == token) {
+      new LeaderTermModel(controller, token).begin();
+    }
+  }
+
+  private void execute(List<Action> actions) {
+    for (Action action : actions) {
+      if (action instanceof Action.EndTerm end) {
+        endTerm(end);
+      } else if (action instanceof Action.RevokeLease revocation) {
+        controller.storeRequest(
+            () -> {
+              simulation.store.revoke(revocation.lease());
+              return true;
+            },
+            ok -> {});
+      }
+    }
+  }
+
+  private void endTerm(Action.EndTerm end) {
+    LeaderTermModel term = controller.term();
+    if (term != null && term.token() == end.token()) {
+      simulation.log(controller.name, "stops leading token=" + end.token() + ": " + end.reason());
+      controller.setTerm(null);
+    }
+  }
+
+  /** Peers report a leader key of this revision. */
+  void onLeaderObserved(long revision) {
+    execute(election.onLeaderObserved(revision));
+  }
+
+  /** The term ends: another controller leads. */
+  void stepDown(LeaderTermModel term, String reason) {
+    execute(election.stepDown(term.token(), reason));
+  }
+
+  /** The term ends so that another controller may lead. */
+  void resign(LeaderTermModel term, String reason) {
+    execute(election.resign(term.token(), reason, controller.clock()));
+  }
+
+  /** Whether no other controller can lead now. */
+  boolean leaseCertain(long token) {
+    return election.leaseCertain(token, controller.clock());
+  }
+
+  /** Until when no other controller can lead, by this controller's clock. */
+  long leaseCertainUntilMs() {
+    return election.leaseCertainUntilMs();
+  }
+}
--- a/src/test/java/org/astershift/simulation/FailoverTest.java
+++ b/src/test/java/org/astershift/simulation/FailoverTest.java
@@ -1,12 +1,14 @@
 package org.astershift.simulation;
 
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.runForS;
+import static org.astershift.simulation.CombinedFaults.withArrays;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.function.LongFunction;
 import org.astershift.scheduler.JobKind;
-import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /** What a leader wrote last, and the one that follows it. */
@@ -14,35 +16,6 @@
   private static final int SEEDS = 10;
   private static final int MUTANT_SEEDS = 40;
 
-  private static Simulation loadedSimulation(long seed, Mutation... mutations) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
-    simulation.mutations.addAll(List.of(mutations));
-    simulation.runTo(4);
-    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 12), null);
-    for (int i = 10; i < 16; i++) {
-      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
-    }
-    simulation.runTo(20);
-    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
-    return simulation;
-  }
-
-  private static void assertSound(Simulation simulation) {
-    assertEquals(
-        List.of(),
-        simulation.checker.violations,
-        () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
-  }
-
-  private static void assertDetected(Mutation mutation, LongFunction<Simulation> played) {
-    for (long seed = 1; seed <= MUTANT_SEEDS; seed++) {
-      if (!played.apply(seed).checker.violations.isEmpty()) {
-        return;
-      }
-    }
-    assertEquals("missed", "not missed", mutation + " taken away");
-  }
-
   /**
    * A leader's cancellations get no answer, it ends, and they would be carried out when the next
    * one leads, which runs these jobs; a third reads what is on record and does not reach it.
@@ -57,11 +30,13 @@
       }
     }
     assertDetected(
-        Mutation.UNFENCED_WRITES, seed -> playDelayedEnds(seed, Mutation.UNFENCED_WRITES));
+        Mutation.UNFENCED_WRITES,
+        MUTANT_SEEDS,
+        seed -> playDelayedEnds(seed, Mutation.UNFENCED_WRITES));
   }
 
   private static Simulation playDelayedEnds(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, mutations);
+    Simulation simulation = withArrays(seed, 12, 2, mutations);
     ControllerModel old = simulation.leaders().get(0);
     List<ControllerModel> others =
         simulation.controllers.stream().filter(controller -> controller != old).toList();
@@ -89,11 +64,14 @@
     for (long seed = 1; seed <= SEEDS; seed++) {
       assertSound(playLaggingWatchCache(seed));
     }
-    assertDetected(Mutation.NO_CATCH_UP, seed -> playLaggingWatchCache(seed, Mutation.NO_CATCH_UP));
+    assertDetected(
+        Mutation.NO_CATCH_UP,
+        MUTANT_SEEDS,
+        seed -> playLaggingWatchCache(seed, Mutation.NO_CATCH_UP));
   }
 
   private static Simulation playLaggingWatchCache(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, mutations);
+    Simulation simulation = withArrays(seed, 12, 2, mutations);
     ControllerModel old = simulation.leaders().get(0);
     simulation.store.answerDelayMs = 2500;
     for (int i = 20; i < 50; i++) {
@@ -102,7 +80,7 @@
           simulation.random.nextLong(6000),
           () ->
               simulation.userSubmits(
-                  SimulationTest.job("wk-" + id, JobKind.ARRAY, 1), 20_000L, () -> {}));
+                  JobDraft.job("wk-" + id, JobKind.ARRAY, 1), 20_000L, () -> {}));
     }
     simulation.after(3000, old::resign);
     simulation.runTo(23.1);
@@ -111,9 +89,9 @@
     assertTrue(
         simulation.runUntil(() -> !simulation.leaders().isEmpty(), 60), simulation.recentLog());
     simulation.store.answerDelayMs = 0;
-    simulation.runTo(simulation.now() / 1000.0 + 10);
+    runForS(simulation, 10);
     simulation.starvationCheck.onFaultsHealed();
-    simulation.runTo(simulation.now() / 1000.0 + 98);
+    runForS(simulation, 98);
     return simulation;
   }
 
@@ -123,7 +101,7 @@
   @Test
   void keyCreationAppliedWithLostAnswer() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed);
+      Simulation simulation = withArrays(seed, 12, 2);
       ControllerModel old = simulation.leaders().get(0);
       simulation.store.unansweredShare = 1;
       old.crash();
--- a/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
@@ -1,5 +1,10 @@
 package org.astershift.simulation;
 
+import static org.astershift.simulation.CombinedFaults.LeaderFault;
+import static org.astershift.simulation.CombinedFaults.addAcceleratorMachines;
+import static org.astershift.simulation.CombinedFaults.apply;
+import static org.astershift.simulation.CombinedFaults.assertServed;
+import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,7 +15,6 @@
 import java.util.function.Predicate;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
-import org.astershift.scheduler.MachineType;
 import org.astershift.scheduler.Priority;
 import org.astershift.scheduler.ServiceLevelObjective;
 import org.astershift.scheduler.Team;
@@ -25,13 +29,6 @@
   private static final int SEEDS = 6;
   private static final List<String> GANGS = List.of("wk-g0", "wk-g1", "wk-g2", "wk-g3");
 
-  /** What becomes of the leader. */
-  private enum Fate {
-    CRASHES,
-    HANDS_OVER,
-    PAUSES
-  }
-
   /** What becomes of machines that hold tasks of the gangs. */
   private enum Trouble {
     CUT_OFF,
@@ -48,17 +45,6 @@
     return simulation;
   }
 
-  private static void apply(Simulation simulation, ControllerModel old, Fate fate) {
-    switch (fate) {
-      case CRASHES -> {
-        old.crash();
-        simulation.after(300 + simulation.random.nextLong(4000), old::start);
-      }
-      case HANDS_OVER -> old.resign();
-      default -> old.freeze(4000 + simulation.random.nextLong(6000));
-    }
-  }
-
   private static void applyToMachines(
       Simulation simulation, Trouble trouble, String machine, long forMs) {
     if (trouble == Trouble.PAUSED) {
@@ -115,23 +101,6 @@
     return simulation.users.accepted().stream().filter(what).count();
   }
 
-  /** The troubles are over: so long later all is done, and no rule was broken. */
-  private static void assertSound(Simulation simulation, double afterS) {
-    simulation.healAll();
-    simulation.delayedHeartbeats.release();
-    simulation.starvationCheck.onFaultsHealed();
-    simulation.runTo(simulation.now() / 1000.0 + afterS);
-    assertEquals(
-        List.of(),
-        simulation.checker.violations,
-        () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
-    for (String job : simulation.users.accepted()) {
-      boolean ends = simulation.users.runMsOf(job, 0) != null;
-      String message = "seed " + simulation.seed + ": " + job + " is left\n";
-      assertTrue(!ends || simulation.checker.isEnded(job), () -> message + simulation.fullLog());
-    }
-  }
-
   /**
    * Gangs gather, since some machines do not hear of their start, and the leader ends; in half of
    * the seeds one of the machines on which a task waits for the others is lost, too.
@@ -142,7 +111,7 @@
     int lost = 0;
     int replaced = 0;
     int played = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = loadedSimulation(seed);
@@ -155,14 +124,14 @@
           gangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
           simulation.runTo(22 + 0.5 * (seed % 3));
           gathered += count(simulation, simulation.gangs::isGathering);
-          apply(simulation, old, fate);
+          apply(simulation, old, fault);
           if (seed % 2 == 0) {
-            simulation.runTo(simulation.now() / 1000.0 + simulation.random.nextDouble());
+            runForS(simulation, simulation.random.nextDouble());
             randomMachines(simulation, gatheringMachines(simulation), 1)
                 .forEach(m -> simulation.workers.get(m).restart(500));
           }
           simulation.runTo(60);
-          assertSound(simulation, 110);
+          assertServed(simulation, 110);
           lost += simulation.gangs.lostWhileGathering;
           replaced += simulation.gangs.startedAfterReplacement;
           played++;
@@ -182,7 +151,7 @@
   void failoverWhileGangTasksTimeOut() {
     int incomplete = 0;
     int played = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = new Simulation(seed, Setup.of(3, 12));
         simulation.cloud.capacity.put(CloudModel.TYPE, 12);
@@ -200,9 +169,9 @@
         simulation.runUntil(() -> simulation.gangs.isGathering(GANGS.get(0)), 30);
         simulation.cloud.die(lost);
         simulation.after(
-            26_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fate));
+            26_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fault));
         simulation.runTo(80);
-        assertSound(simulation, 90);
+        assertServed(simulation, 90);
         incomplete += simulation.gangs.gatherTimeouts;
         played++;
       }
@@ -238,7 +207,7 @@
     int wentOn = 0;
     int tooLate = 0;
     int played = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = fullCluster(seed);
@@ -250,11 +219,11 @@
           simulation.submit(JobDraft.array("wk-u", 5).in("u", Priority.HIGH).spec(), 8_000L);
           boolean met =
               simulation.runUntil(() -> count(simulation, simulation.gangs::isSaving) > 0, 30);
-          simulation.runTo(simulation.now() / 1000.0 + 0.3 * (seed % 4));
+          runForS(simulation, 0.3 * (seed % 4));
           saving += met ? 1 : 0;
-          apply(simulation, old, fate);
+          apply(simulation, old, fault);
           simulation.runTo(45);
-          assertSound(simulation, 150);
+          assertServed(simulation, 150);
           inOrder += simulation.gangs.stoppedInOrder;
           failed += simulation.gangs.saveFailed;
           wentOn += simulation.gangs.resumed;
@@ -277,7 +246,7 @@
     int confirmed = 0;
     int gathered = 0;
     int played = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = loadedSimulation(seed);
@@ -296,19 +265,20 @@
           if (early) {
             gangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
           }
-          simulation.after(2000 + whenMs.get((int) (seed % 3)), () -> apply(simulation, old, fate));
+          simulation.after(
+              2000 + whenMs.get((int) (seed % 3)), () -> apply(simulation, old, fault));
           GANGS.forEach(
               gang ->
                   simulation.after(
                       2000 + simulation.random.nextLong(200), () -> simulation.userCancels(gang)));
-          simulation.runTo(simulation.now() / 1000.0 + 2);
+          runForS(simulation, 2);
           gathered += count(simulation, simulation.gangs::isGathering);
           int[] counts = new int[1];
           simulation.checker.eachOnMachine((task, m) -> counts[0] += machines.contains(m) ? 1 : 0);
           onTroubled += counts[0];
           simulation.pollAllJobs();
-          simulation.runTo(simulation.now() / 1000.0 + 45);
-          assertSound(simulation, 30);
+          runForS(simulation, 45);
+          assertServed(simulation, 30);
           confirmed += simulation.checker.cancelsConfirmed();
           played++;
         }
@@ -330,7 +300,7 @@
     int heldBack = 0;
     int lost = 0;
     int played = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
         Simulation simulation = loadedSimulation(seed);
         ControllerModel old = simulation.leaders().get(0);
@@ -345,13 +315,13 @@
         there.forEach(
             m -> simulation.workers.get(m).restart(300 + simulation.random.nextLong(2000)));
         lost += there.size();
-        simulation.runTo(simulation.now() / 1000.0 + simulation.random.nextDouble());
-        apply(simulation, old, fate);
+        runForS(simulation, simulation.random.nextDouble());
+        apply(simulation, old, fault);
         simulation.pollAllJobs();
-        simulation.runTo(simulation.now() / 1000.0 + 20);
+        runForS(simulation, 20);
         copies += simulation.delayedHeartbeats.withEndedTasks;
         heldBack += simulation.delayedHeartbeats.heldAtLeader;
-        assertSound(simulation, 60);
+        assertServed(simulation, 60);
         played++;
       }
     }
@@ -365,7 +335,8 @@
   private static List<String> machinesOfDone(Simulation simulation) {
     return simulation.workers.values().stream()
         .filter(
-            machine -> machine.tasks().stream().anyMatch(task -> simulation.gangs.isDone(task.job)))
+            machine ->
+                machine.tasks().all().stream().anyMatch(task -> simulation.gangs.isDone(task.job)))
         .map(machine -> machine.name)
         .toList();
   }
@@ -379,7 +350,7 @@
     int atLimit = 0;
     int onTroubled = 0;
     int played = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (Trouble trouble : Trouble.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = limitedSimulation(seed);
@@ -395,13 +366,13 @@
           if (seed % 2 == 0) {
             machines.stream().limit(2).forEach(simulation.cloud::die);
           }
-          simulation.runTo(simulation.now() / 1000.0 + 1);
+          runForS(simulation, 1);
           if (seed % 3 == 0) {
             simulation.userCancels("wk-r0");
           }
-          apply(simulation, old, fate);
-          simulation.runTo(simulation.now() / 1000.0 + 45);
-          assertSound(simulation, 150);
+          apply(simulation, old, fault);
+          runForS(simulation, 45);
+          assertServed(simulation, 150);
           played++;
         }
       }
@@ -412,12 +383,7 @@
 
   private static Simulation limitedSimulation(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, 12));
-    simulation.cloud.addType(
-        new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, simulation.setup.zones()));
-    for (int i = 0; i < 6; i++) {
-      String zone = simulation.setup.zones().get(i % 3);
-      simulation.cloud.addMachine("vm-acc" + i, new CloudModel.Kind("accel", zone, false), true);
-    }
+    addAcceleratorMachines(simulation);
     simulation.teams.put("red", new Team("red", 4, 12, 1, 3));
     simulation.teams.put("team", new Team("team", 0, 0, 0, 0));
     simulation.runTo(4);
@@ -446,7 +412,7 @@
     long gathered = 0;
     int startedLate = 0;
     int played = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (boolean partitioned : new boolean[] {false, true}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = loadedSimulation(seed);
@@ -461,7 +427,7 @@
           gangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
           simulation.runTo(21.5);
           gathered += count(simulation, simulation.gangs::isGathering);
-          apply(simulation, old, fate);
+          apply(simulation, old, fault);
           if (seed % 3 == 0) {
             GANGS.forEach(simulation::userCancels);
           }
@@ -469,11 +435,11 @@
           held += simulation.heldMessageCount();
           int before = simulation.checker.started;
           machines.forEach(m -> simulation.heal(old.name, m));
-          simulation.runTo(simulation.now() / 1000.0 + 0.05);
+          runForS(simulation, 0.05);
           startedLate += simulation.checker.started - before;
           simulation.pollAllJobs();
-          simulation.runTo(simulation.now() / 1000.0 + 40);
-          assertSound(simulation, 60);
+          runForS(simulation, 40);
+          assertServed(simulation, 60);
           played++;
         }
       }
--- a/src/test/java/org/astershift/simulation/GangModel.java
+++ b/src/test/java/org/astershift/simulation/GangModel.java
@@ -9,7 +9,6 @@
 import java.util.TreeMap;
 import org.astershift.scheduler.Heartbeat;
 import org.astershift.scheduler.JobSpec;
-import org.astershift.simulation.WorkerModel.Task;
 
 /**
  * What the tasks of gangs do with one another, as the protocol's section on gangs says: those of
@@ -66,7 +65,7 @@
     final JobSpec spec;
 
     /** Those with their image, by index. */
-    final Map<Integer, Task> members = new TreeMap<>();
+    final Map<Integer, TaskModel> members = new TreeMap<>();
 
     boolean lostOne;
     boolean started;
@@ -94,7 +93,7 @@
     this.simulation = simulation;
   }
 
-  private Attempt attemptOf(Task task) {
+  private Attempt attemptOf(TaskModel task) {
     return attempts.computeIfAbsent(
         task.job + "@" + task.attempt, k -> new Attempt(task.job, simulation.users.spec(task.job)));
   }
@@ -133,21 +132,21 @@
   }
 
   /** The task has its image. */
-  void onImageFetched(Task task) {
+  void onImageFetched(TaskModel task) {
     if (done.contains(task.job)) {
-      task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "done");
+      task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "done");
       return;
     }
     Attempt attempt = attemptOf(task);
     startedAfterGangStart += attempt.started ? 1 : 0;
     attempt.members.put(task.index, task);
-    task.worker.moveTo(task, Heartbeat.TaskPhase.WAITING, null);
+    task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.WAITING, null);
     task.worker.afterWork(
         GATHER_TIMEOUT_MS,
         () -> {
           if (task.phase == Heartbeat.TaskPhase.WAITING) {
             gatherTimeouts++;
-            task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "incomplete");
+            task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "incomplete");
           }
         });
     startIfComplete(attempt);
@@ -166,9 +165,9 @@
     startedAfterCancelConfirmed +=
         simulation.checker.cancelConfirmedMs(attempt.job) == null ? 0 : 1;
     simulation.log("gang", attempt.job + " begins");
-    List<Task> all = new ArrayList<>(attempt.members.values());
-    all.forEach(task -> task.worker.moveTo(task, Heartbeat.TaskPhase.RUNNING, null));
-    all.forEach(task -> task.worker.failIfFaulty(task, WorkerModel.FAILS_AFTER_MS));
+    List<TaskModel> all = new ArrayList<>(attempt.members.values());
+    all.forEach(task -> task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.RUNNING, null));
+    all.forEach(task -> task.worker.tasks().failIfFaulty(task, WorkerTasks.FAILS_AFTER_MS));
     all.stream()
         .map(task -> task.worker)
         .filter(WorkerModel::paused)
@@ -197,14 +196,14 @@
       simulation.users.completed(attempt.job, i);
       simulation.checker.onTaskCompleted(attempt.job + "/" + i);
     }
-    for (Task task : List.copyOf(attempt.members.values())) {
-      task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "done");
+    for (TaskModel task : List.copyOf(attempt.members.values())) {
+      task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "done");
     }
   }
 
   /** A machine hangs: the peers of its tasks notice it if that lasts. */
   void onMachinePaused(WorkerModel worker) {
-    for (Task task : worker.tasks()) {
+    for (TaskModel task : worker.tasks().all()) {
       Attempt attempt = attempts.get(task.job + "@" + task.attempt);
       if (attempt != null
           && attempt.started
@@ -225,7 +224,7 @@
   }
 
   /** The task is no longer there, for whatever reason; {@code stored}: it left in order. */
-  void onTaskGone(Task task) {
+  void onTaskGone(TaskModel task) {
     Attempt attempt = attempts.get(task.job + "@" + task.attempt);
     if (attempt == null || !attempt.members.remove(task.index, task)) {
       return;
@@ -251,12 +250,15 @@
       progressMs.put(attempt.job, ranMs(attempt) / everyMs * everyMs);
     }
     simulation.log("gang", attempt.job + " has lost a task");
-    for (Task task : attempt.members.values()) {
+    for (TaskModel task : attempt.members.values()) {
       simulation.after(
           simulation.random.nextLong(PEER_TIMEOUT_MS),
           () ->
-              task.worker.whenRunning(
-                  task, () -> task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "peers")));
+              task.worker
+                  .tasks()
+                  .whenRunning(
+                      task,
+                      () -> task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "peers")));
     }
   }
 
@@ -267,13 +269,13 @@
   }
 
   /** A task that runs or saves is told to stop. */
-  void stop(Task task, boolean inTime) {
+  void stop(TaskModel task, boolean inTime) {
     Attempt attempt = attemptOf(task);
     if (task.phase == Heartbeat.TaskPhase.SAVING && inTime) {
       return;
     }
     if (attempt.ended || !inTime || task.phase != Heartbeat.TaskPhase.RUNNING) {
-      task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "halted");
+      task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "halted");
       return;
     }
     if (attempt.firstStopMs < 0) {
@@ -287,7 +289,7 @@
           });
     }
     attempt.stopRequested.add(task.index);
-    task.worker.moveTo(task, Heartbeat.TaskPhase.SAVING, null);
+    task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.SAVING, null);
     task.worker.afterWork(
         Math.round(attempt.spec.checkpointSaveS() * 1000),
         () -> {
@@ -308,10 +310,12 @@
       progressMs.put(attempt.job, ranMs(attempt));
       simulation.log("gang", attempt.job + " has saved");
     }
-    for (Task task : List.copyOf(attempt.members.values())) {
+    for (TaskModel task : List.copyOf(attempt.members.values())) {
       if (task.phase == Heartbeat.TaskPhase.SAVING && attempt.saved.contains(task.index)) {
-        task.worker.whenRunning(
-            task, () -> task.worker.moveTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
+        task.worker
+            .tasks()
+            .whenRunning(
+                task, () -> task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
       }
     }
   }
--- a/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
+++ b/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
@@ -62,7 +62,7 @@
   private static Simulation served(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
     simulation.runTo(4);
-    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 2 * MACHINES), null);
+    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, 2 * MACHINES), null);
     simulation.runTo(20);
     return simulation;
   }
--- a/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
@@ -1,5 +1,8 @@
 package org.astershift.simulation;
 
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.nowS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,10 +12,8 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.LongFunction;
 import org.astershift.scheduler.JobKind;
 import org.astershift.simulation.DelayedHeartbeats.Moment;
-import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -21,6 +22,7 @@
  */
 class HeartbeatCombinedFaultsTest {
   private static final int SEEDS = 6;
+  private static final int MUTANT_SEEDS = 60;
   private static final int MACHINES = 12;
 
   /** Until all machines of the leader before are heard: measured up to 4.0 s with these copies. */
@@ -42,20 +44,19 @@
    * that run on (30..32), beside a service and under a limit.
    */
   private static Simulation loadedSimulation(long seed, double kept, Mutation... mutations) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
-    simulation.mutations.addAll(List.of(mutations));
+    Simulation simulation = CombinedFaults.simulation(seed, MACHINES, mutations);
     simulation.teamCpuLimit = seed % 2 == 0 ? 44 : 0;
     simulation.runTo(4);
     simulation.delayedHeartbeats.keepShare = kept;
-    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
+    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, MACHINES), null);
     for (int i = 10; i < 16; i++) {
-      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
     }
     for (int i = 20; i < 24; i++) {
-      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
     for (int i = 30; i < 33; i++) {
-      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
     }
     simulation.runTo(9);
     assertNotNull(leader(simulation), simulation.recentLog());
@@ -73,14 +74,6 @@
     return leader(simulation) != null && leader(simulation).token() > token;
   }
 
-  private static double nowS(Simulation simulation) {
-    return simulation.now() / 1000.0;
-  }
-
-  private static void assertSound(Simulation simulation) {
-    assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
-  }
-
   private static void assertDone(Simulation simulation, int first, int last) {
     for (int i = first; i <= last; i++) {
       for (ControllerModel controller : simulation.controllers) {
@@ -107,15 +100,6 @@
         simulation.recentLog());
   }
 
-  private static void assertDetected(Mutation mutation, LongFunction<Simulation> play) {
-    for (long seed = 1; seed <= 60; seed++) {
-      if (!play.apply(seed).checker.violations.isEmpty()) {
-        return;
-      }
-    }
-    assertEquals("missed", "not missed", mutation + " taken away");
-  }
-
   /** Ends the leader; who leads next is another one, or the same process begun anew. */
   private static void apply(Simulation simulation, ControllerModel old, LeaderFault how) {
     switch (how) {
@@ -188,6 +172,7 @@
         List.of(Mutation.ACCEPT_DUPLICATE_HEARTBEATS, Mutation.DUPLICATES_CARRY_CURRENT_TOKEN)) {
       assertDetected(
           mutation,
+          MUTANT_SEEDS,
           seed -> playDuplicates(LeaderFault.values()[(int) seed % 5], seed, mutation).simulation);
     }
   }
@@ -244,7 +229,9 @@
     assertTrue(arrived > 100, arrived + " reports arrived at the new leader");
     Mutation mutation = Mutation.ACCEPT_DUPLICATE_HEARTBEATS;
     assertDetected(
-        mutation, seed -> playHeldHeartbeats(LeaderFault.values()[(int) seed % 5], seed, mutation));
+        mutation,
+        MUTANT_SEEDS,
+        seed -> playHeldHeartbeats(LeaderFault.values()[(int) seed % 5], seed, mutation));
   }
 
   private static Simulation playHeldHeartbeats(LeaderFault how, long seed, Mutation... mutations) {
@@ -320,6 +307,7 @@
     Mutation mutation = Mutation.NO_INHERITED_MACHINES;
     assertDetected(
         mutation,
+        MUTANT_SEEDS,
         seed ->
             playControllerOutage(ReturnOrder.values()[(int) seed % 3], seed, mutation).simulation);
   }
@@ -340,7 +328,7 @@
       simulation.cut(old.name, "vm-" + (seed + 3 * i) % MACHINES);
     }
     for (int i = 40; i < 43; i++) {
-      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
     }
     simulation.runTo(10);
     cancelJobs(simulation, 20, 21, 300);
@@ -425,7 +413,8 @@
         withUncertainLease + " reports answered by the leader that was cut off");
     assertTrue(lived > 20, lived + " machines of the zone lived on");
     Mutation mutation = Mutation.CONFIRM_CANCEL_UNRECONCILED;
-    assertDetected(mutation, seed -> playZonePartition(true, false, seed, mutation).simulation);
+    assertDetected(
+        mutation, MUTANT_SEEDS, seed -> playZonePartition(true, false, seed, mutation).simulation);
   }
 
   private record ZonePartition(
@@ -505,6 +494,7 @@
     assertTrue(copies > 100, copies + " copies came at a leader");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
+        MUTANT_SEEDS,
         seed -> playUnreachableMachines(seed, Mutation.NO_INHERITED_MACHINES));
   }
 
@@ -582,7 +572,7 @@
       cut.add(machine);
       simulation.cut(old.name, machine.name);
     }
-    simulation.submit(SimulationTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
+    simulation.submit(JobDraft.job("wk-50", JobKind.ARRAY, 12), 300_000L);
     simulation.runTo(20.4 + simulation.random.nextInt(600) / 1000.0);
     old.resign();
     assertTrue(
@@ -630,6 +620,7 @@
     assertTrue(elsewhere > 20, elsewhere + " times their tasks were all started elsewhere");
     assertDetected(
         Mutation.STARTS_WITH_UNCERTAIN_LEASE,
+        MUTANT_SEEDS,
         seed -> playPausedLeader(seed, Mutation.STARTS_WITH_UNCERTAIN_LEASE).simulation);
   }
 
@@ -648,7 +639,7 @@
       cut.add(machine);
       simulation.cut(old.name, machine.name);
     }
-    simulation.submit(SimulationTest.job("wk-50", JobKind.ARRAY, 12), 300_000L);
+    simulation.submit(JobDraft.job("wk-50", JobKind.ARRAY, 12), 300_000L);
     simulation.runTo(20.4 + simulation.random.nextInt(600) / 1000.0);
     final int before = old.withheldStarts();
     long stillMs = 9000 + simulation.random.nextLong(3000);
--- a/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
@@ -94,8 +94,8 @@
         controller ->
             simulation.cutBoth(
                 controller.name, "cloud")); // nothing is rented: some tasks have to wait
-    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, MACHINES), null);
-    simulation.submit(SimulationTest.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
+    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, MACHINES), null);
+    simulation.submit(JobDraft.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
     simulation.runTo(19);
     final WorkerModel machine = simulation.workers.get("vm-" + seed % MACHINES);
     if (known == Known.SEEN_BRIEFLY) {
--- a/src/test/java/org/astershift/simulation/JobDraft.java
+++ b/src/test/java/org/astershift/simulation/JobDraft.java
@@ -6,8 +6,8 @@
 import org.astershift.scheduler.Priority;
 
 /**
- * A job as a test describes it, for all tests: what it does not say is as in {@link
- * SimulationTest#job}.
+ * A job as a test describes it, for all tests: one task of an array that takes one processor, of
+ * one team, unless it says otherwise.
  */
 public final class JobDraft {
   private final String id;
@@ -31,6 +31,11 @@
     this.id = id;
   }
 
+  /** A job of this kind, with nothing else said of it. */
+  static JobSpec job(String id, JobKind kind, int tasks) {
+    return array(id, tasks).kind(kind).spec();
+  }
+
   public static JobDraft array(String id, int tasks) {
     JobDraft draft = new JobDraft(id);
     draft.tasks = tasks;
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/JobServiceModel.java
@@ -0,0 +1,312 @@
+package org.astershift.simulation;
+
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.astershift.controller.LoopTiming;
+import org.astershift.coordination.Cancellation;
+import org.astershift.peer.PeerClient;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.simulation.StoreModel.EndRow;
+import org.astershift.simulation.StoreModel.JobRow;
+import org.astershift.simulation.StoreModel.Outcome;
+import org.astershift.simulation.StoreModel.Row;
+import org.astershift.simulation.StoreModel.Write;
+
+/** What a controller answers users: submissions, cancellations and questions about jobs. */
+final class JobServiceModel {
+  private static final String UNAVAILABLE = "503";
+  private static final String UNKNOWN = "404";
+  private static final String QUEUED = "queued";
+
+  private final ControllerModel controller;
+  private final Simulation simulation;
+  private final RequestCoalescerModel leaderQueries;
+  private final RequestCoalescerModel storeReads;
+
+  JobServiceModel(ControllerModel controller) {
+    this.controller = controller;
+    this.simulation = controller.simulation;
+    this.leaderQueries = new RequestCoalescerModel(controller, this::askLeader);
+    this.storeReads = new RequestCoalescerModel(controller, this::readState);
+  }
+
+  /** The job is on record before its user gets an answer. */
+  void submit(JobSpec spec, Consumer<String> answer) {
+    controller.runIn(controller.incarnation(), () -> submitNow(spec, answer));
+  }
+
+  private void submitNow(JobSpec spec, Consumer<String> answer) {
+    EndRow end = controller.endedJobs().get(spec.id());
+    if (controller.crashed() || end != null || controller.storeLost()) {
+      answer.accept(controller.crashed() || end == null ? UNAVAILABLE : stateOf(end));
+      return;
+    }
+    JobRow job = new JobRow(spec, simulation.now());
+    controller.compareAndSwap(
+        Map.of("j/" + spec.id(), 0L, "d/" + spec.id(), 0L),
+        List.of(new Write("j/" + spec.id(), job, 0)),
+        outcome -> onSubmitted(job, outcome, answer));
+  }
+
+  private void onSubmitted(JobRow job, Outcome outcome, Consumer<String> answer) {
+    if (outcome == StoreModel.REFUSED) {
+      answer.accept(UNAVAILABLE);
+    } else if (outcome != null && outcome.revision() > 0) {
+      afterThreadStall(
+          () -> {
+            controller.onJobRead(job, outcome.revision());
+            answer.accept(QUEUED);
+          });
+    } else {
+      // It is on record already, or may be.
+      jobState(
+          job.spec().id(),
+          true,
+          state -> answer.accept(state.equals(UNKNOWN) ? UNAVAILABLE : state));
+    }
+  }
+
+  private static String stateOf(EndRow end) {
+    return end.cancelled() ? "withdrawn" : "done";
+  }
+
+  /** Cancels the job as the program's {@link Cancellation} decides. */
+  void cancel(String job, boolean forward, Consumer<String> answer) {
+    controller.runIn(
+        controller.incarnation(),
+        () -> {
+          if (!controller.crashed()) {
+            long deadlineMs = controller.clock() + LoopTiming.CANCEL_WAIT_MS;
+            advance(new CancelRequest(job, controller.term(), forward, deadlineMs, answer), false);
+          }
+        });
+  }
+
+  private record CancelRequest(
+      String job, LeaderTermModel term, boolean forward, long deadlineMs, Consumer<String> answer) {
+    boolean managed() {
+      return term != null && term.jobs().manages(job);
+    }
+  }
+
+  private Cancellation.View view(CancelRequest request, boolean storeRead) {
+    LeaderTermModel term = request.term();
+    boolean managed = request.managed();
+    Scheduler.JobProgress progress = managed ? term.scheduler().progress(request.job()) : null;
+    boolean unreconciled = controller.mutated(Mutation.CONFIRM_CANCEL_UNRECONCILED);
+    return new Cancellation.View(
+        controller.endedJobs().containsKey(request.job()),
+        request.forward(),
+        term != null,
+        term != null && term.isCurrent() && term.leaseCertain(),
+        managed,
+        storeRead,
+        managed && (unreconciled || term.scheduler().canConfirmCancellation(request.job())),
+        managed
+            && !controller.mutated(Mutation.CONFIRM_CANCEL_WHILE_STARTING)
+            && term.scheduler().mayStart(request.job()),
+        progress != null && progress.complete(),
+        controller.clock() >= request.deadlineMs());
+  }
+
+  private void advance(CancelRequest request, boolean storeRead) {
+    Cancellation.Action action = Cancellation.next(view(request, storeRead));
+    if (action.needsTerm()) {
+      request.term().scheduler().requestCancellation(request.job());
+      request.term().requestPass();
+    }
+    if (action == Cancellation.Action.WRITE_CANCELLED
+        && controller.mutated(Mutation.CONFIRM_CANCEL_BEFORE_WRITE)) {
+      request.answer().accept("withdrawn");
+    }
+    switch (action) {
+      case REPLY_WITH_END ->
+          request.answer().accept(stateOf(controller.endedJobs().get(request.job())));
+      case FORWARD -> forward(request);
+      case READ_STORE -> readStore(request);
+      case WRITE_CANCELLED -> writeEnd(request, true, storeRead);
+      case WRITE_DONE -> writeEnd(request, false, storeRead);
+      case WAIT -> advanceLater(request, storeRead);
+      default -> request.answer().accept(UNAVAILABLE);
+    }
+  }
+
+  private void advanceLater(CancelRequest request, boolean storeRead) {
+    controller.later(LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> advance(request, storeRead));
+  }
+
+  private void readStore(CancelRequest request) {
+    readState(
+        request.job(),
+        state -> {
+          if (state.equals(QUEUED)) {
+            advance(request, true);
+          } else {
+            request.answer().accept(state);
+          }
+        });
+  }
+
+  private void writeEnd(CancelRequest request, boolean cancelled, boolean storeRead) {
+    request
+        .term()
+        .completions()
+        .write(
+            request.job(),
+            cancelled,
+            end -> {
+              if (end != null) {
+                request.answer().accept(stateOf(end));
+              } else {
+                advanceLater(request, storeRead);
+              }
+            });
+  }
+
+  private void forward(CancelRequest request) {
+    ControllerModel leader = controller.otherLeader();
+    if (leader == null) {
+      request.answer().accept(UNAVAILABLE);
+      return;
+    }
+    controller.request(
+        leader.name,
+        PeerClient.PEER_TIMEOUT_MS,
+        (Consumer<String> reply) -> leader.cancel(request.job(), false, reply),
+        (String state) -> {
+          String known = state == null ? UNAVAILABLE : state;
+          rememberEnd(request.job(), known);
+          request.answer().accept(known);
+        });
+  }
+
+  /**
+   * The state of a job, found in the program's order: the leader answers from memory while its
+   * lease is certain, others ask the leader, and all else is a read of the store, the live record
+   * first. 503 where none of these gives an answer.
+   */
+  void jobState(String job, boolean forward, Consumer<String> answer) {
+    if (!controller.crashed()) {
+      controller.runIn(controller.incarnation(), () -> jobStateNow(job, forward, answer));
+    }
+  }
+
+  private void jobStateNow(String job, boolean forward, Consumer<String> answer) {
+    if (controller.mutated(Mutation.FORGET_ONE_JOB)
+        && controller.name.equals("n1")
+        && job.equals("wk-7")) {
+      answer.accept(UNAVAILABLE);
+      return;
+    }
+    EndRow end = controller.endedJobs().get(job);
+    if (end != null) {
+      answer.accept(stateOf(end));
+      return;
+    }
+    LeaderTermModel term = controller.term();
+    String known = stateFromMemory(term, job);
+    if (known != null) {
+      answer.accept(known);
+    } else if (term == null && forward) {
+      leaderQueries.ask(job, answer);
+    } else {
+      storeReads.ask(job, answer);
+    }
+  }
+
+  /** What this process may say of a live job without asking anybody; null: nothing. */
+  private String stateFromMemory(LeaderTermModel term, String job) {
+    boolean mayAnswer =
+        term != null
+            && (controller.mutated(Mutation.ANSWER_WHILE_ENDING) || !term.jobs().mayHaveEnded(job));
+    Scheduler.JobProgress progress = mayAnswer ? term.scheduler().progress(job) : null;
+    if (progress != null && term.leaseCertain()) {
+      return progress.running() ? "running" : QUEUED;
+    }
+    boolean cached =
+        controller.mutated(Mutation.ANSWER_FROM_WATCH_CACHE)
+            && controller.watchCache().contains("j/" + job);
+    return cached ? QUEUED : null;
+  }
+
+  private void askLeader(String job, Consumer<String> answer) {
+    ControllerModel leader = controller.otherLeader();
+    if (leader == null) {
+      readState(job, answer);
+      return;
+    }
+    controller.request(
+        leader.name,
+        PeerClient.PEER_TIMEOUT_MS,
+        (Consumer<String> reply) -> leader.jobState(job, false, reply),
+        (String state) -> {
+          if (state == null || state.equals(UNAVAILABLE)) {
+            readState(job, answer);
+          } else {
+            rememberEnd(job, state);
+            answer.accept(state);
+          }
+        });
+  }
+
+  private void rememberEnd(String job, String state) {
+    if (state.equals("withdrawn") || state.equals("done")) {
+      controller.endedJobs().put(job, new EndRow(state.equals("withdrawn"), 0));
+    }
+  }
+
+  /** Where threads stall, what one has read takes effect late. */
+  private void afterThreadStall(Runnable body) {
+    long stallMs =
+        simulation.threadStallMs == 0 ? 0 : simulation.random.nextLong(simulation.threadStallMs);
+    controller.later(stallMs, body);
+  }
+
+  private void readState(String job, Consumer<String> answer) {
+    if (controller.storeLost()) {
+      answer.accept(UNAVAILABLE);
+      return;
+    }
+    read(
+        "j/" + job,
+        (Row[] live) -> {
+          if (live == null) {
+            answer.accept(UNAVAILABLE);
+          } else if (live[0] == null) {
+            readEnd(job, answer);
+          } else {
+            afterThreadStall(
+                () -> {
+                  controller.onJobRead((JobRow) live[0].value(), live[0].revision());
+                  answer.accept(QUEUED);
+                });
+          }
+        });
+  }
+
+  private void readEnd(String job, Consumer<String> answer) {
+    read(
+        "d/" + job,
+        (Row[] ended) -> {
+          if (ended == null) {
+            answer.accept(UNAVAILABLE);
+          } else if (ended[0] == null) {
+            answer.accept(UNKNOWN);
+          } else {
+            afterThreadStall(
+                () -> {
+                  EndRow end = (EndRow) ended[0].value();
+                  controller.endedJobs().put(job, end);
+                  answer.accept(stateOf(end));
+                });
+          }
+        });
+  }
+
+  /** {@code done} gets the row, which may be missing, or null without an answer. */
+  private void read(String key, Consumer<Row[]> done) {
+    controller.storeRequest(() -> new Row[] {simulation.store.get(controller.name, key)}, done);
+  }
+}
--- a/src/test/java/org/astershift/simulation/LargeFleetTest.java
+++ b/src/test/java/org/astershift/simulation/LargeFleetTest.java
@@ -30,7 +30,7 @@
     Simulation simulation = new Simulation(controllers, Setup.of(controllers, MACHINES));
     simulation.runTo(4);
     for (int i = 0; i < SERVICES; i++) {
-      simulation.submit(SimulationTest.job("wk-s" + i, JobKind.SERVICE, REPLICAS), null);
+      simulation.submit(JobDraft.job("wk-s" + i, JobKind.SERVICE, REPLICAS), null);
     }
     simulation.runTo(20);
     arrays(simulation, "wk-a");
@@ -68,7 +68,7 @@
 
   private static void arrays(Simulation simulation, String prefix) {
     for (int i = 0; i < ARRAYS; i++) {
-      simulation.submit(SimulationTest.job(prefix + i, JobKind.ARRAY, TASKS), TASK_MS);
+      simulation.submit(JobDraft.job(prefix + i, JobKind.ARRAY, TASKS), TASK_MS);
     }
   }
 
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/LeaderTermModel.java
@@ -0,0 +1,335 @@
+package org.astershift.simulation;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.astershift.controller.LoopTiming;
+import org.astershift.coordination.TermJobs;
+import org.astershift.peer.PeerClient;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.DeploymentLimits;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.scheduler.SchedulingPolicy;
+import org.astershift.simulation.StoreModel.JobRow;
+import org.astershift.simulation.StoreModel.MachineRow;
+
+/**
+ * One term of a leader: the program's {@link Scheduler}, run in passes, and its decisions carried
+ * out. What is under way when the term ends finds that it {@linkplain #isCurrent is not current}.
+ */
+final class LeaderTermModel {
+  private static final double MS_PER_S = 1000;
+
+  /** How far the cloud's list of machines may lag. */
+  private static final double LIST_LAG_S = 3;
+
+  /** No machine is idle for so long, so that each release is for silence. */
+  private static final double NEVER_IDLE_S = 1e6;
+
+  private final ControllerModel controller;
+  private final Simulation simulation;
+  private final long token;
+  private final long beganMs;
+  private final Scheduler scheduler;
+  private final TermJobs jobs;
+  private final RecordWriterModel records;
+  private final CompletionWriterModel completions;
+  private final CommandSenderModel commands;
+  private final CloudProvisionerModel provisioner;
+
+  /** Machines that this leader has registered. */
+  private final Set<String> registered = new HashSet<>();
+
+  private boolean passRequested;
+
+  /** It has decided something beyond probes. */
+  private boolean acted;
+
+  private long passDueMs = Long.MAX_VALUE;
+
+  LeaderTermModel(ControllerModel controller, long token) {
+    this.controller = controller;
+    this.simulation = controller.simulation;
+    this.token = token;
+    this.beganMs = controller.clock();
+    this.scheduler = new Scheduler(limits(), policy(), token);
+    this.jobs = new TermJobs(token);
+    this.records = new RecordWriterModel(controller, this);
+    this.completions = new CompletionWriterModel(controller, this);
+    this.commands = new CommandSenderModel(controller, this);
+    this.provisioner = new CloudProvisionerModel(controller, this);
+  }
+
+  private DeploymentLimits limits() {
+    return new DeploymentLimits(
+        simulation.teams(),
+        simulation.objectives,
+        simulation.setup.heartbeatMs() / MS_PER_S,
+        simulation.setup.leaseMs() / MS_PER_S,
+        GangModel.GATHER_TIMEOUT_MS / MS_PER_S,
+        GangModel.PEER_TIMEOUT_MS / MS_PER_S,
+        InvariantChecker.CANCEL_MS / MS_PER_S,
+        LIST_LAG_S);
+  }
+
+  private static SchedulingPolicy policy() {
+    return new SchedulingPolicy(2500, 0.9, 64, 5, NEVER_IDLE_S);
+  }
+
+  /** The term begins with what the watch cache shows. */
+  void begin() {
+    scheduler.updateMachineTypes(simulation.cloud.types());
+    if (!controller.mutated(Mutation.NO_INHERITED_MACHINES)) {
+      inheritMachines();
+    }
+    controller.setTerm(this);
+    controller
+        .watchCache()
+        .rows()
+        .forEach(
+            (key, row) -> {
+              records.load(key, row);
+              if (key.startsWith("j/")) {
+                adoptJob((JobRow) row.value(), row.revision());
+              }
+            });
+    if (!controller.mutated(Mutation.ADOPT_STALE_JOBS)) {
+      jobs.onLoaded();
+    }
+    controller
+        .watchCache()
+        .withPrefix("i/")
+        .forEach(
+            (request, decision) ->
+                provisioner.provision(request, (Decision.ProvisionMachines) decision));
+    simulation.checker.onTermBegun(controller.name, token);
+    simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.TERM_BEGUN, controller);
+    runPasses();
+    provisioner.pollMachineList();
+    saveProgress();
+  }
+
+  private void inheritMachines() {
+    controller
+        .watchCache()
+        .withPrefix("m/")
+        .forEach((machine, row) -> inheritMachine(machine, ((MachineRow) row).machine()));
+  }
+
+  private void inheritMachine(String machine, Decision.RegisterMachine record) {
+    if (record.newlyProvisioned()) {
+      scheduler.onMachinesProvisioned(
+          "",
+          List.of(machine),
+          new Decision.ProvisionMachines(record.typeName(), record.zone(), record.spot(), 1),
+          controller.clock());
+    } else {
+      scheduler.addInheritedMachine(
+          machine,
+          record.address(),
+          record.typeName(),
+          record.zone(),
+          record.spot(),
+          controller.clock());
+    }
+  }
+
+  /** Takes a live job in, unless it is known or the read is older than its end. */
+  void adoptJob(JobRow job, long revision) {
+    String id = job.spec().id();
+    if (jobs.adopt(id, revision)) {
+      boolean opened = controller.watchCache().contains("o/" + id);
+      scheduler.addJob(
+          job.spec(), opened, controller.watchCache().doneTasks(id), controller.clock());
+    }
+  }
+
+  private void runPasses() {
+    if (!isCurrent()) {
+      return;
+    }
+    runPass();
+    passDueMs = controller.clock() + LoopTiming.PASS_INTERVAL_MS;
+    controller.later(LoopTiming.PASS_INTERVAL_MS, this::runPasses);
+  }
+
+  /** Any pass may be the first after the process stood still. */
+  private void runPass() {
+    if (controller.clock() - passDueMs > LoopTiming.PROCESS_PAUSE_MS) {
+      scheduler.onProcessResumed(controller.clock());
+    }
+    long leaseCertainUntilMs =
+        controller.mutated(Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE)
+            ? Long.MAX_VALUE
+            : controller.election().leaseCertainUntilMs();
+    List<Decision> decisions = scheduler.pass(controller.clock(), leaseCertainUntilMs);
+    simulation.digest.pass(simulation.now(), controller.name, decisions);
+    decisions.forEach(this::execute);
+  }
+
+  /** A user's request does not wait for the next regular pass. */
+  void requestPass() {
+    if (!passRequested) {
+      passRequested = true;
+      controller.later(
+          LoopTiming.PASS_MIN_GAP_MS,
+          () -> {
+            passRequested = false;
+            if (isCurrent()) {
+              runPass();
+            }
+          });
+    }
+  }
+
+  private void execute(Decision decision) {
+    if (!acted && !(decision instanceof Decision.ProbeThroughPeers)) {
+      acted = true;
+      simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.FIRST_DECISION, controller);
+    }
+    if (decision instanceof Decision.SendCommands send) {
+      commands.send(send);
+    } else if (decision instanceof Decision.OpenJob opening) {
+      openJob(opening.jobId());
+    } else if (decision instanceof Decision.FinishJob completion) {
+      completions.add(completion.jobId());
+    } else if (decision instanceof Decision.RegisterMachine registration) {
+      registerMachine(registration);
+    } else if (decision instanceof Decision.DeregisterMachine removal) {
+      records.persist("m/" + removal.machineName(), null, () -> {});
+    } else if (decision instanceof Decision.ProvisionMachines request) {
+      provisioner.begin(request);
+    } else if (decision instanceof Decision.ReleaseMachines release) {
+      provisioner.release(release);
+    } else if (decision instanceof Decision.ProbeThroughPeers probe) {
+      probeThroughPeers(probe);
+    }
+  }
+
+  private void openJob(String job) {
+    boolean early = controller.mutated(Mutation.START_BEFORE_JOB_OPENED);
+    if (early) {
+      scheduler.onJobOpened(job);
+    }
+    records.persist(
+        "o/" + job,
+        true,
+        () -> {
+          if (!early && jobs.manages(job)) {
+            scheduler.onJobOpened(job);
+          }
+        });
+  }
+
+  private void registerMachine(Decision.RegisterMachine registration) {
+    String machine = registration.machineName();
+    registered.add(machine);
+    if (controller.mutated(Mutation.TASKS_BEFORE_REGISTRATION)) {
+      scheduler.onMachineRegistered(machine);
+    }
+    records.persist(
+        "m/" + machine, new MachineRow(registration), () -> scheduler.onMachineRegistered(machine));
+  }
+
+  /** Marks a machine as registered by this leader; false if it was already. */
+  boolean markRegistered(String machine) {
+    return registered.add(machine);
+  }
+
+  private void probeThroughPeers(Decision.ProbeThroughPeers probe) {
+    controller
+        .peers()
+        .probeThroughPeers(
+            probe,
+            PeerClient.PEER_TIMEOUT_MS,
+            results -> {
+              if (isCurrent()) {
+                scheduler.onPeerProbeResults(probe, results);
+              }
+            });
+  }
+
+  private void saveProgress() {
+    if (!isCurrent()) {
+      return;
+    }
+    scheduler
+        .drainUnpersistedProgress()
+        .forEach(
+            (job, done) ->
+                records.persist("p/" + job, done, () -> scheduler.onProgressPersisted(job, done)));
+    controller.later(LoopTiming.PROGRESS_SAVE_INTERVAL_MS, this::saveProgress);
+  }
+
+  /** Whether the process still leads in this term. */
+  boolean isCurrent() {
+    return controller.term() == this;
+  }
+
+  long token() {
+    return token;
+  }
+
+  /** When it began, by the controller's clock. */
+  long beganMs() {
+    return beganMs;
+  }
+
+  Scheduler scheduler() {
+    return scheduler;
+  }
+
+  TermJobs jobs() {
+    return jobs;
+  }
+
+  RecordWriterModel records() {
+    return records;
+  }
+
+  CompletionWriterModel completions() {
+    return completions;
+  }
+
+  /** Whether no other controller can lead now. */
+  boolean leaseCertain() {
+    return controller.election().leaseCertain(token);
+  }
+
+  /** The scheduler, which knows until when no other controller can lead. */
+  Scheduler schedulerWithLease() {
+    boolean unproven = controller.mutated(Mutation.TRUST_UNPROVEN_INCARNATIONS);
+    scheduler.extendLeaseCertainty(
+        unproven ? Long.MAX_VALUE : controller.election().leaseCertainUntilMs());
+    return scheduler;
+  }
+
+  /** The term ends if the machine has shown a higher fencing token. */
+  void stepDownIfDeposed(String machine) {
+    if (scheduler.deposed()) {
+      stepDown(machine + " has seen a higher token");
+    }
+  }
+
+  void stepDown(String reason) {
+    controller.election().stepDown(this, reason);
+  }
+
+  /** What a heartbeat is answered with; {@code wanted} null: it is not accepted. */
+  WorkerModel.HeartbeatAnswer heartbeatAnswer(List<Command> wanted) {
+    List<Command> permitted = wanted == null ? null : commands.permitted(wanted);
+    return new WorkerModel.HeartbeatAnswer(wanted != null, token, permitted, null);
+  }
+
+  /** Conditions that hold only while this leader's key exists. */
+  Map<String, Long> leaderCondition() {
+    Map<String, Long> conditions = new HashMap<>();
+    if (!controller.mutated(Mutation.UNFENCED_WRITES)) {
+      conditions.put(StoreModel.LEADER, token);
+    }
+    return conditions;
+  }
+}
--- a/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
@@ -1,5 +1,9 @@
 package org.astershift.simulation;
 
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.nowS;
+import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +12,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.function.LongFunction;
 import java.util.function.ToIntFunction;
 import org.astershift.scheduler.JobKind;
 import org.astershift.simulation.Simulation.Setup;
@@ -26,7 +29,7 @@
   private static final long LEASE_MS = Setup.of(3, MACHINES).leaseMs();
 
   /** What becomes of the leader in the middle of it. */
-  private enum Fate {
+  private enum LeaderFault {
     STAYS,
     CRASHES,
     BACK_AT_ONCE,
@@ -35,19 +38,18 @@
 
   private static Simulation loadedSimulation(
       long seed, int replicas, double limit, Mutation... mutations) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
+    Simulation simulation = CombinedFaults.simulation(seed, MACHINES, mutations);
     simulation.teamCpuLimit = limit;
-    simulation.mutations.addAll(List.of(mutations));
     simulation.runTo(4);
-    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, replicas), null);
+    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, replicas), null);
     simulation.runTo(20);
     simulation.onlyLeader();
     return simulation;
   }
 
-  private static void apply(Simulation simulation, Fate fate) {
+  private static void apply(Simulation simulation, LeaderFault fault) {
     ControllerModel controller = simulation.onlyLeader();
-    switch (fate) {
+    switch (fault) {
       case CRASHES -> {
         controller.crash();
         simulation.after(8000, controller::start);
@@ -75,19 +77,6 @@
     return simulation.workers.values().stream().mapToInt(count).sum();
   }
 
-  private static void assertSound(Simulation simulation) {
-    assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
-  }
-
-  private static void assertDetected(Mutation mutation, LongFunction<Simulation> played) {
-    for (long seed = 1; seed <= MUTANT_SEEDS; seed++) {
-      if (!played.apply(seed).checker.violations.isEmpty()) {
-        return;
-      }
-    }
-    assertEquals("missed", "not missed", mutation + " taken away");
-  }
-
   /** One-task jobs, four a second, and each fourth of them is cancelled soon after. */
   private static void submitStream(Simulation simulation, int jobs, long runMs) {
     for (int i = 0; i < jobs; i++) {
@@ -100,7 +89,7 @@
           i * 250L,
           () ->
               simulation.userSubmits(
-                  SimulationTest.job(job, JobKind.ARRAY, 1), runMs, cancelled ? then : () -> {}));
+                  JobDraft.job(job, JobKind.ARRAY, 1), runMs, cancelled ? then : () -> {}));
     }
   }
 
@@ -120,9 +109,9 @@
   void outboundPartitionedMachinesGetNoNewTasks() {
     int unsaid = 0;
     int killed = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        PartitionPlay played = playOutboundPartition(seed, seed % 2 == 0 ? 1 : 4, fate);
+        PartitionPlay played = playOutboundPartition(seed, seed % 2 == 0 ? 1 : 4, fault);
         assertSound(played.simulation);
         assertEquals(
             2 * MACHINES,
@@ -133,7 +122,7 @@
         unsaid += sum(played.simulation, x -> x.undeliveredHeartbeats);
         killed += played.simulation.checker.killedByLease;
         // A leader that claims it gives it half a lease to report; it begins within six seconds.
-        long latest = LEASE_MS / 2 + 1000 + (fate == Fate.STAYS ? 0 : 2000 + 6000 + 1500);
+        long latest = LEASE_MS / 2 + 1000 + (fault == LeaderFault.STAYS ? 0 : 2000 + 6000 + 1500);
         assertTrue(
             played.lastStartMs <= latest, played.lastStartMs + "\n" + played.simulation.fullLog());
         assertTrue(
@@ -145,17 +134,17 @@
     int late = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       PartitionPlay played =
-          playOutboundPartition(seed, 4, Fate.STAYS, Mutation.COMMAND_ANSWERS_RENEW_LEASES);
+          playOutboundPartition(seed, 4, LeaderFault.STAYS, Mutation.COMMAND_ANSWERS_RENEW_LEASES);
       late += played.lastStartMs > LEASE_MS / 2 + 1000 ? 1 : 0;
     }
     assertNotEquals(0, late, Mutation.COMMAND_ANSWERS_RENEW_LEASES + " not missed");
   }
 
   private static PartitionPlay playOutboundPartition(
-      long seed, int machines, Fate fate, Mutation... mutations) {
+      long seed, int machines, LeaderFault fault, Mutation... mutations) {
     Simulation simulation = loadedSimulation(seed, 2 * MACHINES, 0, mutations);
     submitStream(simulation, STREAM_JOBS, 4000);
-    simulation.userSubmits(SimulationTest.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
+    simulation.userSubmits(JobDraft.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
     simulation.runTo(27);
     List<WorkerModel> partitioned = randomMachines(simulation, machines);
     List<String> held = new ArrayList<>();
@@ -165,7 +154,7 @@
     }
     long fromMs = simulation.now();
     simulation.runTo(29);
-    apply(simulation, fate);
+    apply(simulation, fault);
     simulation.userCancels("wk-2");
     Set<String> missing = new HashSet<>(held);
     long movedMs = 0;
@@ -195,10 +184,10 @@
     int executed = 0;
     int answered = 0;
     int wentOn = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (long ms : pauseDurationsMs()) {
         for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-          Simulation simulation = playPauses(seed, ms, fate);
+          Simulation simulation = playPauses(seed, ms, fault);
           assertSound(simulation);
           assertEquals(12, simulation.checker.jobsEnded(), simulation.fullLog());
           assertEquals(
@@ -214,7 +203,8 @@
     assertTrue(wentOn > 200, wentOn + " tasks went on");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
-        s -> playPauses(s, LEASE_MS / 2, Fate.CRASHES, Mutation.NO_INHERITED_MACHINES));
+        MUTANT_SEEDS,
+        s -> playPauses(s, LEASE_MS / 2, LeaderFault.CRASHES, Mutation.NO_INHERITED_MACHINES));
   }
 
   private static void pause(WorkerModel machine, boolean reporting, long ms) {
@@ -229,7 +219,8 @@
     return new long[] {3000, LEASE_MS / 2, LEASE_MS - 1000, LEASE_MS, 2 * LEASE_MS};
   }
 
-  private static Simulation playPauses(long seed, long ms, Fate fate, Mutation... mutations) {
+  private static Simulation playPauses(
+      long seed, long ms, LeaderFault fault, Mutation... mutations) {
     Simulation simulation = loadedSimulation(seed, 2 * MACHINES, 0, mutations);
     for (int i = 20; i < 32; i++) {
       String job = "wk-" + i;
@@ -239,14 +230,14 @@
       Runnable then = i % 2 == 0 ? cancel : () -> {};
       simulation.after(
           simulation.random.nextLong(1500),
-          () -> simulation.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), 3000L, then));
+          () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 3000L, then));
     }
     for (WorkerModel machine : randomMachines(simulation, 5)) {
       boolean reporting = simulation.random.nextBoolean();
       simulation.after(simulation.random.nextLong(1500), () -> pause(machine, reporting, ms));
     }
     simulation.runTo(20.5 + simulation.random.nextInt(3000) / 1000.0);
-    apply(simulation, fate);
+    apply(simulation, fault);
     simulation.pollAllJobs();
     simulation.runTo(100);
     return simulation;
@@ -260,10 +251,10 @@
   void jobsCancelledOnPausedMachines() {
     int wentOn = 0;
     int left = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (long ms : pauseDurationsMs()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = playCancellations(seed, ms, fate);
+          Simulation simulation = playCancellations(seed, ms, fault);
           assertSound(simulation);
           for (int i = 20; i < 34; i++) {
             assertTrue(
@@ -284,14 +275,17 @@
     assertTrue(wentOn > 50, wentOn + " cancelled tasks went on with their machine");
     assertDetected(
         Mutation.NO_STOPS_FOR_ENDED_JOBS,
-        s -> playCancellations(s, LEASE_MS / 2, Fate.CRASHES, Mutation.NO_STOPS_FOR_ENDED_JOBS));
+        MUTANT_SEEDS,
+        s ->
+            playCancellations(
+                s, LEASE_MS / 2, LeaderFault.CRASHES, Mutation.NO_STOPS_FOR_ENDED_JOBS));
   }
 
   private static Simulation playCancellations(
-      long seed, long ms, Fate fate, Mutation... mutations) {
+      long seed, long ms, LeaderFault fault, Mutation... mutations) {
     Simulation simulation = loadedSimulation(seed, MACHINES, 0, mutations);
     for (int i = 20; i < 36; i++) {
-      simulation.userSubmits(SimulationTest.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
     simulation.runTo(30);
     for (int i = 20; i < 34; i++) {
@@ -303,7 +297,7 @@
       simulation.after(simulation.random.nextLong(300), () -> pause(machine, reporting, ms));
     }
     simulation.runUntil(simulation.checker::anyCancelConfirmed, 32);
-    apply(simulation, fate);
+    apply(simulation, fault);
     simulation.pollAllJobs();
     simulation.runTo(100);
     return simulation;
@@ -322,9 +316,9 @@
     int early = 0;
     int busyEarly = 0;
     int late = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        Simulation simulation = playFastBoots(seed, fate);
+        Simulation simulation = playFastBoots(seed, fault);
         assertSound(simulation);
         assertEquals(
             5 * MACHINES, simulation.checker.tasksOnMachines("wk-2"), simulation.fullLog());
@@ -339,29 +333,30 @@
     assertNotEquals(0, late, "no write came after a newer one");
     assertDetected(
         Mutation.TASKS_BEFORE_REGISTRATION,
-        s -> playFastBoots(s, Fate.CRASHES, Mutation.TASKS_BEFORE_REGISTRATION));
+        MUTANT_SEEDS,
+        s -> playFastBoots(s, LeaderFault.CRASHES, Mutation.TASKS_BEFORE_REGISTRATION));
   }
 
-  private static Simulation playFastBoots(long seed, Fate fate, Mutation... mutations) {
+  private static Simulation playFastBoots(long seed, LeaderFault fault, Mutation... mutations) {
     Simulation simulation =
         loadedSimulation(seed, MACHINES, seed % 2 == 0 ? 0 : 6.5 * MACHINES, mutations);
     simulation.cloud.bootMs = () -> 50 + simulation.random.nextLong(1950);
     simulation.cloud.answerDelayMs = 4000;
     simulation.store.lateShare = 0.4;
     simulation.store.answerDelayMs = 300;
-    simulation.submit(SimulationTest.job("wk-2", JobKind.SERVICE, 5 * MACHINES), null);
+    simulation.submit(JobDraft.job("wk-2", JobKind.SERVICE, 5 * MACHINES), null);
     for (int i = 20; i < 30; i++) {
       String job = "wk-" + i;
       Runnable then =
           () ->
               simulation.after(simulation.random.nextLong(4000), () -> simulation.userCancels(job));
       simulation.userSubmits(
-          SimulationTest.job(job, JobKind.ARRAY, 2), 5_000L, i % 2 == 0 ? then : () -> {});
+          JobDraft.job(job, JobKind.ARRAY, 2), 5_000L, i % 2 == 0 ? then : () -> {});
     }
     simulation.runTo(22 + simulation.random.nextInt(6000) / 1000.0);
-    apply(simulation, fate);
-    simulation.runUntil(() -> !simulation.leaders().isEmpty(), simulation.now() / 1000.0 + 15);
-    simulation.runTo(simulation.now() / 1000.0 + simulation.random.nextInt(5000) / 1000.0);
+    apply(simulation, fault);
+    simulation.runUntil(() -> !simulation.leaders().isEmpty(), nowS(simulation) + 15);
+    runForS(simulation, simulation.random.nextInt(5000) / 1000.0);
     simulation.store.lateShare = 0;
     for (ControllerModel controller : simulation.leaders()) {
       controller.crash();
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/PeerModel.java
@@ -0,0 +1,260 @@
+package org.astershift.simulation;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import org.astershift.controller.LoopTiming;
+import org.astershift.coordination.Candidacy;
+import org.astershift.coordination.WorkerReachability;
+import org.astershift.scheduler.Decision;
+import org.astershift.scheduler.Scheduler;
+import org.astershift.simulation.StoreModel.MachineRow;
+import org.astershift.simulation.StoreModel.Row;
+
+/**
+ * Which workers a controller reaches, what it asks the other controllers, and what it answers them.
+ */
+final class PeerModel {
+  private final ControllerModel controller;
+  private final Simulation simulation;
+  private final Candidacy candidacy = new Candidacy();
+  private final WorkerReachability reachability = new WorkerReachability();
+
+  /** Who leads by what peers say while the store does not answer; null: unknown. */
+  private String reportedLeader;
+
+  PeerModel(ControllerModel controller) {
+    this.controller = controller;
+    this.simulation = controller.simulation;
+  }
+
+  void start() {
+    controller.every(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS, this::sampleWorkers);
+    controller.every(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS, this::queryPeers);
+  }
+
+  Candidacy candidacy() {
+    return candidacy;
+  }
+
+  String reportedLeader() {
+    return reportedLeader;
+  }
+
+  /** What share of the workers it reaches, as of now. */
+  WorkerReachability.Measurement reachability() {
+    return reachability.measurement(controller.clock());
+  }
+
+  private void sampleWorkers() {
+    List<String> machines = new ArrayList<>();
+    controller
+        .watchCache()
+        .withPrefix("m/")
+        .forEach(
+            (machine, row) -> {
+              if (!((MachineRow) row).machine().newlyProvisioned()) {
+                machines.add(machine);
+              }
+            });
+    int probed = Math.min(LoopTiming.REACHABILITY_SAMPLE_MACHINES, machines.size());
+    Sample sample = new Sample(probed, controller.clock());
+    for (int i = 0; i < probed; i++) {
+      String machine = machines.remove(simulation.random.nextInt(machines.size()));
+      probeWorker(machine, Scheduler.MACHINE_PROBE_TIMEOUT_MS, sample::onProbed);
+    }
+  }
+
+  /** Probes of several workers at once, counted as they end. */
+  private final class Sample {
+    private final int probed;
+    private final long atMs;
+    private int ended;
+    private int reached;
+
+    Sample(int probed, long atMs) {
+      this.probed = probed;
+      this.atMs = atMs;
+    }
+
+    void onProbed(boolean answered) {
+      ended++;
+      reached += answered ? 1 : 0;
+      if (ended == probed) {
+        reachability.onSample(probed, reached, atMs);
+      }
+    }
+  }
+
+  private void probeWorker(String machine, long timeoutMs, Consumer<Boolean> done) {
+    controller.request(
+        machine,
+        timeoutMs,
+        answer -> {
+          WorkerModel worker = simulation.workers.get(machine);
+          if (worker != null) {
+            worker.serve(() -> answer.accept(true));
+          }
+        },
+        (Boolean yes) -> done.accept(yes != null));
+  }
+
+  /** Asks all other controllers; {@code done} gets the answers of those that gave one, by name. */
+  private <A> void askPeers(
+      BiConsumer<ControllerModel, Consumer<A>> question,
+      long timeoutMs,
+      Consumer<Map<String, A>> done) {
+    Map<String, A> answers = new LinkedHashMap<>();
+    int[] left = {simulation.controllers.size() - 1};
+    for (ControllerModel peer : simulation.controllers) {
+      if (peer != controller) {
+        controller.request(
+            peer.name,
+            timeoutMs,
+            answer -> {
+              if (!peer.crashed()) {
+                peer.runIn(peer.incarnation(), () -> question.accept(peer, answer));
+              }
+            },
+            (A answer) -> {
+              if (answer != null) {
+                answers.put(peer.name, answer);
+              }
+              left[0]--;
+              if (left[0] == 0) {
+                done.accept(answers);
+              }
+            });
+      }
+    }
+    if (left[0] == 0) {
+      done.accept(answers);
+    }
+  }
+
+  private void queryPeers() {
+    if (controller.storeLost()) {
+      queryLeader();
+      return;
+    }
+    reportedLeader = null;
+    LeaderTermModel term = controller.term();
+    if (term == null
+        || !term.scheduler().isolated()
+        || controller.mutated(Mutation.NO_LEADERSHIP_TRANSFER)) {
+      return;
+    }
+    askPeers(
+        (ControllerModel peer, Consumer<Candidacy.PeerStatus> answer) ->
+            answer.accept(
+                new Candidacy.PeerStatus(
+                    peer.name, !peer.storeLost(), peer.peers().reachability())),
+        LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
+        answers -> transferLeadership(term, new ArrayList<>(answers.values())));
+  }
+
+  private void queryLeader() {
+    askPeers(
+        (ControllerModel peer, Consumer<Row> answer) -> {
+          if (!peer.storeLost()) {
+            Row row = peer.watchCache().leaderRow();
+            answer.accept(row == null ? new Row(StoreModel.LEADER, "", 0, 0) : row);
+          }
+        },
+        LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
+        this::onLeaderReported);
+  }
+
+  private void onLeaderReported(Map<String, Row> answers) {
+    for (Row row : answers.values()) {
+      if (!"".equals(row.value())) {
+        reportedLeader = (String) row.value();
+        askReportedLeader(row, reachability());
+        return;
+      }
+    }
+  }
+
+  /** A leader that reaches workers goes on until the other one is known to reach them, too. */
+  private void askReportedLeader(Row row, WorkerReachability.Measurement own) {
+    askPeers(
+        (ControllerModel peer, Consumer<WorkerReachability.Measurement> answer) -> {
+          if (peer.name.equals(row.value())) {
+            answer.accept(peer.peers().reachability());
+          }
+        },
+        LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
+        (Map<String, WorkerReachability.Measurement> answers) -> {
+          boolean reachesFew =
+              answers.values().stream().anyMatch(WorkerReachability.Measurement::reachesFew);
+          if (controller.term() == null || !own.reachesEnough() || !reachesFew) {
+            controller.election().onLeaderObserved(row.revision());
+          }
+        });
+  }
+
+  private void transferLeadership(LeaderTermModel term, List<Candidacy.PeerStatus> statuses) {
+    if (!term.isCurrent()) {
+      return;
+    }
+    Candidacy.LeadershipTransfer transfer =
+        candidacy.handOverTarget(
+            term.scheduler().observedShare(),
+            statuses,
+            simulation.controllers.size() - 1,
+            term.beganMs(),
+            controller.clock());
+    if (transfer == null) {
+      return;
+    }
+    askPeers(
+        (ControllerModel peer, Consumer<Boolean> answer) -> {
+          if (transfer.successor() != null && !transfer.successor().equals(peer.name)) {
+            peer.peers().candidacy.deferToSuccessor(peer.clock());
+          }
+          answer.accept(true);
+        },
+        LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
+        answers -> controller.election().resign(term, "hands over to " + transfer.successor()));
+  }
+
+  /** Asks all peers to probe machines; {@code done} gets their results. */
+  void probeThroughPeers(
+      Decision.ProbeThroughPeers probe,
+      long timeoutMs,
+      Consumer<List<Decision.PeerProbeResult>> done) {
+    askPeers(
+        (ControllerModel peer, Consumer<Decision.PeerProbeResult> answer) ->
+            peer.peers().probeForPeer(probe, answer),
+        timeoutMs,
+        (Map<String, Decision.PeerProbeResult> answers) ->
+            done.accept(new ArrayList<>(answers.values())));
+  }
+
+  private void probeForPeer(
+      Decision.ProbeThroughPeers probe, Consumer<Decision.PeerProbeResult> answer) {
+    List<Decision.MachineAddress> machines = new ArrayList<>(probe.suspects());
+    machines.addAll(probe.controls());
+    Set<String> reached = new HashSet<>();
+    Set<String> unreached = new HashSet<>();
+    for (Decision.MachineAddress machine : machines) {
+      probeWorker(
+          machine.address(),
+          Scheduler.PEER_PROBE_TIMEOUT_MS,
+          answered -> {
+            boolean control = probe.controls().contains(machine);
+            boolean counted =
+                controller.mutated(Mutation.PEER_PROBES_ALWAYS_FAIL) ? control : answered;
+            (counted ? reached : unreached).add(machine.machineName());
+            if (reached.size() + unreached.size() == machines.size()) {
+              answer.accept(new Decision.PeerProbeResult(reached, unreached));
+            }
+          });
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/RandomSetup.java
@@ -0,0 +1,58 @@
+package org.astershift.simulation;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import org.astershift.simulation.Simulation.Setup;
+
+/**
+ * What kinds of faults and work occur in a randomized scenario. Drawn apart from the simulation's
+ * own random numbers, so that either may change alone.
+ */
+final class RandomSetup {
+  final Setup setup;
+
+  /** A bit for each kind of fault: {@link FaultInjector}. */
+  final int faultKinds;
+
+  /** A bit for each kind of fault around users: {@link UserFaultInjector}. */
+  final int userFaultKinds;
+
+  final boolean withTeamLimit;
+
+  /** Share of the heartbeats of which a duplicate is kept for the next leader. */
+  final double duplicateKeepShare;
+
+  /** Share of the heartbeats that are held back until a new leader has acted. */
+  final double heartbeatHoldShare;
+
+  /** Several teams at their limits, with sizes, accelerators and priorities. */
+  final boolean withTeams;
+
+  /** A third of the jobs are gangs. */
+  final boolean withGangs;
+
+  /** There are spot machines, which are preempted, and jobs that may use them. */
+  final boolean withSpot;
+
+  /** Tasks fail on some machines, so that these are drained and released. */
+  final boolean withFaultyMachines;
+
+  /** The order of the draws is part of each seed's scenario. */
+  RandomSetup(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    int controllers = random.nextBoolean() ? 3 : 5;
+    List<String> zones = random.nextBoolean() ? List.of("a", "b", "c") : List.of("a", "b");
+    setup = new Setup(controllers, 20 + random.nextInt(20), zones, 2000, 14_000);
+    faultKinds = 1 + random.nextInt((1 << FaultInjector.KINDS) - 1);
+    withTeamLimit = random.nextInt(3) == 0;
+    int likelyKinds = random.nextInt(1 << UserFaultInjector.KINDS);
+    // Each kind in a quarter of the seeds.
+    userFaultKinds = likelyKinds & random.nextInt(1 << UserFaultInjector.KINDS);
+    duplicateKeepShare = random.nextInt(3) == 0 ? 0.2 : 0;
+    heartbeatHoldShare = random.nextInt(3) == 0 ? 0.02 + 0.2 * random.nextDouble() : 0;
+    withTeams = random.nextInt(3) == 0;
+    withGangs = random.nextBoolean();
+    withSpot = random.nextInt(3) == 0;
+    withFaultyMachines = random.nextInt(4) == 0;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/RandomizedWorkload.java
@@ -0,0 +1,114 @@
+package org.astershift.simulation;
+
+import java.util.List;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.scheduler.MachineType;
+import org.astershift.scheduler.Priority;
+import org.astershift.scheduler.ServiceLevelObjective;
+import org.astershift.scheduler.Team;
+
+/** The machines, teams and jobs of a randomized scenario. */
+final class RandomizedWorkload {
+  /** Jobs beside the services and streams. */
+  static final int JOBS = 40;
+
+  private static final String SPOT_TYPE = "brief";
+  private static final int SPOT_MACHINES = 9;
+  private static final int LIMITED_TEAMS = 3;
+
+  private final Simulation simulation;
+  private final RandomSetup drawn;
+
+  RandomizedWorkload(Simulation simulation, RandomSetup drawn) {
+    this.simulation = simulation;
+    this.drawn = drawn;
+    simulation.teamCpuLimit = drawn.withTeamLimit ? 3 * drawn.setup.machines() : 0;
+    if (drawn.withSpot) {
+      addSpotMachines();
+    }
+    if (drawn.withTeams) {
+      addTeams();
+    }
+  }
+
+  /** Beside the services' team there are three that come to their limits, and urgent work. */
+  private void addTeams() {
+    List<String> zones = simulation.setup.zones();
+    simulation.cloud.addType(new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, zones));
+    simulation.teams.put("team", new Team("team", 0, simulation.teamCpuLimit, 0, 0));
+    for (int i = 0; i < LIMITED_TEAMS; i++) {
+      simulation.teams.put("t" + i, new Team("t" + i, 4, 10, 1, 3));
+      String zone = zones.get(i % zones.size());
+      simulation.cloud.addMachine("vm-acc" + i, new CloudModel.Kind("accel", zone, i == 0), true);
+    }
+    simulation.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
+  }
+
+  private void addSpotMachines() {
+    List<String> zones = simulation.setup.zones();
+    simulation.cloud.addType(new MachineType(SPOT_TYPE, 4, 0, 16, 50, 0.5, 2, 0.1, 10, zones));
+    for (int i = 0; i < SPOT_MACHINES; i++) {
+      String zone = zones.get(i % zones.size());
+      simulation.cloud.addMachine("vm-spot" + i, new CloudModel.Kind(SPOT_TYPE, zone, true), true);
+    }
+  }
+
+  /** Replicas of all services. */
+  int replicas() {
+    return 2 * drawn.setup.machines() + (drawn.withSpot ? SPOT_MACHINES : 0);
+  }
+
+  /** The services are submitted now, the other jobs in the course of the scenario. */
+  void submit() {
+    int replicas = 2 * drawn.setup.machines();
+    simulation.submit(JobDraft.job("wk-0", JobKind.SERVICE, replicas), null);
+    if (drawn.withSpot) {
+      JobDraft draft = JobDraft.array("wk-spot", SPOT_MACHINES).kind(JobKind.SERVICE).spot();
+      simulation.submit(draft.only(SPOT_TYPE).spec(), null);
+    }
+    for (int i = 1; i <= JOBS; i++) {
+      int id = i;
+      simulation.after(simulation.random.nextLong(110_000), () -> submitJob(id));
+    }
+  }
+
+  /** Every other job is on record at once; the others come through their users. */
+  private void submitJob(int id) {
+    long runMs = simulation.random.nextBoolean() ? 5_000L : 25_000L;
+    JobSpec spec = draw(id);
+    boolean cancelled = simulation.random.nextBoolean();
+    long afterMs = simulation.random.nextLong(40_000);
+    if (id % 2 == 0) {
+      simulation.submit(spec, runMs);
+    } else {
+      Runnable cancel = () -> simulation.after(afterMs, () -> simulation.userCancels(spec.id()));
+      simulation.userSubmits(spec, runMs, cancelled ? cancel : () -> {});
+    }
+  }
+
+  private JobSpec draw(int id) {
+    int placement = simulation.random.nextInt(8);
+    JobDraft draft = JobDraft.array("wk-" + id, 1 + simulation.random.nextInt(4));
+    draft = placement == 1 ? draft.oneZone() : placement == 2 ? draft.spread() : draft;
+    if (placement == 3) {
+      List<String> zones = simulation.setup.zones();
+      draft = draft.zone(zones.get(simulation.random.nextInt(zones.size())));
+    }
+    draft = drawn.withSpot && id % 2 == 0 ? draft.spot() : draft;
+    boolean gang = drawn.withGangs && id % 3 == 0;
+    if (gang) {
+      draft = draft.kind(JobKind.GANG).saves(id % 2 == 0 ? 1.5 : 0);
+      draft = id % 4 == 0 && placement != 2 ? draft.oneZone() : draft;
+    }
+    return (drawn.withTeams ? withTeam(draft, id, gang) : draft).spec();
+  }
+
+  private static JobDraft withTeam(JobDraft job, int id, boolean gang) {
+    JobDraft draft = job.of("t" + id % 3).takes(1 + id % 2, 0);
+    draft = gang ? draft : draft.saves(id % 5 == 0 ? 2 : 0);
+    // A gang of four such tasks would be beyond its team's limit.
+    draft = id % 7 == 0 && !gang ? draft.takes(1, 1) : draft;
+    return id % 4 == 0 ? draft.in("u", Priority.HIGH) : draft;
+  }
+}
--- a/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
@@ -1,5 +1,8 @@
 package org.astershift.simulation;
 
+import static org.astershift.simulation.CombinedFaults.LeaderFault;
+import static org.astershift.simulation.CombinedFaults.apply;
+import static org.astershift.simulation.CombinedFaults.assertServed;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,13 +25,6 @@
   private static final int REPLICAS = 12;
   private static final long NOTICE_MS = 12_000;
 
-  /** What becomes of the leader. */
-  private enum Fate {
-    CRASHES,
-    HANDS_OVER,
-    PAUSES
-  }
-
   /** How long before they are taken machines are told, against what they are told. */
   private enum Notice {
     NONE(0),
@@ -64,34 +60,6 @@
     return simulation;
   }
 
-  private static void apply(Simulation simulation, Fate fate) {
-    ControllerModel old = simulation.onlyLeader();
-    switch (fate) {
-      case CRASHES -> {
-        old.crash();
-        simulation.after(300 + simulation.random.nextLong(4000), old::start);
-      }
-      case HANDS_OVER -> old.resign();
-      default -> old.freeze(4000 + simulation.random.nextLong(6000));
-    }
-  }
-
-  /** So long later all replicas run, all else is done, and no rule was broken. */
-  private static void assertServed(Simulation simulation, double afterS) {
-    simulation.healAll();
-    simulation.starvationCheck.onFaultsHealed();
-    simulation.runTo(simulation.now() / 1000.0 + afterS);
-    assertEquals(
-        List.of(),
-        simulation.checker.violations,
-        () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
-    for (String job : simulation.users.accepted()) {
-      String message = "seed " + simulation.seed + ": " + job + " is left\n";
-      boolean ends = simulation.users.runMsOf(job, 0) != null;
-      assertTrue(!ends || simulation.checker.isEnded(job), () -> message + simulation.fullLog());
-    }
-  }
-
   /**
    * Most spot machines are taken back within seconds, and the leader ends as they are told, as they
    * go, or in between; in half of the seeds one cannot be reached from the notice on.
@@ -103,7 +71,7 @@
     int broken = 0;
     int played = 0;
     for (Notice notice : Notice.values()) {
-      for (Fate fate : Fate.values()) {
+      for (LeaderFault fault : LeaderFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = loadedSimulation(seed);
           List<String> spot = new ArrayList<>();
@@ -122,7 +90,7 @@
           long goMs = Math.round(NOTICE_MS * notice.times);
           simulation.after(
               List.of(500L, goMs / 2, goMs + 1000).get((int) (seed % 3)),
-              () -> apply(simulation, fate));
+              () -> apply(simulation, simulation.onlyLeader(), fault));
           simulation.runTo(20 + goMs / 1000.0);
           moved += REPLICAS - simulation.checker.tasksOnMachines("wk-s");
           boolean back =
@@ -158,7 +126,7 @@
     int halted = 0;
     int saved = 0;
     int played = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
         Simulation simulation = loadedSimulation(seed);
         String type = CloudModel.TYPE;
@@ -173,7 +141,8 @@
           simulation.after(
               300L * i, () -> simulation.userSubmits(draft.only(type).spec(), 4_000L, () -> {}));
         }
-        simulation.after(1000 + 500 * seed, () -> apply(simulation, fate));
+        simulation.after(
+            1000 + 500 * seed, () -> apply(simulation, simulation.onlyLeader(), fault));
         simulation.runTo(70);
         halted += simulation.checker.stopped;
         saved += simulation.gangs.stoppedInOrder;
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/TaskModel.java
@@ -0,0 +1,37 @@
+package org.astershift.simulation;
+
+import org.astershift.scheduler.Heartbeat;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+
+/** An attempt of a task on a worker; exited ones stay until they are forgotten. */
+final class TaskModel {
+  final WorkerModel worker;
+  final String job;
+  final int index;
+  final long attempt;
+  Heartbeat.TaskPhase phase = Heartbeat.TaskPhase.FETCHING;
+
+  /** Why it exited; null before. */
+  String cause;
+
+  TaskModel(WorkerModel worker, String job, int index, long attempt) {
+    this.worker = worker;
+    this.job = job;
+    this.index = index;
+    this.attempt = attempt;
+  }
+
+  String name() {
+    return job + "/" + index;
+  }
+
+  boolean isExited() {
+    return phase == Heartbeat.TaskPhase.EXITED;
+  }
+
+  boolean isGang(Simulation simulation) {
+    JobSpec spec = simulation.users.spec(job);
+    return spec != null && spec.kind() == JobKind.GANG;
+  }
+}
--- a/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
@@ -1,11 +1,17 @@
 package org.astershift.simulation;
 
+import static org.astershift.simulation.CombinedFaults.LeaderFault;
+import static org.astershift.simulation.CombinedFaults.addAcceleratorMachines;
+import static org.astershift.simulation.CombinedFaults.apply;
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.nowS;
+import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.LongFunction;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
 import org.astershift.scheduler.MachineType;
@@ -25,13 +31,6 @@
   private static final int MUTANT_SEEDS = 40;
   private static final List<String> TEAMS = List.of("red", "green", "blue");
 
-  /** What becomes of the leader. */
-  private enum Fate {
-    CRASHES,
-    HANDS_OVER,
-    PAUSES
-  }
-
   /** When that happens, counted from the cancellations. */
   private enum When {
     BEFORE(-1500),
@@ -51,7 +50,7 @@
     PAUSED
   }
 
-  private record FaultCase(Fate fate, When when, Trouble trouble) {}
+  private record FaultCase(LeaderFault fault, When when, Trouble trouble) {}
 
   /** What a played meeting brought about. */
   private static final class Played {
@@ -73,23 +72,10 @@
     }
   }
 
-  private static void assertSound(Simulation simulation) {
-    assertEquals(
-        List.of(),
-        simulation.checker.violations,
-        () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
-  }
-
   /** Three teams with limits far below what there is; more of each waits than its limit allows. */
   private static Simulation limitedSimulation(long seed, Mutation... mutations) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
-    simulation.mutations.addAll(List.of(mutations));
-    simulation.cloud.addType(
-        new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, simulation.setup.zones()));
-    for (int i = 0; i < 6; i++) {
-      String zone = simulation.setup.zones().get(i % 3);
-      simulation.cloud.addMachine("vm-acc" + i, new CloudModel.Kind("accel", zone, false), true);
-    }
+    Simulation simulation = CombinedFaults.simulation(seed, 12, mutations);
+    addAcceleratorMachines(simulation);
     for (String team : TEAMS) {
       simulation.teams.put(team, new Team(team, 4, 10, 1, 3));
     }
@@ -192,7 +178,7 @@
         () -> machines.forEach(machine -> applyToMachines(simulation, faultCase, machine, forMs)));
     simulation.after(
         cancelMs + faultCase.when.ms - simulation.now(),
-        () -> apply(simulation, old, faultCase.fate));
+        () -> apply(simulation, old, faultCase.fault));
     for (String job : jobs) {
       simulation.after(
           cancelMs + simulation.random.nextLong(200) - simulation.now(),
@@ -212,7 +198,7 @@
         controller ->
             machines.forEach(machine -> simulation.delayLink(controller.name, machine, 0)));
     simulation.starvationCheck.onFaultsHealed();
-    simulation.runTo(simulation.now() / 1000.0 + 25);
+    runForS(simulation, 25);
     return played;
   }
 
@@ -231,17 +217,6 @@
     }
   }
 
-  private static void apply(Simulation simulation, ControllerModel old, Fate fate) {
-    switch (fate) {
-      case CRASHES -> {
-        old.crash();
-        simulation.after(300 + simulation.random.nextLong(4000), old::start);
-      }
-      case HANDS_OVER -> old.resign();
-      default -> old.freeze(4000 + simulation.random.nextLong(6000));
-    }
-  }
-
   /** Every team is at its limit while jobs are called off whose machines do not answer. */
   @Test
   void jobsCancelledWhileTeamsAreAtLimit() {
@@ -249,11 +224,11 @@
     int atLimit = 0;
     int onTroubled = 0;
     int started = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (When when : When.values()) {
         for (Trouble trouble : Trouble.values()) {
           for (long seed = 1; seed <= SEEDS; seed++) {
-            Played play = cancelled(new FaultCase(fate, when, trouble), seed);
+            Played play = cancelled(new FaultCase(fault, when, trouble), seed);
             assertSound(play.simulation);
             assertTrue(play.leaderChanged, play.simulation.fullLog());
             played++;
@@ -267,23 +242,14 @@
     assertEquals(3 * played, atLimit, "teams at their limits in " + played + " cases");
     assertTrue(onTroubled >= 6 * played, onTroubled + " tasks on machines in trouble");
     assertTrue(started >= 3 * played, started + " started meanwhile");
-    FaultCase faultCase = new FaultCase(Fate.CRASHES, When.BEFORE, Trouble.CUT_OFF);
+    FaultCase faultCase = new FaultCase(LeaderFault.CRASHES, When.BEFORE, Trouble.CUT_OFF);
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
+        MUTANT_SEEDS,
+        "quota",
         s -> cancelled(faultCase, s, Mutation.NO_INHERITED_MACHINES).simulation);
   }
 
-  /** Without the fence a limit is broken. */
-  private static void assertDetected(Mutation mutation, LongFunction<Simulation> played) {
-    for (long seed = 1; seed <= MUTANT_SEEDS; seed++) {
-      List<String> broken = played.apply(seed).checker.violations;
-      if (broken.stream().anyMatch(b -> b.startsWith("quota"))) {
-        return;
-      }
-    }
-    assertEquals("missed", "not missed", mutation + " taken away");
-  }
-
   /**
    * The leader changes, the next one cannot ask a zone's machines, or they hear nothing of what it
    * says, and jobs are called off while it waits for them; all teams are at their limits.
@@ -292,28 +258,32 @@
   void jobsCancelledWhileMachinesCannotBeProbed() {
     int inTheSpell = 0;
     int startedInIt = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (boolean inboundPartitioned : new boolean[] {false, true}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          PartitionPlay spell = playPartition(fate, inboundPartitioned, seed);
+          PartitionPlay spell = playPartition(fault, inboundPartitioned, seed);
           assertSound(spell.simulation);
           inTheSpell += spell.cancelled;
           startedInIt += spell.started;
         }
       }
     }
-    int played = Fate.values().length * 2 * SEEDS;
+    int played = LeaderFault.values().length * 2 * SEEDS;
     assertTrue(inTheSpell >= 3 * played, inTheSpell + " called off in the spell");
     assertTrue(startedInIt >= played, startedInIt + " started in the spell");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
-        s -> playPartition(Fate.CRASHES, s % 2 == 0, s, Mutation.NO_INHERITED_MACHINES).simulation);
+        MUTANT_SEEDS,
+        "quota",
+        s ->
+            playPartition(LeaderFault.CRASHES, s % 2 == 0, s, Mutation.NO_INHERITED_MACHINES)
+                .simulation);
   }
 
   private record PartitionPlay(Simulation simulation, int cancelled, int started) {}
 
   private static PartitionPlay playPartition(
-      Fate fate, boolean inboundPartitioned, long seed, Mutation... mutations) {
+      LeaderFault fault, boolean inboundPartitioned, long seed, Mutation... mutations) {
     Simulation simulation = limitedSimulation(seed, mutations);
     ControllerModel old = simulation.leaders().get(0);
     String zone = "zone " + simulation.setup.zones().get((int) (seed % 3));
@@ -325,13 +295,13 @@
       }
       simulation.after(forMs, () -> simulation.healBoth(controller.name, zone));
     }
-    apply(simulation, old, fate);
+    apply(simulation, old, fault);
     boolean began =
         simulation.runUntil(
             () -> simulation.leaders().stream().anyMatch(controller -> controller != old),
-            simulation.now() / 1000.0 + 20);
+            nowS(simulation) + 20);
     assertTrue(began, simulation.fullLog());
-    simulation.runTo(simulation.now() / 1000.0 + 0.2 * (seed % 3));
+    runForS(simulation, 0.2 * (seed % 3));
     int cancelled = 0;
     int before = simulation.checker.started;
     for (String team : TEAMS) {
@@ -343,12 +313,12 @@
       simulation.userSubmits(
           JobDraft.array("wk-late-" + team, 2).of(team).spec(), 300_000L, () -> {});
     }
-    simulation.runTo(simulation.now() / 1000.0 + 6);
+    runForS(simulation, 6);
     int started = simulation.checker.started - before;
     simulation.runTo((simulation.now() + forMs) / 1000.0 + 5);
     simulation.healAll();
     simulation.starvationCheck.onFaultsHealed();
-    simulation.runTo(simulation.now() / 1000.0 + 25);
+    runForS(simulation, 25);
     return new PartitionPlay(simulation, cancelled, started);
   }
 
@@ -381,7 +351,7 @@
                   () -> zoneBoundSimulation(simulation) == 12, (since + 90_000) / 1000.0),
               simulation.fullLog());
           longestMs = Math.max(longestMs, simulation.now() - since);
-          simulation.runTo(simulation.now() / 1000.0 + 20);
+          runForS(simulation, 20);
           assertSound(simulation);
         }
       }
@@ -432,7 +402,7 @@
       ControllerModel old = simulation.leaders().get(0);
       simulation.after(
           simulation.random.nextLong(forMs),
-          () -> apply(simulation, old, Fate.values()[(int) simulation.seed % 3]));
+          () -> apply(simulation, old, LeaderFault.values()[(int) simulation.seed % 3]));
     }
     simulation.runTo((22_000 + forMs) / 1000.0);
     boolean empty = there.stream().noneMatch(name -> simulation.workers.get(name).alive());
@@ -452,12 +422,12 @@
     int preempted = 0;
     int waitedAfter = 0;
     long longest = 0;
-    for (Fate fate : Fate.values()) {
+    for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = overloadedSimulation(seed);
         ControllerModel old = simulation.leaders().get(0);
         simulation.after(
-            20_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fate));
+            20_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fault));
         simulation.runTo(60);
         playSlowLinks(simulation, 0);
         waitedAfter += waiting(simulation);
@@ -470,7 +440,7 @@
         assertSound(simulation);
       }
     }
-    int played = Fate.values().length * SEEDS;
+    int played = LeaderFault.values().length * SEEDS;
     assertTrue(preempted >= played, preempted + " stopped for urgent work");
     assertTrue(longest > 30_000, "the longest wait beside room " + longest + " ms");
     assertTrue(waitedAfter >= 50 * played, waitedAfter + " waited when the troubles were over");
--- a/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -1,8 +1,10 @@
 package org.astershift.simulation;
 
-import static org.astershift.simulation.CombinedFaultsTest.assertDetected;
-import static org.astershift.simulation.CombinedFaultsTest.assertSound;
-import static org.astershift.simulation.CombinedFaultsTest.loadedSimulation;
+import static org.astershift.simulation.CombinedFaults.ENDLESS_MS;
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.runForS;
+import static org.astershift.simulation.CombinedFaults.withArrays;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +14,6 @@
 import java.util.List;
 import org.astershift.controller.LoopTiming;
 import org.astershift.scheduler.JobKind;
-import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -21,7 +22,7 @@
  */
 class UserCombinedFaultsTest {
   private static final int SEEDS = 6;
-  private static final long LONG_MS = 300_000;
+  private static final int MUTANT_SEEDS = 80;
 
   /** How one controller's work comes to another. */
   private enum Change {
@@ -63,9 +64,7 @@
       int tasks = 1 + i % 3;
       simulation.after(
           simulation.random.nextLong(withinMs),
-          () ->
-              simulation.userSubmits(
-                  SimulationTest.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
+          () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
     }
   }
 
@@ -93,12 +92,12 @@
     assertTrue(cancelled > 100, cancelled + " cancelled at once");
     for (Mutation mutation :
         List.of(Mutation.JOIN_REQUEST_IN_FLIGHT, Mutation.ANSWER_FROM_WATCH_CACHE)) {
-      assertDetected(mutation, seed -> playCloseQueries(seed, Change.NONE, mutation));
+      assertDetected(mutation, MUTANT_SEEDS, seed -> playCloseQueries(seed, Change.NONE, mutation));
     }
   }
 
   private static Simulation playCloseQueries(long seed, Change change, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     simulation.threadStallMs = seed % 2 == 0 ? 1500 : 0;
     simulation.users.closeQueryShare = 1;
     simulation.users.cancelOnAcceptShare = 0.3;
@@ -132,11 +131,12 @@
     }
     assertDetected(
         Mutation.ANSWER_WHILE_ENDING,
+        MUTANT_SEEDS,
         seed -> playLostAnswers(seed, Change.NONE, Mutation.ANSWER_WHILE_ENDING));
   }
 
   private static Simulation playLostAnswers(long seed, Change change, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     simulation.users.closeQueryShare = 1;
     simulation.users.cancelOnAcceptShare = 0.2;
     simulation.pollAllJobs();
@@ -181,12 +181,14 @@
     assertTrue(starting > 100, starting + " tasks left as their job was confirmed");
     Mutation mutation = Mutation.CONFIRM_CANCEL_WHILE_STARTING;
     assertDetected(
-        mutation, seed -> playChangeOfHands(seed, Change.HANDS_OVER, 25 * (int) seed, mutation));
+        mutation,
+        MUTANT_SEEDS,
+        seed -> playChangeOfHands(seed, Change.HANDS_OVER, 25 * (int) seed, mutation));
   }
 
   private static Simulation playChangeOfHands(
       long seed, Change change, int afterMs, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 16, mutations);
+    Simulation simulation = withArrays(seed, 16, 3, mutations);
     simulation.store.answerDelayMs = seed % 2 == 0 ? 1500 : 0; // the next leader's mirror lags
     // Half of these are accepted within the last moments before it.
     for (int i = 0; i < 12; i++) {
@@ -194,8 +196,7 @@
       long atMs = i < 6 ? 0 : 600 + simulation.random.nextLong(300);
       simulation.after(
           atMs,
-          () ->
-              simulation.userSubmits(SimulationTest.job(job, JobKind.ARRAY, 2), LONG_MS, () -> {}));
+          () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), ENDLESS_MS, () -> {}));
     }
     simulation.after(
         1000,
@@ -234,11 +235,12 @@
     assertTrue(looks > 5000, looks + " looks");
     assertDetected(
         Mutation.OVERWRITE_JOB_END,
+        MUTANT_SEEDS,
         seed -> playCancellationAtEnd(seed, Mutation.OVERWRITE_JOB_END));
   }
 
   private static Simulation playCancellationAtEnd(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 16, mutations);
+    Simulation simulation = withArrays(seed, 16, 3, mutations);
     simulation.users.closeQueryShare = 1;
     simulation.users.cancelAtEndShare = 1;
     simulation.pollAllJobs();
@@ -277,6 +279,7 @@
     assertTrue(withUncertainLease > 500, withUncertainLease + " reports answered in doubt");
     assertDetected(
         Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE,
+        MUTANT_SEEDS,
         seed ->
             playRefusal(seed, 4 + (int) seed % 12, true, Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE)
                 .simulation);
@@ -286,7 +289,7 @@
 
   private static RefusalPlay playRefusal(
       long seed, int afterMs, boolean hands, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     for (int i = 10; i < 16; i++) {
       simulation.userCancels("wk-" + i);
@@ -304,7 +307,7 @@
       simulation.runTo((simulation.now() + 10) / 1000.0);
     }
     simulation.store.refuse(old.name, true);
-    simulation.runTo(simulation.now() / 1000.0 + 1);
+    runForS(simulation, 1);
     int onRecord = 0;
     for (int i = 10; i < 16; i++) {
       onRecord += simulation.store.get("d/wk-" + i) == null ? 0 : 1;
@@ -315,7 +318,7 @@
     int withUncertainLease = old.answeredWithUncertainLease() - before;
     simulation.store.refuse(old.name, false);
     simulation.store.unavailable(false);
-    simulation.runTo(simulation.now() / 1000.0 + 40);
+    runForS(simulation, 40);
     return new RefusalPlay(simulation, onRecord, withUncertainLease);
   }
 
@@ -345,14 +348,14 @@
     assertTrue(most < LoopTiming.CANCEL_WAIT_MS, quietMs.toString());
     assertDetected(
         Mutation.CONFIRM_CANCEL_WHILE_STARTING,
+        MUTANT_SEEDS,
         seed -> playStream(seed, Change.NONE, Mutation.CONFIRM_CANCEL_WHILE_STARTING));
   }
 
   private static Simulation playStream(long seed, Change change, Mutation... mutations) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, 20));
-    simulation.mutations.addAll(List.of(mutations));
+    Simulation simulation = CombinedFaults.simulation(seed, 20, mutations);
     simulation.runTo(4);
-    simulation.submit(SimulationTest.job("wk-1", JobKind.SERVICE, 20), null);
+    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, 20), null);
     simulation.runTo(15);
     simulation.users.stream(1000, 480, 4000);
     simulation.after(60_000, () -> apply(simulation, change));
@@ -378,11 +381,12 @@
     assertTrue(confirmed > 100, confirmed + " confirmed");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
+        MUTANT_SEEDS,
         seed -> playTenLeaders(seed, true, Mutation.NO_INHERITED_MACHINES));
   }
 
   private static Simulation playTenLeaders(long seed, boolean outage, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 12, mutations);
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
     simulation.users.closeQueryShare = 0.5;
     simulation.users.cancelOnAcceptShare = 0.2;
     simulation.pollAllJobs();
--- a/src/test/java/org/astershift/simulation/UserModel.java
+++ b/src/test/java/org/astershift/simulation/UserModel.java
@@ -139,7 +139,7 @@
       Runnable then = () -> simulation.after(afterMs, () -> cancel(job));
       simulation.after(
           i * 250L + simulation.random.nextLong(250),
-          () -> submit(SimulationTest.job(job, JobKind.ARRAY, 1), ms, cancels ? then : () -> {}));
+          () -> submit(JobDraft.job(job, JobKind.ARRAY, 1), ms, cancels ? then : () -> {}));
     }
   }
 
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/WorkerTasks.java
@@ -0,0 +1,201 @@
+package org.astershift.simulation;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.astershift.scheduler.Command;
+import org.astershift.scheduler.Heartbeat;
+import org.astershift.scheduler.JobSpec;
+
+/** The tasks on a worker: they fetch their image, run, save, exit, and are forgotten. */
+final class WorkerTasks {
+  /** How long after its start a task on a faulty machine fails. */
+  static final long FAILS_AFTER_MS = 300;
+
+  private static final long IMAGE_FETCH_MS = 800;
+
+  private final WorkerModel worker;
+  private final Simulation simulation;
+  private final Map<String, TaskModel> tasks = new LinkedHashMap<>();
+
+  WorkerTasks(WorkerModel worker, Simulation simulation) {
+    this.worker = worker;
+    this.simulation = simulation;
+  }
+
+  void execute(Command command) {
+    simulation.digest.command(simulation.now(), worker.name, command);
+    String key = command.jobId() + "/" + command.index() + "@" + command.attemptNumber();
+    TaskModel task = tasks.get(key);
+    switch (command.kind()) {
+      case START -> {
+        if (task == null) {
+          start(key, command);
+        }
+      }
+      case STOP -> {
+        if (task != null) {
+          simulation.checker.stopped += task.isExited() ? 0 : 1;
+          stop(task, command.graceS());
+        }
+      }
+      case FORGET -> {
+        if (task != null && task.isExited()) {
+          tasks.remove(key);
+        }
+      }
+      default -> throw new IllegalArgumentException(command.toString());
+    }
+  }
+
+  private void start(String key, Command command) {
+    String job = command.jobId();
+    int index = command.index();
+    TaskModel task = new TaskModel(worker, job, index, command.attemptNumber());
+    tasks.put(key, task);
+    worker.onTaskStarted();
+    simulation.checker.onTaskStarted(task.name(), worker.name, command.attemptNumber());
+    if (task.isGang(simulation)) {
+      worker.afterWork(IMAGE_FETCH_MS, () -> whenRunning(task, () -> onGangImageFetched(task)));
+      return;
+    }
+    worker.afterWork(IMAGE_FETCH_MS, () -> moveTo(task, Heartbeat.TaskPhase.RUNNING, null));
+    failIfFaulty(task, IMAGE_FETCH_MS + FAILS_AFTER_MS);
+    Long runMs = simulation.users.runMsOf(job, index);
+    if (runMs != null) {
+      simulation.users.started(job, index, IMAGE_FETCH_MS + runMs);
+      worker.afterWork(
+          IMAGE_FETCH_MS + runMs, () -> moveTo(task, Heartbeat.TaskPhase.EXITED, "done"));
+    }
+  }
+
+  private void onGangImageFetched(TaskModel task) {
+    if (task.phase == Heartbeat.TaskPhase.FETCHING) {
+      simulation.gangs.onImageFetched(task);
+    }
+  }
+
+  /** On a faulty machine the task fails so long from now. */
+  void failIfFaulty(TaskModel task, long ms) {
+    if (worker.faulty) {
+      worker.afterWork(ms, () -> moveTo(task, Heartbeat.TaskPhase.EXITED, "error"));
+    }
+  }
+
+  /** A task that can save does so first, if it is given the time for it. */
+  private void stop(TaskModel task, double graceS) {
+    JobSpec spec = simulation.users.spec(task.job);
+    boolean saves =
+        spec != null && spec.checkpointIntervalS() > 0 && graceS >= spec.checkpointSaveS();
+    if (task.isGang(simulation)
+        && (task.phase == Heartbeat.TaskPhase.RUNNING
+            || task.phase == Heartbeat.TaskPhase.SAVING)) {
+      simulation.gangs.stop(task, saves);
+    } else if (saves && task.phase == Heartbeat.TaskPhase.RUNNING) {
+      task.phase = Heartbeat.TaskPhase.SAVING;
+      long ms = Math.round(spec.checkpointSaveS() * 1000);
+      worker.afterWork(ms, () -> moveTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
+    } else if (!saves || task.phase != Heartbeat.TaskPhase.SAVING) {
+      moveTo(task, Heartbeat.TaskPhase.EXITED, "halted");
+    }
+  }
+
+  /** The task moves on, unless it has exited or the worker's lease has expired. */
+  void moveTo(TaskModel task, Heartbeat.TaskPhase phase, String cause) {
+    if (!worker.alive() || !tasks.containsValue(task) || task.isExited()) {
+      return;
+    }
+    if (worker.leaseExpired()) {
+      worker.expireLease();
+      return;
+    }
+    task.phase = phase;
+    task.cause = cause;
+    simulation.digest.phase(simulation.now(), task.name(), worker.name, phase, cause);
+    Heartbeat.TaskPhase first =
+        task.isGang(simulation) ? Heartbeat.TaskPhase.WAITING : Heartbeat.TaskPhase.RUNNING;
+    if (phase == first) {
+      simulation.checker.onImageFetched(task.name(), worker.name);
+    } else if ("done".equals(cause)) {
+      simulation.users.completed(task.job, task.index);
+    }
+    if (phase == Heartbeat.TaskPhase.EXITED) {
+      onExited(task);
+    }
+  }
+
+  private void onExited(TaskModel task) {
+    simulation.checker.onTaskGone(task.name(), worker.name);
+    simulation.gangs.onTaskGone(task);
+    if ("done".equals(task.cause)) {
+      simulation.checker.onTaskCompleted(task.name());
+    }
+  }
+
+  /** Runs this as soon as the worker does not pause, if the task is still there. */
+  void whenRunning(TaskModel task, Runnable body) {
+    worker.serve(
+        () -> {
+          if (tasks.containsValue(task)) {
+            body.run();
+          }
+        });
+  }
+
+  /** The lease has expired: none of them goes on. */
+  void killByLease() {
+    for (TaskModel task : all()) {
+      if (!task.isExited()) {
+        simulation.checker.killedByLease++;
+        simulation.log(worker.name, "kills a task by lease expiry task=" + task.name());
+        onGone(task);
+      }
+    }
+  }
+
+  /** Nothing of them is known any more. */
+  void forget() {
+    tasks.clear();
+  }
+
+  /** The worker's process ends, and they with it. */
+  void kill() {
+    List<TaskModel> killed = all();
+    tasks.clear();
+    killed.forEach(this::onGone);
+  }
+
+  private void onGone(TaskModel task) {
+    if (!task.isExited()) {
+      simulation.checker.onTaskGone(task.name(), worker.name);
+      simulation.gangs.onTaskGone(task);
+    }
+  }
+
+  List<TaskModel> all() {
+    return new ArrayList<>(tasks.values());
+  }
+
+  List<Heartbeat.TaskStatus> statuses() {
+    List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
+    for (TaskModel task : tasks.values()) {
+      statuses.add(
+          new Heartbeat.TaskStatus(task.job, task.index, task.attempt, task.phase, task.cause));
+    }
+    return statuses;
+  }
+
+  /** Tasks that have not exited, as "job/index". */
+  List<String> liveTasks() {
+    return tasks.values().stream().filter(task -> !task.isExited()).map(TaskModel::name).toList();
+  }
+
+  int runningTasks() {
+    int running = 0;
+    for (TaskModel task : tasks.values()) {
+      running += task.phase == Heartbeat.TaskPhase.RUNNING ? 1 : 0;
+    }
+    return running;
+  }
+}
