--- a/src/test/java/org/astershift/scheduler/FuzzCloud.java
+++ b/src/test/java/org/astershift/scheduler/FuzzCloud.java
@@ -8,7 +8,7 @@
 /** The cloud: it boots, lists and deletes machines, late and with lost answers. */
 final class FuzzCloud {
   private final FuzzSimulation sim;
-  private final Map<String, List<String>> rentalAnswers = new HashMap<>();
+  private final Map<String, List<String>> provisionedMachines = new HashMap<>();
   private int machineNumber;
 
   FuzzCloud(FuzzSimulation sim) {
@@ -17,118 +17,147 @@
 
   FuzzWorker create(String type, String zone, boolean spot, long bootMs) {
     String name = String.format("vm-%06d", ++machineNumber);
-    FuzzWorker w = new FuzzWorker(sim, name, type, zone, spot);
-    w.createdMs = sim.now;
-    sim.workers.put(name, w);
-    sim.after(bootMs, w::up);
-    return w;
+    FuzzWorker worker = new FuzzWorker(sim, name, type, zone, spot);
+    worker.createdMs = sim.now;
+    sim.workers.put(name, worker);
+    sim.after(bootMs, worker::up);
+    return worker;
   }
 
-  void rent(FuzzController ctl, String name, Decision.ProvisionMachines r) {
+  void provision(FuzzController controller, String name, Decision.ProvisionMachines request) {
     sim.after(
         20 + sim.random.nextInt(sim.chance(sim.slow) ? 8000 : 200),
         () -> {
-          if (sim.cloudAway) {
-            rent(ctl, name, r);
+          if (sim.cloudDown) {
+            provision(controller, name, request);
             return;
           }
           List<String> names =
-              rentalAnswers.computeIfAbsent(
+              provisionedMachines.computeIfAbsent(
                   name,
-                  n -> {
-                    List<String> out = new ArrayList<>();
-                    long there = sim.workers.values().stream().filter(w -> w.goneMs < 0).count();
+                  workerName -> {
+                    List<String> listed = new ArrayList<>();
+                    long present =
+                        sim.workers.values().stream().filter(worker -> worker.goneMs < 0).count();
                     for (int i = 0;
-                        i < r.count() && there + i < FuzzSimulation.MOST_MACHINES;
+                        i < request.count() && present + i < FuzzSimulation.MAX_MACHINES;
                         i++) {
                       boolean quick = sim.random.nextInt(4) == 0;
-                      long ms = quick ? sim.random.nextInt(2000) : 5000 + sim.random.nextInt(9000);
-                      long boot = sim.random.nextInt(20) == 0 ? 1_000_000 : ms;
-                      out.add(create(r.typeName(), r.zone(), r.spot(), boot).name);
+                      long delayMs =
+                          quick ? sim.random.nextInt(2000) : 5000 + sim.random.nextInt(9000);
+                      long boot = sim.random.nextInt(20) == 0 ? 1_000_000 : delayMs;
+                      listed.add(
+                          create(request.typeName(), request.zone(), request.spot(), boot).name);
                     }
-                    return out;
+                    return listed;
                   });
           sim.after(
               5,
               () ->
-                  ctl.handle(
+                  controller.handle(
                       () -> {
-                        for (String m : names) {
-                          Decision.RegisterMachine e =
+                        for (String machineName : names) {
+                          Decision.RegisterMachine registration =
                               new Decision.RegisterMachine(
-                                  m, null, r.typeName(), r.zone(), r.spot(), true);
+                                  machineName,
+                                  null,
+                                  request.typeName(),
+                                  request.zone(),
+                                  request.spot(),
+                                  true);
                           sim.store.write(
-                              ctl, () -> sim.store.machines.putIfAbsent(m, e), ok -> {}, "f" + m);
+                              controller,
+                              () -> sim.store.machines.putIfAbsent(machineName, registration),
+                              ok -> {},
+                              "f" + machineName);
                         }
                         if (names.isEmpty()) {
-                          ctl.scheduler.onProvisioningFailed(name, r, true, ctl.clock());
+                          controller.scheduler.onProvisioningFailed(
+                              name, request, true, controller.clock());
                         } else {
-                          ctl.scheduler.onMachinesProvisioned(name, names, r, ctl.clock());
+                          controller.scheduler.onMachinesProvisioned(
+                              name, names, request, controller.clock());
                         }
                         sim.store.write(
-                            ctl, () -> sim.store.rentals.remove(name), ok -> {}, "i" + name);
+                            controller, () -> sim.store.rentals.remove(name), ok -> {}, "i" + name);
                       }));
         });
   }
 
-  void giveBack(FuzzController ctl, List<String> names) {
-    boolean lost = sim.chance(sim.slow) || sim.cloudAway;
+  void release(FuzzController controller, List<String> names) {
+    boolean lost = sim.chance(sim.slow) || sim.cloudDown;
     sim.after(
         10 + sim.random.nextInt(sim.chance(sim.slow) ? 8000 : 100),
         () -> {
           if (!lost) {
-            for (String n : names) {
-              FuzzWorker w = sim.workers.get(n);
-              if (w != null && w.goneMs < 0) {
-                sim.note(n + " is given back");
-                w.die(0);
-                w.deleted = true;
+            for (String workerName : names) {
+              FuzzWorker worker = sim.workers.get(workerName);
+              if (worker != null && worker.goneMs < 0) {
+                sim.logStory(workerName + " is given back");
+                worker.die(0);
+                worker.deleted = true;
               }
             }
           }
           sim.after(
               5 + sim.random.nextInt(50),
               () ->
-                  ctl.handle(
+                  controller.handle(
                       () -> {
                         if (lost) {
-                          ctl.scheduler.onReleaseFailed(names);
+                          controller.scheduler.onReleaseFailed(names);
                         } else {
-                          ctl.scheduler.onMachinesReleased(names, ctl.clock());
+                          controller.scheduler.onMachinesReleased(names, controller.clock());
                         }
                       }));
         });
   }
 
   /** A list as of some moment within twice the lag, which may be before that of the last one. */
-  void list(FuzzController ctl) {
-    if (ctl.over) {
+  void listRepeatedly(FuzzController controller) {
+    if (controller.over) {
       return;
     }
-    if (!sim.cloudAway && !ctl.paused) {
-      long asked = ctl.clock();
+    if (!sim.cloudDown && !controller.paused) {
+      long asked = controller.clock();
       sim.after(
           sim.random.nextInt(100),
           () -> {
             long asOf =
                 sim.now - (long) (sim.random.nextDouble() * 2 * FuzzSimulation.LIST_LAG_S * 1000);
-            List<Scheduler.ListedMachine> out = new ArrayList<>();
-            for (FuzzWorker w : sim.workers.values()) {
-              boolean gone = w.goneMs >= 0 && (w.deleted || w.taken) && w.goneMs <= asOf;
-              if (w.createdMs <= asOf && !gone) {
-                boolean failed = w.goneMs >= 0 && !w.deleted && !w.taken && w.goneMs < asOf - 30000;
-                String state = failed ? "failed" : w.upMs < 0 ? "starting" : "running";
-                double age = (asOf - w.createdMs) / 1000.0;
-                out.add(
+            List<Scheduler.ListedMachine> listed = new ArrayList<>();
+            for (FuzzWorker worker : sim.workers.values()) {
+              boolean gone =
+                  worker.goneMs >= 0
+                      && (worker.deleted || worker.preempted)
+                      && worker.goneMs <= asOf;
+              if (worker.createdMs <= asOf && !gone) {
+                boolean failed =
+                    worker.goneMs >= 0
+                        && !worker.deleted
+                        && !worker.preempted
+                        && worker.goneMs < asOf - 30000;
+                String state = failed ? "failed" : worker.upMs < 0 ? "starting" : "running";
+                double age = (asOf - worker.createdMs) / 1000.0;
+                listed.add(
                     new Scheduler.ListedMachine(
-                        w.name, w.name, w.type, w.zone, w.spot, state, age));
+                        worker.name,
+                        worker.name,
+                        worker.type,
+                        worker.zone,
+                        worker.spot,
+                        state,
+                        age));
               }
             }
             sim.after(
                 sim.random.nextInt(sim.chance(sim.slow) ? 4000 : 50),
-                () -> ctl.handle(() -> ctl.scheduler.onMachineList(out, asked, ctl.clock())));
+                () ->
+                    controller.handle(
+                        () ->
+                            controller.scheduler.onMachineList(listed, asked, controller.clock())));
           });
     }
-    sim.after(1500 + sim.random.nextInt(1500), () -> list(ctl));
+    sim.after(1500 + sim.random.nextInt(1500), () -> listRepeatedly(controller));
   }
 }
--- a/src/test/java/org/astershift/scheduler/FuzzController.java
+++ b/src/test/java/org/astershift/scheduler/FuzzController.java
@@ -26,7 +26,7 @@
   final Map<String, Long> cutUntil = new HashMap<>();
   final Map<String, Boolean> held = new HashMap<>();
   final List<Runnable> queued = new ArrayList<>();
-  long soleUntilMs;
+  long leaseCertainUntilMs;
   boolean storeCut;
   boolean over;
   boolean paused;
@@ -70,12 +70,12 @@
   }
 
   void over(String why) {
-    sim.note("controller " + id + " is over: " + why);
+    sim.logStory("controller " + id + " is over: " + why);
     over = true;
     sim.controllers.remove(this);
   }
 
-  void take(String job, long revision, boolean opened, BitSet done, long submitted) {
+  void adopt(String job, long revision, boolean opened, BitSet done, long submitted) {
     if (termJobs.adopt(job, revision)) {
       scheduler.addJob(sim.specs.get(job), opened, done, clock() - (sim.now - submitted));
     }
@@ -83,19 +83,25 @@
 
   void load() {
     scheduler.updateMachineTypes(sim.types);
-    for (Decision.RegisterMachine e : sim.store.machines.values()) {
-      if (e.newlyProvisioned()) {
+    for (Decision.RegisterMachine registration : sim.store.machines.values()) {
+      if (registration.newlyProvisioned()) {
         Decision.ProvisionMachines r =
-            new Decision.ProvisionMachines(e.typeName(), e.zone(), e.spot(), 1);
-        scheduler.onMachinesProvisioned("", List.of(e.machineName()), r, clock());
+            new Decision.ProvisionMachines(
+                registration.typeName(), registration.zone(), registration.spot(), 1);
+        scheduler.onMachinesProvisioned("", List.of(registration.machineName()), r, clock());
       } else {
         scheduler.addInheritedMachine(
-            e.machineName(), e.address(), e.typeName(), e.zone(), e.spot(), clock());
+            registration.machineName(),
+            registration.address(),
+            registration.typeName(),
+            registration.zone(),
+            registration.spot(),
+            clock());
       }
     }
     sim.store.live.forEach(
         (job, revision) ->
-            take(
+            adopt(
                 job,
                 revision,
                 sim.store.opened.contains(job),
@@ -105,11 +111,11 @@
     sim.store.rentals.forEach(
         (name, r) -> {
           scheduler.onProvisioningStarted(name, r);
-          sim.cloud.rent(this, name, r);
+          sim.cloud.provision(this, name, r);
         });
-    sim.note("controller " + id + " begins with token " + token);
+    sim.logStory("controller " + id + " begins with token " + token);
     pass();
-    sim.after(sim.random.nextInt(1000), () -> sim.cloud.list(this));
+    sim.after(sim.random.nextInt(1000), () -> sim.cloud.listRepeatedly(this));
     sim.after(300, this::save);
     renew();
   }
@@ -118,12 +124,15 @@
     if (over) {
       return;
     }
-    if (!sim.outage && !storeCut && !paused && sim.store.holder == this) {
-      sim.store.keyEndsMs = sim.now + FuzzSimulation.KEY_MS;
-      long sole =
-          clock() + (long) (FuzzSimulation.KEY_MS * (1 - 2 * ClockBounds.CLOCK_DRIFT_SHARE)) - 50;
+    if (!sim.storeDown && !storeCut && !paused && sim.store.holder == this) {
+      sim.store.keyEndsMs = sim.now + FuzzSimulation.LEADER_LEASE_MS;
+      long leaseCertainMs =
+          clock()
+              + (long) (FuzzSimulation.LEADER_LEASE_MS * (1 - 2 * ClockBounds.CLOCK_DRIFT_SHARE))
+              - 50;
       sim.after(
-          sim.random.nextInt(20), () -> handle(() -> soleUntilMs = Math.max(soleUntilMs, sole)));
+          sim.random.nextInt(20),
+          () -> handle(() -> leaseCertainUntilMs = Math.max(leaseCertainUntilMs, leaseCertainMs)));
     }
     sim.after(300, this::renew);
   }
@@ -140,10 +149,10 @@
               scheduler.onProcessResumed(clock());
             }
           }
-          List<Decision> decisions = scheduler.pass(clock(), soleUntilMs);
+          List<Decision> decisions = scheduler.pass(clock(), leaseCertainUntilMs);
           sim.digest.pass(sim.now, Long.toString(token), decisions);
-          for (Decision d : decisions) {
-            carryOut(d);
+          for (Decision decision : decisions) {
+            carryOut(decision);
           }
         });
     sim.after(50 + sim.random.nextInt(scheduler.passRequested() ? 60 : 250), this::pass);
@@ -197,21 +206,21 @@
         "o" + job);
   }
 
-  private void enrol(Decision.RegisterMachine e) {
+  private void register(Decision.RegisterMachine registration) {
     sim.store.write(
         this,
-        () -> sim.store.machines.put(e.machineName(), e),
+        () -> sim.store.machines.put(registration.machineName(), registration),
         ok -> {
           if (ok != null && ok) {
-            scheduler.onMachineRegistered(e.machineName());
+            scheduler.onMachineRegistered(registration.machineName());
           } else {
-            repeat(() -> enrol(e));
+            repeat(() -> register(registration));
           }
         },
-        "m" + e.machineName());
+        "m" + registration.machineName());
   }
 
-  private void strike(String name) {
+  private void deregister(String name) {
     sim.store.write(this, () -> sim.store.machines.remove(name), ok -> {}, "m" + name);
   }
 
@@ -225,8 +234,8 @@
           if (sim.store.ended.putIfAbsent(job, cancelled) == null) {
             sim.store.live.remove(job);
             sim.digest.jobOver(sim.now, job, cancelled, sim.specs.get(job).tasks());
-            sim.rules.ended(job, cancelled, sim.wished.contains(job), sim.now);
-            sim.note(job + " is over, cancelled " + cancelled);
+            sim.rules.onJobEnded(job, cancelled, sim.cancellationRequested.contains(job), sim.now);
+            sim.logStory(job + " is over, cancelled " + cancelled);
           }
         },
         ok -> {
@@ -243,67 +252,69 @@
         "d" + job + "/" + (++sim.order));
   }
 
-  private void carryOut(Decision d) {
-    if (d instanceof Decision.SendCommands o) {
-      long ms = sim.chance(sim.slow) ? sim.random.nextInt(2500) : sim.random.nextInt(30);
-      sim.after(ms, () -> sim.network.direct(this, o));
-    } else if (d instanceof Decision.OpenJob o) {
-      open(o.jobId());
-    } else if (d instanceof Decision.FinishJob f) {
-      end(f.jobId(), false);
-    } else if (d instanceof Decision.RegisterMachine e) {
-      enrol(e);
-    } else if (d instanceof Decision.DeregisterMachine s) {
-      strike(s.machineName());
-    } else if (d instanceof Decision.ProvisionMachines r) {
+  private void carryOut(Decision decision) {
+    if (decision instanceof Decision.SendCommands commands) {
+      long delayMs = sim.chance(sim.slow) ? sim.random.nextInt(2500) : sim.random.nextInt(30);
+      sim.after(delayMs, () -> sim.network.sendDirect(this, commands));
+    } else if (decision instanceof Decision.OpenJob opening) {
+      open(opening.jobId());
+    } else if (decision instanceof Decision.FinishJob end) {
+      end(end.jobId(), false);
+    } else if (decision instanceof Decision.RegisterMachine registration) {
+      register(registration);
+    } else if (decision instanceof Decision.DeregisterMachine removal) {
+      deregister(removal.machineName());
+    } else if (decision instanceof Decision.ProvisionMachines request) {
       String name = token + "-" + ++rentals;
-      scheduler.onProvisioningStarted(name, r);
+      scheduler.onProvisioningStarted(name, request);
       sim.store.write(
           this,
-          () -> sim.store.rentals.put(name, r),
+          () -> sim.store.rentals.put(name, request),
           ok -> {
             if (ok != null && ok) {
-              sim.cloud.rent(this, name, r);
+              sim.cloud.provision(this, name, request);
             } else {
-              scheduler.onProvisioningFailed(name, r, false, clock());
+              scheduler.onProvisioningFailed(name, request, false, clock());
             }
           },
           "i" + name);
-    } else if (d instanceof Decision.ReleaseMachines r) {
-      sim.cloud.giveBack(this, r.machineNames());
-    } else if (d instanceof Decision.ProbeThroughPeers w) {
-      sim.after(200, () -> handle(() -> scheduler.onPeerProbeResults(w, testimony(w))));
+    } else if (decision instanceof Decision.ReleaseMachines release) {
+      sim.cloud.release(this, release.machineNames());
+    } else if (decision instanceof Decision.ProbeThroughPeers probe) {
+      sim.after(
+          200, () -> handle(() -> scheduler.onPeerProbeResults(probe, peerProbeResults(probe))));
     }
   }
 
-  private List<Decision.PeerProbeResult> testimony(Decision.ProbeThroughPeers w) {
+  private List<Decision.PeerProbeResult> peerProbeResults(Decision.ProbeThroughPeers probe) {
     if (sim.random.nextInt(3) == 0) {
       return List.of();
     }
     Set<String> reached = new HashSet<>();
     Set<String> unreached = new HashSet<>();
-    List<Decision.MachineAddress> all = new ArrayList<>(w.suspects());
-    all.addAll(w.controls());
-    for (Decision.MachineAddress n : all) {
-      FuzzWorker m = sim.workers.get(n.machineName());
-      (m != null && m.alive && !m.hung ? reached : unreached).add(n.machineName());
+    List<Decision.MachineAddress> all = new ArrayList<>(probe.suspects());
+    all.addAll(probe.controls());
+    for (Decision.MachineAddress address : all) {
+      FuzzWorker worker = sim.workers.get(address.machineName());
+      (worker != null && worker.alive && !worker.hung ? reached : unreached)
+          .add(address.machineName());
     }
     return List.of(new Decision.PeerProbeResult(reached, unreached));
   }
 
-  /** When what goes on the way between it and a machine arrives; -1: never. */
-  long way(String machine, String direction) {
-    long ms = 1 + sim.random.nextInt(20);
+  /** Milliseconds that a message between it and a machine takes; -1: it is lost. */
+  long linkDelayMs(String machine, String direction) {
+    long delayMs = 1 + sim.random.nextInt(20);
     if (sim.chance(sim.slow)) {
-      ms += sim.random.nextInt(6000);
+      delayMs += sim.random.nextInt(6000);
     }
     Long until = cutUntil.get(machine + direction);
     if (until != null && until > sim.now) {
       if (!held.get(machine + direction)) {
         return -1;
       }
-      ms += until - sim.now;
+      delayMs += until - sim.now;
     }
-    return ms;
+    return delayMs;
   }
 }
--- a/src/test/java/org/astershift/scheduler/FuzzGang.java
+++ b/src/test/java/org/astershift/scheduler/FuzzGang.java
@@ -16,19 +16,19 @@
       member.expire(); // takes what its lease no longer covers out of the gang
     }
     boolean fine = !broken;
-    for (Map.Entry<FuzzTask, FuzzWorker> e : members.entrySet()) {
-      fine &= !e.getKey().stopped && !e.getValue().hung && e.getValue().alive;
+    for (Map.Entry<FuzzTask, FuzzWorker> entry : members.entrySet()) {
+      fine &= !entry.getKey().stopped && !entry.getValue().hung && entry.getValue().alive;
     }
     if (!fine) {
       // Whoever hangs is gone for the others; these exit, and the last leases end the rest.
-      for (Map.Entry<FuzzTask, FuzzWorker> e : new LinkedHashMap<>(members).entrySet()) {
-        e.getValue().later(0, () -> e.getValue().exit(e.getKey(), "peers"));
+      for (Map.Entry<FuzzTask, FuzzWorker> entry : new LinkedHashMap<>(members).entrySet()) {
+        entry.getValue().later(0, () -> entry.getValue().exit(entry.getKey(), "peers"));
       }
       return;
     }
     broken = true;
     Map<FuzzTask, FuzzWorker> all = new LinkedHashMap<>(members);
-    all.keySet().forEach(t -> sim.rules.completed(t.job, t.index));
+    all.keySet().forEach(t -> sim.rules.onTaskCompleted(t.job, t.index));
     all.keySet().forEach(t -> sim.digest.completed(sim.now, t.task()));
     all.forEach((t, w) -> w.exit(t, "done"));
   }
--- a/src/test/java/org/astershift/scheduler/FuzzHeartbeats.java
+++ b/src/test/java/org/astershift/scheduler/FuzzHeartbeats.java
@@ -11,7 +11,7 @@
   /** Number of the heartbeat that waits for its answer; what answers an earlier one is late. */
   private int outstanding;
 
-  private boolean waits;
+  private boolean awaitingAnswer;
   private long lastSentMs = -1000;
 
   FuzzHeartbeats(FuzzSimulation sim, FuzzWorker worker) {
@@ -22,15 +22,17 @@
   /** The worker restarts. */
   void reset() {
     outstanding++;
-    waits = false;
+    awaitingAnswer = false;
   }
 
   void sendIfDue() {
     boolean due =
         sim.now - lastSentMs
-            >= FuzzSimulation.REPORT_MS * 3 / 4
-                + sim.random.nextInt((int) FuzzSimulation.REPORT_MS / 2);
-    if (!worker.hung && !waits && (due || (worker.changed && sim.now - lastSentMs >= 500))) {
+            >= FuzzSimulation.HEARTBEAT_INTERVAL_MS * 3 / 4
+                + sim.random.nextInt((int) FuzzSimulation.HEARTBEAT_INTERVAL_MS / 2);
+    if (!worker.hung
+        && !awaitingAnswer
+        && (due || (worker.changed && sim.now - lastSentMs >= 500))) {
       send();
     }
   }
@@ -45,88 +47,101 @@
               : sim.controllers.get(sim.random.nextInt(sim.controllers.size()));
     }
     long sentMs = sim.now;
-    long sentSession = worker.session;
-    Heartbeat r = worker.heartbeat();
+    long sentEpoch = worker.epoch;
+    Heartbeat heartbeat = worker.heartbeat();
     if (sim.chance(sim.copies)) {
-      sim.did("copies");
+      sim.count("copies");
       if (sim.random.nextInt(3) == 0) {
-        sim.kept.add(r);
+        sim.keptHeartbeats.add(heartbeat);
       } else {
-        sim.after(500 + sim.random.nextInt(30_000), () -> anywhere(r));
+        sim.after(500 + sim.random.nextInt(30_000), () -> sendCopyToAny(heartbeat));
       }
     }
-    int mine = ++outstanding;
-    waits = true;
-    worker.later(FuzzSimulation.ANSWER_MS, () -> gaveUp(mine));
-    FuzzController to = target;
-    if (to == null) {
+    int number = ++outstanding;
+    awaitingAnswer = true;
+    worker.later(FuzzSimulation.ANSWER_TIMEOUT_MS, () -> onTimeout(number));
+    FuzzController controller = target;
+    if (controller == null) {
       return;
     }
-    long ms = to.way(worker.name, "up");
-    if (ms < 0) {
+    long delayMs = controller.linkDelayMs(worker.name, "up");
+    if (delayMs < 0) {
       return;
     }
-    int of = worker.life;
+    int lifeThen = worker.incarnation;
     sim.after(
-        ms,
+        delayMs,
         () ->
-            to.handle(
+            controller.handle(
                 () -> {
-                  List<Command> orders = to.scheduler.onHeartbeat(r, to.clock());
-                  boolean ok = orders != null && !to.scheduler.deposed();
-                  long back = to.way(worker.name, "down");
-                  if (back >= 0) {
+                  List<Command> commands =
+                      controller.scheduler.onHeartbeat(heartbeat, controller.clock());
+                  boolean accepted = commands != null && !controller.scheduler.deposed();
+                  long backMs = controller.linkDelayMs(worker.name, "down");
+                  if (backMs >= 0) {
                     sim.after(
-                        back,
+                        backMs,
                         () -> {
-                          if (worker.alive && of == worker.life) {
+                          if (worker.alive && lifeThen == worker.incarnation) {
                             worker.serve(
-                                () -> answered(mine, ok, to.token, orders, sentMs, sentSession));
+                                () ->
+                                    onAnswer(
+                                        number,
+                                        accepted,
+                                        controller.token,
+                                        commands,
+                                        sentMs,
+                                        sentEpoch));
                           }
                         });
                   }
                 }));
   }
 
-  private void anywhere(Heartbeat r) {
+  private void sendCopyToAny(Heartbeat heartbeat) {
     if (!sim.controllers.isEmpty()) {
-      FuzzController to = sim.controllers.get(sim.random.nextInt(sim.controllers.size()));
-      to.handle(() -> to.scheduler.onHeartbeat(r, to.clock()));
+      FuzzController controller = sim.controllers.get(sim.random.nextInt(sim.controllers.size()));
+      controller.handle(() -> controller.scheduler.onHeartbeat(heartbeat, controller.clock()));
     }
   }
 
-  private void gaveUp(int mine) {
-    if (waits && outstanding == mine) {
-      next();
+  private void onTimeout(int number) {
+    if (awaitingAnswer && outstanding == number) {
+      changeController();
     }
   }
 
-  private void next() {
+  private void changeController() {
     target = null;
     outstanding++;
-    int mine = outstanding;
+    int number = outstanding;
     worker.later(
         1000,
         () -> {
-          if (outstanding == mine) {
-            waits = false;
+          if (outstanding == number) {
+            awaitingAnswer = false;
             worker.changed = true;
           }
         });
   }
 
-  private void answered(
-      int mine, boolean ok, long token, List<Command> orders, long sentMs, long sentSession) {
-    if (!waits || outstanding != mine) {
+  private void onAnswer(
+      int number,
+      boolean accepted,
+      long fencingToken,
+      List<Command> commands,
+      long sentMs,
+      long sentEpoch) {
+    if (!awaitingAnswer || outstanding != number) {
       return;
     }
-    if (sim.now - sentMs > FuzzSimulation.ANSWER_MS || !ok) {
-      next();
+    if (sim.now - sentMs > FuzzSimulation.ANSWER_TIMEOUT_MS || !accepted) {
+      changeController();
       return;
     }
-    waits = false;
-    if (token >= worker.token && sentSession == worker.session) {
-      worker.onAnswer(token, orders, sentMs);
+    awaitingAnswer = false;
+    if (fencingToken >= worker.token && sentEpoch == worker.epoch) {
+      worker.onAnswer(fencingToken, commands, sentMs);
     }
   }
 }
--- a/src/test/java/org/astershift/scheduler/FuzzNetwork.java
+++ b/src/test/java/org/astershift/scheduler/FuzzNetwork.java
@@ -11,68 +11,76 @@
   }
 
   /** Sends commands to a machine; the answer, or none, reaches the controller. */
-  void direct(FuzzController ctl, Decision.SendCommands d) {
-    ctl.handle(
+  void sendDirect(FuzzController controller, Decision.SendCommands decision) {
+    controller.handle(
         () -> {
-          if (!ctl.scheduler.directCommandsStillDue(d, ctl.clock())) {
+          if (!controller.scheduler.directCommandsStillDue(decision, controller.clock())) {
             return;
           }
-          List<Command> orders =
-              ctl.scheduler.commandsStillWanted(d, ctl.clock() < ctl.soleUntilMs);
-          FuzzWorker w = sim.workers.get(d.machineName());
+          List<Command> commands =
+              controller.scheduler.commandsStillWanted(
+                  decision, controller.clock() < controller.leaseCertainUntilMs);
+          FuzzWorker worker = sim.workers.get(decision.machineName());
           boolean[] settled = {false};
-          if (w == null || !w.alive) {
+          if (worker == null || !worker.alive) {
             sim.after(
-                sim.random.nextInt(d.timeoutMs()),
+                sim.random.nextInt(decision.timeoutMs()),
                 () ->
-                    ctl.handle(
+                    controller.handle(
                         () ->
-                            ctl.scheduler.onCommandResult(
-                                d.machineName(), false, null, ctl.clock())));
+                            controller.scheduler.onCommandResult(
+                                decision.machineName(), false, null, controller.clock())));
             return;
           }
-          int life = w.life;
+          int incarnation = worker.incarnation;
           long sentMs = sim.now;
           sim.after(
-              d.timeoutMs(),
+              decision.timeoutMs(),
               () -> {
                 if (!settled[0]) {
                   settled[0] = true;
-                  sim.did("order in vain");
-                  ctl.handle(
+                  sim.count("command without answer");
+                  controller.handle(
                       () ->
-                          ctl.scheduler.onCommandResult(d.machineName(), true, null, ctl.clock()));
+                          controller.scheduler.onCommandResult(
+                              decision.machineName(), true, null, controller.clock()));
                 }
               });
-          long ms = ctl.way(w.name, "down");
-          if (ms < 0) {
+          long delayMs = controller.linkDelayMs(worker.name, "down");
+          if (delayMs < 0) {
             return;
           }
-          boolean again = sim.chance(0.5);
+          boolean reachesNext = sim.chance(0.5);
           sim.after(
-              ms,
+              delayMs,
               () -> {
-                // One that was held on its way may meet the next life of the machine.
-                if (!w.alive || (w.life != life && (!again || sim.store.holder != ctl))) {
+                // One that was held on its way may reach the next incarnation of the machine.
+                if (!worker.alive
+                    || (worker.incarnation != incarnation
+                        && (!reachesNext || sim.store.holder != controller))) {
                   return;
                 }
-                w.serve(
+                worker.serve(
                     () -> {
-                      if (sim.now - sentMs > d.timeoutMs()) {
-                        sim.did("late order");
+                      if (sim.now - sentMs > decision.timeoutMs()) {
+                        sim.count("late command");
                       }
-                      Heartbeat r = w.orders(ctl.token, d.epoch(), orders);
-                      long back = ctl.way(w.name, "up");
-                      if (back >= 0) {
+                      Heartbeat heartbeat =
+                          worker.onDirectCommands(controller.token, decision.epoch(), commands);
+                      long backMs = controller.linkDelayMs(worker.name, "up");
+                      if (backMs >= 0) {
                         sim.after(
-                            back,
+                            backMs,
                             () -> {
                               if (!settled[0]) {
                                 settled[0] = true;
-                                ctl.handle(
+                                controller.handle(
                                     () ->
-                                        ctl.scheduler.onCommandResult(
-                                            d.machineName(), false, r, ctl.clock()));
+                                        controller.scheduler.onCommandResult(
+                                            decision.machineName(),
+                                            false,
+                                            heartbeat,
+                                            controller.clock()));
                               }
                             });
                       }
--- a/src/test/java/org/astershift/scheduler/FuzzSimulation.java
+++ b/src/test/java/org/astershift/scheduler/FuzzSimulation.java
@@ -14,22 +14,22 @@
 
 /** Clock, links and state that all parts of a seed of {@link SchedulerFuzzer} share. */
 final class FuzzSimulation {
-  static final long REPORT_MS = 2000;
+  static final long HEARTBEAT_INTERVAL_MS = 2000;
   static final long LEASE_MS = 14_000;
   static final long GANG_WAIT_MS = 30_000;
   static final long GANG_PEER_MS = 4000;
-  static final long ANSWER_MS = 4000;
-  static final long KEY_MS = 2000;
-  static final long CANCEL_MS = 16_000;
+  static final long ANSWER_TIMEOUT_MS = 4000;
+  static final long LEADER_LEASE_MS = 2000;
+  static final long CANCELLATION_MS = 16_000;
   static final double LIST_LAG_S = 3;
-  static final int MOST_MACHINES = 14;
+  static final int MAX_MACHINES = 14;
 
   final ReferenceRules rules;
   final Map<String, Integer> happened = new TreeMap<>();
   final Random random;
 
   /** From then on nothing fails any more, so that all jobs have to end. */
-  final long troublesMs;
+  final long faultsEndMs;
 
   final long endMs;
   long now;
@@ -52,17 +52,17 @@
   final Map<String, Long> durations = new HashMap<>();
 
   /** Jobs whose user asked to cancel them. */
-  final Set<String> wished = new HashSet<>();
+  final Set<String> cancellationRequested = new HashSet<>();
 
   final Map<String, FuzzGang> gangs = new HashMap<>();
 
   /** Copies of heartbeats that reach a later leader. */
-  final List<Heartbeat> kept = new ArrayList<>();
+  final List<Heartbeat> keptHeartbeats = new ArrayList<>();
 
   final List<String> log = new ArrayList<>();
   final EventDigest digest = new EventDigest();
-  boolean outage;
-  boolean cloudAway;
+  boolean storeDown;
+  boolean cloudDown;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final boolean story;
 
@@ -72,13 +72,13 @@
   final double slow;
   final double cuts;
   final double deaths;
-  final double anews;
+  final double restarts;
   final double hangs;
-  final double recalls;
-  final double successions;
+  final double preemptions;
+  final double failovers;
   final double pauses;
-  final double refusals;
-  final double cancels;
+  final double outages;
+  final double cancellations;
   final double errors;
   final double lostWrites;
 
@@ -96,17 +96,17 @@
     slow = level(0.15);
     cuts = level(0.25);
     deaths = level(0.05);
-    anews = level(0.15);
+    restarts = level(0.15);
     hangs = level(0.1);
-    recalls = level(0.05);
-    successions = level(0.12);
+    preemptions = level(0.05);
+    failovers = level(0.12);
     pauses = level(0.1);
-    refusals = level(0.1);
-    cancels = level(0.4);
+    outages = level(0.1);
+    cancellations = level(0.4);
     errors = level(0.1);
     lostWrites = level(0.2);
-    troublesMs = 30_000 + random.nextInt(60_000);
-    endMs = troublesMs + 240_000;
+    faultsEndMs = 30_000 + random.nextInt(60_000);
+    endMs = faultsEndMs + 240_000;
     types.put("p", new MachineType("p", 4, 0, 16, 20, 0.5, 1, 0.3, 8, List.of("a", "b")));
     types.put("g", new MachineType("g", 8, 2, 32, 20, 0.5, 4, 1.2, 8, List.of("a", "b")));
     teams.put("tight", new Team("tight", 2, 4 + random.nextInt(5), 0, 2));
@@ -116,13 +116,13 @@
         new DeploymentLimits(
             teams,
             List.of(new ServiceLevelObjective("wait", "quick", 4, 0.9, 1)),
-            REPORT_MS / 1000.0,
+            HEARTBEAT_INTERVAL_MS / 1000.0,
             LEASE_MS / 1000.0,
             GANG_WAIT_MS / 1000.0,
             GANG_PEER_MS / 1000.0,
-            CANCEL_MS / 1000.0,
+            CANCELLATION_MS / 1000.0,
             LIST_LAG_S);
-    rules = new ReferenceRules(teams, CANCEL_MS);
+    rules = new ReferenceRules(teams, CANCELLATION_MS);
   }
 
   private double level(double most) {
@@ -130,32 +130,32 @@
   }
 
   boolean chance(double p) {
-    return now < troublesMs && random.nextDouble() < p;
+    return now < faultsEndMs && random.nextDouble() < p;
   }
 
-  void after(long ms, Runnable what) {
-    events.add(new Event(now + Math.max(0, ms), ++order, what));
+  void after(long ms, Runnable action) {
+    events.add(new Event(now + Math.max(0, ms), ++order, action));
   }
 
-  void did(String what) {
-    happened.merge(what, 1, Integer::sum);
+  void count(String action) {
+    happened.merge(action, 1, Integer::sum);
   }
 
-  void note(String what) {
+  void logStory(String action) {
     if (story) {
-      log.add(now + " " + what);
+      log.add(now + " " + action);
     }
   }
 
   /** Plays events in the order of their times until there are none, a rule is broken or the end. */
   void playEvents() {
     while (!events.isEmpty() && rules.broken.isEmpty()) {
-      Event e = events.poll();
-      now = e.atMs();
+      Event event = events.poll();
+      now = event.atMs();
       if (now > endMs) {
         break;
       }
-      e.what().run();
+      event.what().run();
     }
   }
 
--- a/src/test/java/org/astershift/scheduler/FuzzStore.java
+++ b/src/test/java/org/astershift/scheduler/FuzzStore.java
@@ -28,7 +28,7 @@
   }
 
   void accept(String id, Runnable then) {
-    if (sim.outage) {
+    if (sim.storeDown) {
       sim.after(1000, () -> accept(id, then));
       return;
     }
@@ -39,7 +39,7 @@
 
   /** {@code result}: true applied, false certainly not, null no answer. */
   void write(FuzzController by, Runnable apply, Consumer<Boolean> result, String key) {
-    if (sim.outage || by.storeCut) {
+    if (sim.storeDown || by.storeCut) {
       sim.after(500 + sim.random.nextInt(1500), () -> by.handle(() -> result.accept(null)));
       return;
     }
@@ -50,7 +50,7 @@
     sim.after(
         ms,
         () -> {
-          if (sim.outage) {
+          if (sim.storeDown) {
             sim.after(3000, () -> by.handle(() -> result.accept(null)));
             return;
           }
@@ -78,7 +78,7 @@
           }
         });
     if (silent) {
-      sim.did("lost write");
+      sim.count("lost write");
       sim.after(2500, () -> by.handle(() -> result.accept(null)));
     }
   }
--- a/src/test/java/org/astershift/scheduler/FuzzUsers.java
+++ b/src/test/java/org/astershift/scheduler/FuzzUsers.java
@@ -14,12 +14,12 @@
     this.sim = sim;
   }
 
-  void submitting() {
-    if (sim.now >= sim.troublesMs) {
+  void submitRepeatedly() {
+    if (sim.now >= sim.faultsEndMs) {
       return;
     }
     submit();
-    sim.after(sim.random.nextInt(4000), this::submitting);
+    sim.after(sim.random.nextInt(4000), this::submitRepeatedly);
   }
 
   private void submit() {
@@ -65,80 +65,85 @@
     sim.specs.put(id, spec);
     sim.durations.put(
         id, (long) (500 + sim.random.nextInt(sim.random.nextInt(4) == 0 ? 40_000 : 9000)));
-    sim.rules.job(spec);
+    sim.rules.addJob(spec);
     long submitted = sim.now;
     sim.store.accept(
         id,
         () -> {
-          for (FuzzController ctl : new ArrayList<>(sim.controllers)) {
-            learn(ctl, id, submitted);
+          for (FuzzController controller : new ArrayList<>(sim.controllers)) {
+            learn(controller, id, submitted);
           }
         });
-    if (sim.chance(sim.cancels)) {
-      sim.after(sim.random.nextInt(40_000), () -> wish(id));
+    if (sim.chance(sim.cancellations)) {
+      sim.after(sim.random.nextInt(40_000), () -> requestCancellation(id));
     }
     if (kind == JobKind.SERVICE) {
-      sim.after(sim.troublesMs - sim.now + sim.random.nextInt(20_000), () -> wish(id));
+      sim.after(
+          sim.faultsEndMs - sim.now + sim.random.nextInt(20_000), () -> requestCancellation(id));
     }
   }
 
   /** A controller reads a record, and takes in what it read at once or much later. */
-  void learn(FuzzController ctl, String id, long submitted) {
+  void learn(FuzzController controller, String id, long submitted) {
     Long revision = sim.store.live.get(id);
     if (revision != null) {
-      long ms = sim.chance(0.2) ? sim.random.nextInt(15_000) : sim.random.nextInt(200);
-      sim.after(ms, () -> ctl.handle(() -> ctl.take(id, revision, false, new BitSet(), submitted)));
+      long delayMs = sim.chance(0.2) ? sim.random.nextInt(15_000) : sim.random.nextInt(200);
+      sim.after(
+          delayMs,
+          () ->
+              controller.handle(
+                  () -> controller.adopt(id, revision, false, new BitSet(), submitted)));
     }
   }
 
-  private void wish(String id) {
-    if (sim.rules.over(id) || !sim.wished.add(id)) {
+  private void requestCancellation(String id) {
+    if (sim.rules.over(id) || !sim.cancellationRequested.add(id)) {
       return;
     }
-    sim.did("wish");
-    sim.note("wish " + id);
-    asking(id);
+    sim.count("cancellations");
+    sim.logStory("cancellation asked of " + id);
+    repeatCancellation(id);
   }
 
-  private void asking(String id) {
+  private void repeatCancellation(String id) {
     if (sim.rules.over(id)) {
       return;
     }
-    for (FuzzController ctl : new ArrayList<>(sim.controllers)) {
-      if (ctl == sim.store.holder || sim.chance(0.2)) {
+    for (FuzzController controller : new ArrayList<>(sim.controllers)) {
+      if (controller == sim.store.holder || sim.chance(0.2)) {
         long until = sim.now + 1200;
-        sim.after(sim.random.nextInt(30), () -> cancelling(ctl, id, until));
+        sim.after(sim.random.nextInt(30), () -> cancelThrough(controller, id, until));
       }
     }
-    sim.after(1000 + sim.random.nextInt(2000), () -> asking(id));
+    sim.after(1000 + sim.random.nextInt(2000), () -> repeatCancellation(id));
   }
 
-  private void cancelling(FuzzController ctl, String id, long untilMs) {
-    ctl.handle(
+  private void cancelThrough(FuzzController controller, String id, long untilMs) {
+    controller.handle(
         () -> {
-          boolean managed = ctl.termJobs.manages(id);
-          Scheduler s = ctl.scheduler;
-          if (managed && ctl.clock() < ctl.soleUntilMs) {
-            s.requestCancellation(id);
+          boolean managed = controller.termJobs.manages(id);
+          Scheduler scheduler = controller.scheduler;
+          if (managed && controller.clock() < controller.leaseCertainUntilMs) {
+            scheduler.requestCancellation(id);
           }
-          Scheduler.JobProgress view = s.progress(id);
-          Cancellation.Action act =
+          Scheduler.JobProgress view = scheduler.progress(id);
+          Cancellation.Action action =
               Cancellation.next(
                   new Cancellation.View(
                       false,
                       false,
                       true,
-                      ctl.clock() < ctl.soleUntilMs,
+                      controller.clock() < controller.leaseCertainUntilMs,
                       managed,
                       true,
-                      managed && s.canConfirmCancellation(id),
-                      managed && s.mayStart(id),
+                      managed && scheduler.canConfirmCancellation(id),
+                      managed && scheduler.mayStart(id),
                       view != null && view.complete(),
                       sim.now > untilMs));
-          switch (act) {
-            case WRITE_CANCELLED -> ctl.end(id, true);
-            case WRITE_DONE -> ctl.end(id, false);
-            case WAIT -> sim.after(50, () -> cancelling(ctl, id, untilMs));
+          switch (action) {
+            case WRITE_CANCELLED -> controller.end(id, true);
+            case WRITE_DONE -> controller.end(id, false);
+            case WAIT -> sim.after(50, () -> cancelThrough(controller, id, untilMs));
             default -> {}
           }
         });
--- a/src/test/java/org/astershift/scheduler/FuzzWorker.java
+++ b/src/test/java/org/astershift/scheduler/FuzzWorker.java
@@ -20,15 +20,15 @@
   long upMs = -1;
   long goneMs = -1;
   boolean deleted;
-  boolean taken;
+  boolean preempted;
   boolean alive;
   boolean hung;
-  int life;
+  int incarnation;
   long token;
-  long session = 1;
-  long tick;
+  long epoch = 1;
+  long sequence;
   long leaseFromMs;
-  Double recallS;
+  Double preemptionNoticeS;
   boolean changed;
   final Map<String, FuzzTask> tasks = new LinkedHashMap<>();
   final List<Runnable> pending = new ArrayList<>();
@@ -52,7 +52,7 @@
     upMs = upMs < 0 ? sim.now : upMs;
     faulty = sim.chance(sim.errors);
     leaseFromMs = sim.now;
-    beat(life);
+    beat(incarnation);
   }
 
   void die(long backMs) {
@@ -61,21 +61,21 @@
     }
     alive = false;
     hung = false;
-    life++;
+    incarnation++;
     pending.clear();
-    kill();
+    killAll();
     tasks.clear();
     if (backMs > 0) {
       token = 0;
-      session = 1;
-      tick = 0;
+      epoch = 1;
+      sequence = 0;
       heartbeats.reset();
-      recallS = null;
-      int of = life;
+      preemptionNoticeS = null;
+      int lifeThen = incarnation;
       sim.after(
           backMs,
           () -> {
-            if (of == life) {
+            if (lifeThen == incarnation) {
               up();
             }
           });
@@ -84,57 +84,57 @@
     }
   }
 
-  private void kill() {
-    for (FuzzTask t : tasks.values()) {
-      off(t);
+  private void killAll() {
+    for (FuzzTask task : tasks.values()) {
+      leave(task);
     }
   }
 
-  private void off(FuzzTask t) {
-    if (t.on) {
-      t.on = false;
-      sim.rules.over(t.job, t.index, name);
-      sim.digest.leaves(sim.now, t.task(), name);
+  private void leave(FuzzTask task) {
+    if (task.on) {
+      task.on = false;
+      sim.rules.over(task.job, task.index, name);
+      sim.digest.leaves(sim.now, task.task(), name);
     }
-    FuzzGang g = sim.gangs.get(t.job + "@" + t.attempt);
-    if (g != null && g.members.remove(t) != null && g.running && !g.broken) {
-      broken(g);
+    FuzzGang gang = sim.gangs.get(task.job + "@" + task.attempt);
+    if (gang != null && gang.members.remove(task) != null && gang.running && !gang.broken) {
+      broken(gang);
     }
   }
 
   /** The others of a gang that runs notice that one of them is gone. */
-  private void broken(FuzzGang g) {
-    g.broken = true;
-    for (Map.Entry<FuzzTask, FuzzWorker> e : g.members.entrySet()) {
-      FuzzWorker w = e.getValue();
-      w.later(
+  private void broken(FuzzGang gang) {
+    gang.broken = true;
+    for (Map.Entry<FuzzTask, FuzzWorker> entry : gang.members.entrySet()) {
+      FuzzWorker member = entry.getValue();
+      member.later(
           sim.random.nextInt((int) FuzzSimulation.GANG_PEER_MS),
           () -> {
-            if (w.tasks.containsValue(e.getKey())) {
-              w.exit(e.getKey(), "peers");
+            if (member.tasks.containsValue(entry.getKey())) {
+              member.exit(entry.getKey(), "peers");
             }
           });
     }
   }
 
-  /** Does something some time later in this life, and after a hang if it hangs then. */
-  void later(long ms, Runnable what) {
-    int of = life;
+  /** Runs the action later if the incarnation lives on; after a hang if it hangs then. */
+  void later(long ms, Runnable action) {
+    int lifeThen = incarnation;
     sim.after(
         ms,
         () -> {
-          if (alive && of == life) {
-            serve(what);
+          if (alive && lifeThen == incarnation) {
+            serve(action);
           }
         });
   }
 
-  void serve(Runnable what) {
+  void serve(Runnable action) {
     if (hung) {
-      pending.add(what);
+      pending.add(action);
     } else {
       expire();
-      what.run();
+      action.run();
     }
   }
 
@@ -143,58 +143,68 @@
       return;
     }
     hung = true;
-    sim.note(name + " hangs for " + ms);
-    int of = life;
+    sim.logStory(name + " hangs for " + ms);
+    int lifeThen = incarnation;
     sim.after(
         ms,
         () -> {
-          if (alive && of == life && hung) {
+          if (alive && lifeThen == incarnation && hung) {
             hung = false;
             expire();
-            List<Runnable> all = new ArrayList<>(pending);
+            List<Runnable> held = new ArrayList<>(pending);
             pending.clear();
-            Collections.shuffle(all, sim.random);
-            all.forEach(this::serve);
+            Collections.shuffle(held, sim.random);
+            held.forEach(this::serve);
           }
         });
   }
 
-  /** Looks at its lease, also as one who sees it hang: beyond it nothing there can go on. */
+  /** Ends all tasks if its lease has expired; also while it hangs, as nothing may run beyond it. */
   void expire() {
     if (!alive || (sim.now - leaseFromMs) * rate <= FuzzSimulation.LEASE_MS) {
       return;
     }
-    kill();
+    killAll();
     if (hung) {
       return;
     }
     if (!tasks.isEmpty()) {
-      sim.did("lease over with tasks");
+      sim.count("lease expired with tasks");
     }
-    sim.note(name + " loses its lease, session " + (session + 1));
+    sim.logStory(name + " loses its lease, epoch " + (epoch + 1));
     tasks.clear();
-    session++;
+    epoch++;
     leaseFromMs = sim.now;
     changed = true;
   }
 
-  /** Its status now, as the next message of this session. */
+  /** Its status now, as the next message of this epoch. */
   Heartbeat heartbeat() {
     List<Heartbeat.TaskStatus> items = new ArrayList<>();
-    for (FuzzTask t : tasks.values()) {
-      items.add(new Heartbeat.TaskStatus(t.job, t.index, t.attempt, t.phase, t.cause));
+    for (FuzzTask task : tasks.values()) {
+      items.add(
+          new Heartbeat.TaskStatus(task.job, task.index, task.attempt, task.phase, task.cause));
     }
     return new Heartbeat(
-        name, name, type, zone, spot, session, ++tick, token, recallS, List.copyOf(items));
+        name,
+        name,
+        type,
+        zone,
+        spot,
+        epoch,
+        ++sequence,
+        token,
+        preemptionNoticeS,
+        List.copyOf(items));
   }
 
-  private void beat(int of) {
-    if (!alive || of != life) {
+  private void beat(int lifeThen) {
+    if (!alive || lifeThen != incarnation) {
       return;
     }
     expire();
     heartbeats.sendIfDue();
-    sim.after(50 + sim.random.nextInt(100), () -> beat(of));
+    sim.after(50 + sim.random.nextInt(100), () -> beat(lifeThen));
   }
 
   /** The answer to a heartbeat that was sent at this time, under this leader's fencing token. */
@@ -205,155 +215,156 @@
     commands.forEach(this::execute);
   }
 
-  Heartbeat orders(long helm, long ofSession, List<Command> orders) {
-    if (helm >= token && ofSession == session) {
-      changed |= helm > token;
-      token = helm;
+  Heartbeat onDirectCommands(long fencingToken, long ofEpoch, List<Command> orders) {
+    if (fencingToken >= token && ofEpoch == epoch) {
+      changed |= fencingToken > token;
+      token = fencingToken;
       orders.forEach(this::execute);
-    } else if (helm < token) {
-      sim.did("order of a deposed leader");
+    } else if (fencingToken < token) {
+      sim.count("command of a deposed leader");
     }
     return heartbeat();
   }
 
-  private void execute(Command o) {
-    sim.digest.command(sim.now, name, o);
-    String key = o.jobId() + "/" + o.index() + "@" + o.attemptNumber();
-    FuzzTask t = tasks.get(key);
-    switch (o.kind()) {
+  private void execute(Command command) {
+    sim.digest.command(sim.now, name, command);
+    String key = command.jobId() + "/" + command.index() + "@" + command.attemptNumber();
+    FuzzTask task = tasks.get(key);
+    switch (command.kind()) {
       case START -> {
-        if (t == null) {
-          start(key, new FuzzTask(o.jobId(), o.index(), o.attemptNumber()));
+        if (task == null) {
+          start(key, new FuzzTask(command.jobId(), command.index(), command.attemptNumber()));
         }
       }
       case STOP -> {
-        if (t != null && !t.exited()) {
-          stop(t, o.graceS());
+        if (task != null && !task.exited()) {
+          stop(task, command.graceS());
         }
       }
       case FORGET -> {
-        if (t != null && t.exited()) {
+        if (task != null && task.exited()) {
           tasks.remove(key);
         }
       }
-      default -> throw new IllegalArgumentException(o.toString());
+      default -> throw new IllegalArgumentException(command.toString());
     }
   }
 
-  private void start(String key, FuzzTask t) {
-    JobSpec spec = sim.specs.get(t.job);
-    sim.note(name + " starts " + key);
-    sim.digest.started(sim.now, t.task(), name, t.attempt);
-    tasks.put(key, t);
+  private void start(String key, FuzzTask task) {
+    JobSpec spec = sim.specs.get(task.job);
+    sim.logStory(name + " starts " + key);
+    sim.digest.started(sim.now, task.task(), name, task.attempt);
+    tasks.put(key, task);
     double cpus = sim.types.get(type).cpus();
     double gpus = sim.types.get(type).gpus();
     double memory = sim.types.get(type).memoryGb();
     for (FuzzTask other : tasks.values()) {
-      if (other == t || other.exited()) {
+      if (other == task || other.exited()) {
         continue;
       }
-      if (other.job.equals(t.job) && other.index == t.index) {
-        sim.did("in use");
-        exit(t, "in_use");
+      if (other.job.equals(task.job) && other.index == task.index) {
+        sim.count("in use");
+        exit(task, "in_use");
         return;
       }
-      JobSpec s = sim.specs.get(other.job);
-      cpus -= s.cpus();
-      gpus -= s.gpus();
-      memory -= s.memoryGb();
+      JobSpec otherSpec = sim.specs.get(other.job);
+      cpus -= otherSpec.cpus();
+      gpus -= otherSpec.gpus();
+      memory -= otherSpec.memoryGb();
     }
     if (cpus < spec.cpus() - 1e-6 || gpus < spec.gpus() - 1e-6 || memory < spec.memoryGb() - 1e-6) {
-      sim.did("no room");
-      exit(t, "no_room");
+      sim.count("no room");
+      exit(task, "no_room");
       return;
     }
     changed = true;
-    later(sim.random.nextInt(sim.random.nextInt(5) == 0 ? 8000 : 1200), () -> fetched(t));
+    later(sim.random.nextInt(sim.random.nextInt(5) == 0 ? 8000 : 1200), () -> fetched(task));
   }
 
-  private void fetched(FuzzTask t) {
-    if (t.phase != Heartbeat.TaskPhase.FETCHING || !tasks.containsValue(t)) {
+  private void fetched(FuzzTask task) {
+    if (task.phase != Heartbeat.TaskPhase.FETCHING || !tasks.containsValue(task)) {
       return;
     }
-    JobSpec spec = sim.specs.get(t.job);
-    t.on = true;
+    JobSpec spec = sim.specs.get(task.job);
+    task.on = true;
     changed = true;
-    sim.digest.begins(sim.now, t.task(), name);
-    sim.note(name + " begins " + t.job + "/" + t.index + "@" + t.attempt);
-    sim.rules.begins(t.job, t.index, new ReferenceRules.Place(name, type, zone, spot), sim.now);
-    if (sim.rules.isCompleted(t.job, t.index)) {
-      sim.did("done again");
-      exit(t, "done");
+    sim.digest.begins(sim.now, task.task(), name);
+    sim.logStory(name + " begins " + task.job + "/" + task.index + "@" + task.attempt);
+    sim.rules.onTaskBegun(
+        task.job, task.index, new ReferenceRules.Place(name, type, zone, spot), sim.now);
+    if (sim.rules.isCompleted(task.job, task.index)) {
+      sim.count("done again");
+      exit(task, "done");
       return;
     }
     if (faulty) {
-      t.phase = Heartbeat.TaskPhase.RUNNING;
-      later(sim.random.nextInt(300), () -> exit(t, "error"));
+      task.phase = Heartbeat.TaskPhase.RUNNING;
+      later(sim.random.nextInt(300), () -> exit(task, "error"));
       return;
     }
     if (spec.kind() != JobKind.GANG) {
-      t.phase = Heartbeat.TaskPhase.RUNNING;
+      task.phase = Heartbeat.TaskPhase.RUNNING;
       if (spec.kind() == JobKind.ARRAY) {
-        later(sim.durations.get(t.job), () -> complete(t));
+        later(sim.durations.get(task.job), () -> complete(task));
       }
       return;
     }
-    t.phase = Heartbeat.TaskPhase.WAITING;
-    t.waitsSinceMs = sim.now;
-    FuzzGang g = sim.gangs.computeIfAbsent(t.job + "@" + t.attempt, k -> new FuzzGang());
-    g.members.put(t, this);
+    task.phase = Heartbeat.TaskPhase.WAITING;
+    task.waitsSinceMs = sim.now;
+    FuzzGang gang = sim.gangs.computeIfAbsent(task.job + "@" + task.attempt, k -> new FuzzGang());
+    gang.members.put(task, this);
     later(
         FuzzSimulation.GANG_WAIT_MS,
         () -> {
-          if (t.phase == Heartbeat.TaskPhase.WAITING) {
-            exit(t, "incomplete");
+          if (task.phase == Heartbeat.TaskPhase.WAITING) {
+            exit(task, "incomplete");
           }
         });
-    long here = g.members.keySet().stream().map(m -> m.index).distinct().count();
-    if (!g.running && here == spec.tasks()) {
-      g.running = true;
-      sim.did("gangs run");
-      for (Map.Entry<FuzzTask, FuzzWorker> e : g.members.entrySet()) {
-        e.getKey().phase = Heartbeat.TaskPhase.RUNNING;
-        e.getValue().changed = true;
+    long arrived = gang.members.keySet().stream().map(m -> m.index).distinct().count();
+    if (!gang.running && arrived == spec.tasks()) {
+      gang.running = true;
+      sim.count("gangs run");
+      for (Map.Entry<FuzzTask, FuzzWorker> entry : gang.members.entrySet()) {
+        entry.getKey().phase = Heartbeat.TaskPhase.RUNNING;
+        entry.getValue().changed = true;
       }
-      sim.after(sim.durations.get(t.job), () -> g.complete(sim));
+      sim.after(sim.durations.get(task.job), () -> gang.complete(sim));
     }
   }
 
-  private void complete(FuzzTask t) {
-    if (t.phase == Heartbeat.TaskPhase.RUNNING && !t.stopped && tasks.containsValue(t)) {
-      sim.rules.completed(t.job, t.index);
-      sim.digest.completed(sim.now, t.task());
-      exit(t, "done");
+  private void complete(FuzzTask task) {
+    if (task.phase == Heartbeat.TaskPhase.RUNNING && !task.stopped && tasks.containsValue(task)) {
+      sim.rules.onTaskCompleted(task.job, task.index);
+      sim.digest.completed(sim.now, task.task());
+      exit(task, "done");
     }
   }
 
-  private void stop(FuzzTask t, double graceS) {
-    JobSpec spec = sim.specs.get(t.job);
+  private void stop(FuzzTask task, double graceS) {
+    JobSpec spec = sim.specs.get(task.job);
     boolean saves = spec.checkpointIntervalS() > 0 && graceS >= spec.checkpointSaveS();
-    if (saves && t.phase == Heartbeat.TaskPhase.RUNNING) {
-      if (!t.stopped) {
-        t.stopped = true;
-        t.phase = Heartbeat.TaskPhase.SAVING;
+    if (saves && task.phase == Heartbeat.TaskPhase.RUNNING) {
+      if (!task.stopped) {
+        task.stopped = true;
+        task.phase = Heartbeat.TaskPhase.SAVING;
         changed = true;
-        later((long) (spec.checkpointSaveS() * 1000), () -> exit(t, "halted"));
+        later((long) (spec.checkpointSaveS() * 1000), () -> exit(task, "halted"));
       }
-    } else if (!saves || t.phase != Heartbeat.TaskPhase.SAVING) {
-      exit(t, "halted");
+    } else if (!saves || task.phase != Heartbeat.TaskPhase.SAVING) {
+      exit(task, "halted");
     }
   }
 
   /** The task ends, once; the next heartbeat shows it. */
-  void exit(FuzzTask t, String cause) {
-    if (t.exited() || !tasks.containsValue(t)) {
+  void exit(FuzzTask task, String cause) {
+    if (task.exited() || !tasks.containsValue(task)) {
       return;
     }
-    sim.note(name + " ends " + t.job + "/" + t.index + "@" + t.attempt + " " + cause);
-    sim.digest.phase(sim.now, t.task(), name, Heartbeat.TaskPhase.EXITED, cause);
-    t.phase = Heartbeat.TaskPhase.EXITED;
-    t.cause = cause;
+    sim.logStory(name + " ends " + task.job + "/" + task.index + "@" + task.attempt + " " + cause);
+    sim.digest.phase(sim.now, task.task(), name, Heartbeat.TaskPhase.EXITED, cause);
+    task.phase = Heartbeat.TaskPhase.EXITED;
+    task.cause = cause;
     changed = true;
-    off(t);
+    leave(task);
   }
 }
--- a/src/test/java/org/astershift/scheduler/ReferenceRules.java
+++ b/src/test/java/org/astershift/scheduler/ReferenceRules.java
@@ -4,38 +4,39 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * The rules of the protocol as one who sees every machine checks them: knows nothing of leaders,
- * tokens or records, only of tasks that are on machines, jobs, and what users were told.
+ * The rules of the protocol, checked with a view of every machine: it knows nothing of leaders,
+ * fencing tokens or records, only tasks that are on machines, jobs, and the ends that users saw.
  */
 final class ReferenceRules {
   /** A machine as the rules look at it. */
   record Place(String machine, String type, String zone, boolean spot) {}
 
-  /** What broke, with its time; the first is the cause mostly. */
-  final Set<String> broken = new java.util.LinkedHashSet<>();
+  /** Violations, with their times; the first is mostly the cause. */
+  final Set<String> broken = new LinkedHashSet<>();
 
   private final Map<String, Team> teams;
-  private final long cancelMs;
+  private final long cancellationMs;
   private final Map<String, JobSpec> jobs = new HashMap<>();
-  private final Map<String, Map<String, Place>> on = new LinkedHashMap<>();
+  private final Map<String, Map<String, Place>> placesByTask = new LinkedHashMap<>();
   private final Map<String, Long> cancelledMs = new HashMap<>();
-  private final Map<String, BitSet> completed = new HashMap<>();
-  private final Map<String, Boolean> told = new HashMap<>();
+  private final Map<String, BitSet> completedTasks = new HashMap<>();
+  private final Map<String, Boolean> publishedEnds = new HashMap<>();
   int starts;
   int completions;
 
-  ReferenceRules(Map<String, Team> teams, long cancelMs) {
+  ReferenceRules(Map<String, Team> teams, long cancellationMs) {
     this.teams = teams;
-    this.cancelMs = cancelMs;
+    this.cancellationMs = cancellationMs;
   }
 
-  void job(JobSpec spec) {
+  void addJob(JobSpec spec) {
     jobs.put(spec.id(), spec);
-    completed.put(spec.id(), new BitSet());
+    completedTasks.put(spec.id(), new BitSet());
   }
 
   private void fail(String rule, long nowMs, String what) {
@@ -43,11 +44,11 @@
   }
 
   /** A task has its image and is on its machine from now on. */
-  void begins(String job, int index, Place where, long nowMs) {
+  void onTaskBegun(String job, int index, Place where, long nowMs) {
     starts++;
     JobSpec spec = jobs.get(job);
     String task = job + "/" + index;
-    Map<String, Place> places = on.computeIfAbsent(task, t -> new HashMap<>());
+    Map<String, Place> places = placesByTask.computeIfAbsent(task, t -> new HashMap<>());
     if (!places.isEmpty() && !places.containsKey(where.machine())) {
       fail("ran_twice", nowMs, task + " starts on " + where + " and is on " + places.values());
     }
@@ -57,14 +58,15 @@
       fail("wrong_place", nowMs, task + " on " + where);
     }
     int inZone = 0;
-    for (Map.Entry<String, Map<String, Place>> e : on.entrySet()) {
-      if (!e.getKey().startsWith(job + "/") || e.getKey().equals(task)) {
+    for (Map.Entry<String, Map<String, Place>> entry : placesByTask.entrySet()) {
+      if (!entry.getKey().startsWith(job + "/") || entry.getKey().equals(task)) {
         continue;
       }
-      for (Place p : e.getValue().values()) {
-        inZone += p.zone().equals(where.zone()) ? 1 : 0;
-        if (spec.oneZone() && !p.zone().equals(where.zone())) {
-          fail("wrong_place", nowMs, task + " on " + where + ", " + e.getKey() + " on " + p);
+      for (Place place : entry.getValue().values()) {
+        inZone += place.zone().equals(where.zone()) ? 1 : 0;
+        if (spec.oneZone() && !place.zone().equals(where.zone())) {
+          fail(
+              "wrong_place", nowMs, task + " on " + where + ", " + entry.getKey() + " on " + place);
         }
       }
     }
@@ -75,17 +77,17 @@
       fail("ran_cancelled", nowMs, task + " starts after its confirmation");
     }
     places.put(where.machine(), where);
-    limit(spec.team(), nowMs);
+    checkQuota(spec.team(), nowMs);
   }
 
-  private void limit(String name, long nowMs) {
+  private void checkQuota(String name, long nowMs) {
     double cpus = 0;
     double gpus = 0;
-    for (Map.Entry<String, Map<String, Place>> e : on.entrySet()) {
-      JobSpec spec = jobs.get(e.getKey().substring(0, e.getKey().indexOf('/')));
+    for (Map.Entry<String, Map<String, Place>> entry : placesByTask.entrySet()) {
+      JobSpec spec = jobs.get(entry.getKey().substring(0, entry.getKey().indexOf('/')));
       if (spec.team().equals(name)) {
-        cpus += e.getValue().size() * spec.cpus();
-        gpus += e.getValue().size() * spec.gpus();
+        cpus += entry.getValue().size() * spec.cpus();
+        gpus += entry.getValue().size() * spec.gpus();
       }
     }
     Team team = teams.get(name);
@@ -95,58 +97,59 @@
     }
   }
 
-  /** It is off its machine. */
+  /** The task is off its machine. */
   void over(String job, int index, String machine) {
-    Map<String, Place> places = on.get(job + "/" + index);
+    Map<String, Place> places = placesByTask.get(job + "/" + index);
     if (places != null) {
       places.remove(machine);
       if (places.isEmpty()) {
-        on.remove(job + "/" + index);
+        placesByTask.remove(job + "/" + index);
       }
     }
   }
 
-  void completed(String job, int index) {
+  void onTaskCompleted(String job, int index) {
     completions++;
-    completed.get(job).set(index);
+    completedTasks.get(job).set(index);
   }
 
   boolean isCompleted(String job, int index) {
-    return completed.get(job).get(index);
+    return completedTasks.get(job).get(index);
   }
 
-  /** From now on users may be told of this end. */
-  void ended(String job, boolean cancelled, boolean wished, long nowMs) {
-    Boolean before = told.putIfAbsent(job, cancelled);
+  /** The end is durable: from now on users may see it. */
+  void onJobEnded(String job, boolean cancelled, boolean requested, long nowMs) {
+    Boolean before = publishedEnds.putIfAbsent(job, cancelled);
     if (before != null && before != cancelled) {
       fail("went_back", nowMs, job);
     }
-    if (cancelled && !wished) {
+    if (cancelled && !requested) {
       fail("went_back", nowMs, job + " was not cancelled by its user");
     }
     if (cancelled) {
       cancelledMs.put(job, nowMs);
-    } else if (completed.get(job).cardinality() < jobs.get(job).tasks()) {
-      fail("not_done", nowMs, job + " " + completed.get(job));
+    } else if (completedTasks.get(job).cardinality() < jobs.get(job).tasks()) {
+      fail("not_done", nowMs, job + " " + completedTasks.get(job));
     }
   }
 
   boolean over(String job) {
-    return told.containsKey(job);
+    return publishedEnds.containsKey(job);
   }
 
-  /** Looks for cancelled tasks that live on. */
-  void look(long nowMs) {
+  /** Checks that no task runs on beyond the time promised for a cancellation. */
+  void checkCancelled(long nowMs) {
     if (cancelledMs.isEmpty()) {
       return;
     }
     Set<String> late = new HashSet<>();
-    for (String task : on.keySet()) {
-      Long at = cancelledMs.get(task.substring(0, task.indexOf('/')));
-      if (at != null && nowMs - at > cancelMs) {
+    for (String task : placesByTask.keySet()) {
+      Long confirmedMs = cancelledMs.get(task.substring(0, task.indexOf('/')));
+      if (confirmedMs != null && nowMs - confirmedMs > cancellationMs) {
         late.add(task);
       }
     }
-    late.forEach(t -> fail("ran_cancelled", nowMs / 1000 * 1000, t + " on " + on.get(t).values()));
+    late.forEach(
+        t -> fail("ran_cancelled", nowMs / 1000 * 1000, t + " on " + placesByTask.get(t).values()));
   }
 }
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -55,15 +55,15 @@
       String type = i % 2 == 0 || sim.random.nextBoolean() ? "p" : "g";
       sim.cloud.create(type, sim.random.nextBoolean() ? "a" : "b", i % 3 == 2, 0);
     }
-    begin();
-    sim.users.submitting();
-    new FuzzTroubles(sim).troubles();
-    watching();
+    beginTerm();
+    sim.users.submitRepeatedly();
+    new FuzzFaults(sim).injectFaults();
+    watch();
     sim.playEvents();
     if (sim.rules.broken.isEmpty()) {
       for (String id : sim.specs.keySet()) {
         if (!sim.rules.over(id) && sim.specs.get(id).kind() != JobKind.SERVICE) {
-          unfinished.add(id + " " + held(id));
+          unfinished.add(id + " " + leaderView(id));
         }
       }
     }
@@ -71,74 +71,92 @@
   }
 
   /** The leader's view of the job's tasks, for the message of a job that never ended. */
-  private String held(String id) {
+  private String leaderView(String id) {
     Job job = sim.store.holder.scheduler.job(id);
     if (job == null) {
       return "not known";
     }
-    StringBuilder sb =
+    StringBuilder text =
         new StringBuilder("waiting " + job.waitingTasks + " of " + job.spec + ", done ");
-    sb.append(job.doneTasks).append(", opened ").append(job.opened);
-    for (TaskAttempt run : job.attempts.values()) {
-      Machine m = run.machine;
-      sb.append("; ").append(run.key).append(" on ").append(m.name).append(' ').append(m.state);
-      sb.append(" restarted=").append(m.restartedInTerm).append(" fenced=").append(m.fenced);
-      sb.append(" phase=").append(run.phase).append(" startSent=").append(run.startSent);
-      sb.append(" startUnconfirmed=")
-          .append(run.startUnconfirmed)
+    text.append(job.doneTasks).append(", opened ").append(job.opened);
+    for (TaskAttempt attempt : job.attempts.values()) {
+      Machine machine = attempt.machine;
+      text.append("; ")
+          .append(attempt.key)
+          .append(" on ")
+          .append(machine.name)
+          .append(' ')
+          .append(machine.state);
+      text.append(" restarted=")
+          .append(machine.restartedInTerm)
+          .append(" fenced=")
+          .append(machine.fenced);
+      text.append(" phase=").append(attempt.phase).append(" startSent=").append(attempt.startSent);
+      text.append(" startUnconfirmed=")
+          .append(attempt.startUnconfirmed)
           .append(" stopping=")
-          .append(run.stopping);
+          .append(attempt.stopping);
     }
-    for (Machine m : sim.store.holder.scheduler.cluster().allMachines()) {
-      sb.append("; ").append(m.name).append(' ').append(m.typeName).append(m.zone).append(m.state);
-      sb.append(" restarted=")
-          .append(m.restartedInTerm)
+    for (Machine machine : sim.store.holder.scheduler.cluster().allMachines()) {
+      text.append("; ")
+          .append(machine.name)
+          .append(' ')
+          .append(machine.typeName)
+          .append(machine.zone)
+          .append(machine.state);
+      text.append(" restarted=")
+          .append(machine.restartedInTerm)
           .append(" registered=")
-          .append(m.registered);
-      sb.append(" usable=")
-          .append(m.usable(sim.store.holder.clock()))
+          .append(machine.registered);
+      text.append(" usable=")
+          .append(machine.usable(sim.store.holder.clock()))
           .append(" inboundPartitioned=")
-          .append(m.inboundPartitioned());
-      sb.append(" quarantined=").append(m.quarantined).append(" unverified=").append(m.unverified);
-      sb.append(" preemptionNoticeS=")
-          .append(m.preemptionNoticeS)
+          .append(machine.inboundPartitioned());
+      text.append(" quarantined=")
+          .append(machine.quarantined)
+          .append(" unverified=")
+          .append(machine.unverified);
+      text.append(" preemptionNoticeS=")
+          .append(machine.preemptionNoticeS)
           .append(" holds ")
-          .append(m.attempts.keySet());
+          .append(machine.attempts.keySet());
     }
-    return sb.toString();
+    return text.toString();
   }
 
-  private void begin() {
-    FuzzController ctl = new FuzzController(sim, ++sim.store.revision);
-    sim.store.holder = ctl;
-    sim.store.keyEndsMs = sim.now + FuzzSimulation.KEY_MS;
-    sim.controllers.add(ctl);
-    sim.did("leaders");
-    sim.digest.term(sim.now, Long.toString(ctl.token), ctl.token);
-    ctl.handle(ctl::load);
-    for (Heartbeat r : sim.kept) {
+  private void beginTerm() {
+    FuzzController controller = new FuzzController(sim, ++sim.store.revision);
+    sim.store.holder = controller;
+    sim.store.keyEndsMs = sim.now + FuzzSimulation.LEADER_LEASE_MS;
+    sim.controllers.add(controller);
+    sim.count("leaders");
+    sim.digest.term(sim.now, Long.toString(controller.token), controller.token);
+    controller.handle(controller::load);
+    for (Heartbeat heartbeat : sim.keptHeartbeats) {
       sim.after(
           sim.random.nextInt(300),
-          () -> ctl.handle(() -> ctl.scheduler.onHeartbeat(r, ctl.clock())));
+          () ->
+              controller.handle(
+                  () -> controller.scheduler.onHeartbeat(heartbeat, controller.clock())));
     }
-    sim.kept.clear();
+    sim.keptHeartbeats.clear();
     // Records that another thread of it had read before.
     for (String id : new ArrayList<>(sim.store.live.keySet())) {
-      sim.users.learn(ctl, id, sim.store.submitted.get(id));
+      sim.users.learn(controller, id, sim.store.submitted.get(id));
     }
   }
 
-  private void watching() {
-    for (FuzzWorker w : sim.workers.values()) {
-      w.expire();
+  private void watch() {
+    for (FuzzWorker worker : sim.workers.values()) {
+      worker.expire();
     }
-    sim.rules.look(sim.now);
-    succession();
-    if (sim.now > sim.troublesMs && jobsOver()) {
+    sim.rules.checkCancelled(sim.now);
+    failoverIfLeaseExpired();
+    if (sim.now > sim.faultsEndMs && jobsOver()) {
       sim.clearEvents();
       return;
     }
-    sim.after(100, this::watching);
+    sim.after(100, this::watch);
   }
 
   private boolean jobsOver() {
@@ -151,13 +169,13 @@
   }
 
   /** A lease that nobody renews expires, and the next leader begins its term. */
-  private void succession() {
-    if (sim.outage) {
-      sim.store.keyEndsMs = Math.max(sim.store.keyEndsMs, sim.now + FuzzSimulation.KEY_MS);
+  private void failoverIfLeaseExpired() {
+    if (sim.storeDown) {
+      sim.store.keyEndsMs = Math.max(sim.store.keyEndsMs, sim.now + FuzzSimulation.LEADER_LEASE_MS);
       return;
     }
     if (sim.now > sim.store.keyEndsMs) {
-      begin();
+      beginTerm();
     }
   }
 
@@ -171,20 +189,21 @@
         .parallel()
         .forEach(
             seed -> {
-              SchedulerFuzzer a = new SchedulerFuzzer(seed, story);
+              SchedulerFuzzer fuzzer = new SchedulerFuzzer(seed, story);
               try {
-                a.play();
+                fuzzer.play();
               } catch (RuntimeException e) {
-                a.rules.broken.add(e.toString() + " " + List.of(e.getStackTrace()).subList(0, 4));
+                fuzzer.rules.broken.add(
+                    e.toString() + " " + List.of(e.getStackTrace()).subList(0, 4));
               }
               synchronized (all) {
-                a.happened.forEach((what, n) -> all.merge(what, n, Integer::sum));
-                all.merge("starts", a.rules.starts, Integer::sum);
-                all.merge("completions", a.rules.completions, Integer::sum);
-                if (!a.rules.broken.isEmpty() || !a.unfinished.isEmpty()) {
+                fuzzer.happened.forEach((what, n) -> all.merge(what, n, Integer::sum));
+                all.merge("starts", fuzzer.rules.starts, Integer::sum);
+                all.merge("completions", fuzzer.rules.completions, Integer::sum);
+                if (!fuzzer.rules.broken.isEmpty() || !fuzzer.unfinished.isEmpty()) {
                   failed[0]++;
-                  System.out.println(a);
-                  a.log().forEach(System.out::println);
+                  System.out.println(fuzzer);
+                  fuzzer.log().forEach(System.out::println);
                 }
               }
             });
