--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -141,7 +141,7 @@
             peer.getValue()
                 .call(PeerOperation.STORE_STATUS, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
         answered++;
-        if (answer.status() == 200) {
+        if (answer.found()) {
           return new PeerReports(answered, peer.getKey(), ObservedLeader.parse(answer.phase()));
         }
       } catch (IOException | RuntimeException e) {
--- a/src/main/java/org/astershift/controller/JobCanceller.java
+++ b/src/main/java/org/astershift/controller/JobCanceller.java
@@ -82,7 +82,7 @@
     private JobAnswer readStore() {
       JobAnswer answer = lookup.queryStore(jobId);
       storeRead = true;
-      return answer.status() == 200 ? null : answer;
+      return answer.found() ? null : answer;
     }
 
     private static JobAnswer answerWith(RecordCodec.JobEnd end) {
--- a/src/main/java/org/astershift/controller/JobLookup.java
+++ b/src/main/java/org/astershift/controller/JobLookup.java
@@ -30,13 +30,13 @@
   }
 
   static JobAnswer toAnswer(RecordCodec.JobEnd end) {
-    return new JobAnswer(200, end.cancelled() ? "withdrawn" : "done", end.done(), 0);
+    return JobAnswer.ofEnd(end.cancelled(), end.done());
   }
 
   /** What the leader says, or else the store. */
   JobAnswer queryLeader(String jobId) {
     JobAnswer answer = askLeader(PeerOperation.POLL_JOB, jobId);
-    return answer.status() == 503 ? queryStore(jobId) : answer;
+    return answer.undecided() ? queryStore(jobId) : answer;
   }
 
   /**
@@ -51,7 +51,7 @@
       StoreClient.Entry liveEntry = store.get(RecordCodec.JOB + jobId);
       if (liveEntry.data() != null) {
         runtime.onJobRecord(liveEntry);
-        return new JobAnswer(200, "queued", 0, 0);
+        return JobAnswer.ofAccepted();
       }
       StoreClient.Entry endedEntry = store.get(RecordCodec.ENDED + jobId);
       if (endedEntry.data() == null) {
@@ -69,9 +69,8 @@
   /** The leader's answer about a job, whose end is remembered; undecided without an answer. */
   JobAnswer askLeader(PeerOperation operation, String jobId) {
     JobAnswer answer = callLeader(operation, jobId);
-    if ("done".equals(answer.phase()) || "withdrawn".equals(answer.phase())) {
-      endedJobs.put(
-          jobId, new RecordCodec.JobEnd(answer.phase().equals("withdrawn"), answer.doneTasks()));
+    if (answer.ended()) {
+      endedJobs.put(jobId, new RecordCodec.JobEnd(answer.cancelled(), answer.doneTasks()));
     }
     return answer;
   }
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -71,7 +71,7 @@
       return SubmissionResult.UNDECIDED;
     }
     JobAnswer known = poll(spec.id(), true);
-    return known.status() == 200 ? new SubmissionResult(200, known) : SubmissionResult.UNDECIDED;
+    return known.found() ? new SubmissionResult(200, known) : SubmissionResult.UNDECIDED;
   }
 
   /** Commits only if the id was never accepted. */
@@ -88,7 +88,7 @@
     RecordCodec.JobEnd end = endedJobs.get(record.spec().id());
     return end != null // the store's answer was slow, and the job's user cancelled it meanwhile
         ? new SubmissionResult(200, JobLookup.toAnswer(end))
-        : new SubmissionResult(201, new JobAnswer(200, "queued", 0, 0));
+        : new SubmissionResult(201, JobAnswer.ofAccepted());
   }
 
   /** The state of a job, from the source that {@link JobQuery} allows. */
@@ -104,11 +104,7 @@
         switch (JobQuery.source(view)) {
           case KNOWN_END -> JobLookup.toAnswer(end);
           case LEADER_MEMORY ->
-              new JobAnswer(
-                  200,
-                  progress.running() ? "running" : "queued",
-                  progress.doneTasks(),
-                  progress.runningTasks());
+              JobAnswer.ofLive(progress.running(), progress.doneTasks(), progress.runningTasks());
           case REMOTE_LEADER -> leaderQueries.get(jobId);
           case STORE -> storeQueries.get(jobId);
         };
--- a/src/main/java/org/astershift/controller/PeerProbes.java
+++ b/src/main/java/org/astershift/controller/PeerProbes.java
@@ -66,7 +66,7 @@
     try {
       JobAnswer answer =
           peer.call(PeerOperation.PROBE_MACHINES, addresses, PeerClient.PEER_TIMEOUT_MS);
-      return answer.status() == 200 ? decode(machines, answer.phase()) : null;
+      return answer.found() ? decode(machines, answer.phase()) : null;
     } catch (IOException | RuntimeException e) {
       LOG.debug("probe through a peer failed: {}", e.toString());
       return null;
--- a/src/main/java/org/astershift/controller/PeerReachability.java
+++ b/src/main/java/org/astershift/controller/PeerReachability.java
@@ -29,7 +29,7 @@
       WorkerReachability.Measurement measurement =
           new WorkerReachability.Measurement(answer.runningTasks(), answer.doneTasks());
       return new Candidacy.PeerStatus(
-          node, answer.status() == 200 && "".equals(answer.phase()), measurement);
+          node, answer.found() && "".equals(answer.phase()), measurement);
     } catch (IOException | RuntimeException e) {
       LOG.debug("peer does not answer, node={}: {}", node, e.toString());
       return null;
