--- a/src/test/java/org/astershift/simulation/CloudModel.java
+++ b/src/test/java/org/astershift/simulation/CloudModel.java
@@ -25,18 +25,18 @@
   private static final long FAILED_AFTER_MS = 30_000;
   private static final long BOOT_MS = 10_000;
 
-  /** How long the next machines take until they report; null: never. */
+  /** How long new machines take until their first heartbeat; null: it never comes. */
   Supplier<Long> bootMs = () -> BOOT_MS;
 
-  /** Rentals are carried out at once, and their answers take up to so long. */
+  /** Provisioning happens at once, and its answer takes up to so long. */
   long answerDelayMs;
 
-  /** Machines that were up, and that had tasks, as the answer to their rental was given. */
+  /** Machines that were alive, and that had tasks, before their request was answered. */
   int aliveBeforeAnswer;
 
   int busyBeforeAnswer;
 
-  /** Machines that it took back, and those of them that had tasks. */
+  /** Machines preempted, and those of them that had tasks. */
   int preempted;
 
   int preemptedWithTasks;
@@ -44,7 +44,7 @@
   private final Simulation simulation;
   private final Map<String, List<String>> provisioned = new HashMap<>();
   private final Map<String, Long> diedMs = new HashMap<>();
-  private final Set<String> gone = new HashSet<>();
+  private final Set<String> released = new HashSet<>();
   private final Deque<Snapshot> snapshots = new ArrayDeque<>();
   private final List<String> names = new ArrayList<>();
   private final Map<String, Kind> kinds = new HashMap<>();
@@ -55,7 +55,7 @@
 
   private int nextMachineNumber = 100_000;
 
-  /** What a machine is: type, zone, and whether the cloud may take it any time. */
+  /** What a machine is: type, zone, and whether it is a spot machine. */
   record Kind(String type, String zone, boolean spot) {}
 
   private record Snapshot(long atMs, List<Scheduler.ListedMachine> listed) {}
@@ -98,7 +98,7 @@
   }
 
   private void start(WorkerModel worker) {
-    if (!gone.contains(worker.name) && !diedMs.containsKey(worker.name)) {
+    if (!released.contains(worker.name) && !diedMs.containsKey(worker.name)) {
       worker.start();
     }
   }
@@ -146,14 +146,16 @@
 
   private boolean hasMore(String type) {
     long there =
-        names.stream().filter(n -> !gone.contains(n) && kinds.get(n).type().equals(type)).count();
+        names.stream()
+            .filter(n -> !released.contains(n) && kinds.get(n).type().equals(type))
+            .count();
     return there < capacity.getOrDefault(type, Integer.MAX_VALUE);
   }
 
-  /** The cloud takes a spot machine back, without a notice. */
+  /** Preempts a spot machine, without a notice. */
   void preempt(String name) {
-    if (gone.add(name)) {
-      simulation.log(name, "is taken back by the cloud");
+    if (released.add(name)) {
+      simulation.log(name, "is preempted");
       preempted++;
       preemptedWithTasks += simulation.workers.get(name).liveTasks().isEmpty() ? 0 : 1;
       simulation.workers.get(name).die();
@@ -161,8 +163,8 @@
   }
 
   /**
-   * It takes one back after a notice, that much later times half to one and a half: what its worker
-   * says is the time that was told.
+   * It takes one back after a notice, that much later times half to one and a half: its worker's
+   * heartbeats show the time of the notice.
    */
   void announcePreemption(String name, long noticeMs, double times) {
     WorkerModel worker = simulation.workers.get(name);
@@ -174,7 +176,7 @@
 
   void release(List<String> machines, boolean silent) {
     for (String name : machines) {
-      if (kinds.containsKey(name) && gone.add(name)) {
+      if (kinds.containsKey(name) && released.add(name)) {
         WorkerModel worker = simulation.workers.get(name);
         if (silent) {
           simulation.checker.released.add(name);
@@ -187,7 +189,7 @@
   private void takeSnapshot() {
     List<Scheduler.ListedMachine> listed = new ArrayList<>();
     for (String name : names) {
-      if (!gone.contains(name)) {
+      if (!released.contains(name)) {
         Long died = diedMs.get(name);
         boolean failed = died != null && simulation.now() - died > FAILED_AFTER_MS;
         listed.add(
--- a/src/test/java/org/astershift/simulation/CombinedFaults.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaults.java
@@ -111,7 +111,7 @@
     assertDetected(mutation, lastSeed, "", play);
   }
 
-  /** The same, where the violation is of the rule with this name. */
+  /** The same, where the violation is of the invariant with this name. */
   static void assertDetected(
       Mutation mutation, int lastSeed, String rule, LongFunction<Simulation> play) {
     for (long seed = 1; seed <= lastSeed; seed++) {
--- a/src/test/java/org/astershift/simulation/CommandSenderModel.java
+++ b/src/test/java/org/astershift/simulation/CommandSenderModel.java
@@ -50,7 +50,7 @@
 
   /**
    * Opens a connection to an incarnation of the machine; {@code done} gets null if none opened in
-   * time. One that opened while this process stood still is found when it resumes.
+   * time. One that opened while this process paused is found when it resumes.
    */
   private void connect(String machine, long timeoutMs, Consumer<Integer> done) {
     int startedIn = controller.incarnation();
--- a/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
+++ b/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
@@ -7,9 +7,9 @@
 import org.astershift.scheduler.Heartbeat;
 
 /**
- * Reports that come just as a leader begins: copies kept for the next leader, each delivered at
- * every controller at a moment of its own, and reports that are held back with their answers' way
- * until a new leader has acted.
+ * Heartbeats that arrive just as a term begins: duplicates kept for the next leader, which reach
+ * every controller at a moment of a failover, and heartbeats that are held back until a new leader
+ * has acted.
  */
 final class DelayedHeartbeats {
   /** What is delivered on account of one moment comes within so long. */
@@ -17,13 +17,13 @@
 
   private static final long ACTED_WINDOW_MS = 10_000;
 
-  /** Where in a change of leaders. */
+  /** A moment of a failover. */
   enum Moment {
     /** It is about to create its key. */
     BEFORE_KEY_CREATION,
     /** It has created it. */
     KEY_CREATED,
-    /** Its mirror is read up to there. */
+    /** Its watch cache is read up to there. */
     CATCHING_UP,
     /** It answers workers. */
     TERM_BEGUN,
@@ -31,10 +31,10 @@
     FIRST_DECISION
   }
 
-  /** Share of the reports of which a copy is kept for the next leader. */
+  /** Share of the heartbeats of which a duplicate is kept for the next leader. */
   double keepShare;
 
-  /** Share of the reports that are held back until a new leader has acted. */
+  /** Share of the heartbeats that are held back until a new leader has acted. */
   double holdShare;
 
   /** Copies delivered at a controller that led, by the moment on account of which they came. */
@@ -43,15 +43,15 @@
   /** Among them, those that showed a task which was on that machine no more. */
   int withEndedTasks;
 
-  /** Among them, those of an earlier session of their machine, or of an earlier life. */
+  /** Among them, those of an earlier epoch of their machine, or of an earlier incarnation. */
   int ofEarlierEpochs;
 
   int ofEarlierIncarnations;
 
-  /** Among them, those of machines that are no more. */
+  /** Among them, those of dead machines. */
   int ofDeadMachines;
 
-  /** Reports held back that arrived at a controller which led, began later and had acted. */
+  /** Heartbeats held back that arrived at a controller which led, began later and had acted. */
   int heldAtLeader;
 
   private final Simulation simulation;
@@ -67,8 +67,9 @@
     this.simulation = simulation;
   }
 
-  /** A machine says this; a copy of it may be kept. */
+  /** A machine sends this; a duplicate of it may be kept. */
   void onHeartbeatSent(WorkerModel worker, Heartbeat heartbeat) {
+    duplicate(worker, heartbeat);
     if (keepShare > 0 && simulation.random.nextDouble() < keepShare) {
       Moment at = Moment.values()[simulation.random.nextInt(Moment.values().length)];
       duplicates
@@ -77,7 +78,7 @@
     }
   }
 
-  /** The way of a report to its controller, which may be long. */
+  /** Delivers a heartbeat to its controller, or holds it back if that is drawn. */
   <A> Simulation.Service<A> delayIfDrawn(ControllerModel receiver, Simulation.Service<A> service) {
     if (holdShare == 0 || simulation.random.nextDouble() >= holdShare) {
       return service;
@@ -91,7 +92,7 @@
   void onMoment(Moment moment, ControllerModel leader) {
     long within = moment == Moment.FIRST_DECISION ? ACTED_WINDOW_MS : DELIVERY_WINDOW_MS;
     List<Duplicate> due = duplicates.computeIfAbsent(moment, key -> new ArrayList<>());
-    // What was said under this very leader is kept for the next one.
+    // What was sent in this very term is kept for the next one.
     List<Duplicate> now =
         due.stream().filter(duplicate -> leader.token() != duplicate.fencingToken).toList();
     due.removeAll(now);
@@ -134,7 +135,7 @@
               ? 1
               : 0;
     }
-    receiver.onDuplicateHeartbeat(duplicate.worker.asReadLate(duplicate.heartbeat));
+    receiver.onDuplicateHeartbeat(asReadLate(duplicate.worker, duplicate.heartbeat));
   }
 
   private void deliverHeld(HeldHeartbeat entry) {
@@ -151,4 +152,33 @@
         entry -> simulation.after(simulation.random.nextLong(DELIVERY_WINDOW_MS), entry.delivery));
     held.clear();
   }
+
+  /** A duplicate arrives later, up to three leases after the original, at any controller. */
+  private void duplicate(WorkerModel worker, Heartbeat heartbeat) {
+    if (simulation.random.nextDouble() < simulation.duplicateShare) {
+      ControllerModel receiver =
+          simulation.controllers.get(simulation.random.nextInt(simulation.controllers.size()));
+      long ms = 1000 + simulation.random.nextLong(3 * simulation.setup.leaseMs());
+      simulation.after(ms, () -> receiver.onDuplicateHeartbeat(asReadLate(worker, heartbeat)));
+    }
+  }
+
+  /** As it was sent, or as a leader would read it that lacks a safety measure. */
+  Heartbeat asReadLate(WorkerModel worker, Heartbeat heartbeat) {
+    boolean asNew = simulation.mutations.contains(Mutation.ACCEPT_DUPLICATE_HEARTBEATS);
+    boolean withCurrentToken =
+        simulation.mutations.contains(Mutation.DUPLICATES_CARRY_CURRENT_TOKEN);
+    long token = withCurrentToken ? simulation.latestToken() : heartbeat.fencingToken();
+    return new Heartbeat(
+        heartbeat.machineName(),
+        heartbeat.address(),
+        heartbeat.typeName(),
+        heartbeat.zone(),
+        heartbeat.spot(),
+        heartbeat.epoch(),
+        asNew ? worker.sequence() + 1 : heartbeat.sequence(),
+        asNew ? worker.fencingToken() : token,
+        heartbeat.preemptionNoticeS(),
+        heartbeat.tasks());
+  }
 }
--- a/src/test/java/org/astershift/simulation/FailoverTest.java
+++ b/src/test/java/org/astershift/simulation/FailoverTest.java
@@ -58,7 +58,9 @@
     return simulation;
   }
 
-  /** What was accepted just before a leader began is known to it, however slow its mirror is. */
+  /**
+   * What was accepted just before a leader began is known to it, however slow its watch cache is.
+   */
   @Test
   void watchCacheLagsAtFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
--- a/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
@@ -1,85 +1,32 @@
 package org.astershift.simulation;
 
 import static org.astershift.simulation.CombinedFaults.LeaderFault;
-import static org.astershift.simulation.CombinedFaults.addAcceleratorMachines;
 import static org.astershift.simulation.CombinedFaults.apply;
 import static org.astershift.simulation.CombinedFaults.assertServed;
 import static org.astershift.simulation.CombinedFaults.runForS;
+import static org.astershift.simulation.GangFaults.GANGS;
+import static org.astershift.simulation.GangFaults.MachineFault;
+import static org.astershift.simulation.GangFaults.applyToMachines;
+import static org.astershift.simulation.GangFaults.count;
+import static org.astershift.simulation.GangFaults.gangs;
+import static org.astershift.simulation.GangFaults.loadedSimulation;
+import static org.astershift.simulation.GangFaults.machinesOf;
+import static org.astershift.simulation.GangFaults.randomMachines;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
-import java.util.function.Predicate;
-import org.astershift.scheduler.JobKind;
-import org.astershift.scheduler.JobSpec;
 import org.astershift.scheduler.Priority;
 import org.astershift.scheduler.ServiceLevelObjective;
-import org.astershift.scheduler.Team;
 import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
  * Gangs, whose tasks gather, run, save and complete together, as the leader changes and machines
- * cannot be reached. Each case counts that its troubles met.
+ * cannot be reached. Each case counts that its faults met.
  */
 class GangCombinedFaultsTest {
   private static final int SEEDS = 6;
-  private static final List<String> GANGS = List.of("wk-g0", "wk-g1", "wk-g2", "wk-g3");
-
-  /** What becomes of machines that hold tasks of the gangs. */
-  private enum Trouble {
-    CUT_OFF,
-    INBOUND_PARTITIONED,
-    PAUSED
-  }
-
-  private static Simulation loadedSimulation(long seed) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
-    simulation.runTo(4);
-    simulation.submit(JobDraft.array("wk-all", 6).kind(JobKind.SERVICE).spec(), null);
-    simulation.runTo(20);
-    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
-    return simulation;
-  }
-
-  private static void applyToMachines(
-      Simulation simulation, Trouble trouble, String machine, long forMs) {
-    if (trouble == Trouble.PAUSED) {
-      simulation.workers.get(machine).pause(forMs);
-      return;
-    }
-    for (ControllerModel controller : simulation.controllers) {
-      simulation.cut(controller.name, machine);
-      if (trouble == Trouble.CUT_OFF) {
-        simulation.cut(machine, controller.name);
-      }
-      simulation.after(forMs, () -> simulation.healBoth(controller.name, machine));
-    }
-  }
-
-  /** One gang anywhere, one in one zone, one in zone a, and one half of which is in one zone. */
-  private static List<JobSpec> gangs() {
-    return List.of(
-        JobDraft.gang(GANGS.get(0), 6).saves(1).spec(),
-        JobDraft.gang(GANGS.get(1), 6).oneZone().spec(),
-        JobDraft.gang(GANGS.get(2), 4).zone("a").saves(1).spec(),
-        JobDraft.gang(GANGS.get(3), 5).spread().spec());
-  }
-
-  /** Machines that hold tasks of the jobs. */
-  private static List<String> machinesOf(Simulation simulation, List<String> jobs) {
-    Set<String> tasks = new HashSet<>();
-    simulation.checker.eachOnMachine(
-        (task, machine) -> {
-          if (jobs.contains(task.substring(0, task.indexOf('/')))) {
-            tasks.add(machine);
-          }
-        });
-    return tasks.stream().sorted().toList();
-  }
 
   /** Machines that hold tasks of gangs that gather; where none does, of any of the gangs. */
   private static List<String> gatheringMachines(Simulation simulation) {
@@ -87,23 +34,9 @@
     return machinesOf(simulation, gathering.isEmpty() ? GANGS : gathering);
   }
 
-  private static List<String> randomMachines(
-      Simulation simulation, List<String> machines, int most) {
-    List<String> left = new ArrayList<>(machines);
-    List<String> out = new ArrayList<>();
-    while (!left.isEmpty() && out.size() < most) {
-      out.add(left.remove(simulation.random.nextInt(left.size())));
-    }
-    return out;
-  }
-
-  private static long count(Simulation simulation, Predicate<String> what) {
-    return simulation.users.accepted().stream().filter(what).count();
-  }
-
   /**
-   * Gangs gather, since some machines do not hear of their start, and the leader ends; in half of
-   * the seeds one of the machines on which a task waits for the others is lost, too.
+   * Gangs gather, since some machines do not get their start commands, and the leader ends; in half
+   * of the seeds one of the machines on which a task waits for the others is lost, too.
    */
   @Test
   void failoverWhileGangsGather() {
@@ -112,14 +45,14 @@
     int replaced = 0;
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
-      for (Trouble trouble : Trouble.values()) {
+      for (MachineFault machineFault : MachineFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = loadedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
           long[] lasts = {6000, 12_000, 20_000, 34_000};
           for (String machine :
               randomMachines(simulation, List.copyOf(simulation.workers.keySet()), 3)) {
-            applyToMachines(simulation, trouble, machine, lasts[(int) (seed % 4)]);
+            applyToMachines(simulation, machineFault, machine, lasts[(int) (seed % 4)]);
           }
           gangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
           simulation.runTo(22 + 0.5 * (seed % 3));
@@ -128,7 +61,7 @@
           if (seed % 2 == 0) {
             runForS(simulation, simulation.random.nextDouble());
             randomMachines(simulation, gatheringMachines(simulation), 1)
-                .forEach(m -> simulation.workers.get(m).restart(500));
+                .forEach(machine -> simulation.workers.get(machine).restart(500));
           }
           simulation.runTo(60);
           assertServed(simulation, 110);
@@ -176,7 +109,8 @@
         played++;
       }
     }
-    assertTrue(incomplete >= 2 * played, incomplete + " tasks waited in vain, in " + played);
+    assertTrue(
+        incomplete >= 2 * played, incomplete + " tasks waited without success, in " + played);
   }
 
   /** Full of gangs at which urgent work aims; so these are stopped as a whole, and save. */
@@ -196,7 +130,7 @@
 
   /**
    * Gangs are being stopped for urgent work, so that they save together, as the leader ends; in two
-   * thirds of the seeds some machines do not hear of the stop, for less and for longer than the
+   * thirds of the seeds some machines do not get the stop command, for less and for longer than the
    * others wait.
    */
   @Test
@@ -204,17 +138,17 @@
     int saving = 0;
     int inOrder = 0;
     int failed = 0;
-    int wentOn = 0;
+    int resumed = 0;
     int tooLate = 0;
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
-      for (Trouble trouble : Trouble.values()) {
+      for (MachineFault machineFault : MachineFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = fullCluster(seed);
           ControllerModel old = simulation.leaders().get(0);
           for (String machine :
               randomMachines(simulation, machinesOf(simulation, GANGS), (int) (seed % 3) * 2)) {
-            applyToMachines(simulation, trouble, machine, seed < 3 ? 2500 : 9000);
+            applyToMachines(simulation, machineFault, machine, seed < 3 ? 2500 : 9000);
           }
           simulation.submit(JobDraft.array("wk-u", 5).in("u", Priority.HIGH).spec(), 8_000L);
           boolean met =
@@ -226,7 +160,7 @@
           assertServed(simulation, 150);
           inOrder += simulation.gangs.stoppedInOrder;
           failed += simulation.gangs.saveFailed;
-          wentOn += simulation.gangs.resumed;
+          resumed += simulation.gangs.resumed;
           tooLate += simulation.gangs.startedAfterGangStart;
           played++;
         }
@@ -234,20 +168,22 @@
     }
     assertTrue(saving >= played * 3 / 4, saving + " saved as the leader ended, of " + played);
     assertTrue(inOrder >= played / 4, inOrder + " saved");
-    assertTrue(failed >= played / 4, failed + " saved in vain");
-    assertTrue(wentOn >= played / 2, wentOn + " went on from what was saved");
+    assertTrue(failed >= played / 4, failed + " saved without success");
+    assertTrue(resumed >= played / 2, resumed + " went on from what was saved");
     assertEquals(0, tooLate, "tasks started of an attempt that had begun");
   }
 
-  /** Gangs are called off within 0.2 s whose machines hang or are cut off; the leader changes. */
+  /**
+   * Gangs are cancelled within 0.2 s whose machines pause or are partitioned; the leader changes.
+   */
   @Test
   void gangsCancelledDuringFailover() {
-    int onTroubled = 0;
+    int onFaultyMachines = 0;
     int confirmed = 0;
     int gathered = 0;
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
-      for (Trouble trouble : Trouble.values()) {
+      for (MachineFault machineFault : MachineFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = loadedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
@@ -261,7 +197,7 @@
           List<String> all =
               early ? List.copyOf(simulation.workers.keySet()) : machinesOf(simulation, GANGS);
           List<String> machines = randomMachines(simulation, all, 4);
-          machines.forEach(m -> applyToMachines(simulation, trouble, m, forMs));
+          machines.forEach(machine -> applyToMachines(simulation, machineFault, machine, forMs));
           if (early) {
             gangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
           }
@@ -274,8 +210,9 @@
           runForS(simulation, 2);
           gathered += count(simulation, simulation.gangs::isGathering);
           int[] counts = new int[1];
-          simulation.checker.eachOnMachine((task, m) -> counts[0] += machines.contains(m) ? 1 : 0);
-          onTroubled += counts[0];
+          simulation.checker.eachOnMachine(
+              (task, machine) -> counts[0] += machines.contains(machine) ? 1 : 0);
+          onFaultyMachines += counts[0];
           simulation.pollAllJobs();
           runForS(simulation, 45);
           assertServed(simulation, 30);
@@ -285,19 +222,21 @@
       }
     }
     assertEquals(4 * played, confirmed, "gangs confirmed as cancelled in " + played);
-    assertTrue(onTroubled >= 3 * played, onTroubled + " tasks on machines in trouble");
+    assertTrue(
+        onFaultyMachines >= 3 * played,
+        onFaultyMachines + " tasks on faulty or unreachable machines");
     assertTrue(gathered >= played / 2, gathered + " of the gangs gathered then");
   }
 
   /**
-   * Gangs complete as the leader ends: reports of some machines from before come late, copies of
+   * Gangs complete as the leader ends: heartbeats of some machines from before come late, copies of
    * others are kept for the next leader, and one machine is lost before it tells.
    */
   @Test
   void gangsCompleteWithDelayedHeartbeatsDuringFailover() {
     int confirmed = 0;
-    int copies = 0;
-    int heldBack = 0;
+    int duplicates = 0;
+    int heldHeartbeats = 0;
     int lost = 0;
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
@@ -313,22 +252,25 @@
         confirmed += old.manages(GANGS.get(0)) || old.manages(GANGS.get(1)) ? 1 : 0;
         List<String> there = randomMachines(simulation, machinesOfDone(simulation), 1);
         there.forEach(
-            m -> simulation.workers.get(m).restart(300 + simulation.random.nextLong(2000)));
+            machine ->
+                simulation.workers.get(machine).restart(300 + simulation.random.nextLong(2000)));
         lost += there.size();
         runForS(simulation, simulation.random.nextDouble());
         apply(simulation, old, fault);
         simulation.pollAllJobs();
         runForS(simulation, 20);
-        copies += simulation.delayedHeartbeats.withEndedTasks;
-        heldBack += simulation.delayedHeartbeats.heldAtLeader;
+        duplicates += simulation.delayedHeartbeats.withEndedTasks;
+        heldHeartbeats += simulation.delayedHeartbeats.heldAtLeader;
         assertServed(simulation, 60);
         played++;
       }
     }
     assertTrue(confirmed >= played * 3 / 4, confirmed + " were not known to be done, of " + played);
-    assertTrue(copies >= played, copies + " copies with tasks that had ended");
-    assertTrue(heldBack >= played / 4, heldBack + " reports held back until the next had acted");
-    assertTrue(lost >= played * 3 / 4, lost + " machines lost before they told");
+    assertTrue(duplicates >= played, duplicates + " copies with tasks that had ended");
+    assertTrue(
+        heldHeartbeats >= played / 4,
+        heldHeartbeats + " heartbeats held back until the next had acted");
+    assertTrue(lost >= played * 3 / 4, lost + " machines lost before their heartbeat");
   }
 
   /** Machines with tasks that have just completed. */
@@ -340,112 +282,4 @@
         .map(machine -> machine.name)
         .toList();
   }
-
-  /**
-   * A team is at its limit by gangs, of processors and of accelerators, and more of them wait;
-   * machines with its tasks are lost or cannot be reached, and the leader ends.
-   */
-  @Test
-  void teamAtLimitByGangs() {
-    int atLimit = 0;
-    int onTroubled = 0;
-    int played = 0;
-    for (LeaderFault fault : LeaderFault.values()) {
-      for (Trouble trouble : Trouble.values()) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = limitedSimulation(seed);
-          ControllerModel old = simulation.leaders().get(0);
-          double[] use = simulation.checker.usage("red");
-          atLimit += use[0] > 12 - 3 && use[1] > 3 - 2 ? 1 : 0;
-          List<String> machines =
-              randomMachines(
-                  simulation, machinesOf(simulation, List.copyOf(simulation.users.accepted())), 4);
-          onTroubled += machines.size();
-          long forMs = 5000 + 4000 * seed;
-          machines.forEach(m -> applyToMachines(simulation, trouble, m, forMs));
-          if (seed % 2 == 0) {
-            machines.stream().limit(2).forEach(simulation.cloud::die);
-          }
-          runForS(simulation, 1);
-          if (seed % 3 == 0) {
-            simulation.userCancels("wk-r0");
-          }
-          apply(simulation, old, fault);
-          runForS(simulation, 45);
-          assertServed(simulation, 150);
-          played++;
-        }
-      }
-    }
-    assertEquals(played, atLimit, "times at the limit");
-    assertTrue(onTroubled >= 3 * played, onTroubled + " machines in trouble");
-  }
-
-  private static Simulation limitedSimulation(long seed) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
-    addAcceleratorMachines(simulation);
-    simulation.teams.put("red", new Team("red", 4, 12, 1, 3));
-    simulation.teams.put("team", new Team("team", 0, 0, 0, 0));
-    simulation.runTo(4);
-    for (int i = 0; i < 4; i++) {
-      JobDraft acc = JobDraft.gang("wk-ra" + i, 2).of("red").takes(1, 1);
-      simulation.submit((i % 2 == 0 ? acc.oneZone() : acc).spec(), 15_000L);
-    }
-    simulation.runTo(6);
-    for (int i = 0; i < 6; i++) {
-      JobDraft draft = JobDraft.gang("wk-r" + i, 2 + i % 3).of("red").saves(i % 2);
-      simulation.submit((i % 3 == 0 ? draft.oneZone() : draft).spec(), 15_000L);
-    }
-    simulation.runTo(17);
-    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
-    return simulation;
-  }
-
-  /**
-   * The starts of half a gang are held on their way, the others gather; the leader ends, and the
-   * starts arrive later, from before the next leader is heard there until after it. In a third of
-   * the seeds the gangs are called off meanwhile.
-   */
-  @Test
-  void startCommandsOfHalfAGangAreDelayed() {
-    int held = 0;
-    long gathered = 0;
-    int startedLate = 0;
-    int played = 0;
-    for (LeaderFault fault : LeaderFault.values()) {
-      for (boolean partitioned : new boolean[] {false, true}) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = loadedSimulation(seed);
-          ControllerModel old = simulation.leaders().get(0);
-          List<String> machines =
-              randomMachines(simulation, List.copyOf(simulation.workers.keySet()), 6);
-          long forMs = List.of(1500L, 3000L, 6000L, 13_000L).get((int) (seed % 4));
-          machines.forEach(m -> simulation.cut(old.name, m));
-          if (partitioned) {
-            machines.forEach(m -> simulation.workers.get(m).partitionOutbound(forMs + 2000));
-          }
-          gangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
-          simulation.runTo(21.5);
-          gathered += count(simulation, simulation.gangs::isGathering);
-          apply(simulation, old, fault);
-          if (seed % 3 == 0) {
-            GANGS.forEach(simulation::userCancels);
-          }
-          simulation.runTo(20 + forMs / 1000.0);
-          held += simulation.heldMessageCount();
-          int before = simulation.checker.started;
-          machines.forEach(m -> simulation.heal(old.name, m));
-          runForS(simulation, 0.05);
-          startedLate += simulation.checker.started - before;
-          simulation.pollAllJobs();
-          runForS(simulation, 40);
-          assertServed(simulation, 60);
-          played++;
-        }
-      }
-    }
-    assertTrue(held >= 4 * played, held + " messages held in " + played);
-    assertTrue(gathered >= played, gathered + " gathered as the leader ended");
-    assertTrue(startedLate >= played / 2, startedLate + " started late");
-  }
 }
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/GangFaults.java
@@ -0,0 +1,84 @@
+package org.astershift.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Predicate;
+import org.astershift.scheduler.JobKind;
+import org.astershift.scheduler.JobSpec;
+import org.astershift.simulation.Simulation.Setup;
+
+/** Set-up of the tests with gangs, and faults at machines that hold their tasks. */
+final class GangFaults {
+  private GangFaults() {}
+
+  static final List<String> GANGS = List.of("wk-g0", "wk-g1", "wk-g2", "wk-g3");
+
+  /** What becomes of machines that hold tasks of the gangs. */
+  enum MachineFault {
+    CUT_OFF,
+    INBOUND_PARTITIONED,
+    PAUSED
+  }
+
+  static Simulation loadedSimulation(long seed) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
+    simulation.runTo(4);
+    simulation.submit(JobDraft.array("wk-all", 6).kind(JobKind.SERVICE).spec(), null);
+    simulation.runTo(20);
+    assertEquals(1, simulation.leaders().size(), simulation.recentLog());
+    return simulation;
+  }
+
+  static void applyToMachines(
+      Simulation simulation, MachineFault machineFault, String machine, long forMs) {
+    if (machineFault == MachineFault.PAUSED) {
+      simulation.workers.get(machine).pause(forMs);
+      return;
+    }
+    for (ControllerModel controller : simulation.controllers) {
+      simulation.cut(controller.name, machine);
+      if (machineFault == MachineFault.CUT_OFF) {
+        simulation.cut(machine, controller.name);
+      }
+      simulation.after(forMs, () -> simulation.healBoth(controller.name, machine));
+    }
+  }
+
+  /** One gang anywhere, one in one zone, one in zone a, and one half of which is in one zone. */
+  static List<JobSpec> gangs() {
+    return List.of(
+        JobDraft.gang(GANGS.get(0), 6).saves(1).spec(),
+        JobDraft.gang(GANGS.get(1), 6).oneZone().spec(),
+        JobDraft.gang(GANGS.get(2), 4).zone("a").saves(1).spec(),
+        JobDraft.gang(GANGS.get(3), 5).spread().spec());
+  }
+
+  /** Machines that hold tasks of the jobs. */
+  static List<String> machinesOf(Simulation simulation, List<String> jobs) {
+    Set<String> tasks = new HashSet<>();
+    simulation.checker.eachOnMachine(
+        (task, machine) -> {
+          if (jobs.contains(task.substring(0, task.indexOf('/')))) {
+            tasks.add(machine);
+          }
+        });
+    return tasks.stream().sorted().toList();
+  }
+
+  static List<String> randomMachines(Simulation simulation, List<String> machines, int most) {
+    List<String> left = new ArrayList<>(machines);
+    List<String> out = new ArrayList<>();
+    while (!left.isEmpty() && out.size() < most) {
+      out.add(left.remove(simulation.random.nextInt(left.size())));
+    }
+    return out;
+  }
+
+  static long count(Simulation simulation, Predicate<String> what) {
+    return simulation.users.accepted().stream().filter(what).count();
+  }
+}
--- a/src/test/java/org/astershift/simulation/GangModel.java
+++ b/src/test/java/org/astershift/simulation/GangModel.java
@@ -24,14 +24,12 @@
   private final Simulation simulation;
   private final Map<String, Attempt> attempts = new HashMap<>();
 
-  /** By job, the progress that its next attempt goes on from. */
+  /** By job, the progress from which its next attempt resumes. */
   private final Map<String, Long> progressMs = new HashMap<>();
 
   private final Set<String> done = new HashSet<>();
 
-  // What happened, for tests that have to see that it did.
-
-  /** Gangs that began, and those that did after their user was told that they are cancelled. */
+  /** Gangs that started, and those that did after their cancellation was confirmed. */
   int started;
 
   int startedAfterCancelConfirmed;
@@ -44,10 +42,10 @@
   /** Attempts that lost a task while they ran, or whose save failed. */
   int lostWhileRunning;
 
-  /** Attempts all of whose tasks were told to stop in time, and saved. */
+  /** Attempts of which all tasks got a stop command in time, and saved. */
   int stoppedInOrder;
 
-  /** Attempts of which some task was told to stop, but not all of them in time. */
+  /** Attempts of which some task got a stop command, but not all of them in time. */
   int saveFailed;
 
   /** Attempts that went on from progress saved before. */
@@ -56,7 +54,7 @@
   /** Tasks that gave up waiting for the others. */
   int gatherTimeouts;
 
-  /** Tasks that were started of an attempt that had begun before. */
+  /** Tasks started of an attempt whose gang had started before. */
   int startedAfterGangStart;
 
   /** One attempt of a gang. */
@@ -116,7 +114,7 @@
                     && attempt.firstStopMs < 0);
   }
 
-  /** Whether it is being stopped, and not all are told yet. */
+  /** Whether it is being stopped, and not all tasks have their stop command yet. */
   boolean isSaving(String job) {
     return attempts.values().stream()
         .anyMatch(
@@ -180,7 +178,7 @@
     }
   }
 
-  /** The slowest machine sets the speed: while one hangs, nothing goes on. */
+  /** The slowest machine sets the speed: while one pauses, nothing goes on. */
   private void finish(Attempt attempt) {
     if (attempt.ended || attempt.firstStopMs >= 0) {
       return;
@@ -193,7 +191,7 @@
     done.add(attempt.job);
     simulation.log("gang", attempt.job + " is complete");
     for (int i = 0; i < attempt.spec.tasks(); i++) {
-      simulation.users.completed(attempt.job, i);
+      simulation.users.onTaskCompleted(attempt.job, i);
       simulation.checker.onTaskCompleted(attempt.job + "/" + i);
     }
     for (TaskModel task : List.copyOf(attempt.members.values())) {
@@ -201,7 +199,7 @@
     }
   }
 
-  /** A machine hangs: the peers of its tasks notice it if that lasts. */
+  /** A machine pauses: the peers of its tasks notice it if that lasts. */
   void onMachinePaused(WorkerModel worker) {
     for (TaskModel task : worker.tasks().all()) {
       Attempt attempt = attempts.get(task.job + "@" + task.attempt);
@@ -268,7 +266,7 @@
         - attempt.startedMs;
   }
 
-  /** A task that runs or saves is told to stop. */
+  /** A task that runs or saves gets a stop command. */
   void stop(TaskModel task, boolean inTime) {
     Attempt attempt = attemptOf(task);
     if (task.phase == Heartbeat.TaskPhase.SAVING && inTime) {
@@ -299,7 +297,7 @@
     exitSaved(attempt);
   }
 
-  /** Those that have saved go once all have been told. */
+  /** Those that have saved exit once all have their stop command. */
   private void exitSaved(Attempt attempt) {
     if (!attempt.allStopRequested() || attempt.saved.isEmpty()) {
       return;
--- a/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
+++ b/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
@@ -20,9 +20,9 @@
   private static final long STEP_MS = 100;
 
   /**
-   * A machine restarts within a second, at whatever moment between two of its reports, and then
+   * A machine restarts within a second, at whatever moment between two of its heartbeats, and then
    * does not reach the leader any more, while it reaches the other controllers. The leader and the
-   * others may have asked it in vain while it restarted; that is once, and it is there.
+   * others may have asked it without success while it restarted; that is once, and it is there.
    */
   @Test
   void restartedMachineIsNotReleasedAfterOneFailedProbe() {
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Reports of some machines do not reach the leader, which hears them by their answers to its
-   * questions alone, while the others reach them. One that restarts then answers nobody for a
-   * moment; its silence before says nothing, since none of its reports was to be expected.
+   * Heartbeats of some machines do not reach the leader, which sees them only by their answers to
+   * its questions alone, while the others reach them. One that restarts then answers nobody for a
+   * moment; its silence before says nothing, since none of its heartbeats was to be expected.
    */
   @Test
   void machineSeenOnlyThroughCommandAnswersIsNotReleasedOnRestart() {
--- a/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine restarts under its name between two leaders, of which the earlier one is cut off and
- * does not know that its lease is over. The later one has claimed the incarnation before the
+ * A machine restarts under its name between two leaders, of which the earlier one is partitioned
+ * and does not know that its lease has expired. The later one has fenced the incarnation before the
  * restart, so it starts waiting tasks elsewhere; the incarnation after it has no token, comes to
  * the earlier leader, and must get nothing from it. Each case counts the starts on it, or asserts
- * that the earlier leader had heard it.
+ * that the earlier leader had seen it.
  */
 class IncarnationCombinedFaultsTest {
   private static final int SEEDS = 6;
@@ -22,9 +22,9 @@
   private static final long RECORD_ANSWER_DELAY_MS = 9000;
   private static final double HEARTBEAT_WAIT_S = 10;
 
-  /** How the earlier leader knows the machine before it is cut off. */
+  /** How the earlier leader knows the machine before it is partitioned. */
   private enum Known {
-    /** On record only: it was not heard in this term. */
+    /** On record only: it sent no heartbeat in this term. */
     NEVER_SEEN,
     /** Heard a few times, so that the next incarnation soon has said more. */
     SEEN_BRIEFLY,
@@ -32,12 +32,12 @@
     RECORD_ANSWERED_LATE
   }
 
-  /** {@code newIncarnationSeen}: the earlier leader has heard the machine's new incarnation. */
+  /** {@code newIncarnationSeen}: the earlier leader has seen the new incarnation. */
   private record Restart(Simulation simulation, boolean newIncarnationSeen) {}
 
   /**
-   * The earlier leader hears the machine for the first time while its lease is uncertain. What it
-   * hears may be an incarnation that began after the later leader had claimed the one before.
+   * The earlier leader sees the machine for the first time while its lease is uncertain. That may
+   * be an incarnation that began after the later leader had fenced the one before.
    */
   @Test
   void machineFirstSeenWhileLeaseUncertain() {
@@ -57,8 +57,8 @@
 
   /**
    * The answer to the write of the machine's record is handled after the machine has restarted once
-   * more and that was noticed. Six seeds on the sources before the mend broke no rule: a machine
-   * that restarted in this term gets starts by direct orders of a certain leader only.
+   * more and that was noticed. There is no mutation for it: a machine that restarted in this term
+   * gets starts by direct commands of a certain leader only.
    */
   @Test
   void recordWriteAnsweredAfterNextRestart() {
@@ -66,14 +66,14 @@
   }
 
   private static void assertNothingRunsTwice(Known known) {
-    int heard = 0;
+    int seen = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       Restart restart = restart(seed, known);
       assertEquals(List.of(), restart.simulation.checker.violations, restart.simulation.fullLog());
-      heard += restart.newIncarnationSeen ? 1 : 0;
+      seen += restart.newIncarnationSeen ? 1 : 0;
     }
     // In one seed of the third case the earlier leader gives the machine up as silent before.
-    assertTrue(heard >= SEEDS - 1, "the new incarnation was heard in " + heard + " seeds");
+    assertTrue(seen >= SEEDS - 1, "the new incarnation was heard in " + seen + " seeds");
   }
 
   /** Without the proof that an incarnation was there in time, a task runs twice. */
@@ -93,7 +93,7 @@
     simulation.controllers.forEach(
         controller ->
             simulation.cutBoth(
-                controller.name, "cloud")); // nothing is rented: some tasks have to wait
+                controller.name, "cloud")); // nothing is provisioned: some tasks have to wait
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, MACHINES), null);
     simulation.submit(JobDraft.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
     simulation.runTo(19);
@@ -134,12 +134,12 @@
       runFor(simulation, 8100);
     }
     simulation.healBoth(earlier.name, machine.name);
-    boolean heardAnew =
+    boolean newIncarnationSeen =
         simulation.runUntil(
             () -> earlier.leads() && machine.fencingToken() == earlier.token(),
             simulation.now() / 1000.0 + HEARTBEAT_WAIT_S);
     runFor(simulation, 20_000);
-    return new Restart(simulation, heardAnew);
+    return new Restart(simulation, newIncarnationSeen);
   }
 
   private static void runFor(Simulation simulation, long ms) {
@@ -147,11 +147,11 @@
   }
 
   /** Nobody reaches it and it reaches nobody: it cannot know that its lease is over. */
-  private static void isolate(Simulation simulation, ControllerModel node) {
-    simulation.cutBoth(node.name, "state");
+  private static void isolate(Simulation simulation, ControllerModel isolated) {
+    simulation.cutBoth(isolated.name, "state");
     simulation.controllers.stream()
-        .filter(controller -> controller != node)
-        .forEach(controller -> simulation.cutBoth(node.name, controller.name));
-    simulation.workers.keySet().forEach(m -> simulation.cutBoth(node.name, m));
+        .filter(controller -> controller != isolated)
+        .forEach(controller -> simulation.cutBoth(isolated.name, controller.name));
+    simulation.workers.keySet().forEach(machine -> simulation.cutBoth(isolated.name, machine));
   }
 }
--- a/src/test/java/org/astershift/simulation/InvariantChecker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -12,31 +12,31 @@
 import org.astershift.scheduler.Scheduler;
 import org.astershift.scheduler.Team;
 
-/** What must never happen, and what users would call a failure, over the whole history. */
+/** Invariants and user-visible failures, checked over the whole history of a simulation. */
 final class InvariantChecker {
   private static final long CONNECTIVITY_SETTLED_MS = 1500;
   private static final double TOLERANCE = 1e-6;
 
-  /** The operators' letter: so long after all troubles a job without an answer is forgotten. */
+  /** So long after all faults are healed a job without an answer counts as forgotten. */
   private static final long NO_ANSWER_MS = 75_000;
 
   /**
-   * So long after its user was told that a job is cancelled no task of it may be left, nor start:
-   * less than the operators ask for, and as much as a lease and the reports around it take.
+   * So long after the cancellation of a job is confirmed no task of it may be left, nor start: less
+   * than the operators ask for, and as much as a lease and the heartbeats around it take.
    */
   static final long CANCEL_MS = 20_000;
 
   private final Map<String, Long> cancelRequestedMs = new HashMap<>();
 
-  /** How long each user who called a job off waited until he was told, milliseconds. */
+  /** How long each user waited for the confirmation of a cancellation, in milliseconds. */
   final List<Long> cancelLatencyMs = new ArrayList<>();
 
   private final Map<String, Long> cancelConfirmedMs = new HashMap<>();
 
-  /** By job, how it ended as its user was told first. */
+  /** By job, the end that a user was told first. */
   private final Map<String, String> reportedEnd = new HashMap<>();
 
-  private final Map<String, String> lastReportedState = new HashMap<>();
+  private final Map<String, String> lastState = new HashMap<>();
 
   private final Map<String, Long> lastAnswerMs = new HashMap<>();
 
@@ -62,17 +62,17 @@
   private final Set<String> endedJobs = new HashSet<>();
   final List<String> violations = new ArrayList<>();
 
-  /** Machines given back though they lived and some controller reached them. */
+  /** Machines released though they were alive and some controller reached them. */
   final List<String> healthyReleased = new ArrayList<>();
 
   final List<String> released = new ArrayList<>();
   final List<String> leaders = new ArrayList<>();
   int killedByLease;
 
-  /** Tasks that started, or got their image, after a user was told that their job is cancelled. */
+  /** Tasks that started, or got their image, after their cancellation was confirmed. */
   int startedAfterConfirmation;
 
-  /** Tasks that were on machines when a user was told that their job is cancelled. */
+  /** Tasks that were on machines when their cancellation was confirmed. */
   int leftAtConfirmation;
 
   int started;
@@ -107,7 +107,7 @@
     checkQuota(simulation.users.spec(job).team(), task);
   }
 
-  /** Rule quota: all that is on machines counts, whether it saves, hangs or cannot be reached. */
+  /** Rule quota: all that is on machines counts, whether it saves, pauses or cannot be reached. */
   private void checkQuota(String name, String task) {
     Team team = simulation.teams().get(name);
     if (!team.isLimited()) {
@@ -144,7 +144,7 @@
   }
 
   /**
-   * Tasks of a job that is neither over nor called off which are on no machine and have not
+   * Tasks of a job that is neither over nor cancelled which are on no machine and have not
    * completed.
    */
   List<Integer> waiting(JobSpec spec) {
@@ -172,7 +172,7 @@
     simulation.digest.completed(simulation.now(), task);
   }
 
-  /** A task has its image, and goes on from there. */
+  /** A task has its image. */
   void onImageFetched(String task, String machine) {
     simulation.digest.begins(simulation.now(), task, machine);
     checkNotCancelled(task, machine);
@@ -217,7 +217,7 @@
   }
 
   /**
-   * A controller decides to give machines back for silence. A failure if one of them lives and this
+   * A controller releases machines as silent. A failure if one of them is alive and this
    * controller, or another that it could have asked, reaches it.
    */
   void onSilentRelease(ControllerModel leader, List<String> machines) {
@@ -243,7 +243,8 @@
             && simulation.reaches(controller.name, machine)) {
           healthyReleased.add(machine + " by " + leader.name + ", reached by " + controller.name);
           simulation.log(
-              leader.name, "gives up " + machine + ", which " + controller.name + " reaches");
+              leader.name,
+              "releases silent machine=" + machine + ", which " + controller.name + " reaches");
           break;
         }
       }
@@ -271,41 +272,41 @@
   }
 
   /**
-   * Rules went_back and forgotten: what a node answered about an accepted job; null: nothing.
+   * Rules went_back and forgotten: what a controller answered about an accepted job; null: nothing.
    * {@code askedOrder}: the moment of the question; an answer to one that was sent after another
    * had been told that the job is over must not be older than that. Says whether it is news that
    * the job is over.
    */
-  boolean onAnswer(String job, String node, String state, long askedOrder) {
+  boolean onAnswer(String job, String controller, String state, long askedOrder) {
     if (state == null || state.equals("503")) {
       return false;
     }
     questionOrder++;
     boolean news = false;
-    lastAnswerMs.put(job + " at " + node, simulation.now());
-    lastReportedState.put(job + " at " + node, state);
+    lastAnswerMs.put(job + " at " + controller, simulation.now());
+    lastState.put(job + " at " + controller, state);
     boolean end = state.equals("done") || state.equals("withdrawn");
     if (state.equals("404")) {
       if (simulation.users.accepted().contains(job)) {
-        violations.add("forgotten: " + node + " does not know " + job);
+        violations.add("forgotten: " + controller + " does not know " + job);
       }
     } else if (simulation.users.spec(job) == null) {
-      violations.add("invented: " + node + " says that " + job + " is " + state);
+      violations.add("invented: " + controller + " says that " + job + " is " + state);
     } else if (end) {
       reportedOverAt.putIfAbsent(job, questionOrder);
       String first = reportedEnd.putIfAbsent(job, state);
       news = first == null;
       if (first != null && !first.equals(state)) {
         violations.add(
-            "went_back: " + node + " says that " + job + " is " + state + ", not " + first);
+            "went_back: " + controller + " says that " + job + " is " + state + ", not " + first);
       }
     } else if (reportedOverAt.getOrDefault(job, Long.MAX_VALUE) < askedOrder) {
-      violations.add("went_back: " + node + " says that " + job + " is " + state);
+      violations.add("went_back: " + controller + " says that " + job + " is " + state);
     }
     if (state.equals("withdrawn")) {
-      onCancelConfirmed(job, node);
+      onCancelConfirmed(job, controller);
     }
-    simulation.digest.told(simulation.now(), job, node, end, news);
+    simulation.digest.told(simulation.now(), job, controller, end, news);
     return news;
   }
 
@@ -314,15 +315,17 @@
     cancelRequestedMs.put(job, simulation.now());
   }
 
-  /** Rule ran_cancelled, from the first time that its user is told, whatever was asked. */
-  private void onCancelConfirmed(String job, String node) {
+  /** Invariant ran_cancelled, from the first confirmation on. */
+  private void onCancelConfirmed(String job, String controller) {
     if (!cancelRequestedMs.containsKey(job)) {
-      violations.add("went_back: " + node + " calls " + job + " cancelled, and its user did not");
+      violations.add(
+          "went_back: " + controller + " calls " + job + " cancelled, and its user did not");
     }
     if (cancelConfirmedMs.putIfAbsent(job, simulation.now()) == null) {
       cancelLatencyMs.add(simulation.now() - cancelRequestedMs.getOrDefault(job, simulation.now()));
       leftAtConfirmation += remaining(job).size();
-      simulation.log(node, "confirms that " + job + " is cancelled; tasks left: " + remaining(job));
+      simulation.log(
+          controller, "confirms that " + job + " is cancelled; tasks left: " + remaining(job));
       simulation.after(
           CANCEL_MS,
           () -> {
@@ -347,14 +350,14 @@
     return !cancelConfirmedMs.isEmpty();
   }
 
-  /** Jobs of which a user was told that they are cancelled. */
+  /** Jobs whose cancellation was confirmed. */
   int cancelsConfirmed() {
     return cancelConfirmedMs.size();
   }
 
-  /** What the node said of the job last; null: nothing. */
-  String lastReportedState(String job, String node) {
-    return lastReportedState.get(job + " at " + node);
+  /** What the controller said of the job last; null: nothing. */
+  String lastState(String job, String controller) {
+    return lastState.get(job + " at " + controller);
   }
 
   /** Whether its end is on record. */
@@ -362,12 +365,12 @@
     return endedJobs.contains("d/" + job);
   }
 
-  /** When the user was first told that it is cancelled; null: not yet. */
+  /** When the cancellation was first confirmed; null: not yet. */
   Long cancelConfirmedMs(String job) {
     return cancelConfirmedMs.get(job);
   }
 
-  /** All troubles were over at {@code healedMs}: no job may be without an answer for 75 s. */
+  /** All faults were over at {@code healedMs}: no job may be without an answer for 75 s. */
   void checkAllAnswered(long healedMs) {
     for (String job : simulation.users.accepted()) {
       for (ControllerModel controller : simulation.controllers) {
@@ -393,10 +396,10 @@
     return latestToken;
   }
 
-  void onTermBegun(String node, long token) {
-    simulation.digest.term(simulation.now(), node, token);
+  void onTermBegun(String controller, long token) {
+    simulation.digest.term(simulation.now(), controller, token);
     latestToken = Math.max(latestToken, token);
-    leaders.add(node);
-    simulation.log(node, "leads with token " + token);
+    leaders.add(controller);
+    simulation.log(controller, "begins a term token=" + token);
   }
 }
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/JobStreamCombinedFaultsTest.java
@@ -0,0 +1,113 @@
+package org.astershift.simulation;
+
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.withArrays;
+import static org.astershift.simulation.UserFaults.Change;
+import static org.astershift.simulation.UserFaults.apply;
+import static org.astershift.simulation.UserFaults.assertEnded;
+import static org.astershift.simulation.UserFaults.submit;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import org.astershift.controller.LoopTiming;
+import org.astershift.scheduler.JobKind;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Streams of short jobs, and of failovers: each job ends or is cancelled, and its user learns of it
+ * in time.
+ */
+class JobStreamCombinedFaultsTest {
+  private static final int SEEDS = 6;
+  private static final int MUTANT_SEEDS = 80;
+
+  /**
+   * One-task jobs come four a second for two minutes, and a quarter is cancelled; the leader ends
+   * in the middle, or not.
+   */
+  @Test
+  void fourOneTaskJobsPerSecond() {
+    List<Long> quietMs = new ArrayList<>();
+    for (Change change : List.of(Change.NONE, Change.CRASHES, Change.HANDS_OVER)) {
+      for (long seed = 1; seed <= SEEDS; seed++) {
+        Simulation simulation = playStream(seed, change);
+        assertSound(simulation);
+        assertEquals(480, simulation.users.accepted().size() - 1, simulation.recentLog());
+        int confirmed = simulation.checker.cancelsConfirmed();
+        assertTrue(confirmed > 40, confirmed + " confirmed\n" + simulation.recentLog());
+        assertEquals(480, simulation.checker.jobsEnded(), simulation.recentLog());
+        if (change == Change.NONE) {
+          quietMs.addAll(simulation.checker.cancelLatencyMs);
+        }
+      }
+    }
+    // What nothing starts after is waited for; yet on a quiet day hardly anybody has to ask again.
+    Collections.sort(quietMs);
+    long most = quietMs.get(quietMs.size() * 98 / 100);
+    assertTrue(most < LoopTiming.CANCEL_WAIT_MS, quietMs.toString());
+    assertDetected(
+        Mutation.CONFIRM_CANCEL_WHILE_STARTING,
+        MUTANT_SEEDS,
+        seed -> playStream(seed, Change.NONE, Mutation.CONFIRM_CANCEL_WHILE_STARTING));
+  }
+
+  private static Simulation playStream(long seed, Change change, Mutation... mutations) {
+    Simulation simulation = CombinedFaults.simulation(seed, 20, mutations);
+    simulation.runTo(4);
+    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, 20), null);
+    simulation.runTo(15);
+    simulation.users.stream(1000, 480, 4000);
+    simulation.after(60_000, () -> apply(simulation, change));
+    simulation.runTo(165);
+    return simulation;
+  }
+
+  /** The leader changes ten times in two minutes, half of that inside an outage, or without one. */
+  @Test
+  void tenFailoversInTwoMinutes() {
+    int confirmed = 0;
+    for (boolean outage : List.of(false, true)) {
+      for (long seed = 1; seed <= SEEDS; seed++) {
+        Simulation simulation = playTenFailovers(seed, outage);
+        assertSound(simulation);
+        assertTrue(
+            simulation.checker.leaders.size() >= 10,
+            simulation.checker.leaders + simulation.recentLog());
+        assertEnded(simulation, 100, 30);
+        confirmed += simulation.checker.cancelsConfirmed();
+      }
+    }
+    assertTrue(confirmed > 100, confirmed + " confirmed");
+    assertDetected(
+        Mutation.NO_INHERITED_MACHINES,
+        MUTANT_SEEDS,
+        seed -> playTenFailovers(seed, true, Mutation.NO_INHERITED_MACHINES));
+  }
+
+  private static Simulation playTenFailovers(long seed, boolean outage, Mutation... mutations) {
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
+    simulation.users.closeQueryShare = 0.5;
+    simulation.users.cancelOnAcceptShare = 0.2;
+    simulation.pollAllJobs();
+    submit(simulation, 100, 30, 110_000, 4000);
+    for (int i = 0; i < 10; i++) {
+      simulation.after(i * 2000, () -> simulation.users.cancelNow(1));
+      List<Change> all = new ArrayList<>(List.of(Change.values()));
+      all.remove(Change.NONE);
+      Change change = all.get(simulation.random.nextInt(all.size()));
+      simulation.after(
+          1000 + i * 12_000 + simulation.random.nextLong(6000), () -> apply(simulation, change));
+      if (outage) {
+        // Each change falls into an outage of some seconds, or just before or after it.
+        simulation.after(2000 + i * 12_000, () -> simulation.store.unavailable(true));
+        simulation.after(6000 + i * 12_000, () -> simulation.store.unavailable(false));
+      }
+    }
+    simulation.runTo(190);
+    return simulation;
+  }
+}
--- a/src/test/java/org/astershift/simulation/LargeFleetTest.java
+++ b/src/test/java/org/astershift/simulation/LargeFleetTest.java
@@ -21,8 +21,8 @@
   private static final long RESTART_MS = 900;
 
   /**
-   * The leader ends; its successor is refused by the state service for some seconds; then all
-   * controllers end at once. Each time 200 machines restart within a second, in the midst of it.
+   * The leader ends; its successor is refused by the store for some seconds; then all controllers
+   * end at once. Each time 200 machines restart within a second, in the midst of it.
    */
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/LeaderLossFaults.java
@@ -0,0 +1,125 @@
+package org.astershift.simulation;
+
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.astershift.scheduler.JobKind;
+
+/**
+ * Set-up and assertions of the tests in which a leader is lost in different ways while jobs end,
+ * are cancelled and go on.
+ */
+final class LeaderLossFaults {
+  private LeaderLossFaults() {}
+
+  static final int MACHINES = 12;
+
+  /** How the leader ends. */
+  enum LeaderLoss {
+    CRASHES,
+    BACK_AT_ONCE,
+    HANDS_OVER,
+    /** It loses the store and the others, and workers and users still reach it. */
+    CUT_OFF,
+    /** The store is down for all, and it crashes meanwhile. */
+    IN_AN_OUTAGE
+  }
+
+  /**
+   * Arrays that end ({@code wk-10..15}), that are cancelled before the leader ends (20..23), and
+   * that run on (30..32), beside a service and under a limit.
+   */
+  static Simulation loadedSimulation(long seed, double kept, Mutation... mutations) {
+    Simulation simulation = CombinedFaults.simulation(seed, MACHINES, mutations);
+    simulation.teamCpuLimit = seed % 2 == 0 ? 44 : 0;
+    simulation.runTo(4);
+    simulation.delayedHeartbeats.keepShare = kept;
+    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, MACHINES), null);
+    for (int i = 10; i < 16; i++) {
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
+    }
+    for (int i = 20; i < 24; i++) {
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+    }
+    for (int i = 30; i < 33; i++) {
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
+    }
+    simulation.runTo(9);
+    assertNotNull(leader(simulation), simulation.recentLog());
+    return simulation;
+  }
+
+  /** Whoever leads with the highest token; null: nobody. */
+  static ControllerModel leader(Simulation simulation) {
+    return simulation.leaders().stream()
+        .max(Comparator.comparingLong(ControllerModel::token))
+        .orElse(null);
+  }
+
+  static boolean leadsAfter(Simulation simulation, long token) {
+    return leader(simulation) != null && leader(simulation).token() > token;
+  }
+
+  static void assertDone(Simulation simulation, int first, int last) {
+    for (int i = first; i <= last; i++) {
+      for (ControllerModel controller : simulation.controllers) {
+        assertEquals(
+            "done", simulation.checker.lastState("wk-" + i, controller.name), simulation.fullLog());
+      }
+    }
+  }
+
+  static void assertServes(Simulation simulation) {
+    assertSound(simulation);
+    assertDone(simulation, 10, 15);
+    assertDone(simulation, 30, 32);
+    for (int i = 20; i < 24; i++) {
+      assertNotNull(simulation.checker.cancelConfirmedMs("wk-" + i), simulation.fullLog());
+      assertEquals(0, simulation.checker.tasksOnMachines("wk-" + i), simulation.fullLog());
+    }
+    assertEquals(MACHINES, simulation.checker.tasksOnMachines("wk-1"), simulation.fullLog());
+    assertEquals(
+        1,
+        simulation.controllers.stream().filter(ControllerModel::leads).count(),
+        simulation.recentLog());
+  }
+
+  /** Ends the leader; who leads next is another one, or the same process restarted. */
+  static void apply(Simulation simulation, ControllerModel old, LeaderLoss how) {
+    switch (how) {
+      case BACK_AT_ONCE -> {
+        old.crash();
+        simulation.after(100 + simulation.random.nextLong(400), old::start);
+      }
+      case HANDS_OVER -> old.resign();
+      case CUT_OFF -> {
+        List<String> lost = new ArrayList<>(List.of("state"));
+        simulation.controllers.stream()
+            .filter(controller -> controller != old)
+            .forEach(controller -> lost.add(controller.name));
+        lost.forEach(other -> simulation.cutBoth(old.name, other));
+        simulation.after(20_000, () -> lost.forEach(other -> simulation.healBoth(old.name, other)));
+      }
+      default -> {
+        if (how == LeaderLoss.IN_AN_OUTAGE) {
+          simulation.store.unavailable(true);
+          simulation.after(3000, () -> simulation.store.unavailable(false));
+        }
+        simulation.after(how == LeaderLoss.CRASHES ? 0 : 1500, old::crash);
+        simulation.after(6000, old::start);
+      }
+    }
+  }
+
+  /** The cancelled arrays' users ask within the next seconds. */
+  static void cancelJobs(Simulation simulation, int first, int last, long withinMs) {
+    for (int i = first; i <= last; i++) {
+      String job = "wk-" + i;
+      simulation.after(simulation.random.nextLong(withinMs), () -> simulation.userCancels(job));
+    }
+  }
+}
--- a/src/test/java/org/astershift/simulation/LeaderTermModel.java
+++ b/src/test/java/org/astershift/simulation/LeaderTermModel.java
@@ -156,7 +156,7 @@
     controller.later(LoopTiming.PASS_INTERVAL_MS, this::runPasses);
   }
 
-  /** Any pass may be the first after the process stood still. */
+  /** Any pass may be the first after the process paused. */
   private void runPass() {
     if (controller.clock() - passDueMs > LoopTiming.PROCESS_PAUSE_MS) {
       scheduler.onProcessResumed(controller.clock());
--- a/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines that hang, that reach no controller, or that are up at once, and what else goes wrong
+ * Machines that pause, that reach no controller, or that are up at once, and what else goes wrong
  * meanwhile. Each case counts what it is about, so that it is seen to have happened.
  */
 class MachineCombinedFaultsTest {
@@ -93,21 +93,20 @@
     }
   }
 
-  // ---- mute ----
-
   /**
-   * {@code lastStartMs}: the last start on a mute machine after it became so; 0: there was none.
+   * {@code lastStartMs}: the last start on an outbound-partitioned machine after it became so; 0:
+   * there was none.
    */
   private record PartitionPlay(Simulation simulation, long lastStartMs, long movedMs) {}
 
   /**
-   * Machines reach no controller for three leases, while direct orders reach them. They get nothing
-   * new, what they held runs elsewhere, and what users cancel there ends in time; also where the
-   * leader changes meanwhile, which hears them by their answers alone and is held up by none.
+   * Machines reach no controller for three leases, while direct commands reach them. They get
+   * nothing new, what they held runs elsewhere, and what users cancel there ends in time; also
+   * where the leader changes meanwhile, which sees them only by their answers and waits for none.
    */
   @Test
   void outboundPartitionedMachinesGetNoNewTasks() {
-    int unsaid = 0;
+    int undelivered = 0;
     int killed = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
@@ -119,9 +118,9 @@
             played.simulation.fullLog());
         assertEquals(
             STREAM_JOBS + 1, played.simulation.checker.jobsEnded(), played.simulation.fullLog());
-        unsaid += sum(played.simulation, x -> x.undeliveredHeartbeats);
+        undelivered += sum(played.simulation, x -> x.undeliveredHeartbeats);
         killed += played.simulation.checker.killedByLease;
-        // A leader that claims it gives it half a lease to report; it begins within six seconds.
+        // A new leader gives it half a lease to send a heartbeat, and begins within six seconds.
         long latest = LEASE_MS / 2 + 1000 + (fault == LeaderFault.STAYS ? 0 : 2000 + 6000 + 1500);
         assertTrue(
             played.lastStartMs <= latest, played.lastStartMs + "\n" + played.simulation.fullLog());
@@ -129,7 +128,7 @@
             played.movedMs <= 2 * LEASE_MS, played.movedMs + "\n" + played.simulation.fullLog());
       }
     }
-    assertTrue(unsaid > 500, unsaid + " reports reached nobody");
+    assertTrue(undelivered > 500, undelivered + " heartbeats reached nobody");
     assertTrue(killed > 50, killed + " tasks ended with a lease");
     int late = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -173,17 +172,15 @@
     return new PartitionPlay(simulation, Math.max(0, startedMs), movedMs);
   }
 
-  // ---- hung ----
-
   /**
-   * Orders and answers are held up by machines that hang, for less than a lease, exactly one, and
-   * longer; starts and stops in all orders, and the leader changes or not.
+   * Commands and answers are held up by machines that pause, for less than a lease, exactly one,
+   * and longer; starts and stops in any order, and the leader changes or not.
    */
   @Test
   void pausedMachinesResume() {
     int executed = 0;
     int answered = 0;
-    int wentOn = 0;
+    int resumed = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long ms : pauseDurationsMs()) {
         for (long seed = 1; seed <= 2 * SEEDS; seed++) {
@@ -194,13 +191,13 @@
               2 * MACHINES, simulation.checker.tasksOnMachines("wk-1"), simulation.fullLog());
           executed += sum(simulation, machine -> machine.commandsAfterPause);
           answered += sum(simulation, machine -> machine.answersAfterPause);
-          wentOn += sum(simulation, machine -> machine.tasksResumed);
+          resumed += sum(simulation, machine -> machine.tasksResumed);
         }
       }
     }
-    assertTrue(executed > 40, executed + " orders were executed when a machine went on");
+    assertTrue(executed > 40, executed + " commands were executed when a machine went on");
     assertTrue(answered > 15, answered + " answers were heard when a machine went on");
-    assertTrue(wentOn > 200, wentOn + " tasks went on");
+    assertTrue(resumed > 200, resumed + " tasks went on");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
@@ -245,11 +242,11 @@
 
   /**
    * Many jobs with long to go are cancelled within a fifth of a second, and up to eight of their
-   * machines hang just then; the leader stays, or ends as soon as it has confirmed one of them.
+   * machines pause just then; the leader stays, or ends as soon as it has confirmed one of them.
    */
   @Test
   void jobsCancelledOnPausedMachines() {
-    int wentOn = 0;
+    int resumed = 0;
     int left = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long ms : pauseDurationsMs()) {
@@ -266,13 +263,13 @@
               simulation.checker.tasksOnMachines("wk-34")
                   + simulation.checker.tasksOnMachines("wk-35"),
               simulation.fullLog());
-          wentOn += sum(simulation, machine -> machine.cancelledTasksResumed);
+          resumed += sum(simulation, machine -> machine.cancelledTasksResumed);
           left += simulation.checker.leftAtConfirmation;
         }
       }
     }
     assertTrue(left > 100, left + " tasks were left as it was confirmed");
-    assertTrue(wentOn > 50, wentOn + " cancelled tasks went on with their machine");
+    assertTrue(resumed > 50, resumed + " cancelled tasks went on with their machine");
     assertDetected(
         Mutation.NO_STOPS_FOR_ENDED_JOBS,
         MUTANT_SEEDS,
@@ -303,13 +300,11 @@
     return simulation;
   }
 
-  // ---- up at once ----
-
   /**
-   * Machines are up within two seconds, some before the controller has the rental's answer, and get
-   * work at once, while what the leader writes gets no answer and is carried out late; and the
-   * leader ends in the middle of it, twice. Nothing runs twice, nothing is over a limit, and each
-   * machine that has tasks is known in the end.
+   * Machines are up within two seconds, some before the controller has the provisioning request's
+   * answer, and get work at once, while what the leader writes gets no answer and is carried out
+   * late; and the leader ends in the middle of it, twice. Nothing runs twice, nothing is over a
+   * limit, and each machine that has tasks is known in the end.
    */
   @Test
   void fastBootsDuringFailover() {
@@ -328,7 +323,7 @@
         late += simulation.store.appliedAfterNewer;
       }
     }
-    assertTrue(early > 100, early + " machines were up before their rental's answer");
+    assertTrue(early > 100, early + " machines were up before their provisioning request's answer");
     assertTrue(busyEarly > 20, busyEarly + " of them had tasks by then");
     assertNotEquals(0, late, "no write came after a newer one");
     assertDetected(
--- a/src/test/java/org/astershift/simulation/Mutation.java
+++ b/src/test/java/org/astershift/simulation/Mutation.java
@@ -1,55 +1,55 @@
 package org.astershift.simulation;
 
-/** Fences of ours, each of which a test takes away to see that the checker misses it. */
+/** Safety measures, each of which a test takes away to see that the checker detects it. */
 enum Mutation {
-  /** Writes of a leader are applied whoever leads by then. */
+  /** A leader's writes are not conditional on its key. */
   UNFENCED_WRITES,
-  /** A leader in doubt proves by leases as one that is certainly alone. */
+  /** A leader whose own lease is uncertain trusts that a worker lease has expired. */
   TRUST_EXPIRY_WITH_UNCERTAIN_LEASE,
   /** Start commands go out before the job is opened on record. */
   START_BEFORE_JOB_OPENED,
-  /** A successor takes over without the machines on record. */
+  /** A new term does not load the machines on record. */
   NO_INHERITED_MACHINES,
-  /** A successor takes over from a mirror that may lag. */
+  /** A new term begins with a watch cache that may lag. */
   NO_CATCH_UP,
-  /** What other controllers reach is taken for silent too. */
+  /** Peers report every suspect machine as unreachable. */
   PEER_PROBES_ALWAYS_FAIL,
-  /** Copies of old reports are taken for the newest there are. */
+  /** Duplicate heartbeats count as new. */
   ACCEPT_DUPLICATE_HEARTBEATS,
-  /** Copies of old reports show the token of whoever leads by then. */
+  /** Duplicate heartbeats carry the fencing token of the current leader. */
   DUPLICATES_CARRY_CURRENT_TOKEN,
-  /** One node answers no question about one job. */
+  /** One controller answers no question about one job. */
   FORGET_ONE_JOB,
-  /** A cancellation is confirmed whatever machines may still answer to an older leader. */
+  /** A cancellation is confirmed before all machines are reconciled. */
   CONFIRM_CANCEL_UNRECONCILED,
-  /** A leader in doubt keeps its workers and stops nothing. */
+  /** A leader whose lease is uncertain sends no stop commands. */
   NO_STOPS_WITH_UNCERTAIN_LEASE,
-  /** A cancellation is confirmed though a start of the job is on its way. */
+  /** A cancellation is confirmed while a start command of the job is on its way. */
   CONFIRM_CANCEL_WHILE_STARTING,
   /** A cancellation is confirmed before it is on record. */
   CONFIRM_CANCEL_BEFORE_WRITE,
-  /** A term takes in whatever job it is told of. */
+  /** A term adopts jobs from reads that may be older than their end. */
   ADOPT_STALE_JOBS,
-  /** Done and cancelled do not exclude each other on record. */
+  /** A later end of a job replaces the first on record. */
   OVERWRITE_JOB_END,
-  /** What is told of a job from memory does not mind that its end may be on record. */
+  /** Answers from memory ignore that an end may be on record already. */
   ANSWER_WHILE_ENDING,
-  /** What the mirror shows of a live job is told, however old it is. */
+  /** Answers come from the watch cache, however old it is. */
   ANSWER_FROM_WATCH_CACHE,
-  /** Who asks about a job while an answer is being worked out shares that one. */
+  /** A question joins a request that is in flight already. */
   JOIN_REQUEST_IN_FLIGHT,
-  /** A note is written whatever its key holds by then. */
+  /** Records are written whatever revision their key has. */
   UNCONDITIONAL_RECORD_WRITES,
-  /** A leader that hears few never hands over, and all stand at once. */
+  /** An isolated leader never hands over. */
   NO_LEADERSHIP_TRANSFER,
-  /** An answer to an order counts as a report that was answered. */
+  /** An answer to a command renews the worker's lease as a heartbeat does. */
   COMMAND_ANSWERS_RENEW_LEASES,
-  /** Tasks of jobs that are over are stopped by nobody. */
+  /** Tasks of ended jobs get no stop commands. */
   NO_STOPS_FOR_ENDED_JOBS,
-  /** A machine gets tasks before it is on record that it may. */
+  /** A machine gets tasks before its registration is on record. */
   TASKS_BEFORE_REGISTRATION,
-  /** A leader whose lease is uncertain uses whatever incarnation of a machine it hears. */
+  /** A leader whose lease is uncertain uses any incarnation of a machine that sends heartbeats. */
   TRUST_UNPROVEN_INCARNATIONS,
-  /** A start decided before its connection goes out whoever may lead by then. */
+  /** A start decided before its connection opened is sent though the lease is uncertain by then. */
   STARTS_WITH_UNCERTAIN_LEASE
 }
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/OutageCombinedFaultsTest.java
@@ -0,0 +1,240 @@
+package org.astershift.simulation;
+
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.nowS;
+import static org.astershift.simulation.LeaderLossFaults.LeaderLoss;
+import static org.astershift.simulation.LeaderLossFaults.MACHINES;
+import static org.astershift.simulation.LeaderLossFaults.apply;
+import static org.astershift.simulation.LeaderLossFaults.assertDone;
+import static org.astershift.simulation.LeaderLossFaults.assertServes;
+import static org.astershift.simulation.LeaderLossFaults.cancelJobs;
+import static org.astershift.simulation.LeaderLossFaults.leader;
+import static org.astershift.simulation.LeaderLossFaults.leadsAfter;
+import static org.astershift.simulation.LeaderLossFaults.loadedSimulation;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.astershift.scheduler.JobKind;
+import org.junit.jupiter.api.Test;
+
+/**
+ * All controllers, or a zone with one of them, are away for longer than a lease. Each case counts
+ * that its faults met.
+ */
+class OutageCombinedFaultsTest {
+  private static final int SEEDS = 6;
+  private static final int MUTANT_SEEDS = 60;
+
+  /** Who returns after all controllers were away. */
+  private enum ReturnOrder {
+    ONE,
+    ALL_AT_ONCE,
+    STAGGERED
+  }
+
+  /**
+   * All controllers are away for longer than a lease, with machines that worked on until theirs ran
+   * out, died or restarted; jobs were cancelled just before, confirmed and not confirmed; commands
+   * from before are still on their way; and duplicates of old heartbeats wait for whoever leads
+   * next. Then one, or all return, at once or one by one, with the store down as they do, or not.
+   */
+  @Test
+  void allControllersDownLongerThanLease() {
+    int killed = 0;
+    int held = 0;
+    int started = 0;
+    int confirmed = 0;
+    int unconfirmed = 0;
+    int epochs = 0;
+    for (ReturnOrder back : ReturnOrder.values()) {
+      for (long seed = 1; seed <= 2 * SEEDS; seed++) {
+        ControllerOutage outage = playControllerOutage(back, seed);
+        assertServes(outage.simulation);
+        killed += outage.simulation.checker.killedByLease;
+        held += outage.heldMessages;
+        started += outage.started;
+        confirmed += outage.confirmed;
+        unconfirmed += 4 - outage.confirmed;
+        epochs += outage.simulation.delayedHeartbeats.ofEarlierEpochs;
+      }
+    }
+    assertTrue(killed > 200, killed + " tasks were killed by their machines' leases");
+    assertTrue(held > 50, held + " messages from before were on their way");
+    assertTrue(started > 5, started + " tasks started by commands from before, with nobody there");
+    assertTrue(
+        confirmed > 20 && unconfirmed > 20,
+        confirmed + " told before, and " + unconfirmed + " were not");
+    assertTrue(epochs > 50, epochs + " copies of earlier epochs came at a leader");
+    Mutation mutation = Mutation.NO_INHERITED_MACHINES;
+    assertDetected(
+        mutation,
+        MUTANT_SEEDS,
+        seed ->
+            playControllerOutage(ReturnOrder.values()[(int) seed % 3], seed, mutation).simulation);
+  }
+
+  /**
+   * {@code confirmed}: cancellations before all were away; {@code heldMessages}: messages on their
+   * way; {@code started}: tasks that started with nobody there, by commands from before.
+   */
+  private record ControllerOutage(
+      Simulation simulation, int confirmed, int heldMessages, int started) {}
+
+  private static ControllerOutage playControllerOutage(
+      ReturnOrder back, long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 0.3, mutations);
+    simulation.pollAllJobs();
+    ControllerModel old = leader(simulation);
+    for (int i = 0; i < 4; i++) {
+      simulation.cut(old.name, "vm-" + (seed + 3 * i) % MACHINES);
+    }
+    for (int i = 40; i < 43; i++) {
+      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
+    }
+    simulation.runTo(10);
+    cancelJobs(simulation, 20, 21, 300);
+    simulation.runTo(11.5);
+    cancelJobs(
+        simulation,
+        22,
+        23,
+        1000); // some are confirmed, some wait, and some begin to wait with all away
+    simulation.runTo(12);
+    int confirmed = simulation.checker.cancelsConfirmed();
+    int held = simulation.heldMessageCount();
+    simulation.controllers.forEach(
+        controller -> simulation.after(simulation.random.nextLong(300), controller::crash));
+    simulation.runTo(12.4);
+    long awayMs = simulation.setup.leaseMs() + 1000 + simulation.random.nextLong(12_000);
+    for (int i = 0; i < 4; i++) {
+      // What was on its way when all ended arrives in a new incarnation, or in the old one's next
+      // epoch.
+      String machine = "vm-" + (seed + 3 * i) % MACHINES;
+      long restartMs = awayMs - 500 - simulation.random.nextLong(simulation.setup.leaseMs());
+      if (simulation.random.nextInt(4) > 0) {
+        simulation.after(restartMs, () -> simulation.workers.get(machine).restart(200));
+      }
+      simulation.after(
+          restartMs + 250 + simulation.random.nextLong(3000),
+          () -> simulation.heal(old.name, machine));
+      String dies = "vm-" + (seed + 3 * i + 1) % MACHINES;
+      if (simulation.random.nextInt(3) == 0) {
+        simulation.after(simulation.random.nextLong(20_000), () -> simulation.cloud.die(dies));
+      }
+    }
+    if (seed % 2 == 0) {
+      simulation.after(awayMs - 1000, () -> simulation.store.unavailable(true));
+      simulation.after(
+          awayMs + 2000 + simulation.random.nextLong(5000),
+          () -> simulation.store.unavailable(false));
+    }
+    int first = simulation.random.nextInt(3);
+    for (int i = 0; i < 3; i++) {
+      long after =
+          switch (back) {
+            case ONE -> i * 15_000L;
+            case ALL_AT_ONCE -> simulation.random.nextLong(50);
+            default -> i * 700L + simulation.random.nextLong(3000);
+          };
+      simulation.after(awayMs + after, simulation.controllers.get((first + i) % 3)::start);
+    }
+    int started = simulation.checker.started;
+    simulation.runUntil(() -> leader(simulation) != null, 80);
+    started = simulation.checker.started - started;
+    simulation.runTo(130);
+    assertDone(simulation, 40, 42);
+    return new ControllerOutage(simulation, confirmed, held, started);
+  }
+
+  /**
+   * A zone with its workers and a controller, the leader or another, is partitioned for longer than
+   * a lease; cancellations are confirmed on both sides of it, just before by the old leader and
+   * meanwhile by the next one; it is healed as the leader changes once more. Machines that nobody
+   * reaches are released, or, with the cloud away as well, live on to the end of it.
+   */
+  @Test
+  void zoneWithControllerPartitionedLongerThanLease() {
+    int before = 0;
+    int meanwhile = 0;
+    int withUncertainLease = 0;
+    int lived = 0;
+    for (boolean withLeader : new boolean[] {true, false}) {
+      for (boolean cloud : new boolean[] {true, false}) {
+        for (long seed = 1; seed <= SEEDS; seed++) {
+          ZonePartition partition = playZonePartition(withLeader, cloud, seed);
+          assertServes(partition.simulation);
+          before += partition.confirmedBefore;
+          meanwhile += partition.confirmedMeanwhile;
+          withUncertainLease += partition.answeredWithUncertainLease;
+          lived += partition.survivors;
+        }
+      }
+    }
+    assertTrue(before > 20 && meanwhile > 20, before + " told before, " + meanwhile + " meanwhile");
+    assertTrue(
+        withUncertainLease > 100,
+        withUncertainLease + " heartbeats answered by the leader that was cut off");
+    assertTrue(lived > 20, lived + " machines of the zone lived on");
+    Mutation mutation = Mutation.CONFIRM_CANCEL_UNRECONCILED;
+    assertDetected(
+        mutation, MUTANT_SEEDS, seed -> playZonePartition(true, false, seed, mutation).simulation);
+  }
+
+  private record ZonePartition(
+      Simulation simulation,
+      int confirmedBefore,
+      int confirmedMeanwhile,
+      int answeredWithUncertainLease,
+      int survivors) {}
+
+  private static ZonePartition playZonePartition(
+      boolean withLeader, boolean cloud, long seed, Mutation... mutations) {
+    Simulation simulation = loadedSimulation(seed, 0.2, mutations);
+    simulation.pollAllJobs();
+    simulation.runTo(15);
+    ControllerModel old = leader(simulation);
+    long token = old.token();
+    ControllerModel inZone =
+        withLeader
+            ? old
+            : simulation.controllers.stream()
+                .filter(controller -> controller != old)
+                .findFirst()
+                .orElseThrow();
+    cancelJobs(simulation, 20, 21, 100);
+    simulation.runTo(
+        15.05 + simulation.random.nextInt(150) / 1000.0); // stops may not have gone out yet
+    final int before = simulation.checker.cancelsConfirmed();
+    List<String> lost = new ArrayList<>(List.of("state", "zone b", "zone c"));
+    for (ControllerModel controller : simulation.controllers) {
+      if (controller != inZone) {
+        lost.add(controller.name);
+        simulation.cutBoth(controller.name, "zone a");
+      }
+    }
+    lost.forEach(other -> simulation.cutBoth(inZone.name, other));
+    if (!cloud) {
+      simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "cloud"));
+    }
+    cancelJobs(simulation, 22, 23, 8000);
+    int answered = old.answeredWithUncertainLease();
+    simulation.runTo(
+        15 + (simulation.setup.leaseMs() + 1500 + simulation.random.nextInt(25_000)) / 1000.0);
+    assertTrue(!withLeader || leadsAfter(simulation, token), simulation.recentLog());
+    int meanwhile = simulation.checker.cancelsConfirmed() - before;
+    long lived =
+        simulation.workers.values().stream()
+            .filter(machine -> machine.alive() && machine.zone.equals("a"))
+            .count();
+    ControllerModel next = leader(simulation);
+    simulation.after(
+        simulation.random.nextLong(1000),
+        () -> apply(simulation, next, LeaderLoss.values()[simulation.random.nextInt(3)]));
+    simulation.runTo(nowS(simulation) + simulation.random.nextInt(1000) / 1000.0);
+    simulation.healAll();
+    simulation.runTo(130);
+    return new ZonePartition(
+        simulation, before, meanwhile, old.answeredWithUncertainLease() - answered, (int) lived);
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/OverloadCombinedFaultsTest.java
@@ -0,0 +1,95 @@
+package org.astershift.simulation;
+
+import static org.astershift.simulation.CombinedFaults.LeaderFault;
+import static org.astershift.simulation.CombinedFaults.apply;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.astershift.scheduler.Priority;
+import org.astershift.scheduler.ServiceLevelObjective;
+import org.astershift.simulation.Simulation.Setup;
+import org.junit.jupiter.api.Test;
+
+/** More work than room over slow links, as the leader changes: nothing starves beside room. */
+class OverloadCombinedFaultsTest {
+  private static final int SEEDS = 6;
+
+  /**
+   * More work than there is room, urgent and not, large tasks and small, over links that take up to
+   * a second, and the leader changes in the middle of it. No invariant is violated, all that was
+   * submitted is done, and once the links are fast again nothing waits beside room, though there is
+   * still more work than room.
+   */
+  @Test
+  void overloadOverSlowLinks() {
+    int preempted = 0;
+    int waitedAfter = 0;
+    long longest = 0;
+    for (LeaderFault fault : LeaderFault.values()) {
+      for (long seed = 1; seed <= SEEDS; seed++) {
+        Simulation simulation = overloadedSimulation(seed);
+        ControllerModel old = simulation.leaders().get(0);
+        simulation.after(
+            20_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fault));
+        simulation.runTo(60);
+        playSlowLinks(simulation, 0);
+        waitedAfter += waiting(simulation);
+        preempted += simulation.checker.stopped;
+        simulation.starvationCheck.onFaultsHealed();
+        simulation.runTo(75);
+        urgent(simulation, 40);
+        simulation.runTo(160);
+        longest = Math.max(longest, simulation.starvationCheck.longestMs());
+        assertSound(simulation);
+      }
+    }
+    int played = LeaderFault.values().length * SEEDS;
+    assertTrue(preempted >= played, preempted + " stopped for urgent work");
+    assertTrue(longest > 30_000, "the longest wait beside room " + longest + " ms");
+    assertTrue(waitedAfter >= 50 * played, waitedAfter + " waited when the faults were over");
+  }
+
+  private static int waiting(Simulation simulation) {
+    return simulation.users.accepted().stream()
+        .mapToInt(job -> simulation.checker.waiting(simulation.users.spec(job)).size())
+        .sum();
+  }
+
+  private static void playSlowLinks(Simulation simulation, long ms) {
+    for (ControllerModel controller : simulation.controllers) {
+      for (String host : List.of("workers", "state", "cloud")) {
+        simulation.delayLink(controller.name, host, host.equals("state") ? ms / 4 : ms);
+        simulation.delayLink(host, controller.name, host.equals("state") ? ms / 4 : ms);
+      }
+    }
+  }
+
+  private static Simulation overloadedSimulation(long seed) {
+    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
+    simulation.cloud.capacity.put(CloudModel.TYPE, 12);
+    simulation.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
+    simulation.objectives.add(new ServiceLevelObjective("wait", "n", 30, 0.9, 1));
+    playSlowLinks(simulation, 1000);
+    simulation.runTo(6);
+    for (int i = 0; i < 10; i++) {
+      // Guests at whose work nobody aims, and large and small work of the others.
+      JobDraft guest = JobDraft.array("wk-g" + i, 12).in("g", Priority.LOW);
+      simulation.submit(guest.saves(i % 2 == 0 ? 2 : 0).spec(), 15_000L);
+      boolean large = i % 3 == 0;
+      JobDraft normal = JobDraft.array("wk-n" + i, large ? 60 : 8).in("n", Priority.NORMAL);
+      simulation.submit(normal.takes(large ? 3 : 2, 0).spec(), 12_000L);
+    }
+    for (int i = 0; i < 10; i++) {
+      int id = i;
+      simulation.after(5000 * i, () -> urgent(simulation, id));
+    }
+    simulation.runTo(18);
+    return simulation;
+  }
+
+  private static void urgent(Simulation simulation, int id) {
+    JobDraft draft = JobDraft.array("wk-u" + id, 6).in("u", Priority.HIGH);
+    simulation.submit(draft.takes(id % 2 == 0 ? 2 : 1, 0).spec(), 8_000L);
+  }
+}
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/PartitionTest.java
@@ -0,0 +1,317 @@
+package org.astershift.simulation;
+
+import static org.astershift.simulation.FleetUnderLoad.assertSound;
+import static org.astershift.simulation.FleetUnderLoad.follower;
+import static org.astershift.simulation.FleetUnderLoad.loadedSimulation;
+import static org.astershift.simulation.FleetUnderLoad.running;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.astershift.scheduler.JobKind;
+import org.astershift.simulation.Simulation.Setup;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Network partitions between controllers, workers and the store: no machine is released that some
+ * controller reaches, and in the end all work runs.
+ */
+class PartitionTest {
+  private static final int SEEDS = 25;
+
+  /** Without handing over the inbound-partitioned leader stays, and the leases run out. */
+  @Test
+  void withoutLeadershipTransferWorkerLeasesExpire() {
+    Simulation simulation = loadedSimulation(1, Setup.of(3, 60));
+    simulation.mutations.add(Mutation.NO_LEADERSHIP_TRANSFER);
+    simulation.cutBoth(simulation.leaders().get(0).name, "workers");
+    simulation.runTo(60);
+    assertNotEquals(0, simulation.checker.killedByLease, "a safety measure was taken away");
+  }
+
+  @Test
+  void secondLeaderPartitionedFromWorkersLikeFirst() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel first = simulation.leaders().get(0);
+      ControllerModel second = follower(simulation, 0);
+      ControllerModel third = follower(simulation, 1);
+      simulation.cutBoth(first.name, "workers");
+      simulation.cutBoth(second.name, "workers");
+      simulation.runTo(35);
+      assertEquals(List.of(third), simulation.leaders(), simulation.recentLog());
+      simulation.runTo(95);
+      assertEquals(0, simulation.checker.killedByLease, simulation.recentLog());
+      simulation.healBoth(first.name, "workers");
+      simulation.healBoth(second.name, "workers");
+      simulation.runTo(120);
+      assertSound(simulation);
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+    }
+  }
+
+  @Test
+  void allControllersPartitionedAndHealedOneByOne() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "workers"));
+      int before = simulation.checker.leaders.size();
+      simulation.runTo(90);
+      assertEquals(
+          before,
+          simulation.checker.leaders.size(),
+          "nobody reaches them: one stays\n" + simulation.recentLog());
+      ControllerModel back = follower(simulation, 1);
+      simulation.healBoth(back.name, "workers");
+      simulation.runTo(110);
+      assertEquals(List.of(back), simulation.leaders(), simulation.recentLog());
+      simulation.controllers.forEach(controller -> simulation.healBoth(controller.name, "workers"));
+      simulation.runTo(150);
+      assertSound(simulation);
+      assertEquals(before + 1, simulation.checker.leaders.size(), simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+    }
+  }
+
+  @Test
+  void leaderOutboundPartitionedFromWorkers() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel first = simulation.leaders().get(0);
+      simulation.cut(first.name, "workers");
+      simulation.runTo(80);
+      assertSound(simulation);
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      simulation.heal(first.name, "workers");
+      simulation.runTo(110);
+      assertSound(simulation);
+    }
+  }
+
+  @Test
+  void leaderPartitionedDuringScaleIn() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel first = simulation.leaders().get(0);
+      for (int i = 0; i < 12; i++) {
+        simulation.cloud.die("vm-" + i);
+      }
+      simulation.runTo(23.5 + seed % 25 * 0.1);
+      simulation.cutBoth(first.name, "workers");
+      simulation.runTo(60);
+      assertSound(simulation);
+      assertNotEquals(List.of(first), simulation.leaders(), simulation.recentLog());
+      assertEquals(12, simulation.checker.released.size(), simulation.recentLog());
+      simulation.healBoth(first.name, "workers");
+      simulation.runTo(100);
+      assertSound(simulation);
+    }
+  }
+
+  /** Heartbeats of a zone arrive and nothing that is said to it, while leaders change. */
+  @Test
+  void zoneInboundPartitionedDuringFailover() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.controllers.forEach(controller -> simulation.cut(controller.name, "zone a"));
+      simulation.runTo(21 + seed % 10);
+      simulation.leaders().get(0).crash();
+      simulation.runTo(40);
+      simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
+      simulation.runTo(100);
+      assertSound(simulation);
+      // What was opened before waits for none of them for ever: they are released, and replaced.
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+      assertTrue(
+          simulation.checker.released.stream()
+              .allMatch(m -> simulation.workers.get(m).zone.equals("a")),
+          simulation.recentLog());
+      simulation.controllers.forEach(controller -> simulation.heal(controller.name, "zone a"));
+      simulation.runTo(130);
+      assertSound(simulation);
+    }
+  }
+
+  /** A few such machines under a leader that stays: they get nothing new, and are used again. */
+  @Test
+  void machineInboundPartitionedForAWhile() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.controllers.forEach(controller -> simulation.cut(controller.name, "vm-7"));
+      simulation.submit(JobDraft.job("wk-3", JobKind.SERVICE, 30), null);
+      simulation.runTo(32);
+      assertTrue(
+          running(simulation) >= 210, running(simulation) + " run\n" + simulation.recentLog());
+      simulation.controllers.forEach(controller -> simulation.heal(controller.name, "vm-7"));
+      simulation.runTo(80);
+      assertSound(simulation);
+      assertTrue(
+          running(simulation) >= 210, running(simulation) + " run\n" + simulation.recentLog());
+    }
+  }
+
+  /**
+   * The next leader cannot make one machine listen, though the other controller reaches it: for a
+   * while it is kept, but not for as long as the cut lasts, since all jobs opened before wait for
+   * it.
+   */
+  @Test
+  void oneUnreconciledMachineDoesNotBlockAllJobs() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      simulation.leaders().get(0).crash();
+      simulation.controllers.stream()
+          .filter(controller -> !controller.crashed())
+          .forEach(controller -> simulation.cut(controller.name, "vm-3"));
+      simulation.runTo(24);
+      ControllerModel next = simulation.leaders().get(0);
+      simulation.controllers.stream()
+          .filter(controller -> controller != next)
+          .forEach(controller -> simulation.heal(controller.name, "vm-3"));
+      simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
+      simulation.runTo(70);
+      assertSound(simulation);
+      assertFalse(next.reconciling(), simulation.recentLog());
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+    }
+  }
+
+  /**
+   * Alone with its workers the old leader continues for as long as no worker knows a newer token.
+   */
+  @Test
+  void leaderPartitionedFromAllButItsWorkers() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel old = simulation.leaders().get(0);
+      for (String host :
+          List.of("state", follower(simulation, 0).name, follower(simulation, 1).name)) {
+        simulation.cutBoth(old.name, host);
+      }
+      simulation.runTo(30);
+      if (seed % 2 == 0) {
+        simulation.leaders().stream()
+            .filter(controller -> controller != old)
+            .forEach(ControllerModel::crash); // in the election
+      }
+      simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
+      simulation.runTo(70);
+      assertSound(simulation);
+      assertEquals(0, simulation.checker.killedByLease, simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertTrue(
+          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+      assertEquals(
+          1,
+          simulation.leaders().stream().filter(controller -> controller != old).count(),
+          simulation.recentLog());
+    }
+  }
+
+  @Test
+  void zonePartitionedWithLeader() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel first = simulation.leaders().get(0);
+      for (String host :
+          List.of(
+              "state",
+              "cloud",
+              "zone b",
+              "zone c",
+              follower(simulation, 0).name,
+              follower(simulation, 1).name)) {
+        simulation.cutBoth(first.name, host);
+      }
+      for (ControllerModel controller : simulation.controllers) {
+        if (controller != first) {
+          simulation.cutBoth(controller.name, "zone a");
+        }
+      }
+      simulation.runTo(50);
+      assertEquals(List.of(), simulation.checker.violations, simulation.recentLog());
+      // The zone's machines are reached by no controller that could use them: released, and
+      // replaced.
+      assertTrue(
+          simulation.checker.released.size() >= 20,
+          simulation.recentLog()); // and what was provisioned there before
+      assertTrue(
+          simulation.checker.released.stream()
+              .allMatch(m -> simulation.workers.get(m).zone.equals("a")),
+          simulation.recentLog());
+      assertTrue(
+          simulation.controllers.stream()
+              .anyMatch(controller -> controller != first && controller.leads()),
+          simulation.recentLog());
+    }
+  }
+
+  @Test
+  void loneControllerReleasesDeadMachines() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      follower(simulation, 0).crash();
+      follower(simulation, 1).crash();
+      for (int i = 0; i < 10; i++) {
+        simulation.cloud.die("vm-" + i);
+      }
+      simulation.runTo(45); // before the cloud says that they failed
+      assertSound(simulation);
+      assertEquals(10, simulation.checker.released.size(), simulation.recentLog());
+    }
+  }
+
+  /**
+   * A leader is partitioned from a zone while the others are starting: it keeps the zone until they
+   * can tell. Where they stay away, and nobody reaches the zone, it goes all the same.
+   */
+  @Test
+  void loneLeaderKeepsZoneUntilPeersReturn() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      ControllerModel leader = simulation.leaders().get(0);
+      List<ControllerModel> others =
+          simulation.controllers.stream().filter(controller -> controller != leader).toList();
+      others.forEach(ControllerModel::crash);
+      simulation.cutBoth(leader.name, "zone a");
+      others.forEach(
+          controller ->
+              simulation.after(7000 + simulation.random.nextLong(3000), controller::start));
+      simulation.runTo(60);
+      assertSound(simulation);
+      int few =
+          simulation.checker.released
+              .size(); // by its own ears, before most of the zone was overdue
+      assertTrue(few <= 4, simulation.recentLog());
+      simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
+      simulation.controllers.stream()
+          .filter(controller -> !controller.leads())
+          .forEach(ControllerModel::crash);
+      simulation.runTo(85);
+      assertSound(simulation);
+      assertTrue(simulation.checker.released.size() - few >= 16, simulation.recentLog());
+    }
+  }
+
+  @Test
+  void controllersSplitBetweenHalvesOfWorkers() {
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation =
+          loadedSimulation(seed, new Setup(5, 60, List.of("a", "b"), 2000, 14_000));
+      for (int i = 0; i < 5; i++) {
+        simulation.cutBoth("n" + i, i < 3 ? "zone a" : "zone b");
+      }
+      simulation.runTo(100);
+      assertSound(simulation);
+      assertTrue(
+          simulation.checker.leaders.size() <= 4,
+          simulation.checker.leaders + "\n" + simulation.recentLog());
+    }
+  }
+}
--- a/src/test/java/org/astershift/simulation/PausableProcess.java
+++ b/src/test/java/org/astershift/simulation/PausableProcess.java
@@ -5,7 +5,7 @@
 
 /**
  * Incarnations of a worker's process. One may pause: what is sent to it waits for it to resume, and
- * its tasks' run time stands still, while its steady clock runs on.
+ * its tasks' run time stops, while its steady clock runs on.
  */
 final class PausableProcess {
   private final Simulation simulation;
--- a/src/test/java/org/astershift/simulation/ProcessModel.java
+++ b/src/test/java/org/astershift/simulation/ProcessModel.java
@@ -7,7 +7,7 @@
 
 /**
  * A process of a controller: its clock, what it does later, and its requests to other hosts. It may
- * stand still while its clock runs on, or crash and start anew, without what it was about to do.
+ * pause while its clock runs on, or crash and restart, without what it was about to do.
  */
 abstract class ProcessModel {
   static final long STORE_TIMEOUT_MS = 1500;
@@ -19,7 +19,7 @@
   private boolean crashed;
   private long frozenUntilMs;
 
-  /** When the state service last answered. */
+  /** When the store last answered, by this clock. */
   private long storeAnsweredMs;
 
   ProcessModel(Simulation simulation, String name) {
@@ -47,7 +47,7 @@
   }
 
   void freeze(long forMs) {
-    simulation.log(name, "stands still for " + forMs + " ms");
+    simulation.log(name, "pauses for " + forMs + " ms");
     frozenUntilMs = simulation.now() + forMs;
     simulation.after(forMs, simulation::markConnectivityChanged);
   }
@@ -65,7 +65,7 @@
     return (long) (simulation.now() * (1 + drift));
   }
 
-  /** What happens in this process: not after its end, and late if it stands still. */
+  /** Runs this in the process: not after its end, and later if it pauses. */
   void runIn(int startedIn, Runnable body) {
     if (incarnation != startedIn) {
       return;
@@ -97,7 +97,7 @@
     simulation.call(name, to, timeoutMs, service, a -> runIn(startedIn, () -> done.accept(a)));
   }
 
-  /** A request to the state service; null: no answer, or 503, so its effect is unknown. */
+  /** A request to the store; {@code done} gets null without an answer, or with a 503. */
   <A> void storeRequest(Supplier<A> request, Consumer<A> done) {
     storeRequest(STORE_TIMEOUT_MS, request, done);
   }
@@ -122,14 +122,14 @@
         });
   }
 
-  /** What the state service takes beside, at such a moment. */
+  /** By how much the answer of a slow store is delayed. */
   long storeDelayMs() {
     return simulation.store.answerDelayMs == 0
         ? 0
         : simulation.random.nextLong(simulation.store.answerDelayMs);
   }
 
-  /** The state service has answered. */
+  /** The store has answered. */
   void onStoreAnswered() {
     storeAnsweredMs = clock();
   }
@@ -139,7 +139,7 @@
     return storeAnsweredMs;
   }
 
-  /** It has not for too long. */
+  /** Whether the store has not answered for too long. */
   boolean storeLost() {
     return clock() - storeAnsweredMs > StoreClient.STORE_OUTAGE_CHECK_AFTER_MS;
   }
--- a/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
@@ -3,7 +3,7 @@
 import org.astershift.EventDigest;
 import org.astershift.KeptDigests;
 
-/** The digests of the swarm's seeds. */
+/** The digests of the randomized scenarios. */
 public final class RandomizedScenarioDigests {
   private RandomizedScenarioDigests() {}
 
--- a/src/test/java/org/astershift/simulation/ReservedRoomTest.java
+++ b/src/test/java/org/astershift/simulation/ReservedRoomTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * More work than room for minutes, without any trouble: long tasks that leave a part of each
- * machine free, large tasks and gangs that fit on none of them, for which room is kept once they
- * have waited for long, and small work that comes all the time. Nothing waits for 90 s beside room,
+ * More work than room for minutes, without any fault: long tasks that leave a part of each machine
+ * free, large tasks and gangs that fit on none of them, for which room is kept once they have
+ * waited for long, and small work that comes all the time. Nothing waits for 90 s beside room,
  * which the operators' page asks for, and room was kept: on the sources before small work waited
  * for as long as a long task ran.
  */
--- a/src/test/java/org/astershift/simulation/SeedRunner.java
+++ b/src/test/java/org/astershift/simulation/SeedRunner.java
@@ -8,9 +8,9 @@
 import org.astershift.SeedArguments;
 
 /**
- * Plays many seeds of the swarm on all processors, for a search longer than the tests are: {@code
- * SeedRunner FIRST LAST [story] [MUTANT...]}. It prints each seed that fails and what failed, with
- * the log of all hosts where {@code story} is asked for; exit 1 if any did.
+ * Plays many seeds of the randomized scenario on all processors, for a longer search than the
+ * tests: {@code SeedRunner FIRST LAST [story] [MUTANT...]}. It prints each seed that fails and what
+ * failed, with the log of all hosts where {@code story} is asked for; exit 1 if any did.
  */
 public final class SeedRunner {
   private static final String STORY = "story";
@@ -24,7 +24,7 @@
     return options;
   }
 
-  /** Plays the seeds and says which fail. */
+  /** Plays the seeds and prints which fail. */
   public static void main(String[] args) {
     SeedArguments arguments = SeedArguments.parseOrExit(args, options());
     long first = arguments.first();
--- a/src/test/java/org/astershift/simulation/Simulation.java
+++ b/src/test/java/org/astershift/simulation/Simulation.java
@@ -20,10 +20,10 @@
 import org.astershift.scheduler.Team;
 
 /**
- * Controllers, state service, cloud and workers in one process, in virtual time, under one seed.
- * The controllers decide with the program's own code; the rest are models of the published
- * protocol. Links between hosts are a matrix of directions, each of which may be cut. Events at the
- * same millisecond come in an order drawn from the seed.
+ * Controllers, store, cloud and workers in one process, in virtual time, under one seed. The
+ * controllers decide with the program's own code; the rest are models of the published protocol.
+ * Links between hosts are a matrix of directions, each of which may be cut. Events at the same
+ * millisecond come in an order drawn from the seed.
  */
 final class Simulation {
   final long seed;
@@ -47,20 +47,20 @@
   /** Teams with their guarantees and limits; none: the only one, with {@link #teamCpuLimit}. */
   final Map<String, Team> teams = new LinkedHashMap<>();
 
-  /** What the operators aim at. */
+  /** The operators' service-level objectives. */
   final List<ServiceLevelObjective> objectives = new ArrayList<>();
 
-  /** Share of the reports of which a copy comes later. */
+  /** Share of the heartbeats of which a duplicate comes later. */
   double duplicateShare;
 
   /**
-   * Direct orders go over connections, as over TCP: each reaches the life of the machine that has
-   * accepted its connection, or none, and is made up once there is one. Otherwise what is on its
-   * way may reach any life, which is worse than a network without proxies does.
+   * Commands go over connections, as over TCP: they reach the incarnation of the machine that
+   * accepted the connection, or none, and are decided once it is open. Otherwise a message on its
+   * way may reach any incarnation, which is worse than a network without proxies.
    */
   boolean connectionOriented;
 
-  /** Threads that have read something for a user go on up to so long later. */
+  /** Threads that have read something for a user continue up to so many milliseconds later. */
   long threadStallMs;
 
   /** The thread that writes records handles the answer to a write so long after it came. */
@@ -75,7 +75,7 @@
   private long connectivityChangedMs;
   private long eventsRun;
 
-  /** What a world starts with; times in milliseconds. */
+  /** What a simulation starts with; times in milliseconds. */
   record Setup(int controllers, int machines, List<String> zones, long heartbeatMs, long leaseMs) {
     static Setup of(int nodes, int machines) {
       return new Setup(nodes, machines, List.of("a", "b", "c"), 2000, 14_000);
@@ -114,8 +114,6 @@
     controllers.forEach(ControllerModel::start);
   }
 
-  // ---- time ----
-
   long now() {
     return nowMs;
   }
@@ -151,8 +149,6 @@
     return eventsRun;
   }
 
-  // ---- links ----
-
   /** Hosts are "n0", "n1", ..., "state", "cloud", and machines by name. */
   private boolean linkUp(String from, String to) {
     return !cutLinks.contains(new Link(from, to))
@@ -175,7 +171,7 @@
 
   /** Cuts one direction. What is sent meanwhile is held, and delivered when the cut is over. */
   void cut(String from, String to) {
-    log(from, "no longer reaches " + to);
+    log(from, "stops reaching " + to);
     cutLinks.add(new Link(from, to));
   }
 
@@ -205,7 +201,7 @@
     return heldMessages.values().stream().mapToInt(List::size).sum();
   }
 
-  /** A path is back, or a controller that stood still. */
+  /** A path is back, or a process that paused. */
   void markConnectivityChanged() {
     connectivityChangedMs = nowMs;
   }
@@ -228,7 +224,7 @@
         .toList();
   }
 
-  /** The one that leads; that there is exactly one is asserted. */
+  /** The only leader; that there is exactly one is asserted. */
   ControllerModel onlyLeader() {
     List<ControllerModel> all = leaders();
     assertEquals(1, all.size(), recentLog());
@@ -292,8 +288,6 @@
     after(timeoutMs, () -> once.accept(null));
   }
 
-  // ---- jobs ----
-
   /** A job is accepted; {@code ms}: how long its tasks run, null for a service. */
   void submit(org.astershift.scheduler.JobSpec spec, Long ms) {
     users.acceptDirectly(spec, ms);
@@ -304,33 +298,31 @@
     users.submit(spec, ms, then);
   }
 
-  /** Its user wants it cancelled, and asks at whatever node until that is answered. */
+  /** Its user cancels it, and asks at any controller until that is answered. */
   void userCancels(String job) {
     users.cancel(job);
   }
 
-  /** From now on users ask each node about each accepted job every five seconds. */
+  /** From now on users ask each controller about each accepted job every five seconds. */
   void pollAllJobs() {
     users.pollAll();
   }
 
-  /** The token of whoever began to lead last; 0: nobody has. */
+  /** The fencing token of the newest term; 0: there was none. */
   long latestToken() {
     return checker.latestToken();
   }
 
-  // ---- the log of all hosts, side by side ----
-
   void log(String host, String what) {
     logLines.add(String.format(Locale.ROOT, "%9.3f %-6s %s", nowMs / 1000.0, host, what));
   }
 
-  /** The log of all hosts from the beginning. */
+  /** The log of all hosts, from the beginning. */
   String fullLog() {
     return String.join("\n", logLines);
   }
 
-  /** For the message of a failure: how to play it again, and the last of what happened. */
+  /** For the message of a failure: the seed and set-up to replay it, and the end of the log. */
   String recentLog() {
     List<String> last = logLines.subList(Math.max(0, logLines.size() - 60), logLines.size());
     return "seed " + seed + ", " + setup + "\n" + String.join("\n", last);
--- a/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines that the cloud takes back, told of or not, and machines that are drained, as the leader
- * changes: replicas find another place, gangs and arrays end. Each case counts that its troubles
- * met.
+ * Machines that the cloud preempts, with a notice or without, and machines that are drained, as the
+ * leader changes: replicas find another place, gangs and arrays end. Each case counts that its
+ * faults met.
  */
 class SpotCombinedFaultsTest {
   private static final int SEEDS = 6;
@@ -25,11 +25,11 @@
   private static final int REPLICAS = 12;
   private static final long NOTICE_MS = 12_000;
 
-  /** How long before they are taken machines are told, against what they are told. */
+  /** How long after its notice a machine is preempted, as a multiple of what the notice says. */
   private enum Notice {
     NONE(0),
     HALF(0.5),
-    AS_TOLD(1),
+    AS_ANNOUNCED(1),
     HALF_AS_LONG_AGAIN(1.5);
 
     final double times;
@@ -61,7 +61,7 @@
   }
 
   /**
-   * Most spot machines are taken back within seconds, and the leader ends as they are told, as they
+   * Most spot machines are preempted within seconds, and the leader ends as they are told, as they
    * go, or in between; in half of the seeds one cannot be reached from the notice on.
    */
   @Test
@@ -118,7 +118,7 @@
 
   /**
    * What is started on two machines from now on fails, and tasks of a gang run there from before;
-   * they are drained as the leader changes, and given back.
+   * they are drained as the leader changes, and released.
    */
   @Test
   void faultyMachinesDrainedDuringFailover() {
--- a/src/test/java/org/astershift/simulation/StarvationCheck.java
+++ b/src/test/java/org/astershift/simulation/StarvationCheck.java
@@ -12,19 +12,19 @@
 import org.astershift.scheduler.Team;
 
 /**
- * Once all troubles are over no job is left waiting for 90 s while a machine that fits has room and
+ * Once all faults are healed no job is left waiting for 90 s while a machine that fits has room and
  * its team is under its limit. Looked at once a second, by what is on the machines and not by what
- * any controller believes: what nobody can use any more, because somebody holds it in doubt, is
- * room. A gang waits for room for all of its tasks. Room counts once it has been there for some
- * seconds: where there is more work than room, some is always between two tasks.
+ * any controller believes: what nobody can use any more, because a controller with an uncertain
+ * lease holds it, is room. A gang waits for room for all of its tasks. Room counts once it has been
+ * there for some seconds: where there is more work than room, some is always between two tasks.
  */
 final class StarvationCheck {
-  /** The operators' page. */
+  /** The operators' bound. */
   static final long MAX_WAIT_MS = 90_000;
 
   private static final long CHECK_INTERVAL_MS = 1000;
 
-  /** A report, the pass and the order that follow, and the task's start. */
+  /** A heartbeat, the pass and the command that follow, and the task's start. */
   private static final long SETTLED_MS = 5000;
 
   private static final double TOLERANCE = 1e-6;
@@ -87,13 +87,13 @@
     }
   }
 
-  /** From now on no trouble is left. */
+  /** From now on no fault is left. */
   void onFaultsHealed() {
     sinceMs.clear();
     check();
   }
 
-  /** The longest that any job waited beside room once the troubles were over, and which. */
+  /** Which job waited longest beside room once the faults were healed, and for how long. */
   String longest() {
     return longest;
   }
--- a/src/test/java/org/astershift/simulation/StoreModel.java
+++ b/src/test/java/org/astershift/simulation/StoreModel.java
@@ -13,8 +13,9 @@
 import org.astershift.scheduler.JobSpec;
 
 /**
- * The state service: keys with revisions, leases that end late by up to 100 ms and have their full
- * time after an outage, transactions that may be applied long after they were sent.
+ * The consensus-backed key-value store: keys with revisions, leases that end late by up to 100 ms
+ * and have their full time after an outage, transactions that may be applied long after they were
+ * sent.
  */
 final class StoreModel {
   static final String LEADER = "leader";
@@ -36,10 +37,10 @@
   /** Share of the transactions that are carried out at once and get no answer. */
   double unansweredShare;
 
-  /** By key, which controller wrote it last and heard nothing of that. */
+  /** By key, which controller wrote it last and got no answer. */
   private final Map<String, String> unansweredWriter = new HashMap<>();
 
-  /** Such writes, by the first part of their keys, and how many of them another one has read. */
+  /** Such writes by the prefix of their keys, and how many of them another controller has read. */
   final Map<String, Integer> unansweredWrites = new TreeMap<>();
 
   final Map<String, Integer> unansweredRead = new TreeMap<>();
@@ -56,7 +57,7 @@
   /** A key as it was set, or with {@code value} null as it was removed. */
   record Row(String key, Object value, long revision, long lease) {}
 
-  /** A live job on record; that it is opened is a note of its own. */
+  /** A live job on record; that it is opened is a record of its own. */
   record JobRow(JobSpec spec, long atMs) {}
 
   /** A machine on record. */
@@ -90,42 +91,42 @@
     return unavailable;
   }
 
-  void refuse(String node, boolean now) {
-    simulation.log("state", (now ? "refuses " : "serves ") + node);
+  void refuse(String controller, boolean now) {
+    simulation.log("state", (now ? "refuses " : "serves ") + controller);
     if (now) {
-      refusedControllers.add(node);
+      refusedControllers.add(controller);
     } else {
-      refusedControllers.remove(node);
+      refusedControllers.remove(controller);
     }
   }
 
-  boolean refuses(String node) {
-    return refusedControllers.contains(node);
+  boolean refuses(String controller) {
+    return refusedControllers.contains(controller);
   }
 
-  /** Carries a transaction out for a controller. */
-  Outcome commit(String node, Map<String, Long> conditions, List<Write> writes) {
-    applied.merge(node, 1, Integer::sum);
+  /** Applies a transaction of a controller. */
+  Outcome commit(String controller, Map<String, Long> conditions, List<Write> writes) {
+    applied.merge(controller, 1, Integer::sum);
     return commit(conditions, writes);
   }
 
-  /** The same 2 to 12 s later, when nobody waits for it any more. */
-  void commitLate(String node, Map<String, Long> conditions, List<Write> writes) {
-    int before = applied.getOrDefault(node, 0);
+  /** Applies it 2 to 12 s later, when its sender has given up. */
+  void commitLate(String controller, Map<String, Long> conditions, List<Write> writes) {
+    int before = applied.getOrDefault(controller, 0);
     simulation.after(
         2000 + simulation.random.nextLong(10_000),
-        () -> applyLate(node, conditions, writes, before));
+        () -> applyLate(controller, conditions, writes, before));
   }
 
   private void applyLate(
-      String node, Map<String, Long> conditions, List<Write> writes, int before) {
+      String controller, Map<String, Long> conditions, List<Write> writes, int before) {
     if (unavailable) {
-      simulation.after(1000, () -> applyLate(node, conditions, writes, before));
+      simulation.after(1000, () -> applyLate(controller, conditions, writes, before));
       return;
     }
-    appliedAfterNewer += applied.getOrDefault(node, 0) > before ? 1 : 0;
-    Outcome outcome = commit(node, conditions, writes);
-    simulation.log("state", "late for " + node + ": " + writes + " " + outcome);
+    appliedAfterNewer += applied.getOrDefault(controller, 0) > before ? 1 : 0;
+    Outcome outcome = commit(controller, conditions, writes);
+    simulation.log("state", "applies late for " + controller + ": " + writes + " " + outcome);
   }
 
   long grant(long lifeMs) {
@@ -210,29 +211,29 @@
   }
 
   /** The transaction was carried out, or not, and its answer is lost. */
-  void loseAnswer(String node, List<Write> writes, Outcome outcome) {
+  void loseAnswer(String controller, List<Write> writes, Outcome outcome) {
     for (Write write : writes) {
       if (outcome.revision() > 0 && write.value() != null) {
         unansweredWrites.merge(write.key().substring(0, 2), 1, Integer::sum);
-        unansweredWriter.put(write.key(), node);
+        unansweredWriter.put(write.key(), controller);
       }
     }
     simulation.log(
-        "state", "carried out and not answered for " + node + ": " + writes + " " + outcome);
+        "state", "applies without an answer for " + controller + ": " + writes + " " + outcome);
   }
 
-  private void noteRead(String node, String key) {
+  private void noteRead(String controller, String key) {
     String writer = unansweredWriter.get(key);
-    if (writer != null && !writer.equals(node)) {
+    if (writer != null && !writer.equals(controller)) {
       unansweredWriter.remove(key);
       unansweredRead.merge(key.substring(0, 2), 1, Integer::sum);
     }
   }
 
   /** What a controller reads. */
-  Row get(String node, String key) {
+  Row get(String controller, String key) {
     if (rows.containsKey(key)) {
-      noteRead(node, key);
+      noteRead(controller, key);
     }
     return rows.get(key);
   }
@@ -245,12 +246,12 @@
     return revision;
   }
 
-  /** All changes after this revision, as a controller's mirror reads them. */
-  List<Row> changesAfter(String node, long after) {
+  /** All changes after this revision, as a controller's watch cache reads them. */
+  List<Row> changesAfter(String controller, long after) {
     List<Row> news = changesAfter(after);
     for (Row row : news) {
-      if (!row.key().startsWith("d/")) { // which no mirror holds
-        noteRead(node, row.key());
+      if (!row.key().startsWith("d/")) { // which no watch cache holds
+        noteRead(controller, row.key());
       }
     }
     return news;
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/StoreOutageCombinedFaultsTest.java
@@ -0,0 +1,236 @@
+package org.astershift.simulation;
+
+import static org.astershift.simulation.CombinedFaults.assertDetected;
+import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.leadsBeside;
+import static org.astershift.simulation.CombinedFaults.nowS;
+import static org.astershift.simulation.CombinedFaults.runForS;
+import static org.astershift.simulation.CombinedFaults.withArrays;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.astershift.scheduler.JobKind;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The store refuses the leader, another controller confirms cancellations, and then the store is
+ * down for all. Each case counts that its faults met, and a mutation shows that the checker detects
+ * them.
+ */
+class StoreOutageCombinedFaultsTest {
+  private static final int SEEDS = 20;
+  private static final int MUTANT_SEEDS = 4 * SEEDS;
+
+  /** Which machines the other controllers reach once the leader is refused. */
+  private enum PeerReach {
+    ALL,
+    SOME,
+    NONE
+  }
+
+  /** What the new leader does just after it has confirmed a cancellation, or has won. */
+  private enum LeaderFault {
+    STAYS,
+    CRASHES,
+    BACK_AT_ONCE,
+    HANDS_OVER
+  }
+
+  /** When the store is down for all. */
+  private enum OutageStart {
+    AS_ANOTHER_WINS,
+    AFTER_A_CONFIRMATION,
+    AS_THE_NEXT_WINS,
+    BEFORE_ANYBODY_WINS
+  }
+
+  private record OutageCase(PeerReach reach, LeaderFault fault, OutageStart outage) {}
+
+  /**
+   * The store refuses the leader alone; another one confirms cancellations; then it is down for
+   * all, for three times as long as a cancelled task may live, while workers go on reporting to the
+   * old leader. And all that once more, with whoever leads then.
+   */
+  @Test
+  void leaderRefusedByStoreThenStoreOutage() {
+    int confirmedBefore = 0;
+    int answeredByOld = 0;
+    for (PeerReach heard : PeerReach.values()) {
+      for (LeaderFault fault : LeaderFault.values()) {
+        for (OutageStart down : OutageStart.values()) {
+          for (long seed = 1; seed <= 6; seed++) {
+            Played played = playOutage(new OutageCase(heard, fault, down), seed);
+            assertSound(played.simulation);
+            confirmedBefore += played.confirmedBefore;
+            answeredByOld += played.answeredByOld;
+            for (int i = 10; i < 14; i++) {
+              assertNotNull(
+                  played.simulation.checker.cancelConfirmedMs("wk-" + i),
+                  played.simulation.fullLog());
+            }
+          }
+        }
+      }
+    }
+    assertTrue(confirmedBefore > 100, confirmedBefore + " confirmed before the outage");
+    assertTrue(
+        answeredByOld > 1000, answeredByOld + " heartbeats answered by the old leader in it");
+  }
+
+  /**
+   * {@code confirmedBefore}: by another, before the outage; {@code answeredByOld}: by the old
+   * leader in it.
+   */
+  private record Played(Simulation simulation, int confirmedBefore, int answeredByOld) {}
+
+  private static Played playOutage(OutageCase outageCase, long seed, Mutation... mutations) {
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
+    ControllerModel old = simulation.leaders().get(0);
+    List<ControllerModel> others =
+        simulation.controllers.stream().filter(controller -> controller != old).toList();
+    simulation.store.refuse(old.name, true);
+    if (seed % 2 == 0) {
+      others.forEach(
+          controller -> simulation.cutBoth(old.name, controller.name)); // nobody tells it who leads
+    }
+    if (outageCase.reach != PeerReach.ALL) {
+      String who = outageCase.reach == PeerReach.SOME ? "zone a" : "workers";
+      others.forEach(controller -> simulation.cutBoth(controller.name, who));
+    }
+    simulation.store.answerDelayMs =
+        seed % 3 == 0 ? 2500 : 0; // wins, and may be too late to catch up
+    for (int i = 10; i < 14; i++) {
+      String job = "wk-" + i;
+      simulation.after(simulation.random.nextLong(1500), () -> simulation.userCancels(job));
+    }
+    for (int i = 20; i < 24; i++) {
+      String job = "wk-" + i;
+      Runnable then =
+          () ->
+              simulation.after(simulation.random.nextLong(400), () -> simulation.userCancels(job));
+      simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 300_000L, then);
+    }
+    if (outageCase.outage != OutageStart.BEFORE_ANYBODY_WINS) {
+      simulation.runUntil(() -> leadsBeside(simulation, old), 30);
+    }
+    if (outageCase.outage == OutageStart.AFTER_A_CONFIRMATION
+        || outageCase.fault != LeaderFault.STAYS) {
+      simulation.runUntil(() -> simulation.checker.anyCancelConfirmed(), 30);
+    }
+    ControllerModel winner =
+        simulation.leaders().stream()
+            .filter(controller -> controller != old)
+            .findFirst()
+            .orElse(others.get(0));
+    apply(simulation, winner, outageCase.fault, others);
+    if (outageCase.outage == OutageStart.AS_THE_NEXT_WINS) {
+      simulation.runUntil(() -> leadsBeside(simulation, old) && !winner.leads(), 35);
+    }
+    simulation.runTo((simulation.now() + seed * 7) / 1000.0);
+    int confirmed = simulation.checker.cancelsConfirmed();
+    int answered = old.answeredWithUncertainLease();
+    simulation.log("state", "is down");
+    simulation.store.unavailable(true);
+    simulation.store.answerDelayMs = 0;
+    simulation.after(12_000, () -> simulation.store.refuse(old.name, false));
+    double outageS = 3 * InvariantChecker.CANCEL_MS / 1000.0;
+    runForS(simulation, outageS);
+    answered = old.answeredWithUncertainLease() - answered;
+    simulation.healAll();
+    simulation.store.unavailable(false);
+    runForS(simulation, 15);
+    // The second meeting, as on the operators' day: refused 1.5 s before all are.
+    if (winner.crashed()) {
+      winner.start();
+    }
+    simulation.runUntil(() -> !simulation.leaders().isEmpty(), nowS(simulation) + 10);
+    ControllerModel next = simulation.leaders().get(0);
+    simulation.store.refuse(next.name, true);
+    simulation.userCancels("wk-14");
+    runForS(simulation, 1.5);
+    simulation.store.unavailable(true);
+    runForS(simulation, outageS);
+    simulation.store.refuse(next.name, false);
+    simulation.store.unavailable(false);
+    runForS(simulation, 50);
+    return new Played(simulation, confirmed, answered);
+  }
+
+  private static void apply(
+      Simulation simulation,
+      ControllerModel winner,
+      LeaderFault fault,
+      List<ControllerModel> others) {
+    switch (fault) {
+      case CRASHES -> {
+        winner.crash();
+        for (ControllerModel controller : others) {
+          simulation.cutBoth(
+              controller.name,
+              "zone b"); // which the next leader hears while its own lease is uncertain
+          simulation.after(6000, () -> simulation.healBoth(controller.name, "zone b"));
+        }
+      }
+      case BACK_AT_ONCE -> {
+        winner.crash();
+        simulation.after(300, winner::start);
+      }
+      case HANDS_OVER -> winner.resign();
+      default -> {}
+    }
+  }
+
+  /** Tasks outlive a cancellation that does not wait for unreconciled machines. */
+  @Test
+  void confirmingBeforeReconciliationIsDetected() {
+    OutageCase outageCase =
+        new OutageCase(PeerReach.NONE, LeaderFault.STAYS, OutageStart.AFTER_A_CONFIRMATION);
+    assertDetected(
+        Mutation.CONFIRM_CANCEL_UNRECONCILED,
+        MUTANT_SEEDS,
+        seed -> playOutage(outageCase, seed, Mutation.CONFIRM_CANCEL_UNRECONCILED).simulation);
+  }
+
+  /**
+   * Who confirmed it ends before its stops go out; who leads next hears a zone only when it is in
+   * doubt itself, and keeps the machines there all the same.
+   */
+  @Test
+  void nextLeaderStopsTasksOfCancelledJobs() {
+    int left = 0;
+    for (long seed = 1; seed <= SEEDS; seed++) {
+      Simulation simulation = crashAfterConfirmation(seed);
+      assertSound(simulation);
+      left += simulation.checker.leftAtConfirmation;
+    }
+    assertNotEquals(0, left, "none was left when it was confirmed");
+    assertDetected(
+        Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE,
+        MUTANT_SEEDS,
+        seed -> crashAfterConfirmation(seed, Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE));
+  }
+
+  private static Simulation crashAfterConfirmation(long seed, Mutation... mutations) {
+    Simulation simulation = withArrays(seed, 12, 3, mutations);
+    ControllerModel first = simulation.leaders().get(0);
+    for (int i = 10; i < 14; i++) {
+      simulation.userCancels("wk-" + i);
+    }
+    assertTrue(
+        simulation.runUntil(simulation.checker::anyCancelConfirmed, 30), simulation.recentLog());
+    apply(
+        simulation,
+        first,
+        LeaderFault.CRASHES,
+        simulation.controllers.stream().filter(controller -> controller != first).toList());
+    assertTrue(
+        simulation.runUntil(() -> leadsBeside(simulation, first), 35), simulation.recentLog());
+    simulation.store.unavailable(true);
+    simulation.runTo((simulation.now() + 3 * InvariantChecker.CANCEL_MS) / 1000.0);
+    simulation.store.unavailable(false);
+    runForS(simulation, 30);
+    return simulation;
+  }
+}
--- a/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
@@ -12,19 +12,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
-import org.astershift.scheduler.MachineType;
-import org.astershift.scheduler.Priority;
-import org.astershift.scheduler.ServiceLevelObjective;
 import org.astershift.scheduler.Team;
-import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
 /**
- * Teams at their limits, and work that waits: limits hold to the millisecond whatever meets, and
- * once the troubles are over nothing is left waiting beside room. Each case counts that its
- * troubles met.
+ * Teams at their limits, with work that waits: no limit is exceeded at any moment, whatever faults
+ * meet. Each case counts that its faults met.
  */
 class TeamCombinedFaultsTest {
   private static final int SEEDS = 6;
@@ -45,12 +39,12 @@
   }
 
   /** What becomes of machines that hold tasks of the cancelled jobs. */
-  private enum Trouble {
+  private enum MachineFault {
     CUT_OFF,
     PAUSED
   }
 
-  private record FaultCase(LeaderFault fault, When when, Trouble trouble) {}
+  private record FaultCase(LeaderFault fault, When when, MachineFault machineFault) {}
 
   /** What a played meeting brought about. */
   private static final class Played {
@@ -59,10 +53,10 @@
     /** Teams that were at their limit when the cancellations came. */
     int atLimit;
 
-    /** Tasks of cancelled jobs that were then on machines in trouble. */
+    /** Tasks of cancelled jobs that were then on faulty or unreachable machines. */
     int onFaultyMachines;
 
-    /** Tasks started between the cancellations and the end of the trouble. */
+    /** Tasks started between the cancellations and the end of the fault. */
     int startedMeanwhile;
 
     boolean leaderChanged;
@@ -134,7 +128,8 @@
     return machines.isEmpty() ? null : machines.get(simulation.random.nextInt(machines.size()));
   }
 
-  private static int cancelledOn(Simulation simulation, List<String> jobs, List<String> machines) {
+  private static int cancelledTasksOn(
+      Simulation simulation, List<String> jobs, List<String> machines) {
     int[] n = new int[1];
     simulation.checker.eachOnMachine(
         (task, machine) -> {
@@ -145,11 +140,11 @@
   }
 
   /**
-   * Jobs of each team, which hold two thirds of its limit, are called off within 0.2 s; machines on
-   * which they run are cut off or hang, for less than the lease, just as long, and longer; and the
-   * leader changes. What waits takes what the cancellations free.
+   * Jobs of each team, which hold two thirds of its limit, are cancelled within 0.2 s; machines on
+   * which they run are partitioned or pause, for less than the lease, just as long, and longer; and
+   * the leader changes. What waits takes what the cancellations free.
    */
-  private static Played cancelled(FaultCase faultCase, long seed, Mutation... mutations) {
+  private static Played playCancellations(FaultCase faultCase, long seed, Mutation... mutations) {
     Simulation simulation = limitedSimulation(seed, mutations);
     Played played = new Played(simulation);
     for (String team : TEAMS) {
@@ -185,7 +180,7 @@
           () -> simulation.userCancels(job));
     }
     simulation.runTo(cancelMs / 1000.0);
-    played.onFaultyMachines = cancelledOn(simulation, jobs, machines);
+    played.onFaultyMachines = cancelledTasksOn(simulation, jobs, machines);
     int before = simulation.checker.started;
     simulation.runTo((troubleMs + forMs) / 1000.0);
     played.startedMeanwhile = simulation.checker.started - before;
@@ -204,7 +199,7 @@
 
   private static void applyToMachines(
       Simulation simulation, FaultCase faultCase, String machine, long forMs) {
-    if (faultCase.trouble == Trouble.PAUSED) {
+    if (faultCase.machineFault == MachineFault.PAUSED) {
       simulation.workers.get(machine).pause(forMs);
     } else {
       simulation.controllers.forEach(
@@ -217,42 +212,44 @@
     }
   }
 
-  /** Every team is at its limit while jobs are called off whose machines do not answer. */
+  /** Every team is at its limit while jobs are cancelled whose machines do not answer. */
   @Test
   void jobsCancelledWhileTeamsAreAtLimit() {
     int played = 0;
     int atLimit = 0;
-    int onTroubled = 0;
+    int onFaultyMachines = 0;
     int started = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (When when : When.values()) {
-        for (Trouble trouble : Trouble.values()) {
+        for (MachineFault machineFault : MachineFault.values()) {
           for (long seed = 1; seed <= SEEDS; seed++) {
-            Played play = cancelled(new FaultCase(fault, when, trouble), seed);
+            Played play = playCancellations(new FaultCase(fault, when, machineFault), seed);
             assertSound(play.simulation);
             assertTrue(play.leaderChanged, play.simulation.fullLog());
             played++;
             atLimit += play.atLimit;
-            onTroubled += play.onFaultyMachines;
+            onFaultyMachines += play.onFaultyMachines;
             started += play.startedMeanwhile;
           }
         }
       }
     }
     assertEquals(3 * played, atLimit, "teams at their limits in " + played + " cases");
-    assertTrue(onTroubled >= 6 * played, onTroubled + " tasks on machines in trouble");
+    assertTrue(
+        onFaultyMachines >= 6 * played,
+        onFaultyMachines + " tasks on faulty or unreachable machines");
     assertTrue(started >= 3 * played, started + " started meanwhile");
-    FaultCase faultCase = new FaultCase(LeaderFault.CRASHES, When.BEFORE, Trouble.CUT_OFF);
+    FaultCase faultCase = new FaultCase(LeaderFault.CRASHES, When.BEFORE, MachineFault.CUT_OFF);
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
         "quota",
-        s -> cancelled(faultCase, s, Mutation.NO_INHERITED_MACHINES).simulation);
+        s -> playCancellations(faultCase, s, Mutation.NO_INHERITED_MACHINES).simulation);
   }
 
   /**
    * The leader changes, the next one cannot ask a zone's machines, or they hear nothing of what it
-   * says, and jobs are called off while it waits for them; all teams are at their limits.
+   * says, and jobs are cancelled while it waits for them; all teams are at their limits.
    */
   @Test
   void jobsCancelledWhileMachinesCannotBeProbed() {
@@ -269,7 +266,7 @@
       }
     }
     int played = LeaderFault.values().length * 2 * SEEDS;
-    assertTrue(inTheSpell >= 3 * played, inTheSpell + " called off in the spell");
+    assertTrue(inTheSpell >= 3 * played, inTheSpell + " cancelled in the spell");
     assertTrue(startedInIt >= played, startedInIt + " started in the spell");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
@@ -321,171 +318,4 @@
     runForS(simulation, 25);
     return new PartitionPlay(simulation, cancelled, started);
   }
-
-  /** How machines of a zone are lost. */
-  private enum Loss {
-    DIE,
-    TAKEN,
-    ZONE_CUT
-  }
-
-  /**
-   * Jobs bound to a zone, arrays too, lose all their machines there, with and without a change of
-   * leaders: once the zone is back what waits for it runs after two boots and what they take.
-   */
-  @Test
-  void zoneBoundJobsLoseTheirMachines() {
-    long longestMs = 0;
-    int emptied = 0;
-    int played = 0;
-    for (Loss loss : Loss.values()) {
-      for (boolean changes : new boolean[] {false, true}) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = new Simulation(seed, Setup.of(3, 24));
-          emptied += playZoneLoss(simulation, loss, changes) ? 1 : 0;
-          played++;
-          assertSound(simulation);
-          long since = simulation.now();
-          assertTrue(
-              simulation.runUntil(
-                  () -> zoneBoundSimulation(simulation) == 12, (since + 90_000) / 1000.0),
-              simulation.fullLog());
-          longestMs = Math.max(longestMs, simulation.now() - since);
-          runForS(simulation, 20);
-          assertSound(simulation);
-        }
-      }
-    }
-    assertTrue(emptied >= played * 2 / 3, emptied + " times nothing was left in the zone");
-    assertTrue(longestMs < 30_000, longestMs + " ms after the zone was back");
-  }
-
-  /** Tasks of the jobs bound to zone a that are on machines. */
-  private static int zoneBoundSimulation(Simulation simulation) {
-    return simulation.checker.tasksOnMachines("wk-a1")
-        + simulation.checker.tasksOnMachines("wk-a2")
-        + simulation.checker.tasksOnMachines("wk-a3");
-  }
-
-  /** Says whether no live machine was left there when the trouble was over. */
-  private static boolean playZoneLoss(Simulation simulation, Loss loss, boolean changes) {
-    boolean spot = loss == Loss.TAKEN;
-    simulation.cloud.addType(
-        new MachineType("brief", 4, 0, 16, 50, 0.5, 2, 0.1, 10, simulation.setup.zones()));
-    for (int i = 0; spot && i < 4; i++) {
-      simulation.cloud.addMachine("vm-spot" + i, new CloudModel.Kind("brief", "a", true), true);
-    }
-    simulation.runTo(4);
-    simulation.submit(JobDraft.array("wk-all", 40).kind(JobKind.SERVICE).spec(), null);
-    for (int i = 1; i <= 3; i++) {
-      JobDraft draft = JobDraft.array("wk-a" + i, 4).zone("a");
-      draft = i == 1 ? draft.kind(JobKind.SERVICE) : i == 2 ? draft.oneZone() : draft;
-      simulation.submit(
-          (spot ? draft.spot().only("brief") : draft).spec(), i == 1 ? null : 300_000L);
-    }
-    simulation.runTo(22);
-    assertEquals(12, zoneBoundSimulation(simulation), simulation.recentLog());
-    long forMs = 20_000 + 5000 * (simulation.seed % 6);
-    List<String> there = new ArrayList<>();
-    simulation.workers.forEach(
-        (name, worker) -> {
-          if (worker.zone.equals("a") && worker.alive() && worker.kind.spot() == spot) {
-            there.add(name);
-          }
-        });
-    if (loss == Loss.ZONE_CUT) {
-      simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
-    } else {
-      there.forEach(loss == Loss.DIE ? simulation.cloud::die : simulation.cloud::preempt);
-    }
-    if (changes) {
-      ControllerModel old = simulation.leaders().get(0);
-      simulation.after(
-          simulation.random.nextLong(forMs),
-          () -> apply(simulation, old, LeaderFault.values()[(int) simulation.seed % 3]));
-    }
-    simulation.runTo((22_000 + forMs) / 1000.0);
-    boolean empty = there.stream().noneMatch(name -> simulation.workers.get(name).alive());
-    simulation.healAll();
-    simulation.starvationCheck.onFaultsHealed();
-    return empty;
-  }
-
-  /**
-   * More work than there is room, urgent and not, large tasks and small, over links that take up to
-   * a second, and the leader changes in the middle of it. Nothing breaks, all that was called for
-   * is done, and once the links are fast again nothing waits beside room, though there is still
-   * more work than room.
-   */
-  @Test
-  void overloadOverSlowLinks() {
-    int preempted = 0;
-    int waitedAfter = 0;
-    long longest = 0;
-    for (LeaderFault fault : LeaderFault.values()) {
-      for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation simulation = overloadedSimulation(seed);
-        ControllerModel old = simulation.leaders().get(0);
-        simulation.after(
-            20_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fault));
-        simulation.runTo(60);
-        playSlowLinks(simulation, 0);
-        waitedAfter += waiting(simulation);
-        preempted += simulation.checker.stopped;
-        simulation.starvationCheck.onFaultsHealed();
-        simulation.runTo(75);
-        urgent(simulation, 40);
-        simulation.runTo(160);
-        longest = Math.max(longest, simulation.starvationCheck.longestMs());
-        assertSound(simulation);
-      }
-    }
-    int played = LeaderFault.values().length * SEEDS;
-    assertTrue(preempted >= played, preempted + " stopped for urgent work");
-    assertTrue(longest > 30_000, "the longest wait beside room " + longest + " ms");
-    assertTrue(waitedAfter >= 50 * played, waitedAfter + " waited when the troubles were over");
-  }
-
-  private static int waiting(Simulation simulation) {
-    return simulation.users.accepted().stream()
-        .mapToInt(job -> simulation.checker.waiting(simulation.users.spec(job)).size())
-        .sum();
-  }
-
-  private static void playSlowLinks(Simulation simulation, long ms) {
-    for (ControllerModel controller : simulation.controllers) {
-      for (String host : List.of("workers", "state", "cloud")) {
-        simulation.delayLink(controller.name, host, host.equals("state") ? ms / 4 : ms);
-        simulation.delayLink(host, controller.name, host.equals("state") ? ms / 4 : ms);
-      }
-    }
-  }
-
-  private static Simulation overloadedSimulation(long seed) {
-    Simulation simulation = new Simulation(seed, Setup.of(3, 12));
-    simulation.cloud.capacity.put(CloudModel.TYPE, 12);
-    simulation.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
-    simulation.objectives.add(new ServiceLevelObjective("wait", "n", 30, 0.9, 1));
-    playSlowLinks(simulation, 1000);
-    simulation.runTo(6);
-    for (int i = 0; i < 10; i++) {
-      // Guests at whose work nobody aims, and large and small work of the others.
-      JobDraft guest = JobDraft.array("wk-g" + i, 12).in("g", Priority.LOW);
-      simulation.submit(guest.saves(i % 2 == 0 ? 2 : 0).spec(), 15_000L);
-      boolean large = i % 3 == 0;
-      JobDraft normal = JobDraft.array("wk-n" + i, large ? 60 : 8).in("n", Priority.NORMAL);
-      simulation.submit(normal.takes(large ? 3 : 2, 0).spec(), 12_000L);
-    }
-    for (int i = 0; i < 10; i++) {
-      int id = i;
-      simulation.after(5000 * i, () -> urgent(simulation, id));
-    }
-    simulation.runTo(18);
-    return simulation;
-  }
-
-  private static void urgent(Simulation simulation, int id) {
-    JobDraft draft = JobDraft.array("wk-u" + id, 6).in("u", Priority.HIGH);
-    simulation.submit(draft.takes(id % 2 == 0 ? 2 : 1, 0).spec(), 8_000L);
-  }
 }
--- a/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -5,73 +5,29 @@
 import static org.astershift.simulation.CombinedFaults.assertSound;
 import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.astershift.simulation.CombinedFaults.withArrays;
-import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.astershift.simulation.UserFaults.Change;
+import static org.astershift.simulation.UserFaults.apply;
+import static org.astershift.simulation.UserFaults.assertEnded;
+import static org.astershift.simulation.UserFaults.submit;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
-import org.astershift.controller.LoopTiming;
 import org.astershift.scheduler.JobKind;
 import org.junit.jupiter.api.Test;
 
 /**
- * What users ask, repeat and cancel meets other troubles, each time seen to have happened. For each
- * a fence is taken away, and the checker notices.
+ * Requests of users that meet other faults, each time seen to have happened. For most a mutation
+ * shows that the checker detects what it is about.
  */
 class UserCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MUTANT_SEEDS = 80;
 
-  /** How one controller's work comes to another. */
-  private enum Change {
-    NONE,
-    HANDS_OVER,
-    CRASHES,
-    /** It hands over and ends within milliseconds. */
-    BOTH
-  }
-
-  private static void apply(Simulation simulation, Change change) {
-    for (ControllerModel controller : simulation.leaders()) {
-      if (change == Change.HANDS_OVER || change == Change.BOTH) {
-        controller.resign();
-      }
-      if (change == Change.CRASHES || change == Change.BOTH) {
-        simulation.after(
-            change == Change.BOTH ? simulation.random.nextLong(20) : 0, controller::crash);
-        simulation.after(300 + simulation.random.nextLong(5000), controller::start);
-      }
-    }
-  }
-
-  /** Each is served in the end: over, and told so by each node. */
-  private static void assertEnded(Simulation simulation, int from, int jobs) {
-    for (int i = from; i < from + jobs; i++) {
-      for (ControllerModel controller : simulation.controllers) {
-        String state = simulation.checker.lastReportedState("wk-" + i, controller.name);
-        assertTrue(
-            "done".equals(state) || "withdrawn".equals(state),
-            i + ": " + state + simulation.recentLog());
-      }
-    }
-  }
-
-  private static void submit(Simulation simulation, int from, int jobs, long withinMs, long runMs) {
-    for (int i = from; i < from + jobs; i++) {
-      String job = "wk-" + i;
-      int tasks = 1 + i % 3;
-      simulation.after(
-          simulation.random.nextLong(withinMs),
-          () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
-    }
-  }
-
   /**
-   * Users ask all nodes within milliseconds of an acceptance, an end or a confirmation told by any
-   * node, again and again, and repeat the submission; some cancel at once. Threads are slow in
-   * every other seed, and the leader changes in the middle, or not.
+   * Users ask all controllers within milliseconds of an acceptance, an end or a confirmation told
+   * by any controller, again and again, and repeat the submission; some cancel at once. Threads are
+   * slow in every other seed, and the leader changes in the middle, or not.
    */
   @Test
   void allControllersQueriedWithinMilliseconds() {
@@ -109,9 +65,9 @@
   }
 
   /**
-   * Transactions are carried out at once and only their answer is lost, while the other nodes read
-   * what they wrote: acceptances, ends, cancellations and notes; one does not reach the leader and
-   * reads the state service itself; the leader changes, or not.
+   * Transactions are carried out at once and only their answer is lost, while the other controllers
+   * read what they wrote: acceptances, ends, cancellations and records; one does not reach the
+   * leader and reads the store itself; the leader changes, or not.
    */
   @Test
   void writeAnswersAreLost() {
@@ -155,7 +111,7 @@
   }
 
   /**
-   * Jobs are called off, many within a fifth of a second, in the moment in which one controller's
+   * Jobs are cancelled, many within a fifth of a second, in the moment in which one controller's
    * work changes hands: some run for long, of others the starts are on their way.
    */
   @Test
@@ -189,7 +145,7 @@
   private static Simulation playChangeOfHands(
       long seed, Change change, int afterMs, Mutation... mutations) {
     Simulation simulation = withArrays(seed, 16, 3, mutations);
-    simulation.store.answerDelayMs = seed % 2 == 0 ? 1500 : 0; // the next leader's mirror lags
+    simulation.store.answerDelayMs = seed % 2 == 0 ? 1500 : 0; // the next leader's watch cache lags
     // Half of these are accepted within the last moments before it.
     for (int i = 0; i < 12; i++) {
       String job = "wk-" + (100 + i);
@@ -250,7 +206,7 @@
   }
 
   /**
-   * Jobs are cancelled at the very moment at which the state service refuses the leader alone, some
+   * Jobs are cancelled at the very moment at which the store refuses the leader alone, some
    * milliseconds before, and after; a second later it is down for all, for longer than a cancelled
    * task may live, and workers go on reporting to the old leader.
    */
@@ -276,7 +232,9 @@
       }
     }
     assertTrue(onRecord > 30 && not > 30, onRecord + " on record before the outage, not " + not);
-    assertTrue(withUncertainLease > 500, withUncertainLease + " reports answered in doubt");
+    assertTrue(
+        withUncertainLease > 500,
+        withUncertainLease + " heartbeats answered with an uncertain lease");
     assertDetected(
         Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE,
         MUTANT_SEEDS,
@@ -300,7 +258,8 @@
       for (ControllerModel controller : simulation.controllers) {
         if (controller != old) {
           simulation.cutBoth(
-              controller.name, "zone b"); // which the next leader hears when it is in doubt itself
+              controller.name,
+              "zone b"); // which the next leader hears while its own lease is uncertain
           simulation.after(6000, () -> simulation.healBoth(controller.name, "zone b"));
         }
       }
@@ -321,90 +280,4 @@
     runForS(simulation, 40);
     return new RefusalPlay(simulation, onRecord, withUncertainLease);
   }
-
-  /**
-   * One-task jobs come four a second for two minutes, and a quarter is cancelled; the leader ends
-   * in the middle, or not.
-   */
-  @Test
-  void fourOneTaskJobsPerSecond() {
-    List<Long> quietMs = new ArrayList<>();
-    for (Change change : List.of(Change.NONE, Change.CRASHES, Change.HANDS_OVER)) {
-      for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation simulation = playStream(seed, change);
-        assertSound(simulation);
-        assertEquals(480, simulation.users.accepted().size() - 1, simulation.recentLog());
-        int confirmed = simulation.checker.cancelsConfirmed();
-        assertTrue(confirmed > 40, confirmed + " confirmed\n" + simulation.recentLog());
-        assertEquals(480, simulation.checker.jobsEnded(), simulation.recentLog());
-        if (change == Change.NONE) {
-          quietMs.addAll(simulation.checker.cancelLatencyMs);
-        }
-      }
-    }
-    // What nothing starts after is waited for; yet on a quiet day hardly anybody has to ask again.
-    Collections.sort(quietMs);
-    long most = quietMs.get(quietMs.size() * 98 / 100);
-    assertTrue(most < LoopTiming.CANCEL_WAIT_MS, quietMs.toString());
-    assertDetected(
-        Mutation.CONFIRM_CANCEL_WHILE_STARTING,
-        MUTANT_SEEDS,
-        seed -> playStream(seed, Change.NONE, Mutation.CONFIRM_CANCEL_WHILE_STARTING));
-  }
-
-  private static Simulation playStream(long seed, Change change, Mutation... mutations) {
-    Simulation simulation = CombinedFaults.simulation(seed, 20, mutations);
-    simulation.runTo(4);
-    simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, 20), null);
-    simulation.runTo(15);
-    simulation.users.stream(1000, 480, 4000);
-    simulation.after(60_000, () -> apply(simulation, change));
-    simulation.runTo(165);
-    return simulation;
-  }
-
-  /** The leader changes ten times in two minutes, half of that inside an outage, or without one. */
-  @Test
-  void tenFailoversInTwoMinutes() {
-    int confirmed = 0;
-    for (boolean outage : List.of(false, true)) {
-      for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation simulation = playTenLeaders(seed, outage);
-        assertSound(simulation);
-        assertTrue(
-            simulation.checker.leaders.size() >= 10,
-            simulation.checker.leaders + simulation.recentLog());
-        assertEnded(simulation, 100, 30);
-        confirmed += simulation.checker.cancelsConfirmed();
-      }
-    }
-    assertTrue(confirmed > 100, confirmed + " confirmed");
-    assertDetected(
-        Mutation.NO_INHERITED_MACHINES,
-        MUTANT_SEEDS,
-        seed -> playTenLeaders(seed, true, Mutation.NO_INHERITED_MACHINES));
-  }
-
-  private static Simulation playTenLeaders(long seed, boolean outage, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
-    simulation.users.closeQueryShare = 0.5;
-    simulation.users.cancelOnAcceptShare = 0.2;
-    simulation.pollAllJobs();
-    submit(simulation, 100, 30, 110_000, 4000);
-    for (int i = 0; i < 10; i++) {
-      simulation.after(i * 2000, () -> simulation.users.cancelNow(1));
-      List<Change> all = new ArrayList<>(List.of(Change.values()));
-      all.remove(Change.NONE);
-      Change change = all.get(simulation.random.nextInt(all.size()));
-      simulation.after(
-          1000 + i * 12_000 + simulation.random.nextLong(6000), () -> apply(simulation, change));
-      if (outage) {
-        // Each change falls into an outage of some seconds, or just before or after it.
-        simulation.after(2000 + i * 12_000, () -> simulation.store.unavailable(true));
-        simulation.after(6000 + i * 12_000, () -> simulation.store.unavailable(false));
-      }
-    }
-    simulation.runTo(190);
-    return simulation;
-  }
 }
--- /dev/null
+++ b/src/test/java/org/astershift/simulation/UserFaults.java
@@ -0,0 +1,54 @@
+package org.astershift.simulation;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.astershift.scheduler.JobKind;
+
+/** Changes of leaders and jobs that the tests of user requests share. */
+final class UserFaults {
+  private UserFaults() {}
+
+  /** How one controller's work comes to another. */
+  enum Change {
+    NONE,
+    HANDS_OVER,
+    CRASHES,
+    /** It hands over and ends within milliseconds. */
+    BOTH
+  }
+
+  static void apply(Simulation simulation, Change change) {
+    for (ControllerModel controller : simulation.leaders()) {
+      if (change == Change.HANDS_OVER || change == Change.BOTH) {
+        controller.resign();
+      }
+      if (change == Change.CRASHES || change == Change.BOTH) {
+        simulation.after(
+            change == Change.BOTH ? simulation.random.nextLong(20) : 0, controller::crash);
+        simulation.after(300 + simulation.random.nextLong(5000), controller::start);
+      }
+    }
+  }
+
+  /** Each has ended, and each controller says so. */
+  static void assertEnded(Simulation simulation, int from, int jobs) {
+    for (int i = from; i < from + jobs; i++) {
+      for (ControllerModel controller : simulation.controllers) {
+        String state = simulation.checker.lastState("wk-" + i, controller.name);
+        assertTrue(
+            "done".equals(state) || "withdrawn".equals(state),
+            i + ": " + state + simulation.recentLog());
+      }
+    }
+  }
+
+  static void submit(Simulation simulation, int from, int jobs, long withinMs, long runMs) {
+    for (int i = from; i < from + jobs; i++) {
+      String job = "wk-" + i;
+      int tasks = 1 + i % 3;
+      simulation.after(
+          simulation.random.nextLong(withinMs),
+          () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
+    }
+  }
+}
--- a/src/test/java/org/astershift/simulation/UserModel.java
+++ b/src/test/java/org/astershift/simulation/UserModel.java
@@ -13,10 +13,10 @@
 import org.astershift.scheduler.JobSpec;
 
 /**
- * The users: they submit, cancel and ask, each time at whatever node, until they have an answer.
- * From some moment on they ask each node about each job again and again; some look closely: as soon
- * as one of them learns that a job is accepted or over, others ask all nodes within milliseconds
- * and repeat the submission.
+ * The users: they submit, cancel and ask, each time at any controller, until they have an answer.
+ * From some moment on they ask each controller about each job again and again; some look closely:
+ * as soon as one of them learns that a job is accepted or over, others ask all controllers within
+ * milliseconds and repeat the submission.
  */
 final class UserModel {
   /** How long they wait for the answer to a submission or a cancellation, and to a question. */
@@ -25,7 +25,7 @@
   private static final long QUESTION_MS = 2000;
   private static final long POLL_MS = 5000;
 
-  /** Within so long after news all nodes are asked, so many times each. */
+  /** Within so long after an acceptance or end all controllers are asked, so many times each. */
   private static final long CLOSE_QUERY_MS = 40;
 
   private static final int CLOSE_QUERIES = 4;
@@ -35,10 +35,10 @@
   private final Map<String, JobSpec> submitted = new LinkedHashMap<>();
   private final Set<String> accepted = new LinkedHashSet<>();
   private final Set<String> cancelled = new HashSet<>();
-  private final Map<String, Set<Integer>> completed = new HashMap<>();
+  private final Map<String, Set<Integer>> onTaskCompleted = new HashMap<>();
   private boolean polling;
 
-  /** Share of the news that is followed by close looks. */
+  /** Share of the acceptances and ends that are followed by close queries. */
   double closeQueryShare;
 
   /** Share of the jobs that are cancelled within milliseconds of the news of their acceptance. */
@@ -65,19 +65,17 @@
     this.simulation = simulation;
   }
 
-  // ---- jobs ----
-
-  /** A job is on record; {@code ms}: how long its tasks run, null for a service. */
-  void acceptDirectly(JobSpec spec, Long ms) {
-    remember(spec, ms);
+  /** A job is on record; {@code runMs}: how long its tasks run, null for a service. */
+  void acceptDirectly(JobSpec spec, Long runMs) {
+    remember(spec, runMs);
     simulation.store.putJob(spec);
     onAccepted(spec.id());
   }
 
-  private void remember(JobSpec spec, Long ms) {
+  private void remember(JobSpec spec, Long runMs) {
     submitted.put(spec.id(), spec);
-    if (ms != null) {
-      runMs.put(spec.id(), ms);
+    if (runMs != null) {
+      this.runMs.put(spec.id(), runMs);
     }
   }
 
@@ -90,8 +88,8 @@
   }
 
   /** A user submits the job until it is accepted; {@code then}: what follows that. */
-  void submit(JobSpec spec, Long ms, Runnable then) {
-    remember(spec, ms);
+  void submit(JobSpec spec, Long runMs, Runnable then) {
+    remember(spec, runMs);
     request(
         spec.id(),
         (controller, answer) -> controller.submit(spec, answer),
@@ -115,7 +113,7 @@
     }
   }
 
-  /** So many jobs whose tasks are on machines are called off within a fifth of a second. */
+  /** So many jobs whose tasks are on machines are cancelled within a fifth of a second. */
   int cancelNow(int count) {
     List<String> run =
         accepted.stream()
@@ -143,7 +141,10 @@
     }
   }
 
-  /** A user's request about a job, at some node, and again at some node until it is answered. */
+  /**
+   * A user's request about a job, at some controller, and again at some controller until it is
+   * answered.
+   */
   private void request(
       String job, BiConsumer<ControllerModel, Consumer<String>> service, Runnable answered) {
     ControllerModel controller =
@@ -184,9 +185,7 @@
         });
   }
 
-  // ---- questions ----
-
-  /** From now on each node is asked about each accepted job every five seconds. */
+  /** From now on each controller is asked about each accepted job every five seconds. */
   void pollAll() {
     polling = true;
     accepted.forEach(this::poll);
@@ -254,8 +253,6 @@
                 }));
   }
 
-  // ---- what machines do ----
-
   /** A task is being started on a machine, and will end after so long if nothing happens. */
   void started(String job, int index, long endsMs) {
     if (cancelAtEndShare > 0 && simulation.random.nextDouble() < cancelAtEndShare) {
@@ -283,7 +280,7 @@
   }
 
   private void cancelLast(String job, int index) {
-    Set<Integer> done = new HashSet<>(completed.getOrDefault(job, Set.of()));
+    Set<Integer> done = new HashSet<>(onTaskCompleted.getOrDefault(job, Set.of()));
     done.add(index);
     if (done.size() == submitted.get(job).tasks() && !cancelled.contains(job)) {
       cancelledAtEnd++;
@@ -292,8 +289,8 @@
   }
 
   /** A task has completed. */
-  void completed(String job, int index) {
-    completed.computeIfAbsent(job, j -> new HashSet<>()).add(index);
+  void onTaskCompleted(String job, int index) {
+    onTaskCompleted.computeIfAbsent(job, j -> new HashSet<>()).add(index);
   }
 
   /** How long a task runs; null: until it is stopped. */
--- a/src/test/java/org/astershift/simulation/WatchCacheModel.java
+++ b/src/test/java/org/astershift/simulation/WatchCacheModel.java
@@ -31,7 +31,7 @@
   /** Reads what has changed, and goes on doing so. */
   void poll() {
     long from = revision;
-    // A watch that hangs is given up late, and the cache lags that long.
+    // A watch that pauses is given up late, and the cache lags that long.
     controller.storeRequest(
         revision < 0
             ? ProcessModel.STORE_TIMEOUT_MS
--- a/src/test/java/org/astershift/simulation/WorkerModel.java
+++ b/src/test/java/org/astershift/simulation/WorkerModel.java
@@ -66,7 +66,7 @@
   /** Tasks that went on after a pause. */
   int tasksResumed;
 
-  /** Those of them whose user had been told meanwhile that they are cancelled. */
+  /** Those of them whose cancellation had been confirmed meanwhile. */
   int cancelledTasksResumed;
 
   /** Tasks started after a preemption notice. */
@@ -101,6 +101,10 @@
     return epoch;
   }
 
+  long sequence() {
+    return sequence;
+  }
+
   long fencingToken() {
     return fencingToken;
   }
@@ -145,7 +149,7 @@
     tasks.kill();
   }
 
-  /** It does nothing for a while, and then goes on as if no time had passed for it. */
+  /** It does nothing for a while, and then continues as if no time had passed. */
   void pause(long forMs) {
     process.pause(forMs);
   }
@@ -233,41 +237,11 @@
         tasks.statuses());
   }
 
-  /** A duplicate arrives later, up to three leases after the original, at any controller. */
-  private void duplicate(Heartbeat heartbeat) {
-    if (simulation.random.nextDouble() < simulation.duplicateShare) {
-      ControllerModel receiver =
-          simulation.controllers.get(simulation.random.nextInt(simulation.controllers.size()));
-      long ms = 1000 + simulation.random.nextLong(3 * simulation.setup.leaseMs());
-      simulation.after(ms, () -> receiver.onDuplicateHeartbeat(asReadLate(heartbeat)));
-    }
-  }
-
-  /** As it was sent, or as a leader would read it that lacks a safety measure. */
-  Heartbeat asReadLate(Heartbeat heartbeat) {
-    boolean asNew = simulation.mutations.contains(Mutation.ACCEPT_DUPLICATE_HEARTBEATS);
-    boolean withCurrentToken =
-        simulation.mutations.contains(Mutation.DUPLICATES_CARRY_CURRENT_TOKEN);
-    long token = withCurrentToken ? simulation.latestToken() : heartbeat.fencingToken();
-    return new Heartbeat(
-        heartbeat.machineName(),
-        heartbeat.address(),
-        heartbeat.typeName(),
-        heartbeat.zone(),
-        heartbeat.spot(),
-        heartbeat.epoch(),
-        asNew ? sequence + 1 : heartbeat.sequence(),
-        asNew ? fencingToken : token,
-        heartbeat.preemptionNoticeS(),
-        heartbeat.tasks());
-  }
-
   private void sendHeartbeat() {
     expireLease();
     long sentMs = simulation.now();
     long sentEpoch = epoch;
     Heartbeat heartbeat = heartbeat();
-    duplicate(heartbeat);
     simulation.delayedHeartbeats.onHeartbeatSent(this, heartbeat);
     int startedIn = incarnation();
     ControllerModel receiver = simulation.controllers.get(controllerIndex);
@@ -294,9 +268,10 @@
       ControllerModel receiver, Heartbeat heartbeat, Consumer<HeartbeatAnswer> answer) {
     boolean late = sequence > heartbeat.sequence();
     if (late && simulation.mutations.contains(Mutation.ACCEPT_DUPLICATE_HEARTBEATS)) {
-      receiver.onDuplicateHeartbeat(asReadLate(heartbeat));
+      receiver.onDuplicateHeartbeat(simulation.delayedHeartbeats.asReadLate(this, heartbeat));
     } else {
-      receiver.onHeartbeat(late ? asReadLate(heartbeat) : heartbeat, answer);
+      receiver.onHeartbeat(
+          late ? simulation.delayedHeartbeats.asReadLate(this, heartbeat) : heartbeat, answer);
     }
   }
 
--- a/src/test/java/org/astershift/simulation/WorkerTasks.java
+++ b/src/test/java/org/astershift/simulation/WorkerTasks.java
@@ -118,7 +118,7 @@
     if (phase == first) {
       simulation.checker.onImageFetched(task.name(), worker.name);
     } else if ("done".equals(cause)) {
-      simulation.users.completed(task.job, task.index);
+      simulation.users.onTaskCompleted(task.job, task.index);
     }
     if (phase == Heartbeat.TaskPhase.EXITED) {
       onExited(task);
