--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -191,7 +191,7 @@
 
   /**
    * A direct command that fences an inherited machine, or probes one whose heartbeat is overdue or
-   * whose incarnation is in doubt; null if neither is due.
+   * whose incarnation is unproven; null if neither is due.
    */
   Decision.SendCommands fenceOrProbe(Machine machine, boolean leaseCertain, long nowMs) {
     if (!mayFenceOrProbe(machine, nowMs)) {
