--- a/src/main/java/org/astershift/http/ConnectionSlots.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -207,7 +207,8 @@
         + peak
         + " capacity="
         + capacity
-        + " evicted="
-        + evictedCount;
+        + ", "
+        + evictedCount
+        + " given up for want of places"; // operators' scripts read these words
   }
 }
