--- a/src/main/java/org/astershift/controller/CloudBackoff.java
+++ b/src/main/java/org/astershift/controller/CloudBackoff.java
@@ -4,7 +4,12 @@
 final class CloudBackoff {
   private CloudBackoff() {}
 
-  /** Keeps the interrupt status, which the next blocking call of the loop reports. */
+  /** Whether the term still wants its cloud calls repeated: not after an interrupt either. */
+  static boolean mayRepeat(LeaderTerm term) {
+    return !term.ended() && !Thread.currentThread().isInterrupted();
+  }
+
+  /** Keeps the interrupt status, which ends the loop. */
   static void sleep() {
     try {
       Thread.sleep(LoopTiming.CLOUD_RETRY_BACKOFF_MS);
--- a/src/main/java/org/astershift/controller/CloudPoller.java
+++ b/src/main/java/org/astershift/controller/CloudPoller.java
@@ -46,10 +46,10 @@
     }
   }
 
-  /** Polls until the term is over. */
+  /** Polls until the term is over or its thread is interrupted. */
   void pollLoop(LeaderTerm term) {
     long typesFetchedMs = 0;
-    while (!term.ended()) {
+    while (CloudBackoff.mayRepeat(term)) {
       try {
         long nowMs = LeaderTerm.nowMs();
         if (typesFetchedMs == 0 || nowMs - typesFetchedMs > LoopTiming.MACHINE_TYPES_INTERVAL_MS) {
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -69,10 +69,10 @@
 
   private void provisionUntilAnswered(
       LeaderTerm term, String name, Decision.ProvisionMachines request) {
-    while (!term.ended() && !tryProvision(term, name, request)) {
+    while (CloudBackoff.mayRepeat(term) && !tryProvision(term, name, request)) {
       CloudBackoff.sleep();
     }
-    if (!term.ended()) {
+    if (CloudBackoff.mayRepeat(term)) {
       term.records.remove(LeaderRecords.RecordKind.RENTAL, name, LeaderRecords.DEREGISTER_DELAY_MS);
     }
   }
