--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -44,6 +44,7 @@
   private final ConcurrencyGate heartbeatGate =
       new ConcurrencyGate(CONCURRENT_HEARTBEATS, HEARTBEAT_WAIT_MS);
 
+  /** {@code teams}: by name, with their quotas. */
   public PublicApi(ControllerRuntime controller, JobService jobService, Map<String, Team> teams) {
     this.controller = controller;
     this.jobService = jobService;
--- a/src/main/java/org/astershift/cloud/CloudClient.java
+++ b/src/main/java/org/astershift/cloud/CloudClient.java
@@ -31,6 +31,7 @@
   private final HttpClient http;
   private final RateLimiter rateLimiter;
 
+  /** A client of the cloud that the settings name. */
   public CloudClient(Settings settings) {
     this.http = new HttpClient(settings.cloud().host(), settings.cloud().port(), 3);
     this.rateLimiter = new RateLimiter(settings.cloudRps());
--- a/src/main/java/org/astershift/cloud/CloudRejectedException.java
+++ b/src/main/java/org/astershift/cloud/CloudRejectedException.java
@@ -28,6 +28,7 @@
     this.reason = reason;
   }
 
+  /** Why it was rejected. */
   public Reason reason() {
     return reason;
   }
--- a/src/main/java/org/astershift/config/ConfigurationException.java
+++ b/src/main/java/org/astershift/config/ConfigurationException.java
@@ -4,6 +4,7 @@
 public final class ConfigurationException extends Exception {
   private static final long serialVersionUID = 1L;
 
+  /** The message is printed as it is: one line with file, field and reason. */
   public ConfigurationException(String message) {
     super(message);
   }
--- a/src/main/java/org/astershift/coordination/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -123,8 +123,11 @@
 
   /** Outcome of the key's creation. */
   public enum KeyCreation {
+    /** This controller holds the key. */
     CREATED,
+    /** Another holds it, or the request was refused. */
     REJECTED,
+    /** No answer came: the key may have been created. */
     UNKNOWN
   }
 
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -115,6 +115,7 @@
     }
   }
 
+  /** The port it listens on, also where the system chose it. */
   public int port() {
     return serverSocket.getLocalPort();
   }
--- a/src/main/java/org/astershift/http/JsonFormatException.java
+++ b/src/main/java/org/astershift/http/JsonFormatException.java
@@ -6,6 +6,7 @@
 public final class JsonFormatException extends Exception {
   private static final long serialVersionUID = 1L;
 
+  /** The message names the field that is wrong. */
   public JsonFormatException(String message) {
     super(message);
   }
--- a/src/main/java/org/astershift/http/Threads.java
+++ b/src/main/java/org/astershift/http/Threads.java
@@ -21,6 +21,7 @@
 
   /** Work for a thread; an exception ends this run of it and is logged. */
   public interface Task {
+    /** Does the work; what it throws is logged. */
     void run() throws Exception;
   }
 
--- a/src/main/java/org/astershift/scheduler/Command.java
+++ b/src/main/java/org/astershift/scheduler/Command.java
@@ -5,8 +5,11 @@
 
   /** What the worker is to do with the attempt. */
   public enum Kind {
+    /** Run the attempt. */
     START,
+    /** End the attempt, after the grace to save a checkpoint. */
     STOP,
+    /** Drop an exited attempt from the heartbeats. */
     FORGET
   }
 
--- a/src/main/java/org/astershift/scheduler/Decision.java
+++ b/src/main/java/org/astershift/scheduler/Decision.java
@@ -11,22 +11,31 @@
 
   /** One method for each kind of decision, so that a new kind does not compile unhandled. */
   interface Visitor {
+    /** Commands for a job may go out. */
     void visit(OpenJob decision);
 
+    /** Where the replicas of a service are. */
     void visit(PersistPlacement decision);
 
+    /** A direct command. */
     void visit(SendCommands decision);
 
+    /** The end of a job. */
     void visit(FinishJob decision);
 
+    /** Scale out. */
     void visit(ProvisionMachines decision);
 
+    /** Scale in. */
     void visit(ReleaseMachines decision);
 
+    /** A machine for the records. */
     void visit(RegisterMachine decision);
 
+    /** A machine that is gone. */
     void visit(DeregisterMachine decision);
 
+    /** A question to the other controllers. */
     void visit(ProbeThroughPeers decision);
   }
 
--- a/src/main/java/org/astershift/scheduler/Heartbeat.java
+++ b/src/main/java/org/astershift/scheduler/Heartbeat.java
@@ -47,9 +47,11 @@
     FETCHING,
     /** Waits for the other tasks of its gang. */
     WAITING,
+    /** It runs. */
     RUNNING,
     /** Saves a checkpoint after it was told to stop. */
     SAVING,
+    /** It has ended, and stays in the heartbeats until it is forgotten. */
     EXITED
   }
 
--- a/src/main/java/org/astershift/store/RateLimiter.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -111,13 +111,13 @@
   }
 
   private int positionOf(Object waiter) {
-    int n = 0;
+    int count = 0;
     for (Object other : queue) {
       if (other == waiter) {
-        return n;
+        return count;
       }
-      n++;
+      count++;
     }
-    return n;
+    return count;
   }
 }
