--- a/src/test/java/org/astershift/controller/FailoverFencingTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -34,13 +34,13 @@
     BitSet done = new BitSet();
     done.set(0);
     // Of two tasks one is left: of a job that is complete nothing is told from memory any more.
-    StoreClient.Transaction notes = new StoreClient.Transaction().put(LIVE, record(job(2)));
-    notes.put(RecordCodec.PAGES + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of())));
-    notes.put(RecordCodec.PAGES + "m0", Map.of(VM, machine(VM, false)));
-    notes.put(
+    StoreClient.Transaction records = new StoreClient.Transaction().put(LIVE, record(job(2)));
+    records.put(RecordCodec.PAGES + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of())));
+    records.put(RecordCodec.PAGES + "m0", Map.of(VM, machine(VM, false)));
+    records.put(
         RecordCodec.PAGES + "p0",
         Map.of(RecordCodec.progressKey(ID, 0), RecordCodec.segment(done, 0)));
-    write(notes);
+    write(records);
     node.start();
     LeaderTerm term = node.leads();
     assertEquals(1, term.progressIfCurrent(ID).doneTasks());
@@ -57,10 +57,11 @@
           if (prefix.equals(RecordCodec.JOB) && once.compareAndSet(false, true)) {
             try {
               write(new StoreClient.Transaction().put(LIVE, record()));
-              Await.until("the job", () -> node.mirror.get(LIVE) != null);
+              Await.until("the job", () -> node.watchCache.get(LIVE) != null);
               // The next news is applied after the listeners were told of this.
               write(new StoreClient.Transaction().put(RecordCodec.LIVE + "x", Map.of()));
-              Await.until("the next news", () -> node.mirror.get(RecordCodec.LIVE + "x") != null);
+              Await.until(
+                  "the next news", () -> node.watchCache.get(RecordCodec.LIVE + "x") != null);
             } catch (Exception e) {
               throw new IllegalStateException(e);
             }
@@ -80,14 +81,14 @@
     node.loaded =
         prefix -> {
           if (prefix.equals(RecordCodec.JOB) && overToken.get() == 0) {
-            overToken.set(node.mirror.get(RecordCodec.LEADER).revision());
-            node.director.onLeaderObserved(Long.MAX_VALUE);
+            overToken.set(node.watchCache.get(RecordCodec.LEADER).revision());
+            node.runtime.onLeaderObserved(Long.MAX_VALUE);
           }
         };
     node.start();
-    Await.until("a term", () -> node.director.currentTerm() != null);
+    Await.until("a term", () -> node.runtime.currentTerm() != null);
     assertNotEquals(0, overToken.get());
-    assertTrue(node.director.currentTerm().token > overToken.get(), "the one that was over leads");
+    assertTrue(node.runtime.currentTerm().token > overToken.get(), "the one that was over leads");
   }
 
   /** Its own key, left by the process before it, is removed; one that is not the same stays. */
@@ -107,9 +108,9 @@
         });
     node.start();
     Await.until("the removal to be answered", answered::get);
-    Await.until("the leader to be known", () -> "another".equals(node.director.otherLeader()));
+    Await.until("the leader to be known", () -> "another".equals(node.runtime.otherLeader()));
     assertEquals("another", read(RecordCodec.LEADER).data().get("node"));
-    assertEquals(0, node.director.token());
+    assertEquals(0, node.runtime.token());
   }
 
   /** A claim without an answer was carried out: its key stands, so it leads with that. */
@@ -176,13 +177,13 @@
     Await.until(
         "it to give up or to lead",
         () -> {
-          early[0] = node.director.currentTerm();
+          early[0] = node.runtime.currentTerm();
           return early[0] != null || read(RecordCodec.LEADER).data() == null;
         });
     assertEquals(null, early[0], "it leads and has not read the jobs");
     hangs.set(false);
     assertTrue(node.leads().token > won.get());
-    assertTrue(node.director.currentTerm().manages(ID));
+    assertTrue(node.runtime.currentTerm().manages(ID));
   }
 
   /** Only what is on record is rented, so that a successor asks for it under the same name. */
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -49,23 +49,23 @@
     LeaderTerm term = node.leads();
     accept();
     assertNotNull(term.progressIfCurrent(ID));
-    assertEquals("queued", node.desk.poll(ID, false).phase());
+    assertEquals("queued", node.jobService.poll(ID, false).phase());
     door.refuse(true);
     service.leasesEndLate(0);
-    Await.until("the lease to be over", () -> !node.director.leaseCertain(term));
+    Await.until("the lease to be over", () -> !node.runtime.leaseCertain(term));
     Await.until("its key to be gone", () -> read(RecordCodec.LEADER).data() == null);
     anotherLeads();
     endElsewhere(true);
-    assertSame(term, node.director.currentTerm(), "it still leads, as far as it knows");
+    assertSame(term, node.runtime.currentTerm(), "it still leads, as far as it knows");
     assertNotNull(term.progressIfCurrent(ID), "and has the job in memory");
-    assertEquals(503, node.desk.poll(ID, true).status());
+    assertEquals(503, node.jobService.poll(ID, true).status());
     AtomicInteger promises = new AtomicInteger();
     door.watched((r, done) -> promises.addAndGet(says(r, OVER) ? 1 : 0));
-    assertEquals(503, node.desk.cancel(ID, true).status());
+    assertEquals(503, node.jobService.cancel(ID, true).status());
     assertEquals(0, promises.get(), "it does not try to write what it may not promise");
     door.refuse(false);
-    Await.until("an answer", () -> node.desk.poll(ID, true).status() == 200);
-    assertEquals("withdrawn", node.desk.poll(ID, true).phase());
+    Await.until("an answer", () -> node.jobService.poll(ID, true).status() == 200);
+    assertEquals("withdrawn", node.jobService.poll(ID, true).phase());
   }
 
   /** The job ends between the two reads of an answer: it was accepted, so it is not unknown. */
@@ -79,8 +79,8 @@
             endElsewhere(false);
           }
         });
-    assertEquals("queued", node.desk.poll(ID, true).phase(), "as it was after the question");
-    assertEquals("done", node.desk.poll(ID, true).phase());
+    assertEquals("queued", node.jobService.poll(ID, true).phase(), "as it was after the question");
+    assertEquals("done", node.jobService.poll(ID, true).phase());
   }
 
   /** A repeated submission, at a node that knows nothing of the job, changes nothing on record. */
@@ -88,11 +88,11 @@
   void aRepeatedSubmissionWritesNothing() throws Exception {
     Outcome.Committed accepted =
         (Outcome.Committed) write(new StoreClient.Transaction().put(LIVE, record()));
-    assertEquals(200, node.desk.submit(job()).status());
-    assertEquals(200, node.desk.poll(ID, true).status(), "asked for before a refusal");
+    assertEquals(200, node.jobService.submit(job()).status());
+    assertEquals(200, node.jobService.poll(ID, true).status(), "asked for before a refusal");
     assertEquals(accepted.revision(), read(LIVE).revision());
     endElsewhere(true);
-    JobService.SubmissionResult again = node.desk.submit(job());
+    JobService.SubmissionResult again = node.jobService.submit(job());
     assertEquals("200 withdrawn", again.status() + " " + again.known().phase());
     assertNull(read(LIVE).data(), "what is over is not accepted once more");
   }
@@ -111,7 +111,7 @@
             endElsewhere(true);
           }
         });
-    JobService.SubmissionResult s = node.desk.submit(job());
+    JobService.SubmissionResult s = node.jobService.submit(job());
     assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
     assertTrue(service.lost(RecordCodec.JOB) == 1, "the answer was lost");
   }
@@ -129,10 +129,10 @@
             anotherLeads();
           }
         });
-    assertEquals(503, node.desk.cancel(ID, true).status());
+    assertEquals(503, node.jobService.cancel(ID, true).status());
     assertNull(read(OVER).data());
     assertNotNull(read(LIVE).data());
-    Await.until("the term to be over", () -> term.ended() && node.director.currentTerm() == null);
+    Await.until("the term to be over", () -> term.ended() && node.runtime.currentTerm() == null);
   }
 
   /** The same for notes: those of an earlier leader do not replace a later one's. */
@@ -193,21 +193,21 @@
   void otherTermsDoNotTouchThisOne() throws Exception {
     node.start();
     LeaderTerm term = node.leads();
-    node.director.onTermEnd(term.token - 1, "told late");
-    assertSame(term, node.director.currentTerm());
+    node.runtime.onTermEnd(term.token - 1, "told late");
+    assertSame(term, node.runtime.currentTerm());
     assertFalse(term.ended());
-    node.director.onTermBegin(term.token + 1);
-    assertSame(term, node.director.currentTerm(), "a term that is not won does not begin");
+    node.runtime.onTermBegin(term.token + 1);
+    assertSame(term, node.runtime.currentTerm(), "a term that is not won does not begin");
     Heartbeat report =
         new Heartbeat("vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, 0, null, List.of());
-    assertNotNull(node.director.onHeartbeat(report, term.token));
+    assertNotNull(node.runtime.onHeartbeat(report, term.token));
     assertNull(
-        node.director.onHeartbeat(report, term.token - 1), "its answer would show that token");
-    node.director.transferLeadership(term, "a test");
+        node.runtime.onHeartbeat(report, term.token - 1), "its answer would show that token");
+    node.runtime.transferLeadership(term, "a test");
     Await.until("the term to be over", term::ended);
-    assertNull(node.director.onHeartbeat(report, term.token));
-    node.director.onTermBegin(term.token);
-    LeaderTerm next = node.director.currentTerm();
+    assertNull(node.runtime.onHeartbeat(report, term.token));
+    node.runtime.onTermBegin(term.token);
+    LeaderTerm next = node.runtime.currentTerm();
     assertTrue(next == null || next.token > term.token, "a term that is over does not begin again");
   }
 
@@ -227,9 +227,9 @@
     node.start();
     Await.until("a claim that came too late to be answered", () -> answered.get() > 0);
     assertEquals("another", read(RecordCodec.LEADER).data().get("node"));
-    Await.until("the leader to be known", () -> "another".equals(node.director.otherLeader()));
-    assertNull(node.director.currentTerm());
-    assertEquals(0, node.director.token());
+    Await.until("the leader to be known", () -> "another".equals(node.runtime.otherLeader()));
+    assertNull(node.runtime.currentTerm());
+    assertEquals(0, node.runtime.token());
   }
 
   /** A worker that has seen a higher token than this leader's proves that there is a later one. */
@@ -240,7 +240,7 @@
     Heartbeat later =
         new Heartbeat(
             "vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, term.token + 5, null, List.of());
-    assertNull(node.director.onHeartbeat(later, term.token));
+    assertNull(node.runtime.onHeartbeat(later, term.token));
     assertTrue(term.ended());
   }
 
@@ -257,13 +257,13 @@
           }
         });
     final long beganMs = LeaderTerm.nowMs();
-    assertEquals(503, node.desk.cancel(ID, true).status());
+    assertEquals(503, node.jobService.cancel(ID, true).status());
     assertTrue(term.cancellationSummary().contains(" 0 confirmed; 1 wait, the longest for "));
     door.watched((r, done) -> {});
     String line =
         term.scheduler.call( // or its own summary might tell it first
             scheduler -> {
-              assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
+              assertEquals("withdrawn", node.jobService.cancel(ID, true).phase());
               return term.cancellationSummary();
             });
     final long tookMs = LeaderTerm.nowMs() - beganMs;
@@ -283,10 +283,10 @@
     door.watched(
         (r, done) -> {
           if (done && says(r, "\"set\":\"" + OVER)) {
-            told[0] = String.valueOf(node.desk.poll(ID, true).phase());
+            told[0] = String.valueOf(node.jobService.poll(ID, true).phase());
           }
         });
-    assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
+    assertEquals("withdrawn", node.jobService.cancel(ID, true).phase());
     assertEquals("withdrawn", told[0], "on record, and its writer has no answer yet");
     assertFalse(term.manages(ID));
   }
@@ -313,7 +313,7 @@
           service.loseAnswers(end && !done ? 1 : 0);
         });
     if (cancelled) {
-      assertEquals(503, node.desk.cancel(ID, true).status());
+      assertEquals(503, node.jobService.cancel(ID, true).status());
     } else {
       term.completions.add(ID); // as for a job whose tasks are all done
       Await.until("the end on record", over::get);
@@ -323,7 +323,7 @@
       assertNull(term.progressIfCurrent(ID), "it is over on record");
     } while (System.nanoTime() < untilNs);
     assertTrue(term.manages(ID), "the leader does not know it");
-    assertEquals(cancelled ? "withdrawn" : "done", node.desk.poll(ID, true).phase());
+    assertEquals(cancelled ? "withdrawn" : "done", node.jobService.poll(ID, true).phase());
     assertFalse(term.manages(ID), "what is over on record is laid down");
     assertNull(term.scheduler.progress(ID));
   }
@@ -335,11 +335,11 @@
     final LeaderTerm term = node.leads();
     accept();
     StoreClient.Entry live = read(LIVE);
-    assertEquals("withdrawn", node.desk.cancel(ID, true).phase());
-    node.director.onJobRecord(live);
-    node.director.onJobAccepted(new RecordCodec.JobRecord(job(), 0), live.revision());
+    assertEquals("withdrawn", node.jobService.cancel(ID, true).phase());
+    node.runtime.onJobRecord(live);
+    node.runtime.onJobAccepted(new RecordCodec.JobRecord(job(), 0), live.revision());
     assertFalse(term.manages(ID));
-    assertEquals("withdrawn", node.desk.poll(ID, true).phase());
+    assertEquals("withdrawn", node.jobService.poll(ID, true).phase());
   }
 
   /** The job is done and told, with the record of that written just before the cancellation's. */
@@ -354,7 +354,7 @@
             endElsewhere(false);
           }
         });
-    assertEquals("done", node.desk.cancel(ID, true).phase());
+    assertEquals("done", node.jobService.cancel(ID, true).phase());
     assertFalse(RecordCodec.decodeEnd(read(OVER).data()).cancelled());
   }
 
@@ -366,7 +366,7 @@
     accept();
     Await.until("the job to run", () -> started().contains(ID + "/0"));
     cloud.everRented().forEach(w -> w.seenUnsaid(term.token + 1000));
-    node.desk.cancel(ID, true); // its stop goes out directly
+    node.jobService.cancel(ID, true); // its stop goes out directly
     Await.until("the term to be over", term::ended);
   }
 
@@ -398,7 +398,7 @@
             Await.until("the next job to start", () -> started().contains("wk-000002/0"));
           }
         });
-    node.desk.cancel(ID, true);
+    node.jobService.cancel(ID, true);
     Await.until("the next job to start", () -> started().contains("wk-000002/0"));
     assertEquals(List.of("wk-000002/0"), started());
   }
@@ -413,11 +413,11 @@
     final LeaderTerm term = node.leads();
     accept();
     Await.until("the job to run", () -> started().contains(ID + "/0"));
-    Await.until("it to be cancelled", () -> node.desk.cancel(ID, true).status() == 200);
+    Await.until("it to be cancelled", () -> node.jobService.cancel(ID, true).status() == 200);
     WorkerEmulator worker = cloud.everRented().get(0);
     Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
     String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
-    node.director
+    node.runtime
         .commands()
         .send(term, new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000));
     assertEquals(List.of(ID + "/0"), started());
@@ -440,14 +440,14 @@
     Decision.SendCommands direct =
         new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000);
     door.refuse(true);
-    Await.until("the lease to be over", () -> !node.director.leaseCertain(term));
-    node.director.commands().send(term, direct);
+    Await.until("the lease to be over", () -> !node.runtime.leaseCertain(term));
+    node.runtime.commands().send(term, direct);
     assertTrue(term.manages(ID), "the job is wanted");
-    assertSame(term, node.director.currentTerm(), "and this node leads on, in doubt");
+    assertSame(term, node.runtime.currentTerm(), "and this node leads on, in doubt");
     assertEquals(List.of(ID + "/0"), started());
     door.refuse(false);
-    Await.until("the lease to be its own again", () -> node.director.leaseCertain(term));
-    node.director.commands().send(term, direct);
+    Await.until("the lease to be its own again", () -> node.runtime.leaseCertain(term));
+    node.runtime.commands().send(term, direct);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
   }
 
@@ -465,11 +465,11 @@
           if (done && told[0] == null && says(r, "\"set\":\"" + LIVE)) {
             told[0] = "not told";
             Await.until(
-                "the job to be cancelled", () -> node.desk.cancel(ID, true).status() == 200);
-            told[0] = node.desk.poll(ID, true).phase();
+                "the job to be cancelled", () -> node.jobService.cancel(ID, true).status() == 200);
+            told[0] = node.jobService.poll(ID, true).phase();
           }
         });
-    JobService.SubmissionResult s = node.desk.submit(job());
+    JobService.SubmissionResult s = node.jobService.submit(job());
     assertEquals("withdrawn", told[0]);
     assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
   }
@@ -500,7 +500,7 @@
         "the cancellation to be confirmed",
         () -> {
           reported(term, ++tick[0]);
-          return node.desk.cancel(ID, true).status() == 200;
+          return node.jobService.cancel(ID, true).status() == 200;
         });
   }
 
@@ -519,7 +519,7 @@
     String machine = cloud.everRented().get(0).name();
     String addr = "127.0.0.1:70000";
     long token = tick > 1 ? term.token : 0;
-    node.director.onHeartbeat(
+    node.runtime.onHeartbeat(
         new Heartbeat(machine, addr, "small", "a", false, 1, tick, token, null, List.of()),
         term.token);
   }
@@ -533,7 +533,7 @@
         new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.encodeLeader("one"));
     long token = ((Outcome.Committed) write(key)).revision();
     ConcurrentLinkedQueue<String> durable = new ConcurrentLinkedQueue<>();
-    LeaderRecords notes =
+    LeaderRecords records =
         new LeaderRecords(
             token,
             node.store,
@@ -544,15 +544,15 @@
               }
               durable.add(name);
             });
-    notes.put(LeaderRecords.RecordKind.OPENED, "bad", 1, 0);
-    notes.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
-    Thread loop = new Thread(Threads.logFailures("notes", () -> notes.writeLoop(null)));
+    records.put(LeaderRecords.RecordKind.OPENED, "bad", 1, 0);
+    records.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
+    Thread loop = new Thread(Threads.logFailures("notes", () -> records.writeLoop(null)));
     loop.start();
     Await.until("the first page", () -> notes(RecordCodec.PAGES + "o0") == 2);
-    notes.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
+    records.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
     Await.until("the later note", () -> durable.contains("later"));
     assertEquals(List.of("beside it", "later"), List.copyOf(durable));
-    notes.close();
+    records.close();
     loop.join();
   }
 
@@ -584,12 +584,12 @@
         new Decision.SendCommands(worker.name(), addr, 1, List.of(start), 5000);
     Decision.SendCommands both =
         new Decision.SendCommands(worker.name(), addr, 1, List.of(start, stop), 5000);
-    node.director.commands().send(term, alone);
+    node.runtime.commands().send(term, alone);
     assertEquals(List.of(ID + "/0"), started());
-    node.director.commands().send(term, both);
+    node.runtime.commands().send(term, both);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
-    Await.until("it to be cancelled", () -> node.desk.cancel(ID, true).status() == 200);
-    node.director.commands().send(term, again);
+    Await.until("it to be cancelled", () -> node.jobService.cancel(ID, true).status() == 200);
+    node.runtime.commands().send(term, again);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
   }
 
--- a/src/test/java/org/astershift/controller/FencingTestCase.java
+++ b/src/test/java/org/astershift/controller/FencingTestCase.java
@@ -100,7 +100,7 @@
   }
 
   void accept() throws Exception {
-    assertEquals(201, node.desk.submit(job()).status());
+    assertEquals(201, node.jobService.submit(job()).status());
   }
 
   void endElsewhere(boolean cancelled) throws InterruptedException {
--- a/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
+++ b/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
@@ -52,19 +52,19 @@
     try (Recorder recorder = new Recorder()) {
       Settings settings = recorder.settings(dir);
       StoreClient store = new StoreClient(settings);
-      LeaderRecords[] notes = new LeaderRecords[1];
-      notes[0] =
+      LeaderRecords[] records = new LeaderRecords[1];
+      records[0] =
           new LeaderRecords(
-              TOKEN, store, settings.storeLimits(), (kind, key, value) -> notes[0].close());
+              TOKEN, store, settings.storeLimits(), (kind, key, value) -> records[0].close());
       if (removed) {
         String page = RecordCodec.PAGES + e.kind().letter + "0";
-        notes[0].load(List.of(new StoreClient.Entry(page, Map.of(e.key(), e.value()), 17)));
-        notes[0].remove(e.kind(), e.key(), 0);
+        records[0].load(List.of(new StoreClient.Entry(page, Map.of(e.key(), e.value()), 17)));
+        records[0].remove(e.kind(), e.key(), 0);
       } else {
-        notes[0].put(e.kind(), e.key(), e.value(), 0);
+        records[0].put(e.kind(), e.key(), e.value(), 0);
       }
       recorder.answer(200, "{\"epoch\":50}");
-      notes[0].writeLoop(null); // the term is asked only if another leads
+      records[0].writeLoop(null); // the term is asked only if another leads
       return recorder.taken();
     }
   }
@@ -86,14 +86,14 @@
       Map<String, Object> data = Json.object(set.get("data"), "data");
       try (Recorder recorder = new Recorder()) {
         Settings settings = recorder.settings(dir);
-        LeaderRecords notes =
+        LeaderRecords records =
             new LeaderRecords(
                 TOKEN, new StoreClient(settings), settings.storeLimits(), (k, y, v) -> {});
-        notes.load(List.of(new StoreClient.Entry(Json.string(set, "set"), data, 50)));
+        records.load(List.of(new StoreClient.Entry(Json.string(set, "set"), data, 50)));
         for (LeaderRecords.RecordKind kind : LeaderRecords.RecordKind.values()) {
           Map<String, Object> expected =
               kind == entry.kind() ? Map.of(entry.key(), entry.value()) : Map.of();
-          assertEquals(expected, notes.entries(kind), e.getKey());
+          assertEquals(expected, records.entries(kind), e.getKey());
         }
       }
     }
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -43,9 +43,9 @@
   private static LeaderTerm term() {
     DeploymentLimits facts = new DeploymentLimits(Map.of(), List.of(), 2, 14, 30, 4, 40, 3);
     Settings.StoreLimits limits = new Settings.StoreLimits(100, 100, 8, 8);
-    LeaderRecords notes = new LeaderRecords(5, null, limits, (kind, key, value) -> {});
+    LeaderRecords records = new LeaderRecords(5, null, limits, (kind, key, value) -> {});
     return new LeaderTerm(
-        5, new Scheduler(facts, OperatorSettings.defaults(), 5), notes, new NoHost());
+        5, new Scheduler(facts, OperatorSettings.defaults(), 5), records, new NoHost());
   }
 
   private static RecordCodec.JobRecord job() {
--- a/src/test/java/org/astershift/controller/ProgressRecordsTest.java
+++ b/src/test/java/org/astershift/controller/ProgressRecordsTest.java
@@ -39,20 +39,20 @@
       List<Thread> writers = writers(store, over);
       try {
         AtomicBoolean durable = new AtomicBoolean();
-        LeaderRecords notes =
+        LeaderRecords records =
             new LeaderRecords(
                 token, store, settings.storeLimits(), (kind, key, value) -> durable.set(true));
-        Thread loop = new Thread(() -> run(notes));
+        Thread loop = new Thread(() -> run(records));
         loop.start();
         BitSet done = new BitSet();
         done.set(0);
-        notes.put(
+        records.put(
             LeaderRecords.RecordKind.PROGRESS,
             RecordCodec.progressKey(JOB, 0),
             RecordCodec.segment(done, 0),
             0);
         Await.until("the progress to be on record", durable::get);
-        notes.close();
+        records.close();
         loop.join();
       } finally {
         over.set(true);
@@ -95,9 +95,9 @@
     }
   }
 
-  private static void run(LeaderRecords notes) {
+  private static void run(LeaderRecords records) {
     try {
-      notes.writeLoop(null);
+      records.writeLoop(null);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/src/test/java/org/astershift/controller/SingleController.java
+++ b/src/test/java/org/astershift/controller/SingleController.java
@@ -23,9 +23,9 @@
 final class SingleController implements AutoCloseable {
   private final ThreadGroup threads = new ThreadGroup("node");
   final StoreClient store;
-  final WatchCache mirror;
-  final ControllerRuntime director;
-  final JobService desk;
+  final WatchCache watchCache;
+  final ControllerRuntime runtime;
+  final JobService jobService;
   private HttpServer http;
 
   /** What happens after its term has read the rows below a prefix; the prefix is told. */
@@ -35,7 +35,7 @@
       throws Exception {
     Settings settings = Emulators.settings(dir, door.port(), cloud.port());
     store = new StoreClient(settings);
-    mirror =
+    watchCache =
         new WatchCache(store) {
           @Override
           public List<StoreClient.Entry> entriesWithPrefix(String prefix) {
@@ -44,14 +44,14 @@
             return rows;
           }
         };
-    director =
-        new ControllerRuntime(settings, OperatorSettings.defaults(), store, mirror, Map.of());
-    desk = new JobService(director, store, Map.of());
+    runtime =
+        new ControllerRuntime(settings, OperatorSettings.defaults(), store, watchCache, Map.of());
+    jobService = new JobService(runtime, store, Map.of());
   }
 
   /** Starts it. */
   SingleController start() throws Exception {
-    Thread t = new Thread(threads, director::start);
+    Thread t = new Thread(threads, runtime::start);
     t.start();
     t.join();
     return this;
@@ -59,7 +59,7 @@
 
   /** Workers and users reach it here. */
   SingleController listens(int port) throws Exception {
-    http = new HttpServer("127.0.0.1", port, 50, new PublicApi(director, desk, Map.of()));
+    http = new HttpServer("127.0.0.1", port, 50, new PublicApi(runtime, jobService, Map.of()));
     http.start();
     return this;
   }
@@ -68,8 +68,8 @@
   LeaderTerm leads() throws Exception {
     Await.until(
         "the node to lead",
-        () -> director.currentTerm() != null && director.leaseCertain(director.currentTerm()));
-    return director.currentTerm();
+        () -> runtime.currentTerm() != null && runtime.leaseCertain(runtime.currentTerm()));
+    return runtime.currentTerm();
   }
 
   @Override
@@ -77,9 +77,9 @@
     if (http != null) {
       http.close();
     }
-    LeaderTerm term = director.currentTerm();
+    LeaderTerm term = runtime.currentTerm();
     if (term != null) {
-      director.onTermEnd(term.token, "the test is over");
+      runtime.onTermEnd(term.token, "the test is over");
     }
     threads.interrupt();
   }
--- a/src/test/java/org/astershift/coordination/CoalescerStateTest.java
+++ b/src/test/java/org/astershift/coordination/CoalescerStateTest.java
@@ -20,7 +20,7 @@
   private final CoalescerState<Integer> rounds = new CoalescerState<>();
 
   /** One who asked, and when. */
-  private record Asker(Ticket<Integer> place, int at) {}
+  private record Caller(Ticket<Integer> place, int at) {}
 
   @Test
   void whoComesWhileAnAnswerIsWorkedOutSharesTheNext() {
@@ -56,14 +56,14 @@
       SplittableRandom random = new SplittableRandom(seed);
       Map<String, Integer> began = new HashMap<>();
       Map<String, Boolean> follows = new HashMap<>();
-      List<Asker> askers = new ArrayList<>();
+      List<Caller> callers = new ArrayList<>();
       for (int now = 1; now <= 400; now++) {
         String job = JOBS.get(random.nextInt(JOBS.size()));
         boolean ending = now > 380;
         int draw = ending ? 5 + random.nextInt(3) : random.nextInt(8);
         if (draw < 5) {
           Ticket<Integer> place = rounds.join(job);
-          askers.add(new Asker(place, now));
+          callers.add(new Caller(place, now));
           assertEquals(place.role() == Role.COMPUTE, !began.containsKey(job), "one in work");
           switch (place.role()) {
             case COMPUTE -> began.put(job, now);
@@ -94,7 +94,7 @@
           }
         }
       }
-      for (Asker a : askers) {
+      for (Caller a : callers) {
         assertTrue(a.place().round().completed(), "seed " + seed + ": nobody waits for ever");
         Integer answer = a.place().round().answer();
         assertTrue(answer == null || answer >= a.at(), "seed " + seed + ": an older answer");
--- a/src/test/java/org/astershift/coordination/JobQueryTest.java
+++ b/src/test/java/org/astershift/coordination/JobQueryTest.java
@@ -15,17 +15,17 @@
         says.contains("over"),
         says.contains("leads"),
         says.contains("live"),
-        says.contains("sole"),
+        says.contains("certain"),
         forward);
   }
 
   @ParameterizedTest(name = "{0}: {1}, forwarded: {2}")
   @CsvSource({
     "over, KNOWN_END, KNOWN_END",
-    "over leads live sole, KNOWN_END, KNOWN_END",
-    "leads live sole, LEADER_MEMORY, LEADER_MEMORY",
+    "over leads live certain, KNOWN_END, KNOWN_END",
+    "leads live certain, LEADER_MEMORY, LEADER_MEMORY",
     "leads live, STORE, STORE",
-    "leads sole, STORE, STORE",
+    "leads certain, STORE, STORE",
     "leads, STORE, STORE",
     "follows, REMOTE_LEADER, STORE",
   })
--- a/src/test/java/org/astershift/golden/PeerRequestsTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -47,7 +47,7 @@
 
   private StoreEmulator store;
   private HttpServer worker;
-  private JobService desk;
+  private JobService jobService;
 
   /** Another node leads, and one job is on record. */
   @BeforeEach
@@ -75,12 +75,12 @@
 
   private void begin(Settings settings) {
     StoreClient client = new StoreClient(settings);
-    Map<String, JobService.PeerChannel> askers =
+    Map<String, JobService.PeerChannel> peers =
         Map.of("n2", (op, job, timeoutMs) -> asked(op, job));
     ControllerRuntime director =
         new ControllerRuntime(
-            settings, OperatorSettings.defaults(), client, new WatchCache(client), askers);
-    desk = new JobService(director, client, askers);
+            settings, OperatorSettings.defaults(), client, new WatchCache(client), peers);
+    jobService = new JobService(director, client, peers);
     director.start();
   }
 
@@ -104,13 +104,13 @@
   }
 
   private void add(Golden g, String label, String op, String job) throws Exception {
-    g.add(label, text(desk.answerPeer(PeerOperation.ofWord(op), job)));
+    g.add(label, text(jobService.answerPeer(PeerOperation.ofWord(op), job)));
   }
 
   /** Asks until the node has read what is on record. */
   private void ready() throws Exception {
-    while (desk.poll(JOB, true).status() != 200
-        || desk.answerPeer(PeerOperation.STORE_STATUS, "").phase().isEmpty()) {
+    while (jobService.poll(JOB, true).status() != 200
+        || jobService.answerPeer(PeerOperation.STORE_STATUS, "").phase().isEmpty()) {
       Thread.sleep(20);
     }
   }
@@ -119,8 +119,8 @@
   void questions() throws Exception {
     ready();
     Golden g = new Golden("peer-words");
-    g.add("user asks", text(desk.poll(JOB, true)));
-    g.add("user cancels", text(desk.cancel(JOB, true)));
+    g.add("user asks", text(jobService.poll(JOB, true)));
+    g.add("user cancels", text(jobService.cancel(JOB, true)));
     g.add("passed on", String.join(", ", new TreeSet<>(passedOn)));
     add(g, "poll", "poll", "wk-2");
     add(g, "state", "state", "");
--- a/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
+++ b/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
@@ -17,7 +17,7 @@
     List<String> out = new ArrayList<>();
     Map<String, double[]> teams = new HashMap<>();
     Map<Job, Set<TaskAttempt>> byJob = new HashMap<>();
-    int unheard = 0;
+    int unreconciled = 0;
     double dark = 0;
     double darkGpus = 0;
     boolean unbounded = false;
@@ -28,7 +28,7 @@
       double replicas = 0;
       double plain = 0;
       int held = 0;
-      boolean strangers = false;
+      boolean orphaned = false;
       for (TaskAttempt run : m.attempts.values()) {
         check(out, run.machine == m, run.name() + " is in the books of another machine");
         check(out, m.attempts.get(run.key) == run, run.name() + " under another key");
@@ -44,7 +44,7 @@
         memory += s.memoryGb();
         replicas += s.kind() == JobKind.SERVICE ? s.cpus() : 0;
         plain += s.gpus() == 0 ? s.cpus() : 0;
-        strangers |= run.job.orphaned;
+        orphaned |= run.job.orphaned;
         double[] u = teams.computeIfAbsent(s.team(), t -> new double[2]);
         u[0] += s.cpus();
         u[1] += s.gpus();
@@ -73,18 +73,18 @@
       same(out, m.name + " memory", memory, m.usedMemoryGb());
       same(out, m.name + " replicas", replicas, m.replicaCpus());
       same(out, m.name + " plain", plain, m.nonGpuCpus());
-      boolean hidden = (m.inherited && !m.fenced) || strangers;
+      boolean hidden = (m.inherited && !m.fenced) || orphaned;
       check(out, hidden == m.mayHoldUnobservedUsage(), m.name + " in the dark: " + hidden);
       if (hidden) {
         unbounded |= m.type == null;
         dark += m.type == null ? 0 : m.type.cpus();
         darkGpus += m.type == null ? 0 : m.type.gpus();
       }
-      unheard += m.inherited && !m.fenced ? 1 : 0;
+      unreconciled += m.inherited && !m.fenced ? 1 : 0;
       boolean unrecorded = m.state == Machine.State.LIVE && !m.registered;
       check(out, unrecorded == c.unregistered.contains(m), m.name + " unrecorded: " + unrecorded);
     }
-    check(out, c.anyUnreconciled() == unheard > 0, unheard + " machines are unheard");
+    check(out, c.anyUnreconciled() == unreconciled > 0, unreconciled + " machines are unheard");
     for (Team team : c.limits.teams().values()) {
       double[] u = teams.getOrDefault(team.name(), new double[2]);
       double[] use = c.teamUsage(team.name());
--- a/src/test/java/org/astershift/scheduler/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -183,7 +183,7 @@
         // Each word is what one controller reached of those asked, by comma; "nobody" reached none.
         List<Decision.PeerProbeResult> told = new ArrayList<>();
         for (String one : p.subList(2, p.size())) {
-          told.add(testimony(List.of(one.split(","))));
+          told.add(probeResult(List.of(one.split(","))));
         }
         s.onPeerProbeResults(asked, told);
       }
@@ -260,7 +260,7 @@
     return listed;
   }
 
-  private Decision.PeerProbeResult testimony(List<String> reached) {
+  private Decision.PeerProbeResult probeResult(List<String> reached) {
     Set<String> no = new HashSet<>();
     for (List<Decision.MachineAddress> some : List.of(asked.suspects(), asked.controls())) {
       some.forEach(m -> no.add(m.machineName()));
