--- a/src/main/java/org/astershift/scheduler/DeferralTracker.java
+++ b/src/main/java/org/astershift/scheduler/DeferralTracker.java
@@ -42,7 +42,7 @@
   /**
    * Records that room is kept from the job; true once that lasted for so long that it may have it.
    */
-  boolean deferralExpired(Job job, long nowMs) {
+  boolean tryAdmit(Job job, long nowMs) {
     deferredNow.add(job.placementConstraints);
     long sinceMs = deferredSinceMs.computeIfAbsent(job.placementConstraints, p -> nowMs);
     // Between passes only one machine is on offer, and admission would end with it.
--- a/src/main/java/org/astershift/scheduler/Demand.java
+++ b/src/main/java/org/astershift/scheduler/Demand.java
@@ -30,7 +30,7 @@
   }
 
   /** How many more tasks this zone may take. */
-  int allowedIn(String zone) {
+  int maxTasksIn(String zone) {
     if ((onlyZone != null && !onlyZone.equals(zone)) || !job.zoneAllowed(zone)) {
       return 0;
     }
@@ -50,7 +50,7 @@
       if (!machine.hasRoomFor(job.spec)) {
         continue; // most are full, and this runs for each job and machine
       }
-      for (int n = allowedIn(machine.zone); n > 0 && machine.take(job.spec); n--) {
+      for (int n = maxTasksIn(machine.zone); n > 0 && machine.take(job.spec); n--) {
         takenByZone.merge(machine.zone, 1, Integer::sum);
         remaining--;
       }
@@ -60,7 +60,7 @@
   /** How many of the tasks find room in this zone. */
   int fittingTasks(List<PlannedMachine> machines, String zone) {
     int fitting = 0;
-    int limit = allowedIn(zone);
+    int limit = maxTasksIn(zone);
     for (PlannedMachine machine : machines) {
       if (fitting < limit && machine.zone.equals(zone)) {
         fitting += machine.fittingTasks(job.spec, limit - fitting);
--- a/src/main/java/org/astershift/scheduler/FreeCapacity.java
+++ b/src/main/java/org/astershift/scheduler/FreeCapacity.java
@@ -56,7 +56,7 @@
   }
 
   /** Whether one task finds room here together with what the machine has free. */
-  final boolean hasRoomBeside(Machine machine, JobSpec spec) {
+  final boolean hasRoomCombinedWith(Machine machine, JobSpec spec) {
     return fits(
         spec,
         machine.freeTaskSlots() + tasks,
--- a/src/main/java/org/astershift/scheduler/GangScheduler.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -67,7 +67,7 @@
             && !roomReserved
             && !job.isSuspect()
             && isStarved(job, nowMs)
-            && withinTeamLimit(job)) {
+            && isWithinTeamLimit(job)) {
           roomReserved = reserveRoom(job, domains, nowMs);
         }
       }
@@ -80,7 +80,7 @@
       if (!group.isStarved()) {
         return;
       }
-      if (mayStart(job) && withinTeamLimit(job)) {
+      if (mayStart(job) && isWithinTeamLimit(job)) {
         int tasks = job.waitingCount();
         Map<String, PlacementDomain> domains = findPlacementDomains(job, usable, nowMs);
         if (place(job, domains.values(), nowMs)) {
@@ -94,7 +94,7 @@
 
   /** Places this gang if it finds room now; reserves nothing. */
   void placeIfRoom(Job job, List<Machine> usable, long nowMs) {
-    if (mayStart(job) && withinTeamLimit(job)) {
+    if (mayStart(job) && isWithinTeamLimit(job)) {
       place(job, findPlacementDomains(job, usable, nowMs).values(), nowMs);
     }
   }
@@ -125,7 +125,7 @@
     return nowMs - job.submittedMs >= objectiveS * 1000 * GANG_RESERVATION_OBJECTIVE_FACTOR;
   }
 
-  private boolean withinTeamLimit(Job job) {
+  private boolean isWithinTeamLimit(Job job) {
     return cluster.teamQuotaAllows(job, job.waitingCount());
   }
 
@@ -133,7 +133,7 @@
   private Map<String, PlacementDomain> findPlacementDomains(
       Job job, List<Machine> usable, long nowMs) {
     Map<String, PlacementDomain> domains = new LinkedHashMap<>();
-    boolean pastWaitingAge = rules.pastWaitingAge(job, nowMs);
+    boolean pastWaitingAge = rules.isPastWaitingAge(job, nowMs);
     for (Machine machine : usable) {
       if (!job.usableTypes.contains(machine.typeName)
           || !PlacementRules.isMachineAllowed(machine, job, nowMs)) {
@@ -202,7 +202,7 @@
     for (Machine machine : domain.candidates) {
       int room = machine.fitCount(job.spec, job.waitingCount());
       for (int assignedHere = 0; assignedHere < room && index >= 0; assignedHere++) {
-        if (!withinSpreadLimit(job, machine.zone, tasksByZone)
+        if (!isWithinSpreadLimit(job, machine.zone, tasksByZone)
             || PlacementRules.hasAttemptOnMachine(machine, job, index)
             || !cluster.teamQuotaAllows(job, machines.size() + 1)) {
           break;
@@ -216,7 +216,7 @@
     return new Assignment(machines, imageHits, domain.taskRoom);
   }
 
-  private static boolean withinSpreadLimit(
+  private static boolean isWithinSpreadLimit(
       Job job, String zone, Map<String, Integer> assignedByZone) {
     return !job.spec.spread()
         || job.attemptsInZone(zone) + assignedByZone.getOrDefault(zone, 0) < job.spec.spreadLimit();
--- a/src/main/java/org/astershift/scheduler/IdleMachines.java
+++ b/src/main/java/org/astershift/scheduler/IdleMachines.java
@@ -32,7 +32,7 @@
   }
 
   /** Whether an idle machine has been so for longer than a replacement takes to come. */
-  boolean idleTooLong(Machine machine, long nowMs) {
+  boolean isIdleTooLong(Machine machine, long nowMs) {
     return nowMs - machine.idleSinceMs > idleTimeoutMs(machine);
   }
 
--- a/src/main/java/org/astershift/scheduler/MachineFiller.java
+++ b/src/main/java/org/astershift/scheduler/MachineFiller.java
@@ -33,7 +33,7 @@
       long nowMs) {
     MinimumRequirements minimum = new MinimumRequirements(jobs);
     for (Machine machine : candidates) {
-      if (minimum.satisfiedBy(machine)) {
+      if (minimum.isSatisfiedBy(machine)) {
         for (Job job : jobs) {
           if (starvedGroup != null && !starvedGroup.isStarved()) {
             return;
@@ -90,7 +90,7 @@
   private boolean isDeferred(Machine machine, Job job, long nowMs) {
     return job.bestEffort
         && queue.hasWaitingObjectiveWork(machine)
-        && !deferrals.deferralExpired(job, nowMs);
+        && !deferrals.tryAdmit(job, nowMs);
   }
 
   /** Tasks for which preemption makes room elsewhere are placed early only beside their image. */
@@ -100,7 +100,7 @@
 
   private boolean mayTakeAnother(Machine machine, Job job, FillStep step) {
     int batchTasks = machine.hasRecentFailures() ? 1 : cluster.policy.machineBatchTasks();
-    return !(step.spreadReplicas() && PlacementRules.exceedsReplicaShare(machine, job))
+    return !(step.spreadReplicas() && PlacementRules.wouldExceedReplicaShare(machine, job))
         && machine.placedInPass < batchTasks
         && !job.probeInProgress()
         && rules.hasRoomFor(machine, job);
@@ -108,7 +108,7 @@
 
   /** Below the utilization threshold, or once the job has waited long enough. */
   private boolean mayFetchImage(Machine machine, Job job, long nowMs) {
-    return rules.pastWaitingAge(job, nowMs)
+    return rules.isPastWaitingAge(job, nowMs)
         || cluster.utilization.of(machine) < cluster.policy.utilizationThreshold();
   }
 
--- a/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
+++ b/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
@@ -13,7 +13,7 @@
   private static final double TOLERANCE = 1e-6;
 
   private Map<String, MachineType> types = Map.of();
-  private final Map<String, UnusedCapacity> unusedBesideAccelerators = new HashMap<>();
+  private final Map<String, UnusedCapacity> unusedByAcceleratorJobs = new HashMap<>();
 
   /** What jobs that need accelerators leave of a machine type, at the least. */
   private static final class UnusedCapacity {
@@ -40,7 +40,7 @@
   /** Replaces the types; {@link #resolveTypes} is to be called again for all jobs. */
   void update(Map<String, MachineType> newTypes) {
     types = newTypes;
-    unusedBesideAccelerators.clear();
+    unusedByAcceleratorJobs.clear();
   }
 
   /** Sets the types that the job may use, and those that it may backfill. */
@@ -59,7 +59,7 @@
     for (MachineType type : types.values()) {
       if (type.gpus() > 0 && job.spec.fits(type)) {
         if (job.spec.gpus() > 0) {
-          unusedBesideAccelerators
+          unusedByAcceleratorJobs
               .computeIfAbsent(type.name(), n -> new UnusedCapacity(type))
               .reduceBy(type, job.spec);
         } else if (job.spec.kind() == JobKind.ARRAY && !job.usableTypes.contains(type.name())) {
@@ -74,8 +74,8 @@
    * that it never keeps one of them from the machine. Only while one is there: an idle machine with
    * accelerators should be released.
    */
-  boolean fitsBesideAccelerators(Machine machine, Job job) {
-    UnusedCapacity unused = unusedBesideAccelerators.get(machine.typeName);
+  boolean canBackfill(Machine machine, Job job) {
+    UnusedCapacity unused = unusedByAcceleratorJobs.get(machine.typeName);
     return unused != null
         && machine.usedGpus() > 0
         && job.backfillTypes.contains(machine.typeName)
--- a/src/main/java/org/astershift/scheduler/MinimumRequirements.java
+++ b/src/main/java/org/astershift/scheduler/MinimumRequirements.java
@@ -27,7 +27,7 @@
   }
 
   /** Whether one of the jobs may find room there; false only if certainly none does. */
-  boolean satisfiedBy(Machine machine) {
+  boolean isSatisfiedBy(Machine machine) {
     return machine.fits(cpus, gpus, memoryGb) && types.contains(machine.typeName);
   }
 }
--- a/src/main/java/org/astershift/scheduler/MinimumShare.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShare.java
@@ -45,7 +45,7 @@
   private final ClusterState cluster;
   private final Map<String, ShareGroup> groups = new HashMap<>();
   private final Map<String, Set<ShareGroup>> groupsByClass = new HashMap<>();
-  private final List<ShareGroup> starved = new ArrayList<>();
+  private final List<ShareGroup> starvedGroups = new ArrayList<>();
 
   MinimumShare(ClusterState cluster) {
     this.cluster = cluster;
@@ -89,7 +89,7 @@
 
   /** Recomputes all groups; {@code startable}: the jobs with tasks that may be placed now. */
   void refresh(List<Job> startable, long nowMs) {
-    starved.clear();
+    starvedGroups.clear();
     for (ShareGroup group : groups.values()) {
       group.clear();
     }
@@ -128,11 +128,12 @@
                   : cluster.utilization.processors()));
       if (group.isStarved()) {
         group.agedJobs().sort(Comparator.comparingLong(job -> job.submittedMs));
-        starved.add(group);
+        starvedGroups.add(group);
       }
       logStarvation(group, nowMs);
     }
-    starved.sort(Comparator.comparingDouble((ShareGroup group) -> group.held() / group.minimum()));
+    starvedGroups.sort(
+        Comparator.comparingDouble((ShareGroup group) -> group.held() / group.minimum()));
   }
 
   private static void logStarvation(ShareGroup group, long nowMs) {
@@ -155,7 +156,7 @@
   }
 
   /** Groups below their minimum, those that hold the least of it first. */
-  List<ShareGroup> starved() {
-    return starved;
+  List<ShareGroup> starvedGroups() {
+    return starvedGroups;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -52,7 +52,7 @@
     for (Priority priority : Priority.values()) {
       placeTier(queue.tier(priority), usable, nowMs);
       if (priority == Priority.PRODUCTION) {
-        cluster.minimumShare.starved().forEach(group -> placeStarved(group, usable, nowMs));
+        cluster.minimumShare.starvedGroups().forEach(group -> placeStarved(group, usable, nowMs));
       }
     }
     placeInReservedRoom(usable, nowMs);
@@ -155,7 +155,7 @@
             && !job.isSuspect()
             && roomByConstraints.computeIfAbsent(
                 job.placementConstraints, p -> anyHasRoomFor(machines, job))
-            && deferrals.deferralExpired(job, nowMs)) {
+            && deferrals.tryAdmit(job, nowMs)) {
           placeAdmitted(job, machines, usable, nowMs);
         }
       }
@@ -211,7 +211,7 @@
     for (Priority priority : Priority.values()) {
       placeOnMachine(machine, machineOnly, queue.tier(priority), null, nowMs);
       if (priority == Priority.PRODUCTION) {
-        for (ShareGroup group : cluster.minimumShare.starved()) {
+        for (ShareGroup group : cluster.minimumShare.starvedGroups()) {
           if (group.isStarved()) {
             placeOnMachine(machine, machineOnly, group.agedJobs(), group, nowMs);
           }
@@ -260,7 +260,7 @@
     MinimumRequirements minimum = new MinimumRequirements(jobs);
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : usable) {
-      if (minimum.satisfiedBy(machine)) {
+      if (minimum.isSatisfiedBy(machine)) {
         candidates.add(machine);
       }
     }
--- a/src/main/java/org/astershift/scheduler/PlacementRules.java
+++ b/src/main/java/org/astershift/scheduler/PlacementRules.java
@@ -21,7 +21,7 @@
   boolean hasRoomFor(Machine machine, Job job) {
     return machine.fits(job.spec)
         && (job.usableTypes.contains(machine.typeName)
-            || cluster.machineTypes.fitsBesideAccelerators(machine, job));
+            || cluster.machineTypes.canBackfill(machine, job));
   }
 
   /** Whether the machine's kind, zone and failure history allow the job; room is not checked. */
@@ -32,7 +32,7 @@
   }
 
   /** Whether the job has waited for so long that it takes a machine without its image. */
-  boolean pastWaitingAge(Job job, long nowMs) {
+  boolean isPastWaitingAge(Job job, long nowMs) {
     double ageS = cluster.policy.waitingAgeS();
     if (job.startObjectiveS != null) {
       ageS =
@@ -47,7 +47,7 @@
    * Whether replicas would take more than their share of the machine: its failure ends all of them
    * at once, so they spread over machines as long as others have room.
    */
-  static boolean exceedsReplicaShare(Machine machine, Job job) {
+  static boolean wouldExceedReplicaShare(Machine machine, Job job) {
     return job.spec.kind() == JobKind.SERVICE
         && machine.replicaCpus() + job.spec.cpus() > REPLICA_CPU_SHARE * machine.type.cpus();
   }
--- a/src/main/java/org/astershift/scheduler/PoolAvailability.java
+++ b/src/main/java/org/astershift/scheduler/PoolAvailability.java
@@ -21,15 +21,15 @@
 
   /** Not refused lately, and in a zone that is reachable: in any other no machine comes up. */
   boolean isAvailable(CapacityPool pool, long nowMs) {
-    return !recentlyRefused(pool, nowMs) && !cluster.isZonePartitioned(pool.zone(), nowMs);
+    return !wasRecentlyRefused(pool, nowMs) && !cluster.isZonePartitioned(pool.zone(), nowMs);
   }
 
   /** Not refused lately, and in a partitioned zone. */
   boolean isAvailableInPartition(CapacityPool pool, long nowMs) {
-    return !recentlyRefused(pool, nowMs) && cluster.isZonePartitioned(pool.zone(), nowMs);
+    return !wasRecentlyRefused(pool, nowMs) && cluster.isZonePartitioned(pool.zone(), nowMs);
   }
 
-  private boolean recentlyRefused(CapacityPool pool, long nowMs) {
+  private boolean wasRecentlyRefused(CapacityPool pool, long nowMs) {
     return noCapacityUntilMs.getOrDefault(pool, Long.MIN_VALUE) > nowMs;
   }
 }
--- a/src/main/java/org/astershift/scheduler/PoolSelector.java
+++ b/src/main/java/org/astershift/scheduler/PoolSelector.java
@@ -44,7 +44,7 @@
       for (boolean spot : spec.spotChoices()) {
         for (String zone : type.zones()) {
           CapacityPool pool = new CapacityPool(name, zone, spot);
-          int allowedTasks = demand.allowedIn(zone);
+          int allowedTasks = demand.maxTasksIn(zone);
           double cost = cost(type, pool, machinesNeeded);
           if (allowedTasks > 0 && canRequest(pool, inPartitionedZone) && cost < bestCost) {
             int allowedMachines =
@@ -88,7 +88,7 @@
     String fallback = "";
     double bestCost = Double.MAX_VALUE;
     for (String zone : types.zones()) {
-      int maxTasks = demand.allowedIn(zone);
+      int maxTasks = demand.maxTasksIn(zone);
       // An array that is spread as well runs there one part after the other.
       boolean mayRunInParts = demand.job.spec.kind() == JobKind.ARRAY && maxTasks > 0;
       if (maxTasks < demand.remaining() && !mayRunInParts) {
--- a/src/main/java/org/astershift/scheduler/PreemptibleWork.java
+++ b/src/main/java/org/astershift/scheduler/PreemptibleWork.java
@@ -14,10 +14,10 @@
   private final boolean forTightObjective;
 
   /** Freed by attempts that are stopping already. */
-  private final FreeCapacity stopping = new FreeCapacity();
+  private final FreeCapacity freedByStopping = new FreeCapacity();
 
   /** Freed by these and if all candidates stop. */
-  private final FreeCapacity maximum = new FreeCapacity();
+  private final FreeCapacity freedIfAllStop = new FreeCapacity();
 
   /** Those with the least work to lose first. */
   private final List<TaskAttempt> candidates = new ArrayList<>();
@@ -30,11 +30,11 @@
         continue;
       }
       if (attempt.unwanted()) {
-        stopping.add(attempt.job.spec);
-        maximum.add(attempt.job.spec);
+        freedByStopping.add(attempt.job.spec);
+        freedIfAllStop.add(attempt.job.spec);
       } else if (isPreemptible(attempt.job, nowMs)) {
         candidates.add(attempt);
-        maximum.add(attempt.job.spec);
+        freedIfAllStop.add(attempt.job.spec);
       }
     }
     if (candidates.size() > 1) {
@@ -63,14 +63,14 @@
 
   /** Whether there would be room for a task if all candidates stopped. */
   boolean canMakeRoomFor(Machine machine, JobSpec spec) {
-    return maximum.hasRoomBeside(machine, spec);
+    return freedIfAllStop.hasRoomCombinedWith(machine, spec);
   }
 
   /** What has to stop for one task, the least loss first; null if all would not be enough. */
   List<TaskAttempt> victimsFor(Machine machine, JobSpec spec) {
     FreeCapacity room = new FreeCapacity();
     room.addFree(machine);
-    room.add(stopping);
+    room.add(freedByStopping);
     if (room.hasRoomFor(spec)) {
       return List.of();
     }
--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -126,7 +126,8 @@
     }
     double lossCpuS =
         imageHit ? 0 : IMAGE_FETCH_LOSS_CPU_S_PER_S * spec.imageGb() / machine.type.fetchGbPerS();
-    lossCpuS += PlacementRules.exceedsReplicaShare(machine, job) ? REPLICA_CROWDING_LOSS_CPU_S : 0;
+    lossCpuS +=
+        PlacementRules.wouldExceedReplicaShare(machine, job) ? REPLICA_CROWDING_LOSS_CPU_S : 0;
     for (TaskAttempt attempt : victims) {
       lossCpuS += PreemptibleWork.lostCpuS(attempt, nowMs);
     }
--- a/src/main/java/org/astershift/scheduler/QueueWindow.java
+++ b/src/main/java/org/astershift/scheduler/QueueWindow.java
@@ -25,7 +25,7 @@
   private final List<Job> jobs = new ArrayList<>();
 
   /** Startable tasks seen so far, within the window or not. */
-  private int tasks;
+  private int seenTasks;
 
   private int tasksOverQuota;
 
@@ -37,7 +37,7 @@
   /** Adds the job if it still belongs to the window; the jobs come in the queue's order. */
   void offer(Job job) {
     int startableTasks = remainingQuota.take(job, job.waitingCount());
-    tasks += startableTasks;
+    seenTasks += startableTasks;
     tasksOverQuota += job.waitingCount() - startableTasks;
     if (startableTasks == 0 && tasksOverQuota >= cluster.policy.windowTasks()) {
       return;
@@ -45,7 +45,7 @@
     int sameConstraintTasks =
         tasksByConstraints.merge(job.placementConstraints, startableTasks, Integer::sum)
             - startableTasks;
-    if (tasks - startableTasks >= cluster.policy.windowTasks()
+    if (seenTasks - startableTasks >= cluster.policy.windowTasks()
         && (startableTasks == 0 || sameConstraintTasks >= WINDOW_OVERFLOW_TASKS)) {
       return;
     }
--- a/src/main/java/org/astershift/scheduler/RemainingQuota.java
+++ b/src/main/java/org/astershift/scheduler/RemainingQuota.java
@@ -26,7 +26,7 @@
     }
 
     /** Moves what is over the quota from {@code now} to here: it has to be released first. */
-    void absorbDebt(Amounts now) {
+    void absorbDeficit(Amounts now) {
       cpus += Math.min(0, now.cpus);
       now.cpus = Math.max(0, now.cpus);
       gpus += Math.min(0, now.gpus);
@@ -65,7 +65,7 @@
   /** The same with what the team will have when its tasks that are soon over are released. */
   int takeIncludingSoonReleased(Job job, int limit) {
     Amounts later = soonReleasedOf(job.spec.team());
-    later.absorbDebt(remainingOf(job.spec.team()));
+    later.absorbDeficit(remainingOf(job.spec.team()));
     int taken = later.take(job.spec, limit);
     return taken + take(job, limit - taken);
   }
--- a/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
@@ -18,14 +18,14 @@
   private final long nowMs;
 
   /** When the fastest machine requested now would be up. */
-  private final long soonAtMs;
+  private final long earliestReadyMs;
 
   private final ZoneLoad zoneLoad = new ZoneLoad();
   private final RemainingQuota remainingQuota;
   private final List<PlannedMachine> pendingMachines = new ArrayList<>();
   private final List<PlannedMachine> freeMachines = new ArrayList<>();
 
-  /** The free machines, with the room that tasks leave by {@link #soonAtMs}. */
+  /** The free machines, with the room that tasks leave by {@link #earliestReadyMs}. */
   private final List<PlannedMachine> soonFreeMachines = new ArrayList<>();
 
   private final Map<CapacityPool, Decision.ProvisionMachines> requests = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
     this.concurrency = new ConcurrencyEstimator(cluster.machineTypes);
     this.selector = new PoolSelector(cluster.machineTypes, availability, zoneLoad, nowMs);
     this.nowMs = nowMs;
-    this.soonAtMs = nowMs + concurrency.fastestBootMs();
+    this.earliestReadyMs = nowMs + concurrency.fastestBootMs();
     this.remainingQuota = new RemainingQuota(cluster);
   }
 
@@ -62,9 +62,9 @@
       pendingMachines.add(new PlannedMachine(machine.type, machine.zone, machine.spot));
     } else if (cluster.usable(machine, nowMs)) {
       freeMachines.add(new PlannedMachine(machine));
-      soonFreeMachines.add(PlannedMachine.withExpectedReleases(machine, soonAtMs));
+      soonFreeMachines.add(PlannedMachine.withExpectedReleases(machine, earliestReadyMs));
       for (TaskAttempt attempt : machine.attempts.values()) {
-        if (attempt.expectedDoneBy(soonAtMs)) {
+        if (attempt.expectedDoneBy(earliestReadyMs)) {
           remainingQuota.expectRelease(attempt);
         }
       }
@@ -137,6 +137,6 @@
   /** What is free before a new machine could be up needs no new machine. */
   private boolean mayUseSoonFree(Job job) {
     return job.spec.kind() != JobKind.GANG
-        && (job.startObjectiveS == null || job.startObjectiveS * 1000 > soonAtMs - nowMs);
+        && (job.startObjectiveS == null || job.startObjectiveS * 1000 > earliestReadyMs - nowMs);
   }
 }
--- a/src/main/java/org/astershift/scheduler/Utilization.java
+++ b/src/main/java/org/astershift/scheduler/Utilization.java
@@ -6,29 +6,29 @@
 
 /** Used and provisioned processors, of machines with and without accelerators. */
 final class Utilization {
-  private final Pool withoutAccelerators = new Pool();
-  private final Pool withAccelerators = new Pool();
+  private final Totals withoutAccelerators = new Totals();
+  private final Totals withAccelerators = new Totals();
 
   /** Sums over machines that can replace each other. */
-  private static final class Pool {
+  private static final class Totals {
     double usedCpus;
     double liveCpus;
     double bootingCpus;
     double liveGpus;
   }
 
-  private Pool pool(Machine machine) {
+  private Totals totalsFor(Machine machine) {
     return machine.type != null && machine.type.gpus() > 0 ? withAccelerators : withoutAccelerators;
   }
 
   /** Adds used processors of the machine; negative: they are free again. */
   void addUsedCpus(Machine machine, double cpus) {
-    pool(machine).usedCpus += cpus;
+    totalsFor(machine).usedCpus += cpus;
   }
 
   /** Recomputes all sums; in between, {@link #addUsedCpus} updates what is used. */
   void recount(Collection<Machine> machines) {
-    for (Pool pool : List.of(withoutAccelerators, withAccelerators)) {
+    for (Totals pool : List.of(withoutAccelerators, withAccelerators)) {
       pool.usedCpus = 0;
       pool.liveCpus = 0;
       pool.bootingCpus = 0;
@@ -36,12 +36,12 @@
     }
     for (Machine machine : machines) {
       if (machine.state == Machine.State.LIVE && machine.type != null) {
-        Pool pool = pool(machine);
+        Totals pool = totalsFor(machine);
         pool.usedCpus += machine.usedCpus();
         pool.liveCpus += machine.type.cpus();
         pool.liveGpus += machine.type.gpus();
       } else if (machine.state == Machine.State.BOOTING && machine.type != null) {
-        pool(machine).bootingCpus += machine.type.cpus();
+        totalsFor(machine).bootingCpus += machine.type.cpus();
       }
     }
   }
@@ -65,7 +65,7 @@
 
   /** Share of the processors in use, of the machines that can replace this one. */
   double of(Machine machine) {
-    Pool pool = pool(machine);
+    Totals pool = totalsFor(machine);
     return pool.liveCpus == 0 ? 0 : pool.usedCpus / pool.liveCpus;
   }
 
--- a/src/main/java/org/astershift/scheduler/WaitQueue.java
+++ b/src/main/java/org/astershift/scheduler/WaitQueue.java
@@ -62,7 +62,7 @@
 
   /** Whether the machine has room for anything in the window. */
   boolean hasRoomForAny(Machine machine) {
-    return minimumRequirements.satisfiedBy(machine);
+    return minimumRequirements.isSatisfiedBy(machine);
   }
 
   boolean isEmpty() {
@@ -120,7 +120,7 @@
     }
     // Starved groups are served whatever the window holds.
     List<Job> servedJobs = new ArrayList<>(window.jobs());
-    cluster.minimumShare.starved().forEach(group -> servedJobs.addAll(group.agedJobs()));
+    cluster.minimumShare.starvedGroups().forEach(group -> servedJobs.addAll(group.agedJobs()));
     minimumRequirements = new MinimumRequirements(servedJobs);
   }
 
--- a/src/main/java/org/astershift/scheduler/ZoneLoad.java
+++ b/src/main/java/org/astershift/scheduler/ZoneLoad.java
@@ -7,23 +7,23 @@
 
 /** Machines by zone, live, pending and planned, as one scale-out plan counts them. */
 final class ZoneLoad {
-  private final Map<String, Integer> machines = new HashMap<>();
+  private final Map<String, Integer> machinesByZone = new HashMap<>();
   private final Set<String> zonesWithPending = new HashSet<>();
 
   void add(Machine machine) {
-    machines.merge(machine.zone, 1, Integer::sum);
+    machinesByZone.merge(machine.zone, 1, Integer::sum);
     if (machine.state == Machine.State.BOOTING) {
       zonesWithPending.add(machine.zone);
     }
   }
 
   void addPending(Decision.ProvisionMachines request) {
-    machines.merge(request.zone(), request.count(), Integer::sum);
+    machinesByZone.merge(request.zone(), request.count(), Integer::sum);
     zonesWithPending.add(request.zone());
   }
 
   int machinesIn(String zone) {
-    return machines.getOrDefault(zone, 0);
+    return machinesByZone.getOrDefault(zone, 0);
   }
 
   /** Whether a machine boots there or is requested. */
