--- a/src/main/java/org/astershift/scheduler/CapacityPool.java
+++ b/src/main/java/org/astershift/scheduler/CapacityPool.java
@@ -1,6 +1,9 @@
 package org.astershift.scheduler;
 
-/** Machines of one type, zone and kind, which the cloud grants or refuses together. */
+/**
+ * The machines of one type and zone, either spot or on-demand, which the cloud grants or refuses
+ * together.
+ */
 record CapacityPool(String typeName, String zone, boolean spot) {
   static CapacityPool of(Decision.ProvisionMachines request) {
     return new CapacityPool(request.typeName(), request.zone(), request.spot());
--- a/src/main/java/org/astershift/scheduler/ClassObjectives.java
+++ b/src/main/java/org/astershift/scheduler/ClassObjectives.java
@@ -3,8 +3,8 @@
 /**
  * The service-level objectives of one job class.
  *
- * @param startS the tightest objective for starting its tasks, seconds; null if there is none
- * @param finishS the tightest objective for finishing its jobs, seconds; null if there is none
+ * @param startS the tightest objective for starting its tasks, in seconds; null if there is none
+ * @param finishS the tightest objective for finishing its jobs, in seconds; null if there is none
  * @param anyObjective whether there is an objective of any kind
  */
 public record ClassObjectives(Double startS, Double finishS, boolean anyObjective) {
--- a/src/main/java/org/astershift/scheduler/ConcurrencyEstimator.java
+++ b/src/main/java/org/astershift/scheduler/ConcurrencyEstimator.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** How many tasks of a job should run at once, which is what scale-out plans for. */
+/** Estimates how many tasks of a job should run at once; scale-out plans for that many. */
 final class ConcurrencyEstimator {
   private final MachineTypeCatalog types;
 
@@ -8,25 +8,29 @@
     this.types = types;
   }
 
-  /** How many of the waiting tasks should run at once for the job to be in time. */
+  /** Returns how many of the waiting tasks should run at once for the job to be on time. */
   int desiredConcurrency(Job job, long nowMs) {
     JobSpec spec = job.spec;
     if (job.isSuspect()) {
-      // A probe needs one machine; a gang that is probably broken waits for what is there.
+      // A probe needs one machine; a gang that is probably broken waits for room on existing
+      // machines.
       return spec.kind() == JobKind.GANG || job.probeInProgress() ? 0 : 1;
     }
     int tasks = job.waitingCount();
-    Double endS = job.completionDueS();
-    if (spec.kind() == JobKind.ARRAY && endS != null && spec.estimateS() > 0) {
-      double leftS = endS - (nowMs - job.submittedMs) / 1000.0 - spec.estimateS() / 2;
-      leftS -= job.hasLongStartObjective() ? startupDelayS(job) : 0;
-      double rounds = Math.max(1, leftS / spec.estimateS());
+    Double dueS = job.completionDueS();
+    if (spec.kind() == JobKind.ARRAY && dueS != null && spec.estimateS() > 0) {
+      double remainingS = dueS - (nowMs - job.submittedMs) / 1000.0 - spec.estimateS() / 2;
+      remainingS -= job.hasLongStartObjective() ? startupDelayS(job) : 0;
+      double rounds = Math.max(1, remainingS / spec.estimateS());
       tasks = (int) Math.min(tasks, Math.ceil(tasks / rounds));
     }
     return tasks;
   }
 
-  /** Seconds until a machine requested now could run a task of the job: its boot and its fetch. */
+  /**
+   * Returns the seconds that a machine requested now needs before it could run a task of the job:
+   * its boot and the image fetch.
+   */
   private double startupDelayS(Job job) {
     double fastestS = Double.MAX_VALUE;
     for (String name : job.usableTypes) {
@@ -36,7 +40,7 @@
     return fastestS == Double.MAX_VALUE ? 0 : fastestS;
   }
 
-  /** Milliseconds in which the fastest type boots. */
+  /** Returns the boot time of the type that boots fastest, in milliseconds. */
   long fastestBootMs() {
     double fastestS = Double.MAX_VALUE;
     for (MachineType type : types.all().values()) {
--- a/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
+++ b/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
@@ -8,19 +8,21 @@
 import java.util.PriorityQueue;
 
 /**
- * Which job arrays can still meet their deadlines together. Where machines are short, earliest
- * deadline first makes all of them late; so of those that do not fit, the largest are postponed,
- * which leaves most jobs in time (the Moore-Hodgson rule). Postponed jobs are served after the
- * others.
+ * Decides which job arrays can still meet their deadlines together. Where machines are short,
+ * serving the earliest deadline first makes all jobs late; so the largest of the jobs that do not
+ * fit are postponed, which leaves most jobs on time (the Moore-Hodgson algorithm). Postponed jobs
+ * are served after the others.
  */
 final class DeadlineAdmission {
-  /** Share of its estimate that a running task has left, on average. */
+  /** Share of its estimate that a running task still has to run, on average. */
   private static final double REMAINING_RUN_SHARE = 0.5;
 
-  /** Share of its estimate by which a job may be late and still counts as in time. */
+  /** Share of its estimate by which a job may be late and still counts as on time. */
   private static final double LATENESS_TOLERANCE_SHARE = 0.5;
 
-  /** Milliseconds by which postponed jobs queue behind all others: more than any deadline. */
+  /**
+   * Delay that sorts postponed jobs behind all others, in milliseconds; longer than any deadline.
+   */
   private static final double POSTPONED_DELAY_MS = 1e9;
 
   private final ClusterState cluster;
@@ -29,7 +31,10 @@
     this.cluster = cluster;
   }
 
-  /** Sets the urgency of these waiting arrays of one priority, all with a completion deadline. */
+  /**
+   * Sets the urgency of these waiting arrays of one priority, each of which has a time by which it
+   * is due.
+   */
   void assignUrgency(Priority priority, List<Job> jobs, long nowMs) {
     CpuLoad running = runningLoad(priority);
     double capacityPerMs = Math.max(running.availableCpus(), 1) / 1000;
@@ -38,7 +43,7 @@
     for (Job job : jobs) {
       double objectiveRiskMs = job.objectiveAtRiskMs();
       if (nowMs >= objectiveRiskMs && nowMs < job.objectiveMissedMs()) {
-        // It is postponed no more: its longer objectives are at risk.
+        // The job is no longer postponed, since an objective beyond its deadline is at risk.
         job.urgencyMs = objectiveRiskMs;
         loadCpuS += waitingLoadCpuS(job);
       } else {
@@ -47,9 +52,9 @@
     }
     undecided.sort(Comparator.comparingDouble(Job::latestStartMs));
     double delayMs = 0;
-    for (double deadlineFactor : cluster.limits.deadlineMultiples()) {
+    for (double deadlineMultiple : cluster.limits.deadlineMultiples()) {
       List<Job> postponed = new ArrayList<>();
-      loadCpuS = admit(undecided, deadlineFactor, loadCpuS, capacityPerMs, postponed, nowMs);
+      loadCpuS = admit(undecided, deadlineMultiple, loadCpuS, capacityPerMs, postponed, nowMs);
       setUrgency(undecided, delayMs);
       undecided = postponed;
       undecided.sort(Comparator.comparingDouble(Job::latestStartMs));
@@ -64,10 +69,16 @@
     }
   }
 
-  /** Processors that jobs of a priority may use, and the processor seconds they still need. */
+  /**
+   * Processors that jobs of one priority may use, and the processor seconds that its running tasks
+   * still need.
+   */
   private record CpuLoad(double availableCpus, double loadCpuS) {}
 
-  /** Jobs of higher priority keep what they hold; those of the same one add to the load. */
+  /**
+   * Returns the available processors and the running load of one priority. Jobs of higher priority
+   * keep the processors that they hold; running tasks of the same priority add to the load.
+   */
   private CpuLoad runningLoad(Priority priority) {
     double availableCpus = cluster.utilization.processorsWithoutAccelerators();
     double loadCpuS = 0;
@@ -87,14 +98,14 @@
   }
 
   /**
-   * Moves jobs from {@code undecided}, which is in the order of their latest starts, to {@code
-   * postponed} until the others can be in time, each with what is due before it: on all machines,
-   * and on as many as its team's quota allows. Returns the load of the admitted jobs, in processor
-   * seconds.
+   * Moves jobs from {@code undecided}, which is sorted by latest start, to {@code postponed} until
+   * each remaining job can be on time together with the jobs due before it, both on all machines
+   * and on as many as its team's quota allows. Returns the initial load plus that of the admitted
+   * jobs, in processor seconds.
    */
   private double admit(
       List<Job> undecided,
-      double deadlineFactor,
+      double deadlineMultiple,
       double initialLoadCpuS,
       double capacityPerMs,
       List<Job> postponed,
@@ -109,7 +120,8 @@
       fleet.add(job);
       team.add(job);
       double runMs = job.spec.estimateS() * 1000;
-      double dueMs = job.completionDueMs(deadlineFactor) - nowMs + runMs * LATENESS_TOLERANCE_SHARE;
+      double dueMs =
+          job.completionDueMs(deadlineMultiple) - nowMs + runMs * LATENESS_TOLERANCE_SHARE;
       boolean overTeamLimit = Math.max(runMs, team.requiredMs()) > dueMs;
       if (overTeamLimit || Math.max(runMs, fleet.requiredMs()) > dueMs) {
         Job largest = (overTeamLimit ? team : fleet).largest();
@@ -122,7 +134,7 @@
     return fleet.loadCpuS;
   }
 
-  /** Jobs that can be in time, and the processor seconds that they need. */
+  /** Jobs that can be on time together, and the processor seconds that they need. */
   private static final class AdmittedJobs {
     private final PriorityQueue<Job> jobs =
         new PriorityQueue<>(Comparator.comparingDouble(j -> -waitingLoadCpuS(j)));
@@ -160,7 +172,7 @@
         : Math.min(capacityPerMs, team.maxCpus() / 1000);
   }
 
-  /** Processor seconds that the team's running tasks still need. */
+  /** Returns the processor seconds that the team's running tasks still need. */
   private double heldLoadCpuS(String teamName) {
     double loadCpuS = 0;
     for (Job job : cluster.unfinishedJobs(teamName)) {
@@ -170,7 +182,7 @@
     return loadCpuS;
   }
 
-  /** Processor seconds that the job's waiting tasks need. */
+  /** Returns the processor seconds that the job's waiting tasks need. */
   private static double waitingLoadCpuS(Job job) {
     return job.waitingCount() * job.spec.cpus() * Math.max(job.spec.estimateS(), 1);
   }
--- a/src/main/java/org/astershift/scheduler/DecayingRate.java
+++ b/src/main/java/org/astershift/scheduler/DecayingRate.java
@@ -1,23 +1,23 @@
 package org.astershift.scheduler;
 
-/** The rate of an event, with exponentially decaying weight of older ones. */
+/** The rate of an event, with exponentially decaying weights of older occurrences. */
 final class DecayingRate {
   private final double windowS;
   private double lastSum;
   private long lastEventMs;
 
-  /** {@code windowS}: seconds in which an event's weight falls to 1/e. */
+  /** {@code windowS} is the time in which the weight of an event falls to 1/e, in seconds. */
   DecayingRate(double windowS) {
     this.windowS = windowS;
   }
 
-  /** One event happened now. */
+  /** Records one event. */
   void add(long nowMs) {
     lastSum = decayedSum(nowMs) + 1;
     lastEventMs = nowMs;
   }
 
-  /** Events a second. */
+  /** Returns the rate in events per second. */
   double perS(long nowMs) {
     return decayedSum(nowMs) / windowS;
   }
--- a/src/main/java/org/astershift/scheduler/DeferralTracker.java
+++ b/src/main/java/org/astershift/scheduler/DeferralTracker.java
@@ -6,26 +6,35 @@
 import java.util.Set;
 
 /**
- * For how long jobs have been kept from room that more urgent work waits for, by what they need of
- * a machine. Once that lasted for the limit, all jobs with the same constraints may use the room
- * within one pass, and a new deferral begins: otherwise they would wait beside free processors for
- * as long as larger work waits.
+ * Tracks for how long jobs have been deferred, by their placement constraints. A job is deferred
+ * while room that it could use is withheld because more urgent work is waiting. Once the deferral
+ * has lasted for the limit, all jobs with the same constraints may use the room within one pass,
+ * and a new deferral begins: otherwise they would wait, although processors are free, for as long
+ * as larger work waits.
  */
 final class DeferralTracker {
-  /** Milliseconds of a deferral. The service's requirement is 90 s; the rest is for the start. */
+  /**
+   * Limit of a deferral in milliseconds. The requirement on the service is 90 s; the difference is
+   * left for the start of the task.
+   */
   private static final long DEFERRAL_LIMIT_MS = 60_000;
 
   private final Map<Job.PlacementConstraints, Long> deferredSinceMs = new HashMap<>();
 
-  /** Constraints that found room since the last pass began. */
+  /**
+   * Constraints of jobs that found room since the last pass began, whether deferred or admitted.
+   */
   private final Set<Job.PlacementConstraints> deferredNow = new HashSet<>();
 
-  /** Those of them whose deferral has expired in this pass. */
+  /** Constraints whose deferral has expired in this pass. */
   private final Set<Job.PlacementConstraints> admittedNow = new HashSet<>();
 
   private boolean passInProgress;
 
-  /** Ends the deferral of what found no room since the last pass began, or was admitted then. */
+  /**
+   * Begins a pass: ends the deferral of constraints that found no room since the last pass began,
+   * or that were admitted then.
+   */
   void beginPass() {
     deferredSinceMs.keySet().retainAll(deferredNow);
     deferredSinceMs.keySet().removeAll(admittedNow);
@@ -34,18 +43,19 @@
     passInProgress = true;
   }
 
-  /** The pass over all machines is over. */
+  /** Ends the pass over all machines. */
   void endPass() {
     passInProgress = false;
   }
 
   /**
-   * Records that room is kept from the job; true once that lasted for so long that it may have it.
+   * Records that room is withheld from the job. Returns true once its deferral has expired: then
+   * the job may use the room.
    */
   boolean tryAdmit(Job job, long nowMs) {
     deferredNow.add(job.placementConstraints);
     long sinceMs = deferredSinceMs.computeIfAbsent(job.placementConstraints, p -> nowMs);
-    // Between passes only one machine is on offer, and admission would end with it.
+    // Between passes only one machine is offered, and it would use up the admission.
     if (!passInProgress || nowMs - sinceMs < DEFERRAL_LIMIT_MS) {
       return false;
     }
--- a/src/main/java/org/astershift/scheduler/Demand.java
+++ b/src/main/java/org/astershift/scheduler/Demand.java
@@ -5,9 +5,10 @@
 import java.util.Map;
 
 /**
- * Tasks of one job for which a scale-out plan looks for room. A job that has to be in one zone is
- * covered by one zone's room only, and a spread job by no more of a zone than it may use: otherwise
- * nothing would be requested for it, and it would wait beside room that it cannot take.
+ * The tasks of one job for which a scale-out plan looks for room. For a job that has to be in one
+ * zone only the room of one zone counts, and for a spread job no more of a zone than the job may
+ * use: otherwise no machine would be requested for the job, and it would wait next to room that it
+ * cannot take.
  */
 final class Demand {
   final Job job;
@@ -24,12 +25,12 @@
     return remaining;
   }
 
-  /** Only this zone's room counts from now on. */
+  /** Counts only the room of this zone from now on. */
   void restrictToZone(String zone) {
     onlyZone = zone;
   }
 
-  /** How many more tasks this zone may take. */
+  /** Returns how many more tasks this zone may take. */
   int maxTasksIn(String zone) {
     if ((onlyZone != null && !onlyZone.equals(zone)) || !job.zoneAllowed(zone)) {
       return 0;
@@ -41,14 +42,14 @@
         : remaining;
   }
 
-  /** Takes room for as many of the remaining tasks as may and can run on these machines. */
+  /** Takes room for as many of the remaining tasks as may run and fit on these machines. */
   void fill(List<PlannedMachine> machines) {
     for (PlannedMachine machine : machines) {
       if (remaining == 0) {
         return;
       }
       if (!machine.hasRoomFor(job.spec)) {
-        continue; // most are full, and this runs for each job and machine
+        continue; // most machines are full, and this runs for each job and machine
       }
       for (int n = maxTasksIn(machine.zone); n > 0 && machine.take(job.spec); n--) {
         takenByZone.merge(machine.zone, 1, Integer::sum);
@@ -57,7 +58,7 @@
     }
   }
 
-  /** How many of the tasks find room in this zone. */
+  /** Returns how many of the remaining tasks find room in this zone. */
   int fittingTasks(List<PlannedMachine> machines, String zone) {
     int fitting = 0;
     int limit = maxTasksIn(zone);
--- a/src/main/java/org/astershift/scheduler/Eligibility.java
+++ b/src/main/java/org/astershift/scheduler/Eligibility.java
@@ -5,27 +5,27 @@
 import java.util.Set;
 
 /**
- * Whether a job could ever run, given all machines that the cloud offers and its team's whole
- * quota. A job that might run is accepted, however unlikely that is; one that cannot is rejected at
- * once, since its user would wait for ever.
+ * Determines whether a job could ever run, given all machines that the cloud offers and the whole
+ * quota of its team. A job that might run is accepted, however unlikely that is; a job that never
+ * can is rejected at once, since its user would otherwise wait indefinitely.
  *
- * <p>All tasks of a gang run at once, and so do all replicas of a service, so all of them have to
- * be possible together. The cloud publishes no capacity, so machines count as unlimited, and only
- * the team's quota and the zones restrict such a job. Of n spread tasks at most half, rounded up,
- * may be in one zone: two or more tasks need a second zone, and two zones always suffice. So spread
- * tasks can never run together if they are bound to one zone: by {@code oneZone}, by {@code zone},
- * or because no other zone has a type that they fit. A single task may be both in one zone and
- * spread.
+ * <p>All tasks of a gang run at once, and so do all replicas of a service, so it has to be possible
+ * to hold all of them together. The cloud publishes no capacity, so machines count as unlimited,
+ * and only the team's quota and the zones restrict such a job. Of n spread tasks at most half,
+ * rounded up, may be in one zone: two or more tasks need a second zone, and two zones always
+ * suffice. So spread tasks can never run together if they are bound to one zone: by {@code
+ * oneZone}, by {@code zone}, or because no other zone has a type that they fit. A single task may
+ * be both in one zone and spread.
  *
- * <p>Tasks of an array need not run together, and only those held at the same time are spread: one
+ * <p>Tasks of an array need not run together, and only tasks held at the same time are spread: one
  * half may run after the other in the same zone. So room for one task is enough.
  */
 public final class Eligibility {
   private Eligibility() {}
 
   /**
-   * Why the job can never run on machines of these types, or null; {@code team} null if there is no
-   * such team.
+   * Returns why the job can never run on machines of these types, or null if it might run. {@code
+   * team} is null if there is no such team.
    */
   public static String rejectionReason(JobSpec spec, Collection<MachineType> types, Team team) {
     if (team == null) {
@@ -37,7 +37,7 @@
         : "more than the team's limit";
   }
 
-  /** The same apart from the team's quota. */
+  /** Returns the same as {@link #rejectionReason} without a check of the team's quota. */
   static String noPlacementReason(JobSpec spec, Collection<MachineType> types) {
     Set<String> zones = new HashSet<>();
     for (MachineType type : types) {
@@ -54,7 +54,7 @@
         : null;
   }
 
-  /** Tasks that have to be held at the same time. */
+  /** Returns the number of tasks that have to be held at the same time. */
   private static int concurrentTasks(JobSpec spec) {
     return spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
   }
--- a/src/main/java/org/astershift/scheduler/FreeCapacity.java
+++ b/src/main/java/org/astershift/scheduler/FreeCapacity.java
@@ -1,8 +1,11 @@
 package org.astershift.scheduler;
 
-/** Room for tasks on one machine. All fits go by it, so that they agree on the tolerance. */
+/**
+ * Room for tasks on one machine. Preemption and scale-out plans decide by this class whether a task
+ * fits, so that they apply the same tolerance.
+ */
 class FreeCapacity {
-  /** Sums of fractions drift: a need that exceeds the room by no more than this still fits. */
+  /** Sums of fractions drift, so a need that exceeds the room by no more than this still fits. */
   private static final double TOLERANCE = 1e-6;
 
   private double cpus;
@@ -26,7 +29,7 @@
     memoryGb += other.memoryGb;
   }
 
-  /** Adds what the machine has free, without what is reserved on it. */
+  /** Adds the capacity that is free on the machine and not reserved. */
   final void addFree(Machine machine) {
     tasks += machine.freeTaskSlots();
     cpus += machine.freeCpus();
@@ -42,7 +45,7 @@
     memoryGb += spec.memoryGb();
   }
 
-  /** Takes the room of one task. */
+  /** Subtracts the room of one task. */
   final void remove(JobSpec spec) {
     cpus -= spec.cpus();
     gpus -= spec.gpus();
@@ -50,12 +53,12 @@
     tasks--;
   }
 
-  /** Whether one task finds room here. */
+  /** Returns whether one task fits. */
   final boolean hasRoomFor(JobSpec spec) {
     return fits(spec, tasks, cpus, gpus, memoryGb);
   }
 
-  /** Whether one task finds room here together with what the machine has free. */
+  /** Returns whether one task fits into this capacity and what is free on the machine combined. */
   final boolean hasRoomCombinedWith(Machine machine, JobSpec spec) {
     return fits(
         spec,
@@ -73,7 +76,7 @@
         && freeMemoryGb + TOLERANCE >= spec.memoryGb();
   }
 
-  /** How many tasks like this find room, at most {@code limit}. */
+  /** Returns how many such tasks fit, at most {@code limit}. */
   final int fitCount(JobSpec spec, int limit) {
     if (!hasRoomFor(spec)) {
       return 0;
--- a/src/main/java/org/astershift/scheduler/GangScheduler.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -11,40 +11,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Places gangs: all tasks in one pass or none; and replaces tasks lost before the gang started. The
- * first gang that has waited for too long has what becomes free in a zone reserved for it:
- * otherwise smaller ones take each machine, and a large gang waits for ever.
+ * Places gangs: all tasks of a gang in one pass, or none. Also replaces tasks that were lost before
+ * their gang started. For the first gang that has waited for too long, the room that becomes free
+ * in one zone is reserved: otherwise smaller gangs would take each machine, and a large gang would
+ * wait indefinitely.
  */
 final class GangScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(GangScheduler.class);
 
-  /** Seconds in which a gang without a start objective should start. */
+  /** Start objective of a gang whose class has none, in seconds. */
   private static final double GANG_START_OBJECTIVE_S = 150;
 
-  /** Times its start objective after which free room is reserved for a gang that lacks some. */
+  /**
+   * Multiple of its start objective after which free room is reserved for a gang that lacks room.
+   */
   private static final double GANG_RESERVATION_OBJECTIVE_FACTOR = 2;
 
   private final ClusterState cluster;
   private final PlacementRules rules;
 
-  /** Machines among which all tasks of a gang have to find room: one zone's, or all. */
+  /**
+   * The machines among which all tasks of a gang have to find room: those of one zone, or all
+   * machines.
+   */
   private static final class PlacementDomain {
-    /** With room now, and with the image where that counts. */
+    /** Machines with room now where the image is cached, is being fetched or may be fetched. */
     final List<Machine> candidates = new ArrayList<>();
 
-    /** With room now. */
+    /** All machines with room now. */
     final List<Machine> freeMachines = new ArrayList<>();
 
-    /** Tasks that the candidates can take. */
+    /** Number of tasks that the candidates can take now. */
     int taskRoom;
 
-    /** Tasks that all machines here could take if they were empty. */
+    /** Number of tasks that all machines of the domain could take if they were empty. */
     int taskCapacity;
   }
 
-  /** Machines for a gang's tasks, by task index, and how many of these find their image there. */
+  /**
+   * Machines for a gang's tasks, by task index, with the number of tasks whose image is cached on
+   * their machine and the number of tasks that the domain has room for.
+   */
   private record Assignment(Map<Integer, Machine> machines, int imageHits, int domainRoom) {
-    /** Most images first, and then least room left over. */
+    /** Prefers more image hits, and then the domain with less room left over. */
     boolean betterThan(Assignment other) {
       return other == null
           || imageHits > other.imageHits
@@ -57,7 +66,10 @@
     this.rules = rules;
   }
 
-  /** Places the gangs among these jobs, in their order. */
+  /**
+   * Places the gangs among these jobs, in the order of the jobs; reserves room for the first
+   * starved gang that lacks room.
+   */
   void place(List<Job> jobs, List<Machine> usable, long nowMs) {
     boolean roomReserved = false;
     for (Job job : jobs) {
@@ -74,7 +86,10 @@
     }
   }
 
-  /** The same for gangs of a starved group: the first that finds no room has some reserved. */
+  /**
+   * Places the gangs of a starved group until it holds its minimum share; reserves room for the
+   * first gang that lacks room.
+   */
   void placeStarved(ShareGroup group, List<Machine> usable, long nowMs) {
     for (Job job : group.agedJobs()) {
       if (!group.isStarved()) {
@@ -92,7 +107,7 @@
     }
   }
 
-  /** Places this gang if it finds room now; reserves nothing. */
+  /** Places this gang if there is room for it now; reserves nothing. */
   void placeIfRoom(Job job, List<Machine> usable, long nowMs) {
     if (mayStart(job) && isWithinTeamLimit(job)) {
       place(job, findPlacementDomains(job, usable, nowMs).values(), nowMs);
@@ -105,7 +120,10 @@
         && !earlierAttemptRemains(job);
   }
 
-  /** The old attempt has to be gone everywhere before the next one starts. */
+  /**
+   * Returns whether an earlier attempt of the gang is still held: it has to be gone from all
+   * machines before the next attempt starts.
+   */
   private static boolean earlierAttemptRemains(Job job) {
     return !job.attempts.isEmpty() && (job.gangAttemptClosed() || hasStoppingTask(job));
   }
@@ -119,7 +137,11 @@
     return false;
   }
 
-  /** Reserved room costs others their objectives, so it begins late; but no gang waits for ever. */
+  /**
+   * Returns whether the gang has waited long enough for a reservation. Reserved room makes other
+   * jobs miss their objectives, so the reservation begins late, but early enough that no gang waits
+   * indefinitely.
+   */
   private static boolean isStarved(Job job, long nowMs) {
     double objectiveS = job.startObjectiveS == null ? GANG_START_OBJECTIVE_S : job.startObjectiveS;
     return nowMs - job.submittedMs >= objectiveS * 1000 * GANG_RESERVATION_OBJECTIVE_FACTOR;
@@ -129,7 +151,10 @@
     return cluster.teamQuotaAllows(job, job.waitingCount());
   }
 
-  /** By zone for a gang that has to be in one, else one domain under the empty name. */
+  /**
+   * Returns the placement domains by zone if the gang has to run in one zone, else a single domain
+   * under the empty name.
+   */
   private Map<String, PlacementDomain> findPlacementDomains(
       Job job, List<Machine> usable, long nowMs) {
     Map<String, PlacementDomain> domains = new LinkedHashMap<>();
@@ -157,7 +182,10 @@
     return domains;
   }
 
-  /** Places all tasks in the best domain; false if none has room for all of them. */
+  /**
+   * Places all waiting tasks in the best domain; returns false if no domain has room for all of
+   * them.
+   */
   private boolean place(Job job, Collection<PlacementDomain> domains, long nowMs) {
     Assignment best = bestAssignment(job, domains);
     if (best == null) {
@@ -191,7 +219,10 @@
     return best;
   }
 
-  /** Assigns as many waiting tasks as spread, quota and earlier attempts allow. */
+  /**
+   * Assigns as many waiting tasks as the spread limit, the team's quota and earlier attempts on the
+   * machines allow.
+   */
   private Assignment assignTasks(Job job, PlacementDomain domain) {
     String image = job.spec.image();
     domain.candidates.sort(Comparator.comparingDouble(machine -> -machine.imageLocality(image)));
@@ -222,7 +253,10 @@
         || job.attemptsInZone(zone) + assignedByZone.getOrDefault(zone, 0) < job.spec.spreadLimit();
   }
 
-  /** Reserves for this gang what is free in one zone; false if no zone could ever hold it. */
+  /**
+   * Reserves the free room of one zone for this gang; returns false if no zone could hold the gang
+   * even with all machines empty.
+   */
   private static boolean reserveRoom(Job job, Map<String, PlacementDomain> domains, long nowMs) {
     String zone = zoneToReserve(job, domains);
     if (zone == null) {
@@ -230,7 +264,7 @@
     }
     if (!zone.equals(job.reservedZone)) {
       LOG.info(
-          "gang lacks room, free machines are reserved: job={} tasks={} zone={}",
+          "gang lacks room, reserving free machines: job={} tasks={} zone={}",
           job.spec.id(),
           job.spec.tasks(),
           zone.isEmpty() ? "any" : zone);
@@ -243,7 +277,10 @@
     return true;
   }
 
-  /** The zone reserved so far if it can still hold the gang, else that with most free machines. */
+  /**
+   * Returns the zone reserved so far if it can still hold the gang, else the zone with the most
+   * free machines among those that can; null if none can.
+   */
   private static String zoneToReserve(Job job, Map<String, PlacementDomain> domains) {
     String best = null;
     int bestFreeMachines = 0;
--- a/src/main/java/org/astershift/scheduler/IdleMachines.java
+++ b/src/main/java/org/astershift/scheduler/IdleMachines.java
@@ -8,48 +8,59 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which idle machines are needless: for how long one is kept, and which are surplus at once. */
+/**
+ * Decides which idle machines may be released: those idle for too long, and those that are surplus.
+ */
 final class IdleMachines {
-  /** Milliseconds that a machine is kept idle even if it is surplus. */
+  /** Time for which an idle machine is kept even if it is surplus, in milliseconds. */
   private static final long IDLE_MIN_MS = 10_000;
 
-  /** Share of the fleet's price that idle machines may cost beyond those likely to be reused. */
+  /**
+   * Share of the fleet's hourly price that idle machines may cost beyond those likely to be reused.
+   */
   private static final double IDLE_COST_SHARE = 0.015;
 
-  /** An idle machine is kept for at least this many times its type's boot time. */
+  /** Multiple of its type's boot time for which an idle machine is kept at least. */
   private static final double IDLE_BOOT_FACTOR = 1.7;
 
-  /** Idle spot machines are kept this many times longer: what replaces them may be on demand. */
+  /**
+   * Factor by which idle spot machines are kept longer, since their replacements may be on-demand
+   * machines.
+   */
   private static final double IDLE_SPOT_FACTOR = 2;
 
   private final ClusterState cluster;
 
-  /** By type, the fewest machines that were idle lately. */
+  /** Minimum number of idle machines over a sliding window, by machine type. */
   private final Map<String, SlidingWindowMinimum> minimumIdle = new HashMap<>();
 
   IdleMachines(ClusterState cluster) {
     this.cluster = cluster;
   }
 
-  /** Whether an idle machine has been so for longer than a replacement takes to come. */
+  /**
+   * Returns whether the machine has been idle beyond its timeout, which is no shorter than a
+   * replacement takes to become available.
+   */
   boolean isIdleTooLong(Machine machine, long nowMs) {
     return nowMs - machine.idleSinceMs > idleTimeoutMs(machine);
   }
 
   private double idleTimeoutMs(Machine machine) {
-    double bootS = machine.type == null ? 0 : machine.type.bootS() * IDLE_BOOT_FACTOR;
-    double keepS = Math.max(cluster.policy.idleReleaseS(), bootS);
+    double replacementS = machine.type == null ? 0 : machine.type.bootS() * IDLE_BOOT_FACTOR;
+    double keepS = Math.max(cluster.policy.idleReleaseS(), replacementS);
     return keepS * (machine.spot ? IDLE_SPOT_FACTOR : 1) * 1000;
   }
 
   /**
-   * Idle machines that will not be wanted for longer than a new one takes to come. If machines of a
-   * type are reused from idleness at some rate, the tenth idle one waits for ten of them: after a
-   * queue has drained, all go at once. Tasks of seconds reuse each idle machine many times over, so
-   * as many are surplus as were idle at every moment of that time. The cheap ones among them may
-   * stay as long as all together cost little beside the fleet.
+   * Returns the idle machines that will probably not be needed within the time that a replacement
+   * takes to become available. If idle machines of a type are reused at some rate, the tenth idle
+   * machine waits for ten reuses, so once a queue has drained all idle machines are released
+   * together. Tasks that run for seconds reuse each idle machine many times, so at least as many
+   * machines are surplus as were idle throughout that time. The cheapest surplus machines are kept
+   * as long as their total price is small compared with that of the fleet.
    *
-   * <p>To be called at each plan: it samples how many machines are idle.
+   * <p>Has to be called at each plan, since it samples the number of idle machines.
    */
   Set<Machine> surplus(long nowMs) {
     Map<String, List<Machine>> idleByType = new HashMap<>();
@@ -70,7 +81,10 @@
     return releasable;
   }
 
-  /** Collects the idle machines of each live type; returns what surplus ones may cost an hour. */
+  /**
+   * Collects the idle machines by type, for types with live machines; returns the hourly price up
+   * to which surplus machines may be kept.
+   */
   private double collectIdle(Map<String, List<Machine>> idleByType) {
     double costAllowance = 0;
     for (Machine machine : cluster.allMachines()) {
@@ -86,11 +100,14 @@
     return costAllowance;
   }
 
-  /** On-demand machines first, and those that have been idle for longest. */
+  /**
+   * Returns the surplus machines of one type: on-demand machines before spot machines, and those
+   * that have been idle for longest first.
+   */
   private List<Machine> surplusOfType(String typeName, List<Machine> idle, long nowMs) {
     MachineType type = cluster.machineTypes.all().get(typeName);
-    double bootsS = type.bootS() * IDLE_BOOT_FACTOR;
-    long windowMs = (long) (1000 * Math.max(cluster.policy.idleReleaseS(), bootsS));
+    double replacementS = type.bootS() * IDLE_BOOT_FACTOR;
+    long windowMs = (long) (1000 * Math.max(cluster.policy.idleReleaseS(), replacementS));
     int leastIdle =
         minimumIdle
             .computeIfAbsent(typeName, t -> new SlidingWindowMinimum())
@@ -98,7 +115,7 @@
     idle.sort(
         Comparator.comparing((Machine machine) -> machine.spot)
             .thenComparingLong(machine -> machine.idleSinceMs));
-    double expectedReuse = cluster.reuseRatePerS(typeName, nowMs) * bootsS;
+    double expectedReuse = cluster.reuseRatePerS(typeName, nowMs) * replacementS;
     int surplusCount =
         Math.max(leastIdle, idle.size() - (int) Math.min(expectedReuse, idle.size()));
     return idle.subList(0, surplusCount);
--- a/src/main/java/org/astershift/scheduler/ImageCache.java
+++ b/src/main/java/org/astershift/scheduler/ImageCache.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /**
- * The images believed to be cached on one machine, and those its tasks use. Workers do not report
- * their cache, so it is modelled: the least recently used image goes first.
+ * The images that are assumed to be cached on one machine, and those that its tasks use. Workers do
+ * not report their cache, so it is modelled: the least recently used image is evicted first.
  */
 final class ImageCache {
-  /** Locality of an image that a task there uses, and that may still be being fetched. */
+  /** Locality of an image that a task on the machine uses and that may still be being fetched. */
   private static final double FETCHING_LOCALITY = 0.5;
 
-  /** Sizes in GB by image, the least recently used first. */
+  /** Sizes in GB by image, the least recently used image first. */
   private final LinkedHashMap<String, Double> sizeGbByImage = new LinkedHashMap<>(16, 0.75f, true);
 
   private final Map<String, Integer> attemptsByImage = new HashMap<>();
 
-  /** One task with the image more, or fewer where {@code delta} is -1. */
+  /** Changes the number of tasks on the machine that use the image by {@code delta}. */
   void addAttempts(String image, int delta) {
     attemptsByImage.merge(image, delta, (a, b) -> a + b == 0 ? null : a + b);
   }
@@ -27,7 +27,7 @@
     return sizeGbByImage.containsKey(image);
   }
 
-  /** 1 if the image is cached, less if it may be being fetched, 0 otherwise. */
+  /** Returns 1 if the image is cached, less if it may be being fetched, 0 otherwise. */
   double locality(String image) {
     if (contains(image)) {
       return 1;
@@ -35,7 +35,10 @@
     return attemptsByImage.containsKey(image) ? FETCHING_LOCALITY : 0;
   }
 
-  /** A task has used the image; others go where {@code type}, if known, has no room for all. */
+  /**
+   * Records that a task has used the image, and evicts the least recently used images for which the
+   * cache of {@code type} has no room; evicts none if {@code type} is null.
+   */
   void touch(String image, double sizeGb, MachineType type) {
     sizeGbByImage.put(image, sizeGb);
     if (type == null) {
@@ -52,7 +55,7 @@
     }
   }
 
-  /** The machine has restarted: its cache is empty. */
+  /** Empties the cache, as a restart of the machine does. */
   void clear() {
     sizeGbByImage.clear();
   }
--- a/src/main/java/org/astershift/scheduler/MachineFiller.java
+++ b/src/main/java/org/astershift/scheduler/MachineFiller.java
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Offers each machine to the jobs in their order. {@code starvedGroup}: the group whose minimum
-   * share the jobs are served for, and only until it is reached; null for the regular order.
+   * Offers each machine to the jobs in their order. {@code starvedGroup} is the group whose minimum
+   * share the jobs are served for, until it holds that share; null in the regular order.
    */
   void fillAll(
       List<Machine> candidates,
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Whether the room is kept from a job without objectives, since work with objectives waits that
-   * may become able to use it.
+   * Returns whether the room is withheld from a job without objectives, because work with
+   * objectives is waiting that may become able to use it.
    */
   private boolean isDeferred(Machine machine, Job job, long nowMs) {
     return job.bestEffort
@@ -93,7 +93,10 @@
         && !deferrals.tryAdmit(job, nowMs);
   }
 
-  /** Tasks for which preemption makes room elsewhere are placed early only beside their image. */
+  /**
+   * Returns whether the job has a task for a machine of this image locality. Tasks for which
+   * preemption is making room take another machine only if it has their image cached.
+   */
   private static boolean hasTaskToPlace(Job job, double locality) {
     return locality == 1 || job.waitingCount() > job.tasksAwaitingPreemption;
   }
@@ -106,7 +109,10 @@
         && rules.hasRoomFor(machine, job);
   }
 
-  /** Below the utilization threshold, or once the job has waited long enough. */
+  /**
+   * Returns whether a task may take a machine without its image: utilization is below the
+   * threshold, or the job is past its waiting age.
+   */
   private boolean mayFetchImage(Machine machine, Job job, long nowMs) {
     return rules.isPastWaitingAge(job, nowMs)
         || cluster.utilization.of(machine) < cluster.policy.utilizationThreshold();
--- a/src/main/java/org/astershift/scheduler/MachineResources.java
+++ b/src/main/java/org/astershift/scheduler/MachineResources.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** Sums of what the held tasks of one machine use. */
+/** Sums of the resources that the tasks held by one machine use. */
 final class MachineResources {
   private double usedCpus;
   private double usedGpus;
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Sums of fractions drift: an empty machine has exactly nothing in use. */
+  /** Resets the sums: sums of fractions drift, and an empty machine uses exactly nothing. */
   private void clear() {
     usedCpus = 0;
     usedGpus = 0;
@@ -48,17 +48,17 @@
     return usedMemoryGb;
   }
 
-  /** Processors of service replicas. */
+  /** Returns the processors that service replicas use. */
   double replicaCpus() {
     return replicaCpus;
   }
 
-  /** Processors of tasks without accelerators. */
+  /** Returns the processors that tasks without accelerators use. */
   double nonGpuCpus() {
     return nonGpuCpus;
   }
 
-  /** Memory of tasks without accelerators. */
+  /** Returns the memory in GB that tasks without accelerators use. */
   double nonGpuMemoryGb() {
     return nonGpuMemoryGb;
   }
--- a/src/main/java/org/astershift/scheduler/MachineType.java
+++ b/src/main/java/org/astershift/scheduler/MachineType.java
@@ -15,17 +15,18 @@
     double bootS,
     List<String> zones) {
   /**
-   * Tasks on one machine, however small. A heartbeat names them all, exited ones too, in a body of
-   * limited size: a machine whose heartbeats are rejected loses its lease and all of its tasks.
+   * Maximum number of tasks on one machine, however small they are. A heartbeat lists all of them,
+   * including exited ones, in a body of limited size: a machine whose heartbeats are rejected loses
+   * its lease and all of its tasks.
    */
   static final int MAX_TASKS_PER_MACHINE = 400;
 
-  /** Price per hour as a spot or a regular instance. */
+  /** Returns the price per hour as a spot or an on-demand machine. */
   public double hourlyPrice(boolean spot) {
     return spot ? spotHourlyPrice : hourlyPrice;
   }
 
-  /** How many such tasks an empty machine can take. */
+  /** Returns how many such tasks an empty machine can hold. */
   public int capacity(JobSpec spec) {
     double count = MAX_TASKS_PER_MACHINE;
     count = spec.cpus() > 0 ? Math.min(count, cpus / spec.cpus()) : count;
--- a/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
+++ b/src/main/java/org/astershift/scheduler/MachineTypeCatalog.java
@@ -15,7 +15,7 @@
   private Map<String, MachineType> types = Map.of();
   private final Map<String, UnusedCapacity> unusedByAcceleratorJobs = new HashMap<>();
 
-  /** What jobs that need accelerators leave of a machine type, at the least. */
+  /** The least capacity of a machine type that jobs with accelerators leave unused. */
   private static final class UnusedCapacity {
     private double cpus;
     private double memoryGb;
@@ -32,18 +32,20 @@
     }
   }
 
-  /** All types, by name. */
+  /** Returns all types, by name. */
   Map<String, MachineType> all() {
     return types;
   }
 
-  /** Replaces the types; {@link #resolveTypes} is to be called again for all jobs. */
+  /** Replaces the types; the caller then has to call {@link #resolveTypes} again for all jobs. */
   void update(Map<String, MachineType> newTypes) {
     types = newTypes;
     unusedByAcceleratorJobs.clear();
   }
 
-  /** Sets the types that the job may use, and those that it may backfill. */
+  /**
+   * Sets the types that the job may use, those that it may backfill, and its placement constraints.
+   */
   void resolveTypes(Job job) {
     JobSpec spec = job.spec;
     job.usableTypes = usableTypes(spec);
@@ -70,9 +72,9 @@
   }
 
   /**
-   * Whether a task without accelerators fits into what jobs with accelerators cannot use anyway, so
-   * that it never keeps one of them from the machine. Only while one is there: an idle machine with
-   * accelerators should be released.
+   * Returns whether a task without accelerators fits into the capacity that jobs with accelerators
+   * cannot use anyway, so that it never keeps such a job from the machine. True only while
+   * accelerators are in use there: an idle machine with accelerators should be released.
    */
   boolean canBackfill(Machine machine, Job job) {
     UnusedCapacity unused = unusedByAcceleratorJobs.get(machine.typeName);
@@ -83,7 +85,7 @@
         && machine.nonGpuMemoryGb() + job.spec.memoryGb() <= unused.memoryGb + TOLERANCE;
   }
 
-  /** Zones in which the cloud has machines. */
+  /** Returns the zones in which the cloud offers machines. */
   Set<String> zones() {
     Set<String> zones = new TreeSet<>();
     for (MachineType type : types.values()) {
@@ -92,7 +94,10 @@
     return zones;
   }
 
-  /** Types that the job may use; those with accelerators only if it needs them. */
+  /**
+   * Returns the types that the job may use; types with accelerators only if the job needs
+   * accelerators or other types do not suffice.
+   */
   private Set<String> usableTypes(JobSpec spec) {
     Set<String> fitting = new LinkedHashSet<>();
     List<MachineType> withoutAccelerators = new ArrayList<>();
@@ -104,7 +109,7 @@
         }
       }
     }
-    // A job without accelerators stays off machines with them where others suffice.
+    // A job without accelerators stays off machines with accelerators where other types suffice.
     if (spec.gpus() == 0 && Eligibility.noPlacementReason(spec, withoutAccelerators) == null) {
       fitting.retainAll(withoutAccelerators.stream().map(MachineType::name).toList());
     }
--- a/src/main/java/org/astershift/scheduler/MinimumRequirements.java
+++ b/src/main/java/org/astershift/scheduler/MinimumRequirements.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The least that any waiting task of some jobs needs, and the machine types that any may use: a
- * machine without even that is skipped without a check of each job.
+ * The minimum resources that any waiting task of some jobs needs, and the machine types that any of
+ * them may use: a machine that offers less is skipped without a check of each job.
  */
 final class MinimumRequirements {
   private final Set<String> types = new HashSet<>();
@@ -26,7 +26,10 @@
     }
   }
 
-  /** Whether one of the jobs may find room there; false only if certainly none does. */
+  /**
+   * Returns whether one of the jobs may find room on the machine; false only if certainly none
+   * does.
+   */
   boolean isSatisfiedBy(Machine machine) {
     return machine.fits(cpus, gpus, memoryGb) && types.contains(machine.typeName);
   }
--- a/src/main/java/org/astershift/scheduler/MinimumShare.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShare.java
@@ -11,35 +11,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The minimum that each class of each team is served, whatever its priority. Priorities are served
- * one after the other, so without it a long burst of urgent work starves the classes below for as
- * long as it lasts. A class whose jobs wait beyond an age, too many for those finished, while it
- * holds less than a small share of the machines that it can use, is served before all but the first
- * priority, the oldest job first, until it holds that share; and what it holds up to there is not
- * preempted.
+ * Serves each job class of each team (a {@link ShareGroup}) a minimum share, whatever its priority.
+ * Priorities are served one after the other, so without the minimum a long burst of urgent work
+ * would starve the lower priorities for as long as it lasts. A group is starved if its jobs wait
+ * beyond an age, too many of them compared with those finished, while the group holds less than a
+ * small share of the machines that it can use. A starved group is served before all priorities but
+ * the first, the oldest job first, until it holds that share; and only the first priority preempts
+ * what it holds up to that share.
  */
 final class MinimumShare {
   private static final Logger LOG = LoggerFactory.getLogger(MinimumShare.class);
 
   /**
-   * Seconds of waiting after which a job counts for its group's minimum share, or its start
-   * objective if that is longer.
+   * Waiting time after which a job counts for its group's minimum share, in seconds. A longer start
+   * objective replaces it.
    */
   private static final double SERVICE_AGE_S = 120;
 
   /**
-   * Seconds after which a job's waiting tasks go first, up to the share. All tasks have to begin
-   * within 240 s, of which a boot of 50 s and an image fetch are left.
+   * Age after which a job's waiting tasks are served first, up to the share, in seconds. All tasks
+   * have to start within 240 s, and the difference is left for a boot of 50 s and an image fetch.
    */
   private static final double OVERDUE_AGE_S = 150;
 
-  /** Share of the machines it can use that such a class is to hold. */
+  /** Share of the machines it can use that a class in need of service is to hold. */
   private static final double SHARE_PER_CLASS = 0.1;
 
-  /** Share that all such classes together are to hold. */
+  /** Share that all classes in need of service are to hold together. */
   private static final double SHARE_ALL_CLASSES = 0.3;
 
-  /** Times its minimum up to which a group is not preempted: gangs exceed the minimum at once. */
+  /**
+   * Multiple of its minimum up to which a group is not preempted; greater than one, since a gang
+   * exceeds the minimum at once.
+   */
   private static final double PROTECTION_FACTOR = 1.5;
 
   private final ClusterState cluster;
@@ -51,7 +55,7 @@
     this.cluster = cluster;
   }
 
-  /** The group that a new job belongs to. */
+  /** Returns the group that a new job belongs to; creates the group if necessary. */
   ShareGroup groupOf(JobSpec spec) {
     boolean accelerated = spec.gpus() > 0;
     String suffix = accelerated ? " (accelerated)" : "";
@@ -64,7 +68,10 @@
                 accelerated));
   }
 
-  /** Whether the job waits, or waited, for longer than its class should without being served. */
+  /**
+   * Returns whether the job was submitted longer ago than jobs of its class should wait without
+   * being served; always false for services.
+   */
   static boolean isPastServiceAge(Job job, long nowMs) {
     double ageS = SERVICE_AGE_S;
     ageS = job.startObjectiveS == null ? ageS : Math.max(ageS, job.startObjectiveS);
@@ -72,14 +79,17 @@
   }
 
   /**
-   * Whether its tasks have to start now whatever else is urgent. The largest jobs of a class that
-   * is served well are postponed for as long as others can be in time, but not beyond this age.
+   * Returns whether the job's tasks have to start now, whatever else is urgent. The largest jobs of
+   * a class that is served well are postponed for as long as others can be on time, but not beyond
+   * this age.
    */
   static boolean isOverdue(Job job, long nowMs) {
     return job.spec.kind() != JobKind.SERVICE && nowMs - job.submittedMs >= OVERDUE_AGE_S * 1000;
   }
 
-  /** Whether the job's tasks belong to its group's minimum, which is not preempted. */
+  /**
+   * Returns whether the job's tasks belong to its group's minimum share, which is not preempted.
+   */
   static boolean isProtected(Job job, long nowMs) {
     ShareGroup group = job.shareGroup;
     return group != null
@@ -87,7 +97,7 @@
         && isPastServiceAge(job, nowMs);
   }
 
-  /** Recomputes all groups; {@code startable}: the jobs with tasks that may be placed now. */
+  /** Recomputes all groups; {@code startable} are the jobs with tasks that may be placed now. */
   void refresh(List<Job> startable, long nowMs) {
     starvedGroups.clear();
     for (ShareGroup group : groups.values()) {
@@ -119,8 +129,8 @@
   private void findStarved(int groupsToServe, long nowMs) {
     double classShare = Math.min(SHARE_PER_CLASS, SHARE_ALL_CLASSES / Math.max(1, groupsToServe));
     for (ShareGroup group : groups.values()) {
-      // One minimum for all teams of a class: with one each, classes that are served well in sum
-      // would have late jobs served before those that can still be in time.
+      // All teams of a class share one minimum. With a minimum for each team, classes that are
+      // served well in total would have late jobs served before jobs that can still be on time.
       group.setClassMinimum(
           classShare
               * (group.accelerated
@@ -140,7 +150,7 @@
     boolean starved = group.isStarved();
     if (starved && !group.starvationLogged) {
       LOG.info(
-          "{} is starved, its oldest jobs go first: waitingS={} held={} minimum={} of {}",
+          "serving starved group first: group=\"{}\" waiting_s={} held={} minimum={} unit={}",
           group.name,
           (nowMs - group.agedJobs().get(0).submittedMs) / 1000,
           Math.round(group.held()),
@@ -150,12 +160,12 @@
     group.starvationLogged = starved || (group.starvationLogged && !group.agedJobs().isEmpty());
   }
 
-  /** A job has finished. */
+  /** Counts a finished job for its group. */
   static void onJobFinished(Job job) {
     job.shareGroup.onJobFinished();
   }
 
-  /** Groups below their minimum, those that hold the least of it first. */
+  /** Returns the starved groups, those that hold the least of their minimum first. */
   List<ShareGroup> starvedGroups() {
     return starvedGroups;
   }
--- a/src/main/java/org/astershift/scheduler/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -8,10 +8,11 @@
 import java.util.Map;
 
 /**
- * Places waiting tasks on free machines by the good-cache-compute policy: for each free machine a
- * window of the queue is scored by cached image; full hits go first, then the best scores; without
- * a hit a machine takes the first tasks below the utilization threshold and stays free above it,
- * unless a task has passed its waiting age. Used by the scheduler's thread only.
+ * Places waiting tasks on free machines by the good-cache-compute policy. Tasks from a window of
+ * the queue go first to machines that have their image cached, then to machines that may be
+ * fetching it. A machine without the image takes the first tasks while utilization is below the
+ * threshold; above the threshold it stays free, unless a task has passed its waiting age. Not
+ * thread-safe: runs under the lock of the {@link Scheduler}'s caller.
  */
 final class Placement {
   private static final FillStep[] ALL_STEPS = {FillStep.CACHED, FillStep.FETCHING, FillStep.ANY};
@@ -36,7 +37,7 @@
     this.preemption = new Preemption(cluster);
   }
 
-  /** Offers all free machines to the whole window. */
+  /** Runs one pass: offers all usable machines to all jobs in the window. */
   void runPass(long nowMs) {
     cluster.recomputeUtilization();
     deferrals.beginPass();
@@ -88,7 +89,10 @@
     preemption.makeRoom(nonGangJobs, usable, false, nowMs);
   }
 
-  /** Serves the oldest jobs of a starved group up to its minimum share. */
+  /**
+   * Serves the oldest jobs of a starved group until it holds its minimum share, and reserves room
+   * for one of them if the group still holds less.
+   */
   private void placeStarved(ShareGroup group, List<Machine> usable, long nowMs) {
     gangs.placeStarved(group, usable, nowMs);
     List<Job> nonGangJobs = nonGangJobs(group.agedJobs());
@@ -105,8 +109,8 @@
   }
 
   /**
-   * Reserves one machine for the first job that finds none: small tasks take each processor that
-   * becomes free, and a large one would wait for ever.
+   * Reserves one machine for the first job that found none. Without the reservation small tasks
+   * would take each processor that becomes free, and a large task would wait indefinitely.
    */
   private void reserveRoom(List<Job> nonGangJobs, List<Machine> usable, long nowMs) {
     for (Job job : nonGangJobs) {
@@ -120,7 +124,10 @@
     }
   }
 
-  /** The machine reserved for the job so far, or else the one with most processors free. */
+  /**
+   * Returns the machine reserved for the job so far if it is still eligible, else the eligible
+   * machine with the most free processors; null if no machine is eligible.
+   */
   private static Machine machineToReserve(Job job, List<Machine> usable, long nowMs) {
     Machine best = null;
     for (Machine machine : usable) {
@@ -139,8 +146,8 @@
   }
 
   /**
-   * Admits jobs whose deferral has expired to reserved room. The work that it is kept for cannot
-   * start yet, maybe for minutes, since other tasks still run on the machine.
+   * Places jobs whose deferral has expired in reserved room. The work that the room is reserved for
+   * cannot start yet, possibly for minutes, because other tasks still run on the machine.
    */
   private void placeInReservedRoom(List<Machine> usable, long nowMs) {
     Map<Machine, Reservation> reservations = takeReservations(usable);
@@ -194,17 +201,20 @@
     }
   }
 
-  /** Fills one machine whose heartbeat has just arrived; the starts go out with its response. */
+  /**
+   * Fills one machine whose heartbeat has just arrived; the start commands go out with the
+   * heartbeat response.
+   */
   void placeOnMachine(Machine machine, long nowMs) {
     if (queue.isEmpty() || !machine.usable(nowMs)) {
       return;
     }
     if (machine.reserved()) {
-      cluster.requestPass(); // only a pass knows for which task the room is reserved
+      cluster.requestPass(); // only a pass knows which task the room is reserved for
       return;
     }
     if (!queue.hasRoomForAny(machine)) {
-      return; // most heartbeats come from full machines, and there are hundreds a second
+      return; // most heartbeats come from full machines, and hundreds arrive a second
     }
     machine.placedInPass = 0;
     List<Machine> machineOnly = List.of(machine);
@@ -235,7 +245,7 @@
     }
   }
 
-  /** Whether a gang waits that could use this machine. */
+  /** Returns whether a gang is waiting that may use machines of this machine's type. */
   boolean hasWaitingGang(Machine machine) {
     for (Job job : cluster.waitingJobs) {
       if (job.spec.kind() == JobKind.GANG && job.usableTypes.contains(machine.typeName)) {
@@ -255,7 +265,10 @@
     return nonGangJobs;
   }
 
-  /** Machines with room for any of the jobs: spot and fuller ones first, so that others empty. */
+  /**
+   * Returns the machines with room for any of the jobs: spot machines before on-demand machines,
+   * and among both the fullest first, so that the others become empty and can be released.
+   */
   private static List<Machine> machinesWithRoom(List<Machine> usable, List<Job> jobs) {
     MinimumRequirements minimum = new MinimumRequirements(jobs);
     List<Machine> candidates = new ArrayList<>();
--- a/src/main/java/org/astershift/scheduler/PlannedMachine.java
+++ b/src/main/java/org/astershift/scheduler/PlannedMachine.java
@@ -1,12 +1,12 @@
 package org.astershift.scheduler;
 
-/** Room on one machine that is live, booting or requested, as a scale-out plan fills it. */
+/** Room on one machine that is live, booting or requested; a scale-out plan fills it with tasks. */
 final class PlannedMachine extends FreeCapacity {
   final String zone;
   private final MachineType type;
   private final boolean spot;
 
-  /** An empty machine. */
+  /** Creates an empty machine. */
   PlannedMachine(MachineType type, String zone, boolean spot) {
     super(type.cpus(), type.gpus(), type.memoryGb(), MachineType.MAX_TASKS_PER_MACHINE);
     this.type = type;
@@ -14,7 +14,9 @@
     this.spot = spot;
   }
 
-  /** What is free on a machine now; what a pass reserved there counts as free. */
+  /**
+   * Creates the room that is free on a machine now; room that a pass has reserved counts as free.
+   */
   PlannedMachine(Machine machine) {
     super(
         machine.type.cpus() - machine.usedCpus(),
@@ -26,7 +28,10 @@
     this.spot = machine.spot;
   }
 
-  /** With what its array tasks will have freed at a time, by their estimates. */
+  /**
+   * Returns the room on the machine including what its array tasks will have freed by {@code atMs}
+   * according to their estimates.
+   */
   static PlannedMachine withExpectedReleases(Machine machine, long atMs) {
     PlannedMachine planned = new PlannedMachine(machine);
     for (TaskAttempt attempt : machine.attempts.values()) {
@@ -37,12 +42,12 @@
     return planned;
   }
 
-  /** How many tasks like this may and can run here, at most {@code limit}. */
+  /** Returns how many such tasks may run and fit here, at most {@code limit}. */
   int fittingTasks(JobSpec spec, int limit) {
     return allows(spec) ? fitCount(spec, limit) : 0;
   }
 
-  /** Takes one task, if it may and can run here. */
+  /** Takes the room of one task if the task may run and fits here; returns whether it did. */
   boolean take(JobSpec spec) {
     if (!hasRoomFor(spec) || !allows(spec)) {
       return false;
--- a/src/main/java/org/astershift/scheduler/PoolAvailability.java
+++ b/src/main/java/org/astershift/scheduler/PoolAvailability.java
@@ -3,9 +3,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** From which pools machines can be had now, as far as the last answers of the cloud show. */
+/**
+ * Tracks from which pools machines can be obtained now, as far as the last responses of the cloud
+ * show.
+ */
 final class PoolAvailability {
-  /** Milliseconds for which a pool that had no capacity is not asked again. */
+  /**
+   * Backoff before machines of a pool that had no capacity are requested again, in milliseconds.
+   */
   private static final long NO_CAPACITY_BACKOFF_MS = 15_000;
 
   private final ClusterState cluster;
@@ -19,12 +24,15 @@
     noCapacityUntilMs.put(pool, nowMs + NO_CAPACITY_BACKOFF_MS);
   }
 
-  /** Not refused lately, and in a zone that is reachable: in any other no machine comes up. */
+  /**
+   * Returns whether the pool was not refused recently and its zone is reachable; in any other zone
+   * no machine comes up.
+   */
   boolean isAvailable(CapacityPool pool, long nowMs) {
     return !wasRecentlyRefused(pool, nowMs) && !cluster.isZonePartitioned(pool.zone(), nowMs);
   }
 
-  /** Not refused lately, and in a partitioned zone. */
+  /** Returns whether the pool was not refused recently and its zone is partitioned. */
   boolean isAvailableInPartition(CapacityPool pool, long nowMs) {
     return !wasRecentlyRefused(pool, nowMs) && cluster.isZonePartitioned(pool.zone(), nowMs);
   }
--- a/src/main/java/org/astershift/scheduler/PoolSelector.java
+++ b/src/main/java/org/astershift/scheduler/PoolSelector.java
@@ -4,10 +4,16 @@
 
 /** Chooses the cheapest pools and zones for a demand within one scale-out plan. */
 final class PoolSelector {
-  /** Seconds over which the price of a machine's boot is spread: most live for some minutes. */
+  /**
+   * Lifetime over which the price of a machine's boot is spread, in seconds; most machines live for
+   * some minutes.
+   */
   private static final double EXPECTED_MACHINE_LIFETIME_S = 300;
 
-  /** Share of the price by which each machine of a zone makes it dearer: a tie goes elsewhere. */
+  /**
+   * Share of a machine's price that is added for each machine already in its zone, so that of zones
+   * with equal prices the one with fewer machines is chosen.
+   */
   private static final double ZONE_SPREAD_PRICE_SHARE = 0.001;
 
   private final MachineTypeCatalog types;
@@ -24,9 +30,10 @@
   }
 
   /**
-   * The cheapest machines for what is left of the demand; null if none can be had now. If no zone
-   * that is reachable has any, one machine in a partitioned zone: it shows when the zone is back,
-   * which matters to jobs that may run nowhere else.
+   * Returns a request for the cheapest machines for the remaining demand; null if no machine can be
+   * obtained now. If no reachable zone offers any, one machine in a partitioned zone is requested:
+   * that machine shows when the zone is reachable again, which matters to jobs that may run nowhere
+   * else.
    */
   Decision.ProvisionMachines cheapestRequest(Demand demand) {
     Decision.ProvisionMachines request = cheapestRequest(demand, false);
@@ -70,7 +77,10 @@
     return machines * price * (1 + ZONE_SPREAD_PRICE_SHARE * zoneLoad.machinesIn(pool.zone()));
   }
 
-  /** No more than a zone's even part, unless the job has to be in one zone. */
+  /**
+   * Returns no more than the zone's even part of the machines needed, unless the job has to be in
+   * one zone.
+   */
   private static int spreadCount(
       JobSpec spec, MachineType type, int machinesNeeded, int allowedMachines) {
     int zoneShare = Math.max(1, divideRoundingUp(machinesNeeded, type.zones().size()));
@@ -81,7 +91,11 @@
     return (dividend + divisor - 1) / divisor;
   }
 
-  /** The zone that lacks least of what the job needs, among those where the rest can be had. */
+  /**
+   * Returns the zone in which the machines that the demand still lacks cost least, among the zones
+   * where they can be obtained now. If there is none, returns any zone that may take the demand, or
+   * "" if none may.
+   */
   String cheapestZone(
       Demand demand, List<PlannedMachine> freeMachines, List<PlannedMachine> pendingMachines) {
     String best = "";
@@ -89,7 +103,7 @@
     double bestCost = Double.MAX_VALUE;
     for (String zone : types.zones()) {
       int maxTasks = demand.maxTasksIn(zone);
-      // An array that is spread as well runs there one part after the other.
+      // An array that is also spread runs in the zone one part after the other.
       boolean mayRunInParts = demand.job.spec.kind() == JobKind.ARRAY && maxTasks > 0;
       if (maxTasks < demand.remaining() && !mayRunInParts) {
         continue;
--- a/src/main/java/org/astershift/scheduler/PreemptibleWork.java
+++ b/src/main/java/org/astershift/scheduler/PreemptibleWork.java
@@ -5,21 +5,21 @@
 import java.util.List;
 
 /**
- * What a machine could give up for jobs of one priority. Found once a pass and kept in {@link
- * Machine#preemptible}: many jobs ask for it on the whole fleet, and it changes only where
- * something is placed or stopped.
+ * The attempts on one machine that may be preempted for jobs of one priority. Computed once a pass
+ * and cached in {@link Machine#preemptible}: many jobs need it for the whole fleet, and it changes
+ * only on machines where a task is placed or stopped.
  */
 final class PreemptibleWork {
   private final Priority priority;
   private final boolean forTightObjective;
 
-  /** Freed by attempts that are stopping already. */
+  /** Capacity that attempts which are stopping already will free. */
   private final FreeCapacity freedByStopping = new FreeCapacity();
 
-  /** Freed by these and if all candidates stop. */
+  /** {@link #freedByStopping}, and the capacity that all candidates would free. */
   private final FreeCapacity freedIfAllStop = new FreeCapacity();
 
-  /** Those with the least work to lose first. */
+  /** Attempts that may be preempted, those with the least work to lose first. */
   private final List<TaskAttempt> candidates = new ArrayList<>();
 
   private PreemptibleWork(Machine machine, Priority priority, boolean tightObjective, long nowMs) {
@@ -42,7 +42,10 @@
     }
   }
 
-  /** Found now, or earlier in this pass for the same priority and kind of objective. */
+  /**
+   * Returns the result for the job's priority and kind of objective: the one cached earlier in this
+   * pass, or else a new one.
+   */
   static PreemptibleWork of(Machine machine, Job job, long nowMs) {
     boolean tightObjective = job.hasTightStartObjective();
     Priority priority = job.spec.priority();
@@ -61,12 +64,15 @@
         && (priority == Priority.PRODUCTION || !MinimumShare.isProtected(job, nowMs));
   }
 
-  /** Whether there would be room for a task if all candidates stopped. */
+  /** Returns whether a task would find room if all candidates stopped. */
   boolean canMakeRoomFor(Machine machine, JobSpec spec) {
     return freedIfAllStop.hasRoomCombinedWith(machine, spec);
   }
 
-  /** What has to stop for one task, the least loss first; null if all would not be enough. */
+  /**
+   * Returns the attempts to preempt for one task, those with the least loss first: none if the task
+   * fits without, null if all candidates would not be enough.
+   */
   List<TaskAttempt> victimsFor(Machine machine, JobSpec spec) {
     FreeCapacity room = new FreeCapacity();
     room.addFree(machine);
@@ -85,7 +91,7 @@
     return null;
   }
 
-  /** Work lost if the task stops now, in processor seconds. */
+  /** Returns the work that is lost if the attempt stops now, in processor seconds. */
   static double lostCpuS(TaskAttempt attempt, long nowMs) {
     double ranS = attempt.runningSinceMs < 0 ? 0 : (nowMs - attempt.runningSinceMs) / 1000.0;
     return 1 + ranS * Math.max(attempt.job.spec.cpus(), 1);
--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -7,18 +7,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Preempts work of lower priority for tasks with objectives that found no room, first where their
- * image is cached, since a fetch may take longer than a tight objective. These tasks then wait for
- * the room made. Work without objectives makes room for any work of higher priority that has one:
- * it only fills gaps, and its long tasks would otherwise hold the machines for as long as they run.
+ * Preempts work of lower priority for tasks with objectives that found no room. Machines with the
+ * image cached come first, since a fetch may take longer than a tight start objective. The tasks
+ * then wait for the room that is being freed. Work without objectives may be preempted by any work
+ * of higher priority that has an objective: it only fills gaps, and its long tasks would otherwise
+ * hold the machines for as long as they run. Work with objectives is preempted only for a tight
+ * start objective.
  */
 final class Preemption {
   private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
 
-  /** Processor seconds of lost work that a second of image fetch is worth. */
+  /** Cost of one second of image fetch, in processor seconds of lost work. */
   private static final double IMAGE_FETCH_LOSS_CPU_S_PER_S = 10;
 
-  /** Processor seconds of lost work that it is worth to keep replicas within their share. */
+  /**
+   * Cost of placing a replica beyond the replica share of a machine, in processor seconds of lost
+   * work.
+   */
   private static final double REPLICA_CROWDING_LOSS_CPU_S = 20;
 
   private final ClusterState cluster;
@@ -27,7 +32,11 @@
     this.cluster = cluster;
   }
 
-  /** Makes room for what still waits of these jobs, in their order. */
+  /**
+   * Makes room for the tasks of these jobs that still wait, in the order of the jobs. {@code
+   * imageHitsOnly}: only on machines that have the image cached; a pass makes this call first for
+   * the same jobs.
+   */
   void makeRoom(List<Job> jobs, List<Machine> usable, boolean imageHitsOnly, long nowMs) {
     List<Machine> hosts = null;
     for (Job job : jobs) {
@@ -80,7 +89,10 @@
     return false;
   }
 
-  /** Makes room for up to {@code needed} tasks where it loses least; returns for how many. */
+  /**
+   * Makes room for up to {@code needed} tasks where the least work is lost; returns the number of
+   * tasks for which room was made.
+   */
   private int makeRoom(
       Job job, int needed, List<Machine> usable, boolean imageHitsOnly, long nowMs) {
     PriorityQueue<PreemptionChoice> choices = new PriorityQueue<>(PreemptionChoice.CHEAPEST_FIRST);
@@ -91,20 +103,23 @@
         choices.add(choice);
       }
     }
-    int roomsMade = 0;
-    while (roomsMade < needed && !choices.isEmpty()) {
+    int tasksWithRoom = 0;
+    while (tasksWithRoom < needed && !choices.isEmpty()) {
       PreemptionChoice best = choices.remove();
       reserveAndPreempt(best, job);
-      roomsMade++;
+      tasksWithRoom++;
       PreemptionChoice next = cheapestChoice(best.machine(), job, imageHitsOnly, order++, nowMs);
       if (next != null) {
         choices.add(next);
       }
     }
-    return roomsMade;
+    return tasksWithRoom;
   }
 
-  /** The cheapest way to make room for one task on this machine; null if there is none. */
+  /**
+   * Returns the cheapest way to make room for one task of the job on this machine; null if there is
+   * none.
+   */
   private PreemptionChoice cheapestChoice(
       Machine machine, Job job, boolean imageHitsOnly, int order, long nowMs) {
     cluster.candidateChecks++;
@@ -140,7 +155,7 @@
     for (TaskAttempt attempt : choice.victims()) {
       cluster.stop(attempt);
       LOG.debug(
-          "task preempted: task={} machine={} forJob={}",
+          "task preempted: task={} machine={} for_job={}",
           attempt.name(),
           machine.name,
           job.spec.id());
--- a/src/main/java/org/astershift/scheduler/PreemptionChoice.java
+++ b/src/main/java/org/astershift/scheduler/PreemptionChoice.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What to stop on one machine for one task, and the work that this loses, in processor seconds;
- * {@code order} decides between equal ones.
+ * The attempts to stop on one machine for one task. {@code lossCpuS} is the work that this loses,
+ * in processor seconds; {@code order} breaks ties between equal losses.
  */
 record PreemptionChoice(Machine machine, List<TaskAttempt> victims, double lossCpuS, int order) {
   static final Comparator<PreemptionChoice> CHEAPEST_FIRST =
--- a/src/main/java/org/astershift/scheduler/QueueWindow.java
+++ b/src/main/java/org/astershift/scheduler/QueueWindow.java
@@ -7,14 +7,16 @@
 import java.util.Map;
 
 /**
- * Selects the jobs whose tasks a pass looks at, from a sorted queue. It ends after a number of
- * tasks, of which neither those beyond their team's quota nor those alike beyond a few count.
+ * Selects the jobs that a pass considers, from the sorted queue. The window ends after a number of
+ * tasks; tasks beyond their team's quota do not count. Beyond the end of the window jobs are still
+ * added while only a few tasks with the same placement constraints came before them.
  */
 final class QueueWindow {
   /**
-   * Tasks with the same placement constraints that are looked at beyond the end, as many as one
-   * machine is given in a pass. The window may be full of what fits nowhere now, and what could
-   * start elsewhere must not wait behind it.
+   * Number of tasks with the same placement constraints below which further jobs are still added
+   * beyond the end of the window; as many as one machine is given in a pass. The window may be full
+   * of tasks that fit nowhere now, and tasks that could start on other machines must not wait
+   * behind these.
    */
   private static final int WINDOW_OVERFLOW_TASKS = 64;
 
@@ -24,7 +26,7 @@
   private final Map<Priority, List<Job>> jobsByPriority = new EnumMap<>(Priority.class);
   private final List<Job> jobs = new ArrayList<>();
 
-  /** Startable tasks seen so far, within the window or not. */
+  /** Tasks within their team's quota that were offered so far, whether in the window or not. */
   private int seenTasks;
 
   private int tasksOverQuota;
@@ -34,7 +36,10 @@
     this.remainingQuota = new RemainingQuota(cluster);
   }
 
-  /** Adds the job if it still belongs to the window; the jobs come in the queue's order. */
+  /**
+   * Adds the job if it still belongs to the window; jobs have to be offered in the order of the
+   * queue.
+   */
   void offer(Job job) {
     int startableTasks = remainingQuota.take(job, job.waitingCount());
     seenTasks += startableTasks;
@@ -57,7 +62,7 @@
     return jobsByPriority;
   }
 
-  /** In the queue's order. */
+  /** Returns the jobs of the window in the order of the queue. */
   List<Job> jobs() {
     return jobs;
   }
--- a/src/main/java/org/astershift/scheduler/QuotaUsage.java
+++ b/src/main/java/org/astershift/scheduler/QuotaUsage.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What the tasks of each team use, and what remains of the team's limit. What unobserved tasks may
- * use counts in full against every team, see {@link UnobservedUsage}.
+ * The resources that the tasks of each team use, and what remains of the team's limit. Resources
+ * that unobserved tasks may use count in full against every team, see {@link UnobservedUsage}.
  */
 final class QuotaUsage {
   private final Map<String, Team> teams;
@@ -26,12 +26,12 @@
     usage[1] += sign * spec.gpus();
   }
 
-  /** Processors and accelerators that the team's tasks use. */
+  /** Returns the processors and accelerators that the team's tasks use. */
   double[] of(String team) {
     return usageByTeam.getOrDefault(team, new double[2]);
   }
 
-  /** Whether the limit of the job's team allows this many more of its tasks. */
+  /** Returns whether the limit of the job's team allows this many more of its tasks. */
   boolean allows(JobSpec spec, int tasks) {
     Team team = teams.get(spec.team());
     if (team == null) {
@@ -43,7 +43,10 @@
         usage[1] + (spec.gpus() > 0 ? tasks * spec.gpus() + unobservedUsage.gpus() : 0));
   }
 
-  /** Processors and accelerators that the team may still take. */
+  /**
+   * Returns the processors and accelerators that the team may still take; negative if it is over
+   * its limit.
+   */
   double[] remaining(String teamName) {
     Team team = teams.get(teamName);
     if (team == null) {
--- a/src/main/java/org/astershift/scheduler/RemainingQuota.java
+++ b/src/main/java/org/astershift/scheduler/RemainingQuota.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * What each team may still take of its quota, used up by one job after the other: several jobs of a
+ * The quota that each team may still take. Jobs use it up one after the other: several jobs of a
  * team may each fit alone and not all together.
  */
 final class RemainingQuota {
@@ -12,7 +12,7 @@
   private final ClusterState cluster;
   private final Map<String, Amounts> remaining = new HashMap<>();
 
-  /** What of each team's use is expected to be released soon. */
+  /** The part of each team's usage that is expected to be released soon. */
   private final Map<String, Amounts> soonReleased = new HashMap<>();
 
   /** Processors and accelerators that a team may take. */
@@ -25,7 +25,10 @@
       this.gpus = gpus;
     }
 
-    /** Moves what is over the quota from {@code now} to here: it has to be released first. */
+    /**
+     * Moves the amount by which a team is over its quota from {@code now} to here, since it has to
+     * be released first.
+     */
     void absorbDeficit(Amounts now) {
       cpus += Math.min(0, now.cpus);
       now.cpus = Math.max(0, now.cpus);
@@ -33,7 +36,7 @@
       now.gpus = Math.max(0, now.gpus);
     }
 
-    /** Takes as many tasks as fit, at most {@code limit}; returns how many. */
+    /** Takes quota for as many tasks as fit, at most {@code limit}; returns how many. */
     int take(JobSpec spec, int limit) {
       double count = limit;
       count = spec.cpus() > 0 ? Math.min(count, cpus / spec.cpus() + TOLERANCE) : count;
@@ -49,7 +52,7 @@
     this.cluster = cluster;
   }
 
-  /** This task will soon be over, and its team may have as much again from then on. */
+  /** Records that this task will end soon, and that its team may use its resources from then on. */
   void expectRelease(TaskAttempt attempt) {
     JobSpec spec = attempt.job.spec;
     Amounts amounts = soonReleasedOf(spec.team());
@@ -57,12 +60,18 @@
     amounts.gpus += spec.gpus();
   }
 
-  /** How many of {@code limit} tasks of the job its team may have, which are taken. */
+  /**
+   * Takes quota for as many tasks of the job as its team may run, at most {@code limit}; returns
+   * how many.
+   */
   int take(Job job, int limit) {
     return remainingOf(job.spec.team()).take(job.spec, limit);
   }
 
-  /** The same with what the team will have when its tasks that are soon over are released. */
+  /**
+   * Does the same as {@link #take}, but first uses the quota that tasks of the team which end soon
+   * will release.
+   */
   int takeIncludingSoonReleased(Job job, int limit) {
     Amounts later = soonReleasedOf(job.spec.team());
     later.absorbDeficit(remainingOf(job.spec.team()));
--- a/src/main/java/org/astershift/scheduler/Reservation.java
+++ b/src/main/java/org/astershift/scheduler/Reservation.java
@@ -1,10 +1,10 @@
 package org.astershift.scheduler;
 
-/** Room of a machine that a pass reserves for tasks which do not fit yet. */
+/** Room on a machine that a pass reserves for tasks that do not fit yet. */
 record Reservation(double cpus, double gpus, double memoryGb, int tasks) {
   static final Reservation NONE = new Reservation(0, 0, 0, 0);
 
-  /** The same with room for so many tasks of this kind more. */
+  /** Returns this reservation extended by room for {@code additionalTasks} such tasks. */
   Reservation plus(JobSpec spec, int additionalTasks) {
     return new Reservation(
         cpus + additionalTasks * spec.cpus(),
--- a/src/main/java/org/astershift/scheduler/ScaleIn.java
+++ b/src/main/java/org/astershift/scheduler/ScaleIn.java
@@ -8,35 +8,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Releases machines to the cloud: idle, silent, faulty, failed or late to boot. Used by the
- * scheduler's thread only.
+ * Releases machines to the cloud that are idle, silent, faulty, failed or too slow to boot. Not
+ * thread-safe: runs under the lock of the {@link Scheduler}'s caller.
  */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  /** The cloud charges a machine for at least so many milliseconds. */
+  /** Minimum time for which the cloud charges a machine, in milliseconds. */
   private static final long MIN_CHARGE_MS = 60_000;
 
-  /** A boot this many times longer than the type's usual one is given up. */
+  /** Multiple of the type's usual boot time after which a boot is given up. */
   private static final double BOOT_TIMEOUT_FACTOR = 2.2;
 
-  /** Milliseconds on top of that: worker start and first heartbeat. */
+  /**
+   * Margin added to the boot timeout for the worker's start and first heartbeat, in milliseconds.
+   */
   private static final long BOOT_TIMEOUT_MARGIN_MS = 8000;
 
-  /** Milliseconds after which a boot is given up where the type is not known. */
+  /** Boot timeout of a machine whose type is not known, in milliseconds. */
   private static final double BOOT_TIMEOUT_UNKNOWN_TYPE_MS = 60_000;
 
-  /** The cloud takes no more names in one call. */
+  /** Maximum number of machine names that the cloud accepts in one call. */
   private static final int RELEASE_BATCH_MACHINES = 100;
 
   private final ClusterState cluster;
   private final FailureDetector failureDetector;
   private final IdleMachines idleMachines;
 
-  /** Machines that the cloud lists as failed; they are listed until they are released. */
+  /** Machines that the cloud lists as failed; it lists them until they are released. */
   private final Set<String> failedMachines = new HashSet<>();
 
-  /** Machines whose release is under way. */
+  /** Machines whose release is in flight. */
   private final Set<String> releaseRequested = new HashSet<>();
 
   ScaleIn(ClusterState cluster, FailureDetector failureDetector) {
@@ -45,12 +47,12 @@
     this.idleMachines = new IdleMachines(cluster);
   }
 
-  /** The cloud lists the machine as failed. */
+  /** Records that the cloud lists the machine as failed. */
   void onFailed(String name) {
     failedMachines.add(name);
   }
 
-  /** The cloud has confirmed the release of these. */
+  /** Removes machines whose release the cloud has confirmed. */
   void onReleased(List<String> names, long nowMs) {
     for (String name : names) {
       releaseRequested.remove(name);
@@ -59,15 +61,16 @@
     }
   }
 
-  /** A release got no answer: a later plan requests it again. */
+  /** Records that a release got no response, so that a later plan requests it again. */
   void onReleaseFailed(List<String> names) {
     releaseRequested.removeAll(names);
   }
 
   /**
-   * Adds the releases that are due. {@code leaseCertainlyHeld}: no other node can lead. Otherwise
-   * another leader may use what seems needless here, so only silent machines are released, since
-   * perhaps no other leader can do that.
+   * Adds the releases that are due. {@code leaseCertainlyHeld}: no other node can be the leader.
+   * Otherwise another leader may be using machines that seem unneeded here. Then only machines that
+   * the cloud lists as failed and silent machines are released; possibly no other leader can
+   * release the silent ones.
    */
   void plan(List<Decision> decisions, boolean leaseCertainlyHeld, long nowMs) {
     List<String> toRelease = new ArrayList<>();
@@ -106,7 +109,7 @@
     }
   }
 
-  /** Why the machine is to be released now; null if it is not. */
+  /** Returns why the machine is to be released now; null if it is not. */
   private String releaseReason(
       Machine machine, Set<Machine> surplus, boolean leaseCertainlyHeld, long nowMs) {
     if (machine.state == Machine.State.RELEASING) {
@@ -140,7 +143,10 @@
         : null;
   }
 
-  /** A quarantined machine is released once its tasks have stopped. */
+  /**
+   * Stops the tasks of a quarantined machine. Returns the reason for its release once they have
+   * stopped; null until then.
+   */
   private String quarantineReason(Machine machine) {
     for (TaskAttempt attempt : machine.heldAttempts()) {
       cluster.stop(attempt);
--- a/src/main/java/org/astershift/scheduler/ScaleOut.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOut.java
@@ -9,18 +9,18 @@
 
 /**
  * Requests machines from the cloud for the waiting tasks that neither free nor booting machines
- * cover. Used by the scheduler's thread only.
+ * cover. Not thread-safe: runs under the lock of the {@link Scheduler}'s caller.
  */
 final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
 
-  /** Machines in one request; the cloud's limit. */
+  /** Maximum number of machines in one request, which is the cloud's limit. */
   static final int PROVISION_BATCH_MACHINES = 50;
 
   private final ClusterState cluster;
   private final PoolAvailability availability;
 
-  /** Calls to the cloud that are under way, by request. */
+  /** Calls to the cloud that are in flight, by request ID. */
   private final Map<String, Decision.ProvisionMachines> pendingRequests = new LinkedHashMap<>();
 
   private boolean planDue;
@@ -30,29 +30,32 @@
     this.availability = new PoolAvailability(cluster);
   }
 
-  /** The call to the cloud is under way. */
+  /** Records that the call to the cloud is in flight. */
   void onRequested(String requestId, Decision.ProvisionMachines request) {
     pendingRequests.put(requestId, request);
   }
 
-  /** The call to the cloud has ended, in whatever way. */
+  /** Records that the call to the cloud has ended, whatever its result. */
   void onSettled(String requestId) {
     planDue |= pendingRequests.remove(requestId) != null;
   }
 
-  /** The cloud gave fewer machines than requested. */
+  /** Records that the cloud provided fewer machines than requested. */
   void onNoCapacity(Decision.ProvisionMachines request, long nowMs) {
     availability.onNoCapacity(CapacityPool.of(request), nowMs);
   }
 
-  /** Whether a call to the cloud has ended since the last plan, so that the next may go out. */
+  /**
+   * Returns whether a call to the cloud has ended since the last plan, so that another call may go
+   * out.
+   */
   boolean planDue() {
     return planDue;
   }
 
   /**
-   * Adds the requests that are due. Calls to the cloud are few: while some are under way, demand
-   * gathers, and then each call asks for as many machines as it may.
+   * Adds the requests that are due. Only a few calls to the cloud may be in flight at a time; while
+   * they are, demand accumulates, and the next calls ask for as many machines as they may.
    */
   void plan(List<Decision> decisions, long nowMs) {
     planDue = false;
--- a/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
@@ -7,9 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** One plan of scale-out: which machines the waiting jobs lack, the most urgent job first. */
+/**
+ * One scale-out plan: determines which machines the waiting jobs lack, the most urgent job first.
+ */
 final class ScaleOutPlan {
-  /** Pools that one plan may request machines of for one job. */
+  /** Maximum number of pools from which one plan requests machines for one job. */
   private static final int POOLS_PER_JOB = 20;
 
   private final ClusterState cluster;
@@ -17,7 +19,7 @@
   private final PoolSelector selector;
   private final long nowMs;
 
-  /** When the fastest machine requested now would be up. */
+  /** When the fastest-booting machine would be up if it were requested now. */
   private final long earliestReadyMs;
 
   private final ZoneLoad zoneLoad = new ZoneLoad();
@@ -25,7 +27,9 @@
   private final List<PlannedMachine> pendingMachines = new ArrayList<>();
   private final List<PlannedMachine> freeMachines = new ArrayList<>();
 
-  /** The free machines, with the room that tasks leave by {@link #earliestReadyMs}. */
+  /**
+   * The free machines, including the room that tasks will have left by {@link #earliestReadyMs}.
+   */
   private final List<PlannedMachine> soonFreeMachines = new ArrayList<>();
 
   private final Map<CapacityPool, Decision.ProvisionMachines> requests = new LinkedHashMap<>();
@@ -39,7 +43,10 @@
     this.remainingQuota = new RemainingQuota(cluster);
   }
 
-  /** One request for each pool; {@code pendingRequests}: calls to the cloud that are under way. */
+  /**
+   * Returns one request for each pool; {@code pendingRequests} are the calls to the cloud in
+   * flight.
+   */
   Collection<Decision.ProvisionMachines> requestsForDemand(
       Collection<Decision.ProvisionMachines> pendingRequests) {
     for (Machine machine : cluster.allMachines()) {
@@ -82,7 +89,7 @@
   private List<Job> waitingJobs() {
     List<Job> jobs = new ArrayList<>();
     for (Job job : cluster.waitingJobs) {
-      // Tasks that may run on an unreconciled machine need no other.
+      // Tasks that may be running on an unreconciled machine need no other machine.
       boolean mayBeRunningUnobserved = cluster.anyUnreconciled() && job.inherited;
       if (!mayBeRunningUnobserved && !job.cancellationRequested && nowMs >= job.pausedUntilMs) {
         jobs.add(job);
@@ -111,12 +118,12 @@
     }
   }
 
-  /** The tasks that neither free nor pending machines take. */
+  /** Returns the tasks of the job that neither free nor pending machines can take. */
   private Demand uncoveredDemand(Job job) {
     boolean mayUseSoonFree = mayUseSoonFree(job);
     int maxTasks = concurrency.desiredConcurrency(job, nowMs);
-    // Tasks that end soon free their team's quota as well as their room: counting only the room
-    // would let it cover all that the quota allows now, and nothing would be requested.
+    // Tasks that end soon free their team's quota as well as their room. If only the room counted,
+    // it would cover all tasks that the quota allows now, and no machine would be requested.
     int tasks =
         mayUseSoonFree
             ? remainingQuota.takeIncludingSoonReleased(job, maxTasks)
@@ -134,7 +141,10 @@
     return demand;
   }
 
-  /** What is free before a new machine could be up needs no new machine. */
+  /**
+   * Returns whether the job can use room that becomes free before a new machine could be up, and so
+   * needs no new machine for it.
+   */
   private boolean mayUseSoonFree(Job job) {
     return job.spec.kind() != JobKind.GANG
         && (job.startObjectiveS == null || job.startObjectiveS * 1000 > earliestReadyMs - nowMs);
--- a/src/main/java/org/astershift/scheduler/ShareGroup.java
+++ b/src/main/java/org/astershift/scheduler/ShareGroup.java
@@ -5,18 +5,20 @@
 import java.util.Set;
 
 /**
- * One job class of one team, apart by whether it needs accelerators, with what it holds and the
- * minimum share that it should. {@link MinimumShare} refreshes it once a pass; amounts are
- * processors, or accelerators for a group that needs these.
+ * The jobs of one class and one team that need accelerators, or those that do not, with the amount
+ * that they hold and the minimum share that they should hold. {@link MinimumShare} refreshes the
+ * group once a pass. Amounts are processors, or accelerators for a group that needs these.
  */
 final class ShareGroup {
-  /** Aged jobs, for each finished one, above which the group counts as underserved. */
+  /** Aged jobs per finished job above which the group counts as underserved. */
   private static final double AGED_JOBS_PER_FINISHED_JOB = 0.5;
 
-  /** For the log. */
+  /** Name of the group in the log. */
   final String name;
 
-  /** All groups of the same class, this one too: they divide its minimum share. */
+  /**
+   * All groups of the same class, including this one: they divide the minimum share of the class.
+   */
   private final Set<ShareGroup> classGroups;
 
   final boolean accelerated;
@@ -24,24 +26,27 @@
   /** Whether the team has live jobs of the class. */
   private boolean hasLiveJobs;
 
-  /** Waiting for longer than the service age; in the order of submission once starved. */
+  /**
+   * Jobs that have waited for longer than the service age, or only the overdue ones after {@link
+   * #selectJobsToServe}; in the order of submission while the group is starved.
+   */
   private final List<Job> agedJobs = new ArrayList<>();
 
-  /** Those of them whose tasks have to start now. */
+  /** Waiting jobs whose tasks have to start now. */
   private final List<Job> overdueJobs = new ArrayList<>();
 
   private double heldByOverdueJobs;
 
-  /** Jobs finished in this leader's term. */
+  /** Number of jobs finished in this leader's term. */
   private int finishedJobs;
 
   private double held;
   private double minimum;
 
-  /** Within a pass: what it may still take of its shortfall. */
+  /** Within a pass: the part of its shortfall that the group may still take. */
   private double allowance;
 
-  /** Its starvation was logged, and its aged jobs have not all been served since. */
+  /** Whether the starvation was logged, and the aged jobs have not all been served since. */
   boolean starvationLogged;
 
   ShareGroup(String name, Set<ShareGroup> classGroups, boolean accelerated) {
@@ -51,7 +56,7 @@
     this.accelerated = accelerated;
   }
 
-  /** Forgets what the last refresh found. */
+  /** Clears the results of the last refresh. */
   void clear() {
     agedJobs.clear();
     overdueJobs.clear();
@@ -75,7 +80,7 @@
     held += heldBy(job);
   }
 
-  /** A group that is served well enough on the whole has only its overdue jobs served first. */
+  /** Limits the jobs that are served first to the overdue ones if the group is not underserved. */
   void selectJobsToServe() {
     if (!isUnderserved() && !overdueJobs.isEmpty()) {
       agedJobs.clear();
@@ -83,23 +88,26 @@
     }
   }
 
-  /** Sets the minimum share of the whole class, and from it what this group may take now. */
+  /**
+   * Sets this group's minimum, and what it may take in this pass, from the minimum share of the
+   * whole class.
+   */
   void setClassMinimum(double classMinimum) {
     minimum = classMinimum / presentGroupCount();
     allowance = shortfall();
   }
 
-  /** The jobs to serve first, while the group is starved. */
+  /** Returns the jobs to serve first while the group is starved. */
   List<Job> agedJobs() {
     return agedJobs;
   }
 
-  /** Whether it may take more now, before jobs of all priorities but the first. */
+  /** Returns whether the group may take more now, ahead of jobs of all priorities but the first. */
   boolean isStarved() {
     return allowance > 0;
   }
 
-  /** So many tasks of the job were placed. */
+  /** Deducts placed tasks of the job from what the group may still take. */
   void onPlaced(Job job, int tasks) {
     allowance -= tasks * amountPerTask(job);
   }
@@ -121,14 +129,18 @@
   }
 
   /**
-   * Too few of its jobs are finished for those that wait too long. A class that serves most of its
-   * jobs and postpones a few that are too late for their deadlines is not underserved.
+   * Returns whether too few jobs are finished compared with those that wait too long. A class that
+   * serves most of its jobs and postpones a few that are too late for their deadlines is not
+   * underserved.
    */
   private boolean isUnderserved() {
     return agedJobs.size() > finishedJobs * AGED_JOBS_PER_FINISHED_JOB;
   }
 
-  /** What it lacks of its minimum; overdue jobs start however much the rest of the class holds. */
+  /**
+   * Returns what the group lacks of its minimum. If only overdue jobs are served first, only what
+   * these hold counts: they start however much the rest of the group holds.
+   */
   private double shortfall() {
     if (isUnderserved()) {
       return Math.max(0, minimum - held);
--- a/src/main/java/org/astershift/scheduler/Team.java
+++ b/src/main/java/org/astershift/scheduler/Team.java
@@ -1,15 +1,18 @@
 package org.astershift.scheduler;
 
-/** A team with its guaranteed quota and its limit; 0 means none. */
+/** A team with its guaranteed quota and its limit in processors and accelerators; 0 means none. */
 public record Team(
     String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
 
-  /** Whether the team has any limit. */
+  /** Returns whether the team has any limit. */
   public boolean isLimited() {
     return maxCpus > 0 || maxGpus > 0;
   }
 
-  /** Tasks of the job that can run at once: of an array as many as the team's limit allows. */
+  /**
+   * Returns how many tasks of the job can run at once: of an array as many as the team's limit
+   * allows, of any other job all.
+   */
   public int maxConcurrentTasks(JobSpec spec) {
     double tasks = spec.tasks();
     if (spec.kind() == JobKind.ARRAY) {
@@ -19,7 +22,7 @@
     return (int) tasks;
   }
 
-  /** Whether the limit allows a usage of these amounts. */
+  /** Returns whether the limit allows the team to use these amounts. */
   public boolean allows(double usedCpus, double usedGpus) {
     return (maxCpus <= 0 || usedCpus <= maxCpus + 1e-9)
         && (maxGpus <= 0 || usedGpus <= maxGpus + 1e-9);
--- a/src/main/java/org/astershift/scheduler/UnobservedUsage.java
+++ b/src/main/java/org/astershift/scheduler/UnobservedUsage.java
@@ -6,21 +6,24 @@
 /**
  * An upper bound of what tasks unknown to this leader use, so that teams with a limit can start
  * work after a failover before all machines are reconciled. Such tasks run on unobserved machines
- * only, and use no more than these have: their whole capacity counts against every team, since any
- * team may use all of it.
+ * only and use no more than the capacity of these: the whole capacity counts against every team,
+ * since any team may use all of it.
  *
- * <p>A machine is unobserved until it is fenced, and while it holds tasks of jobs that are over,
- * whose needs and teams are not known any more.
+ * <p>A machine is unobserved until it is fenced, and also while it holds tasks of jobs that have
+ * ended, whose needs and teams are no longer known.
  */
 final class UnobservedUsage {
   private final Set<Machine> machines = new HashSet<>();
   private double cpus;
   private double gpus;
 
-  /** Unobserved machines whose type is not known: nothing bounds their usage. */
+  /** Number of unobserved machines whose type is not known: nothing bounds their usage. */
   private int machinesOfUnknownType;
 
-  /** Updates the sums to the machine's present state; {@code present}: it is not gone. */
+  /**
+   * Updates the sums to the machine's present state; {@code present} is false once the machine is
+   * gone.
+   */
   void update(Machine machine, boolean present) {
     boolean unobserved = present && machine.mayHoldUnobservedUsage();
     if (unobserved ? machines.add(machine) : machines.remove(machine)) {
@@ -51,12 +54,18 @@
     }
   }
 
-  /** Processors that unknown tasks of any one team may use. */
+  /**
+   * Returns the processors that unknown tasks of any one team may use; MAX_VALUE if there is no
+   * bound.
+   */
   double cpus() {
     return machinesOfUnknownType > 0 ? Double.MAX_VALUE : cpus;
   }
 
-  /** The same for accelerators. */
+  /**
+   * Returns the accelerators that unknown tasks of any one team may use; MAX_VALUE if there is no
+   * bound.
+   */
   double gpus() {
     return machinesOfUnknownType > 0 ? Double.MAX_VALUE : gpus;
   }
--- a/src/main/java/org/astershift/scheduler/Utilization.java
+++ b/src/main/java/org/astershift/scheduler/Utilization.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Used and provisioned processors, of machines with and without accelerators. */
+/**
+ * Used and provisioned processors and accelerators, separately for machines with and without
+ * accelerators.
+ */
 final class Utilization {
   private final Totals withoutAccelerators = new Totals();
   private final Totals withAccelerators = new Totals();
@@ -21,59 +24,65 @@
     return machine.type != null && machine.type.gpus() > 0 ? withAccelerators : withoutAccelerators;
   }
 
-  /** Adds used processors of the machine; negative: they are free again. */
+  /** Adds used processors of the machine; a negative amount is subtracted. */
   void addUsedCpus(Machine machine, double cpus) {
     totalsFor(machine).usedCpus += cpus;
   }
 
-  /** Recomputes all sums; in between, {@link #addUsedCpus} updates what is used. */
+  /** Recomputes all sums; between calls, {@link #addUsedCpus} updates the used processors. */
   void recount(Collection<Machine> machines) {
-    for (Totals pool : List.of(withoutAccelerators, withAccelerators)) {
-      pool.usedCpus = 0;
-      pool.liveCpus = 0;
-      pool.bootingCpus = 0;
-      pool.liveGpus = 0;
+    for (Totals totals : List.of(withoutAccelerators, withAccelerators)) {
+      totals.usedCpus = 0;
+      totals.liveCpus = 0;
+      totals.bootingCpus = 0;
+      totals.liveGpus = 0;
     }
     for (Machine machine : machines) {
       if (machine.state == Machine.State.LIVE && machine.type != null) {
-        Totals pool = totalsFor(machine);
-        pool.usedCpus += machine.usedCpus();
-        pool.liveCpus += machine.type.cpus();
-        pool.liveGpus += machine.type.gpus();
+        Totals totals = totalsFor(machine);
+        totals.usedCpus += machine.usedCpus();
+        totals.liveCpus += machine.type.cpus();
+        totals.liveGpus += machine.type.gpus();
       } else if (machine.state == Machine.State.BOOTING && machine.type != null) {
         totalsFor(machine).bootingCpus += machine.type.cpus();
       }
     }
   }
 
-  /** Processors of machines without accelerators, live or booting. */
+  /** Returns the processors of live and booting machines without accelerators. */
   double processorsWithoutAccelerators() {
     return withoutAccelerators.liveCpus + withoutAccelerators.bootingCpus;
   }
 
-  /** Accelerators of live machines. */
+  /** Returns the accelerators of live machines. */
   double accelerators() {
     return withAccelerators.liveGpus;
   }
 
-  /** Processors of live machines for work without accelerators. */
+  /**
+   * Returns the processors of live machines for work without accelerators: those of machines with
+   * accelerators count only if there are no others.
+   */
   double processors() {
     return withoutAccelerators.liveCpus > 0
         ? withoutAccelerators.liveCpus
         : withAccelerators.liveCpus;
   }
 
-  /** Share of the processors in use, of the machines that can replace this one. */
+  /** Returns the share of processors in use, of the machines that can replace this one. */
   double of(Machine machine) {
-    Totals pool = totalsFor(machine);
-    return pool.liveCpus == 0 ? 0 : pool.usedCpus / pool.liveCpus;
+    Totals totals = totalsFor(machine);
+    return totals.liveCpus == 0 ? 0 : totals.usedCpus / totals.liveCpus;
   }
 
-  /** For the log: used processors of machines without and with accelerators. */
+  /**
+   * Returns the used and available processors of machines without and with accelerators, for the
+   * log.
+   */
   String summary() {
     return String.format(
         Locale.ROOT,
-        "%.0f of %.0f processors used, beside accelerators %.0f of %.0f",
+        "%.0f of %.0f processors used, on machines with accelerators %.0f of %.0f",
         withoutAccelerators.usedCpus,
         withoutAccelerators.liveCpus,
         withAccelerators.usedCpus,
--- a/src/main/java/org/astershift/scheduler/WaitQueue.java
+++ b/src/main/java/org/astershift/scheduler/WaitQueue.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * The wait queue's window: the first tasks that may start now, as jobs, since all tasks of a job
- * share image and requirements. Each pass sorts it anew; between passes it is used as it was.
+ * The window of the wait queue: the first tasks that may start now, grouped by job, since all tasks
+ * of a job share their image and requirements. Each pass sorts the queue and selects the window
+ * again; between passes the window of the last pass is used.
  */
 final class WaitQueue {
   private static final double TOLERANCE = 1e-9;
@@ -25,10 +26,10 @@
   private final DeadlineAdmission deadlineAdmission;
   private Map<Priority, List<Job>> jobsByPriority = Map.of();
 
-  /** Jobs of the window with objectives, gangs apart. */
+  /** Jobs in the window that have objectives, without gangs and suspect jobs. */
   private final List<Job> withObjective = new ArrayList<>();
 
-  /** Of all jobs in the window, as they were when it was sorted. */
+  /** The requirements of all jobs in the window and in starved groups, as of the last sort. */
   private MinimumRequirements minimumRequirements = new MinimumRequirements(List.of());
 
   WaitQueue(ClusterState cluster) {
@@ -37,15 +38,17 @@
   }
 
   /**
-   * Jobs of this priority within the window, the first to serve first; some may be served by now.
+   * Returns the jobs of this priority in the window, in the order in which to serve them; some may
+   * have been served since the last sort.
    */
   List<Job> tier(Priority priority) {
     return jobsByPriority.getOrDefault(priority, List.of());
   }
 
   /**
-   * Whether a job with an objective waits that may use the machine: then room that is too small for
-   * its tasks must not go to jobs without, or it would never become large enough.
+   * Returns whether a job with an objective is waiting that may use the machine. Room that is too
+   * small for its tasks must then not go to jobs without objectives, or it would never become large
+   * enough.
    */
   boolean hasWaitingObjectiveWork(Machine machine) {
     for (Job job : withObjective) {
@@ -60,7 +63,9 @@
     return false;
   }
 
-  /** Whether the machine has room for anything in the window. */
+  /**
+   * Returns whether the machine may have room for any job in the window; false only if it has none.
+   */
   boolean hasRoomForAny(Machine machine) {
     return minimumRequirements.isSatisfiedBy(machine);
   }
@@ -69,7 +74,7 @@
     return jobsByPriority.isEmpty();
   }
 
-  /** Sorts all waiting jobs anew and selects the window. */
+  /** Sorts all waiting jobs and selects the window again. */
   void refresh(long nowMs) {
     jobsByPriority = Map.of();
     List<Job> startable = startableJobs(nowMs);
@@ -79,7 +84,7 @@
     fillWindow(startable);
   }
 
-  /** The jobs with tasks that may start now, with what they are sorted by. */
+  /** Returns the jobs with tasks that may start now, with their sort keys set. */
   private List<Job> startableJobs(long nowMs) {
     List<Job> startable = new ArrayList<>();
     for (Job job : cluster.waitingJobs) {
@@ -118,13 +123,13 @@
         withObjective.add(job);
       }
     }
-    // Starved groups are served whatever the window holds.
+    // Starved groups are served even if their jobs are outside the window.
     List<Job> servedJobs = new ArrayList<>(window.jobs());
     cluster.minimumShare.starvedGroups().forEach(group -> servedJobs.addAll(group.agedJobs()));
     minimumRequirements = new MinimumRequirements(servedJobs);
   }
 
-  /** Whether tasks of the job may be placed now. */
+  /** Returns whether tasks of the job may be placed now. */
   boolean isStartable(Job job, long nowMs) {
     if (job.waitingTasks.isEmpty()
         || job.cancellationRequested
@@ -136,7 +141,8 @@
     if (job.probeInProgress()) {
       return false;
     }
-    // Unreconciled machines may hold tasks of inherited jobs; teamQuotaAllows counts what they use.
+    // Unreconciled machines may hold tasks of inherited jobs, so these jobs wait. The usage of such
+    // tasks is counted in teamQuotaAllows.
     return !cluster.anyUnreconciled() || !job.inherited;
   }
 
--- a/src/main/java/org/astershift/scheduler/ZoneLoad.java
+++ b/src/main/java/org/astershift/scheduler/ZoneLoad.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Machines by zone, live, pending and planned, as one scale-out plan counts them. */
+/** Counts the machines of one scale-out plan by zone: live, pending and planned ones. */
 final class ZoneLoad {
   private final Map<String, Integer> machinesByZone = new HashMap<>();
   private final Set<String> zonesWithPending = new HashSet<>();
@@ -26,7 +26,7 @@
     return machinesByZone.getOrDefault(zone, 0);
   }
 
-  /** Whether a machine boots there or is requested. */
+  /** Returns whether a machine is booting in the zone or is requested there. */
   boolean hasPending(String zone) {
     return zonesWithPending.contains(zone);
   }
