--- a/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
+++ b/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
@@ -50,7 +50,7 @@
   private static OptionalDouble shareIfIsolated(LeaderTerm term) {
     return term.scheduler.call(
         scheduler ->
-            scheduler.isolated()
+            scheduler.isIsolated()
                 ? OptionalDouble.of(scheduler.observedShare())
                 : OptionalDouble.empty());
   }
--- a/src/main/java/org/astershift/controller/LockedScheduler.java
+++ b/src/main/java/org/astershift/controller/LockedScheduler.java
@@ -59,7 +59,7 @@
       }
       scheduler.extendLeaseCertainty(host.leaseCertainUntilMs());
       commands = scheduler.onHeartbeat(heartbeat, receivedMs, LeaderTerm.nowMs());
-      deposed = scheduler.deposed();
+      deposed = scheduler.isDeposed();
       passNeeded = scheduler.passRequested();
     }
     if (deposed) {
@@ -81,7 +81,7 @@
       scheduler.extendLeaseCertainty(host.leaseCertainUntilMs());
       scheduler.onCommandResult(
           machineName, outcomeUnknown, heartbeat, receivedMs, LeaderTerm.nowMs());
-      deposed = scheduler.deposed();
+      deposed = scheduler.isDeposed();
       passNeeded = scheduler.passRequested();
     }
     if (deposed) {
--- a/src/main/java/org/astershift/controller/PassLoop.java
+++ b/src/main/java/org/astershift/controller/PassLoop.java
@@ -80,9 +80,9 @@
       LOG.info("process pause detected, node={} late_ms={}", node, stalledMs);
       scheduler.onProcessResumed(nowMs);
     }
-    List<Decision> decisions = scheduler.pass(nowMs, term.leaseCertainUntilMs());
-    boolean attemptsExhausted = scheduler.attemptNumbersExhausted();
-    reconciling = scheduler.reconciling();
+    List<Decision> decisions = scheduler.runPass(nowMs, term.leaseCertainUntilMs());
+    boolean attemptsExhausted = scheduler.hasExhaustedAttemptNumbers();
+    reconciling = scheduler.isReconciling();
     return new Pass(decisions, attemptsExhausted, summaryIfDue(scheduler, nowMs));
   }
 
@@ -92,7 +92,7 @@
     }
     summaryLoggedMs = nowMs;
     return new Summary(
-        scheduler.summary(),
+        scheduler.clusterSummary(),
         scheduler.reconciliationSummary(),
         scheduler.serviceSummary(nowMs),
         term.cancellationSummary());
--- a/src/main/java/org/astershift/scheduler/AttemptAdoption.java
+++ b/src/main/java/org/astershift/scheduler/AttemptAdoption.java
@@ -27,7 +27,7 @@
     if (status.closesAttempt()) {
       job.closeAttempt(attempt.attemptNumber);
     }
-    if (attempt.exited()) {
+    if (attempt.isExited()) {
       exitHandler.onExited(attempt, nowMs);
       return;
     }
@@ -43,7 +43,7 @@
       return;
     }
     cluster.attempts.holdTask(attempt);
-    cluster.attempts.completeGangStop(attempt);
+    cluster.attempts.stopRestOfGang(attempt);
     job.opened = true;
     if (status.phase() == Heartbeat.TaskPhase.RUNNING) {
       cluster.serviceStatistics.onStarted(job, nowMs);
@@ -66,7 +66,7 @@
     Job job = attempt.job;
     Machine machine = attempt.machine;
     TaskAttempt other = job.attempts.get(attempt.index);
-    if (other != null && !other.startSent && !other.startPending()) {
+    if (other != null && !other.startSent && !other.isStartPending()) {
       cluster.attempts.drop(other);
       other = null;
     }
--- a/src/main/java/org/astershift/scheduler/AttemptNumbers.java
+++ b/src/main/java/org/astershift/scheduler/AttemptNumbers.java
@@ -12,18 +12,18 @@
   private static final long TERM_END_ATTEMPTS_LEFT = 1_000_000;
 
   private final long fencingToken;
-  private long last;
+  private long lastCounter;
 
   AttemptNumbers(long fencingToken) {
     this.fencingToken = fencingToken;
   }
 
   long next() {
-    return (fencingToken << ATTEMPT_COUNTER_BITS) | ++last;
+    return (fencingToken << ATTEMPT_COUNTER_BITS) | ++lastCounter;
   }
 
   /** Whether the term has to end to get new numbers. */
-  boolean exhausted() {
-    return last >= (1L << ATTEMPT_COUNTER_BITS) - TERM_END_ATTEMPTS_LEFT;
+  boolean isExhausted() {
+    return lastCounter >= (1L << ATTEMPT_COUNTER_BITS) - TERM_END_ATTEMPTS_LEFT;
   }
 }
--- a/src/main/java/org/astershift/scheduler/AttemptRegistry.java
+++ b/src/main/java/org/astershift/scheduler/AttemptRegistry.java
@@ -51,7 +51,7 @@
   /** Adds an attempt that a machine reported; {@link #holdTask} gives it the task. */
   void adopt(TaskAttempt attempt) {
     attempt.machine.add(attempt);
-    if (!attempt.exited()) {
+    if (!attempt.isExited()) {
       addUsage(attempt, 1);
     }
   }
@@ -89,7 +89,7 @@
 
   /** Removes an attempt that the machine provably neither has nor can still get. */
   void drop(TaskAttempt attempt) {
-    if (!attempt.exited()) {
+    if (!attempt.isExited()) {
       release(attempt);
       attempt.job.unsuccessfulAttempts += attempt.startSent ? 1 : 0;
       cluster.requestPass();
@@ -108,9 +108,9 @@
    * stay held until a later epoch of the machine is seen or it is gone. Returns how many were
    * dropped.
    */
-  int dropNonPending(Machine machine, DropReason reason) {
+  int dropExceptPendingStarts(Machine machine, DropReason reason) {
     List<TaskAttempt> nonPending = new ArrayList<>(machine.attempts.values());
-    nonPending.removeIf(TaskAttempt::startPending);
+    nonPending.removeIf(TaskAttempt::isStartPending);
     dropAll(machine, nonPending, reason);
     return nonPending.size();
   }
@@ -146,7 +146,7 @@
    * than {@code gang_peer_s} after the first fail their checkpoint, and the stopped ones end
    * anyway.
    */
-  void completeGangStop(TaskAttempt attempt) {
+  void stopRestOfGang(TaskAttempt attempt) {
     Job job = attempt.job;
     if (job.spec.kind() != JobKind.GANG || job.state != Job.State.LIVE) {
       return;
@@ -154,7 +154,7 @@
     boolean stopBegun = false;
     boolean someNotStopping = false;
     for (TaskAttempt other : job.attempts.values()) {
-      boolean sameAttempt = other.attemptNumber == attempt.attemptNumber && !other.exited();
+      boolean sameAttempt = other.attemptNumber == attempt.attemptNumber && !other.isExited();
       stopBegun |= sameAttempt && other.phase == Heartbeat.TaskPhase.SAVING;
       someNotStopping |= sameAttempt && !other.stopping;
     }
@@ -167,7 +167,7 @@
   private void markStopping(TaskAttempt attempt) {
     attempt.stopping = true;
     attempt.machine.preemptible = null;
-    attempt.stopGraceS =
+    attempt.stopGracePeriodS =
         attempt.job.spec.checkpointIntervalS() > 0 ? attempt.job.spec.checkpointSaveS() + 1 : 0;
     cluster.commandsPending.add(attempt.machine);
   }
--- a/src/main/java/org/astershift/scheduler/ClusterState.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -23,7 +23,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
   /** Share of the fleet up to which unreconciled machines count as few. */
-  private static final double UNRECONCILED_SHARE = 0.1;
+  private static final double FEW_UNRECONCILED_MAX_SHARE = 0.1;
 
   final DeploymentLimits limits;
   final SchedulingPolicy policy;
@@ -120,7 +120,7 @@
       waitingJobs.add(job);
     }
     unfinishedJobs.add(job);
-    job.withinGuaranteedQuota = unfinishedJobs.withinGuaranteedQuota(job);
+    job.withinGuaranteedQuota = unfinishedJobs.isWithinGuaranteedQuota(job);
     completionCandidates.add(job);
     serviceStatistics.onAccepted(job);
     requestPass();
@@ -141,7 +141,7 @@
     job.state = cancelled ? Job.State.CANCELLED : Job.State.DONE;
     for (TaskAttempt attempt : new ArrayList<>(job.attempts.values())) {
       if (attempt.startSent) {
-        attempt.shortenGrace();
+        attempt.cancelGracePeriod();
         commandsPending.add(attempt.machine);
       } else {
         attempts.drop(attempt);
@@ -152,16 +152,16 @@
 
   /** The team's unfinished jobs in the order of their submission. */
   Set<Job> unfinishedJobs(String team) {
-    return unfinishedJobs.of(team);
+    return unfinishedJobs.ofTeam(team);
   }
 
-  void markDone(Job job, int index) {
-    job.markDone(index);
+  void markTaskDone(Job job, int index) {
+    job.markTaskDone(index);
     if (job.waitingTasks.isEmpty()) {
       waitingJobs.remove(job);
     }
     unpersistedProgress.add(job);
-    if (job.complete()) {
+    if (job.isComplete()) {
       completionCandidates.add(job);
       requestPass();
     }
@@ -171,7 +171,7 @@
   Map<String, BitSet> drainUnpersistedProgress() {
     Map<String, BitSet> doneTasksByJob = new LinkedHashMap<>();
     for (Job job : unpersistedProgress) {
-      if (!job.complete()) {
+      if (!job.isComplete()) {
         doneTasksByJob.put(job.spec.id(), (BitSet) job.doneTasks.clone());
       }
     }
@@ -231,14 +231,15 @@
   }
 
   /** Whether some machine may still hold what an earlier leader started. */
-  boolean anyUnreconciled() {
+  boolean hasUnreconciledMachines() {
     return unreconciledMachines > 0;
   }
 
   /** Whether so few machines are unreconciled that the fault is theirs, not this leader's. */
-  boolean fewUnreconciled() {
+  boolean hasFewUnreconciledMachines() {
     return unreconciledMachines
-        <= Math.max(FleetAssessment.SILENT_FEW_MACHINES, machines.size() * UNRECONCILED_SHARE);
+        <= Math.max(
+            FleetAssessment.SILENT_FEW_MACHINES, machines.size() * FEW_UNRECONCILED_MAX_SHARE);
   }
 
   /**
@@ -273,7 +274,7 @@
   /** The machine has restarted: its tasks are gone, and it has to be reconciled again. */
   void onMachineRestarted(Machine machine, long nowMs) {
     int heldBefore = machine.heldAttemptCount();
-    attempts.dropNonPending(machine, DropReason.NEW_INCARNATION);
+    attempts.dropExceptPendingStarts(machine, DropReason.NEW_INCARNATION);
     LOG.info(
         "machine restarted: machine={} tasks_lost={} starts_pending={}",
         machine.name,
@@ -299,7 +300,7 @@
    */
   boolean blocksReconciliation(Machine machine, long nowMs) {
     return machine.state == Machine.State.UNRECONCILED
-        && fewUnreconciled()
+        && hasFewUnreconciledMachines()
         && heartbeatTiming.unreconciledMs(machine, nowMs) > Scheduler.UNFENCED_RELEASE_MS;
   }
 
@@ -327,7 +328,7 @@
   }
 
   /** Whether new tasks may go to the machine. */
-  boolean usable(Machine machine, long nowMs) {
+  boolean isUsable(Machine machine, long nowMs) {
     return machine.usable(nowMs)
         && incarnations.usable(machine, nowMs)
         && !heartbeatTiming.heartbeatOverdue(machine, nowMs)
--- a/src/main/java/org/astershift/scheduler/Command.java
+++ b/src/main/java/org/astershift/scheduler/Command.java
@@ -1,7 +1,7 @@
 package org.astershift.scheduler;
 
 /** A command to a worker; {@code graceS}: seconds that a stop leaves for a checkpoint. */
-public record Command(Kind kind, String jobId, int index, long attemptNumber, double graceS) {
+public record Command(Kind kind, String jobId, int index, long attemptNumber, double gracePeriodS) {
 
   /** What the worker is to do with the attempt. */
   public enum Kind {
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -12,10 +12,10 @@
    * Milliseconds of a term after which an inherited machine without a heartbeat is asked: workers
    * that lose their controller try the next one after a second.
    */
-  private static final long FENCE_UNSEEN_MS = 1500;
+  private static final long FENCE_DELAY_UNSEEN_MS = 1500;
 
   /** Milliseconds after a heartbeat in which an inherited machine should show the new token. */
-  private static final long FENCE_SEEN_MS = 2500;
+  private static final long FENCE_DELAY_SEEN_MS = 2500;
 
   /** Between direct commands to a machine that is to be fenced or probed. */
   private static final long FENCE_RETRY_INTERVAL_MS = 1000;
@@ -43,18 +43,18 @@
     dropNeverStarted(machine);
     boolean usable = cluster.incarnations.usable(machine, nowMs);
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.exited()) {
+      if (attempt.isExited()) {
         // A start that arrives after its attempt was forgotten would run the task again.
-        if (!attempt.startUnconfirmed && !attempt.startInFlight && forgettable(attempt)) {
+        if (!attempt.startUnconfirmed && !attempt.startInFlight && canForget(attempt)) {
           commands.add(Command.forget(attempt));
         }
-      } else if (attempt.unwanted()) {
+      } else if (attempt.isUnwanted()) {
         if (attempt.phase == null && usable) {
           // The worker remembers the attempt then, and a late start has no effect.
           attempt.startInHeartbeatResponse = true;
           commands.add(Command.start(attempt));
         }
-        commands.add(Command.stop(attempt, attempt.graceS()));
+        commands.add(Command.stop(attempt, attempt.gracePeriodS()));
       } else if (attempt.phase == null && attempt.job.opened && machine.registered && usable) {
         attempt.startSent = true;
         attempt.startInHeartbeatResponse = true;
@@ -72,9 +72,9 @@
   void dropNeverStarted(Machine machine) {
     List<TaskAttempt> neverStarted = new ArrayList<>(0);
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.unwanted()
+      if (attempt.isUnwanted()
           && attempt.phase == null
-          && !attempt.startPending()
+          && !attempt.isStartPending()
           && !attempt.startInHeartbeatResponse) {
         neverStarted.add(attempt);
       }
@@ -104,16 +104,16 @@
   }
 
   /** A completed attempt stays on its machine until its end is persisted, for a next leader. */
-  private static boolean forgettable(TaskAttempt attempt) {
+  private static boolean canForget(TaskAttempt attempt) {
     return attempt.job.state != Job.State.LIVE
         || attempt.exitReason != ExitReason.DONE
         || attempt.job.persistedDoneTasks.get(attempt.index);
   }
 
   /** Whether some command should not wait for the machine's next heartbeat. */
-  static boolean urgentCommandDue(Machine machine) {
+  static boolean isUrgentCommandDue(Machine machine) {
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (startDue(attempt) || stopDue(attempt)) {
+      if (isStartDue(attempt) || isStopDue(attempt)) {
         return true;
       }
     }
@@ -124,12 +124,12 @@
    * Whether the machine's urgent commands may go out now: stops always, since those of a gang have
    * to arrive together, starts as far as the concurrency limit allows.
    */
-  boolean maySendNow(Machine machine) {
+  boolean canSendNow(Machine machine) {
     if (concurrencyLimit.hasCapacity()) {
       return true;
     }
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (stopDue(attempt)) {
+      if (isStopDue(attempt)) {
         return true;
       }
     }
@@ -142,17 +142,17 @@
   }
 
   /** A restarted machine may hold an unconfirmed start, so it has to be registered again first. */
-  private static boolean startDue(TaskAttempt attempt) {
+  private static boolean isStartDue(TaskAttempt attempt) {
     return attempt.phase == null
         && !attempt.startSent
         && attempt.job.opened
-        && !attempt.unwanted()
+        && !attempt.isUnwanted()
         && attempt.machine.registered;
   }
 
-  private static boolean stopDue(TaskAttempt attempt) {
-    return !attempt.exited()
-        && attempt.unwanted()
+  private static boolean isStopDue(TaskAttempt attempt) {
+    return !attempt.isExited()
+        && attempt.isUnwanted()
         && attempt.startSent
         && !attempt.stopSent
         && attempt.phase != null;
@@ -173,11 +173,11 @@
     }
     List<Command> commands = new ArrayList<>();
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (stopDue(attempt)) {
-        commands.add(Command.stop(attempt, attempt.graceS()));
+      if (isStopDue(attempt)) {
+        commands.add(Command.stop(attempt, attempt.gracePeriodS()));
         attempt.stopSent = true;
       } else if (leaseCertain
-          && startDue(attempt)
+          && isStartDue(attempt)
           && !cluster.heartbeatTiming.outboundPartitioned(machine, nowMs)) {
         commands.add(directStart(attempt));
       }
@@ -194,10 +194,10 @@
    * whose incarnation is unproven; null if neither is due.
    */
   Decision.SendCommands fenceOrProbe(Machine machine, boolean leaseCertain, long nowMs) {
-    if (!mayFenceOrProbe(machine, nowMs)) {
+    if (!canFenceOrProbe(machine, nowMs)) {
       return null;
     }
-    boolean fence = fenceDue(machine, nowMs);
+    boolean fence = isFenceDue(machine, nowMs);
     boolean probe = machine.epoch > 0 && cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs);
     boolean restartCheck =
         machine.staleMessageSeen
@@ -212,11 +212,11 @@
         : null;
   }
 
-  private static boolean mayFenceOrProbe(Machine machine, long nowMs) {
+  private static boolean canFenceOrProbe(Machine machine, long nowMs) {
     boolean givenUp =
         machine.state == Machine.State.LEASE_EXPIRED
             && !machine.staleMessageSeen
-            && machine.directCommands.failures() > 0;
+            && machine.directCommands.unansweredCount() > 0;
     return !machine.directCommands.inFlight()
         && machine.address != null
         && machine.state != Machine.State.BOOTING
@@ -243,15 +243,15 @@
           && attempt.phase == null
           && attempt.startUnconfirmed
           && attempt.job.state == Job.State.LIVE) {
-        if (attempt.unwanted()) {
+        if (attempt.isUnwanted()) {
           commands.add(directStart(attempt));
-          commands.add(Command.stop(attempt, attempt.graceS()));
+          commands.add(Command.stop(attempt, attempt.gracePeriodS()));
         } else if (attempt.job.opened
             && !cluster.heartbeatTiming.outboundPartitioned(machine, nowMs)) {
           commands.add(directStart(attempt));
         }
-      } else if (!attempt.exited() && attempt.unwanted() && attempt.stopSent) {
-        commands.add(Command.stop(attempt, attempt.graceS()));
+      } else if (!attempt.isExited() && attempt.isUnwanted() && attempt.stopSent) {
+        commands.add(Command.stop(attempt, attempt.gracePeriodS()));
       }
     }
     return commands;
@@ -263,19 +263,19 @@
    * overload the leader. The wait counts from the first message in this term, so that a series of
    * delayed copies cannot put it off.
    */
-  private static boolean fenceDue(Machine machine, long nowMs) {
+  private static boolean isFenceDue(Machine machine, long nowMs) {
     boolean messageSeen = machine.firstMessageMs >= 0;
     long sinceMs =
         messageSeen
             ? machine.firstMessageMs
             : Math.max(machine.firstKnownMs, machine.lastMessageMs);
-    long waitMs = messageSeen ? FENCE_SEEN_MS : FENCE_UNSEEN_MS;
+    long waitMs = messageSeen ? FENCE_DELAY_SEEN_MS : FENCE_DELAY_UNSEEN_MS;
     return !machine.fenced && machine.inherited && nowMs - sinceMs >= waitMs;
   }
 
   /** Whether a fence or probe that has waited for its turn is still of use. */
-  boolean fenceOrProbeStillDue(Machine machine, long nowMs) {
-    return fenceDue(machine, nowMs)
+  boolean isFenceOrProbeStillDue(Machine machine, long nowMs) {
+    return isFenceDue(machine, nowMs)
         || machine.staleMessageSeen
         || machine.inboundPartitioned()
         || (machine.fenced && cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs));
--- a/src/main/java/org/astershift/scheduler/ConcurrencyEstimator.java
+++ b/src/main/java/org/astershift/scheduler/ConcurrencyEstimator.java
@@ -14,7 +14,7 @@
     if (job.isSuspect()) {
       // A probe needs one machine; a gang that is probably broken waits for room on existing
       // machines.
-      return spec.kind() == JobKind.GANG || job.probeInProgress() ? 0 : 1;
+      return spec.kind() == JobKind.GANG || job.isProbeInProgress() ? 0 : 1;
     }
     int tasks = job.waitingCount();
     Double dueS = job.completionDueS();
--- a/src/main/java/org/astershift/scheduler/CostStatistics.java
+++ b/src/main/java/org/astershift/scheduler/CostStatistics.java
@@ -6,17 +6,17 @@
 /** The cost of machines in this leader's term, for the log, by what each machine was doing. */
 final class CostStatistics {
   private static final double MS_PER_HOUR = 3_600_000;
-  private long lastMs = -1; // -1: nothing is accrued yet
+  private long lastAccrualMs = -1; // -1: nothing is accrued yet
   private double bootingCost;
   private double idleCost;
   private double unusedCost;
   private double usedCost;
-  private double silentCost;
+  private double otherCost;
 
   /** Adds the cost since the last call, by what each machine does now. */
   void accrue(Collection<Machine> machines, long nowMs) {
-    double hours = lastMs < 0 ? 0 : (nowMs - lastMs) / MS_PER_HOUR;
-    lastMs = nowMs;
+    double hours = lastAccrualMs < 0 ? 0 : (nowMs - lastAccrualMs) / MS_PER_HOUR;
+    lastAccrualMs = nowMs;
     for (Machine machine : machines) {
       MachineType type = machine.type;
       if (type == null) {
@@ -26,7 +26,7 @@
       switch (machine.state) {
         case BOOTING -> bootingCost += cost;
         case LIVE -> accrueLive(machine, cost);
-        default -> silentCost += cost;
+        default -> otherCost += cost;
       }
     }
   }
@@ -60,6 +60,6 @@
         unusedCost,
         idleCost,
         bootingCost,
-        silentCost);
+        otherCost);
   }
 }
--- a/src/main/java/org/astershift/scheduler/Demand.java
+++ b/src/main/java/org/astershift/scheduler/Demand.java
@@ -32,7 +32,7 @@
 
   /** Returns how many more tasks this zone may take. */
   int maxTasksIn(String zone) {
-    if ((onlyZone != null && !onlyZone.equals(zone)) || !job.zoneAllowed(zone)) {
+    if ((onlyZone != null && !onlyZone.equals(zone)) || !job.isZoneAllowed(zone)) {
       return 0;
     }
     return job.spec.spread()
--- a/src/main/java/org/astershift/scheduler/DirectCommandState.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommandState.java
@@ -4,9 +4,9 @@
 final class DirectCommandState {
   private boolean inFlight;
   private boolean sentWhileSilent;
-  private boolean silentUnanswered;
-  private boolean lost;
-  private int failures;
+  private boolean unansweredWhileSilent;
+  private boolean anyUnconfirmed;
+  private int unansweredCount;
   private MessagePosition positionWhenSent = MessagePosition.NONE;
   private long lastSentMs = -1_000_000;
 
@@ -25,15 +25,15 @@
 
   /** It will not be answered; {@code outcomeUnknown}: it may still arrive. */
   void onUnanswered(boolean outcomeUnknown) {
-    lost |= outcomeUnknown;
-    failures++;
-    silentUnanswered |= sentWhileSilent;
+    anyUnconfirmed |= outcomeUnknown;
+    unansweredCount++;
+    unansweredWhileSilent |= sentWhileSilent;
   }
 
   /** The machine has sent a message: earlier failures show nothing any more. */
-  void clearFailures() {
-    failures = 0;
-    silentUnanswered = false;
+  void clearUnanswered() {
+    unansweredCount = 0;
+    unansweredWhileSilent = false;
   }
 
   boolean inFlight() {
@@ -46,18 +46,18 @@
   }
 
   /** Commands left unanswered since the last message of the machine. */
-  int failures() {
-    return failures;
+  int unansweredCount() {
+    return unansweredCount;
   }
 
   /** Whether a command sent while the machine was silent was left unanswered since. */
-  boolean silentUnanswered() {
-    return silentUnanswered;
+  boolean unansweredWhileSilent() {
+    return unansweredWhileSilent;
   }
 
   /** Whether a command of this term got no answer, so that a later incarnation may get it. */
-  boolean lost() {
-    return lost;
+  boolean anyUnconfirmed() {
+    return anyUnconfirmed;
   }
 
   /** Whether the message is newer than the last one before the command was sent. */
--- a/src/main/java/org/astershift/scheduler/DirectCommands.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommands.java
@@ -29,11 +29,11 @@
   }
 
   /** Whether the decision should still be carried out; if not, it is settled here. */
-  boolean stillDue(Decision.SendCommands decision, long nowMs) {
+  boolean isStillDue(Decision.SendCommands decision, long nowMs) {
     Machine machine = cluster.machines.get(decision.machineName());
     if (machine == null
         || !decision.commands().isEmpty()
-        || commandReconciler.fenceOrProbeStillDue(machine, nowMs)) {
+        || commandReconciler.isFenceOrProbeStillDue(machine, nowMs)) {
       return true;
     }
     CommandReconciler.onUnanswered(machine, false);
@@ -48,12 +48,13 @@
             command ->
                 command.kind() != Command.Kind.START
                     || (leaseCertain
-                        && (startWanted(command.jobId()) || accompaniedByStop(decision, command))))
+                        && (isStartWanted(command.jobId())
+                            || isAccompaniedByStop(decision, command))))
         .toList();
   }
 
   /** Whether a start goes with its stop, of a job whose end was not confirmed to its user. */
-  private boolean accompaniedByStop(Decision.SendCommands decision, Command start) {
+  private boolean isAccompaniedByStop(Decision.SendCommands decision, Command start) {
     return cluster.jobs.containsKey(start.jobId())
         && decision.commands().stream()
             .filter(command -> command.kind() == Command.Kind.STOP)
@@ -62,7 +63,7 @@
                     command.jobId().equals(start.jobId()) && command.index() == start.index());
   }
 
-  private boolean startWanted(String jobId) {
+  private boolean isStartWanted(String jobId) {
     Job job = cluster.jobs.get(jobId);
     return job != null && job.state == Job.State.LIVE && !job.cancellationRequested;
   }
@@ -110,14 +111,14 @@
       return;
     }
     machine.staleMessageSeen = false;
-    settleSuspicion(machine, evidence, nowMs);
+    resolveRestartSuspicion(machine, evidence, nowMs);
     heartbeatReconciler.trackIncarnation(machine, answer, true, nowMs);
     heartbeatReconciler.recordContact(machine, answer, nowMs);
     heartbeatReconciler.reconcile(machine, answer, false, nowMs);
     commandReconciler.dropNeverStarted(machine);
   }
 
-  private void settleSuspicion(Machine machine, Evidence evidence, long nowMs) {
+  private void resolveRestartSuspicion(Machine machine, Evidence evidence, long nowMs) {
     if (evidence == Evidence.RESTARTED) {
       cluster.reconciliationLog.onRestartConfirmed();
       cluster.onMachineRestarted(machine, nowMs);
@@ -143,7 +144,7 @@
 
   /** Has the next pass send what was decided while another command was in flight. */
   private void requeueUrgentCommands(Machine machine) {
-    if (CommandReconciler.urgentCommandDue(machine)) {
+    if (CommandReconciler.isUrgentCommandDue(machine)) {
       cluster.commandsPending.add(machine);
       cluster.requestPass();
     }
--- a/src/main/java/org/astershift/scheduler/FaultAttribution.java
+++ b/src/main/java/org/astershift/scheduler/FaultAttribution.java
@@ -109,7 +109,7 @@
       }
       if (job.spec.kind() != JobKind.GANG) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts.values())) {
-          if (!attempt.exited() && attempt.runningSinceMs < 0) {
+          if (!attempt.isExited() && attempt.runningSinceMs < 0) {
             cluster.stop(attempt);
           }
         }
--- a/src/main/java/org/astershift/scheduler/GangScheduler.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -125,12 +125,12 @@
    * machines before the next attempt starts.
    */
   private static boolean earlierAttemptRemains(Job job) {
-    return !job.attempts.isEmpty() && (job.gangAttemptClosed() || hasStoppingTask(job));
+    return !job.attempts.isEmpty() && (job.isGangAttemptClosed() || hasStoppingTask(job));
   }
 
   private static boolean hasStoppingTask(Job job) {
     for (TaskAttempt attempt : job.attempts.values()) {
-      if (attempt.unwanted()) {
+      if (attempt.isUnwanted()) {
         return true;
       }
     }
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -116,7 +116,7 @@
     machine.epoch = heartbeat.epoch();
     machine.sequence = heartbeat.sequence();
     if (!machine.inboundPartitionedUnreconciled()) {
-      machine.directCommands.clearFailures();
+      machine.directCommands.clearUnanswered();
     }
     recordPreemptionNotice(machine, heartbeat);
     List<Heartbeat.TaskStatus> unknownTasks = updateKnownAttempts(machine, heartbeat, nowMs);
@@ -138,7 +138,7 @@
     }
     List<TaskAttempt> ended = new ArrayList<>(machine.attempts.values());
     // A start sent to an earlier incarnation may match this epoch as well.
-    ended.removeIf(attempt -> attempt.startPending() && attempt.startEpoch >= heartbeat.epoch());
+    ended.removeIf(attempt -> attempt.isStartPending() && attempt.startEpoch >= heartbeat.epoch());
     cluster.attempts.dropAll(machine, ended, DropReason.NEW_EPOCH);
     // The epoch's lease counts from its own beginning, which may be long after the last heartbeat
     // that arrived here: counted from that, it would seem expired while its tasks run.
@@ -184,7 +184,7 @@
   }
 
   private void updateAttempt(TaskAttempt attempt, Heartbeat.TaskStatus status, long nowMs) {
-    if (attempt.exited() || attempt.phase == status.phase()) {
+    if (attempt.isExited() || attempt.phase == status.phase()) {
       return;
     }
     Job job = attempt.job;
@@ -203,7 +203,7 @@
       onImagePresent(attempt, status.phase(), nowMs);
     }
     job.updatePhase(attempt, status.phase());
-    cluster.attempts.completeGangStop(attempt);
+    cluster.attempts.stopRestOfGang(attempt);
   }
 
   private void onImagePresent(TaskAttempt attempt, Heartbeat.TaskPhase phase, long nowMs) {
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -64,7 +64,9 @@
   boolean isSameIncarnation(
       Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
     boolean noUnansweredCommand =
-        !directResponse && !machine.directCommands.inFlight() && !machine.directCommands.lost();
+        !directResponse
+            && !machine.directCommands.inFlight()
+            && !machine.directCommands.anyUnconfirmed();
     return (noUnansweredCommand && machine.fenced && heartbeat.fencingToken() == fencingToken)
         || isProvenSameIncarnation(machine, heartbeat, nowMs);
   }
--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -189,7 +189,7 @@
   }
 
   /** Whether its probe runs: no further task of it starts meanwhile. */
-  boolean probeInProgress() {
+  boolean isProbeInProgress() {
     return isSuspect() && !attempts.isEmpty();
   }
 
@@ -234,7 +234,7 @@
     return deadlines.objectiveMissedMs();
   }
 
-  boolean complete() {
+  boolean isComplete() {
     return spec.kind() != JobKind.SERVICE && doneCount == spec.tasks();
   }
 
@@ -263,7 +263,7 @@
     return runningCount;
   }
 
-  void markDone(int index) {
+  void markTaskDone(int index) {
     if (!doneTasks.get(index)) {
       doneTasks.set(index);
       doneCount++;
@@ -307,7 +307,7 @@
     closedAttemptNumber = Math.max(closedAttemptNumber, attemptNumber);
   }
 
-  boolean gangAttemptClosed() {
+  boolean isGangAttemptClosed() {
     return closedAttemptNumber >= gangAttemptNumber;
   }
 
@@ -343,7 +343,7 @@
   }
 
   /** Whether its zone rules allow one more task there, beside those held now. */
-  boolean zoneAllowed(String zone) {
+  boolean isZoneAllowed(String zone) {
     if (spec.zone() != null && !spec.zone().equals(zone)) {
       return false;
     }
--- a/src/main/java/org/astershift/scheduler/JobCancellation.java
+++ b/src/main/java/org/astershift/scheduler/JobCancellation.java
@@ -14,7 +14,7 @@
     if (job != null && !job.cancellationRequested) {
       job.cancellationRequested = true;
       for (TaskAttempt attempt : job.attempts.values()) {
-        attempt.shortenGrace();
+        attempt.cancelGracePeriod();
         cluster.commandsPending.add(attempt.machine);
       }
       cluster.requestPass();
@@ -34,8 +34,8 @@
     }
     boolean mayOutliveConfirmation =
         !leaseFitsCancellationTime(cluster.limits) && job.hasAttempts();
-    return !(job.inherited && cluster.anyUnreconciled())
-        && !heldOnUnfencedMachine(job)
+    return !(job.inherited && cluster.hasUnreconciledMachines())
+        && !isHeldOnUnfencedMachine(job)
         && !mayOutliveConfirmation;
   }
 
@@ -44,7 +44,7 @@
     return LeaseExpiry.leaseMs(limits) <= limits.cancellationS() * 1000;
   }
 
-  private static boolean heldOnUnfencedMachine(Job job) {
+  private static boolean isHeldOnUnfencedMachine(Job job) {
     for (TaskAttempt attempt : job.attempts.values()) {
       if (attempt.startSent && !attempt.machine.fenced && attempt.machine.inherited) {
         return true;
--- a/src/main/java/org/astershift/scheduler/JobDeadlines.java
+++ b/src/main/java/org/astershift/scheduler/JobDeadlines.java
@@ -18,7 +18,7 @@
    * The same of the finish objective, less the job's estimate. Later, since such jobs are long and
    * make many short ones late.
    */
-  private static final double OBJECTIVE_RISK_END_SHARE = 0.9;
+  private static final double OBJECTIVE_RISK_FINISH_SHARE = 0.9;
 
   /**
    * From this start objective on, jobs are admitted like jobs with deadlines: where machines are
@@ -55,10 +55,10 @@
    */
   boolean isDeadlineDriven() {
     return spec.kind() == JobKind.ARRAY
-        && (deadlineBeforeStartObjective() || hasLongStartObjective());
+        && (isDeadlineBeforeStartObjective() || hasLongStartObjective());
   }
 
-  private boolean deadlineBeforeStartObjective() {
+  private boolean isDeadlineBeforeStartObjective() {
     return dueS != null && (startObjectiveS == null || dueS - spec.estimateS() < startObjectiveS);
   }
 
@@ -72,7 +72,7 @@
 
   /** Seconds by which the job is to be done; null if there is no such time. */
   Double completionDueS() {
-    return isDeadlineDriven() && !deadlineBeforeStartObjective()
+    return isDeadlineDriven() && !isDeadlineBeforeStartObjective()
         ? (Double) (startObjectiveS + spec.estimateS())
         : dueS;
   }
@@ -92,11 +92,12 @@
   /** From when on an objective beyond its deadline is at risk; MAX_VALUE if there is none. */
   double objectiveAtRiskMs() {
     double seconds = Double.MAX_VALUE;
-    if (startObjectiveS != null && deadlineBeforeStartObjective()) {
+    if (startObjectiveS != null && isDeadlineBeforeStartObjective()) {
       seconds = startObjectiveS * OBJECTIVE_RISK_START_SHARE;
     }
     if (finishObjectiveS != null && spec.deadlineS() != null) {
-      seconds = Math.min(seconds, finishObjectiveS * OBJECTIVE_RISK_END_SHARE - spec.estimateS());
+      seconds =
+          Math.min(seconds, finishObjectiveS * OBJECTIVE_RISK_FINISH_SHARE - spec.estimateS());
     }
     return seconds == Double.MAX_VALUE ? seconds : submittedMs + seconds * 1000;
   }
--- a/src/main/java/org/astershift/scheduler/LeaseExpiry.java
+++ b/src/main/java/org/astershift/scheduler/LeaseExpiry.java
@@ -43,7 +43,7 @@
     if (!leaseMatters || !machine.fenced || silentMs <= leaseMs(cluster.limits)) {
       return;
     }
-    int dropped = cluster.attempts.dropNonPending(machine, DropReason.LEASE_EXPIRED);
+    int dropped = cluster.attempts.dropExceptPendingStarts(machine, DropReason.LEASE_EXPIRED);
     for (TaskAttempt attempt : machine.attempts.values()) {
       attempt.startLeaseExpired = true;
     }
--- a/src/main/java/org/astershift/scheduler/LogSummary.java
+++ b/src/main/java/org/astershift/scheduler/LogSummary.java
@@ -47,8 +47,8 @@
   /** The service of each class and team; warns of jobs that do not start. */
   String serviceLine(long nowMs) {
     // Tasks on unreconciled machines seem to wait.
-    if (!cluster.anyUnreconciled()) {
-      cluster.serviceStatistics.warnOfUnstarted(
+    if (!cluster.hasUnreconciledMachines()) {
+      cluster.serviceStatistics.warnAboutUnstartedJobs(
           cluster.waitingJobs, cluster::teamQuotaAllows, nowMs);
     }
     return cluster.serviceStatistics.summary(cluster.jobs.values(), nowMs);
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -289,7 +289,7 @@
       return !hasAttempts();
     }
     for (TaskAttempt attempt : attempts.values()) {
-      if (!attempt.exited() && attempt.job.usableTypes.contains(typeName)) {
+      if (!attempt.isExited() && attempt.job.usableTypes.contains(typeName)) {
         return false;
       }
     }
@@ -377,7 +377,7 @@
   List<TaskAttempt> heldAttempts() {
     List<TaskAttempt> unexited = new ArrayList<>();
     for (TaskAttempt attempt : attempts.values()) {
-      if (!attempt.exited()) {
+      if (!attempt.isExited()) {
         unexited.add(attempt);
       }
     }
--- a/src/main/java/org/astershift/scheduler/MachineFiller.java
+++ b/src/main/java/org/astershift/scheduler/MachineFiller.java
@@ -60,7 +60,7 @@
         && hasTaskToPlace(job, locality)
         && mayTakeAnother(machine, job, step)
         && (locality > 0 || mayFetchImage(machine, job, nowMs))
-        && job.zoneAllowed(machine.zone)
+        && job.isZoneAllowed(machine.zone)
         && cluster.teamQuotaAllows(job)) {
       if (!PlacementRules.hasAttemptOnMachine(machine, job, index)) {
         place(machine, job, index, starvedGroup, nowMs);
@@ -105,7 +105,7 @@
     int batchTasks = machine.hasRecentFailures() ? 1 : cluster.policy.machineBatchTasks();
     return !(step.spreadReplicas() && PlacementRules.wouldExceedReplicaShare(machine, job))
         && machine.placedInPass < batchTasks
-        && !job.probeInProgress()
+        && !job.isProbeInProgress()
         && rules.hasRoomFor(machine, job);
   }
 
--- a/src/main/java/org/astershift/scheduler/MessageClassifier.java
+++ b/src/main/java/org/astershift/scheduler/MessageClassifier.java
@@ -110,7 +110,7 @@
       return false;
     }
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.phase != null && !attempt.exited() && !heartbeat.showsAttempt(attempt.key)) {
+      if (attempt.phase != null && !attempt.isExited() && !heartbeat.showsAttempt(attempt.key)) {
         return true;
       }
     }
--- a/src/main/java/org/astershift/scheduler/PeerProber.java
+++ b/src/main/java/org/astershift/scheduler/PeerProber.java
@@ -102,12 +102,12 @@
       return false;
     }
     if (cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
-      return fewOverdue || machine.directCommands.failures() > 0;
+      return fewOverdue || machine.directCommands.unansweredCount() > 0;
     }
     // One of the last unreconciled machines: peers probe it along with this leader's second try.
     return machine.state == Machine.State.UNRECONCILED
-        && machine.directCommands.failures() > 0
-        && cluster.fewUnreconciled();
+        && machine.directCommands.unansweredCount() > 0
+        && cluster.hasFewUnreconciledMachines();
   }
 
   /**
--- a/src/main/java/org/astershift/scheduler/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -64,7 +64,7 @@
     for (Machine machine : cluster.allMachines()) {
       machine.clearReservation();
       machine.placedInPass = 0;
-      if (cluster.usable(machine, nowMs)) {
+      if (cluster.isUsable(machine, nowMs)) {
         usable.add(machine);
       }
     }
--- a/src/main/java/org/astershift/scheduler/PlacementRules.java
+++ b/src/main/java/org/astershift/scheduler/PlacementRules.java
@@ -36,7 +36,7 @@
    */
   static boolean isMachineAllowed(Machine machine, Job job, long nowMs) {
     return (!machine.spot || job.spec.spotAllowed())
-        && job.zoneAllowed(machine.zone)
+        && job.isZoneAllowed(machine.zone)
         && !job.avoids(machine, nowMs);
   }
 
@@ -86,7 +86,7 @@
     }
     for (Machine other : cluster.allMachines()) {
       if (!job.lastFailureMsByMachine.containsKey(other.name)
-          && cluster.usable(other, nowMs)
+          && cluster.isUsable(other, nowMs)
           && hasRoomFor(other, job)
           && isMachineAllowed(other, job, nowMs)) {
         return true;
--- a/src/main/java/org/astershift/scheduler/PlannedMachine.java
+++ b/src/main/java/org/astershift/scheduler/PlannedMachine.java
@@ -35,7 +35,7 @@
   static PlannedMachine withExpectedReleases(Machine machine, long atMs) {
     PlannedMachine planned = new PlannedMachine(machine);
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.expectedDoneBy(atMs)) {
+      if (attempt.isExpectedDoneBy(atMs)) {
         planned.add(attempt.job.spec);
       }
     }
--- a/src/main/java/org/astershift/scheduler/PreemptibleWork.java
+++ b/src/main/java/org/astershift/scheduler/PreemptibleWork.java
@@ -26,10 +26,10 @@
     this.priority = priority;
     this.forTightObjective = tightObjective;
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.exited()) {
+      if (attempt.isExited()) {
         continue;
       }
-      if (attempt.unwanted()) {
+      if (attempt.isUnwanted()) {
         freedByStopping.add(attempt.job.spec);
         freedIfAllStop.add(attempt.job.spec);
       } else if (isPreemptible(attempt.job, nowMs)) {
--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -82,7 +82,7 @@
 
   private static boolean hostsWorkWithoutObjective(Machine machine) {
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (!attempt.exited() && !attempt.job.hasObjective) {
+      if (!attempt.isExited() && !attempt.job.hasObjective) {
         return true;
       }
     }
--- a/src/main/java/org/astershift/scheduler/ReconciliationLog.java
+++ b/src/main/java/org/astershift/scheduler/ReconciliationLog.java
@@ -34,7 +34,7 @@
   void onDropped(Machine machine, List<TaskAttempt> attempts, DropReason reason) {
     List<TaskAttempt> shown = new ArrayList<>(0);
     for (TaskAttempt attempt : attempts) {
-      if (attempt.phase != null && !attempt.exited()) {
+      if (attempt.phase != null && !attempt.isExited()) {
         shown.add(attempt);
       }
     }
--- a/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
@@ -67,11 +67,11 @@
         && machine.state == Machine.State.BOOTING
         && !cluster.isZonePartitioned(machine.zone, nowMs)) {
       pendingMachines.add(new PlannedMachine(machine.type, machine.zone, machine.spot));
-    } else if (cluster.usable(machine, nowMs)) {
+    } else if (cluster.isUsable(machine, nowMs)) {
       freeMachines.add(new PlannedMachine(machine));
       soonFreeMachines.add(PlannedMachine.withExpectedReleases(machine, earliestReadyMs));
       for (TaskAttempt attempt : machine.attempts.values()) {
-        if (attempt.expectedDoneBy(earliestReadyMs)) {
+        if (attempt.isExpectedDoneBy(earliestReadyMs)) {
           remainingQuota.expectRelease(attempt);
         }
       }
@@ -90,7 +90,7 @@
     List<Job> jobs = new ArrayList<>();
     for (Job job : cluster.waitingJobs) {
       // Tasks that may be running on an unreconciled machine need no other machine.
-      boolean mayBeRunningUnobserved = cluster.anyUnreconciled() && job.inherited;
+      boolean mayBeRunningUnobserved = cluster.hasUnreconciledMachines() && job.inherited;
       if (!mayBeRunningUnobserved && !job.cancellationRequested && nowMs >= job.pausedUntilMs) {
         jobs.add(job);
       }
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -225,12 +225,12 @@
   }
 
   /** Whether a worker showed a higher fencing token: another leader has taken over. */
-  public boolean deposed() {
+  public boolean isDeposed() {
     return heartbeatReconciler.deposed();
   }
 
   /** Whether most machines seem to be out of this leader's reach. */
-  public boolean isolated() {
+  public boolean isIsolated() {
     FleetVisibility visibility = schedulingPass.fleetVisibility();
     return visibility.isolated() || visibility.inboundPartitioned();
   }
@@ -253,13 +253,13 @@
   }
 
   /** Whether the term has to end because its attempt numbers are used up. */
-  public boolean attemptNumbersExhausted() {
-    return cluster.attemptNumbers.exhausted();
+  public boolean hasExhaustedAttemptNumbers() {
+    return cluster.attemptNumbers.isExhausted();
   }
 
   /** Whether machines of earlier leaders are neither reconciled nor gone yet. */
-  public boolean reconciling() {
-    return cluster.anyUnreconciled();
+  public boolean isReconciling() {
+    return cluster.hasUnreconciledMachines();
   }
 
   /** Whether something changed that a pass may act on. */
@@ -288,7 +288,7 @@
 
   /** Whether direct commands whose turn has come are still due; if not they are settled. */
   public boolean directCommandsStillDue(Decision.SendCommands decision, long nowMs) {
-    return directCommands.stillDue(decision, nowMs);
+    return directCommands.isStillDue(decision, nowMs);
   }
 
   /**
@@ -332,7 +332,7 @@
    * Runs one pass and returns its decisions in the order in which they are to be carried out. Up to
    * {@code leaseCertainUntilMs} no other node can have led beside this one.
    */
-  public List<Decision> pass(long nowMs, long leaseCertainUntilMs) {
+  public List<Decision> runPass(long nowMs, long leaseCertainUntilMs) {
     return schedulingPass.run(nowMs, leaseCertainUntilMs);
   }
 
@@ -343,7 +343,7 @@
       return null;
     }
     int running = job.runningCount();
-    return new JobProgress(running > 0, job.doneCount(), running, job.complete());
+    return new JobProgress(running > 0, job.doneCount(), running, job.isComplete());
   }
 
   /** A live job as its user sees it. */
@@ -363,7 +363,7 @@
   }
 
   /** One line for the log: jobs, machines, utilization, commands and cost. */
-  public String summary() {
+  public String clusterSummary() {
     return logSummary.clusterLine();
   }
 
--- a/src/main/java/org/astershift/scheduler/SchedulingPass.java
+++ b/src/main/java/org/astershift/scheduler/SchedulingPass.java
@@ -13,10 +13,10 @@
   private static final long SWEEP_INTERVAL_MS = 250;
 
   /** Between plans for scaling in and out. */
-  private static final long PROVISION_PLAN_INTERVAL_MS = 1000;
+  private static final long SCALING_PLAN_INTERVAL_MS = 1000;
 
   /** After a failover, time without scaling out while machines are unreconciled. */
-  private static final long PROVISION_AFTER_FAILOVER_MS = 5000;
+  private static final long SCALE_OUT_DELAY_AFTER_FAILOVER_MS = 5000;
 
   private final ClusterState cluster;
   private final Placement placement;
@@ -103,7 +103,7 @@
     List<Machine> machinesWithCommands = new ArrayList<>(cluster.commandsPending);
     cluster.commandsPending.clear();
     for (Machine machine : machinesWithCommands) {
-      if (!commandReconciler.maySendNow(machine)) {
+      if (!commandReconciler.canSendNow(machine)) {
         cluster.commandsPending.add(machine);
         continue;
       }
@@ -164,7 +164,7 @@
   }
 
   private void finishJobs(List<Decision> decisions) {
-    cluster.completionCandidates.removeIf(job -> !job.complete());
+    cluster.completionCandidates.removeIf(job -> !job.isComplete());
     for (Job job : cluster.completionCandidates) {
       if (outstandingDecisions.add(Kind.FINISH_JOB, job.spec.id())) {
         decisions.add(new Decision.FinishJob(job.spec.id()));
@@ -173,7 +173,7 @@
   }
 
   private void planScaling(List<Decision> decisions, boolean leaseCertain, long nowMs) {
-    boolean planDue = nowMs - lastPlanMs >= PROVISION_PLAN_INTERVAL_MS || scaleOut.planDue();
+    boolean planDue = nowMs - lastPlanMs >= SCALING_PLAN_INTERVAL_MS || scaleOut.planDue();
     if (!planDue || cluster.machineTypes.all().isEmpty()) {
       return;
     }
@@ -182,7 +182,8 @@
     scaleIn.plan(decisions, leaseCertain, nowMs);
     firstPlanMs = firstPlanMs < 0 ? nowMs : firstPlanMs;
     // Unreconciled machines run a part of the queue already, or will take it.
-    if (!cluster.anyUnreconciled() || nowMs - firstPlanMs > PROVISION_AFTER_FAILOVER_MS) {
+    if (!cluster.hasUnreconciledMachines()
+        || nowMs - firstPlanMs > SCALE_OUT_DELAY_AFTER_FAILOVER_MS) {
       scaleOut.plan(decisions, nowMs);
     }
   }
--- a/src/main/java/org/astershift/scheduler/ServiceStatistics.java
+++ b/src/main/java/org/astershift/scheduler/ServiceStatistics.java
@@ -25,19 +25,19 @@
   private final Map<String, ServiceCounters> teams = new TreeMap<>();
   private long lastStartMs = Long.MIN_VALUE / 2;
 
-  private ServiceCounters classOf(Job job) {
+  private ServiceCounters classCounters(Job job) {
     return classes.computeIfAbsent(job.spec.jobClass(), name -> new ServiceCounters());
   }
 
-  private ServiceCounters teamOf(Job job) {
+  private ServiceCounters teamCounters(Job job) {
     return teams.computeIfAbsent(job.spec.team(), name -> new ServiceCounters());
   }
 
   /** The job was accepted, or inherited from an earlier leader. */
   void onAccepted(Job job) {
-    ServiceCounters ofClass = classOf(job);
+    ServiceCounters ofClass = classCounters(job);
     ofClass.onAccepted();
-    teamOf(job).onAccepted();
+    teamCounters(job).onAccepted();
     job.outcome = new JobOutcome(job.spec.tasks() * Math.max(job.spec.cpus(), job.spec.gpus()));
     ofClass.addOutcome(job.outcome);
   }
@@ -49,17 +49,17 @@
     }
     lastStartMs = Math.max(lastStartMs, nowMs);
     boolean first = !job.started;
-    classOf(job).onStarted(first, nowMs);
-    teamOf(job).onStarted(first, nowMs);
+    classCounters(job).onStarted(first, nowMs);
+    teamCounters(job).onStarted(first, nowMs);
     job.started = true;
     job.outcome.onStarted();
   }
 
   /** The job has finished or was cancelled. */
   void onEnded(Job job, boolean cancelled) {
-    ServiceCounters ofClass = classOf(job);
+    ServiceCounters ofClass = classCounters(job);
     ofClass.onEnded(cancelled);
-    teamOf(job).onEnded(cancelled);
+    teamCounters(job).onEnded(cancelled);
     job.outcome.onEnded(cancelled);
     if (cancelled) {
       ofClass.removeOutcome(job.outcome);
@@ -70,7 +70,7 @@
    * Warns once of each job that should have started and has not, with the reason: a job kept by its
    * team's quota or by its own failures shows no lack of machines.
    */
-  void warnOfUnstarted(Iterable<Job> waiting, Predicate<Job> withinQuota, long nowMs) {
+  void warnAboutUnstartedJobs(Iterable<Job> waiting, Predicate<Job> withinQuota, long nowMs) {
     for (Job job : waiting) {
       boolean late = nowMs - job.submittedMs >= UNSTARTED_WARN_MS;
       boolean hasStarted = job.started || job.doneCount() > 0;
@@ -120,8 +120,8 @@
     classes.values().forEach(ServiceCounters::beginSnapshot);
     teams.values().forEach(ServiceCounters::beginSnapshot);
     for (Job job : jobs) {
-      classOf(job).addToSnapshot(job);
-      teamOf(job).addToSnapshot(job);
+      classCounters(job).addToSnapshot(job);
+      teamCounters(job).addToSnapshot(job);
     }
   }
 
--- a/src/main/java/org/astershift/scheduler/SilenceEvidence.java
+++ b/src/main/java/org/astershift/scheduler/SilenceEvidence.java
@@ -20,9 +20,9 @@
   /** Whether the machine has sent nothing for longer than allowed, though it was probed. */
   boolean isSilent(Machine machine, long nowMs) {
     if (machine.state == Machine.State.UNRECONCILED
-        && machine.directCommands.failures() >= FENCE_TRIES
+        && machine.directCommands.unansweredCount() >= FENCE_TRIES
         && cluster.heartbeatTiming.silenceMs(machine, nowMs) > FENCE_TIMEOUT_MS
-        && cluster.fewUnreconciled()) {
+        && cluster.hasFewUnreconciledMachines()) {
       return true;
     }
     // Only after a failed probe: a busy leader may not have come to probe healthy machines yet.
@@ -38,8 +38,8 @@
    */
   private boolean probedInVain(Machine machine, long nowMs) {
     return cluster.incarnations.leaseUncertain(nowMs)
-        ? machine.directCommands.silentUnanswered()
-        : machine.directCommands.failures() > 0;
+        ? machine.directCommands.unansweredWhileSilent()
+        : machine.directCommands.unansweredCount() > 0;
   }
 
   /** Whether some peer has reached the machine lately. */
--- a/src/main/java/org/astershift/scheduler/TaskAttempt.java
+++ b/src/main/java/org/astershift/scheduler/TaskAttempt.java
@@ -48,7 +48,7 @@
 
   boolean stopping;
   boolean stopSent;
-  double stopGraceS;
+  double stopGracePeriodS;
 
   /** Why it exited; null before that. */
   ExitReason exitReason;
@@ -65,7 +65,7 @@
     this.key = new Key(job.spec.id(), index, attemptNumber);
   }
 
-  boolean exited() {
+  boolean isExited() {
     return phase == Heartbeat.TaskPhase.EXITED;
   }
 
@@ -80,7 +80,7 @@
    * lease does not exclude it: a restarted machine is in its first epoch again and has no fencing
    * token, so it would execute a delayed start.
    */
-  boolean startPending() {
+  boolean isStartPending() {
     return phase == null && (startUnconfirmed || startInFlight);
   }
 
@@ -90,7 +90,7 @@
    */
   boolean mayStart() {
     return phase == Heartbeat.TaskPhase.FETCHING
-        || (phase == null && (startPending() || startInHeartbeatResponse) && !startLeaseExpired);
+        || (phase == null && (isStartPending() || startInHeartbeatResponse) && !startLeaseExpired);
   }
 
   /** Whether its user sees it as running. */
@@ -99,30 +99,30 @@
   }
 
   /** Whether it will have ended at this time by its estimate. */
-  boolean expectedDoneBy(long atMs) {
+  boolean isExpectedDoneBy(long atMs) {
     return job.spec.kind() == JobKind.ARRAY
-        && !exited()
+        && !isExited()
         && placedMs + job.spec.estimateS() * 1000 < atMs;
   }
 
   /** Whether it should not run any more. */
-  boolean unwanted() {
-    return stopping || resultUnused();
+  boolean isUnwanted() {
+    return stopping || isResultUnused();
   }
 
   /** Its job is over or about to be, so a checkpoint is of no use. */
-  private boolean resultUnused() {
+  private boolean isResultUnused() {
     return job.state != Job.State.LIVE || job.cancellationRequested;
   }
 
   /** Seconds that a stop leaves for a checkpoint; 0 where that is of no use. */
-  double graceS() {
-    return resultUnused() ? 0 : stopGraceS;
+  double gracePeriodS() {
+    return isResultUnused() ? 0 : stopGracePeriodS;
   }
 
   /** Has a stop that left time for a checkpoint sent again without. */
-  void shortenGrace() {
-    stopSent &= stopGraceS == 0;
+  void cancelGracePeriod() {
+    stopSent &= stopGracePeriodS == 0;
   }
 
   String name() {
--- a/src/main/java/org/astershift/scheduler/TaskExitHandler.java
+++ b/src/main/java/org/astershift/scheduler/TaskExitHandler.java
@@ -43,7 +43,7 @@
       case DONE -> {
         faultAttribution.onTaskCompleted(job, machine);
         if (job.spec.kind() != JobKind.SERVICE) {
-          cluster.markDone(job, attempt.index);
+          cluster.markTaskDone(job, attempt.index);
         }
       }
       case ERROR -> {
--- a/src/main/java/org/astershift/scheduler/UnfinishedJobs.java
+++ b/src/main/java/org/astershift/scheduler/UnfinishedJobs.java
@@ -27,7 +27,7 @@
     jobsByTeam.get(job.spec.team()).remove(job);
   }
 
-  Set<Job> of(String team) {
+  Set<Job> ofTeam(String team) {
     TreeSet<Job> unfinished = jobsByTeam.get(team);
     return unfinished == null ? Set.of() : unfinished;
   }
@@ -37,7 +37,7 @@
    * unfinished jobs. The team's present usage would not do: it would give the guarantee to each job
    * of a long queue in turn.
    */
-  boolean withinGuaranteedQuota(Job job) {
+  boolean isWithinGuaranteedQuota(Job job) {
     Team team = teams.get(job.spec.team());
     if (team == null) {
       return false;
--- a/src/main/java/org/astershift/scheduler/WaitQueue.java
+++ b/src/main/java/org/astershift/scheduler/WaitQueue.java
@@ -55,7 +55,7 @@
       if (!job.waitingTasks.isEmpty()
           && (job.spec.spotAllowed() || !machine.spot)
           && job.usableTypes.contains(machine.typeName)
-          && job.zoneAllowed(machine.zone)
+          && job.isZoneAllowed(machine.zone)
           && cluster.teamQuotaAllows(job)) {
         return true;
       }
@@ -138,12 +138,12 @@
       return false;
     }
     // A suspect job is probed by one task at a time.
-    if (job.probeInProgress()) {
+    if (job.isProbeInProgress()) {
       return false;
     }
     // Unreconciled machines may hold tasks of inherited jobs, so these jobs wait. The usage of such
     // tasks is counted in teamQuotaAllows.
-    return !cluster.anyUnreconciled() || !job.inherited;
+    return !cluster.hasUnreconciledMachines() || !job.inherited;
   }
 
   private boolean isBelowGuarantee(Job job) {
--- a/src/main/java/org/astershift/scheduler/ZoneHealth.java
+++ b/src/main/java/org/astershift/scheduler/ZoneHealth.java
@@ -32,7 +32,7 @@
   }
 
   private void add(Machine machine, boolean overdue, SilenceEvidence evidence, long nowMs) {
-    if (overdue && machine.directCommands.failures() > 0) {
+    if (overdue && machine.directCommands.unansweredCount() > 0) {
       unansweredKnown += machine.epoch > 0 ? 1 : 0;
       unansweredNew += machine.epoch > 0 ? 0 : 1;
     }
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -233,7 +233,7 @@
         generator.writeStringField("shard", command.jobId() + "/" + command.index());
         generator.writeNumberField("launch", command.attemptNumber());
         if (command.kind() == Command.Kind.STOP) {
-          generator.writeNumberField("leeway_s", command.graceS());
+          generator.writeNumberField("leeway_s", command.gracePeriodS());
         }
         generator.writeEndObject();
       }
--- a/src/test/java/org/astershift/EventDigest.java
+++ b/src/test/java/org/astershift/EventDigest.java
@@ -145,7 +145,7 @@
         .text(order.jobId())
         .number(order.index())
         .number(order.attemptNumber());
-    number(Double.doubleToLongBits(order.graceS()));
+    number(Double.doubleToLongBits(order.gracePeriodS()));
   }
 
   private static int code(Command.Kind op) {
--- a/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
+++ b/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
@@ -32,7 +32,7 @@
       for (TaskAttempt run : m.attempts.values()) {
         check(out, run.machine == m, run.name() + " is in the books of another machine");
         check(out, m.attempts.get(run.key) == run, run.name() + " under another key");
-        if (run.exited()) {
+        if (run.isExited()) {
           check(out, !run.job.duplicateAttempts.contains(run), run.name() + " exited and extra");
           check(out, run.job.attempts.get(run.index) != run, run.name() + " exited and held");
           continue;
@@ -52,7 +52,7 @@
         boolean known =
             run.job.attempts.get(run.index) == run
                 || run.job.duplicateAttempts.contains(run)
-                || (run.unwanted() && run.job.attempts.get(run.index) == null);
+                || (run.isUnwanted() && run.job.attempts.get(run.index) == null);
         check(out, known, run.name() + " on " + m.name + " is nobody's");
         check(
             out,
@@ -84,7 +84,10 @@
       boolean unrecorded = m.state == Machine.State.LIVE && !m.registered;
       check(out, unrecorded == c.unregistered.contains(m), m.name + " unrecorded: " + unrecorded);
     }
-    check(out, c.anyUnreconciled() == unreconciled > 0, unreconciled + " machines are unheard");
+    check(
+        out,
+        c.hasUnreconciledMachines() == unreconciled > 0,
+        unreconciled + " machines are unheard");
     for (Team team : c.limits.teams().values()) {
       double[] u = teams.getOrDefault(team.name(), new double[2]);
       double[] use = c.teamUsage(team.name());
@@ -145,7 +148,7 @@
     check(out, c.unfinishedJobs(job.spec.team()).contains(job), id + " not among its team's");
     boolean unopened = !job.opened && !job.attempts.isEmpty();
     check(out, !unopened || c.jobsToOpen.contains(job), id + " is not to be opened");
-    check(out, !job.complete() || c.completionCandidates.contains(job), id + " is complete");
+    check(out, !job.isComplete() || c.completionCandidates.contains(job), id + " is complete");
   }
 
   private static void same(List<String> out, String what, double expected, double kept) {
--- a/src/test/java/org/astershift/scheduler/EligibilityTest.java
+++ b/src/test/java/org/astershift/scheduler/EligibilityTest.java
@@ -208,7 +208,7 @@
       spec = job;
       scheduler.addJob(job, false, new java.util.BitSet(), 0);
       for (long now = 0; now < seconds * 1000L; now += 500) {
-        for (Decision d : scheduler.pass(now, Long.MAX_VALUE / 4)) {
+        for (Decision d : scheduler.runPass(now, Long.MAX_VALUE / 4)) {
           carryOut(d, now);
         }
         work(now);
--- a/src/test/java/org/astershift/scheduler/FuzzController.java
+++ b/src/test/java/org/astershift/scheduler/FuzzController.java
@@ -64,7 +64,7 @@
     if (!differences.isEmpty()) {
       sim.rules.broken.add("books at " + sim.now + ": " + differences);
     }
-    if (scheduler.deposed()) {
+    if (scheduler.isDeposed()) {
       over("deposed");
     }
   }
@@ -149,7 +149,7 @@
               scheduler.onProcessResumed(clock());
             }
           }
-          List<Decision> decisions = scheduler.pass(clock(), leaseCertainUntilMs);
+          List<Decision> decisions = scheduler.runPass(clock(), leaseCertainUntilMs);
           sim.digest.pass(sim.now, Long.toString(token), decisions);
           for (Decision decision : decisions) {
             carryOut(decision);
--- a/src/test/java/org/astershift/scheduler/FuzzHeartbeats.java
+++ b/src/test/java/org/astershift/scheduler/FuzzHeartbeats.java
@@ -77,7 +77,7 @@
                   List<Command> commands =
                       controller.scheduler.onHeartbeat(
                           heartbeat, controller.clock(), controller.clock());
-                  boolean accepted = commands != null && !controller.scheduler.deposed();
+                  boolean accepted = commands != null && !controller.scheduler.isDeposed();
                   long backMs = controller.linkDelayMs(worker.name, "down");
                   if (backMs >= 0) {
                     sim.after(
--- a/src/test/java/org/astershift/scheduler/FuzzWorker.java
+++ b/src/test/java/org/astershift/scheduler/FuzzWorker.java
@@ -238,7 +238,7 @@
       }
       case STOP -> {
         if (task != null && !task.exited()) {
-          stop(task, command.graceS());
+          stop(task, command.gracePeriodS());
         }
       }
       case FORGET -> {
--- a/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
+++ b/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
@@ -60,7 +60,7 @@
       scheduler.addJob(job("wk-" + i), false, new BitSet(), 0);
     }
     for (int pass = 1; pass <= 4; pass++) { // so many starts a pass go to one machine
-      scheduler.pass(pass, Long.MAX_VALUE);
+      scheduler.runPass(pass, Long.MAX_VALUE);
     }
     assertEquals(
         JOBS + 1, scheduler.outstandingDecisionCount(), "records of jobs, and of a machine");
@@ -68,7 +68,7 @@
       scheduler.onJobEnded("wk-" + i, true, 5);
     }
     scheduler.onMachinesReleased(List.of("vm-1", "vm-2"), 5);
-    scheduler.pass(6, Long.MAX_VALUE);
+    scheduler.runPass(6, Long.MAX_VALUE);
     assertEquals(0, scheduler.outstandingDecisionCount());
   }
 }
--- a/src/test/java/org/astershift/scheduler/PassCostTest.java
+++ b/src/test/java/org/astershift/scheduler/PassCostTest.java
@@ -98,7 +98,7 @@
     }
     for (int pass = 0; pass < 40; pass++) {
       now += 250;
-      for (Decision d : scheduler.pass(now, Long.MAX_VALUE)) {
+      for (Decision d : scheduler.runPass(now, Long.MAX_VALUE)) {
         if (d instanceof Decision.SendCommands o) {
           int machine = Integer.parseInt(o.machineName().substring(3));
           for (Command order : o.commands()) {
@@ -121,7 +121,7 @@
       report(i, 100, running.get(i));
     }
     now += 250;
-    scheduler.pass(now, Long.MAX_VALUE);
+    scheduler.runPass(now, Long.MAX_VALUE);
     return running;
   }
 
@@ -132,7 +132,7 @@
         MACHINES * 4, running.stream().mapToInt(List::size).sum(), "the fleet is not full");
     long before = scheduler.candidateChecks();
     now += 250;
-    scheduler.pass(now, Long.MAX_VALUE);
+    scheduler.runPass(now, Long.MAX_VALUE);
     assertEquals(
         0, scheduler.candidateChecks() - before, "a pass in which nothing could be placed");
     before = scheduler.candidateChecks();
@@ -149,7 +149,7 @@
     add(JOBS, "urgent", Priority.HIGH, 50);
     long before = scheduler.candidateChecks();
     now += 250;
-    scheduler.pass(now, Long.MAX_VALUE);
+    scheduler.runPass(now, Long.MAX_VALUE);
     long looks = scheduler.candidateChecks() - before;
     assertTrue(looks >= MACHINES && looks <= 3 * MACHINES + 200, looks + " looks");
   }
--- a/src/test/java/org/astershift/scheduler/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -188,7 +188,7 @@
         s.onPeerProbeResults(asked, told);
       }
       case "isolated" -> {
-        return List.of("isolated " + s.isolated());
+        return List.of("isolated " + s.isIsolated());
       }
       case "summary" -> {
         s.serviceSummary(now);
@@ -228,7 +228,7 @@
   /** Until {@code leaseCertainUntilMs} no other controller can lead. */
   private List<String> pass(long now, long leaseCertainUntilMs) {
     List<String> out = new ArrayList<>();
-    for (Decision decision : scheduler.pass(now, leaseCertainUntilMs)) {
+    for (Decision decision : scheduler.runPass(now, leaseCertainUntilMs)) {
       if (decision instanceof Decision.ProbeThroughPeers probe) {
         asked = probe;
         if (!others) {
@@ -362,7 +362,7 @@
         term == TOKEN
             ? "" + (o.attemptNumber() & ((1L << AttemptNumbers.ATTEMPT_COUNTER_BITS) - 1))
             : "old" + o.attemptNumber();
-    String grace = o.kind() == Command.Kind.STOP ? " grace " + o.graceS() : "";
+    String grace = o.kind() == Command.Kind.STOP ? " grace " + o.gracePeriodS() : "";
     return o.kind().name().toLowerCase(java.util.Locale.ROOT)
         + " "
         + o.jobId()
--- a/src/test/java/org/astershift/simulation/ControllerModel.java
+++ b/src/test/java/org/astershift/simulation/ControllerModel.java
@@ -242,7 +242,7 @@
 
   /** Whether it leads and has not reconciled all machines of earlier terms yet. */
   boolean reconciling() {
-    return term != null && term.scheduler().reconciling();
+    return term != null && term.scheduler().isReconciling();
   }
 
   /** For how long it has led. */
--- a/src/test/java/org/astershift/simulation/LeaderTermModel.java
+++ b/src/test/java/org/astershift/simulation/LeaderTermModel.java
@@ -165,7 +165,7 @@
         controller.mutated(Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE)
             ? Long.MAX_VALUE
             : controller.election().leaseCertainUntilMs();
-    List<Decision> decisions = scheduler.pass(controller.clock(), leaseCertainUntilMs);
+    List<Decision> decisions = scheduler.runPass(controller.clock(), leaseCertainUntilMs);
     simulation.digest.pass(simulation.now(), controller.name, decisions);
     decisions.forEach(this::execute);
   }
@@ -309,7 +309,7 @@
 
   /** The term ends if the machine has shown a higher fencing token. */
   void stepDownIfDeposed(String machine) {
-    if (scheduler.deposed()) {
+    if (scheduler.isDeposed()) {
       stepDown(machine + " has seen a higher token");
     }
   }
--- a/src/test/java/org/astershift/simulation/PeerModel.java
+++ b/src/test/java/org/astershift/simulation/PeerModel.java
@@ -145,7 +145,7 @@
     reportedLeader = null;
     LeaderTermModel term = controller.term();
     if (term == null
-        || !term.scheduler().isolated()
+        || !term.scheduler().isIsolated()
         || controller.mutated(Mutation.NO_LEADERSHIP_TRANSFER)) {
       return;
     }
--- a/src/test/java/org/astershift/simulation/WorkerTasks.java
+++ b/src/test/java/org/astershift/simulation/WorkerTasks.java
@@ -37,7 +37,7 @@
       case STOP -> {
         if (task != null) {
           simulation.checker.stopped += task.isExited() ? 0 : 1;
-          stop(task, command.graceS());
+          stop(task, command.gracePeriodS());
         }
       }
       case FORGET -> {
