--- a/src/main/java/org/astershift/scheduler/AttemptNumbers.java
+++ b/src/main/java/org/astershift/scheduler/AttemptNumbers.java
@@ -1,14 +1,14 @@
 package org.astershift.scheduler;
 
 /**
- * Attempt numbers of one term: its fencing token in the high bits and a counter below. A number is
- * never given out twice, so a term whose counter runs out has to end.
+ * Generates the attempt numbers of one term: the fencing token in the high bits and a counter in
+ * the low bits. Numbers are never reused, so a term that exhausts its counter has to end.
  */
 final class AttemptNumbers {
-  /** Width of the counter: enough for weeks at a few hundred starts a second. */
+  /** Width of the counter in bits, enough for weeks at a few hundred starts per second. */
   static final int ATTEMPT_COUNTER_BITS = 28;
 
-  /** Numbers kept in reserve for the passes until the term has ended. */
+  /** Attempt numbers held in reserve for the passes that run until the term has ended. */
   private static final long TERM_END_ATTEMPTS_LEFT = 1_000_000;
 
   private final long fencingToken;
@@ -22,7 +22,7 @@
     return (fencingToken << ATTEMPT_COUNTER_BITS) | ++lastCounter;
   }
 
-  /** Whether the term has to end to get new numbers. */
+  /** Returns whether the term has to end because only the reserve of numbers is left. */
   boolean isExhausted() {
     return lastCounter >= (1L << ATTEMPT_COUNTER_BITS) - TERM_END_ATTEMPTS_LEFT;
   }
--- a/src/main/java/org/astershift/scheduler/AttemptRegistry.java
+++ b/src/main/java/org/astershift/scheduler/AttemptRegistry.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 
 /**
- * Which attempt holds which task on which machine. Placing, adopting, releasing and stopping an
- * attempt update all sums and sets of {@link ClusterState} that depend on it.
+ * Tracks which attempt holds which task on which machine. Placing, adopting, releasing or stopping
+ * an attempt updates all sums and sets of {@link ClusterState} that depend on it.
  */
 final class AttemptRegistry {
-  /** Seconds over which the reuse rate of idle machines decays. */
+  /** Time constant in seconds with which the reuse rate of idle machines decays. */
   private static final double REUSE_WINDOW_S = 60;
 
   private final ClusterState cluster;
@@ -20,7 +20,7 @@
     this.cluster = cluster;
   }
 
-  /** Places a waiting task on a machine; its start command goes out once the job is opened. */
+  /** Places a waiting task on a machine; its start command is sent once the job is opened. */
   TaskAttempt place(Job job, int index, Machine machine, long attemptNumber, long nowMs) {
     if (machine.idle()) {
       reuseRateByType
@@ -42,13 +42,13 @@
     return attempt;
   }
 
-  /** Idle machines of the type that are taken into use per second. */
+  /** Returns the number of idle machines of the type that are put to use per second. */
   double reuseRatePerS(String typeName, long nowMs) {
     DecayingRate rate = reuseRateByType.get(typeName);
     return rate == null ? 0 : rate.perS(nowMs);
   }
 
-  /** Adds an attempt that a machine reported; {@link #holdTask} gives it the task. */
+  /** Adds an attempt that a machine reported; only {@link #holdTask} makes it hold its task. */
   void adopt(TaskAttempt attempt) {
     attempt.machine.add(attempt);
     if (!attempt.isExited()) {
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Makes an attempt known already the one that holds its task. */
+  /** Makes an attempt that is already known the one that holds its task. */
   void holdTask(TaskAttempt attempt) {
     attempt.job.hold(attempt);
     if (attempt.job.waitingTasks.isEmpty()) {
@@ -65,8 +65,9 @@
   }
 
   /**
-   * The attempt runs no more and its resources are free. The machine keeps its entry until the
-   * worker has forgotten the attempt. A duplicate that is left takes over the task.
+   * Releases the resources and the task of an attempt that no longer runs. The machine keeps the
+   * attempt's entry until the worker has forgotten it. A remaining duplicate attempt takes over the
+   * task.
    */
   void release(TaskAttempt attempt) {
     addUsage(attempt, -1);
@@ -87,7 +88,7 @@
     }
   }
 
-  /** Removes an attempt that the machine provably neither has nor can still get. */
+  /** Removes an attempt that the machine provably neither holds nor can still receive. */
   void drop(TaskAttempt attempt) {
     if (!attempt.isExited()) {
       release(attempt);
@@ -97,16 +98,16 @@
     attempt.machine.remove(attempt);
   }
 
-  /** Drops some attempts of one machine, and logs those that it had shown. */
+  /** Drops these attempts of one machine and logs those that it had reported. */
   void dropAll(Machine machine, List<TaskAttempt> attempts, DropReason reason) {
     cluster.reconciliationLog.onDropped(machine, attempts, reason);
     attempts.forEach(this::drop);
   }
 
   /**
-   * Drops all attempts of a machine that provably runs none. Pending starts may still arrive and
-   * stay held until a later epoch of the machine is seen or it is gone. Returns how many were
-   * dropped.
+   * Drops the attempts of a machine that provably runs none, except pending starts. These may still
+   * arrive and stay held until a later epoch of the machine is seen or the machine is gone. Returns
+   * the number of dropped attempts.
    */
   int dropExceptPendingStarts(Machine machine, DropReason reason) {
     List<TaskAttempt> nonPending = new ArrayList<>(machine.attempts.values());
@@ -120,7 +121,7 @@
     dropAll(machine, new ArrayList<>(machine.attempts.values()), DropReason.MACHINE_GONE);
   }
 
-  /** Stops a task with time for its checkpoint; a gang is stopped as a whole. */
+  /** Stops a task with a grace period for its checkpoint; a gang is stopped as a whole. */
   void stop(TaskAttempt attempt) {
     if (attempt.job.spec.kind() == JobKind.GANG) {
       for (TaskAttempt other : attempt.job.attempts.values()) {
@@ -142,9 +143,9 @@
   }
 
   /**
-   * Stops the rest of a gang that an earlier leader began to stop. Tasks that are stopped later
-   * than {@code gang_peer_s} after the first fail their checkpoint, and the stopped ones end
-   * anyway.
+   * Stops the remaining tasks of a gang that an earlier leader began to stop. The stopped tasks end
+   * in any case, and tasks that are stopped more than {@code gang_peer_s} after the first one fail
+   * to save their checkpoint.
    */
   void stopRestOfGang(TaskAttempt attempt) {
     Job job = attempt.job;
--- a/src/main/java/org/astershift/scheduler/ClusterState.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -11,18 +11,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state of one term: jobs, machines, and the sums and work sets derived from them, which are
- * updated with each event so that none needs a walk over everything. Guarded by the lock of the
- * {@link Scheduler}'s caller, as all of this package.
+ * Holds the state of one term: jobs, machines, and the sums and work sets derived from them. Each
+ * event updates the derived state incrementally, so that no full scan is needed. Guarded, like all
+ * classes of this package, by the lock that the caller of {@link Scheduler} holds.
  *
- * <p>A {@link TaskAttempt} is dropped only on proof: a newer heartbeat of its machine, the end of
- * its epoch, the confirmed release of the machine, the cloud's list, or the expiry of a lease that
- * only this leader could have renewed.
+ * <p>A {@link TaskAttempt} is dropped only on proof that it has ended: a newer heartbeat of its
+ * machine, the end of its epoch, the confirmed release of the machine, the cloud's machine list, or
+ * the expiry of a lease that only this leader could have renewed.
  */
 final class ClusterState {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
-  /** Share of the fleet up to which unreconciled machines count as few. */
+  /** Unreconciled machines count as few up to this share of the fleet. */
   private static final double FEW_UNRECONCILED_MAX_SHARE = 0.1;
 
   final DeploymentLimits limits;
@@ -31,22 +31,22 @@
   final Map<String, Job> jobs = new LinkedHashMap<>();
   final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Jobs with tasks that are neither done nor held. */
+  /** Jobs with tasks that are neither done nor held by a machine. */
   final Set<Job> waitingJobs = new LinkedHashSet<>();
 
   /** Machines that may need a command before their next heartbeat. */
   final Set<Machine> commandsPending = new LinkedHashSet<>();
 
-  /** Live machines without a durable record: they get no tasks yet. */
+  /** Live machines without a durable record, which get no tasks yet. */
   final Set<Machine> unregistered = new LinkedHashSet<>();
 
   /** Jobs with placed tasks that must be opened before the first start command. */
   final Set<Job> jobsToOpen = new LinkedHashSet<>();
 
-  /** Opened services of which a replica was placed since the last pass. */
+  /** Opened services with a replica placed since the last pass. */
   final Set<Job> placementsToPersist = new LinkedHashSet<>();
 
-  /** Jobs that may be complete. */
+  /** Jobs that may be complete; the next pass checks them. */
   final Set<Job> completionCandidates = new LinkedHashSet<>();
 
   /** Jobs with done tasks that are not persisted yet. */
@@ -66,7 +66,7 @@
   final AttemptRegistry attempts = new AttemptRegistry(this);
   final ReconciliationLog reconciliationLog = new ReconciliationLog();
 
-  /** Checks of a job against a machine so far: tests bound the cost of a pass by it. */
+  /** Checks of a job against a machine so far; tests bound the cost of a pass by this count. */
   long candidateChecks;
 
   private final UnfinishedJobs unfinishedJobs;
@@ -85,7 +85,7 @@
     this.unfinishedJobs = new UnfinishedJobs(limits.teams());
   }
 
-  /** Something changed that a pass may act on. */
+  /** Requests a pass, because something changed that it may act on. */
   void requestPass() {
     passRequested = true;
   }
@@ -98,7 +98,7 @@
     passRequested = false;
   }
 
-  /** Replaces the machine types and all that was derived from the former ones. */
+  /** Replaces the machine types and recomputes everything derived from them. */
   void updateMachineTypes(Map<String, MachineType> knownTypes) {
     machineTypes.update(knownTypes);
     for (Machine machine : machines.values()) {
@@ -126,7 +126,7 @@
     requestPass();
   }
 
-  /** The job's end is durable: attempts that were never sent are dropped, the others stopped. */
+  /** Ends a job whose end is durable: drops attempts with no start sent and stops the others. */
   void endJob(Job job, boolean cancelled) {
     jobs.remove(job.spec.id());
     unfinishedJobs.remove(job);
@@ -150,7 +150,7 @@
     requestPass();
   }
 
-  /** The team's unfinished jobs in the order of their submission. */
+  /** Returns the team's unfinished jobs in the order of their submission. */
   Set<Job> unfinishedJobs(String team) {
     return unfinishedJobs.ofTeam(team);
   }
@@ -167,7 +167,7 @@
     }
   }
 
-  /** The done tasks of jobs whose record is behind, since the last call. */
+  /** Returns the done tasks of each incomplete job that completed tasks since the last call. */
   Map<String, BitSet> drainUnpersistedProgress() {
     Map<String, BitSet> doneTasksByJob = new LinkedHashMap<>();
     for (Job job : unpersistedProgress) {
@@ -188,8 +188,8 @@
   }
 
   /**
-   * The machine has acknowledged this term's fencing token. An older leader may have answered its
-   * heartbeats so far, so its lease with this leader counts from now.
+   * Records that the machine has acknowledged this term's fencing token. An older leader may have
+   * answered its heartbeats until now, so its lease with this leader counts from now.
    */
   void fence(Machine machine, long nowMs) {
     if (machine.fenced) {
@@ -230,12 +230,12 @@
     }
   }
 
-  /** Whether some machine may still hold what an earlier leader started. */
+  /** Returns whether some machine may still hold tasks that this leader does not know. */
   boolean hasUnreconciledMachines() {
     return unreconciledMachines > 0;
   }
 
-  /** Whether so few machines are unreconciled that the fault is theirs, not this leader's. */
+  /** Returns whether so few machines are unreconciled that this leader is not at fault. */
   boolean hasFewUnreconciledMachines() {
     return unreconciledMachines
         <= Math.max(
@@ -243,8 +243,8 @@
   }
 
   /**
-   * The machine may have restarted and nothing excludes it: it is treated as restarted, and starts
-   * sent with heartbeat responses stay held, since they may still arrive.
+   * Treats a machine as restarted because a restart cannot be excluded. Starts sent in heartbeat
+   * responses stay held, since they may still arrive.
    */
   void onPossibleRestart(Machine machine, long nowMs) {
     for (TaskAttempt attempt : machine.attempts.values()) {
@@ -257,21 +257,22 @@
   }
 
   /**
-   * A message may be of an incarnation that began while the lease was uncertain. Where this term
-   * knew none, the machine's record may be of an earlier incarnation too, and is written again.
+   * Handles a message that may be from an incarnation that began while the lease was uncertain. If
+   * this term knew no incarnation of the machine, its record may also be for an earlier incarnation
+   * and is written again.
    */
   void onUnprovenIncarnation(Machine machine) {
     if (machine.incarnation.isKnown()) {
-      LOG.debug("possible restart while the lease is uncertain: machine={}", machine.name);
+      LOG.debug("possible restart while the leader lease is uncertain: machine={}", machine.name);
       machine.incarnation = new MachineIncarnation();
     } else {
-      LOG.debug("first message while the lease is uncertain: machine={}", machine.name);
+      LOG.debug("first message while the leader lease is uncertain: machine={}", machine.name);
       machine.registered = false;
       enterState(machine, machine.state);
     }
   }
 
-  /** The machine has restarted: its tasks are gone, and it has to be reconciled again. */
+  /** Handles a restart of the machine: its tasks are gone, and it has to be reconciled again. */
   void onMachineRestarted(Machine machine, long nowMs) {
     int heldBefore = machine.heldAttemptCount();
     attempts.dropExceptPendingStarts(machine, DropReason.NEW_INCARNATION);
@@ -281,8 +282,8 @@
         heldBefore - machine.heldAttemptCount(),
         machine.heldAttemptCount());
     for (TaskAttempt attempt : machine.attempts.values()) {
-      attempt.startSent = false; // sent again once the machine may have tasks again
-      attempt.startLeaseExpired = false; // may be executed by the new incarnation
+      attempt.startSent = false; // sent again once the machine may get tasks again
+      attempt.startLeaseExpired = false; // the new incarnation may execute the start
       attempt.startInHeartbeatResponse = false; // a response ends with its connection
     }
     boolean alreadyCounted = machine.inherited && !machine.fenced;
@@ -295,8 +296,8 @@
   }
 
   /**
-   * Whether the machine is one of a few that this leader has failed to fence for so long that it is
-   * released although other controllers may reach it: inherited jobs wait for it.
+   * Returns whether the machine is one of a few that this leader has failed to fence for so long
+   * that it is released even if other controllers reach it, since inherited jobs wait for it.
    */
   boolean blocksReconciliation(Machine machine, long nowMs) {
     return machine.state == Machine.State.UNRECONCILED
@@ -304,7 +305,7 @@
         && heartbeatTiming.unreconciledMs(machine, nowMs) > Scheduler.UNFENCED_RELEASE_MS;
   }
 
-  /** The machine and all on it are provably gone. */
+  /** Removes a machine that is provably gone, with everything on it. */
   void removeMachine(String machineName, String reason, long nowMs) {
     Machine machine = machines.remove(machineName);
     if (machine == null) {
@@ -327,7 +328,7 @@
     requestPass();
   }
 
-  /** Whether new tasks may go to the machine. */
+  /** Returns whether new tasks may be placed on the machine. */
   boolean isUsable(Machine machine, long nowMs) {
     return machine.usable(nowMs)
         && incarnations.usable(machine, nowMs)
@@ -335,7 +336,7 @@
         && !heartbeatTiming.outboundPartitioned(machine, nowMs);
   }
 
-  /** Whether nothing can be expected from the zone now. */
+  /** Returns whether the zone is considered partitioned from this leader. */
   boolean isZonePartitioned(String zone, long nowMs) {
     return zonePartitions.contains(zone, nowMs);
   }
@@ -344,42 +345,42 @@
     return attemptNumbers.next();
   }
 
-  /** Places a waiting task, see {@link AttemptRegistry#place}. */
+  /** Places a waiting task; see {@link AttemptRegistry#place}. */
   TaskAttempt place(Job job, int index, Machine machine, long attemptNumber, long nowMs) {
     return attempts.place(job, index, machine, attemptNumber, nowMs);
   }
 
-  /** Stops a task, see {@link AttemptRegistry#stop}. */
+  /** Stops a task; see {@link AttemptRegistry#stop}. */
   void stop(TaskAttempt attempt) {
     attempts.stop(attempt);
   }
 
-  /** Idle machines of the type that are taken into use per second. */
+  /** Returns the number of idle machines of the type that are put to use per second. */
   double reuseRatePerS(String typeName, long nowMs) {
     return attempts.reuseRatePerS(typeName, nowMs);
   }
 
-  /** Processors and accelerators that the team's tasks use. */
+  /** Returns the processors and accelerators that the team's tasks use. */
   double[] teamUsage(String team) {
     return quotaUsage.of(team);
   }
 
-  /** Whether the limit of the job's team allows one more of its tasks. */
+  /** Returns whether the limit of the job's team allows one more of the job's tasks. */
   boolean teamQuotaAllows(Job job) {
     return quotaUsage.allows(job.spec, 1);
   }
 
-  /** Whether the limit of the job's team allows this many more of its tasks. */
+  /** Returns whether the limit of the job's team allows this many more of the job's tasks. */
   boolean teamQuotaAllows(Job job, int tasks) {
     return quotaUsage.allows(job.spec, tasks);
   }
 
-  /** Processors and accelerators that the team may still take. */
+  /** Returns the processors and accelerators that the team may still use within its limit. */
   double[] remainingTeamQuota(String teamName) {
     return quotaUsage.remaining(teamName);
   }
 
-  /** Recomputes the utilization from all machines; holding and releasing only update it. */
+  /** Recomputes the utilization from all machines; other events update it incrementally. */
   void recomputeUtilization() {
     utilization.recount(machines.values());
   }
--- a/src/main/java/org/astershift/scheduler/Command.java
+++ b/src/main/java/org/astershift/scheduler/Command.java
@@ -1,15 +1,19 @@
 package org.astershift.scheduler;
 
-/** A command to a worker; {@code graceS}: seconds that a stop leaves for a checkpoint. */
+/**
+ * A command to a worker.
+ *
+ * @param gracePeriodS seconds that a stop leaves for saving a checkpoint; 0 in other commands
+ */
 public record Command(Kind kind, String jobId, int index, long attemptNumber, double gracePeriodS) {
 
-  /** What the worker is to do with the attempt. */
+  /** The action that the worker takes on the attempt. */
   public enum Kind {
-    /** Run the attempt. */
+    /** Starts the attempt. */
     START,
-    /** End the attempt, after the grace to save a checkpoint. */
+    /** Stops the attempt after the grace period for saving a checkpoint. */
     STOP,
-    /** Drop an exited attempt from the heartbeats. */
+    /** Removes an exited attempt from the worker's heartbeats. */
     FORGET
   }
 
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -4,26 +4,30 @@
 import java.util.List;
 
 /**
- * Turns the difference between the attempts wanted on a machine and those it shows into commands:
- * in the response to its heartbeat, or directly where they should not wait for the next one.
+ * Turns the difference between the attempts wanted on a machine and those that it reports into
+ * commands. They are sent in the response to the machine's heartbeat, or as direct commands if they
+ * should not wait for the next heartbeat.
  */
 final class CommandReconciler {
   /**
-   * Milliseconds of a term after which an inherited machine without a heartbeat is asked: workers
-   * that lose their controller try the next one after a second.
+   * Milliseconds after which an inherited machine without a message in this term gets a direct
+   * command that fences it. Workers that lose their controller try the next one after a second.
    */
   private static final long FENCE_DELAY_UNSEEN_MS = 1500;
 
-  /** Milliseconds after a heartbeat in which an inherited machine should show the new token. */
+  /**
+   * Milliseconds after its first message in this term within which an inherited machine should show
+   * this term's fencing token.
+   */
   private static final long FENCE_DELAY_SEEN_MS = 2500;
 
-  /** Between direct commands to a machine that is to be fenced or probed. */
+  /** Minimum interval between direct commands that fence or probe one machine. */
   private static final long FENCE_RETRY_INTERVAL_MS = 1000;
 
-  /** Between probes of an inbound-partitioned machine: the first answer ends the partition. */
+  /** Interval between probes of an inbound-partitioned machine; an answer ends the partition. */
   private static final long PARTITION_PROBE_INTERVAL_MS = 3000;
 
-  /** Deadline of direct commands. */
+  /** Timeout of urgent direct commands. */
   private static final int COMMAND_TIMEOUT_MS = 2500;
 
   private final ClusterState cluster;
@@ -33,24 +37,26 @@
     this.cluster = cluster;
   }
 
-  /** The response to the newest heartbeat: every command whose effect is not shown yet. */
+  /**
+   * Returns the response to the newest heartbeat: every command whose effect is not visible yet.
+   */
   List<Command> heartbeatResponse(Machine machine, long nowMs) {
     List<Command> commands = new ArrayList<>(4);
     for (TaskAttempt attempt : machine.attempts.values()) {
-      // A worker sends one heartbeat at a time: the response before arrived or never will.
+      // A worker sends one heartbeat at a time: the previous response has arrived or never will.
       attempt.startInHeartbeatResponse = false;
     }
     dropNeverStarted(machine);
     boolean usable = cluster.incarnations.usable(machine, nowMs);
     for (TaskAttempt attempt : machine.attempts.values()) {
       if (attempt.isExited()) {
-        // A start that arrives after its attempt was forgotten would run the task again.
+        // A start that arrives after its attempt was forgotten would run the task a second time.
         if (!attempt.startUnconfirmed && !attempt.startInFlight && canForget(attempt)) {
           commands.add(Command.forget(attempt));
         }
       } else if (attempt.isUnwanted()) {
         if (attempt.phase == null && usable) {
-          // The worker remembers the attempt then, and a late start has no effect.
+          // With this start the worker remembers the attempt, so a late start has no effect.
           attempt.startInHeartbeatResponse = true;
           commands.add(Command.start(attempt));
         }
@@ -65,9 +71,9 @@
   }
 
   /**
-   * Drops unwanted attempts of which no start was executed, nor can be any more. Called also after
-   * an answer to direct commands: a machine that restarted in this term is known by these alone,
-   * and an attempt kept there would hold its room and its team's quota forever.
+   * Drops unwanted attempts whose start was not executed and can no longer be. Also called after an
+   * answer to direct commands, because only such answers show the state of a machine that restarted
+   * in this term; an attempt kept there would hold resources and team quota indefinitely.
    */
   void dropNeverStarted(Machine machine) {
     List<TaskAttempt> neverStarted = new ArrayList<>(0);
@@ -85,9 +91,10 @@
   }
 
   /**
-   * Stops for tasks in the heartbeat whose jobs are over. Any response may renew the machine's
-   * lease, also one to a heartbeat that proves nothing; without these a task whose cancellation was
-   * confirmed would outlive it for as long as only such heartbeats arrive.
+   * Returns stops for tasks in the heartbeat whose jobs are over or being cancelled. Any response
+   * may renew the machine's lease, even one to a heartbeat that proves nothing. Without these
+   * stops, a task with a confirmed cancellation would run on for as long as only such heartbeats
+   * arrive.
    */
   List<Command> stopsForEndedJobs(Heartbeat heartbeat) {
     List<Command> commands = new ArrayList<>(0);
@@ -103,14 +110,17 @@
     return commands;
   }
 
-  /** A completed attempt stays on its machine until its end is persisted, for a next leader. */
+  /**
+   * Returns whether the worker may forget an exited attempt. A completed one stays in its
+   * heartbeats until the completion is persisted, so that a next leader can learn of it.
+   */
   private static boolean canForget(TaskAttempt attempt) {
     return attempt.job.state != Job.State.LIVE
         || attempt.exitReason != ExitReason.DONE
         || attempt.job.persistedDoneTasks.get(attempt.index);
   }
 
-  /** Whether some command should not wait for the machine's next heartbeat. */
+  /** Returns whether some command should not wait for the machine's next heartbeat. */
   static boolean isUrgentCommandDue(Machine machine) {
     for (TaskAttempt attempt : machine.attempts.values()) {
       if (isStartDue(attempt) || isStopDue(attempt)) {
@@ -121,8 +131,8 @@
   }
 
   /**
-   * Whether the machine's urgent commands may go out now: stops always, since those of a gang have
-   * to arrive together, starts as far as the concurrency limit allows.
+   * Returns whether the machine's urgent commands may be sent now. Stops always may, since the
+   * stops of a gang have to arrive together; starts may only within the concurrency limit.
    */
   boolean canSendNow(Machine machine) {
     if (concurrencyLimit.hasCapacity()) {
@@ -136,12 +146,15 @@
     return false;
   }
 
-  /** The limit of direct commands in flight. */
+  /** Returns the limit of direct commands in flight. */
   CommandConcurrencyLimit concurrencyLimit() {
     return concurrencyLimit;
   }
 
-  /** A restarted machine may hold an unconfirmed start, so it has to be registered again first. */
+  /**
+   * Returns whether a direct start is due. The machine has to be registered: after a restart it may
+   * hold an unconfirmed start, so it is registered again first.
+   */
   private static boolean isStartDue(TaskAttempt attempt) {
     return attempt.phase == null
         && !attempt.startSent
@@ -159,10 +172,11 @@
   }
 
   /**
-   * Commands that should not wait for the machine's next heartbeat; null if there are none. Starts
-   * only while this leader's lease is certain: a machine that was fenced by a later leader and
-   * restarts has no token, and would execute a direct start of a leader that was suspended
-   * meanwhile. A heartbeat response reaches only an incarnation that has just shown its token.
+   * Returns the commands that should not wait for the machine's next heartbeat; null if there are
+   * none. Starts are included only while this leader's lease is certain: a machine that a later
+   * leader fenced and that then restarts has no fencing token, so it would execute a direct start
+   * of a leader that was suspended meanwhile. A heartbeat response, in contrast, reaches only an
+   * incarnation that has just shown its token.
    */
   Decision.SendCommands urgentCommands(Machine machine, boolean leaseCertain, long nowMs) {
     if (machine.directCommands.inFlight()
@@ -190,8 +204,8 @@
   }
 
   /**
-   * A direct command that fences an inherited machine, or probes one whose heartbeat is overdue or
-   * whose incarnation is unproven; null if neither is due.
+   * Returns a direct command that fences an inherited machine, or probes a machine whose heartbeat
+   * is overdue, that may have restarted, or that is inbound-partitioned; null if none is due.
    */
   Decision.SendCommands fenceOrProbe(Machine machine, boolean leaseCertain, long nowMs) {
     if (!canFenceOrProbe(machine, nowMs)) {
@@ -226,10 +240,11 @@
   }
 
   /**
-   * Commands that were sent and have shown no effect: without heartbeats no response repeats them,
-   * so a probe does. Heartbeats of a machine that restarted in this term prove nothing, so an
-   * unconfirmed start is repeated with the probe too. One that is unwanted by now goes with its
-   * stop, so that the worker remembers the attempt: else a cancellation would wait for it forever.
+   * Returns the commands that were sent without a visible effect. Without heartbeats no response
+   * repeats them, so a probe does. Heartbeats of a machine that restarted in this term prove
+   * nothing, so the probe also repeats unconfirmed starts. The start of an attempt that is unwanted
+   * by now is sent with a stop, so that the worker remembers the attempt; otherwise a cancellation
+   * would wait for it indefinitely.
    */
   private List<Command> unacknowledgedCommands(Machine machine, boolean leaseCertain, long nowMs) {
     List<Command> commands = new ArrayList<>(0);
@@ -258,10 +273,11 @@
   }
 
   /**
-   * Most inherited machines send heartbeats by themselves, and show the new token in the next one;
-   * only those that do not get a direct command, since commands to a whole fleet at once would
-   * overload the leader. The wait counts from the first message in this term, so that a series of
-   * delayed copies cannot put it off.
+   * Returns whether an inherited machine is to be fenced by a direct command. Most inherited
+   * machines send heartbeats on their own and show the new token in the next one. Only the others
+   * get a direct command, since commands to a whole fleet at once would overload the leader. The
+   * delay counts from the first message in this term, so that a series of delayed copies cannot
+   * extend it.
    */
   private static boolean isFenceDue(Machine machine, long nowMs) {
     boolean messageSeen = machine.firstMessageMs >= 0;
@@ -273,7 +289,7 @@
     return !machine.fenced && machine.inherited && nowMs - sinceMs >= waitMs;
   }
 
-  /** Whether a fence or probe that has waited for its turn is still of use. */
+  /** Returns whether a queued fence or probe is still of use. */
   boolean isFenceOrProbeStillDue(Machine machine, long nowMs) {
     return isFenceDue(machine, nowMs)
         || machine.staleMessageSeen
@@ -282,8 +298,8 @@
   }
 
   /**
-   * A start in a direct command for the machine's present epoch. Recorded as in flight, since the
-   * attempt must not be dropped while the start may still arrive.
+   * Returns a start to send in a direct command for the machine's current epoch. Marks it as in
+   * flight, since the attempt must not be dropped while the start may still arrive.
    */
   private static Command directStart(TaskAttempt attempt) {
     attempt.startSent = true;
@@ -306,8 +322,9 @@
   }
 
   /**
-   * A direct command was answered. If the answer is {@code overtaken}, a start that no message has
-   * shown may have been executed by a later incarnation than the one that is known.
+   * Handles the answer to a direct command. If the answer is {@code overtaken} by a newer message,
+   * a start that no message has shown may have been executed by a later incarnation than the known
+   * one.
    */
   static void onAnswered(Machine machine, boolean overtaken) {
     machine.directCommands.onSettled();
@@ -316,7 +333,10 @@
     }
   }
 
-  /** A direct command will not be answered; {@code outcomeUnknown}: it may be executed yet. */
+  /**
+   * Handles a direct command without an answer; if {@code outcomeUnknown}, it may still be
+   * executed.
+   */
   static void onUnanswered(Machine machine, boolean outcomeUnknown) {
     machine.directCommands.onSettled();
     for (TaskAttempt attempt : machine.attempts.values()) {
--- a/src/main/java/org/astershift/scheduler/CostStatistics.java
+++ b/src/main/java/org/astershift/scheduler/CostStatistics.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.Locale;
 
-/** The cost of machines in this leader's term, for the log, by what each machine was doing. */
+/** Sums the cost of machines in this leader's term, for the log, by what each machine was doing. */
 final class CostStatistics {
   private static final double MS_PER_HOUR = 3_600_000;
   private long lastAccrualMs = -1; // -1: nothing is accrued yet
@@ -11,9 +11,11 @@
   private double idleCost;
   private double unusedCost;
   private double usedCost;
+
+  /** Cost of machines in any other state: unreconciled, with an expired lease, or releasing. */
   private double otherCost;
 
-  /** Adds the cost since the last call, by what each machine does now. */
+  /** Adds the cost since the last call according to what each machine is doing now. */
   void accrue(Collection<Machine> machines, long nowMs) {
     double hours = lastAccrualMs < 0 ? 0 : (nowMs - lastAccrualMs) / MS_PER_HOUR;
     lastAccrualMs = nowMs;
@@ -41,7 +43,7 @@
     }
   }
 
-  /** Share of the resource that is used most. */
+  /** Returns the used share of the resource that the machine's tasks use most. */
   private static double usedShare(Machine machine) {
     MachineType type = machine.type;
     return Math.max(
@@ -55,7 +57,7 @@
   public String toString() {
     return String.format(
         Locale.ROOT,
-        "spent %.2f on tasks, %.2f beside tasks, %.2f idle, %.2f booting, %.2f silent or returning",
+        "cost: %.2f used by tasks, %.2f unused beside tasks, %.2f idle, %.2f booting, %.2f other",
         usedCost,
         unusedCost,
         idleCost,
--- a/src/main/java/org/astershift/scheduler/Decision.java
+++ b/src/main/java/org/astershift/scheduler/Decision.java
@@ -3,44 +3,44 @@
 import java.util.List;
 import java.util.Set;
 
-/** What the scheduler wants done; a later pass repeats it until its effect is reported. */
+/** An action requested by the scheduler; later passes repeat it until its effect is reported. */
 public sealed interface Decision {
 
   /** Calls the visitor's method for this kind of decision. */
   void accept(Visitor visitor);
 
-  /** One method for each kind of decision, so that a new kind does not compile unhandled. */
+  /** Has a method for each kind of decision, so that code that misses a kind does not compile. */
   interface Visitor {
-    /** Commands for a job may go out. */
+    /** Records that a job is open. */
     void visit(OpenJob decision);
 
-    /** Where the replicas of a service are. */
+    /** Records where the replicas of a service run. */
     void visit(PersistPlacement decision);
 
-    /** A direct command. */
+    /** Sends direct commands to a machine. */
     void visit(SendCommands decision);
 
-    /** The end of a job. */
+    /** Records that a job is done. */
     void visit(FinishJob decision);
 
-    /** Scale out. */
+    /** Provisions machines. */
     void visit(ProvisionMachines decision);
 
-    /** Scale in. */
+    /** Releases machines. */
     void visit(ReleaseMachines decision);
 
-    /** A machine for the records. */
+    /** Records a machine. */
     void visit(RegisterMachine decision);
 
-    /** A machine that is gone. */
+    /** Drops the record of a machine that is gone. */
     void visit(DeregisterMachine decision);
 
-    /** A question to the other controllers. */
+    /** Asks the other controllers to probe machines. */
     void visit(ProbeThroughPeers decision);
   }
 
   /**
-   * Record that the job is open; no command for it goes out before that is durable.
+   * Records that the job is open. No command for the job is sent before this record is durable.
    *
    * @param replicaMachineNames for a service, the machines of its first replicas; see {@link
    *     PersistPlacement}
@@ -53,8 +53,9 @@
   }
 
   /**
-   * Record where the replicas of a service are, without haste: a hint for a leader that finds all
-   * of them dead, as these machines have the image. No rule depends on it.
+   * Records where the replicas of a service run. The write is not urgent, and no rule depends on
+   * it: it is a hint for a leader that finds all replicas dead, since these machines have the
+   * image.
    */
   record PersistPlacement(String jobId, List<String> replicaMachineNames) implements Decision {
     @Override
@@ -63,7 +64,7 @@
     }
   }
 
-  /** Send these commands directly to the machine; none: a fence or probe of it. */
+  /** Sends these commands directly to the machine; without commands it only fences or probes. */
   record SendCommands(
       String machineName, String address, long epoch, List<Command> commands, int timeoutMs)
       implements Decision {
@@ -73,7 +74,7 @@
     }
   }
 
-  /** Record that the job is done. */
+  /** Records that the job is done. */
   record FinishJob(String jobId) implements Decision {
     @Override
     public void accept(Visitor visitor) {
@@ -81,7 +82,7 @@
     }
   }
 
-  /** Scale out: provision machines. */
+  /** Scales out by provisioning machines. */
   record ProvisionMachines(String typeName, String zone, boolean spot, int count)
       implements Decision {
     @Override
@@ -90,7 +91,7 @@
     }
   }
 
-  /** Scale in: release machines. {@code silent}: only because they are silent. */
+  /** Scales in by releasing machines; {@code silent}: only because they are silent. */
   record ReleaseMachines(List<String> machineNames, boolean silent) implements Decision {
     @Override
     public void accept(Visitor visitor) {
@@ -99,9 +100,9 @@
   }
 
   /**
-   * Record a machine, so that a next leader knows of it. Until a record that is not {@code
-   * newlyProvisioned} is durable the machine gets no task, so a next leader need not wait for one
-   * without.
+   * Records a machine, so that the next leader knows of it. A machine gets no task until a record
+   * that is not {@code newlyProvisioned} is durable, so the next leader need not wait for machines
+   * without such a record.
    */
   record RegisterMachine(
       String machineName,
@@ -117,7 +118,7 @@
     }
   }
 
-  /** Drop the record of a machine that is provably gone. */
+  /** Drops the record of a machine that is provably gone. */
   record DeregisterMachine(String machineName, String address) implements Decision {
     @Override
     public void accept(Visitor visitor) {
@@ -126,10 +127,12 @@
   }
 
   /**
-   * Have the other controllers probe silent machines, since the fault may be this leader's network.
+   * Asks the other controllers to probe silent machines, since the fault may be in this leader's
+   * network.
    *
-   * @param controls machines seen here a moment ago: a peer that does not reach these cannot tell
-   * @param probedMs when this was decided
+   * @param controls machines that this leader has heard from recently; the result of a peer that
+   *     does not reach them is inconclusive
+   * @param probedMs when the probe was decided
    */
   record ProbeThroughPeers(
       List<MachineAddress> suspects, List<MachineAddress> controls, long probedMs)
@@ -140,9 +143,9 @@
     }
   }
 
-  /** A machine and where it is reached. */
+  /** A machine and the address at which it is reached. */
   record MachineAddress(String machineName, String address) {}
 
-  /** The result of one peer: machines that answered it, and those that did not. */
+  /** The result of one peer: the machines that answered its probe and those that did not. */
   record PeerProbeResult(Set<String> reached, Set<String> unreached) {}
 }
--- a/src/main/java/org/astershift/scheduler/DeploymentLimits.java
+++ b/src/main/java/org/astershift/scheduler/DeploymentLimits.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The settings of the deployment that scheduling needs; durations in seconds. */
+/** Deployment settings that the scheduler needs; all durations are in seconds. */
 public record DeploymentLimits(
     Map<String, Team> teams,
     List<ServiceLevelObjective> objectives,
@@ -16,7 +16,7 @@
     double cancellationS,
     double listLagS) {
 
-  /** The objectives of this class. */
+  /** Returns the tightest objectives of this job class. */
   public ClassObjectives objectivesFor(String jobClass) {
     Double startS = null;
     Double finishS = null;
@@ -34,7 +34,7 @@
     return new ClassObjectives(startS, finishS, anyObjective);
   }
 
-  /** Multiples of its deadline by which a job should be done, ascending; 1 is always included. */
+  /** Returns the multiples of a deadline that have an objective, ascending; always includes 1. */
   public Set<Double> deadlineMultiples() {
     Set<Double> multiples = new TreeSet<>(Set.of(1.0));
     for (ServiceLevelObjective objective : objectives) {
--- a/src/main/java/org/astershift/scheduler/DirectCommandState.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommandState.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** The direct commands to one machine: what is in flight, and what was left unanswered. */
+/** The direct commands to one machine: whether one is in flight and which got no answer. */
 final class DirectCommandState {
   private boolean inFlight;
   private boolean sentWhileSilent;
@@ -10,7 +10,7 @@
   private MessagePosition positionWhenSent = MessagePosition.NONE;
   private long lastSentMs = -1_000_000;
 
-  /** A command goes out; {@code silent}: the machine is silent or was never seen. */
+  /** Records that a command is sent; {@code silent}: the machine is silent or unreconciled. */
   void onSent(Machine machine, boolean silent, long nowMs) {
     inFlight = true;
     sentWhileSilent = silent;
@@ -18,19 +18,19 @@
     positionWhenSent = new MessagePosition(machine.epoch, machine.sequence);
   }
 
-  /** The command in flight was answered, or will not be. */
+  /** Records that the command in flight was answered or will not be answered. */
   void onSettled() {
     inFlight = false;
   }
 
-  /** It will not be answered; {@code outcomeUnknown}: it may still arrive. */
+  /** Records that a command got no answer; if {@code outcomeUnknown}, it may still arrive. */
   void onUnanswered(boolean outcomeUnknown) {
     anyUnconfirmed |= outcomeUnknown;
     unansweredCount++;
     unansweredWhileSilent |= sentWhileSilent;
   }
 
-  /** The machine has sent a message: earlier failures show nothing any more. */
+  /** Resets the unanswered commands, since a message of the machine has arrived after them. */
   void clearUnanswered() {
     unansweredCount = 0;
     unansweredWhileSilent = false;
@@ -40,32 +40,32 @@
     return inFlight;
   }
 
-  /** When a command was last sent; long ago if none was. */
+  /** Returns when a command was last sent; a time long past if none was. */
   long lastSentMs() {
     return lastSentMs;
   }
 
-  /** Commands left unanswered since the last message of the machine. */
+  /** Returns the number of commands without an answer since the machine's last message. */
   int unansweredCount() {
     return unansweredCount;
   }
 
-  /** Whether a command sent while the machine was silent was left unanswered since. */
+  /** Returns whether a command got no answer that was sent while the machine was silent. */
   boolean unansweredWhileSilent() {
     return unansweredWhileSilent;
   }
 
-  /** Whether a command of this term got no answer, so that a later incarnation may get it. */
+  /** Returns whether a later incarnation may get a command of this term that got no answer. */
   boolean anyUnconfirmed() {
     return anyUnconfirmed;
   }
 
-  /** Whether the message is newer than the last one before the command was sent. */
+  /** Returns whether the message is newer than the last one handled before the command was sent. */
   boolean precedes(Heartbeat heartbeat) {
     return positionWhenSent.precedes(heartbeat);
   }
 
-  /** Whether nothing newer of the machine was handled since the command was sent. */
+  /** Returns whether no newer message of the machine was handled since the command was sent. */
   boolean nothingHandledSinceSent(Machine machine) {
     return positionWhenSent.equals(new MessagePosition(machine.epoch, machine.sequence));
   }
--- a/src/main/java/org/astershift/scheduler/DirectCommands.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommands.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Direct commands after their decision: whether they are still due when their turn to be sent
- * comes, and what their result shows of the machine.
+ * Handles direct commands after they were decided: checks whether queued commands are still due,
+ * and updates the machine from their results.
  */
 final class DirectCommands {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommands.class);
@@ -28,7 +28,7 @@
     this.commandReconciler = commandReconciler;
   }
 
-  /** Whether the decision should still be carried out; if not, it is settled here. */
+  /** Returns whether the decision should still be carried out; settles it if not. */
   boolean isStillDue(Decision.SendCommands decision, long nowMs) {
     Machine machine = cluster.machines.get(decision.machineName());
     if (machine == null
@@ -41,7 +41,7 @@
     return false;
   }
 
-  /** The commands of the decision without starts that must not go out any more. */
+  /** Returns the commands of the decision without starts that must no longer be sent. */
   List<Command> stillWanted(Decision.SendCommands decision, boolean leaseCertain) {
     return decision.commands().stream()
         .filter(
@@ -53,7 +53,7 @@
         .toList();
   }
 
-  /** Whether a start goes with its stop, of a job whose end was not confirmed to its user. */
+  /** Returns whether a start is sent with its stop, for a job whose end is not confirmed yet. */
   private boolean isAccompaniedByStop(Decision.SendCommands decision, Command start) {
     return cluster.jobs.containsKey(start.jobId())
         && decision.commands().stream()
@@ -68,7 +68,7 @@
     return job != null && job.state == Job.State.LIVE && !job.cancellationRequested;
   }
 
-  /** The result of a direct command; {@code heartbeat} is null without an answer. */
+  /** Handles the result of a direct command; {@code heartbeat} is null if there was no answer. */
   void onResult(
       String machineName,
       boolean outcomeUnknown,
@@ -138,11 +138,11 @@
     machine.consecutiveUnanswered++;
     if (machine.consecutiveUnanswered == Machine.INBOUND_PARTITION_TRIES
         && !cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
-      LOG.info("inbound partition, no new tasks: machine={}", machine.name);
+      LOG.info("inbound partition, machine gets no new tasks: machine={}", machine.name);
     }
   }
 
-  /** Has the next pass send what was decided while another command was in flight. */
+  /** Makes the next pass send commands that became due while another one was in flight. */
   private void requeueUrgentCommands(Machine machine) {
     if (CommandReconciler.isUrgentCommandDue(machine)) {
       cluster.commandsPending.add(machine);
--- a/src/main/java/org/astershift/scheduler/ExitReason.java
+++ b/src/main/java/org/astershift/scheduler/ExitReason.java
@@ -1,30 +1,30 @@
 package org.astershift.scheduler;
 
-/** Why a task exited, as its worker reports it. */
+/** Why a task exited, as reported by its worker. */
 enum ExitReason {
-  /** Completed. */
+  /** The task completed. */
   DONE,
   /** The program or its machine failed. */
   ERROR,
-  /** Start rejected: the machine lacks the resources. */
+  /** The start was rejected because the machine lacks the resources. */
   NO_ROOM,
-  /** Start rejected: the machine runs another attempt of the task. */
+  /** The start was rejected because the machine runs another attempt of the task. */
   IN_USE,
-  /** Start rejected: the job is not known there. */
+  /** The start was rejected because the machine does not know the job. */
   UNKNOWN_JOB,
   /** The gang was not complete in time. */
   INCOMPLETE,
   /** Another task of the gang is gone. */
   PEERS,
-  /** Stopped, or a reason that needs no reaction of its own. */
+  /** The task was stopped, or exited for a reason that is not handled separately. */
   OTHER;
 
-  /** The reason with this word, {@link #OTHER} for null and for words not known here. */
-  static ExitReason of(String word) {
-    if (word == null) {
+  /** Returns the reason with this wire name; {@link #OTHER} for null and for unknown names. */
+  static ExitReason of(String wireName) {
+    if (wireName == null) {
       return OTHER;
     }
-    return switch (word) {
+    return switch (wireName) {
       case "done" -> DONE;
       case "error" -> ERROR;
       case "no_room" -> NO_ROOM;
--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -7,15 +7,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A live job, with the state and the holders of its tasks. Times are steady milliseconds. */
+/**
+ * A live job with the state of its tasks and the attempts that hold them. All times are
+ * milliseconds of the monotonic clock.
+ */
 final class Job {
-  /** Start objectives up to this many seconds may preempt work of lower priority. */
+  /** Jobs with a start objective of up to this many seconds may preempt lower-priority work. */
   static final double TIGHT_START_OBJECTIVE_S = 5;
 
-  /** Time in which a job that failed on a machine goes to others. */
+  /** Time for which a job avoids a machine on which it failed. */
   private static final long FAILED_MACHINE_AVOID_MS = 30_000;
 
-  /** Whether and how it has ended; set once that is durable. */
+  /** Whether and how a job has ended; changed once the end is durable. */
   enum State {
     LIVE,
     DONE,
@@ -25,25 +28,25 @@
   final JobSpec spec;
   final long submittedMs;
 
-  /** The tightest objective for starting its tasks, seconds; null if there is none. */
+  /** The tightest objective for starting the job's tasks, in seconds; null if there is none. */
   final Double startObjectiveS;
 
-  /** Whether there is any objective for its class. */
+  /** Whether the job's class has any objective. */
   final boolean hasObjective;
 
   private final JobDeadlines deadlines;
 
   State state = State.LIVE;
 
-  /** Durable, by this leader or an earlier one: commands for it may have gone out. */
+  /** Whether this or an earlier leader made the opening durable, so commands may have been sent. */
   boolean opened;
 
-  /** Opened by an earlier leader: unreconciled machines may hold its tasks. */
+  /** Whether an earlier leader opened the job, so that unreconciled machines may hold its tasks. */
   boolean inherited;
 
   boolean cancellationRequested;
 
-  /** A placeholder for a job that this leader does not manage: its needs are not known. */
+  /** Whether this is a placeholder for a job of unknown needs that this leader does not manage. */
   boolean orphaned;
 
   final BitSet doneTasks;
@@ -51,82 +54,86 @@
   /** Done tasks whose completion is durable. */
   final BitSet persistedDoneTasks;
 
-  /** Tasks neither done nor held by a machine. */
+  /** Tasks that are neither done nor held by a machine. */
   final BitSet waitingTasks;
 
-  /** The attempt that holds each task, by task index; exited attempts hold none. */
+  /** The attempt that holds each task, by task index; exited attempts hold no task. */
   final Map<Integer, TaskAttempt> attempts = new HashMap<>();
 
   /**
-   * Other attempts of held tasks, until they are off their machines. When the holder goes, one of
-   * these takes over the task: else it would be started while it still runs there.
+   * Other attempts of held tasks, until they are gone from their machines. When the holder is
+   * released, one of these takes over the task; otherwise the task would be started again while it
+   * still runs as a duplicate.
    */
   final List<TaskAttempt> duplicateAttempts = new ArrayList<>(0);
 
-  /** Machine types that its tasks may use. */
+  /** Machine types that the job's tasks may use. */
   Set<String> usableTypes = Set.of();
 
-  /** What a machine needs for its tasks; set together with the types. */
+  /** What a machine must provide for the job's tasks; set together with {@link #usableTypes}. */
   PlacementConstraints placementConstraints;
 
-  /** Jobs with equal constraints find room on the same machines. */
+  /** Placement constraints; the tasks of jobs with equal ones fit on the same machines. */
   record PlacementConstraints(
       Set<String> types, String zone, boolean spot, double cpus, double gpus, double memoryGb) {}
 
-  /** Machine types whose accelerators it does not need: its tasks may only backfill them. */
+  /** Machine types with accelerators that the job does not need: its tasks only backfill them. */
   Set<String> backfillTypes = Set.of();
 
-  /** The group whose minimum share it counts for; set when it is added. */
+  /** The group whose minimum share the job counts for; set when the job is added. */
   ShareGroup shareGroup;
 
-  /** The machine on which room is reserved for a task of it; null if there is none. */
+  /** The machine on which room is reserved for one of the job's tasks; null if there is none. */
   Machine reservedMachine;
 
-  /** Within a pass: waiting tasks for which others are preempted. */
+  /** Number of waiting tasks for which others were preempted; valid within a pass. */
   int tasksAwaitingPreemption;
 
-  /** Within a sort of the queue: its sort key. */
+  /** Sort key, lower first; valid while the wait queue is sorted. */
   double urgencyMs;
 
   /**
-   * When it was added it fitted into its team's guaranteed quota together with the team's earlier
-   * unfinished jobs: it need not wait for other teams.
+   * Whether the job, when it was added, fitted into its team's guaranteed quota together with the
+   * team's earlier unfinished jobs, so that it need not wait for other teams.
    */
   boolean withinGuaranteedQuota;
 
-  /** Within a sort of the queue: it has neither an objective nor a guaranteed quota. */
+  /**
+   * Whether the job has neither an objective nor room in its team's guaranteed quota; valid while
+   * the wait queue is sorted.
+   */
   boolean bestEffort;
 
   /** The zone in which room is reserved for this gang; null if there is none. */
   String reservedZone;
 
-  /** Of a gang, the attempt number that its tasks share; it grows, also across leaders. */
+  /** The attempt number shared by the tasks of a gang; increases, also across leaders. */
   long gangAttemptNumber;
 
-  /** The newest attempt number that no task may start under any more; 0: none. */
+  /** The highest attempt number under which no more tasks may start; 0 if there is none. */
   private long closedAttemptNumber;
 
-  /** Its entry in the service statistics; set when it is added. */
+  /** The job's entry in the service statistics; set when the job is added. */
   JobOutcome outcome;
 
-  /** The warning that it does not start was logged. */
+  /** Whether the warning that the job has not started was logged. */
   boolean startWarningLogged;
 
-  /** A task of it ran in this term. */
+  /** Whether a task of the job ran in this term. */
   boolean started;
 
-  /** Attempts that ended without completing their task. */
+  /** Number of attempts that ended without completing their task. */
   int unsuccessfulAttempts;
 
   long lastPlacedMs;
 
-  /** A task of it has completed, so it does not fail on every machine. */
+  /** Whether a task of the job has completed, so that the job does not fail on every machine. */
   boolean hasCompletedTask;
 
-  /** When its tasks last failed, by machine; quarantined machines are removed. */
+  /** When the job's tasks last failed, by machine; quarantined machines are removed. */
   final Map<String, Long> lastFailureMsByMachine = new HashMap<>();
 
-  /** Failed probes since it became suspect; 0: it is not. */
+  /** Number of failed probes since the job became suspect; 0 if it is not suspect. */
   int probeCount;
 
   long pausedUntilMs;
@@ -158,22 +165,25 @@
     this.hasCompletedTask = doneCount > 0;
   }
 
-  /** Whether it failed on several machines and completed nothing: probably it is broken. */
+  /**
+   * Returns whether the job is probably broken: it failed on several machines and completed no
+   * task.
+   */
   boolean isSuspect() {
     return probeCount > 0;
   }
 
-  /** Whether it has to start so soon that work with objectives may be preempted for it. */
+  /** Returns whether the job has to start so soon that it may preempt work with objectives. */
   boolean hasTightStartObjective() {
     return startObjectiveS != null && startObjectiveS <= TIGHT_START_OBJECTIVE_S;
   }
 
-  /** Whether a task of it may be on a machine, as far as is known here. */
+  /** Returns whether a task of the job may be on a machine, as far as this leader knows. */
   boolean hasAttempts() {
     return !attempts.isEmpty() || !duplicateAttempts.isEmpty();
   }
 
-  /** Whether a task of it may still start without a further command. */
+  /** Returns whether a task of the job may still start without a further command. */
   boolean mayStart() {
     for (TaskAttempt attempt : attempts.values()) {
       if (attempt.mayStart()) {
@@ -188,12 +198,12 @@
     return false;
   }
 
-  /** Whether its probe runs: no further task of it starts meanwhile. */
+  /** Returns whether a probe of the suspect job runs; no other task of it starts meanwhile. */
   boolean isProbeInProgress() {
     return isSuspect() && !attempts.isEmpty();
   }
 
-  /** Whether it failed on the machine so lately that another one should have it. */
+  /** Returns whether the job failed so recently on the machine that it avoids this machine. */
   boolean avoids(Machine machine, long nowMs) {
     Long failedMs = lastFailureMsByMachine.get(machine.name);
     return failedMs != null && !isSuspect() && nowMs - failedMs < FAILED_MACHINE_AVOID_MS;
@@ -238,7 +248,7 @@
     return spec.kind() != JobKind.SERVICE && doneCount == spec.tasks();
   }
 
-  /** For a service, the machines that hold its replicas; empty for other jobs. */
+  /** Returns the machines that hold a service's replicas; empty for other jobs. */
   List<String> replicaMachineNames() {
     List<String> names = new ArrayList<>(0);
     if (spec.kind() == JobKind.SERVICE) {
@@ -278,7 +288,7 @@
     }
   }
 
-  /** The attempt now holds its task. */
+  /** Makes the attempt the holder of its task. */
   void hold(TaskAttempt attempt) {
     attempts.put(attempt.index, attempt);
     gangAttemptNumber = attempt.attemptNumber;
@@ -287,7 +297,10 @@
     setWaiting(attempt.index, false);
   }
 
-  /** Releases the task if this attempt holds it; it waits again unless it is done. */
+  /**
+   * Releases the task if this attempt holds it; the task waits again unless it is done. Returns
+   * whether the attempt held it.
+   */
   boolean release(TaskAttempt attempt) {
     boolean holdsTask = attempts.get(attempt.index) == attempt;
     if (holdsTask) {
@@ -300,8 +313,8 @@
   }
 
   /**
-   * No task may start under this attempt number any more: its gang has run as a whole, so tasks
-   * that are left are ending, and a new one would wait for them in vain.
+   * Prevents further starts under this attempt number. The gang has run as a whole, so its
+   * remaining tasks are ending, and a new task would wait for them without success.
    */
   void closeAttempt(long attemptNumber) {
     closedAttemptNumber = Math.max(closedAttemptNumber, attemptNumber);
@@ -311,7 +324,7 @@
     return closedAttemptNumber >= gangAttemptNumber;
   }
 
-  /** Moves an attempt to its reported phase. */
+  /** Sets the phase of an attempt to the reported one. */
   void updatePhase(TaskAttempt attempt, Heartbeat.TaskPhase phase) {
     boolean holdsTask = attempts.get(attempt.index) == attempt;
     runningCount -= holdsTask && attempt.isRunning() ? 1 : 0;
@@ -319,7 +332,7 @@
     runningCount += holdsTask && attempt.isRunning() ? 1 : 0;
   }
 
-  /** For the log: its size, duration and lost attempts. */
+  /** Returns the job's size, duration and lost attempts for the log. */
   String endSummary(long nowMs) {
     return spec.jobClass()
         + ", "
@@ -335,14 +348,14 @@
             ? "before this term, "
             : "after " + (lastPlacedMs - submittedMs) / 1000 + " s, ")
         + unsuccessfulAttempts
-        + " runs lost";
+        + " attempts lost";
   }
 
   int attemptsInZone(String zone) {
     return attemptsByZone.getOrDefault(zone, 0);
   }
 
-  /** Whether its zone rules allow one more task there, beside those held now. */
+  /** Returns whether the job's zone rules allow one more task in the zone, given those held now. */
   boolean isZoneAllowed(String zone) {
     if (spec.zone() != null && !spec.zone().equals(zone)) {
       return false;
--- a/src/main/java/org/astershift/scheduler/JobCancellation.java
+++ b/src/main/java/org/astershift/scheduler/JobCancellation.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** Cancellations that users request: what they stop at once, and when they may be confirmed. */
+/** Handles cancellations by users: stops the job's tasks and decides when to confirm. */
 final class JobCancellation {
   private final ClusterState cluster;
 
@@ -8,7 +8,9 @@
     this.cluster = cluster;
   }
 
-  /** Nothing of the job starts any more, though its end is not durable yet. */
+  /**
+   * Prevents further starts of the job's tasks and stops them, though its end is not durable yet.
+   */
   void request(String jobId) {
     Job job = cluster.jobs.get(jobId);
     if (job != null && !job.cancellationRequested) {
@@ -22,10 +24,11 @@
   }
 
   /**
-   * Whether a cancellation confirmed now would be kept: an older leader, cut off together with a
-   * machine, must not be able to renew the lease of one that may hold a task of the job. Whoever
-   * renews a lease from now on stops the task in the same response, so the task outlives the
-   * confirmation by a lease at most; where less than that is promised, none may be left.
+   * Returns whether a cancellation confirmed now would hold. An older leader that is partitioned
+   * together with a machine must not be able to renew that machine's lease if it may hold a task of
+   * the job. Any leader that renews a lease from now on stops the task in the same response, so a
+   * task outlives the confirmation by at most one lease. If less time than a lease is promised, no
+   * task may be left.
    */
   boolean canConfirm(String jobId) {
     Job job = cluster.jobs.get(jobId);
@@ -39,7 +42,7 @@
         && !mayOutliveConfirmation;
   }
 
-  /** Whether a lease that nobody renews expires within the time promised for a cancellation. */
+  /** Returns whether an unrenewed lease expires within the time promised for a cancellation. */
   static boolean leaseFitsCancellationTime(DeploymentLimits limits) {
     return LeaseExpiry.leaseMs(limits) <= limits.cancellationS() * 1000;
   }
--- a/src/main/java/org/astershift/scheduler/JobDeadlines.java
+++ b/src/main/java/org/astershift/scheduler/JobDeadlines.java
@@ -1,28 +1,30 @@
 package org.astershift.scheduler;
 
 /**
- * When a job should start and be done: by its own deadline and by the service-level objectives of
- * its class. Durations are seconds after the submission, times milliseconds of the steady clock.
+ * Computes when a job should start and finish, from its own deadline and the service-level
+ * objectives of its class. Durations are seconds since the submission; times are milliseconds of
+ * the monotonic clock.
  */
 final class JobDeadlines {
-  /** Deadline that the queue's order assumes for a job without one. */
+  /** Deadline in seconds that the order of the wait queue assumes for a job without one. */
   private static final double DEFAULT_DEADLINE_S = 600;
 
   /**
-   * Share of the start objective after which a job that was put off is at risk. The rest is for its
-   * turn, since many may come to this at once.
+   * Share of the start objective after which a postponed job is at risk of missing it. The rest is
+   * for waiting its turn, since many jobs may become at risk at the same time.
    */
   private static final double OBJECTIVE_RISK_START_SHARE = 0.6;
 
   /**
-   * The same of the finish objective, less the job's estimate. Later, since such jobs are long and
-   * make many short ones late.
+   * Share of the finish objective after which, less the job's estimate, a postponed job is at risk
+   * of missing it. Larger than the share of the start objective, since jobs with finish objectives
+   * are long and make many short jobs late.
    */
   private static final double OBJECTIVE_RISK_FINISH_SHARE = 0.9;
 
   /**
-   * From this start objective on, jobs are admitted like jobs with deadlines: where machines are
-   * short, as many as possible start in time and the others are put off.
+   * Start objective in seconds from which on jobs are admitted like jobs with deadlines: if
+   * machines are scarce, as many jobs as possible start in time and the others are postponed.
    */
   private static final double LONG_START_OBJECTIVE_S = 60;
 
@@ -50,8 +52,8 @@
   }
 
   /**
-   * Whether the time by which the job is to be done decides when it is served: its deadline asks
-   * for an earlier start than its start objective, or that objective is a long one.
+   * Returns whether the job's due time decides when it is served, because its deadline requires an
+   * earlier start than its start objective or because its start objective is a long one.
    */
   boolean isDeadlineDriven() {
     return spec.kind() == JobKind.ARRAY
@@ -63,33 +65,37 @@
   }
 
   /**
-   * Whether the job has minutes to start. Served in the order of arrival, all such jobs would be
-   * late where machines are short.
+   * Returns whether the job has minutes to start. If such jobs were served in the order of arrival,
+   * all of them would be late when machines are scarce.
    */
   boolean hasLongStartObjective() {
     return startObjectiveS != null && startObjectiveS >= LONG_START_OBJECTIVE_S;
   }
 
-  /** Seconds by which the job is to be done; null if there is no such time. */
+  /**
+   * Returns the seconds since the submission by which the job is due; null if it has no due time.
+   */
   Double completionDueS() {
     return isDeadlineDriven() && !isDeadlineBeforeStartObjective()
         ? (Double) (startObjectiveS + spec.estimateS())
         : dueS;
   }
 
-  /** When the job is to be done if it may take {@code deadlineMultiple} times its time. */
+  /** Returns when the job is due if it may take {@code deadlineMultiple} times its allowed time. */
   double completionDueMs(double deadlineMultiple) {
     return submittedMs + deadlineMultiple * completionDueS() * 1000;
   }
 
-  /** When its tasks should start at the latest. */
+  /** Returns when the job's tasks should start at the latest. */
   double latestStartMs() {
     Double completionS = completionDueS();
     double seconds = completionS != null ? completionS : DEFAULT_DEADLINE_S;
     return submittedMs + (seconds - spec.estimateS()) * 1000;
   }
 
-  /** From when on an objective beyond its deadline is at risk; MAX_VALUE if there is none. */
+  /**
+   * Returns from when on an objective beyond the deadline is at risk; MAX_VALUE if there is none.
+   */
   double objectiveAtRiskMs() {
     double seconds = Double.MAX_VALUE;
     if (startObjectiveS != null && isDeadlineBeforeStartObjective()) {
@@ -102,7 +108,7 @@
     return seconds == Double.MAX_VALUE ? seconds : submittedMs + seconds * 1000;
   }
 
-  /** When the last of these objectives is missed: from then on the job is not urgent. */
+  /** Returns when the last of these objectives is missed; from then on the job is not urgent. */
   double objectiveMissedMs() {
     double seconds =
         Math.max(
--- a/src/main/java/org/astershift/scheduler/JobKind.java
+++ b/src/main/java/org/astershift/scheduler/JobKind.java
@@ -2,7 +2,7 @@
 
 /** How the tasks of a job relate to each other. */
 public enum JobKind {
-  /** Independent tasks. */
+  /** Tasks that run independently. */
   ARRAY,
   /** Tasks that start and run together. */
   GANG,
--- a/src/main/java/org/astershift/scheduler/JobOutcome.java
+++ b/src/main/java/org/astershift/scheduler/JobOutcome.java
@@ -1,8 +1,8 @@
 package org.astershift.scheduler;
 
-/** What became of one job, for the statistics of the largest jobs of its class. */
+/** The outcome of one job, for the statistics of the largest jobs of its class. */
 final class JobOutcome {
-  /** Processors, or accelerators, of all its tasks. */
+  /** Processors or accelerators of all tasks of the job, whichever are more. */
   private final double size;
 
   private boolean started;
@@ -24,7 +24,7 @@
     return finished;
   }
 
-  /** A task of the job runs. */
+  /** Records that a task of the job runs. */
   void onStarted() {
     started = true;
   }
--- a/src/main/java/org/astershift/scheduler/JobSpec.java
+++ b/src/main/java/org/astershift/scheduler/JobSpec.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A job as its user described it. {@code machineTypes} null means any machine type, {@code zone}
- * null any zone, {@code deadlineS} null no deadline.
+ * A job as specified by its user. A null value of {@code machineTypes} means any machine type, of
+ * {@code zone} any zone, and of {@code deadlineS} no deadline.
  */
 public record JobSpec(
     String id,
@@ -28,7 +28,7 @@
     double checkpointSaveS,
     Double deadlineS) {
 
-  /** Whether one task could ever run on an empty machine of this type. */
+  /** Returns whether one task could run on an empty machine of this type. */
   public boolean fits(MachineType type) {
     return (machineTypes == null || machineTypes.contains(type.name()))
         && cpus <= type.cpus() + 1e-9
@@ -37,12 +37,12 @@
         && (zone == null || type.zones().contains(zone));
   }
 
-  /** Whether machines may be spot: the choices that the job has, spot first. */
+  /** Returns the allowed values of a machine's spot flag; spot comes first if it is allowed. */
   public List<Boolean> spotChoices() {
     return spotAllowed ? List.of(true, false) : List.of(false);
   }
 
-  /** How many tasks a spread job may have in one zone: half of them, rounded up. */
+  /** Returns how many tasks a spread job may have in one zone: half of them, rounded up. */
   public int spreadLimit() {
     return (tasks + 1) / 2;
   }
--- a/src/main/java/org/astershift/scheduler/LogSummary.java
+++ b/src/main/java/org/astershift/scheduler/LogSummary.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** The lines that a leader logs at intervals about its term. */
+/** Builds the summary lines that a leader logs at intervals about its term. */
 final class LogSummary {
   private final ClusterState cluster;
   private final CommandConcurrencyLimit concurrencyLimit;
@@ -15,27 +15,27 @@
     this.costStatistics = costStatistics;
   }
 
-  /** Jobs, machines, utilization, commands in flight and cost. */
+  /** Returns jobs, machines, utilization, commands in flight and cost. */
   String clusterLine() {
-    int live = 0;
-    int booting = 0;
-    int waiting = 0;
+    int liveMachines = 0;
+    int bootingMachines = 0;
+    int waitingTasks = 0;
     for (Machine machine : cluster.allMachines()) {
-      live += machine.state == Machine.State.LIVE ? 1 : 0;
-      booting += machine.state == Machine.State.BOOTING ? 1 : 0;
+      liveMachines += machine.state == Machine.State.LIVE ? 1 : 0;
+      bootingMachines += machine.state == Machine.State.BOOTING ? 1 : 0;
     }
     for (Job job : cluster.waitingJobs) {
-      waiting += job.waitingCount();
+      waitingTasks += job.waitingCount();
     }
     return cluster.jobs.size()
         + " jobs, "
-        + waiting
-        + " tasks wait, "
-        + live
+        + waitingTasks
+        + " tasks waiting, "
+        + liveMachines
         + " machines live, "
-        + booting
+        + bootingMachines
         + " booting, "
-        + (cluster.machines.size() - live - booting)
+        + (cluster.machines.size() - liveMachines - bootingMachines)
         + " other, "
         + cluster.utilization.summary()
         + ", "
@@ -44,9 +44,9 @@
         + costStatistics;
   }
 
-  /** The service of each class and team; warns of jobs that do not start. */
+  /** Returns the service of each class and team; warns about jobs that have not started. */
   String serviceLine(long nowMs) {
-    // Tasks on unreconciled machines seem to wait.
+    // Tasks that run on unreconciled machines seem to wait.
     if (!cluster.hasUnreconciledMachines()) {
       cluster.serviceStatistics.warnAboutUnstartedJobs(
           cluster.waitingJobs, cluster::teamQuotaAllows, nowMs);
--- a/src/main/java/org/astershift/scheduler/Priority.java
+++ b/src/main/java/org/astershift/scheduler/Priority.java
@@ -1,13 +1,13 @@
 package org.astershift.scheduler;
 
-/** Priorities, the most urgent first: their natural order sorts the queue. */
+/** Job priorities, the most urgent first; the wait queue is sorted by their natural order. */
 public enum Priority {
-  /** Before all others; may preempt any. */
+  /** Served before all others; may preempt any of them. */
   PRODUCTION,
-  /** Before normal work. */
+  /** Served before normal work. */
   HIGH,
-  /** What most jobs have. */
+  /** The priority of most jobs. */
   NORMAL,
-  /** After all others. */
+  /** Served after all others. */
   LOW
 }
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -9,28 +9,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scheduler of one leader's term: takes in events and returns decisions. Not thread-safe: the
- * caller holds the term's lock around each call. All times are milliseconds of one steady clock.
+ * Schedules jobs in one leader's term: takes in events and returns decisions. Not thread-safe: the
+ * caller holds the term's lock in each call. All times are milliseconds of a monotonic clock.
  *
- * <p>Safety rests on one principle: until a machine has acknowledged this term's fencing token, or
- * is provably gone, everything it might hold counts as held; see {@link ClusterState}.
+ * <p>Safety rests on one principle: until a machine has acknowledged this term's fencing token or
+ * is provably gone, every task that it might hold counts as held; see {@link ClusterState}.
  */
 public final class Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
-  /** From the time a heartbeat was due until the machine is probed, milliseconds. */
+  /** Delay from the time a heartbeat was due until the machine is probed, in milliseconds. */
   public static final long SUSPECT_AFTER_MS = 400;
 
   /**
-   * Milliseconds after which one of a few machines that this leader cannot fence is released though
-   * another controller reaches it: until then no inherited job starts anything.
+   * Milliseconds after which one of a few machines that this leader cannot fence is released even
+   * if another controller reaches it; until then inherited jobs start no tasks.
    */
   public static final long UNFENCED_RELEASE_MS = 15_000;
 
-  /** Deadline of a peer's probe of a machine, milliseconds: within the peer's own deadline. */
+  /** Timeout of a peer's probe of a machine, in milliseconds; within the peer's own deadline. */
   public static final int PEER_PROBE_TIMEOUT_MS = 800;
 
-  /** Deadline of this leader's probe of a machine, milliseconds. */
+  /** Timeout of a machine probe that this leader runs, in milliseconds. */
   public static final int MACHINE_PROBE_TIMEOUT_MS = 1000;
 
   private final ClusterState cluster;
@@ -46,7 +46,7 @@
   private final ScaleOut scaleOut;
   private final OutstandingDecisions outstandingDecisions = new OutstandingDecisions();
 
-  /** The scheduler of the term with this fencing token. */
+  /** Creates the scheduler of the term with this fencing token. */
   public Scheduler(DeploymentLimits limits, SchedulingPolicy policy, long fencingToken) {
     this.cluster = new ClusterState(limits, policy, fencingToken);
     this.heartbeatReconciler = new HeartbeatReconciler(cluster);
@@ -77,12 +77,12 @@
             cluster, commandReconciler.concurrencyLimit(), schedulingPass.costStatistics());
   }
 
-  /** The cloud's machine types, with current prices. */
+  /** Replaces the machine types that the cloud offers, with their current prices. */
   public void updateMachineTypes(Map<String, MachineType> knownTypes) {
     cluster.updateMachineTypes(knownTypes);
   }
 
-  /** Adds a job; one that is known already is left as it is. */
+  /** Adds a job; does nothing if the job is already known. */
   public void addJob(JobSpec spec, boolean opened, BitSet doneTasks, long submittedMs) {
     if (cluster.jobs.containsKey(spec.id())) {
       return;
@@ -94,7 +94,7 @@
     cluster.addJob(job);
   }
 
-  /** Adds a machine that an earlier leader registered: it may hold anything until it is fenced. */
+  /** Adds a machine that an earlier leader registered; until fenced it may hold any task. */
   public void addInheritedMachine(
       String machineName, String address, String typeName, String zone, boolean spot, long nowMs) {
     Machine machine =
@@ -104,7 +104,7 @@
     cluster.addMachine(machine);
   }
 
-  /** Machines of a scale-out request, still booting; fewer than requested: no more capacity now. */
+  /** Adds booting machines of a scale-out request; fewer than requested mean no capacity now. */
   public void onMachinesProvisioned(
       String requestId, List<String> machineNames, Decision.ProvisionMachines request, long nowMs) {
     scaleOut.onSettled(requestId);
@@ -127,7 +127,7 @@
     }
   }
 
-  /** A scale-out request was rejected or failed. */
+  /** Handles a scale-out request that was rejected or failed. */
   public void onProvisioningFailed(
       String requestId, Decision.ProvisionMachines request, boolean noCapacity, long nowMs) {
     scaleOut.onSettled(requestId);
@@ -137,12 +137,12 @@
     cluster.requestPass();
   }
 
-  /** A scale-out request with this id is in progress. */
+  /** Records that the scale-out request with this id is in progress. */
   public void onProvisioningStarted(String requestId, Decision.ProvisionMachines request) {
     scaleOut.onRequested(requestId, request);
   }
 
-  /** Where an earlier leader's record placed the replicas of a service: these have its image. */
+  /** Restores where a service's replicas ran under an earlier leader: its image is cached there. */
   public void restorePlacement(String jobId, List<String> replicaMachineNames) {
     Job job = cluster.jobs.get(jobId);
     for (String machineName : replicaMachineNames) {
@@ -153,7 +153,7 @@
     }
   }
 
-  /** The job's opening is durable: commands for it may go out from now on. */
+  /** Handles the durable opening of a job: its commands may be sent from now on. */
   public void onJobOpened(String jobId) {
     outstandingDecisions.onSettled(Kind.OPEN_JOB, jobId);
     Job job = cluster.jobs.get(jobId);
@@ -167,7 +167,7 @@
     }
   }
 
-  /** The machine's record is durable: the incarnation it was written for may get tasks. */
+  /** Handles a durable machine record: the incarnation that it was written for may get tasks. */
   public void onMachineRegistered(String machineName) {
     outstandingDecisions.onSettled(Kind.REGISTER_MACHINE, machineName);
     Machine machine = cluster.machines.get(machineName);
@@ -177,19 +177,19 @@
     cluster.requestPass();
     if (machine.registeringIncarnation != null
         && machine.registeringIncarnation != machine.incarnation) {
-      return; // it restarted during the write, and is registered again
+      return; // the machine restarted during the write and is registered again
     }
     machine.registered = true;
     cluster.unregistered.remove(machine);
   }
 
-  /** A decision could not be carried out; a later pass repeats it. */
+  /** Handles a decision that could not be carried out: a later pass repeats it. */
   public void onDecisionFailed(Decision decision) {
     outstandingDecisions.onFailed(decision);
     cluster.requestPass();
   }
 
-  /** The job's end is durable. */
+  /** Handles the durable end of a job. */
   public void onJobEnded(String jobId, boolean cancelled, long nowMs) {
     outstandingDecisions.onJobEnded(jobId);
     Job job = cluster.jobs.get(jobId);
@@ -199,43 +199,43 @@
     }
   }
 
-  /** A user cancels the job: nothing of it starts any more, though its end is not durable yet. */
+  /** Cancels a job for its user: no more tasks of it start, though its end is not durable yet. */
   public void requestCancellation(String jobId) {
     cancellation.request(jobId);
   }
 
-  /** Whether a cancellation confirmed now would be kept, whatever older leaders still do. */
+  /** Returns whether a cancellation confirmed now holds whatever older leaders still do. */
   public boolean canConfirmCancellation(String jobId) {
     return cancellation.canConfirm(jobId);
   }
 
   /**
-   * Whether a task of the job may still start without a further command: a start is in flight or
-   * unconfirmed, or an image is being fetched, until the machine shows the outcome, is gone, or its
-   * lease expires.
+   * Returns whether a task of the job may still start without a further command, because a start is
+   * in flight or unconfirmed or an image is being fetched. This ends when the machine reports the
+   * outcome, is gone, or its lease expires.
    */
   public boolean mayStart(String jobId) {
     Job job = cluster.jobs.get(jobId);
     return job != null && job.mayStart();
   }
 
-  /** Whether a lease that nobody renews expires within the time promised for a cancellation. */
+  /** Returns whether an unrenewed lease expires within the time promised for a cancellation. */
   public static boolean leaseFitsCancellationTime(DeploymentLimits limits) {
     return JobCancellation.leaseFitsCancellationTime(limits);
   }
 
-  /** Whether a worker showed a higher fencing token: another leader has taken over. */
+  /** Returns whether a worker showed a higher fencing token: another leader has taken over. */
   public boolean isDeposed() {
     return heartbeatReconciler.deposed();
   }
 
-  /** Whether most machines seem to be out of this leader's reach. */
+  /** Returns whether this leader seems to be partitioned from most machines. */
   public boolean isIsolated() {
     FleetVisibility visibility = schedulingPass.fleetVisibility();
     return visibility.isolated() || visibility.inboundPartitioned();
   }
 
-  /** Share of the machines expected to send heartbeats that are not overdue; 1 without any. */
+  /** Returns what share of the machines that should send heartbeats do so; 1 if there are none. */
   public double observedShare() {
     FleetVisibility visibility = schedulingPass.fleetVisibility();
     return visibility.machines() == 0
@@ -243,66 +243,66 @@
         : 1 - (double) visibility.overdue() / visibility.machines();
   }
 
-  /** The results of those peers that answered a request to probe machines. */
+  /** Handles the results of those peers that answered a request to probe machines. */
   public void onPeerProbeResults(
       Decision.ProbeThroughPeers peerProbe, List<Decision.PeerProbeResult> results) {
     failureDetector.onPeerProbeResults(peerProbe, results);
     if (!results.isEmpty()) {
-      schedulingPass.requestPlan(); // machines that may be released now should not wait
+      schedulingPass.requestPlan(); // the results may allow releases at once
     }
   }
 
-  /** Whether the term has to end because its attempt numbers are used up. */
+  /** Returns whether the term has to end because its attempt numbers are used up. */
   public boolean hasExhaustedAttemptNumbers() {
     return cluster.attemptNumbers.isExhausted();
   }
 
-  /** Whether machines of earlier leaders are neither reconciled nor gone yet. */
+  /** Returns whether some machines are neither reconciled with this term nor gone yet. */
   public boolean isReconciling() {
     return cluster.hasUnreconciledMachines();
   }
 
-  /** Whether something changed that a pass may act on. */
+  /** Returns whether something changed that a pass may act on. */
   public boolean passRequested() {
     return cluster.passRequested();
   }
 
-  /** This process was suspended for a while. */
+  /** Records that this process was suspended for a while. */
   public void onProcessResumed(long nowMs) {
     cluster.heartbeatTiming.onProcessResumed(nowMs);
   }
 
-  /** No other node can lead up to this time, as far as is known now. */
+  /** Records until when it is certain that no other node can lead. */
   public void extendLeaseCertainty(long leaseCertainUntilMs) {
     cluster.incarnations.extendLeaseCertainty(leaseCertainUntilMs);
   }
 
   /**
-   * Takes in a heartbeat, received at {@code receivedMs}, that is to be answered with this term's
-   * token. Returns the commands of the response, or null if it must not be answered, since that
-   * would renew a lease of which nothing is known.
+   * Handles a heartbeat, received at {@code receivedMs}, that is to be answered with this term's
+   * token. Returns the commands of the response, or null if the heartbeat must not be answered,
+   * since a response would renew the lease of an incarnation that this leader may not know.
    */
   public List<Command> onHeartbeat(Heartbeat heartbeat, long receivedMs, long nowMs) {
     return heartbeatHandler.onHeartbeat(heartbeat, receivedMs, nowMs);
   }
 
-  /** Whether direct commands whose turn has come are still due; if not they are settled. */
+  /** Returns whether queued direct commands are still due; settles them if not. */
   public boolean directCommandsStillDue(Decision.SendCommands decision, long nowMs) {
     return directCommands.isStillDue(decision, nowMs);
   }
 
   /**
-   * The commands to send now that the decision's turn has come and its connection exists. Left out
-   * are starts of jobs that are over or being cancelled, which the user may have been told
-   * meanwhile, and all other starts unless {@code leaseCertain}: only then did the incarnation at
-   * the other end exist before any later leader, which either fences it or sees its next
-   * incarnation before it starts the task elsewhere. Heartbeat responses carry what is left out.
+   * Returns the commands of the decision to send once its connection exists. Omits starts of jobs
+   * that are over or being cancelled, as their end may have been confirmed to the user meanwhile,
+   * and all other starts unless {@code leaseCertain}: only then did the connected incarnation exist
+   * before any later leader, which either fences it or sees its next incarnation before it starts
+   * the task elsewhere. Heartbeat responses carry the omitted commands.
    */
   public List<Command> commandsStillWanted(Decision.SendCommands decision, boolean leaseCertain) {
     return directCommands.stillWanted(decision, leaseCertain);
   }
 
-  /** Result of direct commands; {@code heartbeat} is null without an answer. */
+  /** Handles the result of direct commands; {@code heartbeat} is null if there was no answer. */
   public void onCommandResult(
       String machineName,
       boolean outcomeUnknown,
@@ -312,31 +312,31 @@
     directCommands.onResult(machineName, outcomeUnknown, heartbeat, receivedMs, nowMs);
   }
 
-  /** A complete list that was requested at {@code requestedMs} and arrived at {@code nowMs}. */
+  /** Handles a complete machine list, requested at {@code requestedMs}. */
   public void onMachineList(
       Collection<ListedMachine> listedMachines, long requestedMs, long nowMs) {
     machineListReconciler.onMachineList(listedMachines, requestedMs, nowMs);
   }
 
-  /** The cloud confirmed the release of these machines. */
+  /** Handles the cloud's confirmation that these machines are released. */
   public void onMachinesReleased(List<String> machineNames, long nowMs) {
     scaleIn.onReleased(machineNames, nowMs);
   }
 
-  /** The release of these machines was not confirmed: a later pass repeats it. */
+  /** Handles an unconfirmed release of these machines: a later pass repeats it. */
   public void onReleaseFailed(List<String> machineNames) {
     scaleIn.onReleaseFailed(machineNames);
   }
 
   /**
-   * Runs one pass and returns its decisions in the order in which they are to be carried out. Up to
-   * {@code leaseCertainUntilMs} no other node can have led beside this one.
+   * Runs one pass and returns its decisions in the order in which they are to be carried out. No
+   * other node can lead before {@code leaseCertainUntilMs}.
    */
   public List<Decision> runPass(long nowMs, long leaseCertainUntilMs) {
     return schedulingPass.run(nowMs, leaseCertainUntilMs);
   }
 
-  /** State of a live job for its user; null if this leader does not manage it. */
+  /** Returns a live job's progress for its user; null if this leader does not manage the job. */
   public JobProgress progress(String jobId) {
     Job job = cluster.jobs.get(jobId);
     if (job == null) {
@@ -346,15 +346,15 @@
     return new JobProgress(running > 0, job.doneCount(), running, job.isComplete());
   }
 
-  /** A live job as its user sees it. */
+  /** The progress of a live job as its user sees it. */
   public record JobProgress(boolean running, int doneTasks, int runningTasks, boolean complete) {}
 
-  /** The done tasks of jobs whose record is behind. */
+  /** Returns the done tasks of each job whose record is outdated, and clears that set of jobs. */
   public Map<String, BitSet> drainUnpersistedProgress() {
     return cluster.drainUnpersistedProgress();
   }
 
-  /** The job's record shows these tasks as done. */
+  /** Records that the completion of these tasks of the job is durable. */
   public void onProgressPersisted(String jobId, BitSet doneTasks) {
     Job job = cluster.jobs.get(jobId);
     if (job != null) {
@@ -362,37 +362,37 @@
     }
   }
 
-  /** One line for the log: jobs, machines, utilization, commands and cost. */
+  /** Returns a log line with jobs, machines, utilization, commands and cost. */
   public String clusterSummary() {
     return logSummary.clusterLine();
   }
 
-  /** A line for the log with what was concluded from messages of machines. */
+  /** Returns a log line with counts of what messages of machines proved. */
   public String reconciliationSummary() {
     return cluster.reconciliationLog.summary();
   }
 
-  /** A line for the log with the service of each class and team; warns of unstarted jobs. */
+  /** Returns a log line on service per class and team; warns about unstarted jobs. */
   public String serviceSummary(long nowMs) {
     return logSummary.serviceLine(nowMs);
   }
 
-  /** For tests: checks of a job against a machine so far. */
+  /** For tests: returns the number of checks of a job against a machine so far. */
   long candidateChecks() {
     return cluster.candidateChecks;
   }
 
-  /** For tests: decisions that have not been carried out yet. */
+  /** For tests: returns the number of decisions that are neither carried out nor failed. */
   int outstandingDecisionCount() {
     return outstandingDecisions.size();
   }
 
-  /** For tests, which recompute its derived state. */
+  /** For tests, which recompute the derived state and compare. */
   ClusterState cluster() {
     return cluster;
   }
 
-  /** For tests: a live job. */
+  /** For tests: returns a live job, or null. */
   Job job(String jobId) {
     return cluster.jobs.get(jobId);
   }
--- a/src/main/java/org/astershift/scheduler/SchedulingPass.java
+++ b/src/main/java/org/astershift/scheduler/SchedulingPass.java
@@ -5,17 +5,17 @@
 import org.astershift.scheduler.OutstandingDecisions.Kind;
 
 /**
- * The scheduling pass: places waiting tasks, sends urgent commands and asks for the records that
- * these need. A sweep over the fleet and the plan for scaling run as parts of it, at intervals.
+ * Runs scheduling passes: places waiting tasks, sends urgent commands and requests the records that
+ * they need. A sweep over the fleet and the scaling plan run as parts of a pass, at intervals.
  */
 final class SchedulingPass {
-  /** Between sweeps for expired leases and silent machines. */
+  /** Interval between sweeps for expired leases and silent machines. */
   private static final long SWEEP_INTERVAL_MS = 250;
 
-  /** Between plans for scaling in and out. */
+  /** Interval between plans for scaling in and out. */
   private static final long SCALING_PLAN_INTERVAL_MS = 1000;
 
-  /** After a failover, time without scaling out while machines are unreconciled. */
+  /** Time after a failover in which unreconciled machines block scaling out. */
   private static final long SCALE_OUT_DELAY_AFTER_FAILOVER_MS = 5000;
 
   private final ClusterState cluster;
@@ -50,7 +50,7 @@
     this.leaseExpiry = new LeaseExpiry(cluster);
   }
 
-  /** One pass; up to {@code leaseCertainUntilMs} no other node can have led beside this one. */
+  /** Runs one pass; no other node can lead before {@code leaseCertainUntilMs}. */
   List<Decision> run(long nowMs, long leaseCertainUntilMs) {
     cluster.clearPassRequest();
     cluster.incarnations.extendLeaseCertainty(leaseCertainUntilMs);
@@ -76,12 +76,12 @@
     return decisions;
   }
 
-  /** Has the next pass plan the scaling, whatever the interval. */
+  /** Makes the next pass plan the scaling, regardless of the interval. */
   void requestPlan() {
     lastPlanMs = Long.MIN_VALUE / 2;
   }
 
-  /** How much of the fleet was visible at the last sweep. */
+  /** Returns how much of the fleet was visible at the last sweep. */
   FleetVisibility fleetVisibility() {
     return fleetVisibility;
   }
@@ -181,7 +181,7 @@
     costStatistics.accrue(cluster.allMachines(), nowMs);
     scaleIn.plan(decisions, leaseCertain, nowMs);
     firstPlanMs = firstPlanMs < 0 ? nowMs : firstPlanMs;
-    // Unreconciled machines run a part of the queue already, or will take it.
+    // Unreconciled machines may already run tasks that seem to wait, or can take them once fenced.
     if (!cluster.hasUnreconciledMachines()
         || nowMs - firstPlanMs > SCALE_OUT_DELAY_AFTER_FAILOVER_MS) {
       scaleOut.plan(decisions, nowMs);
--- a/src/main/java/org/astershift/scheduler/SchedulingPolicy.java
+++ b/src/main/java/org/astershift/scheduler/SchedulingPolicy.java
@@ -1,14 +1,14 @@
 package org.astershift.scheduler;
 
 /**
- * Parameters of scheduling that operators may set.
+ * Scheduling parameters that operators can set.
  *
- * @param windowTasks tasks of the wait queue that a pass looks at
- * @param utilizationThreshold share of busy processors below which a task takes a machine without
- *     its image
- * @param machineBatchTasks tasks that one machine is given in a pass
- * @param waitingAgeS seconds after which a task takes any machine
- * @param idleReleaseS seconds for which an idle machine is kept at least
+ * @param windowTasks number of tasks at the head of the wait queue that a pass considers
+ * @param utilizationThreshold share of busy processors below which a task may be placed on a
+ *     machine that lacks its image
+ * @param machineBatchTasks maximum number of tasks that a pass places on one machine
+ * @param waitingAgeS waiting time in seconds after which a task may be placed on any machine
+ * @param idleReleaseS minimum time in seconds for which an idle machine is kept
  */
 public record SchedulingPolicy(
     int windowTasks,
--- a/src/main/java/org/astershift/scheduler/ServiceCounters.java
+++ b/src/main/java/org/astershift/scheduler/ServiceCounters.java
@@ -6,34 +6,35 @@
 import java.util.List;
 
 /**
- * Service that one class or team got in this leader's term. Jobs that an earlier leader accepted
- * count as accepted at the failover.
+ * Counts the service that one job class or team got in this leader's term. Jobs that an earlier
+ * leader accepted count as accepted at the failover.
  */
 final class ServiceCounters {
-  /** Latest jobs of which the outcome is kept. */
+  /** Number of latest jobs whose outcome is kept. */
   private static final int JOB_OUTCOMES_KEPT = 5000;
 
-  /** One of so many jobs counts among the largest. */
+  /** One in this many jobs counts among the largest. */
   private static final int LARGEST_ONE_IN = 10;
 
   private int accepted;
   private int started;
   private int finished;
 
-  /** Of the latest jobs, without those that were cancelled. */
+  /** Outcomes of the latest jobs, without cancelled ones. */
   private final ArrayDeque<JobOutcome> outcomes = new ArrayDeque<>();
 
   private long lastStartMs = Long.MIN_VALUE / 2;
 
-  /** Replicas of services that run, and that should, at the last snapshot. */
+  /** Running replicas of services at the last snapshot. */
   private int replicasUp;
 
+  /** Replicas of services that should have run at the last snapshot. */
   private int replicasDesired;
 
-  /** When the oldest job with waiting tasks was submitted, at the last snapshot; -1: none waits. */
+  /** Submission time of the oldest waiting job at the last snapshot; -1 if no job was waiting. */
   private long waitingSinceMs = -1;
 
-  /** A warning was logged, and the class or team has got nothing since. */
+  /** Whether the warning about starvation was logged and the starvation has lasted since. */
   boolean starvationWarned;
 
   void onAccepted() {
@@ -51,7 +52,7 @@
     outcomes.remove(outcome);
   }
 
-  /** A task runs; {@code first}: it is the first of its job in this term. */
+  /** Records that a task runs; {@code first}: it is the first of its job in this term. */
   void onStarted(boolean first, long nowMs) {
     started += first ? 1 : 0;
     lastStartMs = nowMs;
@@ -61,7 +62,7 @@
     finished += cancelled ? 0 : 1;
   }
 
-  /** Begins a snapshot, to which each live job is added. */
+  /** Begins a snapshot; the caller then adds each live job to it. */
   void beginSnapshot() {
     replicasUp = 0;
     replicasDesired = 0;
@@ -79,7 +80,7 @@
     }
   }
 
-  /** Whether a job waits, as of the last snapshot. */
+  /** Returns whether a job was waiting at the last snapshot. */
   boolean hasWaitingJob() {
     return waitingSinceMs >= 0;
   }
@@ -88,7 +89,7 @@
     return waitingSinceMs;
   }
 
-  /** Since when it has got nothing though a job waited. */
+  /** Returns since when no task has started although a job was waiting. */
   long unservedSinceMs() {
     return Math.max(lastStartMs, waitingSinceMs);
   }
@@ -107,7 +108,7 @@
         + largestSummary();
   }
 
-  /** What the largest tenth of the jobs got; empty for fewer than two of them. */
+  /** Returns the service of the largest tenth of the jobs; empty if that is fewer than two jobs. */
   private String largestSummary() {
     List<JobOutcome> sorted = new ArrayList<>(outcomes);
     sorted.sort(Comparator.comparingDouble((JobOutcome outcome) -> -outcome.size()));
--- a/src/main/java/org/astershift/scheduler/ServiceStatistics.java
+++ b/src/main/java/org/astershift/scheduler/ServiceStatistics.java
@@ -9,16 +9,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Service that each job class and each team got in this leader's term, for the log: where machines
- * are short one of them may be starved while the totals look well.
+ * Collects, for the log, the service that each job class and each team got in this leader's term.
+ * When machines are scarce, one class or team may be starved while the totals look healthy.
  */
 final class ServiceStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(ServiceStatistics.class);
 
-  /** Milliseconds after which a job that has not started is warned of: half of what it may take. */
+  /** Milliseconds without a start before a warning about a job: half of the time it may take. */
   private static final long UNSTARTED_WARN_MS = 120_000;
 
-  /** Milliseconds without a start after which a class or team that waits is warned of. */
+  /** Milliseconds without a start before a warning about a class or team that waits. */
   private static final long STARVED_WARN_MS = 60_000;
 
   private final Map<String, ServiceCounters> classes = new TreeMap<>();
@@ -33,16 +33,16 @@
     return teams.computeIfAbsent(job.spec.team(), name -> new ServiceCounters());
   }
 
-  /** The job was accepted, or inherited from an earlier leader. */
+  /** Records that a job was accepted or inherited from an earlier leader. */
   void onAccepted(Job job) {
-    ServiceCounters ofClass = classCounters(job);
-    ofClass.onAccepted();
+    ServiceCounters counters = classCounters(job);
+    counters.onAccepted();
     teamCounters(job).onAccepted();
     job.outcome = new JobOutcome(job.spec.tasks() * Math.max(job.spec.cpus(), job.spec.gpus()));
-    ofClass.addOutcome(job.outcome);
+    counters.addOutcome(job.outcome);
   }
 
-  /** A task of the job runs. */
+  /** Records that a task of the job runs. */
   void onStarted(Job job, long nowMs) {
     if (job.state != Job.State.LIVE) {
       return;
@@ -55,20 +55,20 @@
     job.outcome.onStarted();
   }
 
-  /** The job has finished or was cancelled. */
+  /** Records that the job has finished or was cancelled. */
   void onEnded(Job job, boolean cancelled) {
-    ServiceCounters ofClass = classCounters(job);
-    ofClass.onEnded(cancelled);
+    ServiceCounters counters = classCounters(job);
+    counters.onEnded(cancelled);
     teamCounters(job).onEnded(cancelled);
     job.outcome.onEnded(cancelled);
     if (cancelled) {
-      ofClass.removeOutcome(job.outcome);
+      counters.removeOutcome(job.outcome);
     }
   }
 
   /**
-   * Warns once of each job that should have started and has not, with the reason: a job kept by its
-   * team's quota or by its own failures shows no lack of machines.
+   * Warns once about each job that should have started and has not. The warning gives the reason,
+   * since a job held back by its team's quota or by its own failures shows no lack of machines.
    */
   void warnAboutUnstartedJobs(Iterable<Job> waiting, Predicate<Job> withinQuota, long nowMs) {
     for (Job job : waiting) {
@@ -90,15 +90,15 @@
 
   private static String unstartedReason(Job job, Predicate<Job> withinQuota) {
     if (job.isSuspect()) {
-      return "it fails on every machine";
+      return "its tasks fail on every machine";
     }
     if (job.usableTypes.isEmpty()) {
       return "no machine type fits its tasks";
     }
-    return withinQuota.test(job) ? "other jobs go first" : "its team is at its quota";
+    return withinQuota.test(job) ? "other jobs are served first" : "its team has reached its quota";
   }
 
-  /** One line for the log; warns of a class or team that gets nothing though others do. */
+  /** Returns one line for the log; warns about a class or team that is starved. */
   String summary(Iterable<Job> jobs, long nowMs) {
     takeSnapshot(jobs);
     List<String> lines = new ArrayList<>();
@@ -106,7 +106,7 @@
       lines.add(entry.getValue().summary(entry.getKey(), nowMs));
       warnIfStarved("class", entry.getKey(), entry.getValue(), nowMs);
     }
-    // A single team repeats the totals of the classes.
+    // With a single team its counters would only repeat the totals of the classes.
     if (teams.size() > 1) {
       for (Map.Entry<String, ServiceCounters> entry : teams.entrySet()) {
         lines.add(entry.getValue().summary("team " + entry.getKey(), nowMs));
@@ -132,7 +132,7 @@
             && nowMs - lastStartMs < STARVED_WARN_MS / 2;
     if (starved && !counters.starvationWarned) {
       LOG.warn(
-          "{} {} is starved while others are served: noStartS={} waitingS={}",
+          "{} {} is starved while others are served: no_start_s={} waiting_s={}",
           kind,
           name,
           (nowMs - counters.unservedSinceMs()) / 1000,
--- a/src/main/java/org/astershift/scheduler/TaskAttempt.java
+++ b/src/main/java/org/astershift/scheduler/TaskAttempt.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** One attempt of one task on one machine, from its placement until the proof of its end. */
+/** One attempt of one task on one machine, from its placement until its end is proven. */
 final class TaskAttempt {
   /** Identifies an attempt on its machine. */
   record Key(String jobId, int index, long attemptNumber) {}
@@ -12,37 +12,37 @@
   final long placedMs;
   final Key key;
 
-  /** The phase last reported; null while the machine has not shown the task in this epoch. */
+  /** The phase reported last; null while the machine has not shown the attempt in this epoch. */
   Heartbeat.TaskPhase phase;
 
-  /** Sequence of the newest message that showed it. */
+  /** Sequence number of the newest message that showed the attempt; -1 if none did. */
   long lastShownSequence = -1;
 
-  /** A start command went out, directly or in a heartbeat response. */
+  /** Whether a start was sent, as a direct command or in a heartbeat response. */
   boolean startSent;
 
   /**
-   * A direct start got no answer and may still be executed while fencing token and epoch match.
-   * Until the epoch is over the worker must not forget the attempt, or the late start would run the
-   * task a second time.
+   * Whether a direct start got no answer and may still be executed while fencing token and epoch
+   * match. Until the epoch is over the worker must not forget the attempt, because a late start
+   * would then run the task a second time.
    */
   boolean startUnconfirmed;
 
-  /** A direct start is in flight. */
+  /** Whether a direct start is in flight. */
   boolean startInFlight;
 
   /**
-   * The lease of the incarnation for which an unconfirmed start was meant has expired: only a
-   * restarted machine could execute it now.
+   * Whether the lease has expired of the incarnation to which an unconfirmed start was sent, so
+   * that only a restarted machine could execute it now.
    */
   boolean startLeaseExpired;
 
-  /** The epoch for which the last direct start was meant: it has no effect in a later one. */
+  /** The epoch for which the last direct start was sent; it has no effect in a later epoch. */
   long startEpoch;
 
   /**
-   * A start went with the newest heartbeat response. Only the next heartbeat shows whether it
-   * arrived: a worker may take a response at the last moment before its deadline.
+   * Whether the newest heartbeat response contained a start. Only the next heartbeat shows whether
+   * it arrived, since a worker may receive a response just before its deadline.
    */
   boolean startInHeartbeatResponse;
 
@@ -50,10 +50,10 @@
   boolean stopSent;
   double stopGracePeriodS;
 
-  /** Why it exited; null before that. */
+  /** Why the attempt exited; null while it has not. */
   ExitReason exitReason;
 
-  /** When it was first seen running; -1: not yet. */
+  /** When the attempt was first seen running, in monotonic milliseconds; -1 if it was not. */
   long runningSinceMs = -1;
 
   TaskAttempt(Job job, int index, long attemptNumber, Machine machine, long placedMs) {
@@ -69,58 +69,58 @@
     return phase == Heartbeat.TaskPhase.EXITED;
   }
 
-  /** No direct start is in flight any more; {@code unconfirmed}: one may have been executed. */
+  /** Ends a direct start's flight; if {@code unconfirmed}, the start may have been executed. */
   void onDirectStartSettled(boolean unconfirmed) {
     startUnconfirmed |= startInFlight && unconfirmed;
     startInFlight = false;
   }
 
   /**
-   * Whether a direct start that the machine has not shown yet may still be executed. An expired
-   * lease does not exclude it: a restarted machine is in its first epoch again and has no fencing
-   * token, so it would execute a delayed start.
+   * Returns whether a direct start that the machine has not shown yet may still be executed. An
+   * expired lease does not exclude this: a restarted machine is in its first epoch again and has no
+   * fencing token, so it would execute a delayed start.
    */
   boolean isStartPending() {
     return phase == null && (startUnconfirmed || startInFlight);
   }
 
   /**
-   * Whether the task may still start without a further command: a start is in flight or
-   * unconfirmed, directly or in a response, or its image is being fetched.
+   * Returns whether the task may still start without a further command, because its image is being
+   * fetched or a start, direct or in a heartbeat response, is in flight or unconfirmed.
    */
   boolean mayStart() {
     return phase == Heartbeat.TaskPhase.FETCHING
         || (phase == null && (isStartPending() || startInHeartbeatResponse) && !startLeaseExpired);
   }
 
-  /** Whether its user sees it as running. */
+  /** Returns whether the user sees the task as running, which includes saving a checkpoint. */
   boolean isRunning() {
     return phase == Heartbeat.TaskPhase.RUNNING || phase == Heartbeat.TaskPhase.SAVING;
   }
 
-  /** Whether it will have ended at this time by its estimate. */
+  /** Returns whether the task will have ended by this time according to its job's estimate. */
   boolean isExpectedDoneBy(long atMs) {
     return job.spec.kind() == JobKind.ARRAY
         && !isExited()
         && placedMs + job.spec.estimateS() * 1000 < atMs;
   }
 
-  /** Whether it should not run any more. */
+  /** Returns whether the attempt should no longer run. */
   boolean isUnwanted() {
     return stopping || isResultUnused();
   }
 
-  /** Its job is over or about to be, so a checkpoint is of no use. */
+  /** Returns whether the job is over or being cancelled, so that a checkpoint has no use. */
   private boolean isResultUnused() {
     return job.state != Job.State.LIVE || job.cancellationRequested;
   }
 
-  /** Seconds that a stop leaves for a checkpoint; 0 where that is of no use. */
+  /** Returns the seconds that a stop leaves for a checkpoint; 0 if a checkpoint has no use. */
   double gracePeriodS() {
     return isResultUnused() ? 0 : stopGracePeriodS;
   }
 
-  /** Has a stop that left time for a checkpoint sent again without. */
+  /** Makes a stop that left time for a checkpoint be sent again without a grace period. */
   void cancelGracePeriod() {
     stopSent &= stopGracePeriodS == 0;
   }
--- a/src/main/java/org/astershift/scheduler/TaskExitHandler.java
+++ b/src/main/java/org/astershift/scheduler/TaskExitHandler.java
@@ -3,14 +3,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reacts to the exit of a task by its reason. */
+/** Handles exited task attempts according to their exit reason. */
 final class TaskExitHandler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskExitHandler.class);
 
-  /** Without new starts on a machine that rejected one, until its status is known. */
+  /** Time without new starts on a machine that rejected one, until its status is known. */
   private static final long START_REJECTED_BACKOFF_MS = 1000;
 
-  /** Without starts of a job that a machine does not know: its upload may be late. */
+  /** Time without starts of a job that a machine does not know, as its upload may be late. */
   private static final long UNKNOWN_JOB_BACKOFF_MS = 1000;
 
   private final ClusterState cluster;
@@ -21,7 +21,7 @@
     this.faultAttribution = new FaultAttribution(cluster);
   }
 
-  /** A known attempt is reported as exited for the first time. */
+  /** Handles the first report that a known attempt has exited. */
   void onReportedExit(TaskAttempt attempt, Heartbeat.TaskStatus status, long nowMs) {
     cluster.attempts.release(attempt);
     attempt.exitReason = ExitReason.of(status.exitReason());
@@ -32,7 +32,7 @@
     onExited(attempt, nowMs);
   }
 
-  /** The attempt has exited, with its reason set; nothing is done for jobs that are over. */
+  /** Handles an exited attempt whose exit reason is set; ignores attempts of jobs that are over. */
   void onExited(TaskAttempt attempt, long nowMs) {
     Job job = attempt.job;
     Machine machine = attempt.machine;
@@ -56,7 +56,10 @@
         job.pausedUntilMs = nowMs + UNKNOWN_JOB_BACKOFF_MS;
       }
       case INCOMPLETE -> {
-        LOG.info("gang incomplete in time: task={} machine={}", attempt.name(), machine.name);
+        LOG.info(
+            "gang not complete in time, stopping its tasks: task={} machine={}",
+            attempt.name(),
+            machine.name);
         cluster.attempts.stopIncompleteGang(job, attempt.attemptNumber);
       }
       case PEERS, OTHER -> {
--- a/src/main/java/org/astershift/scheduler/UnfinishedJobs.java
+++ b/src/main/java/org/astershift/scheduler/UnfinishedJobs.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The unfinished jobs of each team in the order of their submission. */
+/** Holds the unfinished jobs of each team in the order of their submission. */
 final class UnfinishedJobs {
   private static final double TOLERANCE = 1e-6;
   private static final Comparator<Job> BY_SUBMISSION =
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Whether the job fits into its team's guaranteed quota together with the team's earlier
-   * unfinished jobs. The team's present usage would not do: it would give the guarantee to each job
-   * of a long queue in turn.
+   * Returns whether the job fits into its team's guaranteed quota together with the team's earlier
+   * unfinished jobs. Checking against the team's current usage instead would give the guarantee to
+   * each job of a long queue in turn.
    */
   boolean isWithinGuaranteedQuota(Job job) {
     Team team = teams.get(job.spec.team());
