--- a/src/main/java/org/astershift/scheduler/AttemptAdoption.java
+++ b/src/main/java/org/astershift/scheduler/AttemptAdoption.java
@@ -20,9 +20,9 @@
   void adopt(Machine machine, Heartbeat.TaskStatus status, long sequence, long nowMs) {
     Job job = cluster.jobs.get(status.jobId());
     if (job == null || status.index() >= job.spec.tasks()) {
-      job = orphanedJob(status);
+      job = createOrphanedJob(status);
     }
-    TaskAttempt attempt = attemptOf(job, machine, status, sequence, nowMs);
+    TaskAttempt attempt = createAttempt(job, machine, status, sequence, nowMs);
     cluster.attempts.adopt(attempt);
     if (status.closesAttempt()) {
       job.closeAttempt(attempt.attemptNumber);
@@ -37,7 +37,7 @@
     if (status.phase() != Heartbeat.TaskPhase.FETCHING) {
       machine.touchImage(job.spec.image(), job.spec.imageGb());
     }
-    TaskAttempt other = holderBeside(attempt, nowMs);
+    TaskAttempt other = resolveOtherHolder(attempt, nowMs);
     if (job.state != Job.State.LIVE || job.doneTasks.get(attempt.index) || other != null) {
       stopUnwanted(attempt, other != null);
       return;
@@ -50,7 +50,7 @@
     }
   }
 
-  private static TaskAttempt attemptOf(
+  private static TaskAttempt createAttempt(
       Job job, Machine machine, Heartbeat.TaskStatus status, long sequence, long nowMs) {
     TaskAttempt attempt =
         new TaskAttempt(job, status.index(), status.attemptNumber(), machine, nowMs);
@@ -62,7 +62,7 @@
   }
 
   /** The attempt that keeps the task from the adopted one; null if there is none, or it yields. */
-  private TaskAttempt holderBeside(TaskAttempt attempt, long nowMs) {
+  private TaskAttempt resolveOtherHolder(TaskAttempt attempt, long nowMs) {
     Job job = attempt.job;
     Machine machine = attempt.machine;
     TaskAttempt other = job.attempts.get(attempt.index);
@@ -102,7 +102,7 @@
   }
 
   /** A placeholder for a job that this leader does not manage: its tasks are only stopped. */
-  private static Job orphanedJob(Heartbeat.TaskStatus status) {
+  private static Job createOrphanedJob(Heartbeat.TaskStatus status) {
     JobSpec spec =
         new JobSpec(
             status.jobId(),
--- a/src/main/java/org/astershift/scheduler/AttemptRegistry.java
+++ b/src/main/java/org/astershift/scheduler/AttemptRegistry.java
@@ -22,7 +22,7 @@
 
   /** Places a waiting task on a machine; its start command is sent once the job is opened. */
   TaskAttempt place(Job job, int index, Machine machine, long attemptNumber, long nowMs) {
-    if (machine.idle()) {
+    if (machine.isIdle()) {
       reuseRateByType
           .computeIfAbsent(machine.typeName, t -> new DecayingRate(REUSE_WINDOW_S))
           .add(nowMs);
--- a/src/main/java/org/astershift/scheduler/ClusterState.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -324,16 +324,16 @@
     unobservedUsage.update(machine, false);
     commandsPending.remove(machine);
     unregistered.remove(machine);
-    removedMachines.deregister(machine);
+    removedMachines.requestDeregistration(machine);
     requestPass();
   }
 
   /** Returns whether new tasks may be placed on the machine. */
   boolean isUsable(Machine machine, long nowMs) {
-    return machine.usable(nowMs)
-        && incarnations.usable(machine, nowMs)
-        && !heartbeatTiming.heartbeatOverdue(machine, nowMs)
-        && !heartbeatTiming.outboundPartitioned(machine, nowMs);
+    return machine.isUsable(nowMs)
+        && incarnations.isUsable(machine, nowMs)
+        && !heartbeatTiming.isHeartbeatOverdue(machine, nowMs)
+        && !heartbeatTiming.isOutboundPartitioned(machine, nowMs);
   }
 
   /** Returns whether the zone is considered partitioned from this leader. */
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -47,7 +47,7 @@
       attempt.startInHeartbeatResponse = false;
     }
     dropNeverStarted(machine);
-    boolean usable = cluster.incarnations.usable(machine, nowMs);
+    boolean usable = cluster.incarnations.isUsable(machine, nowMs);
     for (TaskAttempt attempt : machine.attempts.values()) {
       if (attempt.isExited()) {
         // A start that arrives after its attempt was forgotten would run the task a second time.
@@ -192,7 +192,7 @@
         attempt.stopSent = true;
       } else if (leaseCertain
           && isStartDue(attempt)
-          && !cluster.heartbeatTiming.outboundPartitioned(machine, nowMs)) {
+          && !cluster.heartbeatTiming.isOutboundPartitioned(machine, nowMs)) {
         commands.add(directStart(attempt));
       }
     }
@@ -212,10 +212,10 @@
       return null;
     }
     boolean fence = isFenceDue(machine, nowMs);
-    boolean probe = machine.epoch > 0 && cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs);
+    boolean probe = machine.epoch > 0 && cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs);
     boolean restartCheck =
         machine.staleMessageSeen
-            || (machine.inboundPartitioned()
+            || (machine.isInboundPartitioned()
                 && nowMs - machine.directCommands.lastSentMs() >= PARTITION_PROBE_INTERVAL_MS);
     return fence || probe || restartCheck
         ? directCommands(
@@ -262,7 +262,7 @@
           commands.add(directStart(attempt));
           commands.add(Command.stop(attempt, attempt.gracePeriodS()));
         } else if (attempt.job.opened
-            && !cluster.heartbeatTiming.outboundPartitioned(machine, nowMs)) {
+            && !cluster.heartbeatTiming.isOutboundPartitioned(machine, nowMs)) {
           commands.add(directStart(attempt));
         }
       } else if (!attempt.isExited() && attempt.isUnwanted() && attempt.stopSent) {
@@ -293,8 +293,8 @@
   boolean isFenceOrProbeStillDue(Machine machine, long nowMs) {
     return isFenceDue(machine, nowMs)
         || machine.staleMessageSeen
-        || machine.inboundPartitioned()
-        || (machine.fenced && cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs));
+        || machine.isInboundPartitioned()
+        || (machine.fenced && cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs));
   }
 
   /**
@@ -312,7 +312,7 @@
       Machine machine, List<Command> commands, int timeoutMs, long nowMs) {
     boolean silent =
         machine.state == Machine.State.UNRECONCILED
-            || cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs);
+            || cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs);
     machine.directCommands.onSent(machine, silent, nowMs);
     machine.history.add(
         MachineEvent.withoutMessage(
--- a/src/main/java/org/astershift/scheduler/CostStatistics.java
+++ b/src/main/java/org/astershift/scheduler/CostStatistics.java
@@ -34,7 +34,7 @@
   }
 
   private void accrueLive(Machine machine, double cost) {
-    if (machine.idle()) {
+    if (machine.isIdle()) {
       idleCost += cost;
     } else {
       double share = usedShare(machine);
--- a/src/main/java/org/astershift/scheduler/DirectCommands.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommands.java
@@ -97,11 +97,11 @@
 
   private void onAnswer(Machine machine, Heartbeat answer, long waitedMs, long nowMs) {
     CommandReconciler.onAnswered(machine, MessageClassifier.isOvertaken(machine, answer));
-    heartbeatReconciler.senderOf(answer, nowMs);
+    heartbeatReconciler.resolveSender(answer, nowMs);
     if (heartbeatReconciler.deposed()) {
       return;
     }
-    Evidence evidence = classifier.ofAnswer(machine, answer, nowMs);
+    Evidence evidence = classifier.classifyAnswer(machine, answer, nowMs);
     machine.history.add(
         MachineEvent.ofMessage(MachineEvent.Kind.ANSWER, answer, evidence, waitedMs, nowMs));
     machine.consecutiveUnanswered = 0;
@@ -137,7 +137,7 @@
         MachineEvent.withoutMessage(MachineEvent.Kind.NO_ANSWER, machine, 0, nowMs));
     machine.consecutiveUnanswered++;
     if (machine.consecutiveUnanswered == Machine.INBOUND_PARTITION_TRIES
-        && !cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
+        && !cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs)) {
       LOG.info("inbound partition, machine gets no new tasks: machine={}", machine.name);
     }
   }
--- a/src/main/java/org/astershift/scheduler/FailureDetector.java
+++ b/src/main/java/org/astershift/scheduler/FailureDetector.java
@@ -112,7 +112,8 @@
   private void markPartitionedZones(long nowMs) {
     for (Map.Entry<String, ZoneHealth> entry : fleet.zones().entrySet()) {
       ZoneHealth zone = entry.getValue();
-      if (zone.mostlySilent() && (zone.confirmedByPeers() || fleet.localEvidenceConclusive())) {
+      if (zone.isMostlySilent()
+          && (zone.isConfirmedByPeers() || fleet.isLocalEvidenceConclusive())) {
         cluster.zonePartitions.mark(entry.getKey(), nowMs);
       }
     }
@@ -121,14 +122,14 @@
   /** Whether this silent machine may be released; if so it counts against the budget. */
   boolean tryRelease(Machine machine, long nowMs) {
     boolean blocksReconciliation = cluster.blocksReconciliation(machine, nowMs);
-    if (evidence.reachedByPeers(machine, nowMs) && !blocksReconciliation) {
+    if (evidence.isReachedByPeers(machine, nowMs) && !blocksReconciliation) {
       retainedReachable++;
       return false;
     }
     boolean conclusive =
-        fleet.fewOverdue()
-            ? conclusiveAlone(machine, nowMs)
-            : fleet.observesEnough() && conclusiveForMany(machine, nowMs);
+        fleet.hasFewOverdue()
+            ? isConclusiveForFew(machine, nowMs)
+            : fleet.observesEnough() && isConclusiveForMany(machine, nowMs);
     if (!conclusive && !blocksReconciliation) {
       retainedUndecided++;
       return false;
@@ -145,9 +146,9 @@
   }
 
   /** Of a few silent machines: its silence suffices, unless peers may still answer a probe. */
-  private boolean conclusiveAlone(Machine machine, long nowMs) {
+  private boolean isConclusiveForFew(Machine machine, long nowMs) {
     return machine.address == null
-        || evidence.unreachedByPeers(machine, nowMs)
+        || evidence.isUnreachedByPeers(machine, nowMs)
         || nowMs - peerProber.lastUnansweredMs() <= PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
         || machine.peerProbeResults.isInconclusive(machine.lastContactMs(), nowMs)
         || (nowMs - peerProber.lastConclusiveMs() > PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
@@ -156,9 +157,9 @@
   }
 
   /** Of many: peers probed it in vain, or none can tell and the local evidence is conclusive. */
-  private boolean conclusiveForMany(Machine machine, long nowMs) {
+  private boolean isConclusiveForMany(Machine machine, long nowMs) {
     ZoneHealth zone = fleet.zone(machine.zone);
-    if (evidence.unreachedByPeers(machine, nowMs) || zone.confirmedByPeers()) {
+    if (evidence.isUnreachedByPeers(machine, nowMs) || zone.isConfirmedByPeers()) {
       return true;
     }
     // Where peers reach other machines of the zone, this one may be reachable as well.
@@ -166,8 +167,8 @@
         nowMs - peerProber.lastInconclusiveMs() <= PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
             && zone.reachedCount() == 0;
     return peersInconclusive
-        && ((fleet.localEvidenceConclusive() && !mayBeReachable(machine, zone, nowMs))
-            || pastLease(machine, nowMs));
+        && ((fleet.isLocalEvidenceConclusive() && !mayBeReachable(machine, zone, nowMs))
+            || isLeaseExpired(machine, nowMs));
   }
 
   /**
@@ -175,13 +176,13 @@
    * that could tell may be restarting.
    */
   private boolean mayBeReachable(Machine machine, ZoneHealth zone, long nowMs) {
-    return zone.mostlySilent()
+    return zone.isMostlySilent()
         && cluster.heartbeatTiming.silenceMs(machine, nowMs)
             <= cluster.heartbeatTiming.releaseTimeoutMs() + PEER_RECOVERY_WAIT_MS;
   }
 
   /** Its lease has expired with a margin, so its release loses no work. */
-  private boolean pastLease(Machine machine, long nowMs) {
+  private boolean isLeaseExpired(Machine machine, long nowMs) {
     return cluster.heartbeatTiming.silenceMs(machine, nowMs) > 1.5 * cluster.limits.leaseS() * 1000;
   }
 
--- a/src/main/java/org/astershift/scheduler/FaultAttribution.java
+++ b/src/main/java/org/astershift/scheduler/FaultAttribution.java
@@ -48,7 +48,7 @@
       return; // explained by the machine
     }
     job.lastFailureMsByMachine.put(machine.name, nowMs);
-    boolean provenSound = isProvenSound(job, nowMs);
+    boolean provenSound = isProvenHealthy(job, nowMs);
     if (provenSound) {
       machine.provenJobFailures++;
     } else if (!job.isSuspect()) {
@@ -79,7 +79,7 @@
   }
 
   /** Whether a task of it has completed, or has run for long enough. */
-  private static boolean isProvenSound(Job job, long nowMs) {
+  private static boolean isProvenHealthy(Job job, long nowMs) {
     if (job.hasCompletedTask) {
       return true;
     }
@@ -147,7 +147,7 @@
    * so its service could not leave the suspicion otherwise.
    */
   static void checkProbe(Job job, long nowMs) {
-    if (job.isSuspect() && isProvenSound(job, nowMs)) {
+    if (job.isSuspect() && isProvenHealthy(job, nowMs)) {
       LOG.info("suspicion cleared, the probe runs: job={}", job.spec.id());
       clearSuspicion(job);
     }
--- a/src/main/java/org/astershift/scheduler/FleetAssessment.java
+++ b/src/main/java/org/astershift/scheduler/FleetAssessment.java
@@ -26,8 +26,8 @@
   private final int reportingMachines;
   private final int fleetSize;
   private final int overdueCount;
-  private final boolean fewOverdue;
-  private final boolean localEvidenceConclusive;
+  private final boolean hasFewOverdue;
+  private final boolean isLocalEvidenceConclusive;
 
   /** {@code scatteredReleases}: silent machines released a moment ago, counted as silent still. */
   FleetAssessment(Map<String, ZoneHealth> zones, int scatteredReleases) {
@@ -39,20 +39,20 @@
     for (ZoneHealth zone : zones.values()) {
       reporting += zone.machineCount();
       overdue += zone.overdueCount();
-      unanswered += zone.unansweredKnown();
-      if (!zone.mostlySilent()) {
+      unanswered += zone.unansweredSeenCount();
+      if (!zone.isMostlySilent()) {
         overdueElsewhere += zone.overdueCount();
       }
     }
     reportingMachines = reporting;
     fleetSize = scatteredReleases + reporting;
     overdueCount = overdue;
-    fewOverdue = overdueCount <= Math.max(SILENT_FEW_MACHINES, fleetSize * LOCAL_EVIDENCE_SHARE);
+    hasFewOverdue = overdueCount <= Math.max(SILENT_FEW_MACHINES, fleetSize * LOCAL_EVIDENCE_SHARE);
     boolean isolated =
         overdueCount > SILENT_FEW_MACHINES
             && overdueCount * 2 > fleetSize
             && unanswered > SILENT_FEW_MACHINES;
-    localEvidenceConclusive =
+    isLocalEvidenceConclusive =
         observesEnough()
             && !isolated
             && overdueElsewhere <= Math.max(SILENT_FEW_MACHINES, fleetSize * SILENT_FLEET_SHARE);
@@ -82,8 +82,8 @@
   }
 
   /** Whether so few machines are overdue that the fault is taken to be theirs. */
-  boolean fewOverdue() {
-    return fewOverdue;
+  boolean hasFewOverdue() {
+    return hasFewOverdue;
   }
 
   /** Whether this leader sees enough of the fleet to judge the rest of it. */
@@ -92,8 +92,8 @@
   }
 
   /** Whether this leader's own evidence speaks for a fault of the machines, not of its network. */
-  boolean localEvidenceConclusive() {
-    return localEvidenceConclusive;
+  boolean isLocalEvidenceConclusive() {
+    return isLocalEvidenceConclusive;
   }
 
   /** What this leader sees of its fleet, without machines released. */
@@ -103,8 +103,8 @@
     int unansweredNew = 0;
     for (ZoneHealth zone : zones.values()) {
       overdue += zone.overdueCount();
-      unanswered += zone.unansweredKnown();
-      unansweredNew += zone.unansweredNew();
+      unanswered += zone.unansweredSeenCount();
+      unansweredNew += zone.unansweredUnseenCount();
     }
     boolean mostOverdue = overdue > SILENT_FEW_MACHINES && overdue * 2 > reportingMachines;
     boolean isolated = mostOverdue && unanswered > SILENT_FEW_MACHINES;
--- a/src/main/java/org/astershift/scheduler/FleetVisibility.java
+++ b/src/main/java/org/astershift/scheduler/FleetVisibility.java
@@ -9,4 +9,5 @@
  * @param inboundPartitioned most are overdue, and most of these left a command unanswered, also
  *     such as this leader has never seen; a busy new leader is neither, as it has sent none yet
  */
-record FleetVisibility(int machines, int overdue, boolean isolated, boolean inboundPartitioned) {}
+record FleetVisibility(
+    int machineCount, int overdueCount, boolean isolated, boolean inboundPartitioned) {}
--- a/src/main/java/org/astershift/scheduler/Heartbeat.java
+++ b/src/main/java/org/astershift/scheduler/Heartbeat.java
@@ -56,7 +56,7 @@
   }
 
   /** Whether it shows this attempt, in whatever phase. */
-  boolean showsAttempt(TaskAttempt.Key key) {
+  boolean reportsAttempt(TaskAttempt.Key key) {
     for (TaskStatus status : tasks) {
       if (status.index() == key.index()
           && status.attemptNumber() == key.attemptNumber()
@@ -68,7 +68,7 @@
   }
 
   /** Whether this message is newer than the one at the given position. */
-  public boolean newerThan(long otherEpoch, long otherSequence) {
+  public boolean isNewerThan(long otherEpoch, long otherSequence) {
     return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
   }
 }
--- a/src/main/java/org/astershift/scheduler/HeartbeatHandler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatHandler.java
@@ -28,11 +28,11 @@
     if (cluster.removedMachines.contains(heartbeat.machineName())) {
       return commandReconciler.stopsForEndedJobs(heartbeat); // a delayed one of a machine now gone
     }
-    Machine machine = heartbeatReconciler.senderOf(heartbeat, nowMs);
+    Machine machine = heartbeatReconciler.resolveSender(heartbeat, nowMs);
     if (heartbeatReconciler.deposed()) {
       return List.of();
     }
-    MessageClassifier.Evidence evidence = classifier.ofHeartbeat(machine, heartbeat);
+    MessageClassifier.Evidence evidence = classifier.classifyHeartbeat(machine, heartbeat);
     machine.history.add(
         MachineEvent.ofMessage(
             MachineEvent.Kind.HEARTBEAT, heartbeat, evidence, nowMs - receivedMs, nowMs));
@@ -59,7 +59,7 @@
   private List<Command> onCurrentHeartbeat(Machine machine, Heartbeat heartbeat, long nowMs) {
     boolean unfenced =
         !machine.fenced
-            && machine.messageOrder.anyHeartbeat()
+            && machine.messageOrder.hasHeartbeat()
             && heartbeat.fencingToken() < cluster.fencingToken;
     machine.unfencedHeartbeats += unfenced ? 1 : 0;
     machine.messageOrder.onHeartbeat(heartbeat);
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -29,7 +29,7 @@
    * The machine that sent the message, whatever its age. Tokens only grow, so a higher one counts
    * from any copy. An unknown machine is added, and gets tasks once it is verified.
    */
-  Machine senderOf(Heartbeat heartbeat, long nowMs) {
+  Machine resolveSender(Heartbeat heartbeat, long nowMs) {
     if (heartbeat.fencingToken() > cluster.fencingToken) {
       deposed = true;
     }
@@ -60,10 +60,10 @@
    * commands of this leader.
    */
   void trackIncarnation(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
-    if (!machine.isNews(heartbeat)) {
+    if (!machine.isNewestMessage(heartbeat)) {
       return;
     }
-    boolean leaseUncertain = cluster.incarnations.leaseUncertain(nowMs);
+    boolean leaseUncertain = cluster.incarnations.isLeaseUncertain(nowMs);
     if (leaseUncertain
         && !cluster.incarnations.isSameIncarnation(machine, heartbeat, directResponse, nowMs)) {
       cluster.onUnprovenIncarnation(machine);
@@ -76,7 +76,7 @@
    * before the machine's release, its loss or a failover, so one that is not newer has no effect.
    */
   void recordContact(Machine machine, Heartbeat heartbeat, long nowMs) {
-    if (!machine.isNews(heartbeat)) {
+    if (!machine.isNewestMessage(heartbeat)) {
       return;
     }
     machine.address = heartbeat.address();
@@ -107,7 +107,7 @@
    * last. {@code previousAnswered}: the heartbeat before it was answered well within a lease.
    */
   boolean reconcile(Machine machine, Heartbeat heartbeat, boolean previousAnswered, long nowMs) {
-    if (!machine.isNews(heartbeat)) {
+    if (!machine.isNewestMessage(heartbeat)) {
       return false;
     }
     if (heartbeat.epoch() > machine.epoch) {
@@ -115,7 +115,7 @@
     }
     machine.epoch = heartbeat.epoch();
     machine.sequence = heartbeat.sequence();
-    if (!machine.inboundPartitionedUnreconciled()) {
+    if (!machine.isInboundPartitionedUnreconciled()) {
       machine.directCommands.clearUnanswered();
     }
     recordPreemptionNotice(machine, heartbeat);
@@ -124,7 +124,7 @@
     for (Heartbeat.TaskStatus status : unknownTasks) {
       adoption.adopt(machine, status, heartbeat.sequence(), nowMs);
     }
-    if (!machine.idle()) {
+    if (!machine.isIdle()) {
       machine.idleSinceMs = nowMs;
     }
     return true;
--- a/src/main/java/org/astershift/scheduler/HeartbeatTiming.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatTiming.java
@@ -43,7 +43,7 @@
   }
 
   /** Whether the machine should have sent a heartbeat by now, with a margin. */
-  boolean heartbeatOverdue(Machine machine, long nowMs) {
+  boolean isHeartbeatOverdue(Machine machine, long nowMs) {
     return silenceMs(machine, nowMs) > suspicionTimeoutMs();
   }
 
@@ -56,17 +56,17 @@
    * Whether the machine's heartbeats do not arrive, though it may answer commands. Answers to
    * commands renew no lease, so a task started there would end with a lease that is half over.
    */
-  boolean outboundPartitioned(Machine machine, long nowMs) {
+  boolean isOutboundPartitioned(Machine machine, long nowMs) {
     long sinceMs = nowMs - Math.max(resumedMs, machine.leaseRenewedMs);
     return sinceMs > limits.leaseS() * 1000 * OUTBOUND_PARTITION_LEASES;
   }
 
   /** Logs when a machine becomes outbound-partitioned and when that is over. */
   void logOutboundPartition(Machine machine, long nowMs) {
-    boolean partitioned = outboundPartitioned(machine, nowMs);
+    boolean partitioned = isOutboundPartitioned(machine, nowMs);
     if (machine.state == Machine.State.LIVE
         && partitioned != machine.outboundPartitionLogged
-        && !heartbeatOverdue(machine, nowMs)) {
+        && !isHeartbeatOverdue(machine, nowMs)) {
       machine.outboundPartitionLogged = partitioned;
       LOG.info(
           partitioned
@@ -84,7 +84,7 @@
    */
   long restartExcludedFromMs(Machine machine) {
     if (machine.lastContactMs() - machine.leaseRenewedMs > maxHeartbeatIntervalMs()
-        || machine.peerProbeResults.reachedSince(machine.lastContactMs())) {
+        || machine.peerProbeResults.wasReachedSince(machine.lastContactMs())) {
       return machine.peerProbeResults.firstUnreachedMs()
           + Scheduler.PEER_PROBE_TIMEOUT_MS
           + MACHINE_RESTART_MS;
--- a/src/main/java/org/astershift/scheduler/IdleMachines.java
+++ b/src/main/java/org/astershift/scheduler/IdleMachines.java
@@ -92,7 +92,7 @@
         costAllowance += machine.type.hourlyPrice(machine.spot) * IDLE_COST_SHARE;
         List<Machine> idleOfType =
             idleByType.computeIfAbsent(machine.typeName, t -> new ArrayList<>());
-        if (machine.idle()) {
+        if (machine.isIdle()) {
           idleOfType.add(machine);
         }
       }
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -40,13 +40,13 @@
   }
 
   /** Whether another node may lead by now. */
-  boolean leaseUncertain(long nowMs) {
+  boolean isLeaseUncertain(long nowMs) {
     return nowMs >= leaseCertainUntilMs;
   }
 
   /** Whether tasks may start on the machine's present incarnation; holds for all commands. */
-  boolean usable(Machine machine, long nowMs) {
-    return !leaseUncertain(nowMs) || machine.incarnation.hadMessageBy(lastCertainMs(nowMs));
+  boolean isUsable(Machine machine, long nowMs) {
+    return !isLeaseUncertain(nowMs) || machine.incarnation.hadMessageBy(lastCertainMs(nowMs));
   }
 
   /** The latest time known at which no other node can have led. */
@@ -77,12 +77,12 @@
    */
   boolean isProvenSameIncarnation(Machine machine, Heartbeat heartbeat, long nowMs) {
     return machine.incarnation.isKnown()
-        && (showsKnownAttempt(machine, heartbeat)
+        && (reportsKnownAttempt(machine, heartbeat)
             || sequenceExcludesRestart(machine, heartbeat, nowMs));
   }
 
   /** Whether it shows a task whose start cannot have reached another incarnation as well. */
-  private static boolean showsKnownAttempt(Machine machine, Heartbeat heartbeat) {
+  private static boolean reportsKnownAttempt(Machine machine, Heartbeat heartbeat) {
     for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
       TaskAttempt attempt =
           machine.attempts.get(
@@ -98,7 +98,7 @@
   }
 
   private static boolean sequenceExcludesRestart(Machine machine, Heartbeat heartbeat, long nowMs) {
-    if (!machine.incarnation.existenceConfirmed()) {
+    if (!machine.incarnation.isExistenceConfirmed()) {
       return false;
     }
     double sinceS = (nowMs - machine.incarnation.lastConfirmedMs()) / 1000.0;
@@ -126,7 +126,7 @@
           heartbeat.fencingToken(),
           machine.registered,
           directResponse,
-          leaseUncertain(nowMs));
+          isLeaseUncertain(nowMs));
     }
   }
 }
--- a/src/main/java/org/astershift/scheduler/LeaseExpiry.java
+++ b/src/main/java/org/astershift/scheduler/LeaseExpiry.java
@@ -27,7 +27,7 @@
   /** Expires the leases that have run out and logs changes of outbound partitions. */
   void sweep(long nowMs, long leaseCertainUntilMs) {
     for (Machine machine : cluster.allMachines()) {
-      expire(machine, Math.min(nowMs, leaseCertainUntilMs));
+      expireIfDue(machine, Math.min(nowMs, leaseCertainUntilMs));
       cluster.heartbeatTiming.logOutboundPartition(machine, nowMs);
     }
   }
@@ -36,7 +36,7 @@
    * An expired lease proves that the machine's tasks are gone, but only for the time in which this
    * leader alone can have renewed it: {@code leaseCertainMs} is the end of that time, or now.
    */
-  private void expire(Machine machine, long leaseCertainMs) {
+  private void expireIfDue(Machine machine, long leaseCertainMs) {
     boolean leaseMatters =
         machine.state == Machine.State.LIVE || machine.state == Machine.State.RELEASING;
     long silentMs = leaseCertainMs - machine.leaseFromMs;
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -172,20 +172,20 @@
   }
 
   /** Whether its heartbeats arrive and nothing sent to it does. */
-  boolean inboundPartitioned() {
+  boolean isInboundPartitioned() {
     return consecutiveUnanswered >= INBOUND_PARTITION_TRIES;
   }
 
   /** The same of an unreconciled machine: it goes on showing an earlier leader's token. */
-  boolean inboundPartitionedUnreconciled() {
+  boolean isInboundPartitionedUnreconciled() {
     return state == State.UNRECONCILED
-        && inboundPartitioned()
+        && isInboundPartitioned()
         && unfencedHeartbeats >= INBOUND_PARTITION_TRIES;
   }
 
   /** Its last message; what an inbound-partitioned unreconciled machine sends does not count. */
   long lastContactMs() {
-    return inboundPartitionedUnreconciled()
+    return isInboundPartitionedUnreconciled()
         ? unreconciledSinceMs
         : Math.max(lastMessageMs, leaseFromMs);
   }
@@ -210,15 +210,15 @@
   }
 
   /** Whether the message is newer than all that its attempts were reconciled with. */
-  boolean isNews(Heartbeat message) {
-    return message.newerThan(epoch, sequence);
+  boolean isNewestMessage(Heartbeat message) {
+    return message.isNewerThan(epoch, sequence);
   }
 
   /** Whether new tasks may go here as far as its own state shows. */
-  boolean usable(long nowMs) {
+  boolean isUsable(long nowMs) {
     return state == State.LIVE
         && registered
-        && !inboundPartitioned()
+        && !isInboundPartitioned()
         && !unverified
         && !quarantined
         && preemptionNoticeS == null
@@ -284,7 +284,7 @@
    * Whether no held task needs this machine. One with accelerators is idle also while its tasks use
    * none of them and fit other types: backfill does not keep it.
    */
-  boolean idle() {
+  boolean isIdle() {
     if (!hasAttempts() || type == null || type.gpus() == 0 || usedGpus() > TOLERANCE) {
       return !hasAttempts();
     }
--- a/src/main/java/org/astershift/scheduler/MachineIncarnation.java
+++ b/src/main/java/org/astershift/scheduler/MachineIncarnation.java
@@ -32,7 +32,7 @@
   }
 
   /** Whether it is known that it existed at some time. */
-  boolean existenceConfirmed() {
+  boolean isExistenceConfirmed() {
     return lastConfirmedMs != NEVER_MS;
   }
 
--- a/src/main/java/org/astershift/scheduler/MessageClassifier.java
+++ b/src/main/java/org/astershift/scheduler/MessageClassifier.java
@@ -45,11 +45,10 @@
   }
 
   /** What a heartbeat proves; marks the machine where it suggests a restart. */
-  Evidence ofHeartbeat(Machine machine, Heartbeat heartbeat) {
+  Evidence classifyHeartbeat(Machine machine, Heartbeat heartbeat) {
     boolean lowerFencingToken = machine.fenced && heartbeat.fencingToken() < fencingToken;
-    boolean attemptMissing = lacksShownAttempt(machine, heartbeat);
-    if (attemptMissing
-        || (lowerFencingToken && !machine.messageOrder.isFromBeforeFence(heartbeat))) {
+    boolean attemptMissing = lacksReportedAttempt(machine, heartbeat);
+    if (attemptMissing || (lowerFencingToken && !machine.messageOrder.precedesFence(heartbeat))) {
       suspectRestart(machine);
     }
     if (lowerFencingToken || attemptMissing || endsHeldAttempts(machine, heartbeat)) {
@@ -62,8 +61,8 @@
   }
 
   /** What the answer to the direct commands sent last proves; marks a suspected restart. */
-  Evidence ofAnswer(Machine machine, Heartbeat answer, long nowMs) {
-    if (machine.isNews(answer)) {
+  Evidence classifyAnswer(Machine machine, Heartbeat answer, long nowMs) {
+    if (machine.isNewestMessage(answer)) {
       return machine.restartSuspected
               && !incarnations.isProvenSameIncarnation(machine, answer, nowMs)
           ? Evidence.MAYBE_RESTARTED
@@ -87,7 +86,8 @@
 
   /** Whether a message was handled since the commands were sent that is newer than their answer. */
   static boolean isOvertaken(Machine machine, Heartbeat answer) {
-    return !machine.isNews(answer) && !machine.directCommands.nothingHandledSinceSent(machine);
+    return !machine.isNewestMessage(answer)
+        && !machine.directCommands.nothingHandledSinceSent(machine);
   }
 
   /** Whether its epoch is later than the one in which the machine holds tasks. */
@@ -103,14 +103,14 @@
    * shows a task until it is told to forget it, so this heartbeat is of another incarnation: it was
    * delayed, or the machine restarted and has sent more messages since than before.
    */
-  private static boolean lacksShownAttempt(Machine machine, Heartbeat heartbeat) {
+  private static boolean lacksReportedAttempt(Machine machine, Heartbeat heartbeat) {
     if (machine.restartedInTerm
         || heartbeat.epoch() != machine.epoch
-        || !machine.isNews(heartbeat)) {
+        || !machine.isNewestMessage(heartbeat)) {
       return false;
     }
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.phase != null && !attempt.isExited() && !heartbeat.showsAttempt(attempt.key)) {
+      if (attempt.phase != null && !attempt.isExited() && !heartbeat.reportsAttempt(attempt.key)) {
         return true;
       }
     }
--- a/src/main/java/org/astershift/scheduler/MessageOrder.java
+++ b/src/main/java/org/astershift/scheduler/MessageOrder.java
@@ -16,7 +16,7 @@
   }
 
   /** Whether a heartbeat was taken as the newest before. */
-  boolean anyHeartbeat() {
+  boolean hasHeartbeat() {
     return lastHeartbeat.epoch() > 0;
   }
 
@@ -29,7 +29,7 @@
    * Whether the message comes before the one that first showed this leader's token. A lower token
    * is no sign of another incarnation then.
    */
-  boolean isFromBeforeFence(Heartbeat message) {
+  boolean precedesFence(Heartbeat message) {
     return fencedFrom.follows(message);
   }
 
--- a/src/main/java/org/astershift/scheduler/MessagePosition.java
+++ b/src/main/java/org/astershift/scheduler/MessagePosition.java
@@ -16,6 +16,6 @@
 
   /** Whether the message comes after this position. */
   boolean precedes(Heartbeat message) {
-    return message.newerThan(epoch, sequence);
+    return message.isNewerThan(epoch, sequence);
   }
 }
--- a/src/main/java/org/astershift/scheduler/PeerProbeResults.java
+++ b/src/main/java/org/astershift/scheduler/PeerProbeResults.java
@@ -56,7 +56,7 @@
   }
 
   /** Whether a peer reached it after its last message here, however long ago. */
-  boolean reachedSince(long lastContactMs) {
+  boolean wasReachedSince(long lastContactMs) {
     return reachedMs > lastContactMs;
   }
 
--- a/src/main/java/org/astershift/scheduler/PeerProber.java
+++ b/src/main/java/org/astershift/scheduler/PeerProber.java
@@ -59,28 +59,28 @@
    */
   Decision.ProbeThroughPeers nextProbe(FleetAssessment fleet, long nowMs) {
     // A leader that sees next to nothing releases nothing, whatever its peers say.
-    if (probeInFlight || !(fleet.fewOverdue() || fleet.observesEnough())) {
+    if (probeInFlight || !(fleet.hasFewOverdue() || fleet.observesEnough())) {
       return null;
     }
-    List<Machine> suspects = suspectsSampledByZone(fleet, nowMs);
+    List<Machine> suspects = selectSuspects(fleet, nowMs);
     if (suspects.isEmpty()) {
       return null;
     }
     probeInFlight = true;
     return new Decision.ProbeThroughPeers(
         addressesOf(suspects, PEER_PROBE_BATCH_MACHINES),
-        addressesOf(controls(nowMs), PEER_PROBE_CONTROL_MACHINES),
+        addressesOf(selectControls(nowMs), PEER_PROBE_CONTROL_MACHINES),
         nowMs);
   }
 
-  private List<Machine> suspectsSampledByZone(FleetAssessment fleet, long nowMs) {
+  private List<Machine> selectSuspects(FleetAssessment fleet, long nowMs) {
     Map<String, Integer> sampled = new HashMap<>();
     List<Machine> sample = new ArrayList<>();
     List<Machine> remaining = new ArrayList<>();
     for (Machine machine : cluster.allMachines()) {
       if (machine.address == null
-          || !isSuspect(machine, fleet.fewOverdue(), nowMs)
-          || resultsCurrent(machine, nowMs)) {
+          || !isSuspect(machine, fleet.hasFewOverdue(), nowMs)
+          || hasCurrentResults(machine, nowMs)) {
         continue;
       }
       ZoneHealth zone = fleet.zone(machine.zone);
@@ -88,7 +88,7 @@
       if (probedBefore + sampled.merge(machine.zone, 1, Integer::sum)
           <= ZoneHealth.PEER_PROBE_ZONE_SAMPLE_MACHINES) {
         sample.add(machine);
-      } else if (zone == null || !zone.confirmedByPeers()) {
+      } else if (zone == null || !zone.isConfirmedByPeers()) {
         remaining.add(machine);
       }
     }
@@ -101,7 +101,7 @@
     if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.RELEASING) {
       return false;
     }
-    if (cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs)) {
+    if (cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs)) {
       return fewOverdue || machine.directCommands.unansweredCount() > 0;
     }
     // One of the last unreconciled machines: peers probe it along with this leader's second try.
@@ -114,21 +114,21 @@
    * Whether peers can add nothing to what is known of the machine. They are asked again before
    * their results grow old, and once more when a restart no longer explains a failed probe.
    */
-  private boolean resultsCurrent(Machine machine, long nowMs) {
+  private boolean hasCurrentResults(Machine machine, long nowMs) {
     boolean askedTooEarly = machine.peerProbeResults.isUnreached(machine.lastContactMs(), nowMs);
-    return evidence.unreachedByPeers(machine, nowMs)
+    return evidence.isUnreachedByPeers(machine, nowMs)
         || (askedTooEarly && nowMs < cluster.heartbeatTiming.restartExcludedFromMs(machine))
         || machine.peerProbeResults.isFreshlyReached(machine.lastContactMs(), nowMs);
   }
 
   /** Machines with a message in this term, the latest first. */
-  private List<Machine> controls(long nowMs) {
+  private List<Machine> selectControls(long nowMs) {
     List<Machine> controls = new ArrayList<>(cluster.allMachines());
     controls.removeIf(
         machine ->
             machine.address == null
                 || machine.lastMessageMs == machine.firstKnownMs
-                || cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs));
+                || cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs));
     // One that answers nothing would make every peer look partitioned.
     controls.sort(
         Comparator.comparing((Machine machine) -> machine.consecutiveUnanswered > 0)
--- a/src/main/java/org/astershift/scheduler/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -206,7 +206,7 @@
    * heartbeat response.
    */
   void placeOnMachine(Machine machine, long nowMs) {
-    if (queue.isEmpty() || !machine.usable(nowMs)) {
+    if (queue.isEmpty() || !machine.isUsable(nowMs)) {
       return;
     }
     if (machine.reserved()) {
--- a/src/main/java/org/astershift/scheduler/ReconciliationLog.java
+++ b/src/main/java/org/astershift/scheduler/ReconciliationLog.java
@@ -47,11 +47,11 @@
         machine.name,
         reason,
         shown.size(),
-        firstNames(shown),
+        describeFirstTasks(shown),
         evidence == null ? "none" : evidence.describe(evidence.atMs()));
   }
 
-  private static String firstNames(List<TaskAttempt> attempts) {
+  private static String describeFirstTasks(List<TaskAttempt> attempts) {
     StringJoiner names = new StringJoiner(", ", "[", "]");
     for (TaskAttempt attempt :
         attempts.subList(0, Math.min(attempts.size(), TASKS_NAMED_IN_LINE))) {
--- a/src/main/java/org/astershift/scheduler/RemovedMachines.java
+++ b/src/main/java/org/astershift/scheduler/RemovedMachines.java
@@ -28,7 +28,7 @@
   }
 
   /** The machine's record is to be dropped. */
-  void deregister(Machine machine) {
+  void requestDeregistration(Machine machine) {
     deregistrations.add(new Decision.DeregisterMachine(machine.name, machine.address));
   }
 
--- a/src/main/java/org/astershift/scheduler/ScaleIn.java
+++ b/src/main/java/org/astershift/scheduler/ScaleIn.java
@@ -156,7 +156,7 @@
 
   private String idleReason(Machine machine, Set<Machine> surplus, long nowMs) {
     boolean idle =
-        machine.idle()
+        machine.isIdle()
             && (idleMachines.isIdleTooLong(machine, nowMs) || surplus.contains(machine))
             && nowMs - machine.firstKnownMs > MIN_CHARGE_MS;
     return idle ? "idle" : null;
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -238,9 +238,9 @@
   /** Returns what share of the machines that should send heartbeats do so; 1 if there are none. */
   public double observedShare() {
     FleetVisibility visibility = schedulingPass.fleetVisibility();
-    return visibility.machines() == 0
+    return visibility.machineCount() == 0
         ? 1
-        : 1 - (double) visibility.overdue() / visibility.machines();
+        : 1 - (double) visibility.overdueCount() / visibility.machineCount();
   }
 
   /** Handles the results of those peers that answered a request to probe machines. */
--- a/src/main/java/org/astershift/scheduler/SilenceEvidence.java
+++ b/src/main/java/org/astershift/scheduler/SilenceEvidence.java
@@ -29,26 +29,26 @@
     return machine.state != Machine.State.BOOTING
         && cluster.heartbeatTiming.silenceMs(machine, nowMs)
             > cluster.heartbeatTiming.releaseTimeoutMs()
-        && (probedInVain(machine, nowMs) || machine.address == null);
+        && (hasUnansweredProbe(machine, nowMs) || machine.address == null);
   }
 
   /**
    * Whether a probe of the machine failed. While another node may lead and get its heartbeats, a
    * command lost before the heartbeats stopped does not count: it may have met a restart.
    */
-  private boolean probedInVain(Machine machine, long nowMs) {
-    return cluster.incarnations.leaseUncertain(nowMs)
+  private boolean hasUnansweredProbe(Machine machine, long nowMs) {
+    return cluster.incarnations.isLeaseUncertain(nowMs)
         ? machine.directCommands.unansweredWhileSilent()
         : machine.directCommands.unansweredCount() > 0;
   }
 
   /** Whether some peer has reached the machine lately. */
-  boolean reachedByPeers(Machine machine, long nowMs) {
+  boolean isReachedByPeers(Machine machine, long nowMs) {
     return machine.peerProbeResults.isReached(machine.lastContactMs(), nowMs);
   }
 
   /** Whether no peer could reach the machine lately, at a time that excludes a restart. */
-  boolean unreachedByPeers(Machine machine, long nowMs) {
+  boolean isUnreachedByPeers(Machine machine, long nowMs) {
     return machine.peerProbeResults.isUnreached(
         cluster.heartbeatTiming.restartExcludedFromMs(machine), nowMs);
   }
--- a/src/main/java/org/astershift/scheduler/ZoneHealth.java
+++ b/src/main/java/org/astershift/scheduler/ZoneHealth.java
@@ -14,8 +14,8 @@
   private int machineCount;
   private int overdueCount;
   private int silentCount;
-  private int unansweredKnown;
-  private int unansweredNew;
+  private int unansweredSeenCount;
+  private int unansweredUnseenCount;
   private int unreachedCount;
   private int reachedCount;
 
@@ -26,23 +26,24 @@
     for (Machine machine : cluster.allMachines()) {
       zonesByName
           .computeIfAbsent(machine.zone, zoneName -> new ZoneHealth())
-          .add(machine, cluster.heartbeatTiming.heartbeatOverdue(machine, nowMs), evidence, nowMs);
+          .add(
+              machine, cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs), evidence, nowMs);
     }
     return zonesByName;
   }
 
   private void add(Machine machine, boolean overdue, SilenceEvidence evidence, long nowMs) {
     if (overdue && machine.directCommands.unansweredCount() > 0) {
-      unansweredKnown += machine.epoch > 0 ? 1 : 0;
-      unansweredNew += machine.epoch > 0 ? 0 : 1;
+      unansweredSeenCount += machine.epoch > 0 ? 1 : 0;
+      unansweredUnseenCount += machine.epoch > 0 ? 0 : 1;
     }
     if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.RELEASING) {
       return;
     }
     machineCount++;
     overdueCount += overdue ? 1 : 0;
-    unreachedCount += overdue && evidence.unreachedByPeers(machine, nowMs) ? 1 : 0;
-    reachedCount += overdue && evidence.reachedByPeers(machine, nowMs) ? 1 : 0;
+    unreachedCount += overdue && evidence.isUnreachedByPeers(machine, nowMs) ? 1 : 0;
+    reachedCount += overdue && evidence.isReachedByPeers(machine, nowMs) ? 1 : 0;
     silentCount += evidence.isSilent(machine, nowMs) ? 1 : 0;
   }
 
@@ -55,13 +56,13 @@
   }
 
   /** Overdue machines, seen by this leader before, that left a command unanswered. */
-  int unansweredKnown() {
-    return unansweredKnown;
+  int unansweredSeenCount() {
+    return unansweredSeenCount;
   }
 
   /** The same of machines that this leader has never seen. */
-  int unansweredNew() {
-    return unansweredNew;
+  int unansweredUnseenCount() {
+    return unansweredUnseenCount;
   }
 
   /** Overdue machines that some peer has reached lately. */
@@ -75,14 +76,14 @@
   }
 
   /** Whether most of the zone is silent. */
-  boolean mostlySilent() {
+  boolean isMostlySilent() {
     return silentCount > FleetAssessment.SILENT_FEW_MACHINES
         && silentCount >= machineCount * ZONE_PARTITION_SHARE;
   }
 
   /** Whether peers probed enough of the zone's machines and reached none. */
-  boolean confirmedByPeers() {
-    return mostlySilent()
+  boolean isConfirmedByPeers() {
+    return isMostlySilent()
         && reachedCount == 0
         && unreachedCount >= Math.min(silentCount, PEER_PROBE_ZONE_SAMPLE_MACHINES);
   }
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -109,9 +109,9 @@
           .append(" registered=")
           .append(machine.registered);
       text.append(" usable=")
-          .append(machine.usable(sim.store.holder.clock()))
+          .append(machine.isUsable(sim.store.holder.clock()))
           .append(" inboundPartitioned=")
-          .append(machine.inboundPartitioned());
+          .append(machine.isInboundPartitioned());
       text.append(" quarantined=")
           .append(machine.quarantined)
           .append(" unverified=")
--- a/src/test/java/org/astershift/simulation/MessageQueueing.java
+++ b/src/test/java/org/astershift/simulation/MessageQueueing.java
@@ -41,7 +41,7 @@
   /** The answer as a leader would read it that takes any answer for the machine's newest status. */
   Heartbeat asNewest(String leader, Heartbeat answer) {
     Heartbeat newest = newestHandled.get(leader + " " + answer.machineName());
-    if (newest == null || !newest.newerThan(answer.epoch(), answer.sequence())) {
+    if (newest == null || !newest.isNewerThan(answer.epoch(), answer.sequence())) {
       return answer;
     }
     return DelayedHeartbeats.copy(
@@ -52,7 +52,7 @@
   void onHandled(String leader, Heartbeat message, boolean answer) {
     String machine = leader + " " + message.machineName();
     Heartbeat newest = newestHandled.get(machine);
-    if (newest != null && newest.newerThan(message.epoch(), message.sequence())) {
+    if (newest != null && newest.isNewerThan(message.epoch(), message.sequence())) {
       answersOvertaken += answer && newest.epoch() == message.epoch() ? 1 : 0;
     } else {
       newestHandled.put(machine, message);
