--- a/src/main/java/org/astershift/scheduler/AttemptAdoption.java
+++ b/src/main/java/org/astershift/scheduler/AttemptAdoption.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes in tasks found on a machine that this leader did not place there. */
+/** Adopts tasks that a machine reports and that this leader did not place there. */
 final class AttemptAdoption {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptAdoption.class);
 
@@ -16,7 +16,10 @@
     this.exitHandler = exitHandler;
   }
 
-  /** Adds the task's attempt; it holds the task unless another one does, or nobody wants it. */
+  /**
+   * Adds an attempt for a reported task. Unless the attempt has exited, it becomes the holder of
+   * the task, or is stopped if the task is unwanted or another attempt keeps holding the task.
+   */
   void adopt(Machine machine, Heartbeat.TaskStatus status, long sequence, long nowMs) {
     Job job = cluster.jobs.get(status.jobId());
     if (job == null || status.index() >= job.spec.tasks()) {
@@ -61,7 +64,11 @@
     return attempt;
   }
 
-  /** The attempt that keeps the task from the adopted one; null if there is none, or it yields. */
+  /**
+   * Returns the other attempt that keeps holding the task, or null if there is none. A holder whose
+   * start was never sent is dropped. A holder on an unfenced machine is stopped if this attempt's
+   * machine is fenced and the job is live.
+   */
   private TaskAttempt resolveOtherHolder(TaskAttempt attempt, long nowMs) {
     Job job = attempt.job;
     Machine machine = attempt.machine;
@@ -74,10 +81,10 @@
       cluster.reconciliationLog.onTaskFoundTwice(attempt, other, nowMs);
     }
     if (other != null && machine.fenced && !other.machine.fenced && job.state == Job.State.LIVE) {
-      // The other machine's status may be a delayed copy. This machine is fenced, so its status is
-      // current, and a task is never on two machines.
+      // The other machine's status may be a delayed copy, while this machine is fenced, so its
+      // status is current. A task is never on two machines, so this attempt takes over the task.
       LOG.info(
-          "task held elsewhere: task={} machine={} not_on={}",
+          "task taken over from an attempt on an unfenced machine: task={} machine={} unfenced={}",
           attempt.name(),
           machine.name,
           other.machine.name);
@@ -101,7 +108,9 @@
     }
   }
 
-  /** A placeholder for a job that this leader does not manage: its tasks are only stopped. */
+  /**
+   * Creates a placeholder for a job that this leader does not manage. Its tasks are only stopped.
+   */
   private static Job createOrphanedJob(Heartbeat.TaskStatus status) {
     JobSpec spec =
         new JobSpec(
--- a/src/main/java/org/astershift/scheduler/FailureDetector.java
+++ b/src/main/java/org/astershift/scheduler/FailureDetector.java
@@ -8,28 +8,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which silent machines may be released. To a leader that lost its network a healthy fleet
- * looks like a dead one, so a peer has to have probed the machine in vain and to reach others.
- * Where no such peer answers, local evidence suffices for a few machines; for more it has to fit a
- * known pattern (a whole zone is silent, or the leases have expired), and the leader has to see a
- * part of the fleet. However good the evidence, only a share of the fleet may be released in a
- * time.
+ * Decides which silent machines may be released. A leader that lost its network cannot distinguish
+ * a healthy fleet from a dead one, so a peer that reaches other machines must have failed to reach
+ * this one. If no such peer answers, local evidence is enough to release a few machines. To release
+ * more, the evidence must fit a known pattern (a whole zone is silent, or the leases have expired),
+ * and the leader must still receive heartbeats from a part of the fleet. Regardless of the
+ * evidence, only a limited share of the fleet may be released within a time window.
  */
 final class FailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
-  /** Share of the fleet that may be released as silent within the window below. */
+  /** Share of the fleet that may be released as silent within the release window. */
   private static final double RELEASED_SILENT_SHARE = 0.6;
 
-  /** Longer than network partitions usually last. */
+  /** Release window: longer than network partitions usually last. */
   private static final long RELEASED_SILENT_WINDOW_MS = 120_000;
 
-  /** Time for which machines released as silent still count as silent. */
+  /** Time after their release during which machines still count as silent. */
   private static final long RELEASED_SILENT_COUNTED_MS = 10_000;
 
   /**
-   * Beyond the release timeout, time for which a zone that fell silent as a whole is kept where no
-   * peer can tell: a crashed peer has restarted and answered a probe by then.
+   * Time beyond the release timeout for which the machines of a zone that became silent as a whole
+   * are retained while no peer is conclusive. A crashed peer has restarted and answered a probe
+   * within this time.
    */
   private static final long PEER_RECOVERY_WAIT_MS = 12_000;
 
@@ -37,16 +38,16 @@
   private final SilenceEvidence evidence;
   private final PeerProber peerProber;
 
-  /** Release times of silent machines outside partitioned zones; the oldest first. */
+  /** Release times of silent machines outside partitioned zones, oldest first. */
   private final ArrayDeque<Long> scatteredReleasesMs = new ArrayDeque<>();
 
-  /** Release times of all silent machines; the oldest first. */
+  /** Release times of all silent machines, oldest first. */
   private final ArrayDeque<Long> releasesMs = new ArrayDeque<>();
 
   private FleetAssessment fleet = new FleetAssessment(Map.of(), 0);
   private long assessedMs = Long.MIN_VALUE;
 
-  /** Machines that may be released as silent within {@link #RELEASED_SILENT_WINDOW_MS}. */
+  /** Number of machines that may be released as silent in {@link #RELEASED_SILENT_WINDOW_MS}. */
   private double releaseBudget;
 
   private long lastLoggedMs = Long.MIN_VALUE / 2;
@@ -60,28 +61,31 @@
     this.peerProber = new PeerProber(cluster, evidence);
   }
 
-  /** What this leader saw of its fleet at the last assessment. */
+  /** Returns how much of its fleet this leader observed at the last assessment. */
   FleetVisibility fleetVisibility() {
     return fleet.visibility();
   }
 
-  /** Whether the machine has sent nothing for longer than allowed, though it was probed. */
+  /** Returns whether the machine has sent nothing for too long, even though it was probed. */
   boolean isSilent(Machine machine, long nowMs) {
     return evidence.isSilent(machine, nowMs);
   }
 
-  /** The machines that peers should probe now; null if there are none. */
+  /** Returns the machines that peers should probe now, or null if no probe is due. */
   Decision.ProbeThroughPeers nextPeerProbe(long nowMs) {
     return peerProber.nextProbe(fleet, nowMs);
   }
 
-  /** The results of the peers that answered a probe. */
+  /** Records the results of the peers that answered a probe. */
   void onPeerProbeResults(
       Decision.ProbeThroughPeers probe, List<Decision.PeerProbeResult> results) {
     peerProber.onResults(probe, results);
   }
 
-  /** Counts the fleet; to be called before {@link #tryRelease} in the same pass. */
+  /**
+   * Counts the machines of each zone and marks partitioned zones. Must be called before {@link
+   * #tryRelease} in the same pass.
+   */
   void assessFleet(long nowMs) {
     if (nowMs == assessedMs) {
       return; // the sweep and the plan of one pass share an assessment
@@ -92,7 +96,7 @@
     fleet =
         new FleetAssessment(
             ZoneHealth.countByZone(cluster, evidence, nowMs), scatteredReleasesMs.size());
-    // Machines released within the window count as part of the fleet they were of.
+    // Machines released within the window still count as part of the fleet.
     releaseBudget =
         Math.max(
             FleetAssessment.SILENT_FEW_MACHINES,
@@ -119,7 +123,10 @@
     }
   }
 
-  /** Whether this silent machine may be released; if so it counts against the budget. */
+  /**
+   * Returns whether this silent machine may be released. If so, the release counts against the
+   * budget.
+   */
   boolean tryRelease(Machine machine, long nowMs) {
     boolean blocksReconciliation = cluster.blocksReconciliation(machine, nowMs);
     if (evidence.isReachedByPeers(machine, nowMs) && !blocksReconciliation) {
@@ -145,7 +152,10 @@
     return true;
   }
 
-  /** Of a few silent machines: its silence suffices, unless peers may still answer a probe. */
+  /**
+   * Returns whether the evidence is conclusive for a machine that is one of only a few overdue
+   * ones. The machine's silence is sufficient unless peers may still answer a probe of the machine.
+   */
   private boolean isConclusiveForFew(Machine machine, long nowMs) {
     return machine.address == null
         || evidence.isUnreachedByPeers(machine, nowMs)
@@ -156,13 +166,17 @@
                 > cluster.heartbeatTiming.releaseTimeoutMs() + PeerProbeResults.PEER_PROBE_WAIT_MS);
   }
 
-  /** Of many: peers probed it in vain, or none can tell and the local evidence is conclusive. */
+  /**
+   * Returns whether the evidence is conclusive for a machine that is one of many overdue ones:
+   * peers failed to reach the machine or its zone, or no peer is conclusive and the local evidence
+   * is sufficient.
+   */
   private boolean isConclusiveForMany(Machine machine, long nowMs) {
     ZoneHealth zone = fleet.zone(machine.zone);
     if (evidence.isUnreachedByPeers(machine, nowMs) || zone.isConfirmedByPeers()) {
       return true;
     }
-    // Where peers reach other machines of the zone, this one may be reachable as well.
+    // If peers reach other overdue machines of the zone, this one may be reachable as well.
     boolean peersInconclusive =
         nowMs - peerProber.lastInconclusiveMs() <= PeerProbeResults.PEER_PROBE_REACHED_VALID_MS
             && zone.reachedCount() == 0;
@@ -172,8 +186,9 @@
   }
 
   /**
-   * A zone that is silent as a whole is more likely partitioned from here than dead, and a peer
-   * that could tell may be restarting.
+   * Returns whether the machine may still be reachable from elsewhere. A zone that is silent as a
+   * whole is more likely partitioned from this leader than dead, and a peer that would be
+   * conclusive may be restarting.
    */
   private boolean mayBeReachable(Machine machine, ZoneHealth zone, long nowMs) {
     return zone.isMostlySilent()
@@ -181,12 +196,12 @@
             <= cluster.heartbeatTiming.releaseTimeoutMs() + PEER_RECOVERY_WAIT_MS;
   }
 
-  /** Its lease has expired with a margin, so its release loses no work. */
+  /** Returns whether the machine's lease has expired with a margin, so a release loses no work. */
   private boolean isLeaseExpired(Machine machine, long nowMs) {
     return cluster.heartbeatTiming.silenceMs(machine, nowMs) > 1.5 * cluster.limits.leaseS() * 1000;
   }
 
-  /** Logs at intervals how many silent machines are kept, and why. */
+  /** Logs periodically how many silent machines are retained, and why. */
   void logRetained(long nowMs) {
     int retained = retainedReachable + retainedUndecided + retainedOverBudget;
     if (retained > 0 && nowMs - lastLoggedMs > LogIntervals.SUMMARY_INTERVAL_MS) {
--- a/src/main/java/org/astershift/scheduler/FaultAttribution.java
+++ b/src/main/java/org/astershift/scheduler/FaultAttribution.java
@@ -5,32 +5,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Attributes failed tasks to jobs or machines. A faulty machine fails every job, a broken job fails
- * on every machine, and a first failure shows neither. So a job is judged by distinct machines and
- * a machine by distinct jobs; what one verdict explains no longer counts for the other.
+ * Attributes task failures to jobs or machines. Every job fails on a faulty machine, and a faulty
+ * job fails on every machine; a first failure does not distinguish the two cases. A job is
+ * therefore judged by the number of distinct machines on which it failed, and a machine by the
+ * number of distinct jobs that failed on it. A failure that is attributed to one of them no longer
+ * counts against the other.
  */
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
-  /** Time without new starts on a machine where a task failed. */
+  /** Time without new starts on a machine after a task failed on it. */
   private static final long TASK_FAILED_BACKOFF_MS = 1500;
 
   /**
-   * Jobs that failed on a machine, or failures there of jobs proven sound, without a completed task
-   * between, that put it into quarantine.
+   * Number of failures on a machine, without a completed task in between, that put it into
+   * quarantine. Every failure of a job proven healthy counts, but only one per other job.
    */
   private static final int FAILURES_TO_QUARANTINE = 2;
 
-  /** Machines on which a job that never completed a task failed that make it suspect. */
+  /** Number of machines on which a job without a completed task must fail to become suspect. */
   private static final int FAILED_MACHINES_TO_SUSPECT = 2;
 
-  /** A task that has run for so long proves its job sound. */
+  /** Run time of a task that proves its job healthy. */
   private static final long PROVEN_RUN_MS = 10_000;
 
-  /** Pause after the first probe of a suspect job; doubled each time. */
+  /** Pause after the first probe of a suspect job; doubled after each further probe. */
   private static final long JOB_PROBE_INTERVAL_MS = 4000;
 
-  /** Limits the pause to 64 s, as a sound job beside free room must not wait for longer. */
+  /**
+   * Limits the pause to 64 s, because a healthy job must not wait longer than that while there is
+   * free capacity.
+   */
   private static final int JOB_PROBE_MAX_DOUBLINGS = 4;
 
   private final ClusterState cluster;
@@ -39,24 +44,24 @@
     this.cluster = cluster;
   }
 
-  /** A task failed on its machine. */
+  /** Attributes a task failure to its machine or its job. */
   void onTaskFailed(TaskAttempt attempt, long nowMs) {
     cluster.requestPass();
     Job job = attempt.job;
     Machine machine = attempt.machine;
     if (machine.quarantined) {
-      return; // explained by the machine
+      return; // attributed to the machine
     }
     job.lastFailureMsByMachine.put(machine.name, nowMs);
-    boolean provenSound = isProvenHealthy(job, nowMs);
-    if (provenSound) {
+    boolean provenHealthy = isProvenHealthy(job, nowMs);
+    if (provenHealthy) {
       machine.provenJobFailures++;
     } else if (!job.isSuspect()) {
       machine.failedJobs.add(job);
     }
     if (machine.provenJobFailures + machine.failedJobs.size() >= FAILURES_TO_QUARANTINE) {
       quarantine(machine);
-    } else if (!provenSound
+    } else if (!provenHealthy
         && (job.isSuspect() || job.lastFailureMsByMachine.size() >= FAILED_MACHINES_TO_SUSPECT)) {
       suspectJob(job, nowMs);
     } else {
@@ -64,7 +69,7 @@
     }
   }
 
-  /** A task of the job completed on the machine: neither is broken. */
+  /** Records that a task completed, which proves both its job and its machine healthy. */
   void onTaskCompleted(Job job, Machine machine) {
     machine.provenJobFailures = 0;
     machine.failedJobs.clear();
@@ -78,7 +83,7 @@
     }
   }
 
-  /** Whether a task of it has completed, or has run for long enough. */
+  /** Returns whether a task of the job has completed or has run for long enough. */
   private static boolean isProvenHealthy(Job job, long nowMs) {
     if (job.hasCompletedTask) {
       return true;
@@ -93,7 +98,10 @@
     return false;
   }
 
-  /** From now on one task at a time probes the job (a gang as a whole), with growing pauses. */
+  /**
+   * Marks the job as suspect. From now on, one task at a time (or a gang as a whole) probes the
+   * job, with growing pauses.
+   */
   private void suspectJob(Job job, long nowMs) {
     boolean first = !job.isSuspect();
     if (first) {
@@ -115,7 +123,7 @@
         }
       }
     }
-    // Tasks that fail together are one probe.
+    // Tasks that fail together count as one probe.
     if (nowMs >= job.pausedUntilMs) {
       int doublings = Math.min(job.probeCount++, JOB_PROBE_MAX_DOUBLINGS);
       job.pausedUntilMs = nowMs + (JOB_PROBE_INTERVAL_MS << doublings);
@@ -143,12 +151,12 @@
   }
 
   /**
-   * Clears the suspicion of a job whose probe has run for long enough. A replica never completes,
-   * so its service could not leave the suspicion otherwise.
+   * Clears the suspicion of a job whose probe has run for long enough. Without this check a service
+   * would stay suspect, because its replicas never complete.
    */
   static void checkProbe(Job job, long nowMs) {
     if (job.isSuspect() && isProvenHealthy(job, nowMs)) {
-      LOG.info("suspicion cleared, the probe runs: job={}", job.spec.id());
+      LOG.info("suspicion cleared, the probe has run for long enough: job={}", job.spec.id());
       clearSuspicion(job);
     }
   }
--- a/src/main/java/org/astershift/scheduler/FleetAssessment.java
+++ b/src/main/java/org/astershift/scheduler/FleetAssessment.java
@@ -2,24 +2,31 @@
 
 import java.util.Map;
 
-/** How many machines of the fleet are overdue, and what this leader may conclude from that. */
+/** Counts the overdue machines of the fleet and decides what this leader may conclude from it. */
 final class FleetAssessment {
-  /** Up to so many silent machines the fault is taken to be theirs. */
+  /**
+   * Number of silent machines up to which the fault is attributed to the machines and not to this
+   * leader's network.
+   */
   static final int SILENT_FEW_MACHINES = 4;
 
   /**
-   * Share of the fleet that a leader may release by its own evidence alone. The heartbeats of a
-   * leader that loses its network become overdue one after the other, so it must be small.
+   * Share of the fleet that a leader may release on its own evidence alone. The share must be
+   * small, because heartbeats become overdue one after the other when a leader loses its network.
    */
   private static final double LOCAL_EVIDENCE_SHARE = 0.05;
 
   /**
-   * Share of the fleet that a leader has to see to release more than that where no peer can tell:
-   * one that sees less is more likely partitioned than alone with a dead fleet.
+   * Share of the fleet that a leader must observe to release more than {@link
+   * #LOCAL_EVIDENCE_SHARE} while no peer is conclusive. A leader that observes less is more likely
+   * to be partitioned than to have a dead fleet.
    */
   private static final double LONE_OBSERVER_SHARE = 0.25;
 
-  /** Share of the fleet above which machines overdue at once suggest a fault of this network. */
+  /**
+   * Share of the fleet above which machines that are overdue at the same time suggest a fault of
+   * this leader's network.
+   */
   private static final double SILENT_FLEET_SHARE = 0.25;
 
   private final Map<String, ZoneHealth> zones;
@@ -29,7 +36,12 @@
   private final boolean hasFewOverdue;
   private final boolean isLocalEvidenceConclusive;
 
-  /** {@code scatteredReleases}: silent machines released a moment ago, counted as silent still. */
+  /**
+   * Creates the assessment from the counts of each zone.
+   *
+   * @param scatteredReleases number of silent machines outside partitioned zones that were released
+   *     recently and still count as silent
+   */
   FleetAssessment(Map<String, ZoneHealth> zones, int scatteredReleases) {
     this.zones = zones;
     int reporting = 0;
@@ -62,17 +74,17 @@
     return zones;
   }
 
-  /** The zone's counts; null for a zone without machines. */
+  /** Returns the counts of the zone, or null for a zone without machines. */
   ZoneHealth zone(String name) {
     return zones.get(name);
   }
 
-  /** Machines that should send heartbeats. */
+  /** Returns the number of machines that should send heartbeats. */
   int reportingMachines() {
     return reportingMachines;
   }
 
-  /** These and the silent machines released a moment ago. */
+  /** Returns the number of reporting machines plus recently released silent ones. */
   int fleetSize() {
     return fleetSize;
   }
@@ -81,22 +93,22 @@
     return fleetSize - overdueCount;
   }
 
-  /** Whether so few machines are overdue that the fault is taken to be theirs. */
+  /** Returns whether so few machines are overdue that the fault is attributed to them. */
   boolean hasFewOverdue() {
     return hasFewOverdue;
   }
 
-  /** Whether this leader sees enough of the fleet to judge the rest of it. */
+  /** Returns whether this leader observes enough of the fleet to judge the rest of it. */
   boolean observesEnough() {
     return fleetSize - overdueCount >= fleetSize * LONE_OBSERVER_SHARE;
   }
 
-  /** Whether this leader's own evidence speaks for a fault of the machines, not of its network. */
+  /** Returns whether local evidence points to a fault of the machines, not of the network. */
   boolean isLocalEvidenceConclusive() {
     return isLocalEvidenceConclusive;
   }
 
-  /** What this leader sees of its fleet, without machines released. */
+  /** Returns how much of its fleet this leader observes, not counting released machines. */
   FleetVisibility visibility() {
     int overdue = 0;
     int unanswered = 0;
--- a/src/main/java/org/astershift/scheduler/FleetVisibility.java
+++ b/src/main/java/org/astershift/scheduler/FleetVisibility.java
@@ -1,13 +1,15 @@
 package org.astershift.scheduler;
 
 /**
- * How much of its fleet a leader sees.
+ * How much of its fleet a leader observes.
  *
- * @param machines machines that should send heartbeats
- * @param overdue those of them whose heartbeat is overdue
- * @param isolated most are overdue, and some that this leader has seen left a command unanswered
- * @param inboundPartitioned most are overdue, and most of these left a command unanswered, also
- *     such as this leader has never seen; a busy new leader is neither, as it has sent none yet
+ * @param machineCount number of machines that should send heartbeats
+ * @param overdueCount number of these machines whose heartbeat is overdue
+ * @param isolated whether most are overdue, and several overdue machines that this leader has seen
+ *     before left a direct command unanswered
+ * @param inboundPartitioned whether most are overdue, and most overdue machines, including those
+ *     that this leader has never seen, left a direct command unanswered. A busy new leader is
+ *     neither isolated nor inbound-partitioned, because it has not sent any command yet
  */
 record FleetVisibility(
     int machineCount, int overdueCount, boolean isolated, boolean inboundPartitioned) {}
--- a/src/main/java/org/astershift/scheduler/Heartbeat.java
+++ b/src/main/java/org/astershift/scheduler/Heartbeat.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * A worker's status of its machine, sent as a heartbeat or in answer to direct commands. Epoch and
- * sequence order the messages of one incarnation.
+ * Status of a machine, sent by its worker as a heartbeat or as the answer to direct commands. Epoch
+ * and sequence number order the messages of one incarnation.
  *
- * @param fencingToken the highest token that the worker has seen
- * @param preemptionNoticeS seconds until the cloud takes the machine back; null if it does not
- * @param tasks all tasks on the machine, exited ones until the worker is told to forget them
+ * @param fencingToken the highest fencing token that the worker has seen
+ * @param preemptionNoticeS seconds until the cloud reclaims the machine; null without a notice
+ * @param tasks all tasks on the machine, including exited ones until the worker is told to forget
+ *     them
  */
 public record Heartbeat(
     String machineName,
@@ -22,13 +23,17 @@
     Double preemptionNoticeS,
     List<TaskStatus> tasks) {
 
-  /** One task on the machine; {@code exitReason} is the worker's word, null if it gave none. */
+  /**
+   * Status of one task on the machine.
+   *
+   * @param exitReason the exit reason as the worker sent it; null if it sent none
+   */
   public record TaskStatus(
       String jobId, int index, long attemptNumber, TaskPhase phase, String exitReason) {
 
     /**
-     * Whether no task may start under this attempt number any more: the task, and so all of its
-     * gang, has run, or it gave up waiting for the others.
+     * Returns whether no further task may start under this attempt number: either this task, and
+     * therefore its whole gang, has run, or it stopped waiting for the rest of the gang.
      */
     boolean closesAttempt() {
       if (phase == TaskPhase.RUNNING || phase == TaskPhase.SAVING) {
@@ -41,21 +46,21 @@
     }
   }
 
-  /** States of a task on its machine. */
+  /** Phases of a task on its machine. */
   public enum TaskPhase {
-    /** Waits for its image. */
+    /** Waiting for its image. */
     FETCHING,
-    /** Waits for the other tasks of its gang. */
+    /** Waiting for the other tasks of its gang. */
     WAITING,
-    /** It runs. */
+    /** Running. */
     RUNNING,
-    /** Saves a checkpoint after it was told to stop. */
+    /** Saving a checkpoint after a stop command. */
     SAVING,
-    /** It has ended, and stays in the heartbeats until it is forgotten. */
+    /** Ended; reported in heartbeats until the worker is told to forget the task. */
     EXITED
   }
 
-  /** Whether it shows this attempt, in whatever phase. */
+  /** Returns whether this message reports the attempt, in any phase. */
   boolean reportsAttempt(TaskAttempt.Key key) {
     for (TaskStatus status : tasks) {
       if (status.index() == key.index()
@@ -67,7 +72,7 @@
     return false;
   }
 
-  /** Whether this message is newer than the one at the given position. */
+  /** Returns whether this message is newer than one with the given epoch and sequence number. */
   public boolean isNewerThan(long otherEpoch, long otherSequence) {
     return epoch > otherEpoch || (epoch == otherEpoch && sequence > otherSequence);
   }
--- a/src/main/java/org/astershift/scheduler/HeartbeatHandler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatHandler.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Answers a heartbeat: reconciles the machine, places tasks on it and returns its commands. */
+/** Handles heartbeats: reconciles the machine, places tasks on it and returns its commands. */
 final class HeartbeatHandler {
   private final ClusterState cluster;
   private final MessageClassifier classifier;
@@ -23,10 +23,10 @@
     this.placement = placement;
   }
 
-  /** The commands of the response; null if the heartbeat must not be answered. */
+  /** Returns the commands of the response, or null if the heartbeat must not be answered. */
   List<Command> onHeartbeat(Heartbeat heartbeat, long receivedMs, long nowMs) {
     if (cluster.removedMachines.contains(heartbeat.machineName())) {
-      return commandReconciler.stopsForEndedJobs(heartbeat); // a delayed one of a machine now gone
+      return commandReconciler.stopsForEndedJobs(heartbeat); // delayed; the machine is gone
     }
     Machine machine = heartbeatReconciler.resolveSender(heartbeat, nowMs);
     if (heartbeatReconciler.deposed()) {
@@ -52,7 +52,7 @@
       }
       case CURRENT -> onCurrentHeartbeat(machine, heartbeat, nowMs);
       case RESTARTED, MAYBE_RESTARTED ->
-          throw new IllegalStateException("not of a heartbeat: " + evidence);
+          throw new IllegalStateException("unexpected evidence for a heartbeat: " + evidence);
     };
   }
 
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Brings what is known of machines and their tasks up to the status that workers send. */
+/** Reconciles the known state of machines and their tasks with the status that workers send. */
 final class HeartbeatReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatReconciler.class);
 
@@ -20,14 +20,15 @@
     this.adoption = new AttemptAdoption(cluster, exitHandler);
   }
 
-  /** Whether a worker showed a higher fencing token: another leader has taken over. */
+  /** Returns whether a worker sent a higher fencing token, so another leader has taken over. */
   boolean deposed() {
     return deposed;
   }
 
   /**
-   * The machine that sent the message, whatever its age. Tokens only grow, so a higher one counts
-   * from any copy. An unknown machine is added, and gets tasks once it is verified.
+   * Returns the machine that sent the message, regardless of the message's age. Fencing tokens only
+   * grow, so a higher token deposes this leader even in a delayed copy. An unknown machine is added
+   * to the cluster, but gets no tasks until it is verified.
    */
   Machine resolveSender(Heartbeat heartbeat, long nowMs) {
     if (heartbeat.fencingToken() > cluster.fencingToken) {
@@ -56,8 +57,9 @@
   }
 
   /**
-   * Records to which incarnation a message belongs; {@code directResponse}: it answers direct
-   * commands of this leader.
+   * Records to which incarnation a message belongs.
+   *
+   * @param directResponse whether the message answers direct commands of this leader
    */
   void trackIncarnation(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
     if (!machine.isNewestMessage(heartbeat)) {
@@ -72,8 +74,9 @@
   }
 
   /**
-   * Records the time of a message, and the machine's return to use. A delayed copy may be of a time
-   * before the machine's release, its loss or a failover, so one that is not newer has no effect.
+   * Records the time of a message, and makes the machine live if its state allows. A message that
+   * is not newer than the last one has no effect, because it may be a delayed copy from before the
+   * machine's release, its loss or a failover.
    */
   void recordContact(Machine machine, Heartbeat heartbeat, long nowMs) {
     if (!machine.isNewestMessage(heartbeat)) {
@@ -103,8 +106,10 @@
   }
 
   /**
-   * Reconciles the machine's attempts with a message; false if the message is not newer than the
-   * last. {@code previousAnswered}: the heartbeat before it was answered well within a lease.
+   * Reconciles the machine's attempts with a message. Returns false if the message is not newer
+   * than the last one.
+   *
+   * @param previousAnswered whether the previous heartbeat was answered well within a lease
    */
   boolean reconcile(Machine machine, Heartbeat heartbeat, boolean previousAnswered, long nowMs) {
     if (!machine.isNewestMessage(heartbeat)) {
@@ -130,18 +135,19 @@
     return true;
   }
 
-  /** The worker's lease had expired: what the earlier epoch held is gone. */
+  /** Handles a later epoch: the worker's lease has expired, so tasks of earlier epochs are gone. */
   private void onNewEpoch(
       Machine machine, Heartbeat heartbeat, boolean previousAnswered, long nowMs) {
     if (machine.epoch > 0 && previousAnswered) {
-      machine.staleMessageSeen = true; // it expired all the same: responses may not reach it
+      machine.staleMessageSeen = true; // lease expired despite the answer: responses may be lost
     }
     List<TaskAttempt> ended = new ArrayList<>(machine.attempts.values());
-    // A start sent to an earlier incarnation may match this epoch as well.
+    // A pending start sent to an earlier incarnation may also match this epoch number.
     ended.removeIf(attempt -> attempt.isStartPending() && attempt.startEpoch >= heartbeat.epoch());
     cluster.attempts.dropAll(machine, ended, DropReason.NEW_EPOCH);
-    // The epoch's lease counts from its own beginning, which may be long after the last heartbeat
-    // that arrived here: counted from that, it would seem expired while its tasks run.
+    // The lease of the new epoch counts from the start of that epoch, possibly long after the last
+    // heartbeat that arrived here. Counted from that heartbeat, the lease would appear expired
+    // while tasks of the new epoch are running.
     machine.leaseFromMs = Math.max(machine.leaseFromMs, nowMs);
   }
 
@@ -154,7 +160,7 @@
     machine.preemptionNoticeS = heartbeat.preemptionNoticeS();
   }
 
-  /** Updates the attempts that the message shows; returns the tasks that are not known here. */
+  /** Updates the known attempts that the message reports, and returns the unknown tasks. */
   private List<Heartbeat.TaskStatus> updateKnownAttempts(
       Machine machine, Heartbeat heartbeat, long nowMs) {
     List<Heartbeat.TaskStatus> unknownTasks = new ArrayList<>(0);
@@ -172,7 +178,7 @@
     return unknownTasks;
   }
 
-  /** Drops attempts that the machine has shown before and shows no more. */
+  /** Drops attempts that the machine reported before but not in the latest message. */
   private void dropAbsentAttempts(Machine machine, long sequence) {
     List<TaskAttempt> absentAttempts = new ArrayList<>(0);
     for (TaskAttempt attempt : machine.attempts.values()) {
@@ -193,7 +199,7 @@
       job.closeAttempt(attempt.attemptNumber);
     }
     if (attempt.phase == null) {
-      attempt.machine.consecutiveUnanswered = 0; // a command of this leader has reached it
+      attempt.machine.consecutiveUnanswered = 0; // a command of this leader reached the machine
     }
     if (status.phase() == Heartbeat.TaskPhase.EXITED) {
       exitHandler.onReportedExit(attempt, status, nowMs);
--- a/src/main/java/org/astershift/scheduler/HeartbeatTiming.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatTiming.java
@@ -4,24 +4,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * When a machine counts as silent, and from when on its silence cannot be explained by a restart.
- * All times are milliseconds of the steady clock.
+ * Determines when a machine counts as silent, and from which time a restart can no longer explain
+ * its silence. All times are milliseconds of the steady clock.
  */
 final class HeartbeatTiming {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatTiming.class);
 
-  /** Workers send a heartbeat at the latest after this many intervals. */
+  /** Largest time between two heartbeats of a worker, in heartbeat intervals. */
   private static final double HEARTBEAT_DELAY_FACTOR = 1.25;
 
-  /** From the suspicion of a silent machine to its release. */
+  /** Time from the suspicion of a silent machine until it may be released. */
   private static final long SILENT_AFTER_MS = 1200;
 
-  /** The longest restart of a machine: until it is over, a failed probe proves nothing. */
+  /** Longest duration of a machine's restart. During a restart a failed probe proves nothing. */
   private static final long MACHINE_RESTART_MS = 1000;
 
   /**
-   * Leases without an answered heartbeat after which a machine that still answers commands gets no
-   * new tasks. Workers looking for a new leader are silent for less than that.
+   * Time without an answered heartbeat, in lease durations, after which a machine that still
+   * answers commands gets no new tasks. Workers that look for a new leader are silent for less than
+   * this.
    */
   private static final double OUTBOUND_PARTITION_LEASES = 0.5;
 
@@ -32,36 +33,40 @@
     this.limits = limits;
   }
 
-  /** This process was suspended: heartbeats of that time are unread, so silence counts from now. */
+  /**
+   * Records that this process was suspended until now. Heartbeats of that time have not been read,
+   * so silence is counted from now.
+   */
   void onProcessResumed(long nowMs) {
     resumedMs = nowMs;
   }
 
-  /** Time without any message of the machine while this process was running. */
+  /** Returns the time without any message of the machine while this process was running. */
   long silenceMs(Machine machine, long nowMs) {
     return nowMs - Math.max(resumedMs, machine.lastContactMs());
   }
 
-  /** Whether the machine should have sent a heartbeat by now, with a margin. */
+  /** Returns whether a heartbeat of the machine is overdue by more than a margin. */
   boolean isHeartbeatOverdue(Machine machine, long nowMs) {
     return silenceMs(machine, nowMs) > suspicionTimeoutMs();
   }
 
-  /** Time for which the machine is unreconciled, counted while this process was running. */
+  /** Returns how long the machine has been unreconciled while this process was running. */
   long unreconciledMs(Machine machine, long nowMs) {
     return nowMs - Math.max(resumedMs, machine.unreconciledSinceMs);
   }
 
   /**
-   * Whether the machine's heartbeats do not arrive, though it may answer commands. Answers to
-   * commands renew no lease, so a task started there would end with a lease that is half over.
+   * Returns whether the machine's heartbeats do not arrive, even though it may answer commands.
+   * Answers to commands do not renew the lease, so a task started there would end when the lease,
+   * which is already half over, expires.
    */
   boolean isOutboundPartitioned(Machine machine, long nowMs) {
     long sinceMs = nowMs - Math.max(resumedMs, machine.leaseRenewedMs);
     return sinceMs > limits.leaseS() * 1000 * OUTBOUND_PARTITION_LEASES;
   }
 
-  /** Logs when a machine becomes outbound-partitioned and when that is over. */
+  /** Logs when the outbound partition of a machine begins and ends. */
   void logOutboundPartition(Machine machine, long nowMs) {
     boolean partitioned = isOutboundPartitioned(machine, nowMs);
     if (machine.state == Machine.State.LIVE
@@ -71,16 +76,16 @@
       LOG.info(
           partitioned
               ? "outbound partition, no new tasks: machine={}"
-              : "outbound partition over: machine={}",
+              : "outbound partition ended: machine={}",
           machine.name);
     }
   }
 
   /**
-   * The earliest time of a failed probe that a restart of the machine cannot explain: one that
-   * began after its last message is over by then. Where no heartbeat was due after that message,
-   * because this leader is cut off from the machine or gets only its answers, the restart may also
-   * have begun as late as the first failed probe of the peers.
+   * Returns the earliest time at which a restart of the machine cannot explain a failed probe. A
+   * restart that began after the machine's last message is over by then. If no heartbeat was due
+   * after that message, because this leader is partitioned from the machine or receives only its
+   * answers, the restart may have begun as late as the first failed probe by the peers.
    */
   long restartExcludedFromMs(Machine machine) {
     if (machine.lastContactMs() - machine.leaseRenewedMs > maxHeartbeatIntervalMs()
@@ -94,12 +99,14 @@
         + MACHINE_RESTART_MS;
   }
 
-  /** Silence after which a machine that does not answer a probe either may be released. */
+  /**
+   * Returns the silence after which a machine that also leaves a probe unanswered may be released.
+   */
   long releaseTimeoutMs() {
     return suspicionTimeoutMs() + SILENT_AFTER_MS;
   }
 
-  /** Silence after which a machine is probed. */
+  /** Returns the silence after which a machine is probed. */
   private long suspicionTimeoutMs() {
     return maxHeartbeatIntervalMs() + Scheduler.SUSPECT_AFTER_MS;
   }
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -4,26 +4,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the incarnations of machines apart, and decides whether this leader may use one.
+ * Distinguishes the incarnations of machines, and decides whether this leader may use one.
  *
- * <p>A leader whose lease is uncertain may have a successor, which starts the tasks of opened jobs
- * once each registered machine is fenced or gone. So the incarnation that this leader uses must
- * have existed before its lease became uncertain: then the successor either fences it, after which
- * it executes nothing of this leader, or sees a later incarnation, with which this one is gone. One
- * that may have begun since then proves nothing, as the successor may have fenced the one before.
- * It waits until the lease is certain again, and where the machine was not seen before in this term
- * also for a record of its own.
+ * <p>A leader whose lease is uncertain may already have a successor. The successor starts the tasks
+ * of opened jobs once each registered machine is fenced or gone. Therefore this leader uses an
+ * incarnation only if the incarnation existed before the lease became uncertain. The successor then
+ * either fences that incarnation, which executes no further command of this leader, or sees a later
+ * incarnation, which proves that the earlier one is gone. An incarnation that may have started
+ * after the lease became uncertain is not safe to use, because the successor may have fenced its
+ * predecessor instead. Such an incarnation gets no starts until the lease is certain again; if the
+ * machine was not seen before in this term, it also has to wait until a new record for it is
+ * durable.
  */
 final class IncarnationTracker {
   private static final Logger LOG = LoggerFactory.getLogger(IncarnationTracker.class);
 
   /**
-   * The most messages that a machine sends per second: heartbeats, and answers to all controllers.
-   * An incarnation that has sent more since some moment began before it.
+   * Upper bound on the messages that a machine sends per second: heartbeats and answers to all
+   * controllers. An incarnation that has sent more than this since a given time started before that
+   * time.
    */
   private static final double MACHINE_MESSAGES_PER_S = 10;
 
-  /** Messages that may come on top of these. */
+  /** Messages that a machine may send in addition to {@link #MACHINE_MESSAGES_PER_S}. */
   private static final double MACHINE_MESSAGE_BURST = 10;
 
   private final long fencingToken;
@@ -34,32 +37,39 @@
     this.fencingToken = fencingToken;
   }
 
-  /** No other node can have led up to this time; it grows with each renewal of the lease. */
+  /**
+   * Extends the time until which no other node can have led. The time grows with each renewal of
+   * this leader's lease.
+   */
   void extendLeaseCertainty(long untilMs) {
     leaseCertainUntilMs = untilMs;
   }
 
-  /** Whether another node may lead by now. */
+  /** Returns whether another node may already be the leader. */
   boolean isLeaseUncertain(long nowMs) {
     return nowMs >= leaseCertainUntilMs;
   }
 
-  /** Whether tasks may start on the machine's present incarnation; holds for all commands. */
+  /**
+   * Returns whether tasks may start on the machine's current incarnation. Applies to every kind of
+   * command.
+   */
   boolean isUsable(Machine machine, long nowMs) {
     return !isLeaseUncertain(nowMs) || machine.incarnation.hadMessageBy(lastCertainMs(nowMs));
   }
 
-  /** The latest time known at which no other node can have led. */
+  /** Updates and returns the latest known time at which no other node can have led. */
   private long lastCertainMs(long nowMs) {
     lastCertainMs = Math.max(lastCertainMs, Math.min(nowMs, leaseCertainUntilMs));
     return lastCertainMs;
   }
 
   /**
-   * Whether a message that came while the lease is uncertain is certainly of the incarnation known.
-   * The next one gets this leader's token only by a direct command without an answer: a heartbeat
-   * of a fenced machine with an earlier token is not answered. So a heartbeat with this token, of a
-   * machine to which no such command is in flight, is of the incarnation that was fenced.
+   * Returns whether a message received while the lease is uncertain is certainly from the known
+   * incarnation. A later incarnation can learn this leader's fencing token only from a direct
+   * command that got no answer, since a heartbeat of a fenced machine with an earlier token is not
+   * answered. So a heartbeat with this leader's token is from the fenced incarnation if no direct
+   * command to the machine is in flight or was lost.
    */
   boolean isSameIncarnation(
       Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
@@ -72,8 +82,9 @@
   }
 
   /**
-   * Whether a message is of the incarnation known, whatever commands may have reached another: it
-   * shows a task that only this one has, or one that began since cannot have sent so many messages.
+   * Returns whether a message is from the known incarnation, regardless of which commands may have
+   * reached another one. This is proven if the message reports a task that only the known
+   * incarnation has, or if its sequence number is too high for an incarnation that started later.
    */
   boolean isProvenSameIncarnation(Machine machine, Heartbeat heartbeat, long nowMs) {
     return machine.incarnation.isKnown()
@@ -81,7 +92,7 @@
             || sequenceExcludesRestart(machine, heartbeat, nowMs));
   }
 
-  /** Whether it shows a task whose start cannot have reached another incarnation as well. */
+  /** Returns whether a reported task's start cannot have reached another incarnation as well. */
   private static boolean reportsKnownAttempt(Machine machine, Heartbeat heartbeat) {
     for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
       TaskAttempt attempt =
@@ -105,16 +116,16 @@
     return heartbeat.sequence() > MACHINE_MESSAGE_BURST + sinceS * MACHINE_MESSAGES_PER_S;
   }
 
-  /** Records what a newer message proves: that its incarnation exists, and since when. */
+  /** Records that a newer message proves its incarnation to exist, and since when. */
   void onMessage(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
     boolean first = !machine.incarnation.isKnown();
     machine.incarnation.onMessage(nowMs);
     lastCertainMs(nowMs);
     if (directResponse) {
       machine.incarnation.confirmExistence(
-          machine.directCommands.lastSentMs()); // it was asked then, or later
+          machine.directCommands.lastSentMs()); // it answered after that time
     } else if (heartbeat.fencingToken() == fencingToken) {
-      machine.incarnation.confirmExistence(machine.firstKnownMs); // it has seen this term's token
+      machine.incarnation.confirmExistence(machine.firstKnownMs); // it knows this term's token
     }
     if (first) {
       LOG.debug(
--- a/src/main/java/org/astershift/scheduler/LeaseExpiry.java
+++ b/src/main/java/org/astershift/scheduler/LeaseExpiry.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The expiry of machines' leases with this leader. */
+/** Expires the leases that machines hold with this leader. */
 final class LeaseExpiry {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseExpiry.class);
 
@@ -15,16 +15,17 @@
   }
 
   /**
-   * Milliseconds after which a lease has certainly expired at the worker. It counts here from the
-   * receipt of the last heartbeat answered, or of the first message of an epoch; either is later
-   * than the worker's own start. Clock drift and a margin are added.
+   * Returns the milliseconds after which a lease has certainly expired at the worker. This leader
+   * counts them from the receipt of the last answered heartbeat or of the first message of an
+   * epoch; both are later than the time from which the worker counts. The result includes clock
+   * drift and a margin.
    */
   static long leaseMs(DeploymentLimits limits) {
     return (long) (limits.leaseS() * 1000 * (1 + 2 * ClockBounds.CLOCK_DRIFT_SHARE))
         + ClockBounds.CLOCK_MARGIN_MS;
   }
 
-  /** Expires the leases that have run out and logs changes of outbound partitions. */
+  /** Expires the leases that have run out, and logs the start and end of outbound partitions. */
   void sweep(long nowMs, long leaseCertainUntilMs) {
     for (Machine machine : cluster.allMachines()) {
       expireIfDue(machine, Math.min(nowMs, leaseCertainUntilMs));
@@ -33,8 +34,10 @@
   }
 
   /**
-   * An expired lease proves that the machine's tasks are gone, but only for the time in which this
-   * leader alone can have renewed it: {@code leaseCertainMs} is the end of that time, or now.
+   * Expires the machine's lease if it has run out, and drops the machine's tasks. An expired lease
+   * proves that these are gone, but only for the time in which no other leader can have renewed it.
+   *
+   * @param leaseCertainMs the end of that time, or now if now is earlier
    */
   private void expireIfDue(Machine machine, long leaseCertainMs) {
     boolean leaseMatters =
@@ -50,7 +53,7 @@
     if (machine.state == Machine.State.LIVE || dropped > 0) {
       LOG.info("lease expired: machine={} silent_ms={}", machine.name, silentMs);
     }
-    // A machine that is being released stays so: it must not be used while the cloud is away.
+    // A machine being released keeps its state: it must not be used while the cloud is unavailable.
     if (machine.state == Machine.State.LIVE) {
       cluster.enterState(machine, Machine.State.LEASE_EXPIRED);
     }
--- a/src/main/java/org/astershift/scheduler/ListedMachine.java
+++ b/src/main/java/org/astershift/scheduler/ListedMachine.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** One machine of the cloud's list. */
+/** One entry of the cloud's machine list. */
 public record ListedMachine(
     String name,
     String address,
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -7,25 +7,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A machine as the leader knows it. Times are milliseconds of the steady clock. */
+/** This leader's state of one machine. All times are milliseconds of the steady clock. */
 final class Machine {
-  /**
-   * Unanswered direct commands in a row after which a machine counts as inbound-partitioned, though
-   * its heartbeats arrive.
-   */
+  /** Consecutive unanswered direct commands after which a machine is inbound-partitioned. */
   static final int INBOUND_PARTITION_TRIES = 2;
 
-  /** What this leader may do with it. */
+  /** States of a machine, which determine what this leader may do with it. */
   enum State {
-    /** Provisioned; its worker has sent nothing yet and it was never given a task. */
+    /** Provisioned; the worker has sent nothing yet and the machine was never given a task. */
     BOOTING,
-    /** Of an earlier leader, or restarted; may hold anything until it is fenced. */
+    /** Inherited from an earlier leader, or restarted; may hold any tasks until fenced. */
     UNRECONCILED,
     /** In use. */
     LIVE,
-    /** Its lease with this leader has expired: it holds nothing, but may come back. */
+    /** The lease with this leader has expired: the machine holds no tasks, but may return. */
     LEASE_EXPIRED,
-    /** Being released; repeated until the cloud confirms that it is gone. */
+    /** Being released; the request is repeated until the cloud confirms the machine gone. */
     RELEASING
   }
 
@@ -38,19 +35,19 @@
   String address;
   State state;
 
-  /** Null until the cloud's machine types are known. */
+  /** The machine's type; null until the cloud's machine types are known. */
   MachineType type;
 
-  /** Its record is durable, so tasks may be placed on it. */
+  /** Whether the machine's record is durable, so that tasks may be placed on the machine. */
   boolean registered;
 
-  /** It has acknowledged this leader's fencing token in {@link #epoch}. */
+  /** Whether the machine has acknowledged this leader's fencing token in {@link #epoch}. */
   boolean fenced;
 
-  /** Registered by an earlier leader: until it is fenced it may hold that leader's tasks. */
+  /** Whether an earlier leader registered the machine and may have tasks on it until fenced. */
   boolean inherited;
 
-  /** Held attempts of jobs that this leader does not manage. */
+  /** Number of held attempts of jobs that this leader does not manage. */
   private int orphanedAttempts;
 
   long epoch;
@@ -58,31 +55,31 @@
   final long firstKnownMs;
 
   /**
-   * From when its lease with this leader counts: the latest of the last heartbeat answered, the
-   * first sight of this leader's token, and the first message of an epoch.
+   * Start of the machine's lease with this leader: the latest of the last answered heartbeat, the
+   * first message with this leader's fencing token, and the first message of an epoch.
    */
   long leaseFromMs;
 
-  /** Its last message, heartbeat or answer. */
+  /** Time of the machine's last message, either a heartbeat or an answer. */
   long lastMessageMs;
 
-  /** Its last answered heartbeat, or since when this leader may answer one. */
+  /** Time of the last answered heartbeat, or from which this leader may answer heartbeats. */
   long leaseRenewedMs;
 
   boolean outboundPartitionLogged;
 
   final DirectCommandState directCommands = new DirectCommandState();
 
-  /** Direct commands in a row without an answer or another proof that it receives. */
+  /** Number of consecutive direct commands without an answer or other proof of their receipt. */
   int consecutiveUnanswered;
 
-  /** Since when it may hold what this leader does not know: the term's begin or its restart. */
+  /** Time from which the machine may hold unknown tasks: the term's start or its own restart. */
   long unreconciledSinceMs;
 
-  /** Its first message since then; -1: none yet. */
+  /** Time of the first message since {@link #unreconciledSinceMs}; -1 if there is none yet. */
   long firstMessageMs = -1;
 
-  /** Heartbeats without this leader's token that came after one was answered with it. */
+  /** Number of heartbeats without this leader's token after one was answered with the token. */
   int unfencedHeartbeats;
 
   final MessageOrder messageOrder = new MessageOrder();
@@ -91,36 +88,36 @@
 
   MachineIncarnation incarnation = new MachineIncarnation();
 
-  /** The incarnation for which a record is being written; null if none is. */
+  /** The incarnation for which a record is being written; null if there is none. */
   MachineIncarnation registeringIncarnation;
 
-  /** A heartbeat had a lower token or lacked a task: it restarted, or this was a delayed copy. */
+  /** Whether a restart is suspected from a lower token or a missing task, maybe of a stale copy. */
   boolean restartSuspected;
 
-  /** It restarted in this term: heartbeats no longer show of which incarnation they are. */
+  /** Whether the machine restarted in this term; heartbeats then do not prove their incarnation. */
   boolean restartedInTerm;
 
-  /** A message older than its last one came: only its own answer shows whether it restarted. */
+  /** Whether an outdated message arrived, so only an answer can tell if the machine restarted. */
   boolean staleMessageSeen;
 
   /**
-   * Known from heartbeats alone, which may be delayed by any time: neither a record nor a list
-   * names it, nor has it shown this leader's token.
+   * Whether the machine is known only from heartbeats, which may be delayed indefinitely: no record
+   * and no machine list names the machine, and it has not sent this leader's fencing token.
    */
   boolean unverified;
 
   final PeerProbeResults peerProbeResults = new PeerProbeResults();
 
-  /** When the cloud was last known to have it: a later list without it proves that it is gone. */
+  /** Time at which the cloud last had the machine; a later list without it proves it gone. */
   long lastListedMs;
 
-  /** Seconds until the cloud takes it back; null if it does not. */
+  /** Seconds until the cloud reclaims the machine; null without a notice. */
   Double preemptionNoticeS;
 
-  /** Jobs not proven sound that failed here since a task last completed here. */
+  /** Jobs not proven healthy that failed on this machine since a task last completed on it. */
   final Set<Job> failedJobs = new HashSet<>();
 
-  /** Failures here since then of jobs that are proven sound. */
+  /** Number of failures of proven healthy jobs since a task last completed on this machine. */
   int provenJobFailures;
 
   boolean quarantined;
@@ -128,16 +125,16 @@
   long idleSinceMs;
   long cordonedUntilMs;
 
-  /** Held attempts, and exited ones until the worker has forgotten them. */
+  /** Held attempts on this machine, and exited ones until the worker has forgotten them. */
   final Map<TaskAttempt.Key, TaskAttempt> attempts = new LinkedHashMap<>();
 
-  /** Within a pass: room kept for tasks that wait for it. */
+  /** Within a pass: capacity reserved for waiting tasks. */
   private Reservation reserved = Reservation.NONE;
 
-  /** Within a pass: what could be preempted here, if computed; null once that changes. */
+  /** Within a pass: work that can be preempted here; null if not computed or outdated. */
   PreemptibleWork preemptible;
 
-  /** Within a pass: tasks placed here. */
+  /** Within a pass: number of tasks placed on this machine. */
   int placedInPass;
 
   private final ImageCache images = new ImageCache();
@@ -166,24 +163,27 @@
     this.idleSinceMs = nowMs;
   }
 
-  /** Whether tasks failed here lately: it gets one at a time until one completes. */
+  /** Returns whether tasks failed recently, so that one at a time is placed until one completes. */
   boolean hasRecentFailures() {
     return provenJobFailures > 0 || !failedJobs.isEmpty();
   }
 
-  /** Whether its heartbeats arrive and nothing sent to it does. */
+  /** Returns whether direct commands do not reach the machine, though its heartbeats arrive. */
   boolean isInboundPartitioned() {
     return consecutiveUnanswered >= INBOUND_PARTITION_TRIES;
   }
 
-  /** The same of an unreconciled machine: it goes on showing an earlier leader's token. */
+  /** Returns whether an unreconciled machine is inbound-partitioned and sends an earlier token. */
   boolean isInboundPartitionedUnreconciled() {
     return state == State.UNRECONCILED
         && isInboundPartitioned()
         && unfencedHeartbeats >= INBOUND_PARTITION_TRIES;
   }
 
-  /** Its last message; what an inbound-partitioned unreconciled machine sends does not count. */
+  /**
+   * Returns the time of the last message. An inbound-partitioned unreconciled machine's messages do
+   * not count: the result is then {@link #unreconciledSinceMs}.
+   */
   long lastContactMs() {
     return isInboundPartitionedUnreconciled()
         ? unreconciledSinceMs
@@ -191,8 +191,8 @@
   }
 
   /**
-   * The machine has restarted under its name: as if it had never been seen. It is to be registered
-   * again before it is used, so that no leader it followed meanwhile takes it for reconciled.
+   * Resets the state after a restart, as if the machine had never been seen. The machine must be
+   * registered again before use, so that no leader it followed in between considers it reconciled.
    */
   void resetAfterRestart() {
     restartedInTerm = true;
@@ -209,12 +209,12 @@
     images.clear();
   }
 
-  /** Whether the message is newer than all that its attempts were reconciled with. */
+  /** Returns whether the message is newer than all messages reconciled so far. */
   boolean isNewestMessage(Heartbeat message) {
     return message.isNewerThan(epoch, sequence);
   }
 
-  /** Whether new tasks may go here as far as its own state shows. */
+  /** Returns whether the machine's own state allows new tasks to be placed on it. */
   boolean isUsable(long nowMs) {
     return state == State.LIVE
         && registered
@@ -236,7 +236,7 @@
     preemptible = null;
   }
 
-  /** Takes or frees what a task of this job needs. */
+  /** Adds the usage of one task of the job if {@code sign} is 1, or removes it if -1. */
   void addUsage(JobSpec spec, int sign) {
     preemptible = null;
     resources.add(spec, sign);
@@ -255,22 +255,22 @@
     return resources.usedMemoryGb();
   }
 
-  /** Processors of tasks without accelerators. */
+  /** Returns the number of processors used by tasks without accelerators. */
   double nonGpuCpus() {
     return resources.nonGpuCpus();
   }
 
-  /** Memory of tasks without accelerators. */
+  /** Returns the memory in GB used by tasks without accelerators. */
   double nonGpuMemoryGb() {
     return resources.nonGpuMemoryGb();
   }
 
-  /** Processors of service replicas. */
+  /** Returns the number of processors used by service replicas. */
   double replicaCpus() {
     return resources.replicaCpus();
   }
 
-  /** Whether it may hold tasks whose usage this leader does not know. */
+  /** Returns whether the machine may hold tasks whose usage is unknown to this leader. */
   boolean mayHoldUnobservedUsage() {
     return (inherited && !fenced) || orphanedAttempts > 0;
   }
@@ -281,8 +281,8 @@
   }
 
   /**
-   * Whether no held task needs this machine. One with accelerators is idle also while its tasks use
-   * none of them and fit other types: backfill does not keep it.
+   * Returns whether no held task needs this machine. A machine with accelerators is also idle while
+   * its tasks use none of them and fit other types, so that backfill does not retain the machine.
    */
   boolean isIdle() {
     if (!hasAttempts() || type == null || type.gpus() == 0 || usedGpus() > TOLERANCE) {
@@ -296,7 +296,7 @@
     return true;
   }
 
-  /** Whether a task with these needs finds room; the machine's type must be known. */
+  /** Returns whether a task with these needs fits; the machine's type must be known. */
   boolean fits(double cpus, double gpus, double memoryGb) {
     return freeTaskSlots() > 0
         && freeCpus() + TOLERANCE >= cpus
@@ -304,12 +304,12 @@
         && freeMemoryGb() + TOLERANCE >= memoryGb;
   }
 
-  /** Whether one task of this job finds room. */
+  /** Returns whether one more task of the job fits; the machine's type must be known. */
   boolean fits(JobSpec spec) {
     return fits(spec.cpus(), spec.gpus(), spec.memoryGb());
   }
 
-  /** How many tasks of this job find room, at most {@code limit}. */
+  /** Returns how many more tasks of the job fit, up to {@code limit}. */
   int fitCount(JobSpec spec, int limit) {
     if (!fits(spec)) {
       return 0;
@@ -327,7 +327,7 @@
     return (int) count;
   }
 
-  /** Ends the reservation and returns it, for {@link #reserve(Reservation)}. */
+  /** Clears the reservation and returns it, to be restored by {@link #reserve(Reservation)}. */
   Reservation clearReservation() {
     preemptible = null;
     Reservation previous = reserved;
@@ -351,12 +351,12 @@
     return type.memoryGb() - usedMemoryGb() - reserved.memoryGb();
   }
 
-  /** How many more tasks its heartbeats can name. */
+  /** Returns how many more tasks the machine's heartbeats can report. */
   int freeTaskSlots() {
     return MachineType.MAX_TASKS_PER_MACHINE - attempts.size() - reserved.tasks();
   }
 
-  /** Reserves room for this many more tasks until the next pass. */
+  /** Reserves capacity for this many more tasks of the job until the next pass. */
   void reserve(JobSpec spec, int tasks) {
     reserved = reserved.plus(spec, tasks);
   }
@@ -388,12 +388,12 @@
     return images.contains(image);
   }
 
-  /** 1 if the image is cached here, less if it may be being fetched, 0 otherwise. */
+  /** Returns 1 if the image is cached here, less if it may be being fetched, 0 otherwise. */
   double imageLocality(String image) {
     return images.locality(image);
   }
 
-  /** A task with this image has its image here. */
+  /** Records that a task has its image on this machine. */
   void touchImage(String image, double sizeGb) {
     images.touch(image, sizeGb, type);
   }
--- a/src/main/java/org/astershift/scheduler/MachineEvent.java
+++ b/src/main/java/org/astershift/scheduler/MachineEvent.java
@@ -1,15 +1,15 @@
 package org.astershift.scheduler;
 
 /**
- * One thing that happened between this leader and a machine, kept for the log.
+ * One event between this leader and a machine, kept for the log.
  *
- * @param atMs when it was handled or decided
- * @param evidence what the message was taken for; null without a message
- * @param epoch of the message, or of the machine as known when commands were sent
- * @param sequence of the message, or the newest known when commands were sent
- * @param fencingToken of the message; 0 for commands
- * @param count tasks in the message, or commands sent
- * @param waitedMs from the receipt of the message until it was handled
+ * @param atMs time at which the message was handled or the commands were decided
+ * @param evidence the classification of the message; null without a message
+ * @param epoch the message's epoch, or the machine's known epoch when commands were sent
+ * @param sequence the message's sequence number, or the newest known when commands were sent
+ * @param fencingToken the message's fencing token; 0 for commands
+ * @param count number of tasks in the message, or of commands sent
+ * @param waitedMs milliseconds from the receipt of the message until it was handled
  */
 record MachineEvent(
     long atMs,
@@ -21,7 +21,7 @@
     int count,
     int waitedMs) {
 
-  /** What happened. */
+  /** Kinds of events. */
   enum Kind {
     /** A heartbeat was handled. */
     HEARTBEAT,
@@ -29,13 +29,13 @@
     ANSWER,
     /** Direct commands got no answer. */
     NO_ANSWER,
-    /** Direct commands were decided. */
+    /** Direct commands were decided by a pass. */
     COMMANDS_SENT,
-    /** Commands went with the response to a heartbeat. */
+    /** Commands were included in the response to a heartbeat. */
     COMMANDS_IN_RESPONSE
   }
 
-  /** A message that waited so long was handled. */
+  /** Returns the event of a message that was handled after waiting {@code waitedMs}. */
   static MachineEvent ofMessage(
       Kind kind,
       Heartbeat message,
@@ -53,12 +53,12 @@
         (int) Math.min(Integer.MAX_VALUE, waitedMs));
   }
 
-  /** An event of this kind without a message. */
+  /** Returns an event of this kind that has no message. */
   static MachineEvent withoutMessage(Kind kind, Machine machine, int count, long nowMs) {
     return new MachineEvent(nowMs, kind, null, machine.epoch, machine.sequence, 0, count, 0);
   }
 
-  /** For the log; {@code nowMs}: its age is told as of then. */
+  /** Formats the event for the log, with its age as of {@code nowMs}. */
   String describe(long nowMs) {
     return kind
         + (evidence == null ? "" : " " + evidence)
--- a/src/main/java/org/astershift/scheduler/MachineHistory.java
+++ b/src/main/java/org/astershift/scheduler/MachineHistory.java
@@ -3,12 +3,12 @@
 import java.util.ArrayDeque;
 import java.util.StringJoiner;
 
-/** The last events of one machine, for the log. */
+/** Keeps the last events of one machine, for the log. */
 final class MachineHistory {
-  /** Bounds the memory: each event takes some 60 bytes. */
+  /** Bounds the memory per machine: each event takes about 60 bytes. */
   private static final int MACHINE_EVENTS_KEPT = 8;
 
-  /** The oldest first. */
+  /** The events, oldest first. */
   private final ArrayDeque<MachineEvent> events = new ArrayDeque<>(MACHINE_EVENTS_KEPT + 1);
 
   void add(MachineEvent event) {
@@ -18,12 +18,12 @@
     }
   }
 
-  /** The newest event; null if there was none. */
+  /** Returns the newest event, or null if there is none. */
   MachineEvent newest() {
     return events.peekLast();
   }
 
-  /** The events from the oldest kept to the newest. */
+  /** Formats the kept events for the log, oldest first, with their ages as of {@code nowMs}. */
   String describe(long nowMs) {
     StringJoiner joined = new StringJoiner("; ", "[", "]");
     for (MachineEvent event : events) {
--- a/src/main/java/org/astershift/scheduler/MachineListReconciler.java
+++ b/src/main/java/org/astershift/scheduler/MachineListReconciler.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reconciles the known machines with the cloud's list. */
+/** Reconciles the known machines with the cloud's machine list. */
 final class MachineListReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(MachineListReconciler.class);
 
@@ -20,7 +20,7 @@
     this.scaleIn = scaleIn;
   }
 
-  /** Takes in a complete list that was requested at {@code requestedMs}. */
+  /** Processes a complete machine list that was requested at {@code requestedMs}. */
   void onMachineList(Collection<ListedMachine> listedMachines, long requestedMs, long nowMs) {
     Set<String> listedNames = new HashSet<>();
     for (ListedMachine listedMachine : listedMachines) {
@@ -51,7 +51,7 @@
   }
 
   private Machine addListed(ListedMachine listedMachine, long nowMs) {
-    // A running machine has its whole time for a first heartbeat, however old it is.
+    // A running machine gets the full time for its first heartbeat, regardless of its age.
     long firstKnownMs =
         listedMachine.state().equals("running")
             ? nowMs
@@ -75,9 +75,10 @@
   }
 
   /**
-   * A machine is listed at the latest twice the list's lag after it existed, and then until it is
-   * gone. So a list that was requested later than that and lacks the machine proves it gone; a list
-   * may be older than the one before it.
+   * Removes the machines that the list proves to be gone. The cloud lists a machine no later than
+   * twice the list lag after its creation, and then until it is gone. A list that was requested
+   * after that time and lacks the machine therefore proves the machine gone. Absence from a list
+   * requested earlier proves nothing, because a list may be older than the one before it.
    */
   private void removeUnlisted(Set<String> listedNames, long requestedMs, long nowMs) {
     long lagMs = (long) (2 * cluster.limits.listLagS() * 1000) + ClockBounds.CLOCK_MARGIN_MS;
--- a/src/main/java/org/astershift/scheduler/MessageClassifier.java
+++ b/src/main/java/org/astershift/scheduler/MessageClassifier.java
@@ -1,36 +1,39 @@
 package org.astershift.scheduler;
 
 /**
- * Tells what a message of a machine proves, for heartbeats and for answers to direct commands. It
- * depends on the message's place among those handled before and not on the order of arrival:
- * messages of one machine wait in this process each for itself. Epoch and sequence order those of
- * one incarnation, but a restarted machine counts from the beginning again, and copies of its
- * earlier messages may arrive for minutes. Taken for new, such a copy would drop tasks that still
- * run, and they would run twice.
+ * Classifies heartbeats and answers to direct commands by what they prove about their machine. The
+ * result depends on the position of the message relative to the messages already handled, not on
+ * the order of arrival, because messages of one machine are queued independently in this process.
+ * Epoch and sequence number order the messages of one incarnation. A restarted machine counts both
+ * from the beginning again, and copies of its earlier messages may arrive for minutes. Treating
+ * such a copy as new would drop tasks that are still running, and they would be started a second
+ * time.
  */
 final class MessageClassifier {
-  /** What a message proves. */
+  /** What a message proves about its machine. */
   enum Evidence {
-    /** The machine's newest status. */
+    /** The message is the machine's newest status. */
     CURRENT,
     /**
-     * A newer message was handled before it, so it shows neither what is on the machine nor what is
-     * not. A heartbeat may be a copy, or one that its worker gave up: its response reaches nobody.
+     * A newer message has already been handled, so this one proves neither the presence nor the
+     * absence of tasks. A stale heartbeat may be a copy, or one whose worker stopped waiting: the
+     * response then has no receiver.
      */
     STALE,
     /**
-     * A heartbeat of this incarnation or an earlier one: only the machine's answer to a command
-     * shows which.
+     * The heartbeat is from the current or an earlier incarnation; only the machine's answer to a
+     * direct command can tell which.
      */
     LIVENESS_ONLY,
     /**
-     * A heartbeat that lacks what is held on the machine, or shows a lower token. It gets no
-     * response: unless the machine answers a probe, its lease expires by this leader's clock.
+     * The heartbeat lacks a task held on the machine, has a lower fencing token, or has a later
+     * epoch than the one in which the machine holds tasks. It is not answered, so unless the
+     * machine answers a probe, its lease expires by this leader's clock.
      */
     CONTRADICTORY,
-    /** An answer that proves a restart. */
+    /** The answer proves that the machine has restarted. */
     RESTARTED,
-    /** An answer that does not exclude a restart which is suspected. */
+    /** The answer does not exclude a suspected restart. */
     MAYBE_RESTARTED
   }
 
@@ -44,7 +47,10 @@
     this.reconciliationLog = cluster.reconciliationLog;
   }
 
-  /** What a heartbeat proves; marks the machine where it suggests a restart. */
+  /**
+   * Returns what a heartbeat proves. Marks the machine as suspected of a restart if the heartbeat
+   * suggests one.
+   */
   Evidence classifyHeartbeat(Machine machine, Heartbeat heartbeat) {
     boolean lowerFencingToken = machine.fenced && heartbeat.fencingToken() < fencingToken;
     boolean attemptMissing = lacksReportedAttempt(machine, heartbeat);
@@ -60,7 +66,10 @@
     return machine.restartedInTerm ? Evidence.LIVENESS_ONLY : Evidence.CURRENT;
   }
 
-  /** What the answer to the direct commands sent last proves; marks a suspected restart. */
+  /**
+   * Returns what the answer to the latest direct commands proves. Marks the machine as suspected of
+   * a restart if the answer suggests one.
+   */
   Evidence classifyAnswer(Machine machine, Heartbeat answer, long nowMs) {
     if (machine.isNewestMessage(answer)) {
       return machine.restartSuspected
@@ -72,7 +81,8 @@
       return Evidence.RESTARTED;
     }
     if (!machine.directCommands.precedes(answer)) {
-      suspectRestart(machine); // which may have shown since what was started there
+      // Only suspected: a newer message may already report tasks started on a new incarnation.
+      suspectRestart(machine);
     }
     return Evidence.STALE;
   }
@@ -84,13 +94,16 @@
     }
   }
 
-  /** Whether a message was handled since the commands were sent that is newer than their answer. */
+  /**
+   * Returns whether a message newer than this answer was handled after the direct commands were
+   * sent.
+   */
   static boolean isOvertaken(Machine machine, Heartbeat answer) {
     return !machine.isNewestMessage(answer)
         && !machine.directCommands.nothingHandledSinceSent(machine);
   }
 
-  /** Whether its epoch is later than the one in which the machine holds tasks. */
+  /** Returns whether the heartbeat is of a later epoch than the one in which tasks are held. */
   private static boolean endsHeldAttempts(Machine machine, Heartbeat heartbeat) {
     return machine.fenced
         && machine.epoch > 0
@@ -99,9 +112,10 @@
   }
 
   /**
-   * Whether the heartbeat lacks a task that was shown and has not exited. Within an epoch a machine
-   * shows a task until it is told to forget it, so this heartbeat is of another incarnation: it was
-   * delayed, or the machine restarted and has sent more messages since than before.
+   * Returns whether the heartbeat lacks a task that was reported before and has not exited. Within
+   * an epoch a machine reports a task until it is told to forget it, so such a heartbeat is from
+   * another incarnation: either it was delayed, or the machine restarted and has since sent more
+   * messages than before the restart.
    */
   private static boolean lacksReportedAttempt(Machine machine, Heartbeat heartbeat) {
     if (machine.restartedInTerm
--- a/src/main/java/org/astershift/scheduler/MessageOrder.java
+++ b/src/main/java/org/astershift/scheduler/MessageOrder.java
@@ -1,39 +1,39 @@
 package org.astershift.scheduler;
 
-/** What is known of the order of the messages of a machine's present incarnation. */
+/** Tracks the order of the messages of a machine's current incarnation. */
 final class MessageOrder {
   private MessagePosition lastHeartbeat = MessagePosition.NONE;
   private MessagePosition fencedFrom = MessagePosition.NONE;
 
-  /** A heartbeat was taken as the newest, so that its response may have renewed the lease. */
+  /** Records the newest heartbeat; the response to it may have renewed the machine's lease. */
   void onHeartbeat(Heartbeat heartbeat) {
     lastHeartbeat = MessagePosition.of(heartbeat);
   }
 
-  /** This is the first message known that shows this leader's fencing token. */
+  /** Records the first known message that carries this leader's fencing token. */
   void onFenced(Heartbeat message) {
     fencedFrom = MessagePosition.of(message);
   }
 
-  /** Whether a heartbeat was taken as the newest before. */
+  /** Returns whether any heartbeat has been recorded since the last reset. */
   boolean hasHeartbeat() {
     return lastHeartbeat.epoch() > 0;
   }
 
-  /** Whether no newer heartbeat was taken in before this one. */
+  /** Returns whether the heartbeat is newer than every recorded one. */
   boolean isNewestHeartbeat(Heartbeat heartbeat) {
     return lastHeartbeat.precedes(heartbeat);
   }
 
   /**
-   * Whether the message comes before the one that first showed this leader's token. A lower token
-   * is no sign of another incarnation then.
+   * Returns whether the message precedes the first one that carried this leader's fencing token. A
+   * lower token in such a message does not indicate another incarnation.
    */
   boolean precedesFence(Heartbeat message) {
     return fencedFrom.follows(message);
   }
 
-  /** The machine has restarted. */
+  /** Clears the recorded positions, after a restart of the machine. */
   void reset() {
     lastHeartbeat = MessagePosition.NONE;
     fencedFrom = MessagePosition.NONE;
--- a/src/main/java/org/astershift/scheduler/OutstandingDecisions.java
+++ b/src/main/java/org/astershift/scheduler/OutstandingDecisions.java
@@ -4,33 +4,33 @@
 import java.util.Set;
 
 /**
- * Decisions that were returned by a pass and are neither carried out nor failed: each is returned
- * once until then.
+ * Tracks decisions that a pass has returned and that have neither been carried out nor failed. A
+ * pass does not return such a decision again.
  */
 final class OutstandingDecisions {
-  /** The kinds of decisions that are tracked. */
+  /** Kinds of tracked decisions. */
   enum Kind {
     OPEN_JOB,
     FINISH_JOB,
     REGISTER_MACHINE
   }
 
-  /** A decision and the job or machine that it is about. */
+  /** The kind of a decision, with the job or machine that it concerns. */
   private record Key(Kind kind, String subject) {}
 
   private final Set<Key> outstanding = new HashSet<>();
 
-  /** Adds the decision; false if it is outstanding already. */
+  /** Adds the decision. Returns false if it is already outstanding. */
   boolean add(Kind kind, String subject) {
     return outstanding.add(new Key(kind, subject));
   }
 
-  /** The decision was carried out, has failed, or its subject is gone. */
+  /** Removes a decision that was carried out or has failed, or whose subject is gone. */
   void onSettled(Kind kind, String subject) {
     outstanding.remove(new Key(kind, subject));
   }
 
-  /** A decision failed; one of a kind that is not tracked is ignored. */
+  /** Removes a failed decision. Decisions of untracked kinds are ignored. */
   void onFailed(Decision decision) {
     if (decision instanceof Decision.OpenJob openJob) {
       onSettled(Kind.OPEN_JOB, openJob.jobId());
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The job is over. */
+  /** Removes the decisions for a job that has ended. */
   void onJobEnded(String jobId) {
     onSettled(Kind.OPEN_JOB, jobId);
     onSettled(Kind.FINISH_JOB, jobId);
--- a/src/main/java/org/astershift/scheduler/PeerProber.java
+++ b/src/main/java/org/astershift/scheduler/PeerProber.java
@@ -11,16 +11,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Chooses the machines that other controllers are to probe, and takes in their results. Each probe
- * includes controls, machines seen a moment ago: a peer that does not reach those cannot tell.
+ * Selects the machines that the other controllers probe, and processes their results. Each probe
+ * includes controls: machines whose heartbeats currently reach this leader. A failure reported by a
+ * peer that does not reach at least half of the controls is inconclusive.
  */
 final class PeerProber {
   private static final Logger LOG = LoggerFactory.getLogger(PeerProber.class);
 
-  /** Suspects in one probe: as many as a busy peer can probe within its deadline. */
+  /** Most suspects in one probe: as many as a busy peer can probe within its deadline. */
   private static final int PEER_PROBE_BATCH_MACHINES = 56;
 
-  /** Controls in one probe. */
+  /** Most controls in one probe. */
   private static final int PEER_PROBE_CONTROL_MACHINES = 8;
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
@@ -37,28 +38,35 @@
     this.evidence = evidence;
   }
 
-  /** When peers were last asked and none of them could tell; long ago if that never was. */
+  /**
+   * Returns the time of the last probe if no peer was conclusive, else a time in the distant past.
+   */
   long lastInconclusiveMs() {
     return lastInconclusiveMs;
   }
 
-  /** When peers were last asked and none of them answered at all. */
+  /** Returns the time of the last probe if no peer answered it, else a time in the distant past. */
   long lastUnansweredMs() {
     return lastUnansweredMs;
   }
 
-  /** When peers were last asked and one of them could tell. */
+  /**
+   * Returns the time of the last probe in which a peer was conclusive, or a time in the distant
+   * past if there was none.
+   */
   long lastConclusiveMs() {
     return lastConclusiveMs;
   }
 
   /**
-   * The machines that peers should probe, or null if there are none or a probe is in flight. They
-   * are chosen as soon as heartbeats are overdue, so that the results are there when the machines
-   * may be released; first a sample of each zone, which suffices where a whole zone is partitioned.
+   * Returns the machines that peers should probe, or null if there are none or a probe is in
+   * flight. Machines are selected as soon as their heartbeats are overdue, so that the results are
+   * available by the time the machines may be released. A sample of each zone comes first; it is
+   * sufficient if the whole zone is partitioned.
    */
   Decision.ProbeThroughPeers nextProbe(FleetAssessment fleet, long nowMs) {
-    // A leader that sees next to nothing releases nothing, whatever its peers say.
+    // A leader that sees hardly any of its fleet releases nothing, regardless of its peers'
+    // results.
     if (probeInFlight || !(fleet.hasFewOverdue() || fleet.observesEnough())) {
       return null;
     }
@@ -96,7 +104,7 @@
     return sample;
   }
 
-  /** Whether the machine may have to be released soon. */
+  /** Returns whether the machine may have to be released soon. */
   private boolean isSuspect(Machine machine, boolean fewOverdue, long nowMs) {
     if (machine.state == Machine.State.BOOTING || machine.state == Machine.State.RELEASING) {
       return false;
@@ -104,15 +112,16 @@
     if (cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs)) {
       return fewOverdue || machine.directCommands.unansweredCount() > 0;
     }
-    // One of the last unreconciled machines: peers probe it along with this leader's second try.
+    // One of the last unreconciled machines: peers probe it alongside this leader's second attempt.
     return machine.state == Machine.State.UNRECONCILED
         && machine.directCommands.unansweredCount() > 0
         && cluster.hasFewUnreconciledMachines();
   }
 
   /**
-   * Whether peers can add nothing to what is known of the machine. They are asked again before
-   * their results grow old, and once more when a restart no longer explains a failed probe.
+   * Returns whether probing the machine again now would add nothing to the results of peers. A
+   * machine is probed again before its results expire, and once more when a restart can no longer
+   * explain a failed probe.
    */
   private boolean hasCurrentResults(Machine machine, long nowMs) {
     boolean askedTooEarly = machine.peerProbeResults.isUnreached(machine.lastContactMs(), nowMs);
@@ -121,7 +130,11 @@
         || machine.peerProbeResults.isFreshlyReached(machine.lastContactMs(), nowMs);
   }
 
-  /** Machines with a message in this term, the latest first. */
+  /**
+   * Returns the machines that have sent a message in this term and are not overdue. Machines that
+   * left no direct command unanswered come first, and within each group those with the latest
+   * message.
+   */
   private List<Machine> selectControls(long nowMs) {
     List<Machine> controls = new ArrayList<>(cluster.allMachines());
     controls.removeIf(
@@ -129,7 +142,7 @@
             machine.address == null
                 || machine.lastMessageMs == machine.firstKnownMs
                 || cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs));
-    // One that answers nothing would make every peer look partitioned.
+    // A control that answers no commands would make every peer look partitioned.
     controls.sort(
         Comparator.comparing((Machine machine) -> machine.consecutiveUnanswered > 0)
             .thenComparingLong(machine -> -machine.lastMessageMs));
@@ -145,9 +158,9 @@
   }
 
   /**
-   * The results of the peers that answered. A machine that any peer reached counts as reached; a
-   * failure counts only of a peer that reached the controls, since one that was partitioned a
-   * moment ago, maybe together with this leader, may not know it yet.
+   * Processes the results of the peers that answered. A machine that any peer reached counts as
+   * reached. A failure counts only if the peer reached the controls: a peer that has just become
+   * partitioned, possibly together with this leader, may not have detected the partition yet.
    */
   void onResults(Decision.ProbeThroughPeers probe, List<Decision.PeerProbeResult> results) {
     probeInFlight = false;
@@ -176,7 +189,7 @@
       } else if (unreached.contains(machine.name)) {
         machine.peerProbeResults.onUnreached(probe.probedMs(), machine.lastContactMs());
       } else if (conclusiveCount == 0 && !results.isEmpty()) {
-        // Only for the machines of this probe: of others the peers may be able to tell.
+        // Applies only to the machines of this probe: results for others may be conclusive.
         machine.peerProbeResults.onInconclusive(probe.probedMs());
       }
     }
--- a/src/main/java/org/astershift/scheduler/ReconciliationLog.java
+++ b/src/main/java/org/astershift/scheduler/ReconciliationLog.java
@@ -8,16 +8,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs what this leader concluded from messages and on what evidence, and counts it for the
- * periodic summary.
+ * Logs the conclusions that this leader draws from messages, with the evidence for each, and counts
+ * them for the periodic summary.
  */
 final class ReconciliationLog {
   private static final Logger LOG = LoggerFactory.getLogger(ReconciliationLog.class);
 
-  /** Tasks named in one line. */
+  /** Most tasks named in one log line. */
   private static final int TASKS_NAMED_IN_LINE = 5;
 
-  /** Histories of machines logged in one summary interval: a fault may concern a whole fleet. */
+  /** Most machine histories logged per summary interval: a fault may affect the whole fleet. */
   private static final int HISTORIES_LOGGED = 10;
 
   private int tasksFoundTwice;
@@ -30,7 +30,7 @@
   private int historiesSuppressed;
   private long historiesFromMs = Long.MIN_VALUE / 2;
 
-  /** These attempts of one machine are about to be dropped. */
+  /** Logs those of the attempts about to be dropped that the machine reported as not exited. */
   void onDropped(Machine machine, List<TaskAttempt> attempts, DropReason reason) {
     List<TaskAttempt> shown = new ArrayList<>(0);
     for (TaskAttempt attempt : attempts) {
@@ -60,7 +60,7 @@
     return names.toString();
   }
 
-  /** One task was found on two machines. */
+  /** Counts and logs a task that was found on two machines. */
   void onTaskFoundTwice(TaskAttempt attempt, TaskAttempt other, long nowMs) {
     tasksFoundTwice++;
     if (mayLogHistory(nowMs)) {
@@ -77,7 +77,7 @@
     }
   }
 
-  /** An answer to direct commands was overtaken by a newer message of its machine. */
+  /** Counts and logs an answer to direct commands that a newer message of its machine overtook. */
   void onAnswerOvertaken(Machine machine, long nowMs) {
     answersOvertaken++;
     if (mayLogHistory(nowMs)) {
@@ -89,22 +89,22 @@
     }
   }
 
-  /** A message suggests a restart. */
+  /** Counts a message that suggests a restart. */
   void onRestartSuspected() {
     restartsSuspected++;
   }
 
-  /** An answer proves a restart. */
+  /** Counts an answer that proves a restart. */
   void onRestartConfirmed() {
     restartsConfirmed++;
   }
 
-  /** An answer does not exclude a suspected restart. */
+  /** Counts an answer that does not exclude a suspected restart. */
   void onRestartPresumed() {
     restartsPresumed++;
   }
 
-  /** An answer excludes a suspected restart. */
+  /** Counts an answer that excludes a suspected restart. */
   void onRestartRefuted() {
     restartsRefuted++;
   }
@@ -120,7 +120,7 @@
     return allowed;
   }
 
-  /** What was counted in this term. */
+  /** Returns this term's counts as name=value pairs. */
   String summary() {
     return "tasks_found_twice="
         + tasksFoundTwice
--- a/src/main/java/org/astershift/scheduler/RemovedMachines.java
+++ b/src/main/java/org/astershift/scheduler/RemovedMachines.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Machines that are provably gone: lists and delayed heartbeats may still name them. */
+/**
+ * Tracks machines that are provably gone, because machine lists and delayed heartbeats may still
+ * name them.
+ */
 final class RemovedMachines {
-  /** The longest delay of a heartbeat on the network. */
+  /** Longest delay of a heartbeat in the network. */
   private static final long LATE_HEARTBEAT_MS = 180_000;
 
   private final long keepMs;
@@ -27,12 +30,12 @@
     return removedMsByMachine.containsKey(machineName);
   }
 
-  /** The machine's record is to be dropped. */
+  /** Requests that the machine's record be deleted. */
   void requestDeregistration(Machine machine) {
     deregistrations.add(new Decision.DeregisterMachine(machine.name, machine.address));
   }
 
-  /** Deregistrations since the last call. */
+  /** Returns and clears the deregistrations requested since the last call. */
   List<Decision.DeregisterMachine> drainDeregistrations() {
     List<Decision.DeregisterMachine> drained = new ArrayList<>(deregistrations);
     deregistrations.clear();
--- a/src/main/java/org/astershift/scheduler/SilenceEvidence.java
+++ b/src/main/java/org/astershift/scheduler/SilenceEvidence.java
@@ -1,13 +1,16 @@
 package org.astershift.scheduler;
 
-/** What is known of one machine whose heartbeats are missing. */
+/** Evaluates what is known about a machine whose heartbeats are missing. */
 final class SilenceEvidence {
-  /** Unanswered direct commands after which an inherited machine may be released early. */
+  /**
+   * Number of unanswered direct commands after which an unreconciled machine may be released early.
+   */
   private static final int FENCE_TRIES = 2;
 
   /**
-   * Silence after which an inherited machine that left these unanswered may be released, if few are
-   * unreconciled: until it is gone, no inherited job goes on.
+   * Silence after which an unreconciled machine that left {@link #FENCE_TRIES} direct commands
+   * unanswered may be released early, provided that few machines are unreconciled. No inherited job
+   * continues until such a machine is gone.
    */
   private static final long FENCE_TIMEOUT_MS = 2200;
 
@@ -17,7 +20,7 @@
     this.cluster = cluster;
   }
 
-  /** Whether the machine has sent nothing for longer than allowed, though it was probed. */
+  /** Returns whether the machine has sent nothing for too long, even though it was probed. */
   boolean isSilent(Machine machine, long nowMs) {
     if (machine.state == Machine.State.UNRECONCILED
         && machine.directCommands.unansweredCount() >= FENCE_TRIES
@@ -25,7 +28,7 @@
         && cluster.hasFewUnreconciledMachines()) {
       return true;
     }
-    // Only after a failed probe: a busy leader may not have come to probe healthy machines yet.
+    // Requires a failed probe: a busy leader may not have probed healthy machines yet.
     return machine.state != Machine.State.BOOTING
         && cluster.heartbeatTiming.silenceMs(machine, nowMs)
             > cluster.heartbeatTiming.releaseTimeoutMs()
@@ -33,8 +36,9 @@
   }
 
   /**
-   * Whether a probe of the machine failed. While another node may lead and get its heartbeats, a
-   * command lost before the heartbeats stopped does not count: it may have met a restart.
+   * Returns whether a probe of the machine failed. While another node may be the leader and receive
+   * the machine's heartbeats, a command lost before the heartbeats stopped does not count, because
+   * the machine may have been restarting at that time.
    */
   private boolean hasUnansweredProbe(Machine machine, long nowMs) {
     return cluster.incarnations.isLeaseUncertain(nowMs)
@@ -42,12 +46,15 @@
         : machine.directCommands.unansweredCount() > 0;
   }
 
-  /** Whether some peer has reached the machine lately. */
+  /** Returns whether a valid probe result says that a peer reached the machine. */
   boolean isReachedByPeers(Machine machine, long nowMs) {
     return machine.peerProbeResults.isReached(machine.lastContactMs(), nowMs);
   }
 
-  /** Whether no peer could reach the machine lately, at a time that excludes a restart. */
+  /**
+   * Returns whether a valid probe result says that no peer reached the machine, in a probe late
+   * enough that a restart of the machine cannot explain the failure.
+   */
   boolean isUnreachedByPeers(Machine machine, long nowMs) {
     return machine.peerProbeResults.isUnreached(
         cluster.heartbeatTiming.restartExcludedFromMs(machine), nowMs);
--- a/src/main/java/org/astershift/scheduler/ZoneHealth.java
+++ b/src/main/java/org/astershift/scheduler/ZoneHealth.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts of a zone's machines that should send heartbeats, and of those that do not. */
+/** Counts a zone's machines that should send heartbeats, and those that are not doing so. */
 final class ZoneHealth {
-  /** Silent machines of one zone that peers probe before the whole zone counts as unreached. */
+  /** Number of silent machines of a zone that peers probe before the zone counts as unreached. */
   static final int PEER_PROBE_ZONE_SAMPLE_MACHINES = 24;
 
-  /** Share of a zone's machines that are silent from which the zone counts as partitioned. */
+  /** Minimum share of silent machines in a zone for the zone to count as partitioned. */
   private static final double ZONE_PARTITION_SHARE = 0.6;
 
   private int machineCount;
@@ -19,7 +19,7 @@
   private int unreachedCount;
   private int reachedCount;
 
-  /** Counts all machines of the cluster. */
+  /** Counts all machines of the cluster by zone name. */
   static Map<String, ZoneHealth> countByZone(
       ClusterState cluster, SilenceEvidence evidence, long nowMs) {
     Map<String, ZoneHealth> zonesByName = new HashMap<>();
@@ -55,33 +55,39 @@
     return overdueCount;
   }
 
-  /** Overdue machines, seen by this leader before, that left a command unanswered. */
+  /**
+   * Returns the number of overdue machines that left a direct command unanswered and that this
+   * leader has seen before.
+   */
   int unansweredSeenCount() {
     return unansweredSeenCount;
   }
 
-  /** The same of machines that this leader has never seen. */
+  /**
+   * Returns the number of overdue machines that left a direct command unanswered and that this
+   * leader has never seen.
+   */
   int unansweredUnseenCount() {
     return unansweredUnseenCount;
   }
 
-  /** Overdue machines that some peer has reached lately. */
+  /** Returns the number of overdue machines that a peer recently reached. */
   int reachedCount() {
     return reachedCount;
   }
 
-  /** Overdue machines that peers have probed lately, with either result. */
+  /** Returns the number of overdue machines that peers recently probed, with either result. */
   int probedCount() {
     return unreachedCount + reachedCount;
   }
 
-  /** Whether most of the zone is silent. */
+  /** Returns whether most of the zone's machines are silent. */
   boolean isMostlySilent() {
     return silentCount > FleetAssessment.SILENT_FEW_MACHINES
         && silentCount >= machineCount * ZONE_PARTITION_SHARE;
   }
 
-  /** Whether peers probed enough of the zone's machines and reached none. */
+  /** Returns whether peers probed enough of the mostly silent zone's machines and reached none. */
   boolean isConfirmedByPeers() {
     return isMostlySilent()
         && reachedCount == 0
