--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -96,7 +96,7 @@
   }
 
   private Response readiness() {
-    return controller.ready()
+    return controller.isReady()
         ? Response.of(200, Map.of("ready", true))
         : Response.error(503, "starting");
   }
--- a/src/main/java/org/astershift/controller/CloudBackoff.java
+++ b/src/main/java/org/astershift/controller/CloudBackoff.java
@@ -5,8 +5,8 @@
   private CloudBackoff() {}
 
   /** Whether the term still wants its cloud calls repeated: not after an interrupt either. */
-  static boolean mayRepeat(LeaderTerm term) {
-    return !term.ended() && !Thread.currentThread().isInterrupted();
+  static boolean shouldContinue(LeaderTerm term) {
+    return !term.hasEnded() && !Thread.currentThread().isInterrupted();
   }
 
   /** Keeps the interrupt status, which ends the loop. */
--- a/src/main/java/org/astershift/controller/CloudPoller.java
+++ b/src/main/java/org/astershift/controller/CloudPoller.java
@@ -49,7 +49,7 @@
   /** Polls until the term is over or its thread is interrupted. */
   void pollLoop(LeaderTerm term) {
     long typesFetchedMs = 0;
-    while (CloudBackoff.mayRepeat(term)) {
+    while (CloudBackoff.shouldContinue(term)) {
       try {
         long nowMs = LeaderTerm.nowMs();
         if (typesFetchedMs == 0 || nowMs - typesFetchedMs > LoopTiming.MACHINE_TYPES_INTERVAL_MS) {
@@ -86,7 +86,7 @@
     if (changed || watchCache.get(RecordCodec.TYPES) == null) {
       StoreClient.Transaction txn =
           term.transaction().put(RecordCodec.TYPES, RecordCodec.encodeTypes(fetchedTypes));
-      term.checkLeadershipLost(
+      term.stepDownIfLeadershipLost(
           store.commit(txn, RateLimiter.Urgency.INTERACTIVE, StoreClient.STORE_RATE_WAIT_MS));
     }
   }
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -69,11 +69,11 @@
 
   private void provisionUntilAnswered(
       LeaderTerm term, String name, Decision.ProvisionMachines request) {
-    while (CloudBackoff.mayRepeat(term) && !tryProvision(term, name, request)) {
+    while (CloudBackoff.shouldContinue(term) && !tryProvision(term, name, request)) {
       CloudBackoff.sleep();
     }
-    if (CloudBackoff.mayRepeat(term)) {
-      term.records.remove(LeaderRecords.RecordKind.RENTAL, name, LeaderRecords.DEREGISTER_DELAY_MS);
+    if (CloudBackoff.shouldContinue(term)) {
+      term.records.remove(LeaderRecords.RecordKind.RENTAL, name, LeaderRecords.REMOVAL_DELAY_MS);
     }
   }
 
@@ -108,7 +108,7 @@
       Decision.RegisterMachine machine =
           new Decision.RegisterMachine(
               machineName, null, request.typeName(), request.zone(), request.spot(), true);
-      term.records.putNew(
+      term.records.putIfAbsent(
           LeaderRecords.RecordKind.MACHINE, machineName, RecordCodec.encodeMachine(machine));
     }
     term.scheduler.onMachinesProvisioned(name, machineNames, request);
--- a/src/main/java/org/astershift/controller/CommandDispatcher.java
+++ b/src/main/java/org/astershift/controller/CommandDispatcher.java
@@ -40,7 +40,7 @@
 
   /** Sends now, in the caller's thread, if that is still wanted. */
   void send(LeaderTerm term, Decision.SendCommands request) {
-    if (term.ended() || !term.scheduler.directCommandsStillDue(request)) {
+    if (term.hasEnded() || !term.scheduler.directCommandsStillDue(request)) {
       return;
     }
     CommandSender.Result result = new CommandSender.Result(true, null);
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -77,9 +77,10 @@
     if (outcome instanceof Outcome.Committed) {
       ends.forEach((jobId, end) -> onEndPersisted(term, jobId, end));
       requestPass.run();
-    } else if (outcome instanceof Outcome.ConditionFailed && !term.checkLeadershipLost(outcome)) {
+    } else if (outcome instanceof Outcome.ConditionFailed
+        && !term.stepDownIfLeadershipLost(outcome)) {
       ends.keySet().forEach(term.termJobs()::onEndWriteRejected);
-      persistSingly(term, ends.keySet());
+      persistIndividually(term, ends.keySet());
     } else {
       if (outcome instanceof Outcome.Rejected) {
         ends.keySet().forEach(term.termJobs()::onEndWriteRejected);
@@ -89,7 +90,7 @@
   }
 
   /** One of them was cancelled meanwhile, or an earlier attempt without an answer was applied. */
-  private void persistSingly(LeaderTerm term, Collection<String> jobIds)
+  private void persistIndividually(LeaderTerm term, Collection<String> jobIds)
       throws InterruptedException {
     for (String jobId : jobIds) {
       if (persistEnd(term, jobId, false, StoreClient.STORE_RATE_WAIT_MS) == null) {
@@ -99,7 +100,7 @@
   }
 
   private static void retryLater(LeaderTerm term, Collection<String> jobIds) {
-    if (!term.ended()) {
+    if (!term.hasEnded()) {
       Threads.backOff();
       term.scheduler.onFinishFailed(jobIds);
     }
@@ -154,7 +155,7 @@
     if (outcome instanceof Outcome.ConditionFailed || outcome instanceof Outcome.Rejected) {
       term.termJobs().onEndWriteRejected(jobId);
     }
-    if (outcome instanceof Outcome.ConditionFailed && !term.checkLeadershipLost(outcome)) {
+    if (outcome instanceof Outcome.ConditionFailed && !term.stepDownIfLeadershipLost(outcome)) {
       end = readEnd(jobId);
     } else if (!(outcome instanceof Outcome.Committed)) {
       end = null;
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -27,7 +27,7 @@
   private final StoreReachability storeReachability = new StoreReachability();
   private volatile ObservedLeader observedLeader;
   private volatile boolean isolated;
-  private boolean storeSilent;
+  private boolean storeWasUnavailable;
 
   /** The leader as a peer reports it; {@code node} empty if nobody leads. */
   private record ObservedLeader(String node, long token) {
@@ -40,7 +40,7 @@
   }
 
   /** What the peers say: how many answered, and the first that the store responds to, or null. */
-  private record PeerReports(int answered, String servedPeer, ObservedLeader leader) {}
+  private record PeerReports(int answered, String peerWithStore, ObservedLeader leader) {}
 
   ConnectivityMonitor(
       StoreClient store,
@@ -59,7 +59,7 @@
   }
 
   /** Whether the store responds to a peer and not to this node, or nobody responds to it. */
-  boolean partitionedFromStore() {
+  boolean isPartitionedFromStore() {
     return observedLeader != null || isolated;
   }
 
@@ -96,39 +96,39 @@
     while (true) {
       Thread.sleep(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS);
       if (store.unavailable()) {
-        onStoreSilent();
+        onStoreUnavailable();
       } else {
-        onStoreServed();
+        onStoreAvailable();
         transferCheck.run();
       }
     }
   }
 
-  private void onStoreServed() {
-    if (storeSilent) {
+  private void onStoreAvailable() {
+    if (storeWasUnavailable) {
       LOG.info("store responds again, node={}", runtime.node());
     }
-    storeSilent = false;
+    storeWasUnavailable = false;
     observedLeader = null;
     isolated = false;
-    storeReachability.onServed();
+    storeReachability.onStoreResponded();
   }
 
-  private void onStoreSilent() {
+  private void onStoreUnavailable() {
     PeerReports reports = queryPeers();
     ObservedLeader reported = reports.leader();
     logIfChanged(reports);
-    storeSilent = true;
+    storeWasUnavailable = true;
     observedLeader = reported;
     boolean wasIsolated = isolated;
     isolated =
-        storeReachability.onPeersAsked(
+        storeReachability.onPeersQueried(
                 peers.size(), reports.answered(), reported != null, LeaderTerm.nowMs())
             == StoreReachability.Verdict.ISOLATED;
     if (isolated && !wasIsolated) {
       LOG.info("neither store nor peers respond: not ready, node={}", runtime.node());
     }
-    if (reported != null && !keepsTermBeside(reported)) {
+    if (reported != null && !keepsTermDespite(reported)) {
       runtime.onLeaderObserved(reported.token());
     }
   }
@@ -152,7 +152,7 @@
   }
 
   private void logIfChanged(PeerReports reports) {
-    if (storeSilent && (reports.leader() == null) == (observedLeader == null)) {
+    if (storeWasUnavailable && (reports.leader() == null) == (observedLeader == null)) {
       return;
     }
     if (reports.leader() == null) {
@@ -161,7 +161,7 @@
       LOG.info(
           "store responds to a peer only: not ready, node={} peer={}",
           runtime.node(),
-          reports.servedPeer());
+          reports.peerWithStore());
     }
   }
 
@@ -170,7 +170,7 @@
    * and this one reaches them: it goes on answering under its token, so that their leases and tasks
    * live on. That is safe, since a worker that has seen the later token drops what comes from here.
    */
-  private boolean keepsTermBeside(ObservedLeader laterLeader) {
+  private boolean keepsTermDespite(ObservedLeader laterLeader) {
     LeaderTerm term = runtime.currentTerm();
     JobService.PeerChannel peer = peers.get(laterLeader.node());
     if (term == null || laterLeader.token() <= term.token || peer == null) {
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -88,8 +88,8 @@
   }
 
   /** Whether this node should get users' requests. */
-  public boolean ready() {
-    return watchCache.loaded() && !connectivity.partitionedFromStore();
+  public boolean isReady() {
+    return watchCache.loaded() && !connectivity.isPartitionedFromStore();
   }
 
   /** The leader's key as far as known here, or null. */
@@ -126,7 +126,7 @@
   /** The other node that leads, as far as known here, or null. */
   public String otherLeader() {
     String leader =
-        connectivity.partitionedFromStore() ? connectivity.reportedLeader() : elector.leader();
+        connectivity.isPartitionedFromStore() ? connectivity.reportedLeader() : elector.leader();
     return settings.nodeName().equals(leader) ? null : leader;
   }
 
@@ -141,8 +141,8 @@
   }
 
   /** Whether no other node can have become leader since this term began. */
-  boolean leaseCertain(LeaderTerm term) {
-    return elector.leaseCertain(term.token);
+  boolean isLeaseCertain(LeaderTerm term) {
+    return elector.isLeaseCertain(term.token);
   }
 
   EndedJobCache endedJobs() {
@@ -314,8 +314,8 @@
     }
 
     @Override
-    public boolean leaseCertain() {
-      return elector.leaseCertain(token);
+    public boolean isLeaseCertain() {
+      return elector.isLeaseCertain(token);
     }
 
     @Override
--- a/src/main/java/org/astershift/controller/DecisionExecutor.java
+++ b/src/main/java/org/astershift/controller/DecisionExecutor.java
@@ -93,9 +93,7 @@
       commands.disconnect(decision.address());
     }
     term.records.remove(
-        LeaderRecords.RecordKind.MACHINE,
-        decision.machineName(),
-        LeaderRecords.DEREGISTER_DELAY_MS);
+        LeaderRecords.RecordKind.MACHINE, decision.machineName(), LeaderRecords.REMOVAL_DELAY_MS);
   }
 
   @Override
--- a/src/main/java/org/astershift/controller/JobCanceller.java
+++ b/src/main/java/org/astershift/controller/JobCanceller.java
@@ -105,7 +105,7 @@
           ended,
           mayForward,
           term != null,
-          term != null && !term.ended() && runtime.leaseCertain(term),
+          term != null && !term.hasEnded() && runtime.isLeaseCertain(term),
           managed,
           storeRead,
           state.fenced(),
--- a/src/main/java/org/astershift/controller/JobLookup.java
+++ b/src/main/java/org/astershift/controller/JobLookup.java
@@ -34,7 +34,7 @@
   }
 
   /** What the leader says, or else the store. */
-  JobAnswer queryLeader(String jobId) {
+  JobAnswer queryLeaderOrStore(String jobId) {
     JobAnswer answer = askLeader(PeerOperation.POLL_JOB, jobId);
     return answer.undecided() ? queryStore(jobId) : answer;
   }
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -40,7 +40,7 @@
     this.endedJobs = runtime.endedJobs();
     JobLookup lookup = new JobLookup(runtime, store, peers);
     this.canceller = new JobCanceller(runtime, lookup);
-    this.leaderQueries = new RequestCoalescer<>(lookup::queryLeader);
+    this.leaderQueries = new RequestCoalescer<>(lookup::queryLeaderOrStore);
     this.storeQueries = new RequestCoalescer<>(lookup::queryStore);
   }
 
@@ -63,7 +63,8 @@
     }
     RecordCodec.JobRecord record = new RecordCodec.JobRecord(spec, System.currentTimeMillis());
     Outcome outcome =
-        store.commit(acceptance(record), RateLimiter.Urgency.INTERACTIVE, ACCEPT_RATE_WAIT_MS);
+        store.commit(
+            buildAcceptTransaction(record), RateLimiter.Urgency.INTERACTIVE, ACCEPT_RATE_WAIT_MS);
     if (outcome instanceof Outcome.Committed committed) {
       return onAccepted(record, committed.revision());
     }
@@ -75,7 +76,7 @@
   }
 
   /** Commits only if the id was never accepted. */
-  private static StoreClient.Transaction acceptance(RecordCodec.JobRecord record) {
+  private static StoreClient.Transaction buildAcceptTransaction(RecordCodec.JobRecord record) {
     String key = RecordCodec.JOB + record.spec().id();
     return new StoreClient.Transaction()
         .when(key, 0)
@@ -97,7 +98,7 @@
     LeaderTerm term = end == null ? runtime.currentTerm() : null;
     Scheduler.JobProgress progress = term == null ? null : term.progressIfCurrent(jobId);
     // Checked after the progress was read: the lease was certain then, too.
-    boolean leaseCertain = progress != null && runtime.leaseCertain(term);
+    boolean leaseCertain = progress != null && runtime.isLeaseCertain(term);
     JobQuery.View view =
         new JobQuery.View(end != null, term != null, progress != null, leaseCertain, mayForward);
     JobAnswer answer =
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -66,8 +66,8 @@
   }
 
   /** Whether no other node can have become leader yet. */
-  public boolean leaseCertain(long termToken) {
-    return election.leaseCertain(termToken, LeaderTerm.nowMs());
+  public boolean isLeaseCertain(long termToken) {
+    return election.isLeaseCertain(termToken, LeaderTerm.nowMs());
   }
 
   /** Steady-clock milliseconds before which no other node can have become leader. */
--- a/src/main/java/org/astershift/controller/LeaderRecords.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -35,7 +35,7 @@
   private static final double PAGE_VALUE_SHARE = 0.75;
 
   /** Milliseconds that the deletion of an entry may wait for other changes of its page. */
-  static final long DEREGISTER_DELAY_MS = 1000;
+  static final long REMOVAL_DELAY_MS = 1000;
 
   /** What an entry is about. Pages hold one kind, so that what changes often is written alone. */
   enum RecordKind {
@@ -88,7 +88,7 @@
       String suffix = entry.key().substring(RecordCodec.PAGES.length());
       for (RecordKind kind : RecordKind.values()) {
         if (suffix.charAt(0) == kind.letter && suffix.substring(1).matches("[0-9]{1,6}")) {
-          RecordPage page = pageAt(kind, Integer.parseInt(suffix.substring(1)));
+          RecordPage page = getOrCreatePage(kind, Integer.parseInt(suffix.substring(1)));
           page.revision = entry.revision();
           entry.data().forEach((key, value) -> setEntry(page, key, value));
         }
@@ -96,7 +96,7 @@
     }
   }
 
-  private RecordPage pageAt(RecordKind kind, int number) {
+  private RecordPage getOrCreatePage(RecordKind kind, int number) {
     List<RecordPage> pagesOfKind = pages.get(kind);
     while (pagesOfKind.size() <= number) {
       pagesOfKind.add(new RecordPage(kind, pagesOfKind.size()));
@@ -159,7 +159,7 @@
    * Sets an entry that does not exist yet. A machine whose heartbeat came before its rental's
    * answer may have tasks by then: recorded as new once more, a successor would take it for empty.
    */
-  synchronized void putNew(RecordKind kind, String key, Object value) {
+  synchronized void putIfAbsent(RecordKind kind, String key, Object value) {
     if (!pageByKey.get(kind).containsKey(key)) {
       put(kind, key, value, 0);
     }
@@ -171,7 +171,7 @@
         return page;
       }
     }
-    return pageAt(kind, pages.get(kind).size());
+    return getOrCreatePage(kind, pages.get(kind).size());
   }
 
   /** Removes an entry, to be written after {@code delayMs} at the latest. */
@@ -234,7 +234,7 @@
   }
 
   /** For the writer: progress may be deferred in favour of other writes, but not for ever. */
-  synchronized boolean deferrable(RecordPage page) {
+  synchronized boolean isDeferrable(RecordPage page) {
     boolean overdue = LeaderTerm.nowMs() - page.oldestChangeMs > PROGRESS_WRITE_MAX_DELAY_MS;
     return page.kind == RecordKind.PROGRESS && !overdue;
   }
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -48,7 +48,7 @@
     this.host = host;
   }
 
-  boolean ended() {
+  boolean hasEnded() {
     return scheduler.closed();
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** Whether the outcome shows that another controller leads, which ends the term. */
-  boolean checkLeadershipLost(StoreClient.Outcome outcome) {
+  boolean stepDownIfLeadershipLost(StoreClient.Outcome outcome) {
     if (outcome instanceof StoreClient.Outcome.ConditionFailed conflict
         && conflict.keys().contains(RecordCodec.LEADER)) {
       onLeadershipLost();
@@ -275,9 +275,9 @@
   }
 
   private void deleteRecords(String jobId) {
-    records.remove(LeaderRecords.RecordKind.OPENED, jobId, LeaderRecords.DEREGISTER_DELAY_MS);
+    records.remove(LeaderRecords.RecordKind.OPENED, jobId, LeaderRecords.REMOVAL_DELAY_MS);
     for (String key : records.keysWithPrefix(LeaderRecords.RecordKind.PROGRESS, jobId + "/")) {
-      records.remove(LeaderRecords.RecordKind.PROGRESS, key, LeaderRecords.DEREGISTER_DELAY_MS);
+      records.remove(LeaderRecords.RecordKind.PROGRESS, key, LeaderRecords.REMOVAL_DELAY_MS);
     }
   }
 
--- a/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
+++ b/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
@@ -34,7 +34,7 @@
     }
     double share = observedShare.getAsDouble();
     Candidacy.LeadershipTransfer transfer =
-        candidacy.handOverTarget(
+        candidacy.decideTransfer(
             share, queryPeers(), peers.size(), term.beganMs, LeaderTerm.nowMs());
     if (transfer == null) {
       Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS); // the peers measure no faster
--- a/src/main/java/org/astershift/controller/LockedScheduler.java
+++ b/src/main/java/org/astershift/controller/LockedScheduler.java
@@ -105,7 +105,7 @@
    */
   List<Command> commandsStillWanted(Decision.SendCommands request) {
     synchronized (lock) {
-      return scheduler.commandsStillWanted(request, host.leaseCertain());
+      return scheduler.commandsStillWanted(request, host.isLeaseCertain());
     }
   }
 
--- a/src/main/java/org/astershift/controller/MachineReleaser.java
+++ b/src/main/java/org/astershift/controller/MachineReleaser.java
@@ -33,7 +33,7 @@
   }
 
   private void send(LeaderTerm term, Decision.ReleaseMachines request) {
-    if (term.ended()) {
+    if (term.hasEnded()) {
       return;
     }
     try {
--- a/src/main/java/org/astershift/controller/PassLoop.java
+++ b/src/main/java/org/astershift/controller/PassLoop.java
@@ -44,7 +44,7 @@
 
   /** Runs passes until the term ends. */
   void run() throws InterruptedException {
-    while (!term.ended()) {
+    while (!term.hasEnded()) {
       signal.await(LoopTiming.PASS_INTERVAL_MS);
       long beganNs = System.nanoTime();
       long stalledMs = LeaderTerm.nowMs() - dueMs;
@@ -55,7 +55,7 @@
         LOG.error("scheduling pass failed, token={}", term.token, e);
         Threads.backOff();
       }
-      rest((System.nanoTime() - beganNs) / 1_000_000);
+      pause((System.nanoTime() - beganNs) / 1_000_000);
     }
   }
 
@@ -118,7 +118,7 @@
    * Rests in proportion to the pass, so that heartbeats and responses come first where processor
    * time is short; bounded while machines of an earlier leader are still unreconciled.
    */
-  private void rest(long passMs) throws InterruptedException {
+  private void pause(long passMs) throws InterruptedException {
     totalPassMs += passMs;
     longestPassMs = Math.max(longestPassMs, passMs);
     long restMs = Math.max(LoopTiming.PASS_MIN_GAP_MS, passMs * LoopTiming.PASS_REST_FACTOR);
--- a/src/main/java/org/astershift/controller/PeerProbes.java
+++ b/src/main/java/org/astershift/controller/PeerProbes.java
@@ -50,18 +50,19 @@
     machines.addAll(request.controls());
     StringJoiner addresses = new StringJoiner(" ");
     machines.forEach(m -> addresses.add(m.address()));
-    Round round = new Round(onResults, peers.size());
+    ProbeRound round = new ProbeRound(onResults, peers.size());
     if (peers.isEmpty()) {
       onResults.accept(List.of());
     }
     for (JobService.PeerChannel peer : peers) {
       // Also a failed request counts: the leader waits for the last one.
-      pool.execute("peer-probe", () -> round.add(ask(peer, machines, addresses.toString())));
+      pool.execute(
+          "peer-probe", () -> round.add(probeThrough(peer, machines, addresses.toString())));
     }
   }
 
   /** Null if the peer could not tell. */
-  private static Decision.PeerProbeResult ask(
+  private static Decision.PeerProbeResult probeThrough(
       JobService.PeerChannel peer, List<Decision.MachineAddress> machines, String addresses) {
     try {
       JobAnswer answer =
@@ -102,12 +103,12 @@
   }
 
   /** The answers of all peers to one request. */
-  private static final class Round {
+  private static final class ProbeRound {
     private final Consumer<List<Decision.PeerProbeResult>> onResults;
     private final List<Decision.PeerProbeResult> results = new ArrayList<>();
     private int remaining;
 
-    Round(Consumer<List<Decision.PeerProbeResult>> onResults, int peerCount) {
+    ProbeRound(Consumer<List<Decision.PeerProbeResult>> onResults, int peerCount) {
       this.onResults = onResults;
       this.remaining = peerCount;
     }
--- a/src/main/java/org/astershift/controller/ProgressSaver.java
+++ b/src/main/java/org/astershift/controller/ProgressSaver.java
@@ -14,7 +14,7 @@
 
   /** Saves at intervals until the term ends. */
   static void saveLoop(LeaderTerm term) throws InterruptedException {
-    while (!term.ended()) {
+    while (!term.hasEnded()) {
       Thread.sleep(LoopTiming.PROGRESS_SAVE_INTERVAL_MS);
       try {
         Map<String, BitSet> unsaved = term.scheduler.drainUnpersistedProgress();
--- a/src/main/java/org/astershift/controller/RecordWriter.java
+++ b/src/main/java/org/astershift/controller/RecordWriter.java
@@ -82,7 +82,7 @@
       } else if (page.revision > 0) {
         txn.delete(page.key);
       }
-      if (!records.deferrable(page)) {
+      if (!records.isDeferrable(page)) {
         urgency = RateLimiter.Urgency.INTERACTIVE;
       }
     }
--- a/src/main/java/org/astershift/controller/TermHost.java
+++ b/src/main/java/org/astershift/controller/TermHost.java
@@ -6,7 +6,7 @@
   long leaseCertainUntilMs();
 
   /** Whether no other controller can have become leader since the term began. */
-  boolean leaseCertain();
+  boolean isLeaseCertain();
 
   /** Ends the term: another leader is certain, or the term cannot go on. */
   void stepDown(String reason);
--- a/src/main/java/org/astershift/coordination/Candidacy.java
+++ b/src/main/java/org/astershift/coordination/Candidacy.java
@@ -17,7 +17,7 @@
  */
 public final class Candidacy {
   /** By how much a peer's reached share must exceed the leader's for a transfer. */
-  private static final double REACHABILITY_HANDOVER_SHARE = 0.3;
+  private static final double TRANSFER_MIN_GAIN_SHARE = 0.3;
 
   /**
    * Milliseconds for which a controller that reaches few workers leaves the election to the others,
@@ -26,13 +26,13 @@
   static final long CANDIDACY_DELAY_MS = 3000;
 
   /** Shortest age of a term that its leader transfers, milliseconds. */
-  static final long HANDOVER_MIN_TERM_MS = 8000;
+  static final long TRANSFER_MIN_TERM_MS = 8000;
 
   /** Shortest time between two resignations, milliseconds, if no other leader came between. */
   static final long RESIGN_MIN_INTERVAL_MS = 60_000;
 
   private final Map<String, Long> lastLedMs = new HashMap<>();
-  private long freeSinceMs = -1;
+  private long keyAbsentSinceMs = -1;
   private long deferredMs = Long.MIN_VALUE / 2;
 
   /** What a peer reports of itself; {@code storeAvailable}: the store responds to it. */
@@ -43,17 +43,17 @@
 
   /** The leader's key names this controller. */
   public synchronized void onHolderObserved(String node, long nowMs) {
-    freeSinceMs = -1;
+    keyAbsentSinceMs = -1;
     lastLedMs.put(node, nowMs);
   }
 
   /** The key does not exist: whether this controller becomes a candidate now. */
-  public synchronized boolean shouldStand(Measurement own, long nowMs) {
-    if (freeSinceMs < 0) {
-      freeSinceMs = nowMs;
+  public synchronized boolean shouldBecomeCandidate(Measurement own, long nowMs) {
+    if (keyAbsentSinceMs < 0) {
+      keyAbsentSinceMs = nowMs;
     }
     boolean deferring = nowMs - deferredMs < CANDIDACY_DELAY_MS;
-    return !deferring && nowMs - freeSinceMs >= (own.reachesFew() ? CANDIDACY_DELAY_MS : 0);
+    return !deferring && nowMs - keyAbsentSinceMs >= (own.reachesFew() ? CANDIDACY_DELAY_MS : 0);
   }
 
   /** The leader announces a transfer to another controller than this one. */
@@ -66,9 +66,9 @@
    * stays. {@code statuses}: of those of the {@code peerCount} that answered; {@code termBeganMs}:
    * the term must have lasted a while, so that an unstable link does not move the leadership often.
    */
-  public synchronized LeadershipTransfer handOverTarget(
+  public synchronized LeadershipTransfer decideTransfer(
       double visibleShare, List<PeerStatus> statuses, int peerCount, long termBeganMs, long nowMs) {
-    if (peerCount == 0 || nowMs - termBeganMs < HANDOVER_MIN_TERM_MS) {
+    if (peerCount == 0 || nowMs - termBeganMs < TRANSFER_MIN_TERM_MS) {
       return null;
     }
     PeerStatus best = null;
@@ -76,7 +76,7 @@
       boolean better =
           status.storeAvailable()
               && status.workerReachability().reachesEnough()
-              && status.workerReachability().share() >= visibleShare + REACHABILITY_HANDOVER_SHARE;
+              && status.workerReachability().share() >= visibleShare + TRANSFER_MIN_GAIN_SHARE;
       if (better
           && (best == null
               || status.workerReachability().share() > best.workerReachability().share())) {
--- a/src/main/java/org/astershift/coordination/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -11,7 +11,7 @@
  * One controller's part in the leader election. The leader holds one key of the store on a lease;
  * its fencing token is the revision at which the key was created, so a later leader has a higher
  * one. A process never inherits its predecessor's key. Once the lease may have expired, the leader
- * is no longer {@link #leaseCertain} and answers nothing that another leader could contradict; it
+ * is no longer {@link #isLeaseCertain} and answers nothing that another leader could contradict; it
  * leads on until it sees another leader.
  *
  * <p>The caller gets the next {@link Action}, carries it out, reports the outcome, and repeats. The
@@ -44,10 +44,10 @@
   private Step step = Step.FOLLOWER;
   private long leaseCertainUntilMs = Long.MIN_VALUE / 2;
   private long resignAllowedMs = Long.MIN_VALUE / 2;
-  private long contestAllowedMs = Long.MIN_VALUE / 2;
+  private long candidacyAllowedMs = Long.MIN_VALUE / 2;
 
   /** This process was a candidate: a key with its node's name may be its own. */
-  private boolean triedToLead;
+  private boolean wasCandidate;
 
   /** Another controller has led since this one resigned. */
   private boolean otherLedSinceResigning;
@@ -143,7 +143,7 @@
   }
 
   /** Whether no other controller can have become leader since this term began. */
-  public synchronized boolean leaseCertain(long termToken, long nowMs) {
+  public synchronized boolean isLeaseCertain(long termToken, long nowMs) {
     return token == termToken && termToken != 0 && nowMs < leaseCertainUntilMs;
   }
 
@@ -158,9 +158,9 @@
       return pendingActions.poll();
     }
     return switch (step) {
-      case FOLLOWER -> contest(view);
+      case FOLLOWER -> nextAsFollower(view);
       case LEASE_GRANTED -> {
-        triedToLead = true;
+        wasCandidate = true;
         yield new Action.CreateKey(lease);
       }
       case CREATION_UNKNOWN -> {
@@ -168,15 +168,15 @@
         yield new Action.VerifyKey(lease);
       }
       case KEY_CREATED -> new Action.CatchUp(createdRevision);
-      case LEADER -> renewal(view);
+      case LEADER -> nextAsLeader(view);
     };
   }
 
-  private Action contest(View view) {
+  private Action nextAsFollower(View view) {
     if (view.storeSilenceMs() > STORE_KEEPALIVE_MS) {
       return new Action.ReadKey();
     }
-    if (!view.cacheLoaded() || view.nowMs() < contestAllowedMs) {
+    if (!view.cacheLoaded() || view.nowMs() < candidacyAllowedMs) {
       return new Action.Wait();
     }
     if (view.holder() != null) {
@@ -185,11 +185,11 @@
       deferralReported = false;
       otherLedSinceResigning |= !ownKey;
       // A key of this node's previous process, which is dead, since this one has its addresses.
-      return ownKey && !triedToLead
+      return ownKey && !wasCandidate
           ? new Action.RemoveStaleKey(view.holder().revision())
           : new Action.Wait();
     }
-    if (!candidacy.shouldStand(view.workerReachability(), view.nowMs())) {
+    if (!candidacy.shouldBecomeCandidate(view.workerReachability(), view.nowMs())) {
       boolean alreadyReported = deferralReported;
       deferralReported = true;
       return alreadyReported ? new Action.Wait() : new Action.Defer(view.workerReachability());
@@ -199,7 +199,7 @@
     return new Action.GrantLease(LEADER_LEASE_MS);
   }
 
-  private Action renewal(View view) {
+  private Action nextAsLeader(View view) {
     if (view.holder() == null || view.holder().revision() != token) {
       String reason = view.holder() == null ? "its key is gone" : "another leads";
       return endTerm(token, reason) ? pendingActions.poll() : new Action.Wait();
@@ -286,7 +286,7 @@
 
   /** A term that cannot begin gives the leadership up, instead of holding it without effect. */
   public synchronized List<Action> onTermStartFailed(long termToken, long nowMs) {
-    contestAllowedMs = nowMs + RESIGN_BACKOFF_MS;
+    candidacyAllowedMs = nowMs + RESIGN_BACKOFF_MS;
     return endAndRevoke(termToken, "it could not begin");
   }
 
@@ -314,7 +314,7 @@
     }
     otherLedSinceResigning = false;
     resignAllowedMs = nowMs + Candidacy.RESIGN_MIN_INTERVAL_MS;
-    contestAllowedMs = nowMs + RESIGN_BACKOFF_MS;
+    candidacyAllowedMs = nowMs + RESIGN_BACKOFF_MS;
     return endAndRevoke(termToken, reason);
   }
 
--- a/src/main/java/org/astershift/coordination/StoreReachability.java
+++ b/src/main/java/org/astershift/coordination/StoreReachability.java
@@ -23,25 +23,25 @@
     ISOLATED
   }
 
-  private long lastAnsweredMs = -1;
+  private long lastResponseMs = -1;
 
   /** The store responds to this node. */
-  public void onServed() {
-    lastAnsweredMs = -1;
+  public void onStoreResponded() {
+    lastResponseMs = -1;
   }
 
   /**
    * The verdict after {@code peerCount} peers were asked, of which {@code answered} answered;
    * {@code peerServed}: the store responds to one of them.
    */
-  public Verdict onPeersAsked(int peerCount, int answered, boolean peerServed, long nowMs) {
+  public Verdict onPeersQueried(int peerCount, int answered, boolean peerServed, long nowMs) {
     if (peerServed) {
-      lastAnsweredMs = nowMs;
+      lastResponseMs = nowMs;
       return Verdict.PARTITIONED;
     }
-    if (lastAnsweredMs < 0 || answered > 0 || peerCount == 0) {
-      lastAnsweredMs = nowMs;
+    if (lastResponseMs < 0 || answered > 0 || peerCount == 0) {
+      lastResponseMs = nowMs;
     }
-    return nowMs - lastAnsweredMs >= ISOLATED_AFTER_MS ? Verdict.ISOLATED : Verdict.OUTAGE;
+    return nowMs - lastResponseMs >= ISOLATED_AFTER_MS ? Verdict.ISOLATED : Verdict.OUTAGE;
   }
 }
--- a/src/main/java/org/astershift/coordination/WorkerReachability.java
+++ b/src/main/java/org/astershift/coordination/WorkerReachability.java
@@ -34,7 +34,7 @@
     public static final Measurement UNKNOWN = new Measurement(0, 0);
 
     /** Whether enough machines were probed. */
-    public boolean known() {
+    public boolean isKnown() {
       return probed >= REACHABILITY_MIN_RESULTS;
     }
 
@@ -45,12 +45,12 @@
 
     /** Enough machines were probed, and nearly none answered. */
     public boolean reachesFew() {
-      return known() && share() < REACHABILITY_POOR_SHARE;
+      return isKnown() && share() < REACHABILITY_POOR_SHARE;
     }
 
     /** Enough machines were probed and answered: one that does not answer is probably gone. */
     public boolean reachesEnough() {
-      return known() && !reachesFew();
+      return isKnown() && !reachesFew();
     }
   }
 
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -52,7 +52,7 @@
     assertEquals("queued", node.jobService.poll(ID, false).phase());
     door.refuse(true);
     service.leasesEndLate(0);
-    Await.until("the lease to be over", () -> !node.runtime.leaseCertain(term));
+    Await.until("the lease to be over", () -> !node.runtime.isLeaseCertain(term));
     Await.until("its key to be gone", () -> read(RecordCodec.LEADER).data() == null);
     anotherLeads();
     endElsewhere(true);
@@ -132,7 +132,7 @@
     assertEquals(503, node.jobService.cancel(ID, true).status());
     assertNull(read(OVER).data());
     assertNotNull(read(LIVE).data());
-    Await.until("the term to be over", () -> term.ended() && node.runtime.currentTerm() == null);
+    Await.until("the term to be over", () -> term.hasEnded() && node.runtime.currentTerm() == null);
   }
 
   /** The same for notes: those of an earlier leader do not replace a later one's. */
@@ -152,7 +152,7 @@
     term.records.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
     Await.until("the late note to be decided on", () -> answered.get() > 0);
     assertFalse(service.has(RecordCodec.PAGES + "o0"));
-    Await.until("the term to be over", term::ended);
+    Await.until("the term to be over", term::hasEnded);
   }
 
   /**
@@ -195,7 +195,7 @@
     LeaderTerm term = node.leads();
     node.runtime.onTermEnd(term.token - 1, "told late");
     assertSame(term, node.runtime.currentTerm());
-    assertFalse(term.ended());
+    assertFalse(term.hasEnded());
     node.runtime.onTermBegin(term.token + 1);
     assertSame(term, node.runtime.currentTerm(), "a term that is not won does not begin");
     Heartbeat report =
@@ -205,7 +205,7 @@
         node.runtime.onHeartbeat(report, term.token - 1, LeaderTerm.nowMs()),
         "its answer would show that token");
     node.runtime.transferLeadership(term, "a test");
-    Await.until("the term to be over", term::ended);
+    Await.until("the term to be over", term::hasEnded);
     assertNull(node.runtime.onHeartbeat(report, term.token, LeaderTerm.nowMs()));
     node.runtime.onTermBegin(term.token);
     LeaderTerm next = node.runtime.currentTerm();
@@ -242,7 +242,7 @@
         new Heartbeat(
             "vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, term.token + 5, null, List.of());
     assertNull(node.runtime.onHeartbeat(later, term.token, LeaderTerm.nowMs()));
-    assertTrue(term.ended());
+    assertTrue(term.hasEnded());
   }
 
   /** A cancellation is refused and repeated: its user waits from the first time on. */
@@ -368,7 +368,7 @@
     Await.until("the job to run", () -> started().contains(ID + "/0"));
     cloud.everRented().forEach(w -> w.seenUnsaid(term.token + 1000));
     node.jobService.cancel(ID, true); // its stop goes out directly
-    Await.until("the term to be over", term::ended);
+    Await.until("the term to be over", term::hasEnded);
   }
 
   /** While the end of a cancelled job is being written, and machines come, it is not started. */
@@ -441,13 +441,13 @@
     Decision.SendCommands direct =
         new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000);
     door.refuse(true);
-    Await.until("the lease to be over", () -> !node.runtime.leaseCertain(term));
+    Await.until("the lease to be over", () -> !node.runtime.isLeaseCertain(term));
     node.runtime.commands().send(term, direct);
     assertTrue(term.manages(ID), "the job is wanted");
     assertSame(term, node.runtime.currentTerm(), "and this node leads on, in doubt");
     assertEquals(List.of(ID + "/0"), started());
     door.refuse(false);
-    Await.until("the lease to be its own again", () -> node.runtime.leaseCertain(term));
+    Await.until("the lease to be its own again", () -> node.runtime.isLeaseCertain(term));
     node.runtime.commands().send(term, direct);
     assertEquals(List.of(ID + "/0", ID + "/0"), started());
   }
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public boolean leaseCertain() {
+    public boolean isLeaseCertain() {
       return false;
     }
 
--- a/src/test/java/org/astershift/controller/SingleController.java
+++ b/src/test/java/org/astershift/controller/SingleController.java
@@ -68,7 +68,7 @@
   LeaderTerm leads() throws Exception {
     Await.until(
         "the node to lead",
-        () -> runtime.currentTerm() != null && runtime.leaseCertain(runtime.currentTerm()));
+        () -> runtime.currentTerm() != null && runtime.isLeaseCertain(runtime.currentTerm()));
     return runtime.currentTerm();
   }
 
--- a/src/test/java/org/astershift/coordination/CandidacyTest.java
+++ b/src/test/java/org/astershift/coordination/CandidacyTest.java
@@ -17,7 +17,7 @@
   private static final Measurement ALL = new Measurement(12, 12);
   private static final Measurement HALF = new Measurement(12, 6);
   private static final Measurement NONE = new Measurement(12, 0);
-  private static final long LATER = 1000 + Candidacy.HANDOVER_MIN_TERM_MS;
+  private static final long LATER = 1000 + Candidacy.TRANSFER_MIN_TERM_MS;
 
   private static PeerStatus told(Measurement seen) {
     return new PeerStatus(seen.equals(ALL) ? "whole" : "less", true, seen);
@@ -26,13 +26,15 @@
   @Test
   void whoReachesFewWorkersLetsTheOthersStandFirst() {
     Candidacy c = new Candidacy();
-    assertFalse(c.shouldStand(NONE, 1000));
-    assertFalse(c.shouldStand(NONE, 1000 + Candidacy.CANDIDACY_DELAY_MS - 1));
-    assertTrue(c.shouldStand(NONE, 1000 + Candidacy.CANDIDACY_DELAY_MS), "nobody else stood");
+    assertFalse(c.shouldBecomeCandidate(NONE, 1000));
+    assertFalse(c.shouldBecomeCandidate(NONE, 1000 + Candidacy.CANDIDACY_DELAY_MS - 1));
+    assertTrue(
+        c.shouldBecomeCandidate(NONE, 1000 + Candidacy.CANDIDACY_DELAY_MS), "nobody else stood");
     c.onHolderObserved("other", 10_000);
-    assertFalse(c.shouldStand(NONE, 20_000), "the others have their turn each time it is free");
+    assertFalse(
+        c.shouldBecomeCandidate(NONE, 20_000), "the others have their turn each time it is free");
     for (Measurement seen : List.of(ALL, HALF, Measurement.UNKNOWN, new Measurement(2, 0))) {
-      assertTrue(new Candidacy().shouldStand(seen, 0), seen.toString());
+      assertTrue(new Candidacy().shouldBecomeCandidate(seen, 0), seen.toString());
     }
   }
 
@@ -40,23 +42,23 @@
   void whoWasNotChosenLetsTheChosenOneStand() {
     Candidacy c = new Candidacy();
     c.deferToSuccessor(1000);
-    assertFalse(c.shouldStand(ALL, 1500));
-    assertTrue(c.shouldStand(ALL, 1000 + Candidacy.CANDIDACY_DELAY_MS), "it did not");
+    assertFalse(c.shouldBecomeCandidate(ALL, 1500));
+    assertTrue(c.shouldBecomeCandidate(ALL, 1000 + Candidacy.CANDIDACY_DELAY_MS), "it did not");
   }
 
   @Test
   void aDeafLeaderHandsOverToOneThatReachesMore() {
     Candidacy c = new Candidacy();
     assertNull(
-        c.handOverTarget(0.1, List.of(told(NONE), told(ALL)), 2, 1000, LATER - 1), "too soon");
+        c.decideTransfer(0.1, List.of(told(NONE), told(ALL)), 2, 1000, LATER - 1), "too soon");
     assertEquals(
         new LeadershipTransfer("whole"),
-        c.handOverTarget(0.1, List.of(told(HALF), told(ALL)), 2, 1000, LATER),
+        c.decideTransfer(0.1, List.of(told(HALF), told(ALL)), 2, 1000, LATER),
         "the one that reaches most");
     assertNotNull(
-        c.handOverTarget(0.1, List.of(told(ALL)), 4, 1000, LATER), "the others do not answer");
+        c.decideTransfer(0.1, List.of(told(ALL)), 4, 1000, LATER), "the others do not answer");
     // Found on the apart day: a zone was cut off for all, and the new leader resigned.
-    assertNull(c.handOverTarget(0.4, List.of(told(HALF), told(HALF)), 2, 1000, LATER));
+    assertNull(c.decideTransfer(0.4, List.of(told(HALF), told(HALF)), 2, 1000, LATER));
   }
 
   @Test
@@ -64,7 +66,7 @@
     Candidacy c = new Candidacy();
     for (long now = LATER; now < LATER + 600_000; now += 500) {
       c.onHolderObserved("me", now);
-      assertNull(c.handOverTarget(0, List.of(told(NONE), told(NONE)), 2, 1000, now));
+      assertNull(c.decideTransfer(0, List.of(told(NONE), told(NONE)), 2, 1000, now));
     }
   }
 
@@ -72,7 +74,7 @@
   void oneThatTheStateServiceDoesNotAnswerCannotTakeOver() {
     assertNull(
         new Candidacy()
-            .handOverTarget(
+            .decideTransfer(
                 0, List.of(new PeerStatus("apart", false, ALL), told(NONE)), 2, 1000, LATER));
   }
 
@@ -80,19 +82,19 @@
   void whereNoOtherAnswersEachHasOneTurn() {
     Candidacy c = new Candidacy();
     c.onHolderObserved("a", LATER);
-    assertNotNull(c.handOverTarget(0, List.of(), 2, 1000, LATER));
+    assertNotNull(c.decideTransfer(0, List.of(), 2, 1000, LATER));
     c.onHolderObserved("b", LATER + 10_000);
-    assertNotNull(c.handOverTarget(0, List.of(), 2, 1000, LATER + 10_000), "c has not led");
+    assertNotNull(c.decideTransfer(0, List.of(), 2, 1000, LATER + 10_000), "c has not led");
     c.onHolderObserved("c", LATER + 20_000);
     c.onHolderObserved("a", LATER + 30_000);
-    assertNull(c.handOverTarget(0, List.of(), 2, 1000, LATER + 30_000), "all had their turn");
-    assertNull(c.handOverTarget(0, List.of(), 0, 1000, LATER), "there is no other controller");
+    assertNull(c.decideTransfer(0, List.of(), 2, 1000, LATER + 30_000), "all had their turn");
+    assertNull(c.decideTransfer(0, List.of(), 0, 1000, LATER), "there is no other controller");
   }
 
   @Test
   void onlyTheLastSamplesCountAndNotForLong() {
     WorkerReachability reach = new WorkerReachability();
-    assertFalse(reach.measurement(0).known());
+    assertFalse(reach.measurement(0).isKnown());
     reach.onSample(6, 6, 0);
     reach.onSample(6, 6, 2000);
     assertTrue(reach.measurement(2500).reachesEnough());
@@ -101,7 +103,7 @@
     assertTrue(reach.measurement(6500).reachesFew(), "cut off two samples ago");
     assertEquals(new Measurement(12, 2), reach.measurement(6500));
     assertFalse(
-        reach.measurement(6000 + WorkerReachability.REACHABILITY_SAMPLE_VALID_MS + 1).known(),
+        reach.measurement(6000 + WorkerReachability.REACHABILITY_SAMPLE_VALID_MS + 1).isKnown(),
         "too old to say anything");
     reach.onSample(6, 6, 16_000);
     reach.onSample(6, 0, 18_000);
@@ -110,6 +112,6 @@
         reach.measurement(19_000),
         "the last is enough if nobody answered it");
     reach.onSample(0, 0, 30_000);
-    assertFalse(reach.measurement(30_000).known(), "a site without machines");
+    assertFalse(reach.measurement(30_000).isKnown(), "a site without machines");
   }
 }
--- a/src/test/java/org/astershift/coordination/ElectionTest.java
+++ b/src/test/java/org/astershift/coordination/ElectionTest.java
@@ -46,7 +46,7 @@
     assertEquals(new Action.CatchUp(61), election.next(v));
     election.onCaughtUp(61, true);
     assertEquals(new Action.BeginTerm(61), election.next(v));
-    assertTrue(election.leaseCertain(61, nowMs + 1500 + 1500), "counted from the renewal");
+    assertTrue(election.isLeaseCertain(61, nowMs + 1500 + 1500), "counted from the renewal");
   }
 
   /** If it does not stand it may be carried out yet, and must not then. */
--- a/src/test/java/org/astershift/simulation/ElectionModel.java
+++ b/src/test/java/org/astershift/simulation/ElectionModel.java
@@ -221,7 +221,7 @@
 
   /** Whether no other controller can lead now. */
   boolean leaseCertain(long token) {
-    return election.leaseCertain(token, controller.clock());
+    return election.isLeaseCertain(token, controller.clock());
   }
 
   /** Until when no other controller can lead, by this controller's clock. */
--- a/src/test/java/org/astershift/simulation/PeerModel.java
+++ b/src/test/java/org/astershift/simulation/PeerModel.java
@@ -203,7 +203,7 @@
       return;
     }
     Candidacy.LeadershipTransfer transfer =
-        candidacy.handOverTarget(
+        candidacy.decideTransfer(
             term.scheduler().observedShare(),
             statuses,
             simulation.controllers.size() - 1,
