--- a/src/main/java/org/astershift/controller/CloudBackoff.java
+++ b/src/main/java/org/astershift/controller/CloudBackoff.java
@@ -1,15 +1,18 @@
 package org.astershift.controller;
 
-/** The pause before a cloud call is repeated. */
+/** Backoff between attempts of a cloud call. */
 final class CloudBackoff {
   private CloudBackoff() {}
 
-  /** Whether the term still wants its cloud calls repeated: not after an interrupt either. */
+  /** Returns whether the term has not ended and the calling thread is not interrupted. */
   static boolean shouldContinue(LeaderTerm term) {
     return !term.hasEnded() && !Thread.currentThread().isInterrupted();
   }
 
-  /** Keeps the interrupt status, which ends the loop. */
+  /**
+   * Sleeps for {@link LoopTiming#CLOUD_RETRY_BACKOFF_MS}. An interrupt ends the sleep and stays
+   * set, so that {@link #shouldContinue} ends the caller's loop.
+   */
   static void sleep() {
     try {
       Thread.sleep(LoopTiming.CLOUD_RETRY_BACKOFF_MS);
--- a/src/main/java/org/astershift/controller/CloudPoller.java
+++ b/src/main/java/org/astershift/controller/CloudPoller.java
@@ -32,21 +32,27 @@
     this.requestPass = requestPass;
   }
 
-  /** Machine types by name; empty until the cloud or the store was read. Any thread. */
+  /**
+   * Returns the machine types by name; empty until they were read from the cloud or the store.
+   * Callable from any thread.
+   */
   Map<String, MachineType> types() {
     return types;
   }
 
-  /** The leader's record of the types, for nodes that start while the cloud is unavailable. */
+  /**
+   * Sets the machine types from the leader's record, which serves nodes that start while the cloud
+   * is unavailable.
+   */
   void onTypesRecord(Map<String, Object> value) {
     try {
       types = RecordCodec.decodeTypes(value);
     } catch (JsonFormatException e) {
-      LOG.error("record of machine types cannot be decoded: {}", e.getMessage());
+      LOG.error("machine types record cannot be decoded: {}", e.getMessage());
     }
   }
 
-  /** Polls until the term is over or its thread is interrupted. */
+  /** Polls machines and machine types until the term ends or the thread is interrupted. */
   void pollLoop(LeaderTerm term) {
     long typesFetchedMs = 0;
     while (CloudBackoff.shouldContinue(term)) {
@@ -59,12 +65,12 @@
         refreshMachines(term);
         Thread.sleep(LoopTiming.MACHINE_LIST_INTERVAL_MS);
       } catch (IOException e) {
-        LOG.info("cloud call failed, token={}: {}", term.token, e.getMessage());
+        LOG.info("cloud call failed; will retry, token={}: {}", term.token, e.getMessage());
         CloudBackoff.sleep();
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
-        LOG.error("cloud poll failed, token={}", term.token, e);
+        LOG.error("cloud poll failed; will retry, token={}", term.token, e);
         Threads.backOff();
       }
     }
@@ -91,7 +97,10 @@
     }
   }
 
-  /** What is worth a write when it changes; prices, which change all the time, are not. */
+  /**
+   * Returns the attributes whose change is written to the store. Prices are left out, as they
+   * change constantly.
+   */
   private static String fingerprint(Map<String, MachineType> types) {
     StringBuilder fingerprint = new StringBuilder();
     for (MachineType type : types.values()) {
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -14,9 +14,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents machines, in threads of its own. A rental is recorded before it is requested, and requested
- * under its own name until the cloud has answered: a successor repeats it, and the cloud treats the
- * repeated request as the same one.
+ * Provisions machines on threads of its own. Each provisioning request, called a rental, has a
+ * unique name. A rental is recorded in the store before its request is sent, and the request is
+ * retried under that name until the cloud has answered. After a failover the next leader sends it
+ * again, and the cloud treats requests with the same name as one request.
  */
 final class CloudProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(CloudProvisioner.class);
@@ -28,12 +29,12 @@
     this.cloud = cloud;
   }
 
-  /** Starts queued rentals that found no thread. */
+  /** Starts a thread for queued rentals if an earlier thread start failed. */
   void startQueuedTasks() {
     pool.startWaitingWork();
   }
 
-  /** Repeats the rentals that an earlier leader left open, under their own names. */
+  /** Resends the rentals that an earlier leader left without an answer, under their names. */
   void resumeProvisioning(LeaderTerm term) {
     term.records
         .entries(LeaderRecords.RecordKind.RENTAL)
@@ -43,7 +44,7 @@
   private void resume(LeaderTerm term, String name, Object value) {
     try {
       Decision.ProvisionMachines request = RecordCodec.decodeRental(value);
-      LOG.info("resuming an earlier leader's rental, rental={} token={}", name, term.token);
+      LOG.info("resuming a rental of an earlier leader, rental={} token={}", name, term.token);
       term.scheduler.onProvisioningStarted(name, request);
       submit(term, name, request);
     } catch (JsonFormatException e) {
@@ -51,14 +52,14 @@
     }
   }
 
-  /** Records a rental under a name of its own; requested when that is durable. */
+  /** Records a rental under a new name; its request is sent once the record is durable. */
   void provision(LeaderTerm term, Decision.ProvisionMachines request) {
     String name = term.nextRentalName();
     term.scheduler.onProvisioningStarted(name, request);
     term.records.put(LeaderRecords.RecordKind.RENTAL, name, RecordCodec.encodeRental(request), 0);
   }
 
-  /** The rental's record is durable. */
+  /** Sends the request of a rental whose record has become durable. */
   void onRentalPersisted(LeaderTerm term, String name, Object value) throws JsonFormatException {
     submit(term, name, RecordCodec.decodeRental(value));
   }
@@ -77,7 +78,7 @@
     }
   }
 
-  /** False if the request has to be repeated. */
+  /** Sends the request once; returns false if it has to be retried. */
   private boolean tryProvision(LeaderTerm term, String name, Decision.ProvisionMachines request) {
     try {
       onProvisioned(term, name, request, cloud.provisionMachines(name, request));
@@ -89,12 +90,13 @@
         return true;
       }
     } catch (IOException e) {
-      LOG.info("rental has no answer yet, rental={}: {}", name, e.toString());
+      LOG.info(
+          "no usable response to rental request; will retry, rental={}: {}", name, e.toString());
     }
     return false;
   }
 
-  /** Records the machines before they may get tasks, so that a successor knows of them. */
+  /** Records the machines before they may get tasks, so that the next leader knows of them. */
   private static void onProvisioned(
       LeaderTerm term, String name, Decision.ProvisionMachines request, List<String> machineNames) {
     LOG.info(
@@ -118,20 +120,21 @@
       String name, Decision.ProvisionMachines request, CloudRejectedException rejection) {
     if (rejection.reason() == CloudRejectedException.Reason.NO_CAPACITY) {
       LOG.info(
-          "no capacity in the cloud, rental={} type={} zone={} spot={}",
+          "cloud has no capacity; rental abandoned, rental={} type={} zone={} spot={}",
           name,
           request.typeName(),
           request.zone(),
           request.spot());
     } else if (rejection.reason() == CloudRejectedException.Reason.MALFORMED) {
       LOG.error(
-          "rental is malformed for the cloud, rental={} count={} type={}",
+          "cloud rejected rental as malformed; rental abandoned, rental={} count={} type={}",
           name,
           request.count(),
           request.typeName());
     }
     if (!rejection.reason().isPermanent()) {
-      LOG.info("rental rejected for now, rental={}: {}", name, rejection.getMessage());
+      LOG.info(
+          "rental request not accepted; will retry, rental={}: {}", name, rejection.getMessage());
     }
   }
 }
--- a/src/main/java/org/astershift/controller/CommandDispatcher.java
+++ b/src/main/java/org/astershift/controller/CommandDispatcher.java
@@ -6,39 +6,39 @@
 import org.astershift.scheduler.Decision;
 import org.astershift.worker.CommandSender;
 
-/** Sends direct requests to machines, in threads of its own. */
+/** Sends direct requests to machines on threads of its own. */
 final class CommandDispatcher {
   private final CommandSender sender;
   private final TaskPool commandPool = Threads.pool("command", ThreadBudget.COMMAND_THREADS);
   private final TaskPool probePool;
 
-  /** {@code probePool}: shared with the probes of {@link ReachabilityProber}. */
+  /** {@code probePool} is shared with {@link ReachabilityProber}. */
   CommandDispatcher(CommandSender sender, TaskPool probePool) {
     this.sender = sender;
     this.probePool = probePool;
   }
 
   /**
-   * Queues a request. One without commands is a probe of a silent machine, which holds its thread
-   * until the deadline: commands to other machines must not wait behind it.
+   * Queues a request. A request without commands probes a silent machine and may block its thread
+   * until the timeout, so it gets a separate pool: commands to other machines must not wait for it.
    */
   void dispatch(LeaderTerm term, Decision.SendCommands request) {
     TaskPool pool = request.commands().isEmpty() ? probePool : commandPool;
     pool.execute("command", () -> send(term, request));
   }
 
-  /** Starts queued requests that found no thread. */
+  /** Starts threads for queued requests if earlier thread starts failed. */
   void startQueuedTasks() {
     commandPool.startWaitingWork();
     probePool.startWaitingWork();
   }
 
-  /** Drops the kept connection to a machine that is gone. */
+  /** Closes the idle connection to a machine that no longer exists. */
   void disconnect(String address) {
     sender.disconnect(address);
   }
 
-  /** Sends now, in the caller's thread, if that is still wanted. */
+  /** Sends a request on the calling thread, unless the scheduler no longer needs it. */
   void send(LeaderTerm term, Decision.SendCommands request) {
     if (term.hasEnded() || !term.scheduler.directCommandsStillDue(request)) {
       return;
@@ -53,8 +53,8 @@
               () -> term.scheduler.commandsStillWanted(request),
               request.timeoutMs());
     } finally {
-      // Also after a failure: a request that stays in flight for ever blocks its task's slot and
-      // the job's cancellation.
+      // Reported after a failure too: a request that stayed in flight indefinitely would block its
+      // task's slot and the job's cancellation.
       term.scheduler.onCommandResult(
           request.machineName(), result.outcomeUnknown(), result.heartbeat(), LeaderTerm.nowMs());
     }
--- a/src/main/java/org/astershift/controller/CompletionQueue.java
+++ b/src/main/java/org/astershift/controller/CompletionQueue.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Completed jobs whose end is not durable yet, first in first out. Those that complete while one
- * transaction is in flight gather for the next, so that many ends cost few requests. Callable from
+ * FIFO queue of completed jobs whose end is not durable yet. Jobs that complete while a transaction
+ * is in flight are batched in the next one, so that many job ends take few requests. Callable from
  * any thread.
  */
 final class CompletionQueue {
@@ -18,7 +18,10 @@
     notifyAll();
   }
 
-  /** Waits for the first and takes up to {@code maxJobs}; empty once closed. */
+  /**
+   * Waits until the queue has a job and removes up to {@code maxJobs}; returns an empty list once
+   * the queue is closed.
+   */
   synchronized List<String> takeBatch(int maxJobs) throws InterruptedException {
     while (pending.isEmpty() && !closed) {
       wait();
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -20,7 +20,7 @@
 final class CompletionWriter {
   private static final Logger LOG = LoggerFactory.getLogger(CompletionWriter.class);
 
-  /** Changes that the end of a job takes: its record moves from the live ones to the ended. */
+  /** Changes in a transaction for one job end: the end is put, the live record deleted. */
   private static final int CHANGES_PER_END = 2;
 
   private final Settings.StoreLimits limits;
@@ -28,7 +28,7 @@
   private final EndedJobCache endedJobs;
   private final Runnable requestPass;
 
-  /** {@code requestPass}: asks for a scheduling pass, since capacity may have become free. */
+  /** {@code requestPass} requests a scheduling pass, since a job end may free capacity. */
   CompletionWriter(
       Settings.StoreLimits limits,
       StoreClient store,
@@ -40,7 +40,7 @@
     this.requestPass = requestPass;
   }
 
-  /** Writes the ends of completed jobs in batches, until the term is over. */
+  /** Writes the ends of completed jobs in batches until the term ends. */
   void writeLoop(LeaderTerm term) throws InterruptedException {
     int maxJobs = Math.max(1, limits.txnOps() / CHANGES_PER_END);
     maxJobs = Math.min(maxJobs, LoopTiming.COMPLETION_BATCH_JOBS);
@@ -52,7 +52,7 @@
       try {
         persistEnds(term, jobIds);
       } catch (RuntimeException | Error e) {
-        LOG.error("writing job ends failed, token={}", term.token, e);
+        LOG.error("writing job ends failed; will retry, token={}", term.token, e);
         retryLater(term, jobIds);
       }
     }
@@ -89,7 +89,10 @@
     }
   }
 
-  /** One of them was cancelled meanwhile, or an earlier attempt without an answer was applied. */
+  /**
+   * Writes the ends one by one after their transaction failed its conditions: one of the jobs was
+   * cancelled meanwhile, or an earlier attempt that got no response was applied.
+   */
   private void persistIndividually(LeaderTerm term, Collection<String> jobIds)
       throws InterruptedException {
     for (String jobId : jobIds) {
@@ -112,8 +115,8 @@
   }
 
   /**
-   * Done and cancelled exclude each other, also for attempts whose answer was lost: the first that
-   * is applied stays.
+   * Adds the changes that record a job's end. A job is either done or cancelled, also if the
+   * responses of earlier attempts were lost: the first end that is applied stays.
    */
   private static void addEndRecord(
       StoreClient.Transaction txn, String jobId, RecordCodec.JobEnd end) {
@@ -128,10 +131,11 @@
   }
 
   /**
-   * The end of a job was read from the store. Where this leader wrote it without getting an answer,
-   * the term would otherwise keep the job, its records and its share of the team's quota.
+   * Handles the end of a job that was read from the store. If this leader had written that end
+   * without getting a response, the term would otherwise keep the job, its records and its share of
+   * the team's quota.
    *
-   * @param term the present term, or null
+   * @param term the current term, or null
    */
   void onEndRead(LeaderTerm term, String jobId, RecordCodec.JobEnd end) {
     endedJobs.put(jobId, end);
@@ -141,7 +145,7 @@
     }
   }
 
-  /** Makes the job's end durable; gives the end that stands, or null if none is certain yet. */
+  /** Makes a job's end durable and returns the recorded end; null if that is not certain yet. */
   RecordCodec.JobEnd persistEnd(LeaderTerm term, String jobId, boolean cancelled, long timeoutMs)
       throws InterruptedException {
     if (!term.manages(jobId)) {
@@ -167,13 +171,13 @@
     return end;
   }
 
-  /** Null if the job has no recorded end, or it cannot be read. */
+  /** Returns the job's recorded end; null if there is none or it cannot be read. */
   private RecordCodec.JobEnd readEnd(String jobId) {
     try {
       StoreClient.Entry entry = store.get(RecordCodec.ENDED + jobId);
       return entry.data() == null ? null : RecordCodec.decodeEnd(entry.data());
     } catch (IOException | JsonFormatException e) {
-      LOG.debug("reading a job's end failed, job={}: {}", jobId, e.toString());
+      LOG.debug("reading job end failed, job={}: {}", jobId, e.toString());
       return null;
     }
   }
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells a partition of this node from an outage of the store, by asking its peers, and learns from
- * them who leads. A partitioned node is not ready. While the store responds, the same loop runs the
- * {@link LeadershipTransferCheck}.
+ * Distinguishes a partition of this node from an outage of the store by querying the peers, and
+ * learns from them who leads. A partitioned node reports not ready. While the store responds, the
+ * same loop runs the {@link LeadershipTransferCheck}.
  */
 final class ConnectivityMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectivityMonitor.class);
@@ -29,7 +29,7 @@
   private volatile boolean isolated;
   private boolean storeWasUnavailable;
 
-  /** The leader as a peer reports it; {@code node} empty if nobody leads. */
+  /** The leader as reported by a peer; {@code node} is empty if there is no leader. */
   private record ObservedLeader(String node, long token) {
     static ObservedLeader parse(String text) {
       int space = text == null ? -1 : text.lastIndexOf(' ');
@@ -39,7 +39,10 @@
     }
   }
 
-  /** What the peers say: how many answered, and the first that the store responds to, or null. */
+  /**
+   * Results of querying the peers: how many answered, the first one to which the store responds,
+   * and the leader that it reports; the latter two are null if the store responds to no peer.
+   */
   private record PeerReports(int answered, String peerWithStore, ObservedLeader leader) {}
 
   ConnectivityMonitor(
@@ -58,18 +61,24 @@
     Threads.startLoop("connectivity", this::monitorLoop);
   }
 
-  /** Whether the store responds to a peer and not to this node, or nobody responds to it. */
+  /**
+   * Returns whether the store responds to a peer but not to this node, or neither the store nor any
+   * peer responds to this node.
+   */
   boolean isPartitionedFromStore() {
     return observedLeader != null || isolated;
   }
 
-  /** The leader that a peer reported; null where the store responds, or nobody leads. */
+  /**
+   * Returns the leader that a peer reported; null if the store responds to this node, or no leader
+   * was reported.
+   */
   String reportedLeader() {
     ObservedLeader current = observedLeader;
     return current == null || current.node().isEmpty() ? null : current.node();
   }
 
-  /** Answers a peer that asks whether the store responds, and who leads. */
+  /** Answers a peer's query whether the store responds to this node and who leads. */
   JobAnswer answerStoreStatus() {
     if (store.unavailable()) {
       return JobAnswer.UNDECIDED;
@@ -79,12 +88,15 @@
         200, entry == null ? "" : entry.data().get("node") + " " + entry.revision(), 0, 0);
   }
 
-  /** Answers a peer that asks how much of the fleet this node reaches. */
+  /** Answers a peer's query how much of the fleet this node reaches. */
   JobAnswer answerWorkerReachability() {
     return PeerReachability.encode(runtime.prober().measurement(), !store.unavailable());
   }
 
-  /** The leader announces a transfer to this node or to another one, which goes first. */
+  /**
+   * Handles the leader's announcement of a transfer. If the successor is another node, this one
+   * lets it become a candidate first.
+   */
   JobAnswer onTransferAnnounced(String successor) {
     if (!successor.equals(runtime.node())) {
       candidacy.deferToSuccessor(LeaderTerm.nowMs());
@@ -106,7 +118,7 @@
 
   private void onStoreAvailable() {
     if (storeWasUnavailable) {
-      LOG.info("store responds again, node={}", runtime.node());
+      LOG.info("store responds to this node again, node={}", runtime.node());
     }
     storeWasUnavailable = false;
     observedLeader = null;
@@ -126,7 +138,8 @@
                 peers.size(), reports.answered(), reported != null, LeaderTerm.nowMs())
             == StoreReachability.Verdict.ISOLATED;
     if (isolated && !wasIsolated) {
-      LOG.info("neither store nor peers respond: not ready, node={}", runtime.node());
+      LOG.info(
+          "neither the store nor any peer responds; reporting not ready, node={}", runtime.node());
     }
     if (reported != null && !keepsTermDespite(reported)) {
       runtime.onLeaderObserved(reported.token());
@@ -145,7 +158,7 @@
           return new PeerReports(answered, peer.getKey(), ObservedLeader.parse(answer.phase()));
         }
       } catch (IOException | RuntimeException e) {
-        LOG.debug("peer does not answer, node={}: {}", peer.getKey(), e.toString());
+        LOG.debug("peer did not answer, node={}: {}", peer.getKey(), e.toString());
       }
     }
     return new PeerReports(answered, null, null);
@@ -156,19 +169,21 @@
       return;
     }
     if (reports.leader() == null) {
-      LOG.info("store responds neither here nor to a reachable peer, node={}", runtime.node());
+      LOG.info(
+          "store responds neither to this node nor to a reachable peer, node={}", runtime.node());
     } else {
       LOG.info(
-          "store responds to a peer only: not ready, node={} peer={}",
+          "store responds to a peer but not to this node; reporting not ready, node={} peer={}",
           runtime.node(),
           reports.peerWithStore());
     }
   }
 
   /**
-   * Whether this node keeps its term beside a later leader, because that one reaches few workers
-   * and this one reaches them: it goes on answering under its token, so that their leases and tasks
-   * live on. That is safe, since a worker that has seen the later token drops what comes from here.
+   * Returns whether this node keeps its term although a later leader exists, because the later
+   * leader reaches few workers and this node reaches enough. This node then goes on answering
+   * workers with its token, so that their leases are renewed and their tasks keep running. That is
+   * safe, since a worker that has seen the later token ignores messages from this node.
    */
   private boolean keepsTermDespite(ObservedLeader laterLeader) {
     LeaderTerm term = runtime.currentTerm();
@@ -179,7 +194,7 @@
     if (!runtime.prober().measurement().reachesEnough()) {
       return false;
     }
-    // A peer of a version without this request answers 0 of 0, which is not few.
+    // A peer of a version without this operation answers 0 of 0, which does not count as few.
     Candidacy.PeerStatus status = PeerReachability.query(laterLeader.node(), peer);
     return status != null && status.workerReachability().reachesFew();
   }
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller: starts its loops, begins and ends leader terms, and routes heartbeats and store
- * changes to the current term. Callable from any thread.
+ * One controller node: starts its loops, begins and ends leader terms, and routes heartbeats and
+ * store changes to the current term. Callable from any thread.
  */
 public final class ControllerRuntime implements LeaderElector.TermListener {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerRuntime.class);
@@ -44,10 +44,10 @@
   private final PassSignal passSignal = new PassSignal();
   private volatile LeaderTerm currentTerm;
 
-  /** Held while a term begins or ends: one that is over must not become current late. */
+  /** Held while a term begins or ends, so that an ended term cannot become the current one. */
   private final Object termLock = new Object();
 
-  /** {@code peers}: channels to the other controllers, by node name. */
+  /** {@code peers} holds the channels to the other controllers by node name. */
   public ControllerRuntime(
       Settings settings,
       SchedulingPolicy policy,
@@ -76,10 +76,11 @@
         new CompletionWriter(settings.storeLimits(), store, endedJobs, this::requestPass);
   }
 
-  /** Starts the threads of this node: from now on it may lead. */
+  /** Starts the threads of this node, which may become leader from then on. */
   public void start() {
     if (!Scheduler.leaseFitsCancellationTime(settings.limits())) {
-      LOG.warn("cancel_s is shorter than a lease: cancellations wait until all tasks are gone");
+      LOG.warn(
+          "cancel_s is shorter than a lease; cancellations wait until no task of the job is left");
     }
     watchCache.start(this::onStoreChanges);
     elector.start();
@@ -87,17 +88,17 @@
     prober.start();
   }
 
-  /** Whether this node should get users' requests. */
+  /** Returns whether users' requests should be sent to this node. */
   public boolean isReady() {
     return watchCache.loaded() && !connectivity.isPartitionedFromStore();
   }
 
-  /** The leader's key as far as known here, or null. */
+  /** Returns the leader key as this node knows it, or null. */
   StoreClient.Entry leaderEntry() {
     return elector.leaderEntry();
   }
 
-  /** Another node reports the leader's fencing token. */
+  /** Handles the leader's fencing token as another node reports it. */
   void onLeaderObserved(long token) {
     elector.onLeaderObserved(token);
   }
@@ -118,29 +119,29 @@
     return prober;
   }
 
-  /** Gives the leadership up, as another node reaches more of the fleet. */
+  /** Resigns as leader, because another node reaches more of the fleet. */
   void transferLeadership(LeaderTerm term, String reason) {
     elector.resign(term.token, reason);
   }
 
-  /** The other node that leads, as far as known here, or null. */
+  /** Returns the leader as this node knows it; null if there is none or it is this node. */
   public String otherLeader() {
     String leader =
         connectivity.isPartitionedFromStore() ? connectivity.reportedLeader() : elector.leader();
     return settings.nodeName().equals(leader) ? null : leader;
   }
 
-  /** Machine types by name; empty until the cloud or the store was read. */
+  /** Returns the machine types by name; empty until read from the cloud or the store. */
   public Map<String, MachineType> types() {
     return cloudPoller.types();
   }
 
-  /** The present term, or null. */
+  /** Returns the current term; null if this node does not lead. */
   LeaderTerm currentTerm() {
     return currentTerm;
   }
 
-  /** Whether no other node can have become leader since this term began. */
+  /** Returns whether no other node can have become leader since the term began. */
   boolean isLeaseCertain(LeaderTerm term) {
     return elector.isLeaseCertain(term.token);
   }
@@ -162,7 +163,7 @@
     }
   }
 
-  /** A live job was read from the store. */
+  /** Handles the record of a live job that was read from the store. */
   void onJobRecord(StoreClient.Entry entry) {
     LeaderTerm term = currentTerm;
     if (term != null && endedJobs.get(entry.key().substring(RecordCodec.JOB.length())) == null) {
@@ -171,7 +172,7 @@
     }
   }
 
-  /** A job was accepted here and recorded at this revision. */
+  /** Handles a job that this node accepted and recorded at this revision. */
   void onJobAccepted(RecordCodec.JobRecord record, long revision) {
     LeaderTerm term = currentTerm;
     if (term != null && endedJobs.get(record.spec().id()) == null) {
@@ -202,12 +203,12 @@
         elector.leaseCertainUntilMs() - LeaderTerm.nowMs());
     synchronized (termLock) {
       if (elector.token() != token) {
-        term.end(); // over before it began
+        term.end(); // the leadership was lost while the term was loading
         return;
       }
       currentTerm = term;
     }
-    // Changes between the load and here reached no term.
+    // Job records that arrived after the load and before the term became current reached no term.
     for (StoreClient.Entry entry : watchCache.entriesWithPrefix(RecordCodec.JOB)) {
       term.addJob(entry);
     }
@@ -227,8 +228,8 @@
   }
 
   /**
-   * Throws where a thread cannot start; the caller then gives the term up, since a leader without
-   * all loops would hold the lease and place nothing.
+   * Starts the loops of the term. Throws if a thread cannot be started; the caller then abandons
+   * the term, since a leader without all its loops would hold the lease but place nothing.
    */
   private void startLoops(LeaderTerm term) {
     DecisionExecutor executor =
@@ -247,7 +248,7 @@
     synchronized (termLock) {
       term = currentTerm;
       if (term != null && term.token != token) {
-        return; // a later term has begun meanwhile
+        return; // a later term has begun
       }
       currentTerm = null;
       store.setLeading(elector.token() != 0);
@@ -270,37 +271,40 @@
   }
 
   /**
-   * Commands for the response to a heartbeat, which reached this node at {@code receivedMs}; null
-   * if this node must not answer it.
+   * Returns the commands for the response to a heartbeat, which reached this node at {@code
+   * receivedMs}; null if this node must not answer the heartbeat.
    */
   public List<Command> onHeartbeat(Heartbeat heartbeat, long token, long receivedMs) {
     LeaderTerm term = currentTerm;
     return term == null || term.token != token ? null : term.onHeartbeat(heartbeat, receivedMs);
   }
 
-  /** The steady clock in milliseconds. */
+  /** Returns the time of the monotonic clock in milliseconds. */
   public static long nowMs() {
     return LeaderTerm.nowMs();
   }
 
-  /** Fencing token for the response to a heartbeat; 0 if this node does not lead. */
+  /** Returns the fencing token for heartbeat responses; 0 if this node does not lead. */
   public long token() {
     LeaderTerm term = currentTerm;
     return term == null ? 0 : term.token;
   }
 
-  /** The end of a job was read from the store. */
+  /** Handles the end of a job that was read from the store. */
   void onEndRead(String jobId, RecordCodec.JobEnd end) {
     completionWriter.onEndRead(currentTerm, jobId, end);
   }
 
-  /** Makes the job's end durable before any user sees it; null if that is not certain yet. */
+  /**
+   * Makes a job's end durable before any user sees it and returns the recorded end; null if that is
+   * not certain yet.
+   */
   RecordCodec.JobEnd persistEnd(LeaderTerm term, String jobId, boolean cancelled, long timeoutMs)
       throws InterruptedException {
     return completionWriter.persistEnd(term, jobId, cancelled, timeoutMs);
   }
 
-  /** What the term of this token uses of this controller. */
+  /** This controller as the host of the term with this token. */
   private final class Host implements TermHost {
     private final long token;
 
--- a/src/main/java/org/astershift/controller/DecisionExecutor.java
+++ b/src/main/java/org/astershift/controller/DecisionExecutor.java
@@ -4,11 +4,11 @@
 import org.astershift.store.RecordCodec;
 
 /**
- * Carries out the decisions of one term's passes. Nothing here blocks on the network: each handler
- * queues work for a thread of its own. Called by the pass loop, without the scheduler's lock.
+ * Executes the decisions of one term's scheduling passes. No method blocks on the network: each one
+ * queues work for other threads. Called by the pass loop, without the scheduler's lock.
  */
 final class DecisionExecutor implements Decision.Visitor {
-  /** Milliseconds that a placement hint may wait for other changes of its page. */
+  /** Longest time that a placement hint waits for other changes of its page, milliseconds. */
   private static final long PLACEMENT_RECORD_DELAY_MS = 3000;
 
   private final LeaderTerm term;
@@ -30,7 +30,7 @@
     this.peerProbes = peerProbes;
   }
 
-  /** Starts queued work that found no thread. */
+  /** Starts threads for queued work if earlier thread starts failed. */
   void startQueuedTasks() {
     commands.startQueuedTasks();
     peerProbes.startQueuedTasks();
--- a/src/main/java/org/astershift/controller/EndedJobCache.java
+++ b/src/main/java/org/astershift/controller/EndedJobCache.java
@@ -4,9 +4,12 @@
 import java.util.Map;
 import org.astershift.store.RecordCodec;
 
-/** Ends of jobs, so that most polls of ended jobs need no read. Callable from any thread. */
+/**
+ * Cache of job ends, so that most polls of ended jobs need no read from the store. Callable from
+ * any thread.
+ */
 final class EndedJobCache {
-  /** Ends kept, the latest; others are read from the store. */
+  /** Most ends in the cache, which keeps the latest; others are read from the store. */
   private static final int ENDED_JOBS_KEPT = 50_000;
 
   private final Map<String, RecordCodec.JobEnd> ends =
@@ -23,7 +26,7 @@
     ends.put(jobId, end);
   }
 
-  /** The end of the job; null if it is not cached. */
+  /** Returns the end of the job; null if it is not cached. */
   synchronized RecordCodec.JobEnd get(String jobId) {
     return ends.get(jobId);
   }
--- a/src/main/java/org/astershift/controller/JobCanceller.java
+++ b/src/main/java/org/astershift/controller/JobCanceller.java
@@ -6,8 +6,8 @@
 import org.astershift.store.RecordCodec;
 
 /**
- * Carries out what {@link Cancellation} decides about a user's cancellation, until it is durable or
- * its deadline has passed.
+ * Executes the steps that {@link Cancellation} decides for a user's cancellation, until the
+ * cancellation is durable or its deadline has passed.
  */
 final class JobCanceller {
   private final ControllerRuntime runtime;
@@ -20,12 +20,15 @@
     this.lookup = lookup;
   }
 
-  /** Cancels; confirmed only once it is durable and no task of the job can outlive it. */
+  /**
+   * Cancels a job. The cancellation is confirmed only once it is durable and no task of the job can
+   * outlive it.
+   */
   JobAnswer cancel(String jobId, boolean mayForward) throws InterruptedException {
     return new Request(jobId, mayForward, runtime.currentTerm(), LeaderTerm.nowMs()).answer();
   }
 
-  /** One cancellation, in its user's thread. */
+  /** One cancellation request; runs on the thread that serves its user. */
   private final class Request {
     private final String jobId;
     private final boolean mayForward;
@@ -59,14 +62,17 @@
       }
     }
 
-    /** From here on no task of the job starts, however long the write of its end takes. */
+    /**
+     * Requests the cancellation from the term: from then on no task of the job starts, however long
+     * the write of the job's end takes.
+     */
     private void requestCancel() {
       cancelRequested = true;
       term.requestCancel(jobId, arrivedMs);
       runtime.requestPass();
     }
 
-    /** Null if the user has to wait on. */
+    /** Executes the action; returns null if the user has to keep waiting. */
     private JobAnswer execute(Cancellation.Action action) throws InterruptedException {
       return switch (action) {
         case REPLY_WITH_END -> answerWith(endedJobs.get(jobId));
--- a/src/main/java/org/astershift/controller/JobLookup.java
+++ b/src/main/java/org/astershift/controller/JobLookup.java
@@ -11,7 +11,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the leader and the store say of a job. Callable from any thread; waits for the answer. */
+/**
+ * Looks up jobs at the leader and in the store. Callable from any thread; calls block until they
+ * have an answer.
+ */
 final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
@@ -20,7 +23,7 @@
   private final EndedJobCache endedJobs;
   private final Map<String, JobService.PeerChannel> peers;
 
-  /** {@code peers}: channels to the other controllers, by node name. */
+  /** {@code peers} holds the channels to the other controllers by node name. */
   JobLookup(
       ControllerRuntime runtime, StoreClient store, Map<String, JobService.PeerChannel> peers) {
     this.runtime = runtime;
@@ -33,19 +36,20 @@
     return JobAnswer.ofEnd(end.cancelled(), end.done());
   }
 
-  /** What the leader says, or else the store. */
+  /** Returns the leader's answer, or the store's if the leader's is undecided. */
   JobAnswer queryLeaderOrStore(String jobId) {
     JobAnswer answer = askLeader(PeerOperation.POLL_JOB, jobId);
     return answer.undecided() ? queryStore(jobId) : answer;
   }
 
   /**
-   * What the store holds, never older than the call: the live record is read first, since an ended
-   * job has lost it before its end can be read.
+   * Returns the state of a job in the store, never older than the call. The live record is read
+   * before the end: one transaction deletes the live record and writes the end, so a job without a
+   * live record has a readable end, or is unknown.
    */
   JobAnswer queryStore(String jobId) {
     if (store.unavailable()) {
-      return JobAnswer.UNDECIDED; // at once: no user waits for the deadline of a read
+      return JobAnswer.UNDECIDED; // at once, so that no user waits until a read times out
     }
     try {
       StoreClient.Entry liveEntry = store.get(RecordCodec.JOB + jobId);
@@ -66,7 +70,7 @@
     }
   }
 
-  /** The leader's answer about a job, whose end is remembered; undecided without an answer. */
+  /** Returns the leader's answer about a job and caches an end; undecided without an answer. */
   JobAnswer askLeader(PeerOperation operation, String jobId) {
     JobAnswer answer = callLeader(operation, jobId);
     if (answer.ended()) {
@@ -84,7 +88,7 @@
     try {
       return peer.call(operation, jobId, PeerClient.PEER_TIMEOUT_MS);
     } catch (IOException e) {
-      LOG.debug("leader does not answer, node={} job={}: {}", leader, jobId, e.toString());
+      LOG.debug("leader did not answer, node={} job={}: {}", leader, jobId, e.toString());
       return JobAnswer.UNDECIDED;
     }
   }
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -13,11 +13,14 @@
 import org.astershift.store.StoreClient.Outcome;
 
 /**
- * Accepts, reports and cancels jobs, on the leader and on any other controller, which knows only
- * what the store and the leader say. Callable from any thread.
+ * Accepts, reports and cancels jobs, on the leader and on followers, which know only what the store
+ * and the leader report. Callable from any thread.
  */
 public final class JobService {
-  /** Milliseconds that an acceptance may wait for the store's rate limit; then it is a 503. */
+  /**
+   * Longest wait of a submission for the store's rate limit, milliseconds; after that it is
+   * answered with 503.
+   */
   private static final long ACCEPT_RATE_WAIT_MS = 1000;
 
   private final ControllerRuntime runtime;
@@ -29,11 +32,11 @@
 
   /** A channel to another controller. */
   public interface PeerChannel {
-    /** Throws if no answer came in time. */
+    /** Sends a request and returns the answer; throws if none arrives within the timeout. */
     JobAnswer call(PeerOperation operation, String argument, int timeoutMs) throws IOException;
   }
 
-  /** {@code peers}: channels to the other controllers, by node name. */
+  /** {@code peers} holds the channels to the other controllers by node name. */
   public JobService(ControllerRuntime runtime, StoreClient store, Map<String, PeerChannel> peers) {
     this.runtime = runtime;
     this.store = store;
@@ -45,14 +48,14 @@
   }
 
   /**
-   * The outcome of a submission: 201 accepted, 200 with the {@code known} state of a job submitted
-   * before, or 503 with null while it is not decided.
+   * The result of a submission: 201 if the job was accepted, 200 with its {@code known} state if it
+   * was submitted before, or 503 with null while that is undecided.
    */
   public record SubmissionResult(int status, JobAnswer known) {
     private static final SubmissionResult UNDECIDED = new SubmissionResult(503, null);
   }
 
-  /** Accepts a job durably; repeated submissions of one id are idempotent. */
+  /** Accepts a job durably. Submissions are idempotent by job id. */
   public SubmissionResult submit(JobSpec spec) throws InterruptedException {
     RecordCodec.JobEnd end = endedJobs.get(spec.id());
     if (end != null) {
@@ -75,7 +78,7 @@
     return known.found() ? new SubmissionResult(200, known) : SubmissionResult.UNDECIDED;
   }
 
-  /** Commits only if the id was never accepted. */
+  /** Returns a transaction that commits only if the id was never accepted. */
   private static StoreClient.Transaction buildAcceptTransaction(RecordCodec.JobRecord record) {
     String key = RecordCodec.JOB + record.spec().id();
     return new StoreClient.Transaction()
@@ -87,17 +90,17 @@
   private SubmissionResult onAccepted(RecordCodec.JobRecord record, long revision) {
     runtime.onJobAccepted(record, revision);
     RecordCodec.JobEnd end = endedJobs.get(record.spec().id());
-    return end != null // the store's answer was slow, and the job's user cancelled it meanwhile
+    return end != null // the job was cancelled before the store's response arrived
         ? new SubmissionResult(200, JobLookup.toAnswer(end))
         : new SubmissionResult(201, JobAnswer.ofAccepted());
   }
 
-  /** The state of a job, from the source that {@link JobQuery} allows. */
+  /** Returns the state of a job, from the source that {@link JobQuery} selects. */
   public JobAnswer poll(String jobId, boolean mayForward) throws InterruptedException {
     RecordCodec.JobEnd end = endedJobs.get(jobId);
     LeaderTerm term = end == null ? runtime.currentTerm() : null;
     Scheduler.JobProgress progress = term == null ? null : term.progressIfCurrent(jobId);
-    // Checked after the progress was read: the lease was certain then, too.
+    // Checked after the progress was read, so the lease was certain at the time of the read, too.
     boolean leaseCertain = progress != null && runtime.isLeaseCertain(term);
     JobQuery.View view =
         new JobQuery.View(end != null, term != null, progress != null, leaseCertain, mayForward);
@@ -112,12 +115,12 @@
     return answer == null ? JobAnswer.UNDECIDED : answer;
   }
 
-  /** Cancels a job; confirmed only once that is durable and no task can outlive it. */
+  /** Cancels a job; confirmed only once durable and once no task can outlive it. */
   public JobAnswer cancel(String jobId, boolean mayForward) throws InterruptedException {
     return canceller.cancel(jobId, mayForward);
   }
 
-  /** Answers another controller, never by asking a third one. */
+  /** Answers another controller, without forwarding the request to a third one. */
   public JobAnswer answerPeer(PeerOperation operation, String argument)
       throws InterruptedException {
     return switch (operation) {
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -17,7 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what {@link Election} decides: requests to the store, waits, begin and end of terms.
+ * Executes the actions that {@link Election} decides: store requests, waits, and the begin and end
+ * of terms.
  */
 public final class LeaderElector {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElector.class);
@@ -30,16 +31,19 @@
   private final Election election;
   private final Object electionSignal = new Object();
 
-  /** Begins and ends terms. */
+  /** Begins and ends the terms of this node. */
   public interface TermListener {
-    /** Begins a term; it may be over by now. In a thread of its own, which may throw. */
+    /**
+     * Begins a term, which may have ended already. Called on a thread of its own; a failure ends
+     * the term.
+     */
     void onTermBegin(long token);
 
-    /** Ends the term of this token, if it has begun. */
+    /** Ends the term with this token, if it has begun. */
     void onTermEnd(long token, String reason);
   }
 
-  /** {@code workerReachability}: how much of the fleet this node reaches. */
+  /** {@code workerReachability} supplies how much of the fleet this node reaches. */
   public LeaderElector(
       String node,
       StoreClient store,
@@ -60,55 +64,58 @@
     Threads.startLoop("election", this::electionLoop);
   }
 
-  /** The fencing token; 0 if this node does not lead. */
+  /** Returns the fencing token; 0 if this node does not lead. */
   public long token() {
     return election.token();
   }
 
-  /** Whether no other node can have become leader yet. */
+  /** Returns whether no other node can have become leader since the term began. */
   public boolean isLeaseCertain(long termToken) {
     return election.isLeaseCertain(termToken, LeaderTerm.nowMs());
   }
 
-  /** Steady-clock milliseconds before which no other node can have become leader. */
+  /** Returns the monotonic time, in milliseconds, before which no other node can lead. */
   long leaseCertainUntilMs() {
     return election.leaseCertainUntilMs();
   }
 
-  /** The leader's key as far as known here, or null. */
+  /** Returns the leader key as cached on this node, or null. */
   StoreClient.Entry leaderEntry() {
     return watchCache.get(RecordCodec.LEADER);
   }
 
-  /** The node that leads as far as known here, or null. */
+  /** Returns the node that leads according to the cached leader key, or null. */
   public String leader() {
     StoreClient.Entry entry = leaderEntry();
     return entry == null ? null : String.valueOf(entry.data().get("node"));
   }
 
-  /** Ends the loop's rest: the leader's key has changed, or a term has ended. */
+  /** Wakes the election loop, because the leader key changed or a term ended. */
   public void wakeLoop() {
     synchronized (electionSignal) {
       electionSignal.notifyAll();
     }
   }
 
-  /** Another node reports the leader's token: a higher one ends this node's term. */
+  /** Handles the leader's token as another node reports it; a higher one ends this node's term. */
   void onLeaderObserved(long observedToken) {
     executeAll(election.onLeaderObserved(observedToken));
   }
 
-  /** Ends the term of this token, since another leader is certain. */
+  /** Ends the term with this token: another leader is certain, or the term cannot go on. */
   public void stepDown(long termToken, String reason) {
     executeAll(election.stepDown(termToken, reason));
   }
 
-  /** Gives the leadership up, since this node reaches too few workers. */
+  /** Resigns as leader, because this node reaches too few workers. */
   public void resign(long termToken, String reason) {
     executeAll(election.resign(termToken, reason, LeaderTerm.nowMs()));
   }
 
-  /** Actions that may come from outside the election loop, too: the end of a term. */
+  /**
+   * Executes actions that may also originate outside the election loop: the end of a term and the
+   * revocation of its lease.
+   */
   private void executeAll(List<Action> actions) {
     for (Action action : actions) {
       if (action instanceof Action.EndTerm endTerm) {
@@ -124,7 +131,7 @@
     try {
       store.revoke(lease);
     } catch (IOException e) {
-      LOG.debug("revoking the lease failed, it will expire: {}", e.toString());
+      LOG.debug("revoking the lease failed; it will expire: {}", e.toString());
     }
   }
 
@@ -141,7 +148,7 @@
           }
         }
       } catch (IOException | RuntimeException e) {
-        LOG.debug("election step failed: {}", e.toString());
+        LOG.debug("election step failed; will retry: {}", e.toString());
         Threads.backOff();
       }
     }
@@ -161,10 +168,13 @@
         store.silenceMs());
   }
 
-  /** Carries an action out and reports its outcome to the election; true if a rest follows. */
+  /**
+   * Executes an action and reports its outcome to the election; returns whether the loop waits
+   * before the next action.
+   */
   private boolean execute(Action action) throws IOException, InterruptedException {
     if (action instanceof Action.ReadKey) {
-      store.get(RecordCodec.LEADER); // so that this node notices a partition from the store
+      store.get(RecordCodec.LEADER); // shows whether this node is partitioned from the store
       return false;
     } else if (action instanceof Action.Defer defer) {
       logDeferral(defer.workerReachability());
@@ -210,12 +220,15 @@
   private void catchUp(long revision) throws InterruptedException {
     boolean caughtUp = watchCache.awaitRevision(revision, Election.LEADER_LEASE_MS);
     if (!caughtUp) {
-      LOG.info("giving up a won election: cache is behind, token={}", revision);
+      LOG.info("giving up a won election: cache did not catch up in time, token={}", revision);
     }
     election.onCaughtUp(revision, caughtUp);
   }
 
-  /** True if a rest follows: not after the end of the lease, nor after a timeout. */
+  /**
+   * Renews the lease; returns whether the loop waits before the next action, which it does not
+   * after the end of the lease or a timeout.
+   */
   private boolean renew(long lease) throws IOException {
     long sentMs = LeaderTerm.nowMs();
     try {
@@ -247,12 +260,15 @@
     }
   }
 
-  /** The revision of the key, if it is on this lease and that could be renewed; else 0. */
+  /**
+   * Returns the revision of the leader key if this lease was renewed and the key is attached to it;
+   * otherwise 0.
+   */
   private long revisionIfOnLease(long lease) {
     try {
       return store.renew(lease) ? store.revisionOnLease(lease, RecordCodec.LEADER) : 0;
     } catch (IOException e) {
-      LOG.debug("outcome of the key's creation is unknown: {}", e.toString());
+      LOG.debug("verifying the creation of the leader key failed: {}", e.toString());
       return 0;
     }
   }
@@ -260,7 +276,7 @@
   private void startTermAsync(long termToken) {
     LOG.info("{} leads with token {}", node, termToken);
     try {
-      // Loading a large fleet may take longer than the lease: this loop goes on renewing it.
+      // Loading a large fleet may take longer than the lease, which this loop keeps renewing.
       Threads.start("term-begin", () -> startTerm(termToken));
     } catch (ThreadUnavailableException e) {
       abandonTerm(termToken, e);
@@ -276,7 +292,7 @@
   }
 
   private void abandonTerm(long termToken, Throwable reason) {
-    LOG.error("term could not begin, node={} token={}", node, termToken, reason);
+    LOG.error("term could not begin; resigning, node={} token={}", node, termToken, reason);
     executeAll(election.onTermStartFailed(termToken, LeaderTerm.nowMs()));
   }
 }
--- a/src/main/java/org/astershift/controller/LeaderRecords.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -14,37 +14,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a leader records for its successor: opened jobs, machines that may hold tasks, open rentals,
- * done tasks. Write-behind and paged: the store counts each changed key against the rate limit, so
- * many entries share a page, and one write carries all of its changes since the last. Callable from
- * any thread; {@link RecordWriter} does the writing.
+ * The records that a leader keeps for its successor: opened jobs, machines that may hold tasks,
+ * open rentals and done tasks. Writes are asynchronous and grouped into pages: the store counts
+ * each changed key against the rate limit, so many entries share a page, and one write carries all
+ * changes of a page since its last write. Callable from any thread; {@link RecordWriter} does the
+ * writing.
  */
 final class LeaderRecords {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecords.class);
 
   /**
-   * Milliseconds after which progress is no longer deferred in favour of other writes: until it is
-   * durable, workers keep done tasks in their heartbeats, which have room for only so many.
+   * Longest time that progress is deferred in favour of other writes, milliseconds: until it is
+   * durable, workers keep done tasks in their heartbeats, which have room for a limited number.
    */
   private static final long PROGRESS_WRITE_MAX_DELAY_MS = 10_000;
 
-  /** Milliseconds for which a page that the store rejects by itself is not tried again. */
+  /** Backoff of a page that the store rejects when it is sent alone, milliseconds. */
   private static final long PAGE_REJECTED_BACKOFF_MS = 10_000;
 
-  /** Share of the store's limit for a value that a page's entries may take, without its frame. */
+  /**
+   * Share of the store's limit on the size of a value that the entries of a page may take, not
+   * counting the JSON frame.
+   */
   private static final double PAGE_VALUE_SHARE = 0.75;
 
-  /** Milliseconds that the deletion of an entry may wait for other changes of its page. */
+  /** Longest time that a removed entry waits for other changes of its page, milliseconds. */
   static final long REMOVAL_DELAY_MS = 1000;
 
-  /** What an entry is about. Pages hold one kind, so that what changes often is written alone. */
+  /**
+   * The kind of an entry. A page holds entries of one kind only, so that frequent changes of one
+   * kind do not rewrite entries of the others.
+   */
   enum RecordKind {
     OPENED('o'),
     RENTAL('i'),
     MACHINE('m'),
     PROGRESS('p');
 
-    /** Starts the kind's page keys in the store. */
+    /** Precedes the page number in the keys of this kind's pages. */
     final char letter;
 
     RecordKind(char letter) {
@@ -52,9 +59,12 @@
     }
   }
 
-  /** Gets each entry that has become durable. */
+  /** Notified of each entry that has become durable. */
   interface Listener {
-    /** {@code value} as it was written; null: removed. In the writer's thread, without a lock. */
+    /**
+     * Handles a durable entry; {@code value} is the value written, or null if the entry was
+     * removed. Called on the writer thread, without a lock.
+     */
     void onPersisted(RecordKind kind, String key, Object value);
   }
 
@@ -65,7 +75,7 @@
   private final Map<RecordKind, Map<String, RecordPage>> pageByKey =
       new EnumMap<>(RecordKind.class);
 
-  /** Pages in the next transaction, at most; lowered while the store rejects transactions. */
+  /** Most pages in the next transaction; lowered while the store rejects transactions. */
   private int pageLimit;
 
   private boolean closed;
@@ -109,12 +119,12 @@
     pageByKey.get(page.kind).put(key, page);
   }
 
-  /** How many entries of this kind there are. */
+  /** Returns the number of entries of this kind. */
   synchronized int count(RecordKind kind) {
     return pageByKey.get(kind).size();
   }
 
-  /** All entries of this kind, page by page. */
+  /** Returns all entries of this kind, in the order of their pages. */
   synchronized Map<String, Object> entries(RecordKind kind) {
     Map<String, Object> result = new LinkedHashMap<>();
     for (RecordPage page : pages.get(kind)) {
@@ -123,7 +133,7 @@
     return result;
   }
 
-  /** Keys of this kind with this prefix. */
+  /** Returns the keys of this kind that start with the prefix. */
   synchronized List<String> keysWithPrefix(RecordKind kind, String prefix) {
     List<String> result = new ArrayList<>();
     for (String key : pageByKey.get(kind).keySet()) {
@@ -134,7 +144,7 @@
     return result;
   }
 
-  /** Sets an entry, to be written after {@code delayMs} at the latest. */
+  /** Sets an entry, which is due to be written after {@code delayMs} at the latest. */
   synchronized void put(RecordKind kind, String key, Object value, long delayMs) {
     RecordPage page = pageByKey.get(kind).get(key);
     if (page == null) {
@@ -145,8 +155,8 @@
   }
 
   /**
-   * Replaces an entry that exists, if its page has room for the new value: an optional value must
-   * not grow a page beyond what the store takes.
+   * Replaces an existing entry if its page has room for the new value; otherwise does nothing: an
+   * optional value must not grow a page beyond what the store accepts.
    */
   synchronized void replace(RecordKind kind, String key, Object value, long delayMs) {
     RecordPage page = pageByKey.get(kind).get(key);
@@ -156,8 +166,9 @@
   }
 
   /**
-   * Sets an entry that does not exist yet. A machine whose heartbeat came before its rental's
-   * answer may have tasks by then: recorded as new once more, a successor would take it for empty.
+   * Sets an entry unless it exists. A machine whose heartbeat arrives before the answer to its
+   * rental may have tasks by the time of the answer; if it were recorded as newly provisioned
+   * again, a successor would assume that it holds none.
    */
   synchronized void putIfAbsent(RecordKind kind, String key, Object value) {
     if (!pageByKey.get(kind).containsKey(key)) {
@@ -174,7 +185,7 @@
     return getOrCreatePage(kind, pages.get(kind).size());
   }
 
-  /** Removes an entry, to be written after {@code delayMs} at the latest. */
+  /** Removes an entry; the removal is due to be written after {@code delayMs} at the latest. */
   synchronized void remove(RecordKind kind, String key, long delayMs) {
     RecordPage page = pageByKey.get(kind).remove(key);
     if (page != null) {
@@ -194,12 +205,14 @@
     notifyAll();
   }
 
-  /** Writes what is due until the term is over. */
+  /** Writes due pages until the term ends. */
   void writeLoop(LeaderTerm term) throws InterruptedException {
     writer.writeLoop(term);
   }
 
-  /** For the writer: waits for due pages and takes their changes; empty once closed. */
+  /**
+   * Waits for due pages and takes their changes, for the writer; returns an empty list once closed.
+   */
   synchronized List<RecordPage.Snapshot> takeDuePages() throws InterruptedException {
     while (!closed) {
       long nowMs = LeaderTerm.nowMs();
@@ -221,7 +234,10 @@
     return List.of();
   }
 
-  /** Longest due first, so that a rental is not deleted before its machines are recorded. */
+  /**
+   * Takes the changes of the pages that have been due longest, so that a rental is not deleted
+   * before its machines are recorded.
+   */
   private List<RecordPage.Snapshot> takeChanges(List<RecordPage> duePages) {
     duePages.sort(Comparator.comparingLong(p -> p.dueMs));
     int[] pageSizes = duePages.stream().mapToInt(p -> p.bytes).toArray();
@@ -233,13 +249,16 @@
     return writes;
   }
 
-  /** For the writer: progress may be deferred in favour of other writes, but not for ever. */
+  /**
+   * Returns whether the page may be deferred in favour of other writes: only progress may, and not
+   * indefinitely.
+   */
   synchronized boolean isDeferrable(RecordPage page) {
     boolean overdue = LeaderTerm.nowMs() - page.oldestChangeMs > PROGRESS_WRITE_MAX_DELAY_MS;
     return page.kind == RecordKind.PROGRESS && !overdue;
   }
 
-  /** For the writer: these pages are durable. */
+  /** Handles a transaction that was committed: its pages are durable. */
   synchronized void onCommitted(List<RecordPage.Snapshot> writes) {
     pageLimit = maxPages;
     for (RecordPage.Snapshot write : writes) {
@@ -247,7 +266,7 @@
     }
   }
 
-  /** For the writer: these pages were not written, as far as is known. */
+  /** Schedules pages again that are not known to have been written. */
   synchronized void reschedule(List<RecordPage.Snapshot> writes) {
     for (RecordPage.Snapshot write : writes) {
       write.page().restoreChanges(write.changedKeys());
@@ -255,8 +274,8 @@
   }
 
   /**
-   * For the writer: the store rejected the transaction as malformed. Smaller ones come next; a page
-   * that is rejected by itself backs off, and the others go on.
+   * Handles a transaction that the store rejected as malformed. The next transactions are smaller;
+   * a page that was rejected when sent alone backs off, while the others are written.
    */
   synchronized void splitAfterRejection(List<RecordPage.Snapshot> writes) {
     if (writes.size() > 1) {
@@ -264,7 +283,7 @@
       return;
     }
     RecordPage page = writes.get(0).page();
-    LOG.error("page rejected by the store, key={} bytes={}", page.key, page.bytes);
+    LOG.error("store rejected a page; will retry later, key={} bytes={}", page.key, page.bytes);
     page.dueMs = LeaderTerm.nowMs() + PAGE_REJECTED_BACKOFF_MS;
   }
 }
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -19,13 +19,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of a leader: its scheduler, its records and the jobs it manages. Callable from any
- * thread; what touches the scheduler and the job bookkeeping together holds the scheduler's lock.
+ * One term of a leader: its scheduler, its records and the jobs that it manages. Callable from any
+ * thread; operations on both the scheduler and the set of managed jobs hold the scheduler's lock.
  */
 final class LeaderTerm {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
 
-  /** Fencing token: the revision at which the leader's key was created. */
+  /** The fencing token: the revision at which the leader key was created. */
   final long token;
 
   final long beganMs = nowMs();
@@ -35,7 +35,7 @@
   private final TermHost host;
   private final TermJobs termJobs;
 
-  /** Under the scheduler's lock. */
+  /** Guarded by the scheduler's lock. */
   private final CancellationLatency cancellationLatency = new CancellationLatency();
 
   private final AtomicLong rentalCount = new AtomicLong();
@@ -52,43 +52,46 @@
     return scheduler.closed();
   }
 
-  /** Ends the loops of the term; what they have in flight is fenced by the token. */
+  /** Ends the loops of the term; requests still in flight are fenced by the token. */
   void end() {
     scheduler.close();
     records.close();
     completions.close();
   }
 
-  /** Asks for the term's end; not under the scheduler's lock. */
+  /** Asks the host to end the term; must not be called under the scheduler's lock. */
   void stepDown(String reason) {
     host.stepDown(reason);
   }
 
-  /** A write found another leader's key. */
+  /** Steps down after a write whose condition on the leader key failed. */
   void onLeadershipLost() {
-    stepDown("a write found another leader");
+    stepDown("a write found that the leader key has changed");
   }
 
   void requestPass() {
     host.requestPass();
   }
 
-  /** Steady-clock milliseconds before which no other controller can have become leader. */
+  /** Returns the monotonic time, in milliseconds, before which no other controller can lead. */
   long leaseCertainUntilMs() {
     return host.leaseCertainUntilMs();
   }
 
-  /** Commands for the response; null if this term must not answer workers any more. */
+  /** Returns the commands for the response; null if the term may no longer answer workers. */
   List<Command> onHeartbeat(Heartbeat heartbeat, long receivedMs) {
     return scheduler.onHeartbeat(heartbeat, receivedMs);
   }
 
-  /** A transaction that fails if it is applied late, after another leader took over. */
+  /** Returns a transaction that fails if it is applied after another leader took over. */
   StoreClient.Transaction transaction() {
     return new StoreClient.Transaction().when(RecordCodec.LEADER, token);
   }
 
-  /** Whether the outcome shows that another controller leads, which ends the term. */
+  /**
+   * Steps down if the outcome of a write shows that this controller no longer leads; returns
+   * whether it does.
+   */
   boolean stepDownIfLeadershipLost(StoreClient.Outcome outcome) {
     if (outcome instanceof StoreClient.Outcome.ConditionFailed conflict
         && conflict.keys().contains(RecordCodec.LEADER)) {
@@ -98,7 +101,9 @@
     return false;
   }
 
-  /** Loads what earlier leaders recorded: machines first, as they decide what may be placed. */
+  /**
+   * Loads what earlier leaders recorded. Machines come first, as they determine what may be placed.
+   */
   void load(WatchCache watchCache) {
     scheduler.call(
         lockedScheduler -> {
@@ -108,7 +113,7 @@
           Map<String, BitSet> doneTasks = loadProgress();
           loadJobs(lockedScheduler, watchCache, openedJobs, doneTasks);
           termJobs.onLoaded();
-          // Left by a leader that ended between a job's end and the deletion of its records.
+          // Left by a leader whose term ended between a job's end and the deletion of its records.
           openedJobs.keySet().forEach(this::deleteRecordsIfUnmanaged);
           doneTasks.keySet().forEach(this::deleteRecordsIfUnmanaged);
           return null;
@@ -139,7 +144,7 @@
     }
   }
 
-  /** Done tasks by job. */
+  /** Returns the recorded done tasks by job. */
   private Map<String, BitSet> loadProgress() {
     Map<String, BitSet> doneTasks = new HashMap<>();
     records
@@ -205,30 +210,33 @@
         });
   }
 
-  /** Which jobs this term manages, and which of them may have ended. */
+  /** Returns which jobs this term manages and which of them may have ended. */
   TermJobs termJobs() {
     return termJobs;
   }
 
   /**
-   * The progress of a live job as its user may see it; null if this term does not manage the job,
-   * or the job's end may be recorded already.
+   * Returns the progress of a live job as its user may see it; null if this term does not manage
+   * the job, or the job's end may already be recorded.
    */
   Scheduler.JobProgress progressIfCurrent(String jobId) {
     return scheduler.call(
         lockedScheduler -> termJobs.mayHaveEnded(jobId) ? null : lockedScheduler.progress(jobId));
   }
 
-  /** Whether this term manages the job. */
+  /** Returns whether this term manages the job. */
   boolean manages(String jobId) {
     return termJobs.manages(jobId);
   }
 
-  /** A user's cancellation arrived at {@code arrivedMs}; no task of the job starts from now on. */
+  /**
+   * Handles a user's cancellation, which arrived at {@code arrivedMs}: from now on no task of the
+   * job starts.
+   */
   void requestCancel(String jobId, long arrivedMs) {
     scheduler.call(
         lockedScheduler -> {
-          if (termJobs.manages(jobId)) { // it may have ended a moment ago
+          if (termJobs.manages(jobId)) { // the job may just have ended
             cancellationLatency.onCancelRequested(jobId, arrivedMs);
             lockedScheduler.requestCancellation(jobId);
           }
@@ -237,15 +245,18 @@
   }
 
   /**
-   * What decides whether a cancellation can be confirmed. {@code fenced}: no machine that may hold
-   * a task of the job can be renewed by an older leader; {@code startInFlight}: a start of it is
-   * being sent; {@code complete}: all of its tasks are done.
+   * State that determines whether a job's cancellation can be confirmed.
+   *
+   * @param fenced an older leader cannot renew the lease of any machine that may hold a task of the
+   *     job
+   * @param startInFlight a start of a task of the job is in flight or unconfirmed
+   * @param complete all tasks of the job are done
    */
   record CancellationState(boolean fenced, boolean startInFlight, boolean complete) {
     static final CancellationState NOT_MANAGED = new CancellationState(false, false, false);
   }
 
-  /** All three as of one moment. */
+  /** Returns a consistent snapshot of the state of the job's cancellation. */
   CancellationState cancellationState(String jobId) {
     return scheduler.call(
         lockedScheduler -> {
@@ -257,12 +268,12 @@
         });
   }
 
-  /** For the log: how long cancellations took; null if there were none. */
+  /** Returns the latency of cancellations for the log; null if there were none. */
   String cancellationSummary() {
     return scheduler.call(lockedScheduler -> cancellationLatency.summary(nowMs()));
   }
 
-  /** The job's end is durable. */
+  /** Removes a job whose end is durable. */
   void onJobEnded(String jobId, boolean cancelled) {
     scheduler.call(
         lockedScheduler -> {
@@ -281,12 +292,12 @@
     }
   }
 
-  /** A rental name that no other node and no other term uses. */
+  /** Returns a rental name that no other node and no other term uses. */
   String nextRentalName() {
     return "as-" + token + "-" + rentalCount.incrementAndGet();
   }
 
-  /** For the log: what the term began with. */
+  /** Returns what the term began with, for the log. */
   String inventory() {
     return "machines="
         + records.count(LeaderRecords.RecordKind.MACHINE)
@@ -296,7 +307,7 @@
         + termJobs.count();
   }
 
-  /** The steady clock in milliseconds. */
+  /** Returns the time of the monotonic clock in milliseconds. */
   static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
--- a/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
+++ b/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
@@ -10,7 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Transfers the leadership from a leader that observes few of its machines. One thread. */
+/**
+ * Transfers the leadership away from this node if it leads but observes few of its machines. Used
+ * by one thread.
+ */
 final class LeadershipTransferCheck {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipTransferCheck.class);
 
@@ -25,7 +28,10 @@
     this.candidacy = candidacy;
   }
 
-  /** Checks once; only while the store responds, since nobody could be elected otherwise. */
+  /**
+   * Checks once whether to transfer the leadership. Called only while the store responds, since no
+   * other leader could be elected otherwise.
+   */
   void run() throws InterruptedException {
     LeaderTerm term = runtime.currentTerm();
     OptionalDouble observedShare = term == null ? OptionalDouble.empty() : shareIfIsolated(term);
@@ -37,7 +43,8 @@
         candidacy.decideTransfer(
             share, queryPeers(), peers.size(), term.beganMs, LeaderTerm.nowMs());
     if (transfer == null) {
-      Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS); // the peers measure no faster
+      // The peers' measurements do not change more often.
+      Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS);
       return;
     }
     if (transfer.successor() != null) {
@@ -46,7 +53,10 @@
     runtime.transferLeadership(term, reason(share, transfer.successor()));
   }
 
-  /** Empty unless the leader observes so few machines that the trouble may be its own. */
+  /**
+   * Returns the share of the machines that the leader observes; empty unless it is so small that
+   * the fault may be on the leader's side.
+   */
   private static OptionalDouble shareIfIsolated(LeaderTerm term) {
     return term.scheduler.call(
         scheduler ->
@@ -72,7 +82,8 @@
         peer.call(
             PeerOperation.ANNOUNCE_TRANSFER, successor, LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
       } catch (IOException | RuntimeException e) {
-        LOG.debug("announcing a transfer failed, successor={}: {}", successor, e.toString());
+        LOG.debug(
+            "announcing a leadership transfer failed, successor={}: {}", successor, e.toString());
       }
     }
   }
@@ -81,6 +92,6 @@
     return "only "
         + Math.round(observedShare * 100)
         + "% of its machines are observed, and "
-        + (successor == null ? "no peer answers" : successor + " reaches more of them");
+        + (successor == null ? "no peer responds" : successor + " reaches more of them");
   }
 }
--- a/src/main/java/org/astershift/controller/LockedScheduler.java
+++ b/src/main/java/org/astershift/controller/LockedScheduler.java
@@ -12,9 +12,10 @@
 import org.astershift.scheduler.Scheduler;
 
 /**
- * The scheduler of one term behind its lock, which is private to this class: heartbeats, command
- * results, passes and job calls of all threads take turns. Never call {@link TermHost#stepDown} or
- * {@link TermHost#requestPass} under the lock; the only lock taken inside it is the election's.
+ * The scheduler of one term behind a lock, which is private to this class and serializes the
+ * heartbeats, command results, passes and job operations of all threads. {@link TermHost#stepDown}
+ * and {@link TermHost#requestPass} must not be called under the lock; the only lock acquired under
+ * it is the election's.
  */
 final class LockedScheduler {
   private final Object lock = new Object();
@@ -27,19 +28,22 @@
     this.host = host;
   }
 
-  /** Several steps under one hold of the lock. */
+  /** Steps that run under one hold of the lock. */
   interface Work<R, E extends Exception> {
     R apply(Scheduler scheduler) throws E;
   }
 
-  /** Does the work under the lock, which the calling thread may hold already. */
+  /** Runs the work under the lock, which the calling thread may hold already. */
   <R, E extends Exception> R call(Work<R, E> work) throws E {
     synchronized (lock) {
       return work.apply(scheduler);
     }
   }
 
-  /** From now on heartbeats get no commands. Takes no lock, so that a long pass delays no end. */
+  /**
+   * Closes the scheduler: from now on heartbeats get no commands. Does not acquire the lock, so
+   * that a long pass does not delay the end of the term.
+   */
   void close() {
     closed = true;
   }
@@ -48,7 +52,7 @@
     return closed;
   }
 
-  /** Commands for the response; null if this term must not answer workers any more. */
+  /** Returns the commands for the response; null if the term may no longer answer workers. */
   List<Command> onHeartbeat(Heartbeat heartbeat, long receivedMs) {
     List<Command> commands;
     boolean deposed;
@@ -63,7 +67,7 @@
       passNeeded = scheduler.passRequested();
     }
     if (deposed) {
-      host.stepDown("worker " + heartbeat.machineName() + " has seen a higher token");
+      host.stepDown("worker " + heartbeat.machineName() + " has seen a higher fencing token");
       return null;
     }
     if (passNeeded) {
@@ -72,7 +76,7 @@
     return commands;
   }
 
-  /** The result of a direct request to a machine; {@code heartbeat} is null without an answer. */
+  /** Handles the result of a direct request; {@code heartbeat} is null without a response. */
   void onCommandResult(
       String machineName, boolean outcomeUnknown, Heartbeat heartbeat, long receivedMs) {
     boolean deposed;
@@ -85,13 +89,13 @@
       passNeeded = scheduler.passRequested();
     }
     if (deposed) {
-      host.stepDown("machine " + machineName + " has seen a higher token");
+      host.stepDown("machine " + machineName + " has seen a higher fencing token");
     } else if (passNeeded) {
       host.requestPass();
     }
   }
 
-  /** Whether a queued direct request should still go out; otherwise it counts as settled. */
+  /** Returns whether a queued direct request is still due; if not, it counts as settled. */
   boolean directCommandsStillDue(Decision.SendCommands request) {
     synchronized (lock) {
       return scheduler.directCommandsStillDue(request, LeaderTerm.nowMs());
@@ -99,9 +103,9 @@
   }
 
   /**
-   * What to send over a connection that is open by now. The lease is checked only here: a start
-   * decided earlier must not reach a worker that may answer to the next leader already, however
-   * long connecting took or this process was paused.
+   * Returns the commands to send over a connection that is established by now. The lease is checked
+   * only at this point: a start that was decided earlier must not reach a worker that may already
+   * answer to the next leader, however long connecting took or this process was paused.
    */
   List<Command> commandsStillWanted(Decision.SendCommands request) {
     synchronized (lock) {
@@ -127,7 +131,7 @@
     }
   }
 
-  /** The ends of these jobs could not be recorded: a later pass finishes them again. */
+  /** Handles jobs whose ends could not be recorded: a later pass finishes them again. */
   void onFinishFailed(Collection<String> jobIds) {
     synchronized (lock) {
       for (String jobId : jobIds) {
@@ -143,7 +147,7 @@
     }
   }
 
-  /** {@code requestedMs}: when the list was requested, on the steady clock. */
+  /** Handles a machine list that was requested at {@code requestedMs} of the monotonic clock. */
   void onMachineList(List<ListedMachine> listed, long requestedMs) {
     synchronized (lock) {
       scheduler.onMachineList(listed, requestedMs, LeaderTerm.nowMs());
@@ -169,7 +173,7 @@
     }
   }
 
-  /** The cloud rejected the request for good. */
+  /** Handles the cloud's permanent rejection of a provisioning request. */
   void onProvisioningRejected(String name, Decision.ProvisionMachines request) {
     synchronized (lock) {
       scheduler.onProvisioningFailed(name, request, true, LeaderTerm.nowMs());
@@ -188,14 +192,14 @@
     }
   }
 
-  /** Done tasks, by job, that no record holds yet. */
+  /** Returns the done tasks of each job whose progress record is behind, and clears that list. */
   Map<String, BitSet> drainUnpersistedProgress() {
     synchronized (lock) {
       return scheduler.drainUnpersistedProgress();
     }
   }
 
-  /** Null if the scheduler does not have the job. */
+  /** Returns the progress of a live job; null if the scheduler does not have the job. */
   Scheduler.JobProgress progress(String jobId) {
     synchronized (lock) {
       return scheduler.progress(jobId);
--- a/src/main/java/org/astershift/controller/MachineReleaser.java
+++ b/src/main/java/org/astershift/controller/MachineReleaser.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Releases machines to the cloud, in threads of its own. */
+/** Releases machines to the cloud on threads of its own. */
 final class MachineReleaser {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
 
@@ -22,12 +22,12 @@
     this.requestPass = requestPass;
   }
 
-  /** Queues the release. */
+  /** Queues a release. */
   void release(LeaderTerm term, Decision.ReleaseMachines request) {
     pool.execute("release", () -> send(term, request));
   }
 
-  /** Starts queued releases that found no thread. */
+  /** Starts a thread for queued releases if an earlier thread start failed. */
   void startQueuedTasks() {
     pool.startWaitingWork();
   }
@@ -41,7 +41,10 @@
       term.scheduler.onMachinesReleased(request.machineNames());
       requestPass.run();
     } catch (IOException e) {
-      LOG.info("release failed, machines={}: {}", request.machineNames(), e.toString());
+      LOG.info(
+          "releasing machines failed; will retry, machines={}: {}",
+          request.machineNames(),
+          e.toString());
       CloudBackoff.sleep();
       term.scheduler.onReleaseFailed(request.machineNames());
     }
--- a/src/main/java/org/astershift/controller/PagePacking.java
+++ b/src/main/java/org/astershift/controller/PagePacking.java
@@ -1,18 +1,18 @@
 package org.astershift.controller;
 
-/** How many pages fit into one transaction of the store. */
+/** Computes how many pages fit into one store transaction. */
 final class PagePacking {
-  /** Bytes of a page's key, revision and JSON frame in a transaction, at most. */
+  /** Most bytes that a page's key, revision and JSON frame take in a transaction. */
   static final int PAGE_FRAME_BYTES = 250;
 
-  /** Most bytes of pages in one transaction: three quarters of what the protocol allows. */
+  /** Most bytes of pages in one transaction: three quarters of the protocol's limit. */
   static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
   private PagePacking() {}
 
   /**
-   * How many of the first pages go into one transaction. Bounded in bytes as well as in changes:
-   * the store would reject an oversized transaction at every retry.
+   * Returns how many of the first pages go into one transaction. Bounded by bytes as well as by
+   * {@code limit} pages: the store would reject an oversized transaction at every retry.
    */
   static int pagesPerTransaction(int[] pageSizes, int limit) {
     int count = 0;
--- a/src/main/java/org/astershift/controller/PassLoop.java
+++ b/src/main/java/org/astershift/controller/PassLoop.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scheduling passes of one term: wait, decide under the scheduler's lock, carry out without it,
- * rest. Used by its own thread only.
+ * Runs the scheduling passes of one term: waits for an event, decides under the scheduler's lock,
+ * executes the decisions without it, and pauses. Used only by its own thread.
  */
 final class PassLoop {
   private static final Logger LOG = LoggerFactory.getLogger(PassLoop.class);
@@ -20,7 +20,7 @@
   private final PassSignal signal;
   private final DecisionExecutor executor;
 
-  /** Steady-clock time at which the pass after this rest is late. */
+  /** Monotonic time, in milliseconds, after which the next pass is late. */
   private long dueMs = Long.MAX_VALUE;
 
   private boolean reconciling;
@@ -35,10 +35,10 @@
     this.executor = executor;
   }
 
-  /** What one pass produced. */
+  /** Result of one pass; {@code summary} is null if no summary is due. */
   private record Pass(List<Decision> decisions, boolean attemptsExhausted, Summary summary) {}
 
-  /** Texts for the log; {@code cancellations} is null if there were none. */
+  /** Log lines of a summary; {@code cancellations} is null if there were none. */
   private record Summary(
       String jobs, String reconciliation, String services, String cancellations) {}
 
@@ -47,10 +47,10 @@
     while (!term.hasEnded()) {
       signal.await(LoopTiming.PASS_INTERVAL_MS);
       long beganNs = System.nanoTime();
-      long stalledMs = LeaderTerm.nowMs() - dueMs;
+      long lateMs = LeaderTerm.nowMs() - dueMs;
       reconciling = false;
       try {
-        runPass(stalledMs);
+        runPass(lateMs);
       } catch (RuntimeException | Error e) {
         LOG.error("scheduling pass failed, token={}", term.token, e);
         Threads.backOff();
@@ -59,10 +59,10 @@
     }
   }
 
-  private void runPass(long stalledMs) {
-    Pass pass = term.scheduler.call(scheduler -> decide(scheduler, stalledMs));
+  private void runPass(long lateMs) {
+    Pass pass = term.scheduler.call(scheduler -> decide(scheduler, lateMs));
     if (pass.attemptsExhausted()) {
-      term.stepDown("its attempt numbers are used up");
+      term.stepDown("its attempt numbers are exhausted");
     }
     if (pass.summary() != null) {
       log(pass.summary());
@@ -73,11 +73,11 @@
     executor.startQueuedTasks();
   }
 
-  /** Under the scheduler's lock. */
-  private Pass decide(Scheduler scheduler, long stalledMs) {
+  /** Runs one pass; called under the scheduler's lock. */
+  private Pass decide(Scheduler scheduler, long lateMs) {
     long nowMs = LeaderTerm.nowMs();
-    if (stalledMs > LoopTiming.PROCESS_PAUSE_MS) {
-      LOG.info("process pause detected, node={} late_ms={}", node, stalledMs);
+    if (lateMs > LoopTiming.PROCESS_PAUSE_MS) {
+      LOG.info("process pause detected, node={} late_ms={}", node, lateMs);
       scheduler.onProcessResumed(nowMs);
     }
     List<Decision> decisions = scheduler.runPass(nowMs, term.leaseCertainUntilMs());
@@ -115,17 +115,18 @@
   }
 
   /**
-   * Rests in proportion to the pass, so that heartbeats and responses come first where processor
-   * time is short; bounded while machines of an earlier leader are still unreconciled.
+   * Pauses in proportion to the duration of the pass, so that heartbeats and responses come first
+   * when processor time is short; the pause is bounded while machines of an earlier leader are
+   * unreconciled.
    */
   private void pause(long passMs) throws InterruptedException {
     totalPassMs += passMs;
     longestPassMs = Math.max(longestPassMs, passMs);
-    long restMs = Math.max(LoopTiming.PASS_MIN_GAP_MS, passMs * LoopTiming.PASS_REST_FACTOR);
+    long pauseMs = Math.max(LoopTiming.PASS_MIN_GAP_MS, passMs * LoopTiming.PASS_REST_FACTOR);
     if (reconciling) {
-      restMs = Math.min(LoopTiming.PASS_REST_MAX_MS, restMs);
+      pauseMs = Math.min(LoopTiming.PASS_REST_MAX_MS, pauseMs);
     }
-    dueMs = LeaderTerm.nowMs() + restMs + LoopTiming.PASS_INTERVAL_MS;
-    Thread.sleep(restMs);
+    dueMs = LeaderTerm.nowMs() + pauseMs + LoopTiming.PASS_INTERVAL_MS;
+    Thread.sleep(pauseMs);
   }
 }
--- a/src/main/java/org/astershift/controller/PassSignal.java
+++ b/src/main/java/org/astershift/controller/PassSignal.java
@@ -1,6 +1,6 @@
 package org.astershift.controller;
 
-/** Wakes the pass loop. Requests that arrive while a pass runs are served by the next one. */
+/** Wakes the pass loop. Requests that arrive during a pass are served by the next pass. */
 final class PassSignal {
   private boolean requested;
 
@@ -9,7 +9,7 @@
     notifyAll();
   }
 
-  /** Waits for a request, or for this many milliseconds, and clears the request. */
+  /** Waits until a pass is requested or the timeout has elapsed, and clears the request. */
   synchronized void await(long timeoutMs) throws InterruptedException {
     if (!requested) {
       wait(timeoutMs);
--- a/src/main/java/org/astershift/controller/PeerProbes.java
+++ b/src/main/java/org/astershift/controller/PeerProbes.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has the other controllers probe machines that are silent to the leader. An answer has one sign
- * for each machine, in the order of the request.
+ * Asks the other controllers to probe machines from which the leader gets no heartbeats. An answer
+ * has one code character for each machine, in the order of the request.
  */
 final class PeerProbes {
   private static final Logger LOG = LoggerFactory.getLogger(PeerProbes.class);
@@ -35,14 +35,14 @@
     this.peers = peers;
   }
 
-  /** Starts queued requests that found no thread. */
+  /** Starts a thread for queued requests if an earlier thread start failed. */
   void startQueuedTasks() {
     pool.startWaitingWork();
   }
 
   /**
-   * Asks all peers at once; {@code onResults} gets the answers of those that could tell, in the
-   * thread of the last one.
+   * Asks all peers concurrently. {@code onResults} gets the results of the peers that gave one, on
+   * the thread that handles the last answer.
    */
   void request(
       Decision.ProbeThroughPeers request, Consumer<List<Decision.PeerProbeResult>> onResults) {
@@ -55,13 +55,13 @@
       onResults.accept(List.of());
     }
     for (JobService.PeerChannel peer : peers) {
-      // Also a failed request counts: the leader waits for the last one.
+      // Failed requests are counted too: the results are reported after the last one.
       pool.execute(
           "peer-probe", () -> round.add(probeThrough(peer, machines, addresses.toString())));
     }
   }
 
-  /** Null if the peer could not tell. */
+  /** Returns the result of one peer; null if the peer gave none. */
   private static Decision.PeerProbeResult probeThrough(
       JobService.PeerChannel peer, List<Decision.MachineAddress> machines, String addresses) {
     try {
@@ -75,34 +75,34 @@
   }
 
   private static Decision.PeerProbeResult decode(
-      List<Decision.MachineAddress> machines, String signs) throws IOException {
-    if (signs == null || signs.length() != machines.size()) {
-      throw new IOException("malformed probe result: " + signs);
+      List<Decision.MachineAddress> machines, String codes) throws IOException {
+    if (codes == null || codes.length() != machines.size()) {
+      throw new IOException("malformed probe result of a peer: " + codes);
     }
     Set<String> reached = new HashSet<>();
     Set<String> unreached = new HashSet<>();
-    for (int i = 0; i < signs.length(); i++) {
-      if (signs.charAt(i) == REACHED) {
+    for (int i = 0; i < codes.length(); i++) {
+      if (codes.charAt(i) == REACHED) {
         reached.add(machines.get(i).machineName());
-      } else if (signs.charAt(i) == UNREACHED) {
+      } else if (codes.charAt(i) == UNREACHED) {
         unreached.add(machines.get(i).machineName());
       }
     }
     return new Decision.PeerProbeResult(reached, unreached);
   }
 
-  /** The answer to a peer; a null element is a machine of which nothing is known. */
+  /** Encodes the answer to a peer; a null element is a machine whose state is unknown. */
   static JobAnswer encode(List<Boolean> answered) {
-    StringBuilder signs = new StringBuilder();
+    StringBuilder codes = new StringBuilder();
     int reached = 0;
     for (Boolean reachable : answered) {
-      signs.append(reachable == null ? UNKNOWN : reachable ? REACHED : UNREACHED);
+      codes.append(reachable == null ? UNKNOWN : reachable ? REACHED : UNREACHED);
       reached += Boolean.TRUE.equals(reachable) ? 1 : 0;
     }
-    return new JobAnswer(200, signs.toString(), reached, answered.size());
+    return new JobAnswer(200, codes.toString(), reached, answered.size());
   }
 
-  /** The answers of all peers to one request. */
+  /** Collects the results of all peers for one request. */
   private static final class ProbeRound {
     private final Consumer<List<Decision.PeerProbeResult>> onResults;
     private final List<Decision.PeerProbeResult> results = new ArrayList<>();
--- a/src/main/java/org/astershift/controller/PeerReachability.java
+++ b/src/main/java/org/astershift/controller/PeerReachability.java
@@ -8,19 +8,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The requests by which controllers compare how much of the fleet they reach. */
+/** Queries with which controllers compare how much of the fleet they reach. */
 final class PeerReachability {
   private static final Logger LOG = LoggerFactory.getLogger(PeerReachability.class);
 
   private PeerReachability() {}
 
-  /** What this node answers; {@code storeAvailable}: the store responds to it. */
+  /** Encodes this node's answer; {@code storeAvailable} if the store responds to this node. */
   static JobAnswer encode(WorkerReachability.Measurement measurement, boolean storeAvailable) {
     return new JobAnswer(
         200, storeAvailable ? "" : "apart", measurement.answered(), measurement.probed());
   }
 
-  /** What a peer reports of itself; null if it does not answer. */
+  /** Returns a peer's status as it reports it; null if it does not answer. */
   static Candidacy.PeerStatus query(String node, JobService.PeerChannel peer) {
     try {
       JobAnswer answer =
@@ -31,7 +31,7 @@
       return new Candidacy.PeerStatus(
           node, answer.found() && "".equals(answer.phase()), measurement);
     } catch (IOException | RuntimeException e) {
-      LOG.debug("peer does not answer, node={}: {}", node, e.toString());
+      LOG.debug("peer did not answer, node={}: {}", node, e.toString());
       return null;
     }
   }
--- a/src/main/java/org/astershift/controller/PersistedRecordHandler.java
+++ b/src/main/java/org/astershift/controller/PersistedRecordHandler.java
@@ -5,13 +5,13 @@
 import org.astershift.http.JsonFormatException;
 import org.astershift.store.RecordCodec;
 
-/** Does what had to wait until a record of the term was durable. */
+/** Executes the steps that had to wait until a record of the term was durable. */
 final class PersistedRecordHandler implements LeaderRecords.Listener {
   private final long token;
   private final Supplier<LeaderTerm> currentTerm;
   private final CloudProvisioner provisioner;
 
-  /** {@code currentTerm}: gives null or another term where this token's is not current. */
+  /** {@code currentTerm} may supply null or another term, if the token's term is not current. */
   PersistedRecordHandler(
       long token, Supplier<LeaderTerm> currentTerm, CloudProvisioner provisioner) {
     this.token = token;
@@ -45,7 +45,8 @@
         }
       }
     } catch (JsonFormatException e) {
-      throw new IllegalStateException("own record cannot be decoded, key=" + key, e);
+      throw new IllegalStateException(
+          "record written by this term cannot be decoded, key=" + key, e);
     }
   }
 }
--- a/src/main/java/org/astershift/controller/ProgressSaver.java
+++ b/src/main/java/org/astershift/controller/ProgressSaver.java
@@ -6,13 +6,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Records done tasks, so that a successor does not run them again. */
+/** Records done tasks, so that the next leader does not run them again. */
 final class ProgressSaver {
   private static final Logger LOG = LoggerFactory.getLogger(ProgressSaver.class);
 
   private ProgressSaver() {}
 
-  /** Saves at intervals until the term ends. */
+  /** Records new progress at intervals until the term ends. */
   static void saveLoop(LeaderTerm term) throws InterruptedException {
     while (!term.hasEnded()) {
       Thread.sleep(LoopTiming.PROGRESS_SAVE_INTERVAL_MS);
@@ -28,7 +28,7 @@
   private static void save(LeaderTerm term, String jobId, BitSet done) {
     for (int i = 0; i < RecordCodec.segmentCount(done.length()); i++) {
       String key = RecordCodec.progressKey(jobId, i);
-      if (term.manages(jobId)) { // progress recorded after the job's end would never be deleted
+      if (term.manages(jobId)) { // a record written after the job's end would never be deleted
         term.records.put(LeaderRecords.RecordKind.PROGRESS, key, RecordCodec.segment(done, i), 0);
       }
     }
--- a/src/main/java/org/astershift/controller/ReachabilityProber.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -24,9 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Probes recorded machines from this node: small random samples all the time, so that it knows its
- * own reachability, and those that a leading peer asks about. A probe carries no token, so any node
- * may send it.
+ * Probes recorded machines from this node: small random samples continuously, which measure how
+ * much of the fleet it reaches, and the machines that a leading peer asks about. A probe carries no
+ * fencing token, so any node may send it.
  */
 final class ReachabilityProber {
   private static final Logger LOG = LoggerFactory.getLogger(ReachabilityProber.class);
@@ -36,11 +36,11 @@
   private final TaskPool probePool;
   private final WorkerReachability workerReachability = new WorkerReachability();
 
-  /** Separate, so that a leader's probes of silent machines do not delay the samples. */
+  /** A separate pool, so that probes of silent machines do not delay the samples. */
   private final TaskPool samplePool =
       Threads.pool("sample", LoopTiming.REACHABILITY_SAMPLE_MACHINES);
 
-  /** {@code probePool}: shared with the probes of {@link CommandDispatcher}. */
+  /** {@code probePool} is shared with {@link CommandDispatcher}. */
   ReachabilityProber(WatchCache watchCache, CommandSender sender, TaskPool probePool) {
     this.watchCache = watchCache;
     this.sender = sender;
@@ -51,7 +51,7 @@
     Threads.startLoop("sampling", this::sampleLoop);
   }
 
-  /** How many of the machines probed lately answered this node. Any thread. */
+  /** Returns how many recently probed machines answered. Callable from any thread. */
   WorkerReachability.Measurement measurement() {
     return workerReachability.measurement(LeaderTerm.nowMs());
   }
@@ -59,7 +59,7 @@
   private void sampleLoop() throws InterruptedException {
     boolean lastSampleTimedOut = false;
     while (true) {
-      if (!lastSampleTimedOut) { // a timeout was pause enough
+      if (!lastSampleTimedOut) { // waiting for the timeout was pause enough
         Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS);
       }
       samplePool.startWaitingWork();
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Addresses of random recorded machines that may hold tasks. */
+  /** Returns the addresses of randomly chosen recorded machines that may hold tasks. */
   private List<String> pickAddresses() {
     List<StoreClient.Entry> pageEntries =
         watchCache.entriesWithPrefix(RecordCodec.PAGES + LeaderRecords.RecordKind.MACHINE.letter);
@@ -102,7 +102,10 @@
     return new ArrayList<>(picked);
   }
 
-  /** Probes all of them; null for those that no thread probed in time. */
+  /**
+   * Probes all addresses and returns, in their order, whether each answered; null for an address
+   * that was not probed in time.
+   */
   private List<Boolean> probe(TaskPool pool, List<String> addresses, int timeoutMs)
       throws InterruptedException {
     Boolean[] answered = new Boolean[addresses.size()];
@@ -124,7 +127,8 @@
           });
     }
     if (!pending.await(timeoutMs + Scheduler.SUSPECT_AFTER_MS, TimeUnit.MILLISECONDS)) {
-      LOG.debug("probes not settled, pending={} of={}", pending.getCount(), answered.length);
+      LOG.debug(
+          "probes did not finish in time, pending={} of={}", pending.getCount(), answered.length);
     }
     synchronized (answered) {
       return Arrays.asList(answered.clone());
@@ -132,14 +136,15 @@
   }
 
   /**
-   * Probes machines for a leading peer; {@code addresses} separated by blanks. Also where this node
-   * reaches few machines itself: one that it reaches is alive.
+   * Probes machines for a leading peer; {@code addresses} are separated by spaces. Also done if
+   * this node reaches few machines: any machine that it reaches is alive.
    */
   JobAnswer probeForPeer(String addresses) throws InterruptedException {
     List<Boolean> answered =
         probe(probePool, List.of(addresses.split(" ")), Scheduler.PEER_PROBE_TIMEOUT_MS);
     JobAnswer answer = PeerProbes.encode(answered);
-    LOG.debug("probed for a peer, machines={} reached={}", answered.size(), answer.doneTasks());
+    LOG.debug(
+        "probed machines for a peer, machines={} reached={}", answered.size(), answer.doneTasks());
     return answer;
   }
 }
--- a/src/main/java/org/astershift/controller/RecordPage.java
+++ b/src/main/java/org/astershift/controller/RecordPage.java
@@ -8,9 +8,9 @@
 import org.astershift.store.RecordCodec;
 
 /**
- * One page of records: the entries it should hold and which of them changed since it was last
- * written. Under the lock of its {@link LeaderRecords}, but for the revision, which only the writer
- * thread uses once writing has begun.
+ * One page of records: the entries that it should hold, and which of them changed since its last
+ * write. Guarded by the lock of its {@link LeaderRecords}, except for the revision, which only the
+ * writer thread uses once writing has begun.
  */
 final class RecordPage {
   /** Due time of a page without changes. */
@@ -19,21 +19,21 @@
   final LeaderRecords.RecordKind kind;
   final String key;
 
-  /** Entries by key, in the order in which they were added. */
+  /** Entries by key, in insertion order. */
   final Map<String, Object> entries = new LinkedHashMap<>();
 
   private final Set<String> changedKeys = new LinkedHashSet<>();
 
-  /** Revision at which the page was last written; 0 if it does not exist. */
+  /** Revision at which the page was last written; 0 if it is not in the store. */
   long revision;
 
-  /** Size of the entries as JSON. */
+  /** Size of the entries as JSON, in bytes. */
   int bytes;
 
-  /** Steady-clock time at which the page is to be written. */
+  /** Monotonic time at which the page is due to be written. */
   long dueMs = NEVER_MS;
 
-  /** Steady-clock time of the oldest change that is not durable. */
+  /** Monotonic time of the oldest change that is not durable. */
   long oldestChangeMs = NEVER_MS;
 
   RecordPage(LeaderRecords.RecordKind kind, int number) {
@@ -41,7 +41,7 @@
     this.key = RecordCodec.PAGES + kind.letter + number;
   }
 
-  /** A page as it is sent; later changes do not affect it. */
+  /** The content of a page for one write; later changes of the page do not affect it. */
   record Snapshot(RecordPage page, Map<String, Object> entries, Set<String> changedKeys) {}
 
   static int entryBytes(String key, Object value) {
@@ -57,7 +57,7 @@
     bytes -= entryBytes(entryKey, entries.remove(entryKey));
   }
 
-  /** How much larger the page would get by this value of an entry that it holds. */
+  /** Returns by how many bytes the page would grow if the existing entry got this value. */
   int growthBytes(String entryKey, Object value) {
     return entryBytes(entryKey, value) - entryBytes(entryKey, entries.get(entryKey));
   }
@@ -68,7 +68,7 @@
     oldestChangeMs = Math.min(oldestChangeMs, LeaderTerm.nowMs());
   }
 
-  /** Takes the changes to be written; the page is due again at its next change. */
+  /** Takes the pending changes to be written; the page is due again after its next change. */
   Snapshot takeChanges() {
     Snapshot snapshot =
         new Snapshot(this, new LinkedHashMap<>(entries), new LinkedHashSet<>(changedKeys));
@@ -77,13 +77,13 @@
     return snapshot;
   }
 
-  /** Puts the changes of a failed write back, due at once. */
+  /** Restores the changes of a failed write, which are due immediately. */
   void restoreChanges(Set<String> keys) {
     changedKeys.addAll(keys);
     dueMs = 0;
   }
 
-  /** A write is durable: only later changes count as pending. */
+  /** Handles a durable write: only later changes are pending from now on. */
   void onCommitted() {
     oldestChangeMs = changedKeys.isEmpty() ? NEVER_MS : LeaderTerm.nowMs();
   }
--- a/src/main/java/org/astershift/controller/RecordWriter.java
+++ b/src/main/java/org/astershift/controller/RecordWriter.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the due pages of a term's records. One thread, for as long as the term lasts. */
+/** Writes the due pages of a term's records on one thread while the term lasts. */
 final class RecordWriter {
   private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
@@ -28,7 +28,7 @@
     this.listener = listener;
   }
 
-  /** Writes what is due until the term is over. */
+  /** Writes due pages until the term ends. */
   void writeLoop(LeaderTerm term) throws InterruptedException {
     while (true) {
       List<RecordPage.Snapshot> writes = records.takeDuePages();
@@ -48,7 +48,7 @@
         }
         refreshRevisions(writes, conflict.keys());
       } else {
-        LOG.debug("record pages not written yet: {}", outcome);
+        LOG.debug("writing record pages failed; will retry: {}", outcome);
         if (outcome instanceof Outcome.Rejected rejected
             && rejected.reason().equals(StoreClient.MALFORMED_REASON)) {
           records.splitAfterRejection(writes);
@@ -62,14 +62,14 @@
     try {
       return commit(writes);
     } catch (RuntimeException | Error e) {
-      LOG.error("writing record pages failed, token={}", token, e); // written again below
+      LOG.error("writing record pages failed; will retry, token={}", token, e);
       return new Outcome.Unknown(e.toString());
     }
   }
 
   /**
-   * Conditional on the pages' revisions: an earlier attempt that is applied late must not undo a
-   * later change.
+   * Commits the pages in one transaction. It is conditional on the pages' revisions, so that an
+   * earlier attempt that is applied late cannot undo a later change.
    */
   private Outcome commit(List<RecordPage.Snapshot> writes) throws InterruptedException {
     StoreClient.Transaction txn = new StoreClient.Transaction().when(RecordCodec.LEADER, token);
@@ -105,13 +105,16 @@
     try {
       listener.onPersisted(write.page().kind, key, write.entries().get(key));
     } catch (RuntimeException | Error e) {
-      // The record is durable, and the loop must go on: a leader that records nothing any more
-      // opens no job and provisions nothing.
+      // The record is durable, and the loop must go on: a leader that writes no records opens no
+      // jobs and provisions no machines.
       LOG.error("handling a durable record failed, kind={} key={}", write.page().kind, key, e);
     }
   }
 
-  /** An earlier attempt without an answer was applied after all: only the revision has changed. */
+  /**
+   * Reads the revisions of pages whose condition failed: an earlier attempt without a response was
+   * applied after all, so only the revision differs.
+   */
   private void refreshRevisions(List<RecordPage.Snapshot> writes, Set<String> conflicts)
       throws InterruptedException {
     for (RecordPage.Snapshot write : writes) {
@@ -119,7 +122,7 @@
         try {
           write.page().revision = store.get(write.page().key).revision();
         } catch (IOException e) {
-          LOG.debug("reading page failed, key={}: {}", write.page().key, e.toString());
+          LOG.debug("reading a record page failed, key={}: {}", write.page().key, e.toString());
           Thread.sleep(Threads.RETRY_BACKOFF_MS);
         }
       }
--- a/src/main/java/org/astershift/controller/RequestCoalescer.java
+++ b/src/main/java/org/astershift/controller/RequestCoalescer.java
@@ -6,11 +6,11 @@
 import org.astershift.coordination.CoalescerState.Ticket;
 
 /**
- * Lets concurrent callers with the same key share an answer; {@link CoalescerState} decides who
- * computes and who waits. Callable from any thread.
+ * Lets concurrent callers with the same key share one answer; {@link CoalescerState} decides which
+ * caller computes it and which ones wait. Callable from any thread.
  */
 final class RequestCoalescer<A> {
-  /** Computes an answer; each call begins after all callers that share it have asked. */
+  /** Computes an answer; a computation begins only after all callers that share it have asked. */
   interface Work<A> {
     A compute(String key) throws InterruptedException;
   }
@@ -22,7 +22,7 @@
     this.work = work;
   }
 
-  /** The answer; null if the caller that computed it failed. */
+  /** Returns the answer; null if another caller computed it and failed. */
   A get(String key) throws InterruptedException {
     synchronized (this) {
       Ticket<A> ticket = state.join(key);
--- a/src/main/java/org/astershift/coordination/Cancellation.java
+++ b/src/main/java/org/astershift/coordination/Cancellation.java
@@ -1,45 +1,53 @@
 package org.astershift.coordination;
 
 /**
- * The next step of a user's cancellation. It is confirmed only when no task can outlive it: the
- * leader writes the end under its key, and only once each machine that may hold a task of the job
- * is fenced by its token or gone, and no start is in flight. From then on whoever renews such a
- * machine's lease stops the task in the same response, and without renewal the lease expires. What
- * cannot be confirmed by the deadline is answered with 503, to be repeated.
+ * Decides the next step of a user's cancellation. A cancellation is confirmed only when no task of
+ * the job can outlive it. The leader writes the job's end on the condition that it still holds the
+ * leader key, and only once each machine that may hold a task of the job is fenced by its token or
+ * gone, and no start is in flight. From then on any leader that renews such a machine's lease stops
+ * the task in the same response, and without renewal the lease expires. A cancellation that cannot
+ * be confirmed by the deadline is answered with 503, so that the user repeats it.
  */
 public final class Cancellation {
   private Cancellation() {}
 
-  /** What to do next. */
+  /** The next step. */
   public enum Action {
-    /** Answer with the known end: it is durable and final. */
+    /** Answer with the known end, which is durable and final. */
     REPLY_WITH_END,
-    /** Forward to the leader. */
+    /** Forward the cancellation to the leader. */
     FORWARD,
     /** Answer 503. */
     REJECT,
-    /** Read the store: the job has ended, is unknown, or is not loaded here yet. */
+    /** Read the store: the job has ended, is unknown, or is not loaded by this leader yet. */
     READ_STORE,
-    /** Check again shortly: machines are being fenced, starts settled. */
+    /** Check again shortly: machines are not fenced yet, or starts are in flight. */
     WAIT,
-    /** Write the end as cancelled, and confirm it once it is durable. */
+    /** Write the job's end as cancelled, and confirm it once it is durable. */
     WRITE_CANCELLED,
-    /** Write the end as done: all tasks completed before they could be stopped. */
+    /** Write the job's end as done: all tasks completed before they could be stopped. */
     WRITE_DONE;
 
-    /** Whether the term works on the job's end, so that none of its tasks may start. */
+    /** Returns whether the term prepares or writes the end, so that no task may start. */
     public boolean needsTerm() {
       return this == WAIT || this == WRITE_CANCELLED || this == WRITE_DONE;
     }
   }
 
   /**
-   * What this controller knows. {@code ended}: the job's end; {@code mayForward}: the leader may be
-   * asked; {@code leading}: this controller has a term, which is {@code leaseCertain} while no
-   * other can have begun; {@code managed}: the term manages the job; {@code storeRead}: the store
-   * was read for it; {@code fenced}: no machine that may hold a task of it can be renewed by an
-   * older leader; {@code startInFlight}: a start of it is being sent; {@code complete}: all of its
-   * tasks are done; {@code deadlinePassed}: the user's request must be answered.
+   * What this controller knows of the job and its cancellation.
+   *
+   * @param ended the end of the job is known
+   * @param mayForward the request may be forwarded to the leader
+   * @param leading this controller has a term
+   * @param leaseCertain no other term can have begun since this controller's term did
+   * @param managed the term manages the job
+   * @param storeRead the store was read for the job
+   * @param fenced an older leader cannot renew the lease of any machine that may hold a task of the
+   *     job
+   * @param startInFlight a start of a task of the job is in flight or unconfirmed
+   * @param complete all tasks of the job are done
+   * @param deadlinePassed the user's request must be answered now
    */
   public record View(
       boolean ended,
@@ -53,7 +61,7 @@
       boolean complete,
       boolean deadlinePassed) {}
 
-  /** The next step in this situation. */
+  /** Returns the next step in this situation. */
   public static Action next(View view) {
     if (view.ended()) {
       return Action.REPLY_WITH_END;
--- a/src/main/java/org/astershift/coordination/CancellationLatency.java
+++ b/src/main/java/org/astershift/coordination/CancellationLatency.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Latency of cancellations, for the log: from the first request at the leader, however often it is
- * rejected and repeated, to the durable end. Needs the caller's lock. Bounded by the live jobs.
+ * Measures the latency of cancellations for the log: from the first request that reaches the
+ * leader, however often the request is rejected and repeated, to the durable end. Not thread-safe:
+ * the caller holds a lock. Its size is bounded by the number of live jobs.
  */
 public final class CancellationLatency {
   private static final double MEDIAN = 0.5;
@@ -16,12 +17,14 @@
   private final Map<String, Long> requestedMs = new HashMap<>();
   private final List<Long> latenciesMs = new ArrayList<>();
 
-  /** A user requests the cancellation of this live job. */
+  /** Records a user's request to cancel a live job; only the first one of a job counts. */
   public void onCancelRequested(String jobId, long nowMs) {
     requestedMs.putIfAbsent(jobId, nowMs);
   }
 
-  /** The job's end is durable; one that was done first does not count. */
+  /**
+   * Records that a job's end is durable. A job that was done before it was cancelled is ignored.
+   */
   public void onJobEnded(String jobId, boolean cancelled, long nowMs) {
     Long cancelRequestedMs = requestedMs.remove(jobId);
     if (cancelRequestedMs != null && cancelled) {
@@ -29,7 +32,7 @@
     }
   }
 
-  /** A log line on the cancellations since the last one; null if there were none. */
+  /** Returns a log line on the cancellations since the last call; null if there were none. */
   public String summary(long nowMs) {
     if (latenciesMs.isEmpty() && requestedMs.isEmpty()) {
       return null;
@@ -53,7 +56,7 @@
     return text.toString();
   }
 
-  /** By nearest rank, of the sorted latencies. */
+  /** Returns a quantile of the sorted latencies by the nearest-rank method. */
   private long quantile(double share) {
     return latenciesMs.get((int) Math.ceil(share * latenciesMs.size()) - 1);
   }
--- a/src/main/java/org/astershift/coordination/Candidacy.java
+++ b/src/main/java/org/astershift/coordination/Candidacy.java
@@ -6,48 +6,49 @@
 import org.astershift.coordination.WorkerReachability.Measurement;
 
 /**
- * Whether a controller becomes a candidate, and when a leader transfers its leadership. Safety does
- * not depend on it, only on the lease: these decisions bring the leadership to a controller that
- * reaches workers, and keep it there.
+ * Decides whether a controller becomes a candidate for leadership, and when a leader transfers its
+ * leadership. Safety depends only on the lease and not on these decisions, which bring the
+ * leadership to a controller that reaches workers and keep it there.
  *
- * <p>Candidates are ranked by delay and not by agreement: one that reaches few workers waits longer
- * after the key has gone, which works also while controllers cannot reach each other. Transfer is
- * for a leader that is partitioned later: it goes to a peer that reaches more workers. If no peer
- * answers, each gets one turn; if those that answer reach no more, the leader stays.
+ * <p>Candidates are ranked by delay and not by agreement: a controller that reaches few workers
+ * waits longer after the leader key has disappeared, which works even while controllers cannot
+ * reach each other. A transfer is for a leader that becomes partitioned from its workers later: the
+ * leadership goes to a peer that reaches more workers. If no peer answers, each peer gets one turn
+ * as leader; if the peers that answer reach no more workers, the leader stays.
  */
 public final class Candidacy {
-  /** By how much a peer's reached share must exceed the leader's for a transfer. */
+  /** Least margin of a peer's reached share over the leader's observed share for a transfer. */
   private static final double TRANSFER_MIN_GAIN_SHARE = 0.3;
 
   /**
-   * Milliseconds for which a controller that reaches few workers leaves the election to the others,
-   * which check for a missing key every 300 ms.
+   * Time, in milliseconds, for which a controller that reaches few workers leaves the election to
+   * the others, which check for a missing leader key every 300 ms.
    */
   static final long CANDIDACY_DELAY_MS = 3000;
 
-  /** Shortest age of a term that its leader transfers, milliseconds. */
+  /** Shortest age of a term at which its leader may transfer the leadership, milliseconds. */
   static final long TRANSFER_MIN_TERM_MS = 8000;
 
-  /** Shortest time between two resignations, milliseconds, if no other leader came between. */
+  /** Shortest time between two resignations without another leader in between, milliseconds. */
   static final long RESIGN_MIN_INTERVAL_MS = 60_000;
 
   private final Map<String, Long> lastLedMs = new HashMap<>();
   private long keyAbsentSinceMs = -1;
   private long deferredMs = Long.MIN_VALUE / 2;
 
-  /** What a peer reports of itself; {@code storeAvailable}: the store responds to it. */
+  /** A peer's status as it reports it; {@code storeAvailable} if the store responds to it. */
   public record PeerStatus(String node, boolean storeAvailable, Measurement workerReachability) {}
 
-  /** A transfer to this controller, or to any where {@code successor} is null. */
+  /** A transfer to {@code successor}, or to any controller if that is null. */
   public record LeadershipTransfer(String successor) {}
 
-  /** The leader's key names this controller. */
+  /** Records that the leader key names {@code node}. */
   public synchronized void onHolderObserved(String node, long nowMs) {
     keyAbsentSinceMs = -1;
     lastLedMs.put(node, nowMs);
   }
 
-  /** The key does not exist: whether this controller becomes a candidate now. */
+  /** Returns whether this controller becomes a candidate now; called while the key is absent. */
   public synchronized boolean shouldBecomeCandidate(Measurement own, long nowMs) {
     if (keyAbsentSinceMs < 0) {
       keyAbsentSinceMs = nowMs;
@@ -56,18 +57,27 @@
     return !deferring && nowMs - keyAbsentSinceMs >= (own.reachesFew() ? CANDIDACY_DELAY_MS : 0);
   }
 
-  /** The leader announces a transfer to another controller than this one. */
+  /** Records that the leader announced a transfer to another controller than this one. */
   public synchronized void deferToSuccessor(long nowMs) {
     deferredMs = nowMs;
   }
 
   /**
-   * The transfer by a leader that observes only {@code visibleShare} of its machines; null: it
-   * stays. {@code statuses}: of those of the {@code peerCount} that answered; {@code termBeganMs}:
-   * the term must have lasted a while, so that an unstable link does not move the leadership often.
+   * Decides about a transfer by a leader that observes only a part of its machines; returns null if
+   * it stays. The term must have lasted a while, so that an unstable link does not move the
+   * leadership often.
+   *
+   * @param observedShare share of its machines that the leader observes
+   * @param statuses status of each peer that answered
+   * @param peerCount number of all peers
+   * @param termBeganMs when the leader's term began
    */
   public synchronized LeadershipTransfer decideTransfer(
-      double visibleShare, List<PeerStatus> statuses, int peerCount, long termBeganMs, long nowMs) {
+      double observedShare,
+      List<PeerStatus> statuses,
+      int peerCount,
+      long termBeganMs,
+      long nowMs) {
     if (peerCount == 0 || nowMs - termBeganMs < TRANSFER_MIN_TERM_MS) {
       return null;
     }
@@ -76,7 +86,7 @@
       boolean better =
           status.storeAvailable()
               && status.workerReachability().reachesEnough()
-              && status.workerReachability().share() >= visibleShare + TRANSFER_MIN_GAIN_SHARE;
+              && status.workerReachability().share() >= observedShare + TRANSFER_MIN_GAIN_SHARE;
       if (better
           && (best == null
               || status.workerReachability().share() > best.workerReachability().share())) {
@@ -89,7 +99,7 @@
     if (!statuses.isEmpty()) {
       return null;
     }
-    // No peer answers: each that has not led lately gets one turn.
+    // No peer answers: each peer that has not led recently gets one turn.
     lastLedMs.values().removeIf(lastLed -> nowMs - lastLed > RESIGN_MIN_INTERVAL_MS);
     return lastLedMs.size() <= peerCount ? new LeadershipTransfer(null) : null;
   }
--- a/src/main/java/org/astershift/coordination/CoalescerState.java
+++ b/src/main/java/org/astershift/coordination/CoalescerState.java
@@ -4,10 +4,11 @@
 import java.util.Map;
 
 /**
- * Request coalescing: which callers share a result. A result may go only to callers that asked
- * before its computation began; otherwise a user who has seen a newer state at another controller
- * could get an older one. So callers that arrive during a computation share the next one: for each
- * key at most one computes and one is queued. Needs the caller's lock; the caller does the waiting.
+ * Request coalescing: decides which callers share a result. A result may go only to callers that
+ * asked before its computation began; otherwise a user who has seen a newer state at another
+ * controller could get an older one. Callers that arrive during a computation therefore share the
+ * next one: for each key at most one computation runs and one is queued. Not thread-safe: the
+ * caller holds a lock, and does the waiting.
  */
 public final class CoalescerState<A> {
   /** The callers that share one result. */
@@ -15,24 +16,24 @@
     private A answer;
     private boolean completed;
 
-    /** Whether the computation is over. */
+    /** Returns whether the computation has ended. */
     public boolean completed() {
       return completed;
     }
 
-    /** The result; null before completion, and if the computation failed. */
+    /** Returns the result; null before completion, and if the computation failed. */
     public A answer() {
       return answer;
     }
   }
 
-  /** What a caller does. */
+  /** The part of a caller in its round. */
   public enum Role {
     /** Computes the result now. */
     COMPUTE,
-    /** Computes it after the present round. */
+    /** Computes the result after the current round. */
     QUEUED,
-    /** Waits until its round is complete. */
+    /** Waits for the result that another caller of the round computes. */
     SHARE
   }
 
@@ -42,7 +43,7 @@
   private final Map<String, Round<A>> computing = new HashMap<>();
   private final Map<String, Round<A>> queued = new HashMap<>();
 
-  /** A caller arrives. */
+  /** Assigns a new caller a round and a role. */
   public Ticket<A> join(String key) {
     Round<A> round = queued.get(key);
     if (round != null) {
@@ -57,22 +58,22 @@
     return new Ticket<>(round, Role.COMPUTE);
   }
 
-  /** Whether a computation is running; the queued caller begins when none is. */
+  /** Returns whether a computation is running; the queued caller begins when none is. */
   public boolean isComputing(String key) {
     return computing.containsKey(key);
   }
 
-  /** The queued caller begins to compute; callers from now on do not share its result. */
+  /** Begins the computation of the queued caller; later callers do not share its result. */
   public void beginQueued(String key) {
     computing.put(key, queued.remove(key));
   }
 
-  /** The queued caller gives up; those who share its round get null. */
+  /** Removes a queued caller that gave up; callers that share its round get null. */
   public void abandonQueued(String key) {
     queued.remove(key).completed = true;
   }
 
-  /** The computation is over; {@code answer} null if it failed. */
+  /** Ends a computation; {@code answer} is null if it failed. */
   public void complete(String key, A answer) {
     Round<A> round = computing.remove(key);
     round.answer = answer;
--- a/src/main/java/org/astershift/coordination/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -8,30 +8,30 @@
 import org.astershift.coordination.WorkerReachability.Measurement;
 
 /**
- * One controller's part in the leader election. The leader holds one key of the store on a lease;
- * its fencing token is the revision at which the key was created, so a later leader has a higher
- * one. A process never inherits its predecessor's key. Once the lease may have expired, the leader
- * is no longer {@link #isLeaseCertain} and answers nothing that another leader could contradict; it
- * leads on until it sees another leader.
+ * One controller's part in the leader election. The leader holds one key of the store, which is
+ * attached to a lease. The leader's fencing token is the revision at which the key was created, so
+ * a later leader has a higher token. A process never takes over the key of the node's previous
+ * process. Once the lease may have expired, {@link #isLeaseCertain} is false and the leader answers
+ * nothing that another leader could contradict, but it keeps its term until it sees another leader.
  *
- * <p>The caller gets the next {@link Action}, carries it out, reports the outcome, and repeats. The
- * end of a term may be called for at any time, from any thread. Times are milliseconds of the
- * steady clock.
+ * <p>The caller gets the next {@link Action}, executes it, reports the outcome, and repeats.
+ * Methods that end a term may be called at any time and from any thread. Times are milliseconds of
+ * the monotonic clock.
  */
 public final class Election {
   /**
-   * Duration of the leader's lease, milliseconds: shorter means faster failover, longer survives
-   * slow renewals.
+   * Duration of the leader's lease, milliseconds: a shorter lease makes failover faster, a longer
+   * one tolerates slower renewals.
    */
   public static final long LEADER_LEASE_MS = 2000;
 
   /**
-   * Milliseconds for which a leader that resigned leaves the election to the others, who become
-   * candidates within 300 ms, or 3 s where they reach few workers themselves.
+   * Time, in milliseconds, for which a leader that resigned leaves the election to the others. They
+   * become candidates within 300 ms, or within 3 s if they reach few workers themselves.
    */
   private static final long RESIGN_BACKOFF_MS = 5000;
 
-  /** Milliseconds without a response of the store after which an idle follower reads the key. */
+  /** Time without a response of the store after which a follower reads the key, milliseconds. */
   private static final long STORE_KEEPALIVE_MS = 700;
 
   private final String node;
@@ -46,16 +46,18 @@
   private long resignAllowedMs = Long.MIN_VALUE / 2;
   private long candidacyAllowedMs = Long.MIN_VALUE / 2;
 
-  /** This process was a candidate: a key with its node's name may be its own. */
+  /**
+   * Whether this process has been a candidate, so that a key with its node's name may be its own.
+   */
   private boolean wasCandidate;
 
-  /** Another controller has led since this one resigned. */
+  /** Whether another controller has led since this one resigned. */
   private boolean otherLedSinceResigning;
 
-  /** The deferral to other candidates was reported. */
+  /** Whether the deferral to other candidates was reported to the caller. */
   private boolean deferralReported;
 
-  /** How far this controller has come towards leading. */
+  /** Progress of this controller towards leadership. */
   private enum Step {
     FOLLOWER,
     LEASE_GRANTED,
@@ -64,55 +66,59 @@
     LEADER
   }
 
-  /** What the caller should do. */
+  /** What the caller executes next. */
   public sealed interface Action {
-    /** Nothing now: ask again after a pause, or when the key has changed. */
+    /** Do nothing now: ask again after a pause, or when the key has changed. */
     record Wait() implements Action {}
 
-    /** Read the key, to learn whether the store responds. */
+    /** Read the key in order to learn whether the store responds. */
     record ReadKey() implements Action {}
 
     /** Leave the election to others for now: this controller reaches few workers. */
     record Defer(Measurement workerReachability) implements Action {}
 
-    /** Delete the key at this revision: this node's previous process left it. */
+    /** Delete the key at this revision, which this node's previous process left behind. */
     record RemoveStaleKey(long revision) implements Action {}
 
-    /** Get a lease; outcome to {@link #onLeaseGranted}. */
+    /** Get a lease; report it to {@link #onLeaseGranted}. */
     record GrantLease(long ttlMs) implements Action {}
 
-    /** Create the key, if absent, on this lease; outcome to {@link #onKeyCreation}. */
+    /** Create the key on this lease if it is absent; report to {@link #onKeyCreation}. */
     record CreateKey(long lease) implements Action {}
 
     /**
-     * The creation had no answer: renew the lease and read whether the key is on it; outcome to
-     * {@link #onKeyVerified}.
+     * After a creation without a response: renew the lease and read whether the key is attached to
+     * it; report to {@link #onKeyVerified}.
      */
     record VerifyKey(long lease) implements Action {}
 
-    /** Wait until the cache has reached this revision; outcome to {@link #onCaughtUp}. */
+    /** Wait until the cache has reached this revision; report to {@link #onCaughtUp}. */
     record CatchUp(long revision) implements Action {}
 
-    /** Begin the term; {@link #onTermStartFailed} if that fails. */
+    /** Begin the term; report a failure to {@link #onTermStartFailed}. */
     record BeginTerm(long token) implements Action {}
 
-    /** Renew the lease; outcome to {@link #onLeaseRenewed}. */
+    /** Renew the lease; report to {@link #onLeaseRenewed}. */
     record RenewLease(long lease) implements Action {}
 
-    /** Revoke the lease, so that the key does not name this controller any more. */
+    /** Revoke the lease, so that the key no longer names this controller. */
     record RevokeLease(long lease) implements Action {}
 
     /** End the term. */
     record EndTerm(long token, String reason) implements Action {}
   }
 
-  /** Who holds the key, and its revision. */
+  /** The node that holds the key, and the revision of the key. */
   public record Holder(String node, long revision) {}
 
   /**
-   * What this controller knows. {@code cacheLoaded}: the cache holds a state of the store; {@code
-   * holder} null: the key does not exist in it; {@code storeSilenceMs}: milliseconds since the
-   * store last responded.
+   * What this controller knows.
+   *
+   * @param cacheLoaded the cache holds a state of the store
+   * @param holder the holder of the key according to the cache; null if the key does not exist
+   *     there
+   * @param workerReachability how much of the fleet this controller reaches
+   * @param storeSilenceMs milliseconds since the store last responded
    */
   public record View(
       long nowMs,
@@ -125,34 +131,34 @@
   public enum KeyCreation {
     /** This controller holds the key. */
     CREATED,
-    /** Another holds it, or the request was refused. */
+    /** Another controller holds the key, or the request was rejected. */
     REJECTED,
-    /** No answer came: the key may have been created. */
+    /** No response arrived: the key may have been created. */
     UNKNOWN
   }
 
-  /** {@code node}: this controller's name. */
+  /** {@code node} is the name of this controller. */
   public Election(String node, Candidacy candidacy) {
     this.node = node;
     this.candidacy = candidacy;
   }
 
-  /** The fencing token; 0 if this controller does not lead. */
+  /** Returns the fencing token; 0 if this controller does not lead. */
   public synchronized long token() {
     return token;
   }
 
-  /** Whether no other controller can have become leader since this term began. */
+  /** Returns whether no other controller can have become leader since this term began. */
   public synchronized boolean isLeaseCertain(long termToken, long nowMs) {
     return token == termToken && termToken != 0 && nowMs < leaseCertainUntilMs;
   }
 
-  /** Before this time no other controller can have become leader. */
+  /** Returns the time before which no other controller can have become leader. */
   public synchronized long leaseCertainUntilMs() {
     return leaseCertainUntilMs;
   }
 
-  /** The next action. */
+  /** Returns the next action. */
   public synchronized Action next(View view) {
     if (!pendingActions.isEmpty()) {
       return pendingActions.poll();
@@ -184,7 +190,7 @@
       candidacy.onHolderObserved(view.holder().node(), view.nowMs());
       deferralReported = false;
       otherLedSinceResigning |= !ownKey;
-      // A key of this node's previous process, which is dead, since this one has its addresses.
+      // If this node's previous process left the key, it is dead: this process has its addresses.
       return ownKey && !wasCandidate
           ? new Action.RemoveStaleKey(view.holder().revision())
           : new Action.Wait();
@@ -194,14 +200,17 @@
       deferralReported = true;
       return alreadyReported ? new Action.Wait() : new Action.Defer(view.workerReachability());
     }
-    // The lease may begin as soon as it is requested.
+    // The lease may begin at any time from its request on.
     leaseRequestedMs = view.nowMs();
     return new Action.GrantLease(LEADER_LEASE_MS);
   }
 
   private Action nextAsLeader(View view) {
     if (view.holder() == null || view.holder().revision() != token) {
-      String reason = view.holder() == null ? "its key is gone" : "another leads";
+      String reason =
+          view.holder() == null
+              ? "its leader key is gone"
+              : "another controller holds the leader key";
       return endTerm(token, reason) ? pendingActions.poll() : new Action.Wait();
     }
     candidacy.onHolderObserved(node, view.nowMs());
@@ -209,7 +218,7 @@
     return new Action.RenewLease(lease);
   }
 
-  /** A lease was granted. */
+  /** Handles a granted lease. */
   public synchronized void onLeaseGranted(long grantedLease) {
     if (step == Step.FOLLOWER) {
       lease = grantedLease;
@@ -217,7 +226,7 @@
     }
   }
 
-  /** Outcome of the key's creation; {@code revision}: the key's, if it was created. */
+  /** Handles the outcome of the key's creation; {@code revision} is the key's, if created. */
   public synchronized void onKeyCreation(KeyCreation outcome, long revision) {
     if (step != Step.LEASE_GRANTED) {
       return;
@@ -230,9 +239,12 @@
   }
 
   /**
-   * {@code revision}: the key's, if it is on this candidate's lease, which nobody else has; 0 if it
-   * is not, or that is unknown. Read rather than given up, so that somebody leads also while the
-   * answers of most writes are lost.
+   * Handles the verification of a key whose creation got no response. The key is read instead of
+   * abandoning the candidacy, so that some controller leads even while most responses to writes are
+   * lost.
+   *
+   * @param revision the revision of the key if it is attached to this candidate's lease, which no
+   *     other controller uses; 0 if it is not, or that is unknown
    */
   public synchronized void onKeyVerified(long revision) {
     if (step != Step.CREATION_UNKNOWN) {
@@ -242,7 +254,7 @@
       onKeyCreated(revision);
       return;
     }
-    // The creation may still be applied: the key must not name this controller then.
+    // The creation may still be applied; the key must not name this controller in that case.
     step = Step.FOLLOWER;
     pendingActions.add(new Action.RevokeLease(lease));
   }
@@ -254,9 +266,9 @@
   }
 
   /**
-   * Whether the cache has reached this revision. Only the key created last counts: after an earlier
-   * one a term would begin without what was recorded between the two, and ignore it as older than
-   * its token.
+   * Handles whether the cache has reached this revision. Only the revision of the key created last
+   * counts: if the cache had only reached that of an earlier key, the term would begin without the
+   * records written between the two, and ignore them as older than its token.
    */
   public synchronized void onCaughtUp(long revision, boolean caughtUp) {
     if (step != Step.KEY_CREATED || revision != createdRevision) {
@@ -272,7 +284,7 @@
     pendingActions.add(new Action.BeginTerm(token));
   }
 
-  /** {@code renewed} null: no answer; false: the lease has expired. */
+  /** Handles a renewal; {@code renewed} is null without a response, false if the lease expired. */
   public synchronized void onLeaseRenewed(Boolean renewed) {
     if (step != Step.LEADER || renewed == null) {
       return;
@@ -280,31 +292,32 @@
     if (renewed) {
       leaseCertainUntilMs = leaseRequestedMs + certainLeaseMs();
     } else {
-      endTerm(token, "its lease has ended");
+      endTerm(token, "its lease has expired");
     }
   }
 
-  /** A term that cannot begin gives the leadership up, instead of holding it without effect. */
+  /** Resigns after a term could not begin, instead of holding the leadership without effect. */
   public synchronized List<Action> onTermStartFailed(long termToken, long nowMs) {
     candidacyAllowedMs = nowMs + RESIGN_BACKOFF_MS;
     return endAndRevoke(termToken, "it could not begin");
   }
 
-  /** Ends the term of this token: another leader is certain. */
+  /** Ends the term with this token: another leader is certain, or the term cannot go on. */
   public synchronized List<Action> stepDown(long termToken, String reason) {
     return endTerm(termToken, reason) ? drainPending() : List.of();
   }
 
-  /** Another controller reports the leader's token: a higher one ends this term. */
+  /** Handles the leader's token as another controller reports it; a higher one ends this term. */
   public synchronized List<Action> onLeaderObserved(long observedToken) {
     return observedToken > token
-        ? stepDown(token, "another node says that a later one leads, with token " + observedToken)
+        ? stepDown(token, "another node reports a later leader with token " + observedToken)
         : List.of();
   }
 
   /**
-   * Gives the leadership up, since this controller reaches too few workers; not twice in a short
-   * time if nobody else led between, since then the others reach no more.
+   * Resigns as leader, because this controller reaches too few workers. Has no effect soon after
+   * another resignation if no other controller led in between, since the others then reach no more
+   * workers.
    */
   public synchronized List<Action> resign(long termToken, String reason, long nowMs) {
     if ((nowMs < resignAllowedMs && !otherLedSinceResigning)
@@ -331,7 +344,8 @@
     }
     token = 0;
     step = Step.FOLLOWER;
-    pendingActions.removeIf(action -> action instanceof Action.BeginTerm); // over before it began
+    pendingActions.removeIf(
+        action -> action instanceof Action.BeginTerm); // the term ended before it began
     pendingActions.add(new Action.EndTerm(termToken, reason));
     return true;
   }
--- a/src/main/java/org/astershift/coordination/JobQuery.java
+++ b/src/main/java/org/astershift/coordination/JobQuery.java
@@ -1,19 +1,19 @@
 package org.astershift.coordination;
 
 /**
- * The source of a controller's answer to a poll. Polls are linearizable: once any controller has
- * reported a job accepted, done or cancelled, none reports an older state. So only a leader whose
- * lease is certainly held answers from memory, since only a leader ends jobs; all others ask it, or
- * read the store after the poll arrived.
+ * Decides the source of a controller's answer to a poll. Polls are linearizable: once any
+ * controller has reported a job as accepted, done or cancelled, none reports an older state.
+ * Therefore only a leader that certainly holds its lease answers from memory, since only a leader
+ * ends jobs; all other controllers ask the leader, or read the store after the poll has arrived.
  */
 public final class JobQuery {
   private JobQuery() {}
 
-  /** Where the answer comes from. */
+  /** The source of an answer. */
   public enum Source {
-    /** The end in this node's cache: it is durable and final. */
+    /** The end in this node's cache, which is durable and final. */
     KNOWN_END,
-    /** This leader's memory. */
+    /** The memory of this node, which leads. */
     LEADER_MEMORY,
     /** The leader on another node. */
     REMOTE_LEADER,
@@ -22,10 +22,13 @@
   }
 
   /**
-   * What this controller knows. {@code ended}: the job's end; {@code leading}: it has a term;
-   * {@code answerableFromMemory}: the term manages the job and has no write of its end in flight;
-   * {@code leaseCertain}: checked after that, no other leader can have begun; {@code mayForward}:
-   * the leader may be asked.
+   * What this controller knows of the job.
+   *
+   * @param ended the end of the job is known
+   * @param leading this controller has a term
+   * @param answerableFromMemory the term manages the job and has no write of its end in flight
+   * @param leaseCertain no other term can have begun; checked after {@code answerableFromMemory}
+   * @param mayForward the leader may be asked
    */
   public record View(
       boolean ended,
@@ -34,7 +37,7 @@
       boolean leaseCertain,
       boolean mayForward) {}
 
-  /** The source for a poll in this situation. */
+  /** Returns the source for a poll in this situation. */
   public static Source source(View view) {
     if (view.ended()) {
       return Source.KNOWN_END;
--- a/src/main/java/org/astershift/coordination/StoreReachability.java
+++ b/src/main/java/org/astershift/coordination/StoreReachability.java
@@ -1,41 +1,45 @@
 package org.astershift.coordination;
 
 /**
- * Why the store does not respond to this node, judged by what its peers report. In an outage the
- * node stays ready, since no node could do more. If a peer is served, or no peer responds either,
- * the node is partitioned: it reports not ready, so that users go elsewhere, and keeps its workers.
- * Used by one thread.
+ * Determines from the reports of its peers why the store does not respond to this node. In an
+ * outage of the store this node stays ready, since no node could do more. If the store responds to
+ * a peer, or no peer responds either, this node is partitioned: it reports not ready, so that users
+ * go to other nodes, and keeps its workers. Used by one thread.
  */
 public final class StoreReachability {
   /**
-   * Milliseconds without a response of the store or of any peer after which a node counts as
-   * isolated: longer than a restart of all peers in an outage takes.
+   * Time, in milliseconds, without a response of the store or of any peer after which this node
+   * counts as isolated: longer than a restart of all peers during an outage takes.
    */
   static final long ISOLATED_AFTER_MS = 6000;
 
-  /** The reason. */
+  /** The reason why the store does not respond. */
   public enum Verdict {
-    /** Peers are not served either, or it is too early to say. */
+    /** The store does not respond to the peers either, or it is too early to say. */
     OUTAGE,
-    /** A peer is served. */
+    /** The store responds to a peer. */
     PARTITIONED,
-    /** Neither the store nor any peer has responded for a while. */
+    /** Neither the store nor any peer has responded for {@code ISOLATED_AFTER_MS}. */
     ISOLATED
   }
 
   private long lastResponseMs = -1;
 
-  /** The store responds to this node. */
+  /** Records that the store responds to this node. */
   public void onStoreResponded() {
     lastResponseMs = -1;
   }
 
   /**
-   * The verdict after {@code peerCount} peers were asked, of which {@code answered} answered;
-   * {@code peerServed}: the store responds to one of them.
+   * Returns the verdict after the peers were queried while the store did not respond.
+   *
+   * @param peerCount number of peers queried
+   * @param answered number of peers that answered
+   * @param storeRespondsToPeer the store responds to one of the peers
    */
-  public Verdict onPeersQueried(int peerCount, int answered, boolean peerServed, long nowMs) {
-    if (peerServed) {
+  public Verdict onPeersQueried(
+      int peerCount, int answered, boolean storeRespondsToPeer, long nowMs) {
+    if (storeRespondsToPeer) {
       lastResponseMs = nowMs;
       return Verdict.PARTITIONED;
     }
--- a/src/main/java/org/astershift/coordination/TermJobs.java
+++ b/src/main/java/org/astershift/coordination/TermJobs.java
@@ -7,48 +7,51 @@
 import java.util.Set;
 
 /**
- * Which jobs one term manages, and which of them may have ended without the leader knowing it yet.
- * A job's live record is written once and deleted by its end, and from the term's token on only
- * this term can end jobs; so live are those that were live at the token and those recorded after
- * it, less those that ended here. Callable from any thread.
+ * The jobs that one term manages, and those of them that may have ended without the leader knowing
+ * it yet. A job's live record is written once and deleted when the job ends, and from the revision
+ * of the term's token on only this term can end jobs. The live jobs are therefore those that were
+ * live at that revision and those recorded after it, except for the jobs that this term has ended.
+ * Callable from any thread.
  */
 public final class TermJobs {
-  /** Ended jobs that are remembered against late reads of their live record. */
+  /** Most ended jobs that are kept in order to ignore late reads of their live records. */
   static final int ENDED_IN_TERM_JOBS = 10_000;
 
   private final long token;
   private final Set<String> managed = new HashSet<>();
 
   /**
-   * Jobs that ended in this term, the oldest first. A live record read before the end may arrive
-   * after it, from another thread: adopted again, the job's tasks would start once more.
+   * Jobs that ended in this term, the oldest first. A live record that was read before the end may
+   * arrive after it, from another thread; if the job were adopted again, its tasks would start
+   * again.
    */
   private final Set<String> endedInTerm = new LinkedHashSet<>();
 
   /**
-   * Jobs whose end may be durable, with the number of writes in flight or without an answer. Their
-   * progress in memory must not be reported any more: another node may have read the end and
-   * reported it.
+   * Jobs whose end may be durable, with the number of writes that are in flight or got no response.
+   * The progress of these jobs in memory must no longer be reported, since another node may have
+   * read the end and reported it.
    */
   private final Map<String, Integer> unconfirmedEnds = new HashMap<>();
 
   private boolean loaded;
 
-  /** {@code token}: the revision at which the term's leadership was recorded. */
+  /** {@code token} is the revision at which the leader key of this term was created. */
   public TermJobs(long token) {
     this.token = token;
   }
 
-  /** All jobs that were live at the token have been adopted. */
+  /** Records that all jobs that were live at the token's revision have been adopted. */
   public synchronized void onLoaded() {
     loaded = true;
   }
 
   /**
-   * Adopts a job whose live record of this revision was read at some time; false if the term does
-   * not begin to manage it now. A record from before the token that did not exist at the token is
-   * of a job that has ended: a thread read or wrote it while the node was a follower and was
-   * delayed until it led. Its tasks would start though its user may have seen it cancelled.
+   * Adopts a job whose live record with this revision was read at some time; returns false if the
+   * term does not begin to manage the job by this call. A record that is older than the token, but
+   * was not among the jobs loaded at the token, belongs to a job that has ended: a thread read or
+   * wrote the record while this node was a follower, and was delayed until the node led. If the job
+   * were adopted, its tasks would start although its user may have seen it cancelled.
    */
   public synchronized boolean adopt(String jobId, long revision) {
     if (loaded && revision < token) {
@@ -57,32 +60,32 @@
     return !endedInTerm.contains(jobId) && managed.add(jobId);
   }
 
-  /** How many jobs this term manages. */
+  /** Returns the number of jobs that this term manages. */
   public synchronized int count() {
     return managed.size();
   }
 
-  /** Whether this term manages the job. */
+  /** Returns whether this term manages the job. */
   public synchronized boolean manages(String jobId) {
     return managed.contains(jobId);
   }
 
-  /** A write of the job's end is about to be sent. */
+  /** Records that a write of the job's end is about to be sent. */
   public synchronized void onEndWriteStarted(String jobId) {
     unconfirmedEnds.merge(jobId, 1, Integer::sum);
   }
 
-  /** Such a write was not applied and never will be. */
+  /** Records that a write of the job's end was not applied and never will be. */
   public synchronized void onEndWriteRejected(String jobId) {
     unconfirmedEnds.computeIfPresent(jobId, (key, tries) -> tries > 1 ? tries - 1 : null);
   }
 
-  /** Whether the job's progress in memory may be outdated by its end. */
+  /** Returns whether the job's end may be durable, so that its progress may be outdated. */
   public synchronized boolean mayHaveEnded(String jobId) {
     return unconfirmedEnds.containsKey(jobId);
   }
 
-  /** The job's end is durable. */
+  /** Removes a job whose end is durable. */
   public synchronized void onEnded(String jobId) {
     managed.remove(jobId);
     unconfirmedEnds.remove(jobId);
--- a/src/main/java/org/astershift/coordination/WorkerReachability.java
+++ b/src/main/java/org/astershift/coordination/WorkerReachability.java
@@ -4,18 +4,21 @@
 import java.util.Deque;
 
 /**
- * How much of the fleet this controller reaches, from small samples of machines that it probes all
- * the time, leading or not: an election, or a peer's question about a silent machine, cannot wait
- * for a measurement. Callable from any thread.
+ * Measures how much of the fleet this controller reaches, from small samples of machines. It probes
+ * them continuously, whether it leads or not, since an election or a peer's query about a silent
+ * machine cannot wait for a measurement. Callable from any thread.
  */
 public final class WorkerReachability {
-  /** Samples that count; the last alone if none answered, so that a partition shows soon. */
+  /**
+   * Most samples in a measurement. If no machine of the last sample answered, that sample counts
+   * alone, so that a partition is noticed soon.
+   */
   private static final int REACHABILITY_SAMPLES = 2;
 
-  /** Age at which a sample no longer counts, milliseconds. */
+  /** Age after which a sample no longer counts, milliseconds. */
   static final long REACHABILITY_SAMPLE_VALID_MS = 8000;
 
-  /** Probes below which nothing is known. */
+  /** Least number of probes in a usable measurement. */
   private static final int REACHABILITY_MIN_RESULTS = 3;
 
   /** Share of answered probes below which a controller reaches few machines. */
@@ -26,35 +29,38 @@
   private record Sample(int probed, int answered, long probedMs) {}
 
   /**
-   * How many of the machines probed lately answered; {@code probed} 0: nothing is known, as after a
-   * start or in a fleet without machines.
+   * How many of the recently probed machines answered. {@code probed} is 0 if nothing is known, as
+   * after a start or in a fleet without machines.
    */
   public record Measurement(int probed, int answered) {
-    /** Of a node that has probed nothing. */
+    /** The measurement of a node that has probed nothing. */
     public static final Measurement UNKNOWN = new Measurement(0, 0);
 
-    /** Whether enough machines were probed. */
+    /** Returns whether enough machines were probed. */
     public boolean isKnown() {
       return probed >= REACHABILITY_MIN_RESULTS;
     }
 
-    /** Between 0 and 1. */
+    /** Returns the share of probed machines that answered, between 0 and 1. */
     public double share() {
       return probed == 0 ? 0 : (double) answered / probed;
     }
 
-    /** Enough machines were probed, and nearly none answered. */
+    /** Returns whether enough machines were probed, and few of them answered. */
     public boolean reachesFew() {
       return isKnown() && share() < REACHABILITY_POOR_SHARE;
     }
 
-    /** Enough machines were probed and answered: one that does not answer is probably gone. */
+    /**
+     * Returns whether enough machines were probed and answered; a machine that does not answer this
+     * node is then probably gone.
+     */
     public boolean reachesEnough() {
       return isKnown() && !reachesFew();
     }
   }
 
-  /** The result of one sample; {@code probedMs}: when it was probed. */
+  /** Adds the result of a sample that was probed at {@code probedMs}. */
   public synchronized void onSample(int probed, int answered, long probedMs) {
     if (probed > 0) {
       samples.addLast(new Sample(probed, answered, probedMs));
@@ -64,11 +70,11 @@
     }
   }
 
-  /** The measurement from the samples that still count. */
+  /** Returns the measurement from the samples that still count. */
   public synchronized Measurement measurement(long nowMs) {
     Sample last = samples.peekLast();
     if (last != null && last.answered == 0 && last.probed >= REACHABILITY_MIN_RESULTS) {
-      samples.removeIf(sample -> sample != last); // partitioned since the one before
+      samples.removeIf(sample -> sample != last); // partitioned since the previous sample
     }
     int probed = 0;
     int answered = 0;
--- a/src/main/java/org/astershift/coordination/package-info.java
+++ b/src/main/java/org/astershift/coordination/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Decisions of controllers about each other and about jobs: election, candidacy, reachability, the
- * sources of answers to polls, and cancellation. Values in and values out, as in {@link
- * org.astershift.scheduler}: time is an argument in milliseconds of one steady clock, and no clock,
- * thread or socket is used here.
+ * source of answers to polls, and cancellation. As in {@link org.astershift.scheduler}, all classes
+ * are pure state machines: time is an argument in milliseconds of one monotonic clock, and no
+ * clock, thread or socket is used.
  */
 package org.astershift.coordination;
