--- a/src/main/java/org/astershift/CommandLineArguments.java
+++ b/src/main/java/org/astershift/CommandLineArguments.java
@@ -11,48 +11,48 @@
 
 /** The program's options, parsed. */
 final class CommandLineArguments {
-  private final CommandLine line;
+  private final CommandLine commandLine;
 
   private CommandLineArguments(CommandLine line) {
-    this.line = line;
+    this.commandLine = line;
   }
 
-  /** Throws for unknown options; see {@link #checkForStart} for what a start needs. */
+  /** Throws for unknown options; see {@link #requireStartOptions} for what a start needs. */
   static CommandLineArguments parse(String[] args) throws ParseException {
     return new CommandLineArguments(new DefaultParser().parse(options(), args));
   }
 
-  boolean help() {
-    return line.hasOption("help");
+  boolean isHelpRequested() {
+    return commandLine.hasOption("help");
   }
 
-  boolean version() {
-    return line.hasOption("version");
+  boolean isVersionRequested() {
+    return commandLine.hasOption("version");
   }
 
   /** Whether the settings are to be checked only. */
-  boolean check() {
-    return line.hasOption("check");
+  boolean isCheckRequested() {
+    return commandLine.hasOption("check");
   }
 
   /** Throws unless the settings file, and nothing unexpected, was given. */
-  void checkForStart() throws ParseException {
-    if (!line.getArgList().isEmpty()) {
-      throw new ParseException("unexpected argument: " + line.getArgList().get(0));
+  void requireStartOptions() throws ParseException {
+    if (!commandLine.getArgList().isEmpty()) {
+      throw new ParseException("unexpected argument: " + commandLine.getArgList().get(0));
     }
-    if (!line.hasOption("config")) {
+    if (!commandLine.hasOption("config")) {
       throw new ParseException("--config FILE is required");
     }
   }
 
   /** The settings file. */
   String configFile() {
-    return line.getOptionValue("config");
+    return commandLine.getOptionValue("config");
   }
 
   /** The operators' settings file; {@code fallback} if not given. */
   String iniFile(String fallback) {
-    return line.getOptionValue("ini", fallback);
+    return commandLine.getOptionValue("ini", fallback);
   }
 
   static void printHelp(PrintStream out) {
--- a/src/main/java/org/astershift/ControllerLauncher.java
+++ b/src/main/java/org/astershift/ControllerLauncher.java
@@ -54,7 +54,7 @@
     Map<String, JobService.PeerChannel> channels = new HashMap<>();
     for (Settings.Peer peer : settings.peers()) {
       PeerClient client = new PeerClient(peer.endpoint());
-      channels.put(peer.nodeName(), client::ask);
+      channels.put(peer.nodeName(), client::send);
     }
     return channels;
   }
@@ -66,7 +66,7 @@
   }
 
   private static HttpServer httpServer(Settings settings, PublicApi api) throws IOException {
-    int connections = ThreadBudget.maxConnections(settings.sockets());
+    int connections = ThreadBudget.maxConnections(settings.maxSockets());
     int userConnections = (int) (connections * ThreadBudget.USER_CONNECTIONS_SHARE);
     return new HttpServer(
         settings.listen().host(),
--- a/src/main/java/org/astershift/Main.java
+++ b/src/main/java/org/astershift/Main.java
@@ -31,15 +31,15 @@
   static Optional<ExitCode> run(String[] args, PrintStream out, PrintStream err) {
     try {
       CommandLineArguments arguments = CommandLineArguments.parse(args);
-      if (arguments.help()) {
+      if (arguments.isHelpRequested()) {
         CommandLineArguments.printHelp(out);
         return Optional.of(ExitCode.OK);
       }
-      if (arguments.version()) {
+      if (arguments.isVersionRequested()) {
         printVersion(out);
         return Optional.of(ExitCode.OK);
       }
-      arguments.checkForStart();
+      arguments.requireStartOptions();
       return checkOrStart(arguments, out);
     } catch (ParseException e) {
       err.println("astershift: " + e.getMessage() + " (see --help)");
@@ -60,7 +60,7 @@
     SchedulingPolicy policy =
         ini == null ? OperatorSettings.defaults() : OperatorSettings.load(Path.of(ini));
     configureLogging(System.getenv("LOG_LEVEL"));
-    if (arguments.check()) {
+    if (arguments.isCheckRequested()) {
       out.println("settings are fine");
       return Optional.of(ExitCode.OK);
     }
--- a/src/main/java/org/astershift/api/JobCodec.java
+++ b/src/main/java/org/astershift/api/JobCodec.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.astershift.http.Json;
 import org.astershift.http.JsonFormatException;
-import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerResponse;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
 import org.astershift.scheduler.Priority;
@@ -30,30 +30,30 @@
   }
 
   private static JobSpec decodeSpec(Map<String, Object> fields) throws JsonFormatException {
-    String id = id(fields);
-    int tasks = tasks(fields);
-    List<String> types = machineTypes(fields);
-    Double deadlineS = deadline(fields);
+    String id = decodeId(fields);
+    int tasks = decodeTaskCount(fields);
+    List<String> types = decodeMachineTypes(fields);
+    Double deadlineS = decodeDeadline(fields);
     return new JobSpec(
         id,
-        boundedText(fields, "berth_class"),
-        boundedText(fields, "crew"),
-        kind(Json.string(fields, "shape")),
-        priority(Json.string(fields, "rank")),
+        decodeBoundedText(fields, "berth_class"),
+        decodeBoundedText(fields, "crew"),
+        decodeKind(Json.string(fields, "shape")),
+        decodePriority(Json.string(fields, "rank")),
         tasks,
-        amount(fields, "vcpus"),
-        amount(fields, "gpus"),
-        amount(fields, "mem_gb"),
-        boundedText(fields, "payload"),
-        amount(fields, "image_gb"),
+        decodeAmount(fields, "vcpus"),
+        decodeAmount(fields, "gpus"),
+        decodeAmount(fields, "mem_gb"),
+        decodeBoundedText(fields, "payload"),
+        decodeAmount(fields, "image_gb"),
         types,
         Json.stringOrNull(fields, "harbor"),
         Json.bool(fields, "one_zone"),
         Json.bool(fields, "apart"),
         Json.bool(fields, "ebbtide"),
-        amount(fields, "expect_s"),
-        amount(fields, "anchor_s"),
-        amount(fields, "stow_s"),
+        decodeAmount(fields, "expect_s"),
+        decodeAmount(fields, "anchor_s"),
+        decodeAmount(fields, "stow_s"),
         deadlineS);
   }
 
@@ -62,7 +62,7 @@
    * flag as false and ignored what followed the object; null if they rejected it too. Its user may
    * repeat such an idempotent request at any time.
    */
-  public static String earlierAcceptedId(byte[] body) {
+  public static String idAcceptedByEarlierVersions(byte[] body) {
     try {
       Map<String, Object> fields = new HashMap<>(Json.leadingObject(body));
       for (String flag : List.of("one_zone", "apart", "ebbtide")) {
@@ -76,7 +76,7 @@
     }
   }
 
-  private static String id(Map<String, Object> fields) throws JsonFormatException {
+  private static String decodeId(Map<String, Object> fields) throws JsonFormatException {
     String id = Json.string(fields, "id");
     if (!isJobId(id)) {
       throw new JsonFormatException("id is not of the form wk-000000");
@@ -84,7 +84,7 @@
     return id;
   }
 
-  private static int tasks(Map<String, Object> fields) throws JsonFormatException {
+  private static int decodeTaskCount(Map<String, Object> fields) throws JsonFormatException {
     long tasks = Json.integer(fields, "shards");
     if (tasks < 1 || tasks > MAX_TASKS) {
       throw new JsonFormatException("shards is out of range");
@@ -93,7 +93,8 @@
   }
 
   /** The machine types that the job accepts; null for any. */
-  private static List<String> machineTypes(Map<String, Object> fields) throws JsonFormatException {
+  private static List<String> decodeMachineTypes(Map<String, Object> fields)
+      throws JsonFormatException {
     if (fields.get("hulls") == null) {
       return null;
     }
@@ -107,7 +108,7 @@
     return types;
   }
 
-  private static Double deadline(Map<String, Object> fields) throws JsonFormatException {
+  private static Double decodeDeadline(Map<String, Object> fields) throws JsonFormatException {
     Double deadlineS = Json.numberOrNull(fields, "due_s");
     if (deadlineS != null && deadlineS < 0) {
       throw new JsonFormatException("due_s is out of range");
@@ -115,7 +116,7 @@
     return deadlineS;
   }
 
-  private static String boundedText(Map<String, Object> fields, String name)
+  private static String decodeBoundedText(Map<String, Object> fields, String name)
       throws JsonFormatException {
     String text = Json.string(fields, name);
     if (text.isEmpty() || text.length() > 200) {
@@ -124,7 +125,8 @@
     return text;
   }
 
-  private static double amount(Map<String, Object> fields, String name) throws JsonFormatException {
+  private static double decodeAmount(Map<String, Object> fields, String name)
+      throws JsonFormatException {
     double value = Json.number(fields, name);
     if (value < 0 || value > MAX_AMOUNT) {
       throw new JsonFormatException(name + " is out of range");
@@ -132,7 +134,7 @@
     return value;
   }
 
-  private static JobKind kind(String wireName) throws JsonFormatException {
+  private static JobKind decodeKind(String wireName) throws JsonFormatException {
     return switch (wireName) {
       case "sweep" -> JobKind.ARRAY;
       case "gang" -> JobKind.GANG;
@@ -141,7 +143,7 @@
     };
   }
 
-  private static Priority priority(String wireName) throws JsonFormatException {
+  private static Priority decodePriority(String wireName) throws JsonFormatException {
     return switch (wireName) {
       case "critical" -> Priority.PRODUCTION;
       case "urgent" -> Priority.HIGH;
@@ -152,12 +154,12 @@
   }
 
   /** The body of a response with a job's state. */
-  public static byte[] encodeState(String id, JobAnswer answer) {
+  public static byte[] encodeState(String id, PeerResponse answer) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("id", id);
     fields.put("phase", answer.phase());
     fields.put("done", answer.doneTasks());
     fields.put("running", answer.runningTasks());
-    return Json.bytes(fields);
+    return Json.encode(fields);
   }
 }
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -8,7 +8,7 @@
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.JsonFormatException;
-import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerResponse;
 import org.astershift.scheduler.Command;
 import org.astershift.scheduler.Eligibility;
 import org.astershift.scheduler.Heartbeat;
@@ -69,7 +69,7 @@
     }
     if (path.equals(JOBS_PATH)) {
       return request.method().equals("POST")
-          ? counted(RequestStatistics.Kind.SUBMISSION, submit(request))
+          ? recordRequest(RequestStatistics.Kind.SUBMISSION, submit(request))
           : wrongMethod();
     }
     if (path.startsWith(JOBS_PATH + "/")) {
@@ -91,8 +91,10 @@
       return Response.error(400, "not a job's id");
     }
     return cancel
-        ? counted(RequestStatistics.Kind.CANCELLATION, jobResponse(id, jobService.cancel(id, true)))
-        : counted(RequestStatistics.Kind.STATUS_POLL, jobResponse(id, jobService.poll(id, true)));
+        ? recordRequest(
+            RequestStatistics.Kind.CANCELLATION, jobResponse(id, jobService.cancel(id, true)))
+        : recordRequest(
+            RequestStatistics.Kind.STATUS_POLL, jobResponse(id, jobService.poll(id, true)));
   }
 
   private Response readiness() {
@@ -101,7 +103,7 @@
         : Response.error(503, "starting");
   }
 
-  private Response counted(RequestStatistics.Kind kind, Response response) {
+  private Response recordRequest(RequestStatistics.Kind kind, Response response) {
     requestStatistics.record(kind, response.status());
     return response;
   }
@@ -114,7 +116,7 @@
     return Response.error(404, "no such path");
   }
 
-  private static Response jobResponse(String id, JobAnswer answer) {
+  private static Response jobResponse(String id, PeerResponse answer) {
     return switch (answer.status()) {
       case 200 -> new Response(200, JobCodec.encodeState(id, answer), 0);
       case 404 -> Response.error(404, "no such job");
@@ -128,17 +130,18 @@
       spec = JobCodec.decodeSpec(request.body());
     } catch (JsonFormatException e) {
       Response malformed = Response.error(400, e.getMessage());
-      String id = JobCodec.earlierAcceptedId(request.body());
-      return id == null ? malformed : unlessKnown(id, malformed);
+      String id = JobCodec.idAcceptedByEarlierVersions(request.body());
+      return id == null ? malformed : rejectUnlessAccepted(id, malformed);
     }
     Map<String, MachineType> types = controller.types();
     if (types.isEmpty()) {
-      return unlessKnown(spec.id(), Response.error(503, "machine types are not known yet"));
+      return rejectUnlessAccepted(
+          spec.id(), Response.error(503, "machine types are not known yet"));
     }
     String rejectionReason =
         Eligibility.rejectionReason(spec, types.values(), teams.get(spec.team()));
     if (rejectionReason != null) {
-      return unlessKnown(spec.id(), Response.error(422, rejectionReason));
+      return rejectUnlessAccepted(spec.id(), Response.error(422, rejectionReason));
     }
     JobService.SubmissionResult result = jobService.submit(spec);
     return switch (result.status()) {
@@ -152,8 +155,8 @@
    * The state of the job if it was accepted before, else the rejection: a repeated submission is
    * idempotent, whatever the machine types and validation rules are by now. Costs a status poll.
    */
-  private Response unlessKnown(String id, Response rejection) throws InterruptedException {
-    JobAnswer known = jobService.poll(id, true);
+  private Response rejectUnlessAccepted(String id, Response rejection) throws InterruptedException {
+    PeerResponse known = jobService.poll(id, true);
     return known.status() == 404 ? rejection : jobResponse(id, known);
   }
 
@@ -190,6 +193,6 @@
       String leader = controller.otherLeader();
       return Response.of(421, leader == null ? Map.of() : Map.of("harbormaster", leader));
     }
-    return new Response(200, WorkerCodec.heartbeatResponse(fencingToken, commands), 0);
+    return new Response(200, WorkerCodec.encodeHeartbeatResponse(fencingToken, commands), 0);
   }
 }
--- a/src/main/java/org/astershift/cloud/CloudClient.java
+++ b/src/main/java/org/astershift/cloud/CloudClient.java
@@ -87,7 +87,7 @@
         if (!machines.isEmpty()) {
           after = machines.get(machines.size() - 1).name();
         }
-        more = page.more();
+        more = page.hasMore();
       }
     } catch (JsonFormatException e) {
       throw new IOException("machine list: " + e.getMessage());
@@ -107,7 +107,7 @@
     if (response.status() == 200) {
       return response.body();
     }
-    throw new CloudRejectedException("status " + response.status(), reason(response));
+    throw new CloudRejectedException("status " + response.status(), rejectionReason(response));
   }
 
   private void awaitPermit(RateLimiter.Urgency urgency) throws CloudRejectedException {
@@ -122,7 +122,7 @@
     }
   }
 
-  private static CloudRejectedException.Reason reason(HttpClient.Response response) {
+  private static CloudRejectedException.Reason rejectionReason(HttpClient.Response response) {
     if (response.status() == MALFORMED_STATUS) {
       return CloudRejectedException.Reason.MALFORMED;
     }
--- a/src/main/java/org/astershift/cloud/CloudCodec.java
+++ b/src/main/java/org/astershift/cloud/CloudCodec.java
@@ -17,7 +17,7 @@
   private CloudCodec() {}
 
   /** One page of the machine list; {@code more}: another page follows. */
-  record MachinePage(List<ListedMachine> machines, boolean more) {}
+  record MachinePage(List<ListedMachine> machines, boolean hasMore) {}
 
   static Map<String, MachineType> decodeMachineTypes(byte[] body) throws JsonFormatException {
     Map<String, MachineType> typesByName = new LinkedHashMap<>();
@@ -30,7 +30,7 @@
 
   private static MachineType decodeMachineType(Map<String, Object> fields)
       throws JsonFormatException {
-    List<String> zones = strings(fields, "harbors");
+    List<String> zones = decodeStrings(fields, "harbors");
     Double gpus = Json.numberOrNull(fields, "gpus");
     return new MachineType(
         Json.string(fields, "name"),
@@ -52,15 +52,15 @@
     body.put("harbor", request.zone());
     body.put("ebbtide", request.spot());
     body.put("number", request.count());
-    return Json.bytes(body);
+    return Json.encode(body);
   }
 
   static List<String> decodeProvisioned(byte[] body) throws JsonFormatException {
-    return strings(Json.object(body), "vessels");
+    return decodeStrings(Json.object(body), "vessels");
   }
 
   static byte[] encodeRelease(List<String> machineNames) {
-    return Json.bytes(Map.of("vessels", machineNames));
+    return Json.encode(Map.of("vessels", machineNames));
   }
 
   static MachinePage decodeMachinePage(byte[] body) throws JsonFormatException {
@@ -94,7 +94,7 @@
     }
   }
 
-  private static List<String> strings(Map<String, Object> fields, String name)
+  private static List<String> decodeStrings(Map<String, Object> fields, String name)
       throws JsonFormatException {
     List<String> values = new ArrayList<>();
     for (Object value : Json.list(fields, name)) {
--- a/src/main/java/org/astershift/config/ConfigReader.java
+++ b/src/main/java/org/astershift/config/ConfigReader.java
@@ -24,18 +24,18 @@
   ConfigTable table(ConfigTable parent, String name) {
     Object value = parent.get(name);
     if (value instanceof UnmodifiableConfig child) {
-      return new ConfigTable(child, parent.at(name));
+      return new ConfigTable(child, parent.pathOf(name));
     }
     if (!parent.isMissing()) {
-      problems.add(parent.at(name) + (value == null ? " is missing" : " is not a table"));
+      problems.add(parent.pathOf(name) + (value == null ? " is missing" : " is not a table"));
     }
-    return new ConfigTable(null, parent.at(name));
+    return new ConfigTable(null, parent.pathOf(name));
   }
 
   /** An optional list of tables. */
   List<ConfigTable> tables(ConfigTable parent, String name) {
     List<ConfigTable> children = new ArrayList<>();
-    String path = parent.at(name);
+    String path = parent.pathOf(name);
     Object value = parent.get(name);
     if (value == null) {
       return children;
@@ -61,7 +61,7 @@
       return string;
     }
     if (!table.isMissing()) {
-      problems.add(table.at(name) + (value == null ? " is missing" : " is not a text"));
+      problems.add(table.pathOf(name) + (value == null ? " is missing" : " is not a text"));
     }
     return MISSING_TEXT;
   }
@@ -79,9 +79,9 @@
       if (number >= minimum && number <= maximum) {
         return number;
       }
-      problems.add(table.at(name) + " is out of range: " + value);
+      problems.add(table.pathOf(name) + " is out of range: " + value);
     } else if (!table.isMissing()) {
-      problems.add(table.at(name) + (value == null ? " is missing" : " is not a number"));
+      problems.add(table.pathOf(name) + (value == null ? " is missing" : " is not a number"));
     }
     return minimum;
   }
@@ -104,7 +104,7 @@
       // reported below, as every other malformed address
     }
     if (!address.equals(MISSING_TEXT)) {
-      problems.add(table.at(name) + " is not host:port: " + address);
+      problems.add(table.pathOf(name) + " is not host:port: " + address);
     }
     return new Settings.Endpoint(MISSING_TEXT, 0);
   }
--- a/src/main/java/org/astershift/config/ConfigTable.java
+++ b/src/main/java/org/astershift/config/ConfigTable.java
@@ -19,7 +19,7 @@
   }
 
   /** The path of a field. */
-  String at(String name) {
+  String pathOf(String name) {
     return path.isEmpty() ? name : path + "." + name;
   }
 }
--- a/src/main/java/org/astershift/config/Settings.java
+++ b/src/main/java/org/astershift/config/Settings.java
@@ -27,7 +27,7 @@
     Endpoint store,
     StoreLimits storeLimits,
     double cloudRps,
-    int sockets,
+    int maxSockets,
     DeploymentLimits limits) {
 
   /** Host and port of a TCP address. */
--- a/src/main/java/org/astershift/controller/CloudPoller.java
+++ b/src/main/java/org/astershift/controller/CloudPoller.java
@@ -46,7 +46,7 @@
    */
   void onTypesRecord(Map<String, Object> value) {
     try {
-      types = RecordCodec.decodeTypes(value);
+      types = RecordCodec.decodeMachineTypes(value);
     } catch (JsonFormatException e) {
       LOG.error("machine types record cannot be decoded: {}", e.getMessage());
     }
@@ -89,9 +89,10 @@
     types = fetchedTypes;
     term.scheduler.updateMachineTypes(fetchedTypes);
     requestPass.run();
-    if (changed || watchCache.get(RecordCodec.TYPES) == null) {
+    if (changed || watchCache.get(RecordCodec.MACHINE_TYPES_KEY) == null) {
       StoreClient.Transaction txn =
-          term.transaction().put(RecordCodec.TYPES, RecordCodec.encodeTypes(fetchedTypes));
+          term.transaction()
+              .put(RecordCodec.MACHINE_TYPES_KEY, RecordCodec.encodeMachineTypes(fetchedTypes));
       term.stepDownIfLeadershipLost(
           store.commit(txn, RateLimiter.Urgency.INTERACTIVE, StoreClient.STORE_RATE_WAIT_MS));
     }
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -23,7 +23,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(CloudProvisioner.class);
 
   private final CloudClient cloud;
-  private final TaskPool pool = Threads.pool("provision", ThreadBudget.PROVISION_THREADS);
+  private final TaskPool pool = Threads.newPool("provision", ThreadBudget.PROVISION_THREADS);
 
   CloudProvisioner(CloudClient cloud) {
     this.cloud = cloud;
@@ -31,7 +31,7 @@
 
   /** Starts a thread for queued rentals if an earlier thread start failed. */
   void startQueuedTasks() {
-    pool.startWaitingWork();
+    pool.startQueuedTasks();
   }
 
   /** Resends the rentals that an earlier leader left without an answer, under their names. */
@@ -43,7 +43,7 @@
 
   private void resume(LeaderTerm term, String name, Object value) {
     try {
-      Decision.ProvisionMachines request = RecordCodec.decodeRental(value);
+      Decision.ProvisionMachines request = RecordCodec.decodeProvisionRequest(value);
       LOG.info("resuming a rental of an earlier leader, rental={} token={}", name, term.token);
       term.scheduler.onProvisioningStarted(name, request);
       submit(term, name, request);
@@ -56,12 +56,13 @@
   void provision(LeaderTerm term, Decision.ProvisionMachines request) {
     String name = term.nextRentalName();
     term.scheduler.onProvisioningStarted(name, request);
-    term.records.put(LeaderRecords.RecordKind.RENTAL, name, RecordCodec.encodeRental(request), 0);
+    term.records.put(
+        LeaderRecords.RecordKind.RENTAL, name, RecordCodec.encodeProvisionRequest(request), 0);
   }
 
   /** Sends the request of a rental whose record has become durable. */
   void onRentalPersisted(LeaderTerm term, String name, Object value) throws JsonFormatException {
-    submit(term, name, RecordCodec.decodeRental(value));
+    submit(term, name, RecordCodec.decodeProvisionRequest(value));
   }
 
   private void submit(LeaderTerm term, String name, Decision.ProvisionMachines request) {
--- a/src/main/java/org/astershift/controller/CommandDispatcher.java
+++ b/src/main/java/org/astershift/controller/CommandDispatcher.java
@@ -9,7 +9,7 @@
 /** Sends direct requests to machines on threads of its own. */
 final class CommandDispatcher {
   private final CommandSender sender;
-  private final TaskPool commandPool = Threads.pool("command", ThreadBudget.COMMAND_THREADS);
+  private final TaskPool commandPool = Threads.newPool("command", ThreadBudget.COMMAND_THREADS);
   private final TaskPool probePool;
 
   /** {@code probePool} is shared with {@link ReachabilityProber}. */
@@ -29,8 +29,8 @@
 
   /** Starts threads for queued requests if earlier thread starts failed. */
   void startQueuedTasks() {
-    commandPool.startWaitingWork();
-    probePool.startWaitingWork();
+    commandPool.startQueuedTasks();
+    probePool.startQueuedTasks();
   }
 
   /** Closes the idle connection to a machine that no longer exists. */
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -120,8 +120,10 @@
    */
   private static void addEndRecord(
       StoreClient.Transaction txn, String jobId, RecordCodec.JobEnd end) {
-    String key = RecordCodec.ENDED + jobId;
-    txn.when(key, 0).put(key, RecordCodec.encodeEnd(end)).delete(RecordCodec.JOB + jobId);
+    String key = RecordCodec.ENDED_JOB_PREFIX + jobId;
+    txn.requireRevision(key, 0)
+        .put(key, RecordCodec.encodeJobEnd(end))
+        .delete(RecordCodec.LIVE_JOB_PREFIX + jobId);
   }
 
   private void onEndPersisted(LeaderTerm term, String jobId, RecordCodec.JobEnd end) {
@@ -174,8 +176,8 @@
   /** Returns the job's recorded end; null if there is none or it cannot be read. */
   private RecordCodec.JobEnd readEnd(String jobId) {
     try {
-      StoreClient.Entry entry = store.get(RecordCodec.ENDED + jobId);
-      return entry.data() == null ? null : RecordCodec.decodeEnd(entry.data());
+      StoreClient.Entry entry = store.get(RecordCodec.ENDED_JOB_PREFIX + jobId);
+      return entry.data() == null ? null : RecordCodec.decodeJobEnd(entry.data());
     } catch (IOException | JsonFormatException e) {
       LOG.debug("reading job end failed, job={}: {}", jobId, e.toString());
       return null;
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -5,8 +5,8 @@
 import org.astershift.coordination.Candidacy;
 import org.astershift.coordination.StoreReachability;
 import org.astershift.http.Threads;
-import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerOperation;
+import org.astershift.peer.PeerResponse;
 import org.astershift.store.StoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -79,35 +79,35 @@
   }
 
   /** Answers a peer's query whether the store responds to this node and who leads. */
-  JobAnswer answerStoreStatus() {
-    if (store.unavailable()) {
-      return JobAnswer.UNDECIDED;
+  PeerResponse answerStoreStatus() {
+    if (store.isUnavailable()) {
+      return PeerResponse.UNAVAILABLE;
     }
     StoreClient.Entry entry = runtime.leaderEntry();
-    return new JobAnswer(
+    return new PeerResponse(
         200, entry == null ? "" : entry.data().get("node") + " " + entry.revision(), 0, 0);
   }
 
   /** Answers a peer's query how much of the fleet this node reaches. */
-  JobAnswer answerWorkerReachability() {
-    return PeerReachability.encode(runtime.prober().measurement(), !store.unavailable());
+  PeerResponse answerWorkerReachability() {
+    return PeerReachability.encode(runtime.prober().measurement(), !store.isUnavailable());
   }
 
   /**
    * Handles the leader's announcement of a transfer. If the successor is another node, this one
    * lets it become a candidate first.
    */
-  JobAnswer onTransferAnnounced(String successor) {
+  PeerResponse onTransferAnnounced(String successor) {
     if (!successor.equals(runtime.node())) {
       candidacy.deferToSuccessor(LeaderTerm.nowMs());
     }
-    return new JobAnswer(200, "", 0, 0);
+    return new PeerResponse(200, "", 0, 0);
   }
 
   private void monitorLoop() throws InterruptedException {
     while (true) {
       Thread.sleep(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS);
-      if (store.unavailable()) {
+      if (store.isUnavailable()) {
         onStoreUnavailable();
       } else {
         onStoreAvailable();
@@ -150,11 +150,11 @@
     int answered = 0;
     for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
       try {
-        JobAnswer answer =
+        PeerResponse answer =
             peer.getValue()
                 .call(PeerOperation.STORE_STATUS, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
         answered++;
-        if (answer.found()) {
+        if (answer.isOk()) {
           return new PeerReports(answered, peer.getKey(), ObservedLeader.parse(answer.phase()));
         }
       } catch (IOException | RuntimeException e) {
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -59,7 +59,7 @@
     this.store = store;
     this.watchCache = watchCache;
     CommandSender sender = new CommandSender();
-    TaskPool probePool = Threads.pool("probe", ThreadBudget.MACHINE_PROBE_THREADS);
+    TaskPool probePool = Threads.newPool("probe", ThreadBudget.MACHINE_PROBE_THREADS);
     Candidacy candidacy = new Candidacy();
     this.commands = new CommandDispatcher(sender, probePool);
     this.prober = new ReachabilityProber(watchCache, sender, probePool);
@@ -90,7 +90,7 @@
 
   /** Returns whether users' requests should be sent to this node. */
   public boolean isReady() {
-    return watchCache.loaded() && !connectivity.isPartitionedFromStore();
+    return watchCache.isLoaded() && !connectivity.isPartitionedFromStore();
   }
 
   /** Returns the leader key as this node knows it, or null. */
@@ -153,11 +153,13 @@
   private void onStoreChanges(List<StoreClient.Entry> changes) {
     LeaderTerm term = currentTerm;
     for (StoreClient.Entry entry : changes) {
-      if (entry.key().equals(RecordCodec.LEADER)) {
+      if (entry.key().equals(RecordCodec.LEADER_KEY)) {
         elector.wakeLoop();
-      } else if (entry.key().equals(RecordCodec.TYPES) && entry.data() != null && term == null) {
+      } else if (entry.key().equals(RecordCodec.MACHINE_TYPES_KEY)
+          && entry.data() != null
+          && term == null) {
         cloudPoller.onTypesRecord(entry.data());
-      } else if (entry.key().startsWith(RecordCodec.JOB) && entry.data() != null) {
+      } else if (entry.key().startsWith(RecordCodec.LIVE_JOB_PREFIX) && entry.data() != null) {
         onJobRecord(entry);
       }
     }
@@ -166,7 +168,8 @@
   /** Handles the record of a live job that was read from the store. */
   void onJobRecord(StoreClient.Entry entry) {
     LeaderTerm term = currentTerm;
-    if (term != null && endedJobs.get(entry.key().substring(RecordCodec.JOB.length())) == null) {
+    if (term != null
+        && endedJobs.get(entry.key().substring(RecordCodec.LIVE_JOB_PREFIX.length())) == null) {
       term.addJob(entry);
       requestPass();
     }
@@ -209,7 +212,7 @@
       currentTerm = term;
     }
     // Job records that arrived after the load and before the term became current reached no term.
-    for (StoreClient.Entry entry : watchCache.entriesWithPrefix(RecordCodec.JOB)) {
+    for (StoreClient.Entry entry : watchCache.entriesWithPrefix(RecordCodec.LIVE_JOB_PREFIX)) {
       term.addJob(entry);
     }
     provisioner.resumeProvisioning(term);
--- a/src/main/java/org/astershift/controller/JobCanceller.java
+++ b/src/main/java/org/astershift/controller/JobCanceller.java
@@ -1,8 +1,8 @@
 package org.astershift.controller;
 
 import org.astershift.coordination.Cancellation;
-import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerOperation;
+import org.astershift.peer.PeerResponse;
 import org.astershift.store.RecordCodec;
 
 /**
@@ -24,7 +24,7 @@
    * Cancels a job. The cancellation is confirmed only once it is durable and no task of the job can
    * outlive it.
    */
-  JobAnswer cancel(String jobId, boolean mayForward) throws InterruptedException {
+  PeerResponse cancel(String jobId, boolean mayForward) throws InterruptedException {
     return new Request(jobId, mayForward, runtime.currentTerm(), LeaderTerm.nowMs()).answer();
   }
 
@@ -46,13 +46,13 @@
       this.deadlineMs = arrivedMs + LoopTiming.CANCEL_WAIT_MS;
     }
 
-    JobAnswer answer() throws InterruptedException {
+    PeerResponse answer() throws InterruptedException {
       while (true) {
         Cancellation.Action action = Cancellation.next(view());
         if (action.needsTerm() && !cancelRequested) {
           requestCancel();
         }
-        JobAnswer answer = execute(action);
+        PeerResponse answer = execute(action);
         if (answer != null) {
           return answer;
         }
@@ -73,11 +73,11 @@
     }
 
     /** Executes the action; returns null if the user has to keep waiting. */
-    private JobAnswer execute(Cancellation.Action action) throws InterruptedException {
+    private PeerResponse execute(Cancellation.Action action) throws InterruptedException {
       return switch (action) {
         case REPLY_WITH_END -> answerWith(endedJobs.get(jobId));
         case FORWARD -> lookup.askLeader(PeerOperation.CANCEL_JOB, jobId);
-        case REJECT -> JobAnswer.UNDECIDED;
+        case REJECT -> PeerResponse.UNAVAILABLE;
         case READ_STORE -> readStore();
         case WAIT -> null;
         case WRITE_CANCELLED -> answerWith(runtime.persistEnd(term, jobId, true, remainingMs()));
@@ -85,13 +85,13 @@
       };
     }
 
-    private JobAnswer readStore() {
-      JobAnswer answer = lookup.queryStore(jobId);
+    private PeerResponse readStore() {
+      PeerResponse answer = lookup.queryStore(jobId);
       storeRead = true;
-      return answer.found() ? null : answer;
+      return answer.isOk() ? null : answer;
     }
 
-    private static JobAnswer answerWith(RecordCodec.JobEnd end) {
+    private static PeerResponse answerWith(RecordCodec.JobEnd end) {
       return end == null ? null : JobLookup.toAnswer(end);
     }
 
--- a/src/main/java/org/astershift/controller/JobLookup.java
+++ b/src/main/java/org/astershift/controller/JobLookup.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.util.Map;
 import org.astershift.http.JsonFormatException;
-import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerClient;
 import org.astershift.peer.PeerOperation;
+import org.astershift.peer.PeerResponse;
 import org.astershift.store.RecordCodec;
 import org.astershift.store.StoreClient;
 import org.slf4j.Logger;
@@ -32,14 +32,14 @@
     this.peers = peers;
   }
 
-  static JobAnswer toAnswer(RecordCodec.JobEnd end) {
-    return JobAnswer.ofEnd(end.cancelled(), end.done());
+  static PeerResponse toAnswer(RecordCodec.JobEnd end) {
+    return PeerResponse.ofEnded(end.cancelled(), end.doneTasks());
   }
 
   /** Returns the leader's answer, or the store's if the leader's is undecided. */
-  JobAnswer queryLeaderOrStore(String jobId) {
-    JobAnswer answer = askLeader(PeerOperation.POLL_JOB, jobId);
-    return answer.undecided() ? queryStore(jobId) : answer;
+  PeerResponse queryLeaderOrStore(String jobId) {
+    PeerResponse answer = askLeader(PeerOperation.POLL_JOB, jobId);
+    return answer.isUnavailable() ? queryStore(jobId) : answer;
   }
 
   /**
@@ -47,49 +47,49 @@
    * before the end: one transaction deletes the live record and writes the end, so a job without a
    * live record has a readable end, or is unknown.
    */
-  JobAnswer queryStore(String jobId) {
-    if (store.unavailable()) {
-      return JobAnswer.UNDECIDED; // at once, so that no user waits until a read times out
+  PeerResponse queryStore(String jobId) {
+    if (store.isUnavailable()) {
+      return PeerResponse.UNAVAILABLE; // at once, so that no user waits until a read times out
     }
     try {
-      StoreClient.Entry liveEntry = store.get(RecordCodec.JOB + jobId);
+      StoreClient.Entry liveEntry = store.get(RecordCodec.LIVE_JOB_PREFIX + jobId);
       if (liveEntry.data() != null) {
         runtime.onJobRecord(liveEntry);
-        return JobAnswer.ofAccepted();
+        return PeerResponse.ofAccepted();
       }
-      StoreClient.Entry endedEntry = store.get(RecordCodec.ENDED + jobId);
+      StoreClient.Entry endedEntry = store.get(RecordCodec.ENDED_JOB_PREFIX + jobId);
       if (endedEntry.data() == null) {
-        return JobAnswer.UNKNOWN;
+        return PeerResponse.NOT_FOUND;
       }
-      RecordCodec.JobEnd end = RecordCodec.decodeEnd(endedEntry.data());
+      RecordCodec.JobEnd end = RecordCodec.decodeJobEnd(endedEntry.data());
       runtime.onEndRead(jobId, end);
       return toAnswer(end);
     } catch (IOException | JsonFormatException e) {
       LOG.debug("reading job failed, job={}: {}", jobId, e.toString());
-      return JobAnswer.UNDECIDED;
+      return PeerResponse.UNAVAILABLE;
     }
   }
 
   /** Returns the leader's answer about a job and caches an end; undecided without an answer. */
-  JobAnswer askLeader(PeerOperation operation, String jobId) {
-    JobAnswer answer = callLeader(operation, jobId);
-    if (answer.ended()) {
-      endedJobs.put(jobId, new RecordCodec.JobEnd(answer.cancelled(), answer.doneTasks()));
+  PeerResponse askLeader(PeerOperation operation, String jobId) {
+    PeerResponse answer = callLeader(operation, jobId);
+    if (answer.hasEnded()) {
+      endedJobs.put(jobId, new RecordCodec.JobEnd(answer.isCancelled(), answer.doneTasks()));
     }
     return answer;
   }
 
-  private JobAnswer callLeader(PeerOperation operation, String jobId) {
+  private PeerResponse callLeader(PeerOperation operation, String jobId) {
     String leader = runtime.otherLeader();
     JobService.PeerChannel peer = leader == null ? null : peers.get(leader);
     if (peer == null) {
-      return JobAnswer.UNDECIDED;
+      return PeerResponse.UNAVAILABLE;
     }
     try {
       return peer.call(operation, jobId, PeerClient.PEER_TIMEOUT_MS);
     } catch (IOException e) {
       LOG.debug("leader did not answer, node={} job={}: {}", leader, jobId, e.toString());
-      return JobAnswer.UNDECIDED;
+      return PeerResponse.UNAVAILABLE;
     }
   }
 }
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.util.Map;
 import org.astershift.coordination.JobQuery;
-import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerOperation;
+import org.astershift.peer.PeerResponse;
 import org.astershift.scheduler.JobSpec;
 import org.astershift.scheduler.Scheduler;
 import org.astershift.store.RateLimiter;
@@ -27,13 +27,13 @@
   private final StoreClient store;
   private final EndedJobCache endedJobs;
   private final JobCanceller canceller;
-  private final RequestCoalescer<JobAnswer> leaderQueries;
-  private final RequestCoalescer<JobAnswer> storeQueries;
+  private final RequestCoalescer<PeerResponse> leaderQueries;
+  private final RequestCoalescer<PeerResponse> storeQueries;
 
   /** A channel to another controller. */
   public interface PeerChannel {
     /** Sends a request and returns the answer; throws if none arrives within the timeout. */
-    JobAnswer call(PeerOperation operation, String argument, int timeoutMs) throws IOException;
+    PeerResponse call(PeerOperation operation, String argument, int timeoutMs) throws IOException;
   }
 
   /** {@code peers} holds the channels to the other controllers by node name. */
@@ -51,7 +51,7 @@
    * The result of a submission: 201 if the job was accepted, 200 with its {@code known} state if it
    * was submitted before, or 503 with null while that is undecided.
    */
-  public record SubmissionResult(int status, JobAnswer known) {
+  public record SubmissionResult(int status, PeerResponse known) {
     private static final SubmissionResult UNDECIDED = new SubmissionResult(503, null);
   }
 
@@ -61,7 +61,7 @@
     if (end != null) {
       return new SubmissionResult(200, JobLookup.toAnswer(end));
     }
-    if (store.unavailable()) {
+    if (store.isUnavailable()) {
       return SubmissionResult.UNDECIDED;
     }
     RecordCodec.JobRecord record = new RecordCodec.JobRecord(spec, System.currentTimeMillis());
@@ -74,16 +74,16 @@
     if (outcome instanceof Outcome.Rejected) {
       return SubmissionResult.UNDECIDED;
     }
-    JobAnswer known = poll(spec.id(), true);
-    return known.found() ? new SubmissionResult(200, known) : SubmissionResult.UNDECIDED;
+    PeerResponse known = poll(spec.id(), true);
+    return known.isOk() ? new SubmissionResult(200, known) : SubmissionResult.UNDECIDED;
   }
 
   /** Returns a transaction that commits only if the id was never accepted. */
   private static StoreClient.Transaction buildAcceptTransaction(RecordCodec.JobRecord record) {
-    String key = RecordCodec.JOB + record.spec().id();
+    String key = RecordCodec.LIVE_JOB_PREFIX + record.spec().id();
     return new StoreClient.Transaction()
-        .when(key, 0)
-        .when(RecordCodec.ENDED + record.spec().id(), 0)
+        .requireRevision(key, 0)
+        .requireRevision(RecordCodec.ENDED_JOB_PREFIX + record.spec().id(), 0)
         .put(key, RecordCodec.encodeJob(record));
   }
 
@@ -92,11 +92,11 @@
     RecordCodec.JobEnd end = endedJobs.get(record.spec().id());
     return end != null // the job was cancelled before the store's response arrived
         ? new SubmissionResult(200, JobLookup.toAnswer(end))
-        : new SubmissionResult(201, JobAnswer.ofAccepted());
+        : new SubmissionResult(201, PeerResponse.ofAccepted());
   }
 
   /** Returns the state of a job, from the source that {@link JobQuery} selects. */
-  public JobAnswer poll(String jobId, boolean mayForward) throws InterruptedException {
+  public PeerResponse poll(String jobId, boolean mayForward) throws InterruptedException {
     RecordCodec.JobEnd end = endedJobs.get(jobId);
     LeaderTerm term = end == null ? runtime.currentTerm() : null;
     Scheduler.JobProgress progress = term == null ? null : term.progressIfCurrent(jobId);
@@ -104,24 +104,25 @@
     boolean leaseCertain = progress != null && runtime.isLeaseCertain(term);
     JobQuery.View view =
         new JobQuery.View(end != null, term != null, progress != null, leaseCertain, mayForward);
-    JobAnswer answer =
+    PeerResponse answer =
         switch (JobQuery.source(view)) {
           case KNOWN_END -> JobLookup.toAnswer(end);
           case LEADER_MEMORY ->
-              JobAnswer.ofLive(progress.running(), progress.doneTasks(), progress.runningTasks());
+              PeerResponse.ofLive(
+                  progress.running(), progress.doneTasks(), progress.runningTasks());
           case REMOTE_LEADER -> leaderQueries.get(jobId);
           case STORE -> storeQueries.get(jobId);
         };
-    return answer == null ? JobAnswer.UNDECIDED : answer;
+    return answer == null ? PeerResponse.UNAVAILABLE : answer;
   }
 
   /** Cancels a job; confirmed only once durable and once no task can outlive it. */
-  public JobAnswer cancel(String jobId, boolean mayForward) throws InterruptedException {
+  public PeerResponse cancel(String jobId, boolean mayForward) throws InterruptedException {
     return canceller.cancel(jobId, mayForward);
   }
 
   /** Answers another controller, without forwarding the request to a third one. */
-  public JobAnswer answerPeer(PeerOperation operation, String argument)
+  public PeerResponse answerPeer(PeerOperation operation, String argument)
       throws InterruptedException {
     return switch (operation) {
       case POLL_JOB -> poll(argument, false);
@@ -130,7 +131,7 @@
       case WORKER_REACHABILITY -> runtime.connectivity().answerWorkerReachability();
       case ANNOUNCE_TRANSFER -> runtime.connectivity().onTransferAnnounced(argument);
       case PROBE_MACHINES -> runtime.prober().probeForPeer(argument);
-      case UNKNOWN -> JobAnswer.UNDECIDED;
+      case UNKNOWN -> PeerResponse.UNAVAILABLE;
     };
   }
 }
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -81,7 +81,7 @@
 
   /** Returns the leader key as cached on this node, or null. */
   StoreClient.Entry leaderEntry() {
-    return watchCache.get(RecordCodec.LEADER);
+    return watchCache.get(RecordCodec.LEADER_KEY);
   }
 
   /** Returns the node that leads according to the cached leader key, or null. */
@@ -129,7 +129,7 @@
 
   private void revoke(long lease) {
     try {
-      store.revoke(lease);
+      store.revokeLease(lease);
     } catch (IOException e) {
       LOG.debug("revoking the lease failed; it will expire: {}", e.toString());
     }
@@ -162,7 +162,7 @@
             : new Election.Holder(String.valueOf(entry.data().get("node")), entry.revision());
     return new Election.View(
         LeaderTerm.nowMs(),
-        watchCache.loaded(),
+        watchCache.isLoaded(),
         holder,
         workerReachability.get(),
         store.silenceMs());
@@ -174,14 +174,14 @@
    */
   private boolean execute(Action action) throws IOException, InterruptedException {
     if (action instanceof Action.ReadKey) {
-      store.get(RecordCodec.LEADER); // shows whether this node is partitioned from the store
+      store.get(RecordCodec.LEADER_KEY); // shows whether this node is partitioned from the store
       return false;
     } else if (action instanceof Action.Defer defer) {
       logDeferral(defer.workerReachability());
     } else if (action instanceof Action.RemoveStaleKey stale) {
       removeStaleKey(stale.revision());
     } else if (action instanceof Action.GrantLease grant) {
-      election.onLeaseGranted(store.grant(grant.ttlMs()));
+      election.onLeaseGranted(store.grantLease(grant.ttlMs()));
       return false;
     } else if (action instanceof Action.CreateKey create) {
       createKey(create.lease());
@@ -212,7 +212,9 @@
 
   private void removeStaleKey(long revision) throws InterruptedException {
     store.commit(
-        new StoreClient.Transaction().when(RecordCodec.LEADER, revision).delete(RecordCodec.LEADER),
+        new StoreClient.Transaction()
+            .requireRevision(RecordCodec.LEADER_KEY, revision)
+            .delete(RecordCodec.LEADER_KEY),
         RateLimiter.Urgency.LEASE,
         LoopTiming.LEADER_KEY_TIMEOUT_MS);
   }
@@ -232,7 +234,7 @@
   private boolean renew(long lease) throws IOException {
     long sentMs = LeaderTerm.nowMs();
     try {
-      election.onLeaseRenewed(store.renew(lease));
+      election.onLeaseRenewed(store.renewLease(lease));
       return token() != 0;
     } catch (IOException e) {
       election.onLeaseRenewed(null);
@@ -247,8 +249,8 @@
   private void createKey(long lease) throws InterruptedException {
     StoreClient.Transaction txn =
         new StoreClient.Transaction()
-            .when(RecordCodec.LEADER, 0)
-            .put(RecordCodec.LEADER, RecordCodec.encodeLeader(node), lease);
+            .requireRevision(RecordCodec.LEADER_KEY, 0)
+            .put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader(node), lease);
     StoreClient.Outcome outcome =
         store.commit(txn, RateLimiter.Urgency.LEASE, LoopTiming.LEADER_KEY_TIMEOUT_MS);
     if (outcome instanceof StoreClient.Outcome.Committed committed) {
@@ -266,7 +268,7 @@
    */
   private long revisionIfOnLease(long lease) {
     try {
-      return store.renew(lease) ? store.revisionOnLease(lease, RecordCodec.LEADER) : 0;
+      return store.renewLease(lease) ? store.revisionIfAttached(lease, RecordCodec.LEADER_KEY) : 0;
     } catch (IOException e) {
       LOG.debug("verifying the creation of the leader key failed: {}", e.toString());
       return 0;
--- a/src/main/java/org/astershift/controller/LeaderRecords.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -95,7 +95,7 @@
   /** Loads the pages that earlier leaders wrote. */
   synchronized void load(List<StoreClient.Entry> entries) {
     for (StoreClient.Entry entry : entries) {
-      String suffix = entry.key().substring(RecordCodec.PAGES.length());
+      String suffix = entry.key().substring(RecordCodec.LEADER_PAGE_PREFIX.length());
       for (RecordKind kind : RecordKind.values()) {
         if (suffix.charAt(0) == kind.letter && suffix.substring(1).matches("[0-9]{1,6}")) {
           RecordPage page = getOrCreatePage(kind, Integer.parseInt(suffix.substring(1)));
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -85,7 +85,7 @@
 
   /** Returns a transaction that fails if it is applied after another leader took over. */
   StoreClient.Transaction transaction() {
-    return new StoreClient.Transaction().when(RecordCodec.LEADER, token);
+    return new StoreClient.Transaction().requireRevision(RecordCodec.LEADER_KEY, token);
   }
 
   /**
@@ -94,7 +94,7 @@
    */
   boolean stepDownIfLeadershipLost(StoreClient.Outcome outcome) {
     if (outcome instanceof StoreClient.Outcome.ConditionFailed conflict
-        && conflict.keys().contains(RecordCodec.LEADER)) {
+        && conflict.keys().contains(RecordCodec.LEADER_KEY)) {
       onLeadershipLost();
       return true;
     }
@@ -107,7 +107,7 @@
   void load(WatchCache watchCache) {
     scheduler.call(
         lockedScheduler -> {
-          records.load(watchCache.entriesWithPrefix(RecordCodec.PAGES));
+          records.load(watchCache.entriesWithPrefix(RecordCodec.LEADER_PAGE_PREFIX));
           loadMachines(lockedScheduler);
           Map<String, Object> openedJobs = records.entries(LeaderRecords.RecordKind.OPENED);
           Map<String, BitSet> doneTasks = loadProgress();
@@ -167,8 +167,8 @@
       WatchCache watchCache,
       Map<String, Object> openedJobs,
       Map<String, BitSet> doneTasks) {
-    for (StoreClient.Entry entry : watchCache.entriesWithPrefix(RecordCodec.JOB)) {
-      String jobId = entry.key().substring(RecordCodec.JOB.length());
+    for (StoreClient.Entry entry : watchCache.entriesWithPrefix(RecordCodec.LIVE_JOB_PREFIX)) {
+      String jobId = entry.key().substring(RecordCodec.LIVE_JOB_PREFIX.length());
       addJob(entry, openedJobs.containsKey(jobId), doneTasks.getOrDefault(jobId, new BitSet()));
       lockedScheduler.restorePlacement(jobId, RecordCodec.decodePlacement(openedJobs.get(jobId)));
     }
--- a/src/main/java/org/astershift/controller/MachineReleaser.java
+++ b/src/main/java/org/astershift/controller/MachineReleaser.java
@@ -15,7 +15,7 @@
 
   private final CloudClient cloud;
   private final Runnable requestPass;
-  private final TaskPool pool = Threads.pool("release", ThreadBudget.RELEASE_THREADS);
+  private final TaskPool pool = Threads.newPool("release", ThreadBudget.RELEASE_THREADS);
 
   MachineReleaser(CloudClient cloud, Runnable requestPass) {
     this.cloud = cloud;
@@ -29,7 +29,7 @@
 
   /** Starts a thread for queued releases if an earlier thread start failed. */
   void startQueuedTasks() {
-    pool.startWaitingWork();
+    pool.startQueuedTasks();
   }
 
   private void send(LeaderTerm term, Decision.ReleaseMachines request) {
--- a/src/main/java/org/astershift/controller/PeerProbes.java
+++ b/src/main/java/org/astershift/controller/PeerProbes.java
@@ -11,9 +11,9 @@
 import org.astershift.config.ThreadBudget;
 import org.astershift.http.TaskPool;
 import org.astershift.http.Threads;
-import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerClient;
 import org.astershift.peer.PeerOperation;
+import org.astershift.peer.PeerResponse;
 import org.astershift.scheduler.Decision;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -29,7 +29,7 @@
   private static final char UNKNOWN = '?';
 
   private final Collection<JobService.PeerChannel> peers;
-  private final TaskPool pool = Threads.pool("peer-probe", ThreadBudget.PEER_PROBE_THREADS);
+  private final TaskPool pool = Threads.newPool("peer-probe", ThreadBudget.PEER_PROBE_THREADS);
 
   PeerProbes(Collection<JobService.PeerChannel> peers) {
     this.peers = peers;
@@ -37,7 +37,7 @@
 
   /** Starts a thread for queued requests if an earlier thread start failed. */
   void startQueuedTasks() {
-    pool.startWaitingWork();
+    pool.startQueuedTasks();
   }
 
   /**
@@ -65,9 +65,9 @@
   private static Decision.PeerProbeResult probeThrough(
       JobService.PeerChannel peer, List<Decision.MachineAddress> machines, String addresses) {
     try {
-      JobAnswer answer =
+      PeerResponse answer =
           peer.call(PeerOperation.PROBE_MACHINES, addresses, PeerClient.PEER_TIMEOUT_MS);
-      return answer.found() ? decode(machines, answer.phase()) : null;
+      return answer.isOk() ? decode(machines, answer.phase()) : null;
     } catch (IOException | RuntimeException e) {
       LOG.debug("probe through a peer failed: {}", e.toString());
       return null;
@@ -92,14 +92,14 @@
   }
 
   /** Encodes the answer to a peer; a null element is a machine whose state is unknown. */
-  static JobAnswer encode(List<Boolean> answered) {
+  static PeerResponse encode(List<Boolean> answered) {
     StringBuilder codes = new StringBuilder();
     int reached = 0;
     for (Boolean reachable : answered) {
       codes.append(reachable == null ? UNKNOWN : reachable ? REACHED : UNREACHED);
       reached += Boolean.TRUE.equals(reachable) ? 1 : 0;
     }
-    return new JobAnswer(200, codes.toString(), reached, answered.size());
+    return new PeerResponse(200, codes.toString(), reached, answered.size());
   }
 
   /** Collects the results of all peers for one request. */
--- a/src/main/java/org/astershift/controller/PeerReachability.java
+++ b/src/main/java/org/astershift/controller/PeerReachability.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import org.astershift.coordination.Candidacy;
 import org.astershift.coordination.WorkerReachability;
-import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerOperation;
+import org.astershift.peer.PeerResponse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -15,21 +15,21 @@
   private PeerReachability() {}
 
   /** Encodes this node's answer; {@code storeAvailable} if the store responds to this node. */
-  static JobAnswer encode(WorkerReachability.Measurement measurement, boolean storeAvailable) {
-    return new JobAnswer(
+  static PeerResponse encode(WorkerReachability.Measurement measurement, boolean storeAvailable) {
+    return new PeerResponse(
         200, storeAvailable ? "" : "apart", measurement.answered(), measurement.probed());
   }
 
   /** Returns a peer's status as it reports it; null if it does not answer. */
   static Candidacy.PeerStatus query(String node, JobService.PeerChannel peer) {
     try {
-      JobAnswer answer =
+      PeerResponse answer =
           peer.call(
               PeerOperation.WORKER_REACHABILITY, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
       WorkerReachability.Measurement measurement =
           new WorkerReachability.Measurement(answer.runningTasks(), answer.doneTasks());
       return new Candidacy.PeerStatus(
-          node, answer.found() && "".equals(answer.phase()), measurement);
+          node, answer.isOk() && "".equals(answer.phase()), measurement);
     } catch (IOException | RuntimeException e) {
       LOG.debug("peer did not answer, node={}: {}", node, e.toString());
       return null;
--- a/src/main/java/org/astershift/controller/ProgressSaver.java
+++ b/src/main/java/org/astershift/controller/ProgressSaver.java
@@ -29,7 +29,8 @@
     for (int i = 0; i < RecordCodec.segmentCount(done.length()); i++) {
       String key = RecordCodec.progressKey(jobId, i);
       if (term.manages(jobId)) { // a record written after the job's end would never be deleted
-        term.records.put(LeaderRecords.RecordKind.PROGRESS, key, RecordCodec.segment(done, i), 0);
+        term.records.put(
+            LeaderRecords.RecordKind.PROGRESS, key, RecordCodec.encodeSegment(done, i), 0);
       }
     }
   }
--- a/src/main/java/org/astershift/controller/ReachabilityProber.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -13,7 +13,7 @@
 import org.astershift.http.JsonFormatException;
 import org.astershift.http.TaskPool;
 import org.astershift.http.Threads;
-import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerResponse;
 import org.astershift.scheduler.Decision;
 import org.astershift.scheduler.Scheduler;
 import org.astershift.store.RecordCodec;
@@ -38,7 +38,7 @@
 
   /** A separate pool, so that probes of silent machines do not delay the samples. */
   private final TaskPool samplePool =
-      Threads.pool("sample", LoopTiming.REACHABILITY_SAMPLE_MACHINES);
+      Threads.newPool("sample", LoopTiming.REACHABILITY_SAMPLE_MACHINES);
 
   /** {@code probePool} is shared with {@link CommandDispatcher}. */
   ReachabilityProber(WatchCache watchCache, CommandSender sender, TaskPool probePool) {
@@ -62,8 +62,8 @@
       if (!lastSampleTimedOut) { // waiting for the timeout was pause enough
         Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS);
       }
-      samplePool.startWaitingWork();
-      probePool.startWaitingWork();
+      samplePool.startQueuedTasks();
+      probePool.startQueuedTasks();
       List<String> addresses = pickAddresses();
       long probedMs = LeaderTerm.nowMs();
       int answered = 0;
@@ -79,7 +79,8 @@
   /** Returns the addresses of randomly chosen recorded machines that may hold tasks. */
   private List<String> pickAddresses() {
     List<StoreClient.Entry> pageEntries =
-        watchCache.entriesWithPrefix(RecordCodec.PAGES + LeaderRecords.RecordKind.MACHINE.letter);
+        watchCache.entriesWithPrefix(
+            RecordCodec.LEADER_PAGE_PREFIX + LeaderRecords.RecordKind.MACHINE.letter);
     Set<String> picked = new HashSet<>();
     ThreadLocalRandom random = ThreadLocalRandom.current();
     for (int i = 0;
@@ -139,10 +140,10 @@
    * Probes machines for a leading peer; {@code addresses} are separated by spaces. Also done if
    * this node reaches few machines: any machine that it reaches is alive.
    */
-  JobAnswer probeForPeer(String addresses) throws InterruptedException {
+  PeerResponse probeForPeer(String addresses) throws InterruptedException {
     List<Boolean> answered =
         probe(probePool, List.of(addresses.split(" ")), Scheduler.PEER_PROBE_TIMEOUT_MS);
-    JobAnswer answer = PeerProbes.encode(answered);
+    PeerResponse answer = PeerProbes.encode(answered);
     LOG.debug(
         "probed machines for a peer, machines={} reached={}", answered.size(), answer.doneTasks());
     return answer;
--- a/src/main/java/org/astershift/controller/RecordPage.java
+++ b/src/main/java/org/astershift/controller/RecordPage.java
@@ -38,14 +38,14 @@
 
   RecordPage(LeaderRecords.RecordKind kind, int number) {
     this.kind = kind;
-    this.key = RecordCodec.PAGES + kind.letter + number;
+    this.key = RecordCodec.LEADER_PAGE_PREFIX + kind.letter + number;
   }
 
   /** The content of a page for one write; later changes of the page do not affect it. */
   record Snapshot(RecordPage page, Map<String, Object> entries, Set<String> changedKeys) {}
 
   static int entryBytes(String key, Object value) {
-    return key.length() + 4 + Json.bytes(value).length;
+    return key.length() + 4 + Json.encode(value).length;
   }
 
   void set(String entryKey, Object value) {
--- a/src/main/java/org/astershift/controller/RecordWriter.java
+++ b/src/main/java/org/astershift/controller/RecordWriter.java
@@ -42,7 +42,7 @@
       }
       records.reschedule(writes);
       if (outcome instanceof Outcome.ConditionFailed conflict) {
-        if (conflict.keys().contains(RecordCodec.LEADER)) {
+        if (conflict.keys().contains(RecordCodec.LEADER_KEY)) {
           term.onLeadershipLost();
           return;
         }
@@ -72,11 +72,12 @@
    * earlier attempt that is applied late cannot undo a later change.
    */
   private Outcome commit(List<RecordPage.Snapshot> writes) throws InterruptedException {
-    StoreClient.Transaction txn = new StoreClient.Transaction().when(RecordCodec.LEADER, token);
+    StoreClient.Transaction txn =
+        new StoreClient.Transaction().requireRevision(RecordCodec.LEADER_KEY, token);
     RateLimiter.Urgency urgency = RateLimiter.Urgency.BACKGROUND;
     for (RecordPage.Snapshot write : writes) {
       RecordPage page = write.page();
-      txn.when(page.key, page.revision);
+      txn.requireRevision(page.key, page.revision);
       if (!write.entries().isEmpty()) {
         txn.put(page.key, write.entries());
       } else if (page.revision > 0) {
--- a/src/main/java/org/astershift/http/ConnectionSlots.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -27,7 +27,7 @@
   private static final int REQUEST_TIMEOUT_MS = 5000;
 
   /** Share of the slots kept free for new connections. */
-  private static final double RESERVED_FREE_CONNECTIONS_SHARE = 0.1;
+  private static final double KEPT_FREE_SHARE = 0.1;
 
   /** Which share of the slots a connection counts against. */
   private enum ConnectionKind {
@@ -94,9 +94,9 @@
   private final int unreservedCapacity;
 
   /** Slots kept free for new connections. */
-  private final int reservedFree;
+  private final int keptFree;
 
-  private final Set<Connection> all = new LinkedHashSet<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
   private int reservedCount;
   private int unreservedCount;
   private int peak;
@@ -106,14 +106,14 @@
   public ConnectionSlots(int capacity, int unreservedCapacity) {
     this.capacity = capacity;
     this.unreservedCapacity = unreservedCapacity;
-    this.reservedFree = (int) (capacity * RESERVED_FREE_CONNECTIONS_SHARE);
+    this.keptFree = (int) (capacity * KEPT_FREE_SHARE);
   }
 
   /** Admits a new connection; returns those to close, itself if no other is evictable. */
   synchronized List<Connection> admit(Connection connection) {
-    all.add(connection);
+    connections.add(connection);
     List<Connection> evicted = new ArrayList<>(1);
-    if (all.size() > capacity) {
+    if (connections.size() > capacity) {
       // Users' and new connections go first; a worker's only beyond the workers' share.
       Connection longestIdle =
           longestIdle(connection, ConnectionKind.UNRESERVED, ConnectionKind.NEW);
@@ -122,14 +122,14 @@
       }
       evict(longestIdle == null ? connection : longestIdle, evicted);
     }
-    peak = Math.max(peak, all.size());
+    peak = Math.max(peak, connections.size());
     return evicted;
   }
 
   /** The connection sent a request, for a reserved path or not; returns those to close. */
   synchronized List<Connection> onRequest(Connection connection, boolean reserved) {
     List<Connection> evicted = new ArrayList<>(0);
-    if (!all.contains(connection)) {
+    if (!connections.contains(connection)) {
       return evicted; // evicted concurrently
     }
     ConnectionKind kind = reserved ? ConnectionKind.RESERVED : ConnectionKind.UNRESERVED;
@@ -140,7 +140,7 @@
       boolean overShare =
           reserved
               ? reservedCount > capacity - unreservedCapacity
-                  && capacity - all.size() < reservedFree / 2
+                  && capacity - connections.size() < keptFree / 2
               : unreservedCount > unreservedCapacity;
       if (overShare) {
         Connection longestIdle = longestIdle(connection, kind, kind);
@@ -156,14 +156,13 @@
    */
   synchronized boolean mayKeepAlive(Connection connection) {
     return connection.kind == ConnectionKind.RESERVED
-        ? capacity - all.size() >= reservedFree
-        : unreservedCount
-            <= unreservedCapacity - (int) (unreservedCapacity * RESERVED_FREE_CONNECTIONS_SHARE);
+        ? capacity - connections.size() >= keptFree
+        : unreservedCount <= unreservedCapacity - (int) (unreservedCapacity * KEPT_FREE_SHARE);
   }
 
   /** The connection is closed; frees its slot, once. */
   synchronized void release(Connection connection) {
-    if (all.remove(connection)) {
+    if (connections.remove(connection)) {
       adjustCount(connection.kind, -1);
     }
   }
@@ -182,7 +181,7 @@
   private Connection longestIdle(
       Connection excluded, ConnectionKind firstKind, ConnectionKind secondKind) {
     Connection longestIdle = null;
-    for (Connection connection : all) {
+    for (Connection connection : connections) {
       boolean evictable =
           connection != excluded
               && !connection.busy
@@ -202,7 +201,7 @@
         + " users="
         + unreservedCount
         + " new="
-        + (all.size() - reservedCount - unreservedCount)
+        + (connections.size() - reservedCount - unreservedCount)
         + " peak="
         + peak
         + " capacity="
--- a/src/main/java/org/astershift/http/ConnectionThreads.java
+++ b/src/main/java/org/astershift/http/ConnectionThreads.java
@@ -11,10 +11,10 @@
  * how many there are.
  */
 final class ConnectionThreads {
-  private final ThreadPoolExecutor threads;
+  private final ThreadPoolExecutor executor;
 
   ConnectionThreads(ThreadFactory factory) {
-    this.threads =
+    this.executor =
         new ThreadPoolExecutor(
             0,
             Integer.MAX_VALUE,
@@ -27,7 +27,7 @@
   /** Runs the body on a thread at once, or throws {@link ThreadUnavailableException}. */
   void execute(Threads.Task body) {
     try {
-      threads.execute(Threads.logFailures("connection", body));
+      executor.execute(Threads.logFailures("connection", body));
     } catch (OutOfMemoryError e) {
       throw new ThreadUnavailableException("a connection", e);
     }
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -180,7 +180,7 @@
 
   /** Writes head and body at once: each write is a packet and a system call. */
   static void write(Socket socket, String head, byte[] body) throws IOException {
-    byte[] headBytes = HttpMessageReader.latin1(head);
+    byte[] headBytes = HttpMessageReader.encodeLatin1(head);
     byte[] packet = new byte[headBytes.length + body.length];
     System.arraycopy(headBytes, 0, packet, 0, headBytes.length);
     System.arraycopy(body, 0, packet, headBytes.length, body.length);
--- a/src/main/java/org/astershift/http/HttpMessageReader.java
+++ b/src/main/java/org/astershift/http/HttpMessageReader.java
@@ -228,7 +228,7 @@
     return true;
   }
 
-  static byte[] latin1(String text) {
+  static byte[] encodeLatin1(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 }
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -46,13 +46,13 @@
   public record Response(int status, byte[] body, int retryAfterS) {
     /** A response without Retry-After. */
     public static Response of(int status, Map<String, Object> body) {
-      return new Response(status, Json.bytes(body), 0);
+      return new Response(status, Json.encode(body), 0);
     }
 
     /** A response with an error text, and Retry-After if its status is 503. */
     public static Response error(int status, String message) {
       int retryAfterS = status == 503 ? RETRY_AFTER_S : 0;
-      return new Response(status, Json.bytes(Map.of("error", message)), retryAfterS);
+      return new Response(status, Json.encode(Map.of("error", message)), retryAfterS);
     }
   }
 
@@ -291,7 +291,7 @@
     head.append("HTTP/1.1 ")
         .append(response.status())
         .append(' ')
-        .append(reason(response.status()));
+        .append(reasonPhrase(response.status()));
     head.append("\r\nContent-Type: application/json\r\nContent-Length: ")
         .append(response.body().length);
     if (response.retryAfterS() > 0) {
@@ -304,7 +304,7 @@
     HttpClient.write(socket, head.toString(), response.body());
   }
 
-  private static String reason(int status) {
+  private static String reasonPhrase(int status) {
     return switch (status) {
       case 200 -> "OK";
       case 201 -> "Created";
--- a/src/main/java/org/astershift/http/Json.java
+++ b/src/main/java/org/astershift/http/Json.java
@@ -29,7 +29,7 @@
   private Json() {}
 
   /** The value as JSON text in UTF-8. */
-  public static byte[] bytes(Object value) {
+  public static byte[] encode(Object value) {
     try {
       return JACKSON.asBytes(value);
     } catch (IOException e) {
--- a/src/main/java/org/astershift/http/TaskPool.java
+++ b/src/main/java/org/astershift/http/TaskPool.java
@@ -10,16 +10,16 @@
 /**
  * A thread pool of bounded size that never drops a task because a thread could not be started: a
  * plain executor throws at its caller and forgets the task, and whoever waits for the result waits
- * for ever. Here the task stays queued for a running thread or for {@link #startWaitingWork}. Safe
- * for use by several threads. Make one with {@link Threads#pool}.
+ * for ever. Here the task stays queued for a running thread or for {@link #startQueuedTasks}. Safe
+ * for use by several threads. Make one with {@link Threads#newPool}.
  */
 public final class TaskPool {
   private static final Logger LOG = LoggerFactory.getLogger(TaskPool.class);
 
-  private final ThreadPoolExecutor threads;
+  private final ThreadPoolExecutor executor;
 
   TaskPool(int threads, ThreadFactory factory) {
-    this.threads =
+    this.executor =
         new ThreadPoolExecutor(
             threads,
             threads,
@@ -27,27 +27,27 @@
             TimeUnit.SECONDS,
             new LinkedBlockingQueue<>(),
             factory);
-    this.threads.allowCoreThreadTimeOut(true);
+    this.executor.allowCoreThreadTimeOut(true);
   }
 
   /** Queues a task and starts a thread for it if there is room; a failure of it is logged. */
   public void execute(String name, Threads.Task body) {
-    threads.getQueue().add(Threads.logFailures(name, body));
+    executor.getQueue().add(Threads.logFailures(name, body));
     startThread();
   }
 
   /** Starts a thread if tasks wait and none runs; to be called periodically. */
-  public void startWaitingWork() {
-    if (threads.getPoolSize() == 0 && !threads.getQueue().isEmpty()) {
+  public void startQueuedTasks() {
+    if (executor.getPoolSize() == 0 && !executor.getQueue().isEmpty()) {
       startThread();
     }
   }
 
   private void startThread() {
     try {
-      threads.prestartCoreThread();
+      executor.prestartCoreThread();
     } catch (OutOfMemoryError e) {
-      LOG.error("thread start failed: queued={}: {}", threads.getQueue().size(), e.toString());
+      LOG.error("thread start failed: queued={}: {}", executor.getQueue().size(), e.toString());
     }
   }
 }
--- a/src/main/java/org/astershift/http/Threads.java
+++ b/src/main/java/org/astershift/http/Threads.java
@@ -30,7 +30,7 @@
    * OutOfMemoryError}, which would pass the handlers of loops and end them.
    */
   public static void start(String name, Task body) {
-    start(thread(name, logFailures(name, body)));
+    start(newThread(name, logFailures(name, body)));
   }
 
   private static void start(Thread thread) {
@@ -45,7 +45,7 @@
   public static void startLoop(String name, Task body) {
     Runnable once = logFailures(name, body);
     start(
-        thread(
+        newThread(
             name,
             () -> {
               while (!Thread.currentThread().isInterrupted()) {
@@ -56,8 +56,8 @@
   }
 
   /** A pool of at most {@code threads} threads; its callers have to bound the queue. */
-  public static TaskPool pool(String name, int threads) {
-    return new TaskPool(threads, r -> thread(name, r));
+  public static TaskPool newPool(String name, int threads) {
+    return new TaskPool(threads, r -> newThread(name, r));
   }
 
   /** Wraps a body so that whatever ends it, errors included, is logged. */
@@ -75,10 +75,10 @@
 
   /** Makes the threads that serve connections. */
   static ThreadFactory connectionThreadFactory() {
-    return r -> thread("http", r);
+    return r -> newThread("http", r);
   }
 
-  private static Thread thread(String name, Runnable body) {
+  private static Thread newThread(String name, Runnable body) {
     Thread thread = new Thread(null, body, name, STACK_BYTES);
     thread.setDaemon(true);
     return thread;
--- a/src/main/java/org/astershift/peer/PeerClient.java
+++ b/src/main/java/org/astershift/peer/PeerClient.java
@@ -43,7 +43,8 @@
    *
    * @throws IOException without an answer in time; the request may have been handled
    */
-  public JobAnswer ask(PeerOperation operation, String argument, int timeoutMs) throws IOException {
+  public PeerResponse send(PeerOperation operation, String argument, int timeoutMs)
+      throws IOException {
     if (System.nanoTime() - backoffUntilNs < 0) {
       throw new IOException("did not answer a moment ago");
     }
@@ -67,7 +68,7 @@
     }
   }
 
-  private JobAnswer call(Socket reused, PeerOperation operation, String argument, int timeoutMs)
+  private PeerResponse call(Socket reused, PeerOperation operation, String argument, int timeoutMs)
       throws IOException {
     Socket socket = reused;
     boolean succeeded = false;
@@ -82,8 +83,8 @@
       socket.setSoTimeout(timeoutMs);
       DataOutputStream out =
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
-      PeerCodec.write(out, new PeerCodec.PeerRequest(operation.word(), argument));
-      JobAnswer answer = PeerCodec.readAnswer(new DataInputStream(socket.getInputStream()));
+      PeerCodec.write(out, new PeerCodec.PeerRequest(operation.wireName(), argument));
+      PeerResponse answer = PeerCodec.readResponse(new DataInputStream(socket.getInputStream()));
       succeeded = true;
       return answer;
     } catch (RuntimeException e) {
--- a/src/main/java/org/astershift/peer/PeerCodec.java
+++ b/src/main/java/org/astershift/peer/PeerCodec.java
@@ -14,16 +14,16 @@
   private PeerCodec() {}
 
   /** A request as it is on the wire; {@code jobId}: the argument of whatever operation. */
-  record PeerRequest(String operation, String jobId) {}
+  record PeerRequest(String operation, String argument) {}
 
   static void write(DataOutputStream out, PeerRequest request) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packer.packArrayHeader(2).packString(request.operation()).packString(request.jobId());
+      packer.packArrayHeader(2).packString(request.operation()).packString(request.argument());
       writeFrame(out, packer.toByteArray());
     }
   }
 
-  static void write(DataOutputStream out, JobAnswer answer) throws IOException {
+  static void write(DataOutputStream out, PeerResponse answer) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packArrayHeader(4).packInt(answer.status());
       if (answer.phase() == null) {
@@ -61,14 +61,14 @@
     }
   }
 
-  static JobAnswer readAnswer(DataInputStream in) throws IOException {
+  static PeerResponse readResponse(DataInputStream in) throws IOException {
     try (MessageUnpacker unpacker = readFrame(in)) {
       if (unpacker.unpackArrayHeader() < 4) {
         throw new IOException("short answer");
       }
       int status = unpacker.unpackInt();
       String phase = unpacker.tryUnpackNil() ? null : unpacker.unpackString();
-      return new JobAnswer(status, phase, unpacker.unpackInt(), unpacker.unpackInt());
+      return new PeerResponse(status, phase, unpacker.unpackInt(), unpacker.unpackInt());
     }
   }
 }
--- a/src/main/java/org/astershift/peer/PeerOperation.java
+++ b/src/main/java/org/astershift/peer/PeerOperation.java
@@ -19,21 +19,21 @@
 
   private static final PeerOperation[] ALL = values();
 
-  private final String word;
+  private final String wireName;
 
   PeerOperation(String word) {
-    this.word = word;
+    this.wireName = word;
   }
 
   /** The word in a request. */
-  public String word() {
-    return word;
+  public String wireName() {
+    return wireName;
   }
 
   /** The operation of this word; {@link #UNKNOWN} if there is none. */
-  public static PeerOperation ofWord(String word) {
+  public static PeerOperation fromWireName(String word) {
     for (PeerOperation operation : ALL) {
-      if (operation.word.equals(word)) {
+      if (operation.wireName.equals(word)) {
         return operation;
       }
     }
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -22,7 +22,7 @@
   /** Answers a request without forwarding it. */
   public interface RequestHandler {
     /** {@code operation} may be {@link PeerOperation#UNKNOWN}. */
-    JobAnswer answer(PeerOperation operation, String argument) throws InterruptedException;
+    PeerResponse handle(PeerOperation operation, String argument) throws InterruptedException;
   }
 
   private final ServerSocket server;
@@ -72,7 +72,8 @@
       while (true) {
         PeerCodec.PeerRequest request = PeerCodec.readRequest(in);
         PeerCodec.write(
-            out, handler.answer(PeerOperation.ofWord(request.operation()), request.jobId()));
+            out,
+            handler.handle(PeerOperation.fromWireName(request.operation()), request.argument()));
       }
     } catch (IOException | RuntimeException e) {
       LOG.debug("peer connection: {}", e.toString());
--- a/src/main/java/org/astershift/store/EnumCodes.java
+++ b/src/main/java/org/astershift/store/EnumCodes.java
@@ -10,7 +10,7 @@
 final class EnumCodes {
   private EnumCodes() {}
 
-  static int of(JobKind kind) {
+  static int codeOf(JobKind kind) {
     return switch (kind) {
       case ARRAY -> 0;
       case GANG -> 1;
@@ -28,7 +28,7 @@
     };
   }
 
-  static int of(Priority priority) {
+  static int codeOf(Priority priority) {
     return switch (priority) {
       case PRODUCTION -> 0;
       case HIGH -> 1;
--- a/src/main/java/org/astershift/store/RateLimiter.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -10,10 +10,10 @@
  */
 public final class RateLimiter {
   /** Share of the burst that background requests must leave. */
-  private static final double DEFERRABLE_RESERVE_SHARE = 0.5;
+  private static final double BACKGROUND_RESERVE_SHARE = 0.5;
 
   /** Seconds without requests after the store has answered that the limit is reached. */
-  static final double STORE_EXHAUSTED_PAUSE_S = 0.1;
+  static final double LIMIT_REACHED_PAUSE_S = 0.1;
 
   /** Order of service. */
   public enum Urgency {
@@ -32,20 +32,20 @@
   private double ratePerS;
 
   /** Capacity of the bucket. */
-  private double burst;
+  private double burstPermits;
 
-  private double available;
-  private long refilledNs;
+  private double availablePermits;
+  private long lastRefillNs;
 
   /** Waiting callers but those of background requests, in the order of service. */
-  private final Deque<Object> queue = new ArrayDeque<>();
+  private final Deque<Object> waiters = new ArrayDeque<>();
 
   /** A limiter with the whole limit, until {@link #setShare}. */
   public RateLimiter(double limitPerS) {
     this.limitPerS = limitPerS;
-    this.refilledNs = System.nanoTime();
+    this.lastRefillNs = System.nanoTime();
     setShare(1, 1);
-    this.available = burst;
+    this.availablePermits = burstPermits;
   }
 
   /**
@@ -55,21 +55,22 @@
   public synchronized void setShare(double share, double burstS) {
     refill();
     ratePerS = limitPerS * share;
-    burst = Math.max(ratePerS * burstS, 1);
-    available = Math.min(available, burst);
+    burstPermits = Math.max(ratePerS * burstS, 1);
+    availablePermits = Math.min(availablePermits, burstPermits);
     notifyAll();
   }
 
   private void refill() {
     long nowNs = System.nanoTime();
-    available = Math.min(burst, available + ratePerS * (nowNs - refilledNs) / 1e9);
-    refilledNs = nowNs;
+    availablePermits =
+        Math.min(burstPermits, availablePermits + ratePerS * (nowNs - lastRefillNs) / 1e9);
+    lastRefillNs = nowNs;
   }
 
   /** The store answered that the limit is reached: empties the bucket for a moment. */
   public synchronized void drain() {
     refill();
-    available = Math.min(available, 1 - ratePerS * STORE_EXHAUSTED_PAUSE_S);
+    availablePermits = Math.min(availablePermits, 1 - ratePerS * LIMIT_REACHED_PAUSE_S);
   }
 
   /**
@@ -81,9 +82,9 @@
     long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
     Object waiter = new Object();
     if (urgency == Urgency.INTERACTIVE) {
-      queue.addLast(waiter);
+      waiters.addLast(waiter);
     } else if (urgency == Urgency.LEASE) {
-      queue.addFirst(waiter);
+      waiters.addFirst(waiter);
     }
     try {
       while (true) {
@@ -91,20 +92,23 @@
         // A batch may overdraw: it must not wait until all of its permits are there at once.
         double required =
             urgency == Urgency.BACKGROUND
-                ? Math.min(burst, permits + queue.size() + DEFERRABLE_RESERVE_SHARE * burst)
+                ? Math.min(
+                    burstPermits,
+                    permits + waiters.size() + BACKGROUND_RESERVE_SHARE * burstPermits)
                 : 1 + positionOf(waiter);
-        if (available >= required) {
-          available -= permits;
+        if (availablePermits >= required) {
+          availablePermits -= permits;
           return true;
         }
-        long waitMs = Math.max(1, (long) Math.ceil((required - available) / ratePerS * 1000));
+        long waitMs =
+            Math.max(1, (long) Math.ceil((required - availablePermits) / ratePerS * 1000));
         if (System.nanoTime() + waitMs * 1_000_000 > deadlineNs) {
           return false;
         }
         wait(waitMs);
       }
     } finally {
-      if (queue.remove(waiter)) {
+      if (waiters.remove(waiter)) {
         notifyAll();
       }
     }
@@ -112,7 +116,7 @@
 
   private int positionOf(Object waiter) {
     int count = 0;
-    for (Object other : queue) {
+    for (Object other : waiters) {
       if (other == waiter) {
         return count;
       }
--- a/src/main/java/org/astershift/store/RecordCodec.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -26,22 +26,22 @@
   private RecordCodec() {}
 
   /** Prefix of all live keys. */
-  public static final String LIVE = "l/";
+  public static final String LIVE_PREFIX = "l/";
 
   /** The key that the leader holds. */
-  public static final String LEADER = LIVE + "leader";
+  public static final String LEADER_KEY = LIVE_PREFIX + "leader";
 
   /** The machine types. */
-  public static final String TYPES = LIVE + "types";
+  public static final String MACHINE_TYPES_KEY = LIVE_PREFIX + "types";
 
   /** Prefix of live jobs, by id. */
-  public static final String JOB = LIVE + "j/";
+  public static final String LIVE_JOB_PREFIX = LIVE_PREFIX + "j/";
 
   /** Prefix of the pages in which a leader keeps records for its successor. */
-  public static final String PAGES = LIVE + "n/";
+  public static final String LEADER_PAGE_PREFIX = LIVE_PREFIX + "n/";
 
   /** Prefix of ended jobs, by id: kept for ever, and not watched, so that failover stays fast. */
-  public static final String ENDED = "d/";
+  public static final String ENDED_JOB_PREFIX = "d/";
 
   /** The leader's key names its node. */
   public static Map<String, Object> encodeLeader(String node) {
@@ -57,8 +57,8 @@
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("c", spec.jobClass());
     fields.put("t", spec.team());
-    fields.put("k", EnumCodes.of(spec.kind()));
-    fields.put("p", EnumCodes.of(spec.priority()));
+    fields.put("k", EnumCodes.codeOf(spec.kind()));
+    fields.put("p", EnumCodes.codeOf(spec.priority()));
     fields.put("n", spec.tasks());
     fields.put("cpu", spec.cpus());
     fields.put("gpu", spec.gpus());
@@ -96,7 +96,7 @@
     }
     JobSpec spec =
         new JobSpec(
-            key.substring(JOB.length()),
+            key.substring(LIVE_JOB_PREFIX.length()),
             Json.string(fields, "c"),
             Json.string(fields, "t"),
             EnumCodes.jobKind(Json.integer(fields, "k")),
@@ -120,15 +120,15 @@
   }
 
   /** How a job ended. */
-  public record JobEnd(boolean cancelled, int done) {}
+  public record JobEnd(boolean cancelled, int doneTasks) {}
 
   /** A job's end as its record holds it. */
-  public static Map<String, Object> encodeEnd(JobEnd end) {
-    return Map.of("cancelled", end.cancelled(), "done", end.done());
+  public static Map<String, Object> encodeJobEnd(JobEnd end) {
+    return Map.of("cancelled", end.cancelled(), "done", end.doneTasks());
   }
 
   /** The end in a record. */
-  public static JobEnd decodeEnd(Map<String, Object> fields) throws JsonFormatException {
+  public static JobEnd decodeJobEnd(Map<String, Object> fields) throws JsonFormatException {
     return new JobEnd(Json.bool(fields, "cancelled"), (int) Json.integer(fields, "done"));
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** One segment of a job's done tasks: a bit for each task, as base64. */
-  public static String segment(BitSet done, int segment) {
+  public static String encodeSegment(BitSet done, int segment) {
     int from = segment * SEGMENT_TASKS;
     BitSet part = done.get(from, from + SEGMENT_TASKS);
     return Base64.getEncoder().encodeToString(part.toByteArray());
@@ -192,12 +192,13 @@
   }
 
   /** A rental as a page of rentals holds it. */
-  public static List<Object> encodeRental(Decision.ProvisionMachines request) {
+  public static List<Object> encodeProvisionRequest(Decision.ProvisionMachines request) {
     return List.of(request.typeName(), request.zone(), request.spot(), request.count());
   }
 
   /** The rental in an entry of a page of rentals. */
-  public static Decision.ProvisionMachines decodeRental(Object value) throws JsonFormatException {
+  public static Decision.ProvisionMachines decodeProvisionRequest(Object value)
+      throws JsonFormatException {
     if (value instanceof List<?> values
         && values.size() >= 4
         && values.get(2) instanceof Boolean spot
@@ -209,7 +210,7 @@
   }
 
   /** Machine types as their record holds them. */
-  public static Map<String, Object> encodeTypes(Map<String, MachineType> types) {
+  public static Map<String, Object> encodeMachineTypes(Map<String, MachineType> types) {
     List<Object> rows = new ArrayList<>();
     for (MachineType type : types.values()) {
       Map<String, Object> fields = new LinkedHashMap<>();
@@ -232,7 +233,7 @@
   }
 
   /** The machine types in their record, by name. */
-  public static Map<String, MachineType> decodeTypes(Map<String, Object> value)
+  public static Map<String, MachineType> decodeMachineTypes(Map<String, Object> value)
       throws JsonFormatException {
     Map<String, MachineType> types = new LinkedHashMap<>();
     for (Object row : Json.list(value, "types")) {
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -40,7 +40,7 @@
   public static final int STORE_TIMEOUT_MS = 1500;
 
   /** Milliseconds without a response after which the store counts as unavailable. */
-  public static final long STORE_OUTAGE_CHECK_AFTER_MS = 1500;
+  public static final long STORE_UNAVAILABLE_AFTER_MS = 1500;
 
   /** Milliseconds that a watch blocks without changes. */
   public static final int WATCH_BLOCK_MS = 10_000;
@@ -58,7 +58,7 @@
   private final RateLimiter requests;
   private final RateLimiter writes;
   private final int peerCount;
-  private volatile long lastServedNs = System.nanoTime();
+  private volatile long lastResponseNs = System.nanoTime();
 
   /** A client of the store in the settings, with a follower's share. */
   public StoreClient(Settings settings) {
@@ -89,18 +89,18 @@
   }
 
   /** Whether the store has not responded to this node for a while. */
-  public boolean unavailable() {
-    return silenceMs() > STORE_OUTAGE_CHECK_AFTER_MS;
+  public boolean isUnavailable() {
+    return silenceMs() > STORE_UNAVAILABLE_AFTER_MS;
   }
 
   /** Milliseconds since the store last responded to this node. */
   public long silenceMs() {
-    return (System.nanoTime() - lastServedNs) / 1_000_000;
+    return (System.nanoTime() - lastResponseNs) / 1_000_000;
   }
 
-  private HttpClient.Response recordAnswer(HttpClient.Response response) {
+  private HttpClient.Response recordResponse(HttpClient.Response response) {
     if (response.status() != 503) {
-      lastServedNs = System.nanoTime();
+      lastResponseNs = System.nanoTime();
     }
     return response;
   }
@@ -147,7 +147,7 @@
     private final List<Map<String, Object>> changes = new ArrayList<>();
 
     /** Applied only if the key has this revision. */
-    public Transaction when(String key, long revision) {
+    public Transaction requireRevision(String key, long revision) {
       Map<String, Object> condition = new LinkedHashMap<>();
       condition.put("k", key);
       condition.put("stamp", revision);
@@ -199,7 +199,7 @@
   }
 
   /** The revision of the key if it is attached to this lease; otherwise 0. */
-  public long revisionOnLease(long lease, String key) throws IOException {
+  public long revisionIfAttached(long lease, String key) throws IOException {
     HttpClient.Response response = call(RateLimiter.Urgency.LEASE, "GET", "/store/" + key, null);
     if (response.status() == 404) {
       return 0;
@@ -241,7 +241,7 @@
     String path = "/watch?starts=" + prefix + "&from=" + after + "&block_ms=" + WATCH_BLOCK_MS;
     acquire(requests, RateLimiter.Urgency.INTERACTIVE);
     HttpClient.Response response =
-        recordAnswer(watchHttp.call("GET", path, null, WATCH_BLOCK_MS + STORE_TIMEOUT_MS));
+        recordResponse(watchHttp.call("GET", path, null, WATCH_BLOCK_MS + STORE_TIMEOUT_MS));
     backOffIfOverLimit(response);
     if (response.status() == 410) {
       return new WatchResponse(List.of(), after, true);
@@ -292,7 +292,7 @@
   private Outcome sendOnce(Map<String, Object> body) {
     try {
       HttpClient.Response response =
-          recordAnswer(http.call("POST", "/multi", Json.bytes(body), STORE_TIMEOUT_MS));
+          recordResponse(http.call("POST", "/multi", Json.encode(body), STORE_TIMEOUT_MS));
       switch (response.status()) {
         case 200 -> {
           return new Outcome.Committed(Json.integer(Json.object(response.body()), "epoch"));
@@ -316,9 +316,9 @@
   }
 
   /** Grants a lease of this duration. */
-  public long grant(long ttlMs) throws IOException {
+  public long grantLease(long ttlMs) throws IOException {
     try {
-      byte[] body = Json.bytes(Map.of("life_ms", ttlMs));
+      byte[] body = Json.encode(Map.of("life_ms", ttlMs));
       HttpClient.Response response = call(RateLimiter.Urgency.LEASE, "POST", "/grants", body);
       return Json.integer(Json.object(requireOk(response)), "mooring");
     } catch (JsonFormatException e) {
@@ -327,7 +327,7 @@
   }
 
   /** Renews a lease; false if it has ended. */
-  public boolean renew(long lease) throws IOException {
+  public boolean renewLease(long lease) throws IOException {
     String path = "/grants/" + lease + "/renew";
     HttpClient.Response response =
         call(RateLimiter.Urgency.LEASE, "POST", path, new byte[0], LEADER_LEASE_RENEW_TIMEOUT_MS);
@@ -339,7 +339,7 @@
   }
 
   /** Ends a lease and deletes the keys attached to it. */
-  public void revoke(long lease) throws IOException {
+  public void revokeLease(long lease) throws IOException {
     requireOk(call(RateLimiter.Urgency.LEASE, "DELETE", "/grants/" + lease, null));
   }
 
@@ -356,7 +356,7 @@
       RateLimiter.Urgency urgency, String method, String path, byte[] body, int timeoutMs)
       throws IOException {
     acquire(requests, urgency);
-    HttpClient.Response response = recordAnswer(http.call(method, path, body, timeoutMs));
+    HttpClient.Response response = recordResponse(http.call(method, path, body, timeoutMs));
     backOffIfOverLimit(response);
     return response;
   }
--- a/src/main/java/org/astershift/store/WatchCache.java
+++ b/src/main/java/org/astershift/store/WatchCache.java
@@ -44,7 +44,7 @@
   }
 
   /** Whether the cache holds a state of the store. */
-  public synchronized boolean loaded() {
+  public synchronized boolean isLoaded() {
     return revision >= 0;
   }
 
@@ -80,10 +80,10 @@
   private void watchLoop() throws InterruptedException {
     while (true) {
       try {
-        if (!loaded()) {
+        if (!isLoaded()) {
           reload();
         }
-        StoreClient.WatchResponse response = store.watch(RecordCodec.LIVE, revision);
+        StoreClient.WatchResponse response = store.watch(RecordCodec.LIVE_PREFIX, revision);
         if (response.compacted()) {
           LOG.info("watch fell behind compaction: reloading");
           reload();
@@ -105,7 +105,7 @@
     String after = null;
     boolean more = true;
     while (more) {
-      StoreClient.Page page = store.list(RecordCodec.LIVE, after);
+      StoreClient.Page page = store.list(RecordCodec.LIVE_PREFIX, after);
       firstRevision = firstRevision < 0 ? page.revision() : firstRevision;
       for (StoreClient.Entry entry : page.entries()) {
         latest.put(entry.key(), entry);
--- a/src/main/java/org/astershift/worker/CommandSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -94,7 +94,7 @@
           client.callConnected(
               "POST",
               "/orders",
-              () -> WorkerCodec.directCommands(fencingToken, epoch, commands.get()),
+              () -> WorkerCodec.encodeCommandRequest(fencingToken, epoch, commands.get()),
               timeoutMs);
       if (response.status() != 200 && response.status() != 409) {
         LOG.info("commands rejected: address={} status={}", address, response.status());
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -33,7 +33,7 @@
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         String field = parser.currentName();
         parser.nextToken();
-        builder.read(field, parser);
+        builder.readField(field, parser);
       }
       if (parser.nextToken() != null) {
         throw new JsonFormatException("something follows the object");
@@ -57,18 +57,18 @@
     private Double preemptionNoticeS;
     private List<Heartbeat.TaskStatus> tasks = List.of();
 
-    void read(String field, JsonParser parser) throws IOException, JsonFormatException {
+    void readField(String field, JsonParser parser) throws IOException, JsonFormatException {
       switch (field) {
-        case "vessel" -> machineName = text(field, parser);
-        case "addr" -> address = text(field, parser);
-        case "hull" -> typeName = text(field, parser);
-        case "harbor" -> zone = text(field, parser);
-        case "ebbtide" -> spot = flag(field, parser);
-        case "watch" -> epoch = wholeNumber(field, parser);
-        case "tick" -> sequence = wholeNumber(field, parser);
-        case "helm" -> fencingToken = isNull(parser) ? 0 : wholeNumber(field, parser);
-        case "recall_s" -> preemptionNoticeS = isNull(parser) ? null : number(field, parser);
-        case "shards" -> tasks = isNull(parser) ? List.of() : tasks(parser);
+        case "vessel" -> machineName = readText(field, parser);
+        case "addr" -> address = readText(field, parser);
+        case "hull" -> typeName = readText(field, parser);
+        case "harbor" -> zone = readText(field, parser);
+        case "ebbtide" -> spot = readBoolean(field, parser);
+        case "watch" -> epoch = readInteger(field, parser);
+        case "tick" -> sequence = readInteger(field, parser);
+        case "helm" -> fencingToken = isNull(parser) ? 0 : readInteger(field, parser);
+        case "recall_s" -> preemptionNoticeS = isNull(parser) ? null : readNumber(field, parser);
+        case "shards" -> tasks = isNull(parser) ? List.of() : readTasks(parser);
         default -> parser.skipChildren();
       }
     }
@@ -94,7 +94,7 @@
     }
   }
 
-  private static List<Heartbeat.TaskStatus> tasks(JsonParser parser)
+  private static List<Heartbeat.TaskStatus> readTasks(JsonParser parser)
       throws IOException, JsonFormatException {
     if (parser.currentToken() != JsonToken.START_ARRAY) {
       throw new JsonFormatException("shards is not a list");
@@ -104,12 +104,12 @@
       if (parser.currentToken() != JsonToken.START_OBJECT) {
         throw new JsonFormatException("task is not an object");
       }
-      statuses.add(task(parser));
+      statuses.add(readTask(parser));
     }
     return statuses;
   }
 
-  private static Heartbeat.TaskStatus task(JsonParser parser)
+  private static Heartbeat.TaskStatus readTask(JsonParser parser)
       throws IOException, JsonFormatException {
     String taskName = null;
     long attemptNumber = -1;
@@ -119,10 +119,11 @@
       String field = parser.currentName();
       parser.nextToken();
       switch (field) {
-        case "shard" -> taskName = text(field, parser);
-        case "launch" -> attemptNumber = wholeNumber(field, parser);
-        case "phase" -> phase = phase(text(field, parser));
-        case "cause" -> exitReason = isNull(parser) ? null : exitReason(text(field, parser));
+        case "shard" -> taskName = readText(field, parser);
+        case "launch" -> attemptNumber = readInteger(field, parser);
+        case "phase" -> phase = decodePhase(readText(field, parser));
+        case "cause" ->
+            exitReason = isNull(parser) ? null : decodeExitReason(readText(field, parser));
         default -> parser.skipChildren();
       }
     }
@@ -132,13 +133,13 @@
     int slash = taskName.lastIndexOf('/');
     return new Heartbeat.TaskStatus(
         taskName.substring(0, Math.max(slash, 0)),
-        index(taskName, slash),
+        parseTaskIndex(taskName, slash),
         attemptNumber,
         phase,
         exitReason);
   }
 
-  private static int index(String taskName, int slash) throws JsonFormatException {
+  private static int parseTaskIndex(String taskName, int slash) throws JsonFormatException {
     int digits = taskName.length() - slash - 1;
     if (slash <= 0 || digits < 1 || digits > MAX_DIGITS) {
       throw new JsonFormatException("not a task: " + taskName);
@@ -158,7 +159,7 @@
     return parser.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  private static String text(String field, JsonParser parser)
+  private static String readText(String field, JsonParser parser)
       throws IOException, JsonFormatException {
     if (parser.currentToken() != JsonToken.VALUE_STRING) {
       throw new JsonFormatException(field + " is not a text");
@@ -166,7 +167,7 @@
     return parser.getText();
   }
 
-  private static long wholeNumber(String field, JsonParser parser)
+  private static long readInteger(String field, JsonParser parser)
       throws IOException, JsonFormatException {
     if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT) {
       throw new JsonFormatException(field + " is not a whole number");
@@ -174,7 +175,7 @@
     return parser.getLongValue();
   }
 
-  private static double number(String field, JsonParser parser)
+  private static double readNumber(String field, JsonParser parser)
       throws IOException, JsonFormatException {
     if (!parser.currentToken().isNumeric()) {
       throw new JsonFormatException(field + " is not a number");
@@ -182,7 +183,7 @@
     return parser.getDoubleValue();
   }
 
-  private static boolean flag(String field, JsonParser parser)
+  private static boolean readBoolean(String field, JsonParser parser)
       throws IOException, JsonFormatException {
     if (isNull(parser)) {
       return false;
@@ -193,7 +194,7 @@
     return parser.getBooleanValue();
   }
 
-  private static Heartbeat.TaskPhase phase(String word) throws JsonFormatException {
+  private static Heartbeat.TaskPhase decodePhase(String word) throws JsonFormatException {
     return switch (word) {
       case "fetching" -> Heartbeat.TaskPhase.FETCHING;
       case "gathering" -> Heartbeat.TaskPhase.WAITING;
@@ -204,17 +205,17 @@
     };
   }
 
-  private static String exitReason(String word) {
+  private static String decodeExitReason(String word) {
     return word.equals("halted") ? "stopped" : word;
   }
 
   /** The body of the response to a heartbeat. */
-  public static byte[] heartbeatResponse(long fencingToken, List<Command> commands) {
+  public static byte[] encodeHeartbeatResponse(long fencingToken, List<Command> commands) {
     return write(fencingToken, -1, commands);
   }
 
   /** The body of a request with commands; valid for one epoch of the agent only. */
-  public static byte[] directCommands(long fencingToken, long epoch, List<Command> commands) {
+  public static byte[] encodeCommandRequest(long fencingToken, long epoch, List<Command> commands) {
     return write(fencingToken, epoch, commands);
   }
 
--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -127,8 +127,8 @@
   }
 
   private Set<String> stored() {
-    Set<String> result = new TreeSet<>(store.below(RecordCodec.JOB));
-    result.addAll(store.below(RecordCodec.ENDED));
+    Set<String> result = new TreeSet<>(store.below(RecordCodec.LIVE_JOB_PREFIX));
+    result.addAll(store.below(RecordCodec.ENDED_JOB_PREFIX));
     return result;
   }
 
@@ -283,11 +283,11 @@
     Map<String, Object> row =
         Map.of(
             "set",
-            RecordCodec.JOB + id,
+            RecordCodec.LIVE_JOB_PREFIX + id,
             "data",
             RecordCodec.encodeJob(new RecordCodec.JobRecord(spec, System.currentTimeMillis())));
     try (HttpClient client = new HttpClient("127.0.0.1", store.port(), 1)) {
-      byte[] body = Json.bytes(Map.of("writes", List.of(row)));
+      byte[] body = Json.encode(Map.of("writes", List.of(row)));
       assertEquals(200, client.call("POST", "/multi", body, 5000).status());
     }
   }
@@ -318,12 +318,12 @@
     awaitMachineTypes(0);
     awaitMachineTypes(1);
     assertKnown(2, "wk-old1", "queued");
-    assertEquals(Set.of(RecordCodec.JOB + "wk-old1"), stored());
+    assertEquals(Set.of(RecordCodec.LIVE_JOB_PREFIX + "wk-old1"), stored());
     for (int node = 0; node < 2; node++) {
       nodes.await(node, "POST", JOBS + "/wk-old1/withdraw", null, 200, "withdrawn");
     }
     assertKnown(2, "wk-old1", "withdrawn");
-    assertEquals(Set.of(RecordCodec.ENDED + "wk-old1"), stored());
+    assertEquals(Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-old1"), stored());
 
     // While the store is down, only bodies that no version accepted are rejected as invalid.
     store.down(true);
@@ -334,7 +334,7 @@
     assertRejected(400, text(with("id", null)));
     store.down(false);
     nodes.await(0, "POST", JOBS, text(with("one_zone", null)), 400, "one_zone");
-    assertEquals(Set.of(RecordCodec.ENDED + "wk-old1"), stored());
+    assertEquals(Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-old1"), stored());
   }
 
   /** Without the cloud new jobs have to wait, and known ones are answered. */
@@ -350,7 +350,7 @@
       assertRejected(400, text(with("apart", null)));
       assertRejected(400, text(with("vcpus", null)));
       assertKnown(1, "wk-old1", "queued");
-      assertEquals(Set.of(RecordCodec.JOB + "wk-old1"), stored());
+      assertEquals(Set.of(RecordCodec.LIVE_JOB_PREFIX + "wk-old1"), stored());
     }
   }
 
@@ -384,7 +384,8 @@
       expect(node, "POST", JOBS + "/wk-9/withdraw", null, 200, "\"withdrawn\",");
       expect(node, "GET", JOBS + "/wk-9", null, 200, "\"withdrawn\",");
     }
-    assertEquals(Set.of(RecordCodec.ENDED + "wk-9", RecordCodec.ENDED + id), stored());
+    assertEquals(
+        Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-9", RecordCodec.ENDED_JOB_PREFIX + id), stored());
   }
 
   private void expect(int node, String method, String path, String body, int status, String word)
--- a/src/test/java/org/astershift/controller/FailoverFencingTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -35,11 +35,12 @@
     done.set(0);
     // Of two tasks one is left: of a job that is complete nothing is told from memory any more.
     StoreClient.Transaction records = new StoreClient.Transaction().put(LIVE, record(job(2)));
-    records.put(RecordCodec.PAGES + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of())));
-    records.put(RecordCodec.PAGES + "m0", Map.of(VM, machine(VM, false)));
     records.put(
-        RecordCodec.PAGES + "p0",
-        Map.of(RecordCodec.progressKey(ID, 0), RecordCodec.segment(done, 0)));
+        RecordCodec.LEADER_PAGE_PREFIX + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of())));
+    records.put(RecordCodec.LEADER_PAGE_PREFIX + "m0", Map.of(VM, machine(VM, false)));
+    records.put(
+        RecordCodec.LEADER_PAGE_PREFIX + "p0",
+        Map.of(RecordCodec.progressKey(ID, 0), RecordCodec.encodeSegment(done, 0)));
     write(records);
     node.start();
     LeaderTerm term = node.leads();
@@ -54,14 +55,15 @@
     AtomicBoolean once = new AtomicBoolean();
     node.loaded =
         prefix -> {
-          if (prefix.equals(RecordCodec.JOB) && once.compareAndSet(false, true)) {
+          if (prefix.equals(RecordCodec.LIVE_JOB_PREFIX) && once.compareAndSet(false, true)) {
             try {
               write(new StoreClient.Transaction().put(LIVE, record()));
               Await.until("the job", () -> node.watchCache.get(LIVE) != null);
               // The next news is applied after the listeners were told of this.
-              write(new StoreClient.Transaction().put(RecordCodec.LIVE + "x", Map.of()));
+              write(new StoreClient.Transaction().put(RecordCodec.LIVE_PREFIX + "x", Map.of()));
               Await.until(
-                  "the next news", () -> node.watchCache.get(RecordCodec.LIVE + "x") != null);
+                  "the next news",
+                  () -> node.watchCache.get(RecordCodec.LIVE_PREFIX + "x") != null);
             } catch (Exception e) {
               throw new IllegalStateException(e);
             }
@@ -80,8 +82,8 @@
     AtomicLong overToken = new AtomicLong();
     node.loaded =
         prefix -> {
-          if (prefix.equals(RecordCodec.JOB) && overToken.get() == 0) {
-            overToken.set(node.watchCache.get(RecordCodec.LEADER).revision());
+          if (prefix.equals(RecordCodec.LIVE_JOB_PREFIX) && overToken.get() == 0) {
+            overToken.set(node.watchCache.get(RecordCodec.LEADER_KEY).revision());
             node.runtime.onLeaderObserved(Long.MAX_VALUE);
           }
         };
@@ -94,12 +96,13 @@
   /** Its own key, left by the process before it, is removed; one that is not the same stays. */
   @Test
   void onlyThePredecessorsKeyIsRemoved() throws Exception {
-    write(new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.encodeLeader("one")));
+    write(
+        new StoreClient.Transaction().put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("one")));
     AtomicBoolean once = new AtomicBoolean();
     AtomicBoolean answered = new AtomicBoolean();
     door.watched(
         (r, done) -> {
-          boolean removal = says(r, "\"remove\":\"" + RecordCodec.LEADER);
+          boolean removal = says(r, "\"remove\":\"" + RecordCodec.LEADER_KEY);
           if (!done && removal && once.compareAndSet(false, true)) {
             anotherLeads();
           } else if (done && removal) {
@@ -109,7 +112,7 @@
     node.start();
     Await.until("the removal to be answered", answered::get);
     Await.until("the leader to be known", () -> "another".equals(node.runtime.otherLeader()));
-    assertEquals("another", read(RecordCodec.LEADER).data().get("node"));
+    assertEquals("another", read(RecordCodec.LEADER_KEY).data().get("node"));
     assertEquals(0, node.runtime.token());
   }
 
@@ -120,7 +123,7 @@
     AtomicInteger revoked = new AtomicInteger();
     door.watched(
         (r, done) -> {
-          if (!done && says(r, "\"set\":\"" + RecordCodec.LEADER)) {
+          if (!done && says(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
             service.loseAnswers(claims.incrementAndGet() == 1 ? 1 : 0);
           }
           revoked.addAndGet(!done && r.method().equals("DELETE") ? 1 : 0);
@@ -128,7 +131,7 @@
     node.start();
     LeaderTerm term = node.leads();
     service.loseAnswers(0);
-    assertEquals(read(RecordCodec.LEADER).revision(), term.token);
+    assertEquals(read(RecordCodec.LEADER_KEY).revision(), term.token);
     assertEquals("1 claims, 0 ended", claims + " claims, " + revoked + " ended");
   }
 
@@ -139,12 +142,12 @@
     AtomicInteger revoked = new AtomicInteger();
     door.watched(
         (r, done) -> {
-          if (says(r, "\"set\":\"" + RecordCodec.LEADER)) {
+          if (says(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
             if (!done) {
               service.loseAnswers(claims.incrementAndGet() == 1 ? 1 : 0);
             } else if (claims.get() == 1) {
               service.loseAnswers(0);
-              write(new StoreClient.Transaction().delete(RecordCodec.LEADER));
+              write(new StoreClient.Transaction().delete(RecordCodec.LEADER_KEY));
             }
           }
           revoked.addAndGet(!done && r.method().equals("DELETE") ? 1 : 0);
@@ -161,11 +164,11 @@
     AtomicLong won = new AtomicLong();
     door.watched(
         (r, done) -> {
-          if (!done && won.get() == 0 && says(r, "\"set\":\"" + RecordCodec.LEADER)) {
+          if (!done && won.get() == 0 && says(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
             hangs.set(true);
             write(new StoreClient.Transaction().put(LIVE, record()));
-          } else if (done && won.get() == 0 && says(r, "\"set\":\"" + RecordCodec.LEADER)) {
-            won.set(read(RecordCodec.LEADER).revision());
+          } else if (done && won.get() == 0 && says(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+            won.set(read(RecordCodec.LEADER_KEY).revision());
           }
           if (done && r.path().equals("/watch")) {
             Await.until("the mirror to go on", () -> !hangs.get());
@@ -178,7 +181,7 @@
         "it to give up or to lead",
         () -> {
           early[0] = node.runtime.currentTerm();
-          return early[0] != null || read(RecordCodec.LEADER).data() == null;
+          return early[0] != null || read(RecordCodec.LEADER_KEY).data() == null;
         });
     assertEquals(null, early[0], "it leads and has not read the jobs");
     hangs.set(false);
@@ -193,7 +196,7 @@
     AtomicBoolean refuses = new AtomicBoolean(true);
     door.watched(
         (r, done) -> {
-          if (!done && says(r, "\"" + RecordCodec.PAGES + "i") && refuses.get()) {
+          if (!done && says(r, "\"" + RecordCodec.LEADER_PAGE_PREFIX + "i") && refuses.get()) {
             tries.incrementAndGet();
             throw new IllegalStateException("refused");
           }
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -53,7 +53,7 @@
     door.refuse(true);
     service.leasesEndLate(0);
     Await.until("the lease to be over", () -> !node.runtime.isLeaseCertain(term));
-    Await.until("its key to be gone", () -> read(RecordCodec.LEADER).data() == null);
+    Await.until("its key to be gone", () -> read(RecordCodec.LEADER_KEY).data() == null);
     anotherLeads();
     endElsewhere(true);
     assertSame(term, node.runtime.currentTerm(), "it still leads, as far as it knows");
@@ -113,7 +113,7 @@
         });
     JobService.SubmissionResult s = node.jobService.submit(job());
     assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
-    assertTrue(service.lost(RecordCodec.JOB) == 1, "the answer was lost");
+    assertTrue(service.lost(RecordCodec.LIVE_JOB_PREFIX) == 1, "the answer was lost");
   }
 
   /** Another node leads by the time a write arrives: it is not applied, and the term is over. */
@@ -151,7 +151,7 @@
         });
     term.records.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
     Await.until("the late note to be decided on", () -> answered.get() > 0);
-    assertFalse(service.has(RecordCodec.PAGES + "o0"));
+    assertFalse(service.has(RecordCodec.LEADER_PAGE_PREFIX + "o0"));
     Await.until("the term to be over", term::hasEnded);
   }
 
@@ -163,10 +163,10 @@
   void aPageOfNotesIsWrittenFromTheRevisionThatItHas() throws Exception {
     node.start();
     LeaderTerm term = node.leads();
-    String page = RecordCodec.PAGES + "o0";
+    String page = RecordCodec.LEADER_PAGE_PREFIX + "o0";
     service.loseAnswers(1);
     term.records.put(LeaderRecords.RecordKind.OPENED, "first", true, 0);
-    Await.until("a note without an answer", () -> service.lost(RecordCodec.PAGES) > 0);
+    Await.until("a note without an answer", () -> service.lost(RecordCodec.LEADER_PAGE_PREFIX) > 0);
     service.loseAnswers(0);
     term.records.put(LeaderRecords.RecordKind.OPENED, "second", true, 0);
     Await.until("both notes", () -> notes(page) == 2);
@@ -219,7 +219,7 @@
     AtomicInteger answered = new AtomicInteger();
     door.watched(
         (r, done) -> {
-          boolean claim = says(r, "\"set\":\"" + RecordCodec.LEADER);
+          boolean claim = says(r, "\"set\":\"" + RecordCodec.LEADER_KEY);
           if (!done && claim && claims.incrementAndGet() == 1) {
             anotherLeads();
           }
@@ -227,7 +227,7 @@
         });
     node.start();
     Await.until("a claim that came too late to be answered", () -> answered.get() > 0);
-    assertEquals("another", read(RecordCodec.LEADER).data().get("node"));
+    assertEquals("another", read(RecordCodec.LEADER_KEY).data().get("node"));
     Await.until("the leader to be known", () -> "another".equals(node.runtime.otherLeader()));
     assertNull(node.runtime.currentTerm());
     assertEquals(0, node.runtime.token());
@@ -356,7 +356,7 @@
           }
         });
     assertEquals("done", node.jobService.cancel(ID, true).phase());
-    assertFalse(RecordCodec.decodeEnd(read(OVER).data()).cancelled());
+    assertFalse(RecordCodec.decodeJobEnd(read(OVER).data()).cancelled());
   }
 
   /** The same by the answer to a direct order: the machine has seen a later leader. */
@@ -386,7 +386,9 @@
     write(
         new StoreClient.Transaction()
             .put(LIVE, record())
-            .put(RecordCodec.PAGES + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of()))));
+            .put(
+                RecordCodec.LEADER_PAGE_PREFIX + "o0",
+                Map.of(ID, RecordCodec.encodePlacement(List.of()))));
     node.listens(ports.ports(1).get(0)).start();
     final LeaderTerm term = node.leads();
     assertTrue(term.manages(ID));
@@ -394,7 +396,9 @@
     door.watched(
         (r, done) -> {
           if (!done && says(r, "\"set\":\"" + OVER) && ends.incrementAndGet() == 1) {
-            write(new StoreClient.Transaction().put(RecordCodec.JOB + "wk-000002", record()));
+            write(
+                new StoreClient.Transaction()
+                    .put(RecordCodec.LIVE_JOB_PREFIX + "wk-000002", record()));
             mayRent.countDown();
             Await.until("the next job to start", () -> started().contains("wk-000002/0"));
           }
@@ -491,7 +495,9 @@
         term, 2); // with the token; the start follows directly, once what it needs is on record
     Await.until(
         "what the start needs to be on record",
-        () -> notes(RecordCodec.PAGES + "o0") == 1 && !fresh(RecordCodec.PAGES + "m0"));
+        () ->
+            notes(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 1
+                && !fresh(RecordCodec.LEADER_PAGE_PREFIX + "m0"));
     long untilNs = System.nanoTime() + LOOK_NS;
     boolean underWay;
     do {
@@ -532,7 +538,7 @@
   @Test
   void notesAreWrittenWhateverOneOfThemBringsAbout() throws Exception {
     StoreClient.Transaction key =
-        new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.encodeLeader("one"));
+        new StoreClient.Transaction().put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("one"));
     long token = ((Outcome.Committed) write(key)).revision();
     ConcurrentLinkedQueue<String> durable = new ConcurrentLinkedQueue<>();
     LeaderRecords records =
@@ -550,7 +556,7 @@
     records.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
     Thread loop = new Thread(Threads.logFailures("notes", () -> records.writeLoop(null)));
     loop.start();
-    Await.until("the first page", () -> notes(RecordCodec.PAGES + "o0") == 2);
+    Await.until("the first page", () -> notes(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 2);
     records.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
     Await.until("the later note", () -> durable.contains("later"));
     assertEquals(List.of("beside it", "later"), List.copyOf(durable));
--- a/src/test/java/org/astershift/controller/FencingTestCase.java
+++ b/src/test/java/org/astershift/controller/FencingTestCase.java
@@ -30,8 +30,8 @@
  */
 abstract class FencingTestCase {
   static final String ID = "wk-000001";
-  static final String LIVE = RecordCodec.JOB + ID;
-  static final String OVER = RecordCodec.ENDED + ID;
+  static final String LIVE = RecordCodec.LIVE_JOB_PREFIX + ID;
+  static final String OVER = RecordCodec.ENDED_JOB_PREFIX + ID;
   @TempDir Path dir;
   StoreEmulator service;
   StoreEmulator.StoreAddress door;
@@ -110,14 +110,15 @@
   void endElsewhere(boolean cancelled) throws InterruptedException {
     RecordCodec.JobEnd end = new RecordCodec.JobEnd(cancelled, 1);
     StoreClient.Transaction txn =
-        new StoreClient.Transaction().delete(LIVE).put(OVER, RecordCodec.encodeEnd(end));
+        new StoreClient.Transaction().delete(LIVE).put(OVER, RecordCodec.encodeJobEnd(end));
     assertTrue(write(txn) instanceof Outcome.Committed);
   }
 
   /** Another node is recorded as leader, as it may be as soon as the lease is over. */
   void anotherLeads() throws InterruptedException {
     StoreClient.Transaction txn = new StoreClient.Transaction();
-    txn.delete(RecordCodec.LEADER).put(RecordCodec.LEADER, RecordCodec.encodeLeader("another"));
+    txn.delete(RecordCodec.LEADER_KEY)
+        .put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("another"));
     assertTrue(write(txn) instanceof Outcome.Committed);
   }
 
--- a/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
+++ b/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
@@ -37,7 +37,8 @@
         new Entry(LeaderRecords.RecordKind.OPENED, "wk-1", RecordCodec.encodePlacement(List.of())));
     out.put(
         "rental",
-        new Entry(LeaderRecords.RecordKind.RENTAL, "as-41-1", RecordCodec.encodeRental(rent)));
+        new Entry(
+            LeaderRecords.RecordKind.RENTAL, "as-41-1", RecordCodec.encodeProvisionRequest(rent)));
     out.put(
         "machine",
         new Entry(LeaderRecords.RecordKind.MACHINE, "m-1", RecordCodec.encodeMachine(machine)));
@@ -57,7 +58,7 @@
           new LeaderRecords(
               TOKEN, store, settings.storeLimits(), (kind, key, value) -> records[0].close());
       if (removed) {
-        String page = RecordCodec.PAGES + e.kind().letter + "0";
+        String page = RecordCodec.LEADER_PAGE_PREFIX + e.kind().letter + "0";
         records[0].load(List.of(new StoreClient.Entry(page, Map.of(e.key(), e.value()), 17)));
         records[0].remove(e.kind(), e.key(), 0);
       } else {
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -104,10 +104,10 @@
     Map<String, Object> data = RecordCodec.encodeJob(record);
     term.load(new WatchCache(null));
     term.addJob(record, 4);
-    term.addJob(new StoreClient.Entry(RecordCodec.JOB + "wk-1", data, 4));
+    term.addJob(new StoreClient.Entry(RecordCodec.LIVE_JOB_PREFIX + "wk-1", data, 4));
     assertFalse(term.manages("wk-1"));
     assertNull(term.scheduler.progress("wk-1"));
-    term.addJob(new StoreClient.Entry(RecordCodec.JOB + "wk-1", data, 6));
+    term.addJob(new StoreClient.Entry(RecordCodec.LIVE_JOB_PREFIX + "wk-1", data, 6));
     assertTrue(term.manages("wk-1"), "recorded after the token: live until this term ends it");
   }
 
--- a/src/test/java/org/astershift/controller/ProgressRecordsTest.java
+++ b/src/test/java/org/astershift/controller/ProgressRecordsTest.java
@@ -49,7 +49,7 @@
         records.put(
             LeaderRecords.RecordKind.PROGRESS,
             RecordCodec.progressKey(JOB, 0),
-            RecordCodec.segment(done, 0),
+            RecordCodec.encodeSegment(done, 0),
             0);
         Await.until("the progress to be on record", durable::get);
         records.close();
@@ -65,7 +65,7 @@
 
   private static long lead(StoreClient store) throws Exception {
     StoreClient.Transaction txn =
-        new StoreClient.Transaction().put(RecordCodec.LEADER, RecordCodec.encodeLeader("n"));
+        new StoreClient.Transaction().put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("n"));
     StoreClient.Outcome o = store.commit(txn, RateLimiter.Urgency.LEASE, 10_000);
     return ((StoreClient.Outcome.Committed) o).revision();
   }
--- a/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
@@ -34,7 +34,7 @@
   }
 
   private static void provision(int port) {
-    byte[] body = Json.bytes(Map.of("charter", "r", "hull", "small", "harbor", "a", "number", 1L));
+    byte[] body = Json.encode(Map.of("charter", "r", "hull", "small", "harbor", "a", "number", 1L));
     try (HttpClient client = new HttpClient("127.0.0.1", port, 1)) {
       client.call("POST", "/hosts", body, 10_000);
     } catch (IOException e) {
--- a/src/test/java/org/astershift/emulator/InProcessControllers.java
+++ b/src/test/java/org/astershift/emulator/InProcessControllers.java
@@ -17,8 +17,8 @@
 import org.astershift.http.HttpClient;
 import org.astershift.http.HttpServer;
 import org.astershift.http.Json;
-import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerOperation;
+import org.astershift.peer.PeerResponse;
 import org.astershift.store.StoreClient;
 import org.astershift.store.WatchCache;
 
@@ -103,7 +103,7 @@
     http.start();
   }
 
-  private JobAnswer asked(String node, PeerOperation operation, String job) throws IOException {
+  private PeerResponse asked(String node, PeerOperation operation, String job) throws IOException {
     JobService jobService;
     synchronized (jobServices) {
       jobService = jobServices.get(node);
--- a/src/test/java/org/astershift/emulator/WorkerEmulator.java
+++ b/src/test/java/org/astershift/emulator/WorkerEmulator.java
@@ -272,7 +272,7 @@
         awaitNextHeartbeat();
         int port = controllers.get(controllerIndex % controllers.size());
         HttpClient client = new HttpClient("127.0.0.1", port, 1);
-        byte[] heartbeat = Json.bytes(heartbeat());
+        byte[] heartbeat = Json.encode(heartbeat());
         HttpClient.Response response = client.call("POST", "/agent/beat", heartbeat, 2000);
         if (response.status() == 200) {
           onResponse(new String(heartbeat, StandardCharsets.UTF_8), response);
--- a/src/test/java/org/astershift/golden/PeerRequestsTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -18,8 +18,8 @@
 import org.astershift.http.HttpServer;
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
-import org.astershift.peer.JobAnswer;
 import org.astershift.peer.PeerOperation;
+import org.astershift.peer.PeerResponse;
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.Priority;
 import org.astershift.simulation.JobDraft;
@@ -36,8 +36,8 @@
 @Timeout(120)
 class PeerRequestsTest {
   private static final String JOB = "wk-1";
-  private static final JobAnswer RUNNING = new JobAnswer(200, "running", 3, 4);
-  private static final JobAnswer CANCELLED = new JobAnswer(200, "withdrawn", 3, 0);
+  private static final PeerResponse RUNNING = new PeerResponse(200, "running", 3, 4);
+  private static final PeerResponse CANCELLED = new PeerResponse(200, "withdrawn", 3, 0);
 
   @TempDir Path dir;
   private final ThreadGroup threads = new ThreadGroup("controller");
@@ -61,10 +61,10 @@
                 JobDraft.array(JOB, 9).kind(JobKind.ARRAY).in("c", Priority.LOW).spec(), 1));
     List<Object> rows =
         List.of(
-            Map.of("set", RecordCodec.LEADER, "data", RecordCodec.encodeLeader("n2")),
-            Map.of("set", RecordCodec.JOB + JOB, "data", job));
+            Map.of("set", RecordCodec.LEADER_KEY, "data", RecordCodec.encodeLeader("n2")),
+            Map.of("set", RecordCodec.LIVE_JOB_PREFIX + JOB, "data", job));
     try (HttpClient client = new HttpClient("127.0.0.1", store.port(), 1)) {
-      byte[] body = Json.bytes(Map.of("writes", rows));
+      byte[] body = Json.encode(Map.of("writes", rows));
       assertEquals(200, client.call("POST", "/multi", body, 5000).status());
     }
     Settings settings = Emulators.settings(dir, store.port(), 1);
@@ -84,11 +84,11 @@
     director.start();
   }
 
-  private JobAnswer asked(PeerOperation op, String job) {
+  private PeerResponse asked(PeerOperation op, String job) {
     if (!job.equals(JOB)) {
-      return new JobAnswer(200, "", 0, 0); // what nodes ask each other of themselves
+      return new PeerResponse(200, "", 0, 0); // what nodes ask each other of themselves
     }
-    passedOn.add(op.word() + " " + job);
+    passedOn.add(op.wireName() + " " + job);
     return op == PeerOperation.CANCEL_JOB ? CANCELLED : RUNNING;
   }
 
@@ -99,12 +99,12 @@
     store.close();
   }
 
-  private static String text(JobAnswer a) {
+  private static String text(PeerResponse a) {
     return a.status() + " <" + a.phase() + "> " + a.doneTasks() + " " + a.runningTasks();
   }
 
   private void add(Golden g, String label, String op, String job) throws Exception {
-    g.add(label, text(jobService.answerPeer(PeerOperation.ofWord(op), job)));
+    g.add(label, text(jobService.answerPeer(PeerOperation.fromWireName(op), job)));
   }
 
   /** Asks until the node has read what is on record. */
--- a/src/test/java/org/astershift/golden/ServiceCallsTest.java
+++ b/src/test/java/org/astershift/golden/ServiceCallsTest.java
@@ -58,7 +58,7 @@
   }
 
   private static String text(StoreClient.Entry row) {
-    String data = row.data() == null ? "nothing" : new String(Json.bytes(row.data()));
+    String data = row.data() == null ? "nothing" : new String(Json.encode(row.data()));
     return row.key() + " " + data + " " + row.revision();
   }
 
@@ -98,7 +98,7 @@
     for (int status : TROUBLE) {
       one(g, "get " + status, status, "{\"error\":\"x\"}", get);
     }
-    Call on = () -> String.valueOf(store.revisionOnLease(12, "l/leader"));
+    Call on = () -> String.valueOf(store.revisionIfAttached(12, "l/leader"));
     one(g, "on its lease", 200, row, on);
     one(g, "on another lease", 200, row.replace("12", "13"), on);
     one(g, "on no lease", 200, "{\"data\":{},\"stamp\":7}", on);
@@ -148,8 +148,8 @@
     value.put("b", 1);
     value.put("a", List.of("x", true, 2.5));
     return new StoreClient.Transaction()
-        .when("l/leader", 7)
-        .when("l/n/o0", 0)
+        .requireRevision("l/leader", 7)
+        .requireRevision("l/n/o0", 0)
         .put("l/n/o0", value)
         .put("l/leader", Map.of("node", "n1"), 12)
         .delete("l/j/wk-1");
@@ -192,17 +192,17 @@
   @Test
   void leases() throws Exception {
     Golden g = new Golden("store-leases");
-    Call grant = () -> String.valueOf(store.grant(2000));
+    Call grant = () -> String.valueOf(store.grantLease(2000));
     one(g, "grant", 200, "{\"mooring\":12}", grant);
     one(g, "grant without lease", 200, "{}", grant);
     one(g, "grant refused", 503, "{}", grant);
-    Call renew = () -> String.valueOf(store.renew(12));
+    Call renew = () -> String.valueOf(store.renewLease(12));
     one(g, "renew", 200, "{}", renew);
     one(g, "renew, over", 404, "{}", renew);
     one(g, "renew, trouble", 503, "{}", renew);
     Call revoke =
         () -> {
-          store.revoke(12);
+          store.revokeLease(12);
           return "done";
         };
     one(g, "revoke", 200, "", revoke);
--- a/src/test/java/org/astershift/golden/SettingsFormsTest.java
+++ b/src/test/java/org/astershift/golden/SettingsFormsTest.java
@@ -116,7 +116,7 @@
     Settings.StoreLimits l = s.storeLimits();
     g.add(label + ", state's limits", text(l.rps(), l.writeRps(), l.valueKb(), l.txnOps()));
     g.add(label + ", cloud's limit", text(s.cloudRps()));
-    g.add(label + ", sockets", text(s.sockets()));
+    g.add(label + ", sockets", text(s.maxSockets()));
     DeploymentLimits f = s.limits();
     g.add(
         label + ", workers",
--- a/src/test/java/org/astershift/golden/StoredRecordsTest.java
+++ b/src/test/java/org/astershift/golden/StoredRecordsTest.java
@@ -34,7 +34,7 @@
 
   /** An object whose fields have no order, with its fields in the order of their names. */
   private static byte[] sorted(Map<String, Object> m) {
-    return Json.bytes(new TreeMap<>(m));
+    return Json.encode(new TreeMap<>(m));
   }
 
   private static JobSpec spec(
@@ -94,13 +94,13 @@
     for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
       g.add(
           e.getKey(),
-          Json.bytes(
+          Json.encode(
               RecordCodec.encodeJob(new RecordCodec.JobRecord(e.getValue(), 1700000000123L))));
     }
     g.check();
     for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
       RecordCodec.JobRecord back =
-          RecordCodec.decodeJob(RecordCodec.JOB + ID, object(g.kept(e.getKey())));
+          RecordCodec.decodeJob(RecordCodec.LIVE_JOB_PREFIX + ID, object(g.kept(e.getKey())));
       assertEquals(new RecordCodec.JobRecord(e.getValue(), 1700000000123L), back, e.getKey());
     }
   }
@@ -108,12 +108,12 @@
   @Test
   void keys() throws Exception {
     new Golden("records-keys")
-        .add("live", RecordCodec.LIVE)
-        .add("leader", RecordCodec.LEADER)
-        .add("types", RecordCodec.TYPES)
-        .add("job", RecordCodec.JOB)
-        .add("notes", RecordCodec.PAGES)
-        .add("ended", RecordCodec.ENDED)
+        .add("live", RecordCodec.LIVE_PREFIX)
+        .add("leader", RecordCodec.LEADER_KEY)
+        .add("types", RecordCodec.MACHINE_TYPES_KEY)
+        .add("job", RecordCodec.LIVE_JOB_PREFIX)
+        .add("notes", RecordCodec.LEADER_PAGE_PREFIX)
+        .add("ended", RecordCodec.ENDED_JOB_PREFIX)
         .add("progress", RecordCodec.progressKey(ID, 3))
         .add("tasks of a segment", String.valueOf(RecordCodec.SEGMENT_TASKS))
         .add("segments of 1", String.valueOf(RecordCodec.segmentCount(1)))
@@ -124,15 +124,15 @@
   @Test
   void leaderAndEnded() throws Exception {
     Golden g = new Golden("records-ended");
-    g.add("leader", Json.bytes(RecordCodec.encodeLeader("n1")));
+    g.add("leader", Json.encode(RecordCodec.encodeLeader("n1")));
     Map<String, RecordCodec.JobEnd> ended = new LinkedHashMap<>();
     ended.put("done", new RecordCodec.JobEnd(false, 100_000));
     ended.put("cancelled", new RecordCodec.JobEnd(true, 0));
     ended.put("cancelled in part", new RecordCodec.JobEnd(true, 7));
-    ended.forEach((label, e) -> g.add(label, sorted(RecordCodec.encodeEnd(e))));
+    ended.forEach((label, e) -> g.add(label, sorted(RecordCodec.encodeJobEnd(e))));
     g.check();
     for (Map.Entry<String, RecordCodec.JobEnd> e : ended.entrySet()) {
-      assertEquals(e.getValue(), RecordCodec.decodeEnd(object(g.kept(e.getKey()))));
+      assertEquals(e.getValue(), RecordCodec.decodeJobEnd(object(g.kept(e.getKey()))));
     }
   }
 
@@ -148,18 +148,18 @@
             label + " other", new Decision.RegisterMachine("m-1", addr, "g8", "z1", !fresh, fresh));
       }
     }
-    machines.forEach((label, m) -> g.add(label, Json.bytes(RecordCodec.encodeMachine(m))));
+    machines.forEach((label, m) -> g.add(label, Json.encode(RecordCodec.encodeMachine(m))));
     Decision.ProvisionMachines spot = new Decision.ProvisionMachines("g8", "z1", true, 1);
     Decision.ProvisionMachines many = new Decision.ProvisionMachines("c4", "z2", false, 500);
-    g.add("rental spot", Json.bytes(RecordCodec.encodeRental(spot)));
-    g.add("rental many", Json.bytes(RecordCodec.encodeRental(many)));
+    g.add("rental spot", Json.encode(RecordCodec.encodeProvisionRequest(spot)));
+    g.add("rental many", Json.encode(RecordCodec.encodeProvisionRequest(many)));
     g.check();
     for (Map.Entry<String, Decision.RegisterMachine> m : machines.entrySet()) {
       assertEquals(
           m.getValue(), RecordCodec.decodeMachine("m-1", value(g.kept(m.getKey()))), m.getKey());
     }
-    assertEquals(spot, RecordCodec.decodeRental(value(g.kept("rental spot"))));
-    assertEquals(many, RecordCodec.decodeRental(value(g.kept("rental many"))));
+    assertEquals(spot, RecordCodec.decodeProvisionRequest(value(g.kept("rental spot"))));
+    assertEquals(many, RecordCodec.decodeProvisionRequest(value(g.kept("rental many"))));
   }
 
   @Test
@@ -169,22 +169,22 @@
         "g8", new MachineType("g8", 64, 8, 512.5, 900, 0.25, 12.5, 3.75, 90, List.of("a", "b")));
     types.put("c4", new MachineType("c4", 4, 0, 16, 100, 1, 0.2, 0.05, 30.5, List.of()));
     Golden g = new Golden("records-types");
-    g.add("two types", Json.bytes(RecordCodec.encodeTypes(types)));
-    g.add("none", Json.bytes(RecordCodec.encodeTypes(Map.of())));
+    g.add("two types", Json.encode(RecordCodec.encodeMachineTypes(types)));
+    g.add("none", Json.encode(RecordCodec.encodeMachineTypes(Map.of())));
     g.check();
-    Map<String, MachineType> back = RecordCodec.decodeTypes(object(g.kept("two types")));
+    Map<String, MachineType> back = RecordCodec.decodeMachineTypes(object(g.kept("two types")));
     assertEquals(new ArrayList<>(types.values()), new ArrayList<>(back.values()));
     assertEquals(new ArrayList<>(types.keySet()), new ArrayList<>(back.keySet()));
-    assertEquals(Map.of(), RecordCodec.decodeTypes(object(g.kept("none"))));
+    assertEquals(Map.of(), RecordCodec.decodeMachineTypes(object(g.kept("none"))));
   }
 
   @Test
   void opened() throws Exception {
     Golden g = new Golden("records-opened");
     List<String> places = List.of("m-1", "m-2");
-    g.add("no place", Json.bytes(RecordCodec.encodePlacement(List.of())));
-    g.add("one place", Json.bytes(RecordCodec.encodePlacement(List.of("m-1"))));
-    g.add("two places", Json.bytes(RecordCodec.encodePlacement(places)));
+    g.add("no place", Json.encode(RecordCodec.encodePlacement(List.of())));
+    g.add("one place", Json.encode(RecordCodec.encodePlacement(List.of("m-1"))));
+    g.add("two places", Json.encode(RecordCodec.encodePlacement(places)));
     g.check();
     assertEquals(List.of(), RecordCodec.decodePlacement(value(g.kept("no place"))));
     assertEquals(List.of("m-1"), RecordCodec.decodePlacement(value(g.kept("one place"))));
@@ -202,7 +202,9 @@
     done.set(2 * RecordCodec.SEGMENT_TASKS + 77);
     Golden g = new Golden("records-progress");
     for (int segment = 0; segment < 4; segment++) {
-      g.add(RecordCodec.progressKey(ID, segment), Json.bytes(RecordCodec.segment(done, segment)));
+      g.add(
+          RecordCodec.progressKey(ID, segment),
+          Json.encode(RecordCodec.encodeSegment(done, segment)));
     }
     g.check();
     BitSet back = new BitSet();
@@ -228,17 +230,20 @@
     bad(g, "machine 1", () -> RecordCodec.decodeMachine("m", 1));
     bad(g, "machine short", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", true)));
     bad(g, "machine flag", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", 1, true)));
-    bad(g, "rental text", () -> RecordCodec.decodeRental("x"));
-    bad(g, "rental count", () -> RecordCodec.decodeRental(List.of("g8", "z1", true, "2")));
+    bad(g, "rental text", () -> RecordCodec.decodeProvisionRequest("x"));
+    bad(
+        g,
+        "rental count",
+        () -> RecordCodec.decodeProvisionRequest(List.of("g8", "z1", true, "2")));
     bad(g, "progress text", () -> RecordCodec.mergeSegment(new BitSet(), ID + "/0", "?"));
     bad(g, "progress key", () -> RecordCodec.mergeSegment(new BitSet(), ID, "AQ=="));
-    bad(g, "ended", () -> RecordCodec.decodeEnd(Map.of("cancelled", true)));
-    bad(g, "job", () -> RecordCodec.decodeJob(RecordCodec.JOB + ID, Map.of()));
+    bad(g, "ended", () -> RecordCodec.decodeJobEnd(Map.of("cancelled", true)));
+    bad(g, "job", () -> RecordCodec.decodeJob(RecordCodec.LIVE_JOB_PREFIX + ID, Map.of()));
     bad(
         g,
         "types",
-        () -> RecordCodec.decodeTypes(object("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
-    bad(g, "types text", () -> RecordCodec.decodeTypes(object("{\"types\":[\"a\"]}")));
+        () -> RecordCodec.decodeMachineTypes(object("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
+    bad(g, "types text", () -> RecordCodec.decodeMachineTypes(object("{\"types\":[\"a\"]}")));
     g.check();
   }
 }
--- a/src/test/java/org/astershift/golden/SubmissionFormsTest.java
+++ b/src/test/java/org/astershift/golden/SubmissionFormsTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.astershift.api.JobCodec;
 import org.astershift.http.JsonFormatException;
-import org.astershift.peer.JobAnswer;
+import org.astershift.peer.PeerResponse;
 import org.astershift.scheduler.JobSpec;
 import org.junit.jupiter.api.Test;
 
@@ -100,7 +100,7 @@
     Golden g = new Golden("submission-accepted-before");
     for (Map.Entry<String, String> e : cases.entrySet()) {
       byte[] text = e.getValue().getBytes(StandardCharsets.UTF_8);
-      g.add(e.getKey(), String.valueOf(JobCodec.earlierAcceptedId(text)));
+      g.add(e.getKey(), String.valueOf(JobCodec.idAcceptedByEarlierVersions(text)));
     }
     g.check();
   }
@@ -109,7 +109,7 @@
   void states() throws Exception {
     Golden g = new Golden("submission-states");
     for (String phase : new String[] {"queued", "running", "done", "withdrawn", null}) {
-      JobAnswer a = new JobAnswer(200, phase, 100_000, 37);
+      PeerResponse a = new PeerResponse(200, phase, 100_000, 37);
       g.add(String.valueOf(phase), JobCodec.encodeState("wk-000412", a));
     }
     g.check();
--- a/src/test/java/org/astershift/golden/WorkerFormsTest.java
+++ b/src/test/java/org/astershift/golden/WorkerFormsTest.java
@@ -178,11 +178,11 @@
     Golden g = new Golden("worker-orders");
     cases.forEach(
         (label, orders) -> {
-          g.add(label + ", answer", WorkerCodec.heartbeatResponse(42, orders));
-          g.add(label + ", direct", WorkerCodec.directCommands(42, 5, orders));
+          g.add(label + ", answer", WorkerCodec.encodeHeartbeatResponse(42, orders));
+          g.add(label + ", direct", WorkerCodec.encodeCommandRequest(42, 5, orders));
         });
-    g.add("without a leader, answer", WorkerCodec.heartbeatResponse(0, List.of()));
-    g.add("first session, direct", WorkerCodec.directCommands(42, 0, List.of(start)));
+    g.add("without a leader, answer", WorkerCodec.encodeHeartbeatResponse(0, List.of()));
+    g.add("first session, direct", WorkerCodec.encodeCommandRequest(42, 0, List.of(start)));
     g.check();
   }
 }
--- a/src/test/java/org/astershift/http/HttpServerTest.java
+++ b/src/test/java/org/astershift/http/HttpServerTest.java
@@ -139,7 +139,7 @@
     CountDownLatch done = new CountDownLatch(1);
     pool.execute("work", done::countDown);
     assertEquals(1, done.getCount());
-    pool.startWaitingWork();
+    pool.startQueuedTasks();
     done.await();
   }
 }
--- a/src/test/java/org/astershift/peer/GoldenFramesTest.java
+++ b/src/test/java/org/astershift/peer/GoldenFramesTest.java
@@ -44,22 +44,22 @@
 
   @Test
   void answers() throws Exception {
-    Map<String, JobAnswer> answers = new LinkedHashMap<>();
-    answers.put("known", new JobAnswer(200, "running", 100_000, 130));
-    answers.put("queued", new JobAnswer(200, "queued", 0, 0));
-    answers.put("empty phase", new JobAnswer(200, "", 3, 4));
-    answers.put("unknown", JobAnswer.UNKNOWN);
-    answers.put("undecided", JobAnswer.UNDECIDED);
-    answers.put("negative", new JobAnswer(200, "done", -1, -200));
+    Map<String, PeerResponse> answers = new LinkedHashMap<>();
+    answers.put("known", new PeerResponse(200, "running", 100_000, 130));
+    answers.put("queued", new PeerResponse(200, "queued", 0, 0));
+    answers.put("empty phase", new PeerResponse(200, "", 3, 4));
+    answers.put("unknown", PeerResponse.NOT_FOUND);
+    answers.put("undecided", PeerResponse.UNAVAILABLE);
+    answers.put("negative", new PeerResponse(200, "done", -1, -200));
     Golden g = new Golden("peer-answers");
-    for (Map.Entry<String, JobAnswer> e : answers.entrySet()) {
+    for (Map.Entry<String, PeerResponse> e : answers.entrySet()) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       PeerCodec.write(new DataOutputStream(out), e.getValue());
       g.add(e.getKey(), HEX.formatHex(out.toByteArray()));
     }
     g.check();
-    for (Map.Entry<String, JobAnswer> e : answers.entrySet()) {
-      assertEquals(e.getValue(), PeerCodec.readAnswer(in(g.kept(e.getKey()))));
+    for (Map.Entry<String, PeerResponse> e : answers.entrySet()) {
+      assertEquals(e.getValue(), PeerCodec.readResponse(in(g.kept(e.getKey()))));
     }
   }
 
@@ -69,7 +69,7 @@
     assertEquals(
         new PeerCodec.PeerRequest("a", "b"), PeerCodec.readRequest(in("0000000793a161a162a163")));
     assertEquals(
-        new JobAnswer(200, null, 1, 2), PeerCodec.readAnswer(in("0000000895ccc8c00102a178")));
+        new PeerResponse(200, null, 1, 2), PeerCodec.readResponse(in("0000000895ccc8c00102a178")));
     Golden g = new Golden("peer-errors");
     for (String hex : new String[] {"00000000", "ffffffff", "00010001", "0000000391a161"}) {
       String said =
@@ -79,7 +79,8 @@
     String shortAnswer = "0000000593ccc8c001";
     g.add(
         "answer " + shortAnswer,
-        assertThrows(IOException.class, () -> PeerCodec.readAnswer(in(shortAnswer))).getMessage());
+        assertThrows(IOException.class, () -> PeerCodec.readResponse(in(shortAnswer)))
+            .getMessage());
     g.check();
   }
 }
--- a/src/test/java/org/astershift/simulation/ProcessModel.java
+++ b/src/test/java/org/astershift/simulation/ProcessModel.java
@@ -141,6 +141,6 @@
 
   /** Whether the store has not answered for too long. */
   boolean storeLost() {
-    return clock() - storeAnsweredMs > StoreClient.STORE_OUTAGE_CHECK_AFTER_MS;
+    return clock() - storeAnsweredMs > StoreClient.STORE_UNAVAILABLE_AFTER_MS;
   }
 }
--- a/src/test/java/org/astershift/store/EnumCodesTest.java
+++ b/src/test/java/org/astershift/store/EnumCodesTest.java
@@ -12,9 +12,9 @@
   @Test
   void kindsComeBack() {
     for (JobKind kind : JobKind.values()) {
-      assertEquals(kind, EnumCodes.jobKind(EnumCodes.of(kind)));
+      assertEquals(kind, EnumCodes.jobKind(EnumCodes.codeOf(kind)));
     }
-    assertEquals(2, EnumCodes.of(JobKind.SERVICE));
+    assertEquals(2, EnumCodes.codeOf(JobKind.SERVICE));
     assertThrows(RuntimeException.class, () -> EnumCodes.jobKind(3));
     assertThrows(RuntimeException.class, () -> EnumCodes.jobKind(-1));
   }
@@ -22,9 +22,9 @@
   @Test
   void prioritiesComeBack() {
     for (Priority priority : Priority.values()) {
-      assertEquals(priority, EnumCodes.priority(EnumCodes.of(priority)));
+      assertEquals(priority, EnumCodes.priority(EnumCodes.codeOf(priority)));
     }
-    assertEquals(3, EnumCodes.of(Priority.LOW));
+    assertEquals(3, EnumCodes.codeOf(Priority.LOW));
     assertThrows(RuntimeException.class, () -> EnumCodes.priority(4));
     assertThrows(RuntimeException.class, () -> EnumCodes.priority(-1));
   }
--- a/src/test/java/org/astershift/store/RecordCodecTest.java
+++ b/src/test/java/org/astershift/store/RecordCodecTest.java
@@ -16,7 +16,7 @@
     }
     BitSet back = new BitSet();
     for (int segment = 0; segment < RecordCodec.segmentCount(100_000); segment++) {
-      String value = RecordCodec.segment(done, segment);
+      String value = RecordCodec.encodeSegment(done, segment);
       assertTrue(value.length() <= RecordCodec.MAX_PAGE_BYTES, "segment of " + value.length());
       assertEquals(
           "wk-1", RecordCodec.mergeSegment(back, RecordCodec.progressKey("wk-1", segment), value));
--- a/src/test/java/org/astershift/store/StoreClientTest.java
+++ b/src/test/java/org/astershift/store/StoreClientTest.java
@@ -57,7 +57,7 @@
   }
 
   private static String key(int i) {
-    return String.format("%sj/wk-%06d", RecordCodec.LIVE, i);
+    return String.format("%sj/wk-%06d", RecordCodec.LIVE_PREFIX, i);
   }
 
   private static long write(StoreClient by, StoreClient.Transaction txn)
@@ -92,10 +92,10 @@
     long before = store.silenceMs();
     assertThrows(IOException.class, () -> store.get(key(1)));
     assertTrue(store.silenceMs() >= before, "a refusal is no service");
-    Await.until("the service to count as lost", store::unavailable);
+    Await.until("the service to count as lost", store::isUnavailable);
     door.refuse(false);
     assertNotNull(store.get(key(1)).data());
-    assertTrue(!store.unavailable());
+    assertTrue(!store.isUnavailable());
   }
 
   /** Records come and go between the first page that is read and the last. */
@@ -120,14 +120,14 @@
           }
         });
     startMirror();
-    Await.until("the pages", mirror::loaded);
+    Await.until("the pages", mirror::isLoaded);
     long last = write(other, new StoreClient.Transaction().put(key(rows), Map.of()));
     assertTrue(mirror.awaitRevision(last, 60_000));
     assertTrue(once.get());
     assertNull(mirror.get(key(3)), "gone after its page was read");
     assertEquals("2", String.valueOf(mirror.get(key(rows - 1)).data().get("n")));
     assertEquals("2", String.valueOf(mirror.get(key(4)).data().get("n")));
-    assertEquals(rows, mirror.entriesWithPrefix(RecordCodec.LIVE).size());
+    assertEquals(rows, mirror.entriesWithPrefix(RecordCodec.LIVE_PREFIX).size());
   }
 
   /** A node that was cut off for so long that its watch cannot go on. */
@@ -135,10 +135,10 @@
   void whatChangedBeyondTheWatchIsToldAllTheSame() throws Exception {
     write(other, new StoreClient.Transaction().put(key(1), Map.of()).put(key(2), Map.of()));
     startMirror();
-    Await.until("the first reading", mirror::loaded);
+    Await.until("the first reading", mirror::isLoaded);
     door.refuse(true);
     write(other, new StoreClient.Transaction().put(key(9), Map.of())); // ends the watch that waits
-    Await.until("the watch to be refused", store::unavailable);
+    Await.until("the watch to be refused", store::isUnavailable);
     write(other, new StoreClient.Transaction().delete(key(1)).put(key(3), Map.of()));
     service.forgetChanges();
     told.clear();
@@ -168,7 +168,7 @@
   @Test
   void aLeaseIsRenewedHoweverManyQuestionsWait() throws Exception {
     StoreClient narrow = new StoreClient(Emulators.settings(dir, door.port(), 1, 40));
-    long lease = narrow.grant(60_000);
+    long lease = narrow.grantLease(60_000);
     AtomicBoolean over = new AtomicBoolean();
     AtomicInteger refused = new AtomicInteger();
     List<Thread> users = new ArrayList<>();
@@ -192,7 +192,7 @@
     try {
       Await.until("more questions than may be asked", () -> refused.get() > 100);
       for (int i = 0; i < 5; i++) {
-        assertTrue(narrow.renew(lease));
+        assertTrue(narrow.renewLease(lease));
       }
     } finally {
       over.set(true);
--- a/src/test/java/org/astershift/store/StoreLimitsTest.java
+++ b/src/test/java/org/astershift/store/StoreLimitsTest.java
@@ -59,7 +59,7 @@
             assertThrows(IOException.class, () -> store.get("l/x"));
           }
           double tookS = (System.nanoTime() - beganNs) / 1e9;
-          double leastS = (READS - 1) * RateLimiter.STORE_EXHAUSTED_PAUSE_S;
+          double leastS = (READS - 1) * RateLimiter.LIMIT_REACHED_PAUSE_S;
           assertTrue(tookS >= leastS, READS + " reads over the limit took " + tookS + " s");
         });
   }
@@ -83,9 +83,9 @@
         store -> {
           Thread reader = new Thread(() -> assertThrows(IOException.class, () -> store.get("l/x")));
           reader.start();
-          assertThrows(IOException.class, () -> store.renew(7));
+          assertThrows(IOException.class, () -> store.renewLease(7));
           assertTrue(reader.isAlive(), "a read is still waiting");
-          assertTrue(store.renew(7));
+          assertTrue(store.renewLease(7));
           over.countDown();
           reader.join();
         });
