--- a/src/main/java/org/astershift/CommandLineArguments.java
+++ b/src/main/java/org/astershift/CommandLineArguments.java
@@ -9,7 +9,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The program's options, parsed. */
+/** The parsed command-line options of the program. */
 final class CommandLineArguments {
   private final CommandLine commandLine;
 
@@ -17,7 +17,10 @@
     this.commandLine = line;
   }
 
-  /** Throws for unknown options; see {@link #requireStartOptions} for what a start needs. */
+  /**
+   * Parses the options; throws for unknown ones. {@link #requireStartOptions} checks what a start
+   * needs.
+   */
   static CommandLineArguments parse(String[] args) throws ParseException {
     return new CommandLineArguments(new DefaultParser().parse(options(), args));
   }
@@ -30,12 +33,12 @@
     return commandLine.hasOption("version");
   }
 
-  /** Whether the settings are to be checked only. */
+  /** Returns whether the program is only to check the settings. */
   boolean isCheckRequested() {
     return commandLine.hasOption("check");
   }
 
-  /** Throws unless the settings file, and nothing unexpected, was given. */
+  /** Throws unless the settings file is given, and no unexpected argument. */
   void requireStartOptions() throws ParseException {
     if (!commandLine.getArgList().isEmpty()) {
       throw new ParseException("unexpected argument: " + commandLine.getArgList().get(0));
@@ -45,12 +48,14 @@
     }
   }
 
-  /** The settings file. */
+  /** Returns the path of the settings file. */
   String configFile() {
     return commandLine.getOptionValue("config");
   }
 
-  /** The operators' settings file; {@code fallback} if not given. */
+  /**
+   * Returns the path of the operators' settings file; {@code fallback} if the option is not given.
+   */
   String iniFile(String fallback) {
     return commandLine.getOptionValue("ini", fallback);
   }
--- a/src/main/java/org/astershift/ControllerLauncher.java
+++ b/src/main/java/org/astershift/ControllerLauncher.java
@@ -20,13 +20,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Creates a controller's parts, connects them and starts them. */
+/** Creates the components of a controller, connects them and starts them. */
 final class ControllerLauncher {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLauncher.class);
 
   /**
-   * Longest wait for an address in use, milliseconds: the process of a predecessor may be about to
-   * end, and the platform restarts a process that fails to start only after a delay.
+   * Maximum wait for an address that is in use, in milliseconds: this node's previous process may
+   * be about to end, and the platform restarts a process that fails to start only after a delay.
    */
   private static final long LISTEN_TIMEOUT_MS = 20_000;
 
@@ -39,8 +39,9 @@
     ControllerRuntime controller =
         new ControllerRuntime(settings, policy, store, new WatchCache(store), peerChannels);
     JobService jobService = new JobService(controller, store, peerChannels);
-    // Both addresses are bound before anything else starts: only when this node's previous process
-    // has ended may this one delete a leader key that it left behind.
+    // Both addresses are bound before anything else starts, which shows that this node's previous
+    // process has ended: only then may this process delete a leader key that the previous one left
+    // behind.
     PeerServer peerServer = retryWhileAddressInUse(() -> peerServer(settings, jobService));
     PublicApi api = new PublicApi(controller, jobService, settings.limits().teams());
     HttpServer http = retryWhileAddressInUse(() -> httpServer(settings, api));
@@ -76,12 +77,15 @@
         api);
   }
 
-  /** Binds an address. */
+  /** Creates a server that is bound to an address. */
   interface SocketOpener<T> {
     T open() throws IOException;
   }
 
-  /** Waits for an address that this node's previous process still holds, up to a timeout. */
+  /**
+   * Returns the result of {@code opener}. Retries for up to {@link #LISTEN_TIMEOUT_MS} while the
+   * address is in use, since this node's previous process may still hold it.
+   */
   static <T> T retryWhileAddressInUse(SocketOpener<T> opener) throws IOException {
     long startNs = System.nanoTime();
     boolean logged = false;
@@ -101,7 +105,7 @@
     }
   }
 
-  /** Keeps the process alive: all other threads are daemons. */
+  /** Keeps the process alive, since all other threads are daemon threads. */
   private static void keepAlive() {
     while (true) {
       try {
--- a/src/main/java/org/astershift/ExitCode.java
+++ b/src/main/java/org/astershift/ExitCode.java
@@ -2,11 +2,11 @@
 
 /** Exit codes of the program. */
 enum ExitCode {
-  /** The request was carried out: help, version or check. */
+  /** The help, version or check option was carried out. */
   OK(0),
   /** An address cannot be bound. */
   CANNOT_LISTEN(1),
-  /** Bad usage or bad settings. */
+  /** The usage or the settings are invalid. */
   USAGE(2);
 
   private final int value;
--- a/src/main/java/org/astershift/Main.java
+++ b/src/main/java/org/astershift/Main.java
@@ -13,13 +13,16 @@
 import org.astershift.scheduler.SchedulingPolicy;
 
 /**
- * The program's entry point: reads options and settings, and starts a controller. Has no logger of
- * its own: loggers are configured by a setting.
+ * The program's entry point: reads options and settings, and starts a controller. The class has no
+ * logger of its own, since a setting configures all loggers.
  */
 public final class Main {
   private Main() {}
 
-  /** Entry point; ends only for bad usage, bad settings, or an address that cannot be bound. */
+  /**
+   * Runs the program. Exits after the options help, version and check, and for bad usage, bad
+   * settings, or an address that cannot be bound; otherwise the controller keeps running.
+   */
   public static void main(String[] args) {
     Optional<ExitCode> code = run(args, System.out, System.err);
     if (code.isPresent()) {
@@ -27,7 +30,7 @@
     }
   }
 
-  /** The exit code; empty if a controller now runs on its own threads. */
+  /** Returns the exit code; empty if a controller now runs on its own threads. */
   static Optional<ExitCode> run(String[] args, PrintStream out, PrintStream err) {
     try {
       CommandLineArguments arguments = CommandLineArguments.parse(args);
--- a/src/main/java/org/astershift/api/ConcurrencyGate.java
+++ b/src/main/java/org/astershift/api/ConcurrencyGate.java
@@ -6,13 +6,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Limits how many requests are handled at a time. A request that waited longer than its timeout is
- * rejected: its client has given up, and a backlog of such requests would delay all later ones.
+ * Limits how many requests are handled at the same time. A request that has waited longer than the
+ * timeout is rejected: its client has given up, and a backlog of such requests would delay all
+ * later ones.
  */
 final class ConcurrencyGate {
   private final Semaphore permits;
 
-  /** When each waiting request came, nanoseconds of the steady clock; the oldest first. */
+  /**
+   * Arrival time of each waiting request, in nanoseconds of the monotonic clock; the oldest first.
+   */
   private final Map<Object, Long> waitingSinceNs = new LinkedHashMap<>();
 
   private final long timeoutMs;
@@ -22,7 +25,10 @@
     this.timeoutMs = timeoutMs;
   }
 
-  /** Waits for a permit; false if the timeout passed. After true, {@link #leave} must follow. */
+  /**
+   * Waits for a permit; returns false if the timeout passes first. After true, the caller must call
+   * {@link #leave}.
+   */
   boolean tryEnter() throws InterruptedException {
     if (permits.tryAcquire()) {
       return true;
@@ -40,7 +46,9 @@
     }
   }
 
-  /** For how long the oldest waiting request has waited, milliseconds; 0 if none waits. */
+  /**
+   * Returns the time that the oldest waiting request has waited, in milliseconds; 0 if none waits.
+   */
   long oldestWaitMs() {
     synchronized (waitingSinceNs) {
       return waitingSinceNs.isEmpty()
@@ -49,7 +57,7 @@
     }
   }
 
-  /** Returns the permit. */
+  /** Releases the permit that {@link #tryEnter} acquired. */
   void leave() {
     permits.release();
   }
--- a/src/main/java/org/astershift/api/HeartbeatStatistics.java
+++ b/src/main/java/org/astershift/api/HeartbeatStatistics.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts heartbeats and their waits, and logs them periodically. Safe for several threads. */
+/** Counts heartbeats, measures how long they wait, and logs both periodically. Thread-safe. */
 final class HeartbeatStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatStatistics.class);
 
@@ -15,19 +15,22 @@
   private long longestWaitMs;
   private long periodStartNs = System.nanoTime();
 
-  /** {@code oldestWaitMs}: for how long the oldest of the waiting heartbeats has waited. */
+  /**
+   * Creates empty statistics; {@code oldestWaitMs} supplies the time that the oldest waiting
+   * heartbeat has waited, in milliseconds.
+   */
   HeartbeatStatistics(LongSupplier oldestWaitMs) {
     this.oldestWaitMs = oldestWaitMs;
   }
 
-  /** Counts a heartbeat that waited so long to be handled. */
+  /** Counts a heartbeat that waited {@code waitMs} to be handled. */
   synchronized void onHandled(long waitMs) {
     handled++;
     longestWaitMs = Math.max(longestWaitMs, waitMs);
     logIfDue();
   }
 
-  /** Counts a heartbeat that was rejected as it had waited for too long. */
+  /** Counts a heartbeat that was rejected because it had waited too long. */
   synchronized void onRejected() {
     rejected++;
     logIfDue();
--- a/src/main/java/org/astershift/api/JobCodec.java
+++ b/src/main/java/org/astershift/api/JobCodec.java
@@ -12,19 +12,19 @@
 import org.astershift.scheduler.JobSpec;
 import org.astershift.scheduler.Priority;
 
-/** Maps job submissions and job states to the wire format of the public API. */
+/** Decodes job submissions and encodes job states in the wire format of the public API. */
 public final class JobCodec {
   private static final int MAX_TASKS = 100_000;
   private static final double MAX_AMOUNT = 1e9;
 
   private JobCodec() {}
 
-  /** Whether the id has the form of a job id. */
+  /** Returns whether {@code decodeId} has the form of a job id. */
   public static boolean isJobId(String id) {
     return id.matches("wk-[0-9a-z]{1,40}");
   }
 
-  /** Reads a submission; the exception names the first field that is missing or invalid. */
+  /** Decodes a submission; the exception names the first field that is missing or invalid. */
   public static JobSpec decodeSpec(byte[] body) throws JsonFormatException {
     return decodeSpec(Json.object(body));
   }
@@ -58,9 +58,10 @@
   }
 
   /**
-   * The id in a malformed submission that earlier versions accepted, which read a missing or null
-   * flag as false and ignored what followed the object; null if they rejected it too. Its user may
-   * repeat such an idempotent request at any time.
+   * Returns the job id in a malformed submission that earlier versions accepted: they read a
+   * missing or null flag as false and ignored what followed the object. Returns null if they
+   * rejected the submission too. The user may repeat an accepted submission at any time, since
+   * submissions are idempotent.
    */
   public static String idAcceptedByEarlierVersions(byte[] body) {
     try {
@@ -92,7 +93,7 @@
     return (int) tasks;
   }
 
-  /** The machine types that the job accepts; null for any. */
+  /** Returns the machine types that the job accepts; null for any. */
   private static List<String> decodeMachineTypes(Map<String, Object> fields)
       throws JsonFormatException {
     if (fields.get("hulls") == null) {
@@ -153,13 +154,13 @@
     };
   }
 
-  /** The body of a response with a job's state. */
-  public static byte[] encodeState(String id, PeerResponse answer) {
+  /** Encodes the body of a response with a job's state. */
+  public static byte[] encodeState(String id, PeerResponse state) {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("id", id);
-    fields.put("phase", answer.phase());
-    fields.put("done", answer.doneTasks());
-    fields.put("running", answer.runningTasks());
+    fields.put("phase", state.phase());
+    fields.put("done", state.doneTasks());
+    fields.put("running", state.runningTasks());
     return Json.encode(fields);
   }
 }
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -21,15 +21,15 @@
 
 /**
  * The published HTTP interface for users, workers and health checks: routes requests and maps
- * results to status codes. Handles requests on several threads at once.
+ * results to status codes. Thread-safe.
  */
 public final class PublicApi implements Handler {
   private static final Logger LOG = LoggerFactory.getLogger(PublicApi.class);
 
-  /** Heartbeats handled at the same time; the others wait. */
+  /** Maximum number of heartbeats that are handled at the same time; the others wait. */
   private static final int CONCURRENT_HEARTBEATS = 3;
 
-  /** Longest wait of a heartbeat, milliseconds: its worker gives up after 4 s. */
+  /** Maximum wait of a heartbeat, in milliseconds: its worker gives up after 4 s. */
   private static final long HEARTBEAT_WAIT_MS = 3300;
 
   private static final String JOBS_PATH = "/v2/runs";
@@ -46,14 +46,16 @@
   private final HeartbeatStatistics heartbeatStatistics =
       new HeartbeatStatistics(heartbeatGate::oldestWaitMs);
 
-  /** {@code teams}: by name, with their quotas. */
+  /**
+   * Creates the handler of the interface; {@code teams} holds the teams with their quotas, by name.
+   */
   public PublicApi(ControllerRuntime controller, JobService jobService, Map<String, Team> teams) {
     this.controller = controller;
     this.jobService = jobService;
     this.teams = teams;
   }
 
-  /** Whether requests for this path come from workers. */
+  /** Returns whether requests for this path are heartbeats of workers. */
   public static boolean isHeartbeatPath(String path) {
     return path.equals(HEARTBEAT_PATH);
   }
@@ -116,9 +118,9 @@
     return Response.error(404, "no such path");
   }
 
-  private static Response jobResponse(String id, PeerResponse answer) {
-    return switch (answer.status()) {
-      case 200 -> new Response(200, JobCodec.encodeState(id, answer), 0);
+  private static Response jobResponse(String id, PeerResponse state) {
+    return switch (state.status()) {
+      case 200 -> new Response(200, JobCodec.encodeState(id, state), 0);
       case 404 -> Response.error(404, "no such job");
       default -> Response.error(503, "cannot be decided now");
     };
@@ -152,8 +154,9 @@
   }
 
   /**
-   * The state of the job if it was accepted before, else the rejection: a repeated submission is
-   * idempotent, whatever the machine types and validation rules are by now. Costs a status poll.
+   * Returns the state of the job if it was accepted before, otherwise {@code rejection}: a repeated
+   * submission is idempotent, even if the machine types or the validation rules have changed since.
+   * Costs a status poll.
    */
   private Response rejectUnlessAccepted(String id, Response rejection) throws InterruptedException {
     PeerResponse known = jobService.poll(id, true);
@@ -161,9 +164,10 @@
   }
 
   /**
-   * After a failover hundreds of heartbeats arrive at once. Few are handled at a time, so that
-   * their threads do not starve the renewal of the leader's lease. One that waited too long is
-   * rejected: its worker has given up, and working off a stale backlog would let all leases expire.
+   * Handles a heartbeat when its turn comes. After a failover, hundreds of heartbeats arrive at
+   * once; only a few are handled at the same time, so that their threads do not starve the renewal
+   * of the leader's lease. A heartbeat that has waited too long is rejected: its worker has given
+   * up, and working off a stale backlog would let all leases expire.
    */
   private Response handleHeartbeat(Request request) throws InterruptedException {
     long receivedMs = ControllerRuntime.nowMs();
@@ -184,7 +188,7 @@
     try {
       heartbeat = WorkerCodec.readHeartbeat(request.body());
     } catch (JsonFormatException e) {
-      LOG.info("invalid heartbeat: {}", e.getMessage());
+      LOG.info("invalid heartbeat rejected: {}", e.getMessage());
       return Response.error(400, e.getMessage());
     }
     long fencingToken = controller.token();
--- a/src/main/java/org/astershift/api/RequestStatistics.java
+++ b/src/main/java/org/astershift/api/RequestStatistics.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts users' requests and logs the sums periodically. Safe for use by several threads. */
+/** Counts users' requests and logs the totals periodically. Thread-safe. */
 final class RequestStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(RequestStatistics.class);
 
@@ -21,7 +21,7 @@
   private int unavailable;
   private long periodStartNs = System.nanoTime();
 
-  /** Counts one request with the status of its response, and logs the sums when they are due. */
+  /** Counts one request with the status of its response, and logs the totals when they are due. */
   synchronized void record(Kind kind, int status) {
     requests.put(kind, count(kind) + 1);
     unavailable += status == 503 ? 1 : 0;
--- a/src/main/java/org/astershift/cloud/CloudClient.java
+++ b/src/main/java/org/astershift/cloud/CloudClient.java
@@ -14,15 +14,18 @@
 import org.astershift.store.RateLimiter;
 
 /**
- * Calls the cloud provider's API within its rate limit. Calls block, and throw {@link
- * CloudRejectedException} if nothing was done; after another {@link IOException} the effect is
- * unknown. Safe for use by several threads.
+ * Client of the cloud provider's API that stays within the API's rate limit. Calls block. They
+ * throw {@link CloudRejectedException} if the request had no effect; after any other {@link
+ * IOException} its effect is unknown. Thread-safe.
  */
 public final class CloudClient {
-  /** Share of the rate limit that is used: the other controllers are followers and do not call. */
+  /**
+   * Share of the rate limit that this client uses: the other controllers are followers, which make
+   * no calls.
+   */
   private static final double CLOUD_RATE_SHARE = 0.85;
 
-  /** Deadline of one call, milliseconds. */
+  /** Timeout of one call, in milliseconds. */
   private static final int CLOUD_TIMEOUT_MS = 5000;
 
   private static final int MALFORMED_STATUS = 400;
@@ -31,14 +34,14 @@
   private final HttpClient http;
   private final RateLimiter rateLimiter;
 
-  /** A client of the cloud that the settings name. */
+  /** Creates a client of the cloud API that the settings name. */
   public CloudClient(Settings settings) {
     this.http = new HttpClient(settings.cloud().host(), settings.cloud().port(), 3);
     this.rateLimiter = new RateLimiter(settings.cloudRps());
     this.rateLimiter.setShare(CLOUD_RATE_SHARE, 1);
   }
 
-  /** The machine types on offer, by name, in the cloud's order. */
+  /** Returns the machine types on offer by name, in the order in which the cloud lists them. */
   public Map<String, MachineType> listMachineTypes() throws IOException {
     byte[] body = call(RateLimiter.Urgency.INTERACTIVE, "GET", "/flavors", null);
     try {
@@ -64,7 +67,7 @@
     }
   }
 
-  /** Releases machines. After success none of their tasks runs any more. */
+  /** Releases machines. After success, none of their tasks runs any more. */
   public void releaseMachines(List<String> machineNames) throws IOException {
     call(
         RateLimiter.Urgency.INTERACTIVE,
@@ -73,13 +76,15 @@
         CloudCodec.encodeRelease(machineNames));
   }
 
-  /** The whole machine list, read page by page; not a snapshot of one moment. */
+  /**
+   * Returns the whole machine list. It is read page by page, so it is not a consistent snapshot.
+   */
   public List<ListedMachine> listMachines() throws IOException {
     List<ListedMachine> machines = new ArrayList<>();
     String after = "";
-    boolean more = true;
+    boolean hasMore = true;
     try {
-      while (more) {
+      while (hasMore) {
         String path = "/hosts?limit=500" + (after.isEmpty() ? "" : "&from=" + after);
         CloudCodec.MachinePage page =
             CloudCodec.decodeMachinePage(call(RateLimiter.Urgency.BACKGROUND, "GET", path, null));
@@ -87,7 +92,7 @@
         if (!machines.isEmpty()) {
           after = machines.get(machines.size() - 1).name();
         }
-        more = page.hasMore();
+        hasMore = page.hasMore();
       }
     } catch (JsonFormatException e) {
       throw new IOException("machine list: " + e.getMessage());
@@ -114,7 +119,8 @@
     try {
       if (!rateLimiter.acquire(urgency, 1, CLOUD_TIMEOUT_MS)) {
         throw new CloudRejectedException(
-            "over the limit of calls", CloudRejectedException.Reason.RETRYABLE);
+            "timed out waiting for the rate limit of cloud calls",
+            CloudRejectedException.Reason.RETRYABLE);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/org/astershift/cloud/CloudCodec.java
+++ b/src/main/java/org/astershift/cloud/CloudCodec.java
@@ -10,13 +10,13 @@
 import org.astershift.scheduler.ListedMachine;
 import org.astershift.scheduler.MachineType;
 
-/** Maps the cloud API's requests and responses to their wire format. */
+/** Encodes requests and decodes responses of the cloud provider's API. */
 final class CloudCodec {
   private static final String NO_CAPACITY = "no capacity";
 
   private CloudCodec() {}
 
-  /** One page of the machine list; {@code more}: another page follows. */
+  /** One page of the machine list; {@code hasMore} is true if another page follows. */
   record MachinePage(List<ListedMachine> machines, boolean hasMore) {}
 
   static Map<String, MachineType> decodeMachineTypes(byte[] body) throws JsonFormatException {
@@ -74,7 +74,7 @@
 
   private static ListedMachine decodeMachine(Map<String, Object> fields)
       throws JsonFormatException {
-    Double age = Json.numberOrNull(fields, "held_s");
+    Double ageS = Json.numberOrNull(fields, "held_s");
     return new ListedMachine(
         Json.string(fields, "id"),
         Json.stringOrNull(fields, "addr"),
@@ -82,10 +82,10 @@
         Json.string(fields, "harbor"),
         Json.boolOr(fields, "ebbtide", false),
         Json.string(fields, "phase"),
-        age == null ? 0 : age);
+        ageS == null ? 0 : ageS);
   }
 
-  /** Whether the body of an error response says that there is no capacity. */
+  /** Returns whether the body of an error response says that there is no capacity. */
   static boolean isNoCapacity(byte[] body) {
     try {
       return NO_CAPACITY.equals(Json.object(body).get("error"));
--- a/src/main/java/org/astershift/cloud/CloudRejectedException.java
+++ b/src/main/java/org/astershift/cloud/CloudRejectedException.java
@@ -2,20 +2,20 @@
 
 import java.io.IOException;
 
-/** The cloud did not carry out a request, and nothing of it was done. */
+/** Thrown if the cloud did not carry out a request, and no part of the request was done. */
 public final class CloudRejectedException extends IOException {
   private static final long serialVersionUID = 1L;
 
   /** Why a request was rejected. */
   public enum Reason {
-    /** The cloud has no such machines at present. */
+    /** The cloud has no such machines available at present. */
     NO_CAPACITY,
-    /** The cloud will never carry out the request as it is. */
+    /** The request is invalid: the cloud will never carry it out as it is. */
     MALFORMED,
     /** The request may succeed if it is sent again. */
     RETRYABLE;
 
-    /** Whether the same request must not be sent again. */
+    /** Returns whether the same request must not be sent again. */
     public boolean isPermanent() {
       return this != RETRYABLE;
     }
@@ -28,7 +28,7 @@
     this.reason = reason;
   }
 
-  /** Why it was rejected. */
+  /** Returns why the request was rejected. */
   public Reason reason() {
     return reason;
   }
--- a/src/main/java/org/astershift/config/ClockBounds.java
+++ b/src/main/java/org/astershift/config/ClockBounds.java
@@ -1,11 +1,17 @@
 package org.astershift.config;
 
-/** Allowances for the differences between monotonic clocks of different machines. */
+/** Allowances for the differences between the monotonic clocks of different machines. */
 public final class ClockBounds {
-  /** Largest drift between two monotonic clocks, as a share, as published. */
+  /**
+   * Maximum drift between two monotonic clocks, as a share of the elapsed time; the published
+   * bound.
+   */
   public static final double CLOCK_DRIFT_SHARE = 0.0005;
 
-  /** Added to every bound computed from another clock, for timer granularity, milliseconds. */
+  /**
+   * Margin for timer granularity that is added to every bound computed from another machine's
+   * clock, in milliseconds.
+   */
   public static final long CLOCK_MARGIN_MS = 300;
 
   private ClockBounds() {}
--- a/src/main/java/org/astershift/config/ConfigReader.java
+++ b/src/main/java/org/astershift/config/ConfigReader.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Typed access to the fields of a settings file. Collects every problem and returns a placeholder
- * instead of stopping at the first: the values are usable only if {@link #problems} is empty.
+ * Type-checked access to the fields of a settings file. For an invalid field, it records the
+ * problem and returns a placeholder instead of stopping: the values are usable only if {@link
+ * #problems} is empty.
  */
 final class ConfigReader {
   private static final String MISSING_TEXT = "?";
@@ -15,12 +16,12 @@
 
   private final List<String> problems = new ArrayList<>();
 
-  /** The problems found so far, one line each. */
+  /** Returns the problems found so far, one line each. */
   List<String> problems() {
     return problems;
   }
 
-  /** A required table. */
+  /** Returns a required table. */
   ConfigTable table(ConfigTable parent, String name) {
     Object value = parent.get(name);
     if (value instanceof UnmodifiableConfig child) {
@@ -32,7 +33,7 @@
     return new ConfigTable(null, parent.pathOf(name));
   }
 
-  /** An optional list of tables. */
+  /** Returns an optional list of tables; empty if the field is missing. */
   List<ConfigTable> tables(ConfigTable parent, String name) {
     List<ConfigTable> children = new ArrayList<>();
     String path = parent.pathOf(name);
@@ -54,7 +55,7 @@
     return children;
   }
 
-  /** A required text, not empty. */
+  /** Returns a required text, which must not be empty. */
   String string(ConfigTable table, String name) {
     Object value = table.get(name);
     if (value instanceof String string && !string.isEmpty()) {
@@ -66,12 +67,12 @@
     return MISSING_TEXT;
   }
 
-  /** An optional text. */
+  /** Returns an optional text; {@code fallback} if the field is missing. */
   String stringOr(ConfigTable table, String name, String fallback) {
     return table.get(name) == null ? fallback : string(table, name);
   }
 
-  /** A required number within bounds, both included. */
+  /** Returns a required number, which must lie within the bounds, both included. */
   double number(ConfigTable table, String name, double minimum, double maximum) {
     Object value = table.get(name);
     if (value instanceof Number n) {
@@ -86,12 +87,15 @@
     return minimum;
   }
 
-  /** An optional number, not negative. */
+  /**
+   * Returns an optional number, which must not be negative; {@code fallback} if the field is
+   * missing.
+   */
   double numberOr(ConfigTable table, String name, double fallback) {
     return table.get(name) == null ? fallback : number(table, name, 0, MAX_OPTIONAL_NUMBER);
   }
 
-  /** A required address of the form host:port. */
+  /** Returns a required address of the form host:port. */
   Settings.Endpoint endpoint(ConfigTable table, String name) {
     String address = string(table, name);
     int colon = address.lastIndexOf(':');
@@ -101,7 +105,7 @@
         return new Settings.Endpoint(address.substring(0, colon), port);
       }
     } catch (NumberFormatException e) {
-      // reported below, as every other malformed address
+      // reported below, like any other malformed address
     }
     if (!address.equals(MISSING_TEXT)) {
       problems.add(table.pathOf(name) + " is not host:port: " + address);
--- a/src/main/java/org/astershift/config/ConfigTable.java
+++ b/src/main/java/org/astershift/config/ConfigTable.java
@@ -4,21 +4,22 @@
 import java.util.List;
 
 /**
- * A table of the settings file with its path there, for messages.
+ * A table of the settings file.
  *
- * @param config null if the table is missing; its fields are then not reported as missing, too
+ * @param config null if the table is missing; its fields are then not reported as missing as well
+ * @param path the table's path in the settings file, for error messages
  */
 record ConfigTable(UnmodifiableConfig config, String path) {
   boolean isMissing() {
     return config == null;
   }
 
-  /** The value of a field; null if there is none. */
+  /** Returns the value of a field; null if the field or the table is missing. */
   Object get(String name) {
     return config == null ? null : config.get(List.of(name));
   }
 
-  /** The path of a field. */
+  /** Returns the path of a field in the settings file. */
   String pathOf(String name) {
     return path.isEmpty() ? name : path + "." + name;
   }
--- a/src/main/java/org/astershift/config/OperatorSettings.java
+++ b/src/main/java/org/astershift/config/OperatorSettings.java
@@ -12,21 +12,29 @@
 import org.ini4j.Ini;
 import org.ini4j.Profile;
 
-/** The operators' own settings: an INI file of optional keys; unknown ones are errors. */
+/** The operators' own settings, an INI file. All keys are optional; unknown ones are errors. */
 public final class OperatorSettings {
-  /** Tasks of the wait queue considered for a machine; paper, section 4. */
+  /**
+   * Default number of tasks of the wait queue that are considered for a machine; see section 4 of
+   * the paper.
+   */
   private static final int WINDOW_TASKS = 2500;
 
-  /** Utilization above which a machine without a cached image is left free; paper, section 2.2. */
+  /**
+   * Default utilization above which a machine that lacks the cached image of a task is left free;
+   * see section 2.2 of the paper.
+   */
   private static final double UTILIZATION_THRESHOLD_SHARE = 0.9;
 
-  /** Tasks placed on one machine in one pass. */
+  /** Default maximum number of tasks that are placed on one machine in one pass. */
   private static final int MACHINE_BATCH_TASKS = 64;
 
-  /** Wait after which a task without an objective takes any machine, seconds. */
+  /** Default waiting time after which a task without an objective takes any machine, in seconds. */
   private static final double WAITING_AGE_S = 5;
 
-  /** Idle time after which a machine is released, seconds; paper, section 4.1. */
+  /**
+   * Default idle time after which a machine is released, in seconds; see section 4.1 of the paper.
+   */
   private static final double IDLE_RELEASE_S = 30;
 
   /** Known keys by section. */
@@ -37,7 +45,7 @@
 
   private OperatorSettings() {}
 
-  /** The policy without a file. */
+  /** Returns the policy that applies without a settings file. */
   public static SchedulingPolicy defaults() {
     return new SchedulingPolicy(
         WINDOW_TASKS,
@@ -47,7 +55,7 @@
         IDLE_RELEASE_S);
   }
 
-  /** Reads and checks a file; the exception names all that is wrong with it. */
+  /** Reads and checks a settings file; the exception names everything that is wrong with it. */
   public static SchedulingPolicy load(Path file) throws ConfigurationException {
     Ini ini = parse(file);
     List<String> problems = new ArrayList<>();
--- a/src/main/java/org/astershift/config/Settings.java
+++ b/src/main/java/org/astershift/config/Settings.java
@@ -16,7 +16,7 @@
 import org.astershift.scheduler.ServiceLevelObjective;
 import org.astershift.scheduler.Team;
 
-/** The platform's settings, a TOML file. Unknown fields are ignored. */
+/** The platform's settings, read from a TOML file. Unknown fields are ignored. */
 public record Settings(
     String nodeName,
     String zone,
@@ -38,13 +38,16 @@
     }
   }
 
-  /** Another controller. */
+  /** Another controller: its node name, its zone, and the address for requests to it. */
   public record Peer(String nodeName, String zone, Endpoint endpoint) {}
 
-  /** Limits of the store: requests and writes a second, largest value, operations a transaction. */
+  /**
+   * Limits of the store: requests and writes per second, largest value in KB, and operations per
+   * transaction.
+   */
   public record StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
-  /** Reads and checks a file; the exception names all that is wrong with it. */
+  /** Reads and checks a settings file; the exception names everything that is wrong with it. */
   public static Settings load(Path file) throws ConfigurationException {
     String text;
     try {
--- a/src/main/java/org/astershift/config/package-info.java
+++ b/src/main/java/org/astershift/config/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's and the operators' settings, and limits that follow from the platform. */
+/** The platform's and the operators' settings, and the limits that follow from the platform. */
 package org.astershift.config;
--- a/src/main/java/org/astershift/http/ConnectionSlots.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -7,41 +7,42 @@
 
 /**
  * Admission control for incoming connections, each of which holds a thread and a socket. Workers'
- * heartbeats keep leases alive, so part of the slots is reserved for them and cannot be taken by
- * users. A new connection may take any slot until its first request shows its kind; a kind above
- * its share then loses its longest idle connection. Decides only: the server closes what is
- * evicted.
+ * heartbeats keep leases alive, so part of the slots is reserved for workers and cannot be taken by
+ * users. A new connection may take any slot until its first request shows whether it belongs to a
+ * user or a worker; if its kind then exceeds its share of the slots, the longest-idle connection of
+ * that kind is evicted. This class only decides; the server closes the evicted connections.
  *
- * <p>There may be more workers than slots, since each sends a heartbeat only every few seconds. So
- * some slots stay free for new connections: when they run short, a worker's connection is closed
- * together with the response it waited for, and the worker reconnects for its next heartbeat.
- * Closing an idle connection at any other moment would make its worker treat the node as dead.
+ * <p>There may be more workers than slots, since each worker sends a heartbeat only every few
+ * seconds. Some slots are therefore kept free for new connections: when free slots run short, a
+ * worker's connection is closed together with the response to its heartbeat, and the worker
+ * reconnects for its next heartbeat. Closing an idle connection at any other time would make its
+ * worker treat this node as dead.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 public final class ConnectionSlots {
-  /** Time after which an idle connection of a user or worker is closed, milliseconds. */
+  /** Time after which an idle connection of a user or worker is closed, in milliseconds. */
   public static final int CONNECTION_IDLE_TIMEOUT_MS = 60_000;
 
-  /** Time within which a request has to arrive whole, milliseconds. */
+  /** Time within which a request must have arrived completely, in milliseconds. */
   private static final int REQUEST_TIMEOUT_MS = 5000;
 
-  /** Share of the slots kept free for new connections. */
+  /** Share of the slots that is kept free for new connections. */
   private static final double KEPT_FREE_SHARE = 0.1;
 
-  /** Which share of the slots a connection counts against. */
+  /** Kind of a connection; determines the share of the slots that the connection counts against. */
   private enum ConnectionKind {
-    /** No request yet. */
+    /** No request has arrived yet. */
     NEW,
-    /** Of a user. */
+    /** A user's connection. */
     UNRESERVED,
-    /** Of a worker. */
+    /** A worker's connection, which may use the reserved slots. */
     RESERVED
   }
 
   /**
-   * State of one connection. Its serving thread reports its activity; the reaper reads it without a
-   * lock, so the fields it reads are volatile.
+   * State of one connection. The thread that serves the connection updates the state; the reaper
+   * reads it without a lock, so the fields that the reaper reads are volatile.
    */
   static final class Connection {
     private ConnectionKind kind = ConnectionKind.NEW;
@@ -55,32 +56,40 @@
       this.idleSinceNs = nowNs;
     }
 
-    /** The connection waits for its next request. */
+    /** Records that the connection waits for its next request. */
     void onIdle(long nowNs) {
       idleSinceNs = nowNs;
       busy = false;
     }
 
-    /** A request is being read: the connection is not evictable until {@link #onIdle}. */
+    /**
+     * Records that a request is being read; the connection is not evictable until {@link #onIdle}.
+     */
     void onRequestStarted(long nowNs) {
       readingSinceNs = nowNs;
       reading = true;
       busy = true;
     }
 
-    /** The request has arrived whole. */
+    /** Records that the request has arrived completely. */
     void onRequestRead() {
       reading = false;
     }
 
-    /** Whether it has been idle, or a request incomplete, for too long. */
+    /**
+     * Returns whether the connection has been idle, or its current request incomplete, for too
+     * long.
+     */
     boolean isOverdue(long nowNs) {
       return busy
           ? reading && nowNs - readingSinceNs > REQUEST_TIMEOUT_MS * 1_000_000L
           : nowNs - idleSinceNs > CONNECTION_IDLE_TIMEOUT_MS * 1_000_000L;
     }
 
-    /** Whether a thread reads from it; if not, whoever evicts it has to close its socket. */
+    /**
+     * Returns whether a thread reads from the connection; if not, the thread that evicts the
+     * connection must close its socket.
+     */
     boolean isBeingServed() {
       return beingServed;
     }
@@ -93,7 +102,7 @@
   private final int capacity;
   private final int unreservedCapacity;
 
-  /** Slots kept free for new connections. */
+  /** Number of slots kept free for new connections. */
   private final int keptFree;
 
   private final Set<Connection> connections = new LinkedHashSet<>();
@@ -102,19 +111,23 @@
   private int peak;
   private long evictedCount;
 
-  /** {@code capacity} slots in all, of which users may take {@code unreservedCapacity}. */
+  /** Creates {@code capacity} slots in all, of which users may take {@code unreservedCapacity}. */
   public ConnectionSlots(int capacity, int unreservedCapacity) {
     this.capacity = capacity;
     this.unreservedCapacity = unreservedCapacity;
     this.keptFree = (int) (capacity * KEPT_FREE_SHARE);
   }
 
-  /** Admits a new connection; returns those to close, itself if no other is evictable. */
+  /**
+   * Admits a new connection and returns the connections to close: the new one itself if no other is
+   * evictable.
+   */
   synchronized List<Connection> admit(Connection connection) {
     connections.add(connection);
     List<Connection> evicted = new ArrayList<>(1);
     if (connections.size() > capacity) {
-      // Users' and new connections go first; a worker's only beyond the workers' share.
+      // Evicts users' and new connections first, and a worker's only if workers exceed their
+      // share.
       Connection longestIdle =
           longestIdle(connection, ConnectionKind.UNRESERVED, ConnectionKind.NEW);
       if (longestIdle == null && reservedCount > capacity - unreservedCapacity) {
@@ -126,7 +139,10 @@
     return evicted;
   }
 
-  /** The connection sent a request, for a reserved path or not; returns those to close. */
+  /**
+   * Records that a request has arrived on the connection, {@code reserved} if it is for a reserved
+   * path; returns the connections to close.
+   */
   synchronized List<Connection> onRequest(Connection connection, boolean reserved) {
     List<Connection> evicted = new ArrayList<>(0);
     if (!connections.contains(connection)) {
@@ -151,8 +167,9 @@
   }
 
   /**
-   * Whether the connection may stay open after its current response: not while too few slots are
-   * free for new ones, or the users' share is nearly used up.
+   * Returns whether the connection may stay open after its current response. A worker's may not
+   * while too few slots are free for new connections, and a user's may not while the users' share
+   * is nearly used up.
    */
   synchronized boolean mayKeepAlive(Connection connection) {
     return connection.kind == ConnectionKind.RESERVED
@@ -160,7 +177,10 @@
         : unreservedCount <= unreservedCapacity - (int) (unreservedCapacity * KEPT_FREE_SHARE);
   }
 
-  /** The connection is closed; frees its slot, once. */
+  /**
+   * Frees the slot of a connection that is closed; has no effect if the slot has already been
+   * freed.
+   */
   synchronized void release(Connection connection) {
     if (connections.remove(connection)) {
       adjustCount(connection.kind, -1);
@@ -208,6 +228,6 @@
         + capacity
         + ", "
         + evictedCount
-        + " given up for want of places"; // operators' scripts read these words
+        + " given up for want of places"; // operators' scripts match this text
   }
 }
--- a/src/main/java/org/astershift/http/ConnectionThreads.java
+++ b/src/main/java/org/astershift/http/ConnectionThreads.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Threads that serve one connection after another. They are reused because starting a thread costs
- * some thirty system calls, and users open a connection for nearly each request. The caller limits
- * how many there are.
+ * Threads that serve connections, one after another. The threads are reused because starting one
+ * costs about thirty system calls, and users open a connection for nearly every request. The caller
+ * limits the number of connections and thereby of threads.
  */
 final class ConnectionThreads {
   private final ThreadPoolExecutor executor;
@@ -24,7 +24,10 @@
             factory);
   }
 
-  /** Runs the body on a thread at once, or throws {@link ThreadUnavailableException}. */
+  /**
+   * Runs {@code body} on a thread immediately; throws {@link ThreadUnavailableException} if no
+   * thread is idle and none can be started.
+   */
   void execute(Threads.Task body) {
     try {
       executor.execute(Threads.logFailures("connection", body));
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -11,14 +11,17 @@
 
 /**
  * Sends requests to one address over pooled connections. Each call has one deadline for connecting,
- * sending and receiving. It never retries by itself: only the caller knows whether that is safe.
- * Safe for use by several threads.
+ * sending and receiving. The client never retries a request by itself: only the caller knows
+ * whether a retry is safe. Thread-safe.
  */
 public final class HttpClient implements AutoCloseable {
-  /** Largest response accepted, bytes; the store's watch responses have no limit of their own. */
+  /**
+   * Maximum size of a response body, in bytes; the store's watch responses have no limit of their
+   * own.
+   */
   private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-  /** Idle time after which a pooled connection is no longer used, nanoseconds. */
+  /** Idle time after which a pooled connection is no longer used, in nanoseconds. */
   public static final long CLIENT_CONNECTION_IDLE_NS = 20_000_000_000L;
 
   private final String host;
@@ -27,7 +30,7 @@
   private final Deque<Connection> idle = new ArrayDeque<>();
   private boolean closed;
 
-  /** Keeps at most {@code maxIdle} idle connections. */
+  /** Creates a client that keeps at most {@code maxIdle} idle connections. */
   public HttpClient(String host, int port, int maxIdle) {
     this.host = host;
     this.port = port;
@@ -49,17 +52,18 @@
   }
 
   /**
-   * Sends one request. {@link RequestNotSentException} means that it had no effect; after any other
-   * {@link IOException} its effect is unknown.
+   * Sends one request and returns the response. {@link RequestNotSentException} means that the
+   * request had no effect; after any other {@link IOException} its effect is unknown.
    */
   public Response call(String method, String path, byte[] body, int timeoutMs) throws IOException {
     return callConnected(method, path, () -> body, timeoutMs);
   }
 
   /**
-   * As {@link #call}, for a body that is made once the connection is established, which may be long
-   * after the call if connecting was slow or this process was paused. The request reaches the
-   * process that accepted the connection or none: one restarted at that address does not have it.
+   * Same as {@link #call}, but creates the body only once the connection is established, which may
+   * be long after the call if connecting is slow or this process is paused. The request reaches the
+   * process that accepted the connection or none: a process restarted at the same address does not
+   * receive it.
    */
   public Response callConnected(
       String method, String path, Supplier<byte[]> bodySupplier, int timeoutMs) throws IOException {
@@ -70,9 +74,9 @@
     try {
       byte[] body = bodySupplier.get();
       write(connection.socket, requestHead(method, path, body), body == null ? new byte[0] : body);
-      int leftMs = (int) Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000);
+      int remainingMs = (int) Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000);
       HttpMessageReader.Message message =
-          connection.reader.readResponse(leftMs, MAX_RESPONSE_BYTES);
+          connection.reader.readResponse(remainingMs, MAX_RESPONSE_BYTES);
       int status = parseStatus(message.startLine());
       reusable = !message.closesConnection();
       return new Response(status, message.body());
@@ -105,7 +109,7 @@
   private static int parseStatus(String startLine) throws IOException {
     String[] statusLine = startLine.split(" ", 3);
     if (statusLine.length < 2 || !statusLine[1].matches("[0-9]{3}")) {
-      throw new IOException("bad status line");
+      throw new IOException("malformed HTTP status line");
     }
     return Integer.parseInt(statusLine[1]);
   }
@@ -129,7 +133,8 @@
   private synchronized Connection takeIdle() {
     while (!idle.isEmpty()) {
       Connection connection = idle.pollLast();
-      // The server may have closed an old connection, and the effect of a failed call is unknown.
+      // The server may have closed a connection that was idle for long; a call that fails on it
+      // has an unknown effect.
       if (System.nanoTime() - connection.lastUsedNs < CLIENT_CONNECTION_IDLE_NS) {
         return connection;
       }
@@ -139,8 +144,9 @@
   }
 
   /**
-   * After the server has ended a pooled connection, as when it restarts, those that have been idle
-   * since before have ended too: each would fail one more request.
+   * Closes the pooled connections that have been idle since {@code unusedSinceNs} or longer. When
+   * the server has closed one pooled connection, for example by restarting, it has closed these
+   * too, and each of them would fail one more request.
    */
   private synchronized void closeIdleSince(long unusedSinceNs) {
     idle.removeIf(
@@ -178,7 +184,7 @@
     }
   }
 
-  /** Writes head and body at once: each write is a packet and a system call. */
+  /** Writes head and body at once: each write costs a packet and a system call. */
   static void write(Socket socket, String head, byte[] body) throws IOException {
     byte[] headBytes = HttpMessageReader.encodeLatin1(head);
     byte[] packet = new byte[headBytes.length + body.length];
--- a/src/main/java/org/astershift/http/HttpException.java
+++ b/src/main/java/org/astershift/http/HttpException.java
@@ -2,18 +2,18 @@
 
 import java.io.IOException;
 
-/** A message that violates HTTP; {@code status} is the response code for its sender. */
+/** A received message that violates HTTP; {@code status} is the status to respond with. */
 public final class HttpException extends IOException {
   private static final long serialVersionUID = 1L;
   private final int status;
 
-  /** A message that is answered with this status. */
+  /** Creates an exception for a message to be answered with {@code status}. */
   public HttpException(int status, String message) {
     super(message);
     this.status = status;
   }
 
-  /** The status for its sender. */
+  /** Returns the status to respond with. */
   public int status() {
     return status;
   }
--- a/src/main/java/org/astershift/http/HttpMessageReader.java
+++ b/src/main/java/org/astershift/http/HttpMessageReader.java
@@ -13,10 +13,10 @@
 
 /**
  * Reads HTTP/1.1 messages from a blocking socket. Bytes read beyond a message are kept for the next
- * one. For use by one thread.
+ * one. Not thread-safe.
  */
 final class HttpMessageReader {
-  /** Largest request line and headers together, bytes. */
+  /** Maximum size of the start line and the headers together, in bytes. */
   static final int MAX_HEAD_BYTES = 16 * 1024;
 
   private final Socket socket;
@@ -33,7 +33,7 @@
     this.in = socket.getInputStream();
   }
 
-  /** Start line, headers by lower-case name, and body. */
+  /** A message: its start line, its headers by lower-case name, and its body. */
   record Message(String startLine, Map<String, String> headers, byte[] body) {
     boolean closesConnection() {
       String connectionHeader = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
@@ -43,22 +43,22 @@
   }
 
   /**
-   * Waits for the first byte of a message; false if the peer closed the connection before. Without
-   * a timeout, which would cost two more system calls a read: another thread has to shut down the
-   * socket when it takes too long.
+   * Waits for the first byte of a message; returns false if the peer closes the connection first.
+   * There is no timeout, since it would cost two more system calls per read: another thread has to
+   * shut down the socket if the wait takes too long.
    */
   boolean awaitFirstByte() throws IOException {
     hasDeadline = false;
     return bufferPosition < bufferEnd || fillBuffer();
   }
 
-  /** Reads a request, without a timeout, as {@link #awaitFirstByte}. */
+  /** Reads a request, without a timeout, like {@link #awaitFirstByte}. */
   Message readRequest(int bodyLimit) throws IOException {
     hasDeadline = false;
     return readMessage(bodyLimit, true);
   }
 
-  /** Reads a response, which has to arrive whole within {@code timeoutMs}. */
+  /** Reads a response, which must arrive completely within {@code timeoutMs}. */
   Message readResponse(int timeoutMs, int bodyLimit) throws IOException {
     hasDeadline = true;
     deadlineNs = System.nanoTime() + timeoutMs * 1_000_000L;
@@ -95,7 +95,10 @@
     }
   }
 
-  /** {@code untilClose}: without a length the body ends with the connection; else it is empty. */
+  /**
+   * Reads a body. One without a length extends to the end of the connection if {@code untilClose}
+   * is true, and is empty otherwise.
+   */
   private byte[] readBody(Map<String, String> headers, int limit, boolean untilClose)
       throws IOException {
     String encoding = headers.get("transfer-encoding");
@@ -173,7 +176,7 @@
     int received = 0;
     while (received < size) {
       if (bufferPosition == bufferEnd && !fillBuffer()) {
-        throw new EOFException("closed inside a body");
+        throw new EOFException("connection closed inside a message body");
       }
       int count = Math.min(size - received, bufferEnd - bufferPosition);
       System.arraycopy(buffer, bufferPosition, bytes, received, count);
@@ -206,18 +209,18 @@
 
   private int readByte() throws IOException {
     if (bufferPosition == bufferEnd && !fillBuffer()) {
-      throw new EOFException("closed inside a message");
+      throw new EOFException("connection closed inside a message");
     }
     return buffer[bufferPosition++] & 0xff;
   }
 
   private boolean fillBuffer() throws IOException {
     if (hasDeadline) {
-      long leftMs = (deadlineNs - System.nanoTime()) / 1_000_000;
-      if (leftMs <= 0) {
-        throw new SocketTimeoutException("deadline passed");
+      long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+      if (remainingMs <= 0) {
+        throw new SocketTimeoutException("response did not arrive completely before the deadline");
       }
-      socket.setSoTimeout((int) Math.min(leftMs, Integer.MAX_VALUE));
+      socket.setSoTimeout((int) Math.min(remainingMs, Integer.MAX_VALUE));
     }
     int count = in.read(buffer, 0, buffer.length);
     if (count < 0) {
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -15,41 +15,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves HTTP/1.1 on blocking sockets with one thread a connection. {@link ConnectionSlots} limits
- * the connections. Reads have no timeouts: a reaper thread ends what is idle or slow for too long.
+ * Serves HTTP/1.1 on blocking sockets with one thread per connection. {@link ConnectionSlots}
+ * limits the number of connections. Reads have no timeouts: a reaper thread shuts down connections
+ * that are idle or slow for too long.
  */
 public final class HttpServer implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-  /** Value of Retry-After in a 503 response, seconds. */
+  /** Value of the Retry-After header of a 503 response, in seconds. */
   private static final int RETRY_AFTER_S = 1;
 
-  /** Largest request body, bytes, as published. */
+  /** Maximum size of a request body, in bytes, as published. */
   static final int MAX_REQUEST_BODY_BYTES = 64 * 1024;
 
-  /** Interval at which the reaper looks for overdue connections, milliseconds. */
+  /** Interval at which the reaper looks for overdue connections, in milliseconds. */
   private static final long CONNECTION_REAP_INTERVAL_MS = 1000;
 
-  /** Length of the accept queue: after a restart all workers and users connect at once. */
+  /** Length of the accept queue. After a restart, all workers and users connect at once. */
   private static final int LISTEN_BACKLOG_CONNECTIONS = 1024;
 
-  /** Handles requests, on several threads at once. */
+  /** Handles requests; called on several threads at once. */
   public interface Handler {
-    /** Returns the response; an exception is logged and answered with 503. */
+    /** Returns the response to a request. An exception is logged and answered with 503. */
     Response handle(Request request) throws Exception;
   }
 
-  /** A request; {@code path} excludes the query, which is empty if there is none. */
+  /** A request; {@code path} excludes the query, and {@code query} is empty if there is none. */
   public record Request(String method, String path, String query, byte[] body) {}
 
-  /** A response with a JSON body; {@code retryAfterS} is 0 for no such header. */
+  /**
+   * A response with a JSON body; {@code retryAfterS} is the value of the Retry-After header, and 0
+   * means no such header.
+   */
   public record Response(int status, byte[] body, int retryAfterS) {
-    /** A response without Retry-After. */
+    /** Creates a response without a Retry-After header. */
     public static Response of(int status, Map<String, Object> body) {
       return new Response(status, Json.encode(body), 0);
     }
 
-    /** A response with an error text, and Retry-After if its status is 503. */
+    /**
+     * Creates a response with an error text, and with a Retry-After header if its status is 503.
+     */
     public static Response error(int status, String message) {
       int retryAfterS = status == 503 ? RETRY_AFTER_S : 0;
       return new Response(status, Json.encode(Map.of("error", message)), retryAfterS);
@@ -65,7 +71,7 @@
   private volatile boolean closed;
   private long lastLoggedNs = System.nanoTime();
 
-  /** A server of {@code capacity} connections without reserved slots. */
+  /** Creates a server for up to {@code capacity} connections, without reserved slots. */
   public HttpServer(String host, int port, int capacity, Handler handler) throws IOException {
     this(
         host,
@@ -76,7 +82,10 @@
         Threads.connectionThreadFactory());
   }
 
-  /** A server whose connections with requests for reserved paths use the reserved slots. */
+  /**
+   * Creates a server on which connections that send requests for reserved paths use the reserved
+   * slots.
+   */
   public HttpServer(
       String host,
       int port,
@@ -102,7 +111,7 @@
     this.serverSocket = listen(host, port, LISTEN_BACKLOG_CONNECTIONS);
   }
 
-  /** Binds an address; the socket is closed if that fails. */
+  /** Opens a socket that listens on an address; the socket is closed if binding fails. */
   public static ServerSocket listen(String host, int port, int backlog) throws IOException {
     ServerSocket serverSocket = new ServerSocket();
     try {
@@ -115,12 +124,12 @@
     }
   }
 
-  /** The port it listens on, also where the system chose it. */
+  /** Returns the port that the server listens on, also if the system chose it. */
   public int port() {
     return serverSocket.getLocalPort();
   }
 
-  /** Starts to accept connections. */
+  /** Starts accepting connections. */
   public void start() {
     Threads.startLoop("http-accept", this::acceptLoop);
     Threads.startLoop("http-reaper", this::reapLoop);
@@ -132,14 +141,17 @@
       long nowNs = System.nanoTime();
       for (Map.Entry<Connection, Socket> entry : openSockets.entrySet()) {
         if (entry.getKey().isOverdue(nowNs)) {
-          LOG.debug("connection idle or slow for too long");
+          LOG.debug("closing a connection that was idle or slow for too long");
           shutDownInput(entry.getValue());
         }
       }
     }
   }
 
-  /** Ends the read of the connection's thread, which then closes it. */
+  /**
+   * Ends the pending read of the thread that serves the connection; that thread then closes the
+   * socket.
+   */
   private static void shutDownInput(Socket socket) {
     try {
       socket.shutdownInput();
@@ -167,7 +179,7 @@
         logConnections();
       } catch (IOException | ThreadUnavailableException e) {
         if (!closed) {
-          LOG.info("accept failed: {}", e.toString());
+          LOG.info("accepting a connection failed: {}", e.toString());
           Threads.backOff();
         }
       }
@@ -185,7 +197,8 @@
       connection.setBeingServed(true);
       threads.execute(() -> serve(connection, socket));
     } catch (ThreadUnavailableException e) {
-      // No thread serves it: kept open, it would hang its client and hold its slot for ever.
+      // Without a thread to serve it, an open connection would hang its client and hold its slot
+      // indefinitely.
       slots.release(connection);
       connection.setBeingServed(false);
       closeWithoutSlot(connection);
@@ -193,7 +206,10 @@
     }
   }
 
-  /** Closes a connection without a slot: one that is served and idle, or one without a thread. */
+  /**
+   * Closes a connection that has no slot. An idle connection is closed by the thread that serves
+   * it; a connection without a thread is answered with 503 and closed here.
+   */
   private void closeWithoutSlot(Connection connection) {
     Socket socket = openSockets.remove(connection);
     if (socket != null && connection.isBeingServed()) {
@@ -231,7 +247,7 @@
         }
       }
     } catch (IOException e) {
-      LOG.debug("connection ended: {}", e.toString());
+      LOG.debug("connection failed: {}", e.toString());
     } finally {
       openSockets.remove(connection);
       slots.release(connection);
@@ -281,7 +297,8 @@
     try {
       return handler.handle(request);
     } catch (Exception e) {
-      LOG.error("{} {} failed", request.method(), request.path(), e);
+      LOG.error(
+          "handling a request failed: method={} path={}", request.method(), request.path(), e);
       return Response.error(503, "internal error");
     }
   }
--- a/src/main/java/org/astershift/http/Json.java
+++ b/src/main/java/org/astershift/http/Json.java
@@ -10,11 +10,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and writes JSON as maps and lists, with checked access to their fields, for codecs. */
+/**
+ * Reads and writes JSON as maps and lists, and gives codecs type-checked access to their fields.
+ */
 public final class Json {
   /**
-   * Largest nesting depth accepted. The protocols need a few levels; the parser's own limit of 1000
-   * would overflow a stack of {@link Threads#STACK_BYTES}.
+   * Maximum nesting depth that is accepted. The protocols need a few levels; the parser's own limit
+   * of 1000 would overflow a stack of {@link Threads#STACK_BYTES}.
    */
   private static final int MAX_JSON_DEPTH = 100;
 
@@ -28,7 +30,7 @@
 
   private Json() {}
 
-  /** The value as JSON text in UTF-8. */
+  /** Encodes a value as JSON text in UTF-8. */
   public static byte[] encode(Object value) {
     try {
       return JACKSON.asBytes(value);
@@ -37,12 +39,12 @@
     }
   }
 
-  /** Parses an object; anything else, and anything after it, is an error. */
+  /** Parses a JSON object; throws if the text is anything else or continues after the object. */
   public static Map<String, Object> object(byte[] text) throws JsonFormatException {
     return object(text, false);
   }
 
-  /** Parses the object that a text begins with and ignores what follows it. */
+  /** Parses the JSON object at the beginning of a text and ignores what follows it. */
   public static Map<String, Object> leadingObject(byte[] text) throws JsonFormatException {
     return object(text, true);
   }
@@ -67,7 +69,7 @@
     throw new JsonFormatException("not an object");
   }
 
-  /** The value as an object; {@code what} names it in the error message. */
+  /** Returns the value as an object; {@code what} names the value in the error message. */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> object(Object value, String what) throws JsonFormatException {
     if (value instanceof Map<?, ?> map) {
@@ -76,7 +78,7 @@
     throw new JsonFormatException(what + " is not an object");
   }
 
-  /** The list in a field; empty if the field is missing or null. */
+  /** Returns the list in a field; empty if the field is missing or null. */
   public static List<?> list(Map<String, Object> object, String name) throws JsonFormatException {
     Object value = object.get(name);
     if (value == null) {
@@ -88,7 +90,7 @@
     throw new JsonFormatException(name + " is not a list");
   }
 
-  /** The string in a required field. */
+  /** Returns the string in a required field. */
   public static String string(Map<String, Object> object, String name) throws JsonFormatException {
     if (object.get(name) instanceof String value) {
       return value;
@@ -96,13 +98,13 @@
     throw new JsonFormatException(name + " is missing or not a text");
   }
 
-  /** The string in an optional field; null if it is missing or null. */
+  /** Returns the string in an optional field; null if the field is missing or null. */
   public static String stringOrNull(Map<String, Object> object, String name)
       throws JsonFormatException {
     return object.get(name) == null ? null : string(object, name);
   }
 
-  /** The finite number in a required field. */
+  /** Returns the finite number in a required field. */
   public static double number(Map<String, Object> object, String name) throws JsonFormatException {
     if (object.get(name) instanceof Number number && Double.isFinite(number.doubleValue())) {
       return number.doubleValue();
@@ -110,13 +112,13 @@
     throw new JsonFormatException(name + " is missing or not a number");
   }
 
-  /** The finite number in an optional field; null if it is missing or null. */
+  /** Returns the finite number in an optional field; null if the field is missing or null. */
   public static Double numberOrNull(Map<String, Object> object, String name)
       throws JsonFormatException {
     return object.get(name) == null ? null : number(object, name);
   }
 
-  /** The integer of at most 64 bits, signed or unsigned, in a required field. */
+  /** Returns the integer of at most 64 bits, signed or unsigned, in a required field. */
   public static long integer(Map<String, Object> object, String name) throws JsonFormatException {
     Object value = object.get(name);
     if (value instanceof Integer || value instanceof Long) {
@@ -130,7 +132,7 @@
     throw new JsonFormatException(name + " is missing or not a whole number");
   }
 
-  /** The boolean in a required field. */
+  /** Returns the boolean in a required field. */
   public static boolean bool(Map<String, Object> object, String name) throws JsonFormatException {
     if (object.get(name) instanceof Boolean value) {
       return value;
@@ -138,7 +140,7 @@
     throw new JsonFormatException(name + " is missing or not true or false");
   }
 
-  /** The boolean in an optional field; {@code fallback} if it is missing or null. */
+  /** Returns the boolean in an optional field; {@code fallback} if the field is missing or null. */
   public static boolean boolOr(Map<String, Object> object, String name, boolean fallback)
       throws JsonFormatException {
     return object.get(name) == null ? fallback : bool(object, name);
--- a/src/main/java/org/astershift/http/TaskPool.java
+++ b/src/main/java/org/astershift/http/TaskPool.java
@@ -8,10 +8,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A thread pool of bounded size that never drops a task because a thread could not be started: a
- * plain executor throws at its caller and forgets the task, and whoever waits for the result waits
- * for ever. Here the task stays queued for a running thread or for {@link #startQueuedTasks}. Safe
- * for use by several threads. Make one with {@link Threads#newPool}.
+ * A thread pool of bounded size that never drops a task because a thread could not be started. A
+ * plain executor throws to its caller and drops the task, so that a thread waiting for its result
+ * waits indefinitely. Here the task stays queued for a running thread or for {@link
+ * #startQueuedTasks}. Thread-safe. Created by {@link Threads#newPool}.
  */
 public final class TaskPool {
   private static final Logger LOG = LoggerFactory.getLogger(TaskPool.class);
@@ -30,13 +30,16 @@
     this.executor.allowCoreThreadTimeOut(true);
   }
 
-  /** Queues a task and starts a thread for it if there is room; a failure of it is logged. */
+  /**
+   * Queues a task, and starts a thread for it if the pool is not full; a failure of the task is
+   * logged.
+   */
   public void execute(String name, Threads.Task body) {
     executor.getQueue().add(Threads.logFailures(name, body));
     startThread();
   }
 
-  /** Starts a thread if tasks wait and none runs; to be called periodically. */
+  /** Starts a thread if tasks are queued and no thread is running; must be called periodically. */
   public void startQueuedTasks() {
     if (executor.getPoolSize() == 0 && !executor.getQueue().isEmpty()) {
       startThread();
@@ -47,7 +50,10 @@
     try {
       executor.prestartCoreThread();
     } catch (OutOfMemoryError e) {
-      LOG.error("thread start failed: queued={}: {}", executor.getQueue().size(), e.toString());
+      LOG.error(
+          "starting a pool thread failed, tasks stay queued: queued={}: {}",
+          executor.getQueue().size(),
+          e.toString());
     }
   }
 }
--- a/src/main/java/org/astershift/http/Threads.java
+++ b/src/main/java/org/astershift/http/Threads.java
@@ -4,30 +4,31 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Creates all threads of the program, which are daemons, and keeps their loops running. */
+/** Creates the program's daemon threads and keeps their loops running. */
 public final class Threads {
   private static final Logger LOG = LoggerFactory.getLogger(Threads.class);
 
-  /** Pause before a failed loop or request is tried again, milliseconds. */
+  /** Pause before a failed loop or request is retried, in milliseconds. */
   public static final long RETRY_BACKOFF_MS = 300;
 
-  /** Stack size of a thread, bytes. */
+  /** Stack size of a thread, in bytes. */
   public static final long STACK_BYTES = 192 * 1024;
 
-  /** Idle time after which a pooled thread ends, seconds. */
+  /** Idle time after which a pooled thread ends, in seconds. */
   static final long THREAD_IDLE_S = 10;
 
   private Threads() {}
 
-  /** Work for a thread; an exception ends this run of it and is logged. */
+  /** Work for a thread; an exception ends the current run of the task and is logged. */
   public interface Task {
-    /** Does the work; what it throws is logged. */
+    /** Does the work; an exception that it throws is logged. */
     void run() throws Exception;
   }
 
   /**
-   * Starts a thread, or throws {@link ThreadUnavailableException}: the runtime throws an {@link
-   * OutOfMemoryError}, which would pass the handlers of loops and end them.
+   * Starts a thread. Throws {@link ThreadUnavailableException} if that fails, instead of the
+   * runtime's {@link OutOfMemoryError}, which the exception handlers of loops would not catch and
+   * which would end the loops.
    */
   public static void start(String name, Task body) {
     start(newThread(name, logFailures(name, body)));
@@ -55,12 +56,12 @@
             }));
   }
 
-  /** A pool of at most {@code threads} threads; its callers have to bound the queue. */
+  /** Creates a pool of at most {@code threads} threads. The callers have to bound its queue. */
   public static TaskPool newPool(String name, int threads) {
     return new TaskPool(threads, r -> newThread(name, r));
   }
 
-  /** Wraps a body so that whatever ends it, errors included, is logged. */
+  /** Wraps a task so that any exception or error that ends it is logged. */
   public static Runnable logFailures(String name, Task body) {
     return () -> {
       try {
@@ -68,12 +69,12 @@
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       } catch (Exception | Error e) {
-        LOG.error("{} failed", name, e);
+        LOG.error("task failed: name={}", name, e);
       }
     };
   }
 
-  /** Makes the threads that serve connections. */
+  /** Returns the factory of the threads that serve connections. */
   static ThreadFactory connectionThreadFactory() {
     return r -> newThread("http", r);
   }
@@ -84,7 +85,7 @@
     return thread;
   }
 
-  /** Waits for {@link #RETRY_BACKOFF_MS}, or until interrupted. */
+  /** Waits for {@link #RETRY_BACKOFF_MS}, or until the thread is interrupted. */
   public static void backOff() {
     try {
       Thread.sleep(RETRY_BACKOFF_MS);
--- a/src/main/java/org/astershift/package-info.java
+++ b/src/main/java/org/astershift/package-info.java
@@ -1,2 +1,2 @@
-/** The program: entry point, options, and the wiring of a controller. */
+/** The program's entry point, its command-line options, and the assembly of a controller. */
 package org.astershift;
--- a/src/main/java/org/astershift/peer/PeerClient.java
+++ b/src/main/java/org/astershift/peer/PeerClient.java
@@ -15,14 +15,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends requests to one other controller, each with a deadline. Callable from any thread. */
+/** Sends requests to one other controller, each with a timeout. Thread-safe. */
 public final class PeerClient {
   private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
 
-  /** Milliseconds for which a controller is not asked again after a timeout. */
+  /** Time for which no request is sent after one has timed out, in milliseconds. */
   private static final long PEER_BACKOFF_MS = 1000;
 
-  /** Milliseconds for a request forwarded to the leader, within the two seconds of a poll. */
+  /**
+   * Timeout of a request forwarded to the leader, in milliseconds; lies within the two seconds that
+   * a status poll may take.
+   */
   public static final int PEER_TIMEOUT_MS = 1500;
 
   private final Settings.Endpoint endpoint;
@@ -32,21 +35,23 @@
   /** A connection without a request in flight. */
   private record IdleConnection(Socket socket, long idleSinceNs) {}
 
-  /** Connects at the first request. */
+  /** Creates a client, which connects at the first request. */
   public PeerClient(Settings.Endpoint endpoint) {
     this.endpoint = endpoint;
   }
 
   /**
-   * Sends a request and waits for its answer. Fails at once for a while after a timeout: callers
-   * have alternatives, and each would wait for the whole deadline.
+   * Sends a request and waits for the response. For {@link #PEER_BACKOFF_MS} after a timeout,
+   * requests fail immediately: callers have alternatives, and otherwise each of them would wait for
+   * the whole timeout.
    *
-   * @throws IOException without an answer in time; the request may have been handled
+   * @throws IOException if no valid response arrives in time; the request may have been handled
    */
   public PeerResponse send(PeerOperation operation, String argument, int timeoutMs)
       throws IOException {
     if (System.nanoTime() - backoffUntilNs < 0) {
-      throw new IOException("did not answer a moment ago");
+      throw new IOException(
+          "not sent: the peer timed out within the last " + PEER_BACKOFF_MS + " ms");
     }
     try {
       Socket reused = takeIdle();
@@ -56,9 +61,9 @@
         } catch (SocketTimeoutException e) {
           throw e;
         } catch (IOException e) {
-          // Closed by the peer meanwhile, as after its restart, which is no sign of a partition.
-          // All requests are idempotent.
-          LOG.debug("idle peer connection was closed: {}", e.toString());
+          // The peer has closed the connection, for example by restarting, which is no sign of a
+          // partition. The request is sent again: all requests are idempotent.
+          LOG.debug("idle peer connection was closed, connecting again: {}", e.toString());
         }
       }
       return call(null, operation, argument, timeoutMs);
@@ -84,11 +89,11 @@
       DataOutputStream out =
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
       PeerCodec.write(out, new PeerCodec.PeerRequest(operation.wireName(), argument));
-      PeerResponse answer = PeerCodec.readResponse(new DataInputStream(socket.getInputStream()));
+      PeerResponse response = PeerCodec.readResponse(new DataInputStream(socket.getInputStream()));
       succeeded = true;
-      return answer;
+      return response;
     } catch (RuntimeException e) {
-      throw new IOException("broken answer: " + e, e);
+      throw new IOException("malformed peer response: " + e, e);
     } finally {
       if (succeeded) {
         returnIdle(socket);
--- a/src/main/java/org/astershift/peer/PeerCodec.java
+++ b/src/main/java/org/astershift/peer/PeerCodec.java
@@ -7,13 +7,16 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Frames between controllers: a length of four bytes, then one MessagePack array. */
+/**
+ * Encodes and decodes the frames between controllers: a length of four bytes, then one MessagePack
+ * array.
+ */
 final class PeerCodec {
   private static final int MAX_FRAME_BYTES = 64 * 1024;
 
   private PeerCodec() {}
 
-  /** A request as it is on the wire; {@code jobId}: the argument of whatever operation. */
+  /** A request between controllers; the meaning of {@code argument} depends on the operation. */
   record PeerRequest(String operation, String argument) {}
 
   static void write(DataOutputStream out, PeerRequest request) throws IOException {
@@ -23,15 +26,15 @@
     }
   }
 
-  static void write(DataOutputStream out, PeerResponse answer) throws IOException {
+  static void write(DataOutputStream out, PeerResponse response) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packer.packArrayHeader(4).packInt(answer.status());
-      if (answer.phase() == null) {
+      packer.packArrayHeader(4).packInt(response.status());
+      if (response.phase() == null) {
         packer.packNil();
       } else {
-        packer.packString(answer.phase());
+        packer.packString(response.phase());
       }
-      packer.packInt(answer.doneTasks()).packInt(answer.runningTasks());
+      packer.packInt(response.doneTasks()).packInt(response.runningTasks());
       writeFrame(out, packer.toByteArray());
     }
   }
--- a/src/main/java/org/astershift/peer/PeerOperation.java
+++ b/src/main/java/org/astershift/peer/PeerOperation.java
@@ -1,39 +1,39 @@
 package org.astershift.peer;
 
-/** What one controller may ask another, with the words that requests carry. */
+/** Operations that one controller may request from another, with their names in requests. */
 public enum PeerOperation {
-  /** The state of a job, from the leader. */
+  /** Asks the leader for the state of a job. */
   POLL_JOB("poll"),
-  /** The cancellation of a job, by the leader. */
+  /** Asks the leader to cancel a job. */
   CANCEL_JOB("cancel"),
-  /** Whether the store answers there, and who leads. */
+  /** Asks whether the store responds to the other controller, and which node leads. */
   STORE_STATUS("state"),
-  /** How much of the fleet the other controller reaches. */
+  /** Asks how much of the fleet the other controller reaches. */
   WORKER_REACHABILITY("reach"),
   /** Announces a transfer of the leadership; the argument names the successor. */
   ANNOUNCE_TRANSFER("yield"),
-  /** Whether machines answer there; the argument holds their addresses. */
+  /** Asks whether machines respond to the other controller; the argument holds their addresses. */
   PROBE_MACHINES("witness"),
-  /** A request of a later version. */
+  /** An operation that only a later version knows. */
   UNKNOWN("");
 
   private static final PeerOperation[] ALL = values();
 
   private final String wireName;
 
-  PeerOperation(String word) {
-    this.wireName = word;
+  PeerOperation(String wireName) {
+    this.wireName = wireName;
   }
 
-  /** The word in a request. */
+  /** Returns the name of the operation in requests. */
   public String wireName() {
     return wireName;
   }
 
-  /** The operation of this word; {@link #UNKNOWN} if there is none. */
-  public static PeerOperation fromWireName(String word) {
+  /** Returns the operation with this name in requests; {@link #UNKNOWN} if there is none. */
+  public static PeerOperation fromWireName(String name) {
     for (PeerOperation operation : ALL) {
-      if (operation.wireName.equals(word)) {
+      if (operation.wireName.equals(name)) {
         return operation;
       }
     }
--- a/src/main/java/org/astershift/peer/PeerResponse.java
+++ b/src/main/java/org/astershift/peer/PeerResponse.java
@@ -1,15 +1,16 @@
 package org.astershift.peer;
 
 /**
- * An answer between controllers, as one frame carries it: status 200, 404, or 503 while nothing can
- * be said. Of a job, {@code phase} and the counts of its tasks; other operations use the fields
- * their own way, which only their encoders and decoders know.
+ * A response between controllers, sent as one frame. The status is 200, 404, or 503 while the
+ * request cannot be answered. For operations on a job, {@code phase} and the counts of tasks
+ * describe that job; other operations use the fields in their own way, which only their encoders
+ * and decoders know.
  */
 public record PeerResponse(int status, String phase, int doneTasks, int runningTasks) {
-  /** No job has this id. */
+  /** Response to a request for a job id that no job has. */
   public static final PeerResponse NOT_FOUND = new PeerResponse(404, null, 0, 0);
 
-  /** Nothing can be said now; the request may be repeated. */
+  /** Response to a request that cannot be answered at present; the sender may repeat it. */
   public static final PeerResponse UNAVAILABLE = new PeerResponse(503, null, 0, 0);
 
   /** Phases of a job, as users see them. */
@@ -19,37 +20,40 @@
   private static final String DONE = "done";
   private static final String CANCELLED = "withdrawn";
 
-  /** A live job of which no progress is known here. */
+  /** Returns the response for a live job whose progress this node does not know. */
   public static PeerResponse ofAccepted() {
     return new PeerResponse(200, QUEUED, 0, 0);
   }
 
-  /** A live job with its progress. */
+  /** Returns the response for a live job with its progress. */
   public static PeerResponse ofLive(boolean running, int doneTasks, int runningTasks) {
     return new PeerResponse(200, running ? RUNNING : QUEUED, doneTasks, runningTasks);
   }
 
-  /** A job that has ended. */
+  /** Returns the response for a job that is done or was cancelled. */
   public static PeerResponse ofEnded(boolean cancelled, int doneTasks) {
     return new PeerResponse(200, cancelled ? CANCELLED : DONE, doneTasks, 0);
   }
 
-  /** Whether there is an answer other than that nothing is known or can be said. */
+  /**
+   * Returns whether the request was answered, with neither {@link #NOT_FOUND} nor {@link
+   * #UNAVAILABLE}.
+   */
   public boolean isOk() {
     return status == 200;
   }
 
-  /** Whether nothing can be said now. */
+  /** Returns whether the request cannot be answered at present. */
   public boolean isUnavailable() {
     return status == 503;
   }
 
-  /** Whether the job was cancelled. */
+  /** Returns whether the job was cancelled. */
   public boolean isCancelled() {
     return CANCELLED.equals(phase);
   }
 
-  /** Whether the job is done or cancelled. */
+  /** Returns whether the job is done or was cancelled. */
   public boolean hasEnded() {
     return DONE.equals(phase) || isCancelled();
   }
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -15,13 +15,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Serves the requests of the other controllers, a thread for each connection. */
+/** Serves the requests of the other controllers, with one thread per connection. */
 public final class PeerServer {
   private static final Logger LOG = LoggerFactory.getLogger(PeerServer.class);
 
-  /** Answers a request without forwarding it. */
+  /** Handles the requests of other controllers, without forwarding them. */
   public interface RequestHandler {
-    /** {@code operation} may be {@link PeerOperation#UNKNOWN}. */
+    /**
+     * Returns the response to a request; {@code operation} may be {@link PeerOperation#UNKNOWN}.
+     */
     PeerResponse handle(PeerOperation operation, String argument) throws InterruptedException;
   }
 
@@ -29,13 +31,13 @@
   private final RequestHandler handler;
   private final Semaphore connectionSlots = new Semaphore(ThreadBudget.PEER_CONNECTIONS);
 
-  /** Listens from now on; connections are accepted after {@link #start}. */
+  /** Creates a server that listens from now on; connections are accepted after {@link #start}. */
   public PeerServer(String host, int port, RequestHandler handler) throws IOException {
     this.handler = handler;
     this.server = HttpServer.listen(host, port, ThreadBudget.PEER_CONNECTIONS);
   }
 
-  /** Starts to accept connections. */
+  /** Starts accepting connections. */
   public void start() {
     Threads.startLoop("peer-accept", this::acceptLoop);
   }
@@ -51,7 +53,7 @@
         try {
           Threads.start("peer", () -> serve(socket));
         } catch (ThreadUnavailableException e) {
-          connectionSlots.release(); // nobody serves this connection
+          connectionSlots.release(); // no thread serves this connection
           socket.close();
           throw e;
         }
@@ -76,7 +78,7 @@
             handler.handle(PeerOperation.fromWireName(request.operation()), request.argument()));
       }
     } catch (IOException | RuntimeException e) {
-      LOG.debug("peer connection: {}", e.toString());
+      LOG.debug("peer connection ended: {}", e.toString());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
--- a/src/main/java/org/astershift/peer/package-info.java
+++ b/src/main/java/org/astershift/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Requests between controllers: client, server and frames. */
+/** The protocol between controllers: client, server and wire format. */
 package org.astershift.peer;
--- a/src/main/java/org/astershift/store/EnumCodes.java
+++ b/src/main/java/org/astershift/store/EnumCodes.java
@@ -4,8 +4,8 @@
 import org.astershift.scheduler.Priority;
 
 /**
- * The numbers by which stored records name kinds and priorities. Records outlive releases: a number
- * never changes its meaning, whatever becomes of the order or the names in the enums.
+ * Codes of job kinds and priorities in stored records. Records outlive releases: the meaning of a
+ * code never changes, even if the enum constants are reordered or renamed.
  */
 final class EnumCodes {
   private EnumCodes() {}
@@ -18,13 +18,16 @@
     };
   }
 
-  /** Throws an unchecked exception for a number that no release has written. */
+  /**
+   * Returns the job kind with this code; throws {@link IllegalArgumentException} for a code that no
+   * release has written.
+   */
   static JobKind jobKind(long code) {
     return switch ((int) code) {
       case 0 -> JobKind.ARRAY;
       case 1 -> JobKind.GANG;
       case 2 -> JobKind.SERVICE;
-      default -> throw new IllegalArgumentException("no job kind has the code " + code);
+      default -> throw new IllegalArgumentException("unknown job kind code: " + code);
     };
   }
 
@@ -37,14 +40,17 @@
     };
   }
 
-  /** Throws an unchecked exception for a number that no release has written. */
+  /**
+   * Returns the priority with this code; throws {@link IllegalArgumentException} for a code that no
+   * release has written.
+   */
   static Priority priority(long code) {
     return switch ((int) code) {
       case 0 -> Priority.PRODUCTION;
       case 1 -> Priority.HIGH;
       case 2 -> Priority.NORMAL;
       case 3 -> Priority.LOW;
-      default -> throw new IllegalArgumentException("no priority has the code " + code);
+      default -> throw new IllegalArgumentException("unknown priority code: " + code);
     };
   }
 }
--- a/src/main/java/org/astershift/store/RateLimiter.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -4,27 +4,32 @@
 import java.util.Deque;
 
 /**
- * Token bucket for this node's share of a limit per second that all nodes share. Interactive
- * requests are served first in, first out, so that no burst of one kind starves the others;
- * background requests get what these leave. Callable from any thread.
+ * Token bucket that limits this node to its share of a rate limit, in permits per second, that all
+ * nodes share. Interactive requests are served first in, first out, so that a burst of one kind
+ * does not starve the others; background requests get only the permits that interactive ones leave.
+ * Thread-safe.
  */
 public final class RateLimiter {
-  /** Share of the burst that background requests must leave. */
+  /** Share of the burst that background requests must leave unused. */
   private static final double BACKGROUND_RESERVE_SHARE = 0.5;
 
-  /** Seconds without requests after the store has answered that the limit is reached. */
+  /**
+   * Pause in requests after the store has rejected one because the shared limit was reached, in
+   * seconds.
+   */
   static final double LIMIT_REACHED_PAUSE_S = 0.1;
 
-  /** Order of service. */
+  /** How urgent a request is: decides which of the waiting requests is served next. */
   public enum Urgency {
     /**
-     * The leader's key and lease: before all waiting requests, since a renewal queued behind a
-     * lasting overload would cost every leader its lease.
+     * A request for the leader key or its lease. Served before all waiting requests: during a
+     * lasting overload, a renewal at the end of the queue would be too late, and every leader would
+     * lose its lease.
      */
     LEASE,
-    /** A user or a task start waits for it. */
+    /** A request that a user or a task start waits for. */
     INTERACTIVE,
-    /** Nobody waits for it. */
+    /** A request that neither a user nor a task start waits for. */
     BACKGROUND
   }
 
@@ -37,10 +42,12 @@
   private double availablePermits;
   private long lastRefillNs;
 
-  /** Waiting callers but those of background requests, in the order of service. */
+  /**
+   * Waiting callers in the order in which they are served, excluding those of background requests.
+   */
   private final Deque<Object> waiters = new ArrayDeque<>();
 
-  /** A limiter with the whole limit, until {@link #setShare}. */
+  /** Creates a limiter that may use the whole limit until {@link #setShare} is called. */
   public RateLimiter(double limitPerS) {
     this.limitPerS = limitPerS;
     this.lastRefillNs = System.nanoTime();
@@ -49,8 +56,8 @@
   }
 
   /**
-   * Sets this node's share of the limit, and the burst as seconds of that share. Shares of all
-   * nodes may add up to more than the limit, which the store enforces.
+   * Sets this node's share of the limit, and its burst in seconds of that share. The shares of all
+   * nodes may add up to more than the limit, since the store enforces the limit itself.
    */
   public synchronized void setShare(double share, double burstS) {
     refill();
@@ -67,15 +74,18 @@
     lastRefillNs = nowNs;
   }
 
-  /** The store answered that the limit is reached: empties the bucket for a moment. */
+  /**
+   * Empties the bucket for {@link #LIMIT_REACHED_PAUSE_S}. To be called after the store has
+   * rejected a request because the shared limit was reached.
+   */
   public synchronized void drain() {
     refill();
     availablePermits = Math.min(availablePermits, 1 - ratePerS * LIMIT_REACHED_PAUSE_S);
   }
 
   /**
-   * Waits until {@code permits} are available; false, as soon as that is known, if it would take
-   * longer than {@code timeoutMs}.
+   * Acquires {@code permits} permits, waiting for them if necessary. Returns false without further
+   * waiting as soon as it is known that this would take longer than {@code timeoutMs}.
    */
   public synchronized boolean acquire(Urgency urgency, int permits, long timeoutMs)
       throws InterruptedException {
@@ -89,7 +99,8 @@
     try {
       while (true) {
         refill();
-        // A batch may overdraw: it must not wait until all of its permits are there at once.
+        // A batch may overdraw the bucket: it must not have to wait until all of its permits are
+        // available at once.
         double required =
             urgency == Urgency.BACKGROUND
                 ? Math.min(
@@ -115,13 +126,13 @@
   }
 
   private int positionOf(Object waiter) {
-    int count = 0;
+    int position = 0;
     for (Object other : waiters) {
       if (other == waiter) {
-        return count;
+        return position;
       }
-      count++;
+      position++;
     }
-    return count;
+    return position;
   }
 }
--- a/src/main/java/org/astershift/store/RecordCodec.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -13,45 +13,58 @@
 import org.astershift.scheduler.MachineType;
 
 /**
- * Keys and values in the store. Everything live is below one prefix, which all nodes watch. The
- * forms outlive releases: golden files hold them.
+ * Keys and values of the records in the store. All live records have one key prefix, which every
+ * node watches. Records outlive releases, so their format must stay compatible; golden files pin
+ * it.
  */
 public final class RecordCodec {
-  /** Most bytes of one page of leader records: each change rewrites its page. */
+  /**
+   * Maximum size of one page of leader records, in bytes: a change of one entry rewrites the whole
+   * page.
+   */
   public static final int MAX_PAGE_BYTES = 4096;
 
-  /** Tasks in one progress segment, which as base64 fits into a page. */
+  /**
+   * Number of tasks that one progress segment covers. A segment, encoded as base64, fits into one
+   * page.
+   */
   public static final int SEGMENT_TASKS = 16_384;
 
   private RecordCodec() {}
 
-  /** Prefix of all live keys. */
+  /** Prefix of the keys of all live records. */
   public static final String LIVE_PREFIX = "l/";
 
-  /** The key that the leader holds. */
+  /** Key that the leader holds under its lease. */
   public static final String LEADER_KEY = LIVE_PREFIX + "leader";
 
-  /** The machine types. */
+  /** Key of the record of the machine types. */
   public static final String MACHINE_TYPES_KEY = LIVE_PREFIX + "types";
 
-  /** Prefix of live jobs, by id. */
+  /** Prefix of the keys of live jobs; the job id follows. */
   public static final String LIVE_JOB_PREFIX = LIVE_PREFIX + "j/";
 
-  /** Prefix of the pages in which a leader keeps records for its successor. */
+  /** Prefix of the keys of the pages in which a leader keeps records for its successor. */
   public static final String LEADER_PAGE_PREFIX = LIVE_PREFIX + "n/";
 
-  /** Prefix of ended jobs, by id: kept for ever, and not watched, so that failover stays fast. */
+  /**
+   * Prefix of the keys of ended jobs; the job id follows. These records are kept indefinitely, and
+   * they are not watched, so that failover stays fast.
+   */
   public static final String ENDED_JOB_PREFIX = "d/";
 
-  /** The leader's key names its node. */
+  /** Encodes the value of the leader key: the name of the leader's node. */
   public static Map<String, Object> encodeLeader(String node) {
     return Map.of("node", node);
   }
 
-  /** A job's record; {@code submittedMs} is the time of day of its acceptance. */
+  /**
+   * The record of a live job; {@code submittedMs} is the wall-clock time at which the job was
+   * accepted, in milliseconds.
+   */
   public record JobRecord(JobSpec spec, long submittedMs) {}
 
-  /** A job as its record holds it. */
+  /** Encodes the record of a live job. */
   public static Map<String, Object> encodeJob(JobRecord record) {
     JobSpec spec = record.spec();
     Map<String, Object> fields = new LinkedHashMap<>();
@@ -84,7 +97,9 @@
     return fields;
   }
 
-  /** The job in a record; {@code key} is the key of the record. */
+  /**
+   * Decodes the record of a live job; {@code key} is the record's key, which contains the job id.
+   */
   public static JobRecord decodeJob(String key, Map<String, Object> fields)
       throws JsonFormatException {
     List<String> types = null;
@@ -119,37 +134,40 @@
     return new JobRecord(spec, Json.integer(fields, "at"));
   }
 
-  /** How a job ended. */
+  /** The record of an ended job: whether it was cancelled, and how many of its tasks were done. */
   public record JobEnd(boolean cancelled, int doneTasks) {}
 
-  /** A job's end as its record holds it. */
+  /** Encodes the record of an ended job. */
   public static Map<String, Object> encodeJobEnd(JobEnd end) {
     return Map.of("cancelled", end.cancelled(), "done", end.doneTasks());
   }
 
-  /** The end in a record. */
+  /** Decodes the record of an ended job. */
   public static JobEnd decodeJobEnd(Map<String, Object> fields) throws JsonFormatException {
     return new JobEnd(Json.bool(fields, "cancelled"), (int) Json.integer(fields, "done"));
   }
 
-  /** Progress segments of a job with so many tasks. */
+  /** Returns the number of progress segments of a job with {@code tasks} tasks. */
   public static int segmentCount(int tasks) {
     return (tasks + SEGMENT_TASKS - 1) / SEGMENT_TASKS;
   }
 
-  /** One segment of a job's done tasks: a bit for each task, as base64. */
+  /**
+   * Encodes one progress segment of a job: a bitmap of its done tasks, one bit for each task, as
+   * base64.
+   */
   public static String encodeSegment(BitSet done, int segment) {
     int from = segment * SEGMENT_TASKS;
     BitSet part = done.get(from, from + SEGMENT_TASKS);
     return Base64.getEncoder().encodeToString(part.toByteArray());
   }
 
-  /** The key of a segment among the leader records. */
+  /** Returns the key of a progress segment within the pages of leader records. */
   public static String progressKey(String jobId, int segment) {
     return jobId + "/" + segment;
   }
 
-  /** Adds the tasks of one progress segment to {@code done}; gives the job's id. */
+  /** Decodes one progress segment, adds its tasks to {@code done}, and returns the job id. */
   public static String mergeSegment(BitSet done, String key, Object value)
       throws JsonFormatException {
     int slash = key.lastIndexOf('/');
@@ -165,7 +183,7 @@
     }
   }
 
-  /** A machine as a page of machines holds it. */
+  /** Encodes a machine as the value of an entry in a page of machines. */
   public static List<Object> encodeMachine(Decision.RegisterMachine machine) {
     List<Object> values =
         new ArrayList<>(
@@ -177,26 +195,34 @@
     return values;
   }
 
-  /** The machine in an entry of a page of machines. */
+  /**
+   * Decodes an entry in a page of machines; {@code name} is the entry's key, the name of the
+   * machine.
+   */
   public static Decision.RegisterMachine decodeMachine(String name, Object value)
       throws JsonFormatException {
     if (value instanceof List<?> values
         && values.size() >= 4
         && values.get(2) instanceof Boolean spot
-        && values.get(3) instanceof Boolean fresh) {
-      String addr = values.size() > 4 ? String.valueOf(values.get(4)) : null;
+        && values.get(3) instanceof Boolean newlyProvisioned) {
+      String address = values.size() > 4 ? String.valueOf(values.get(4)) : null;
       return new Decision.RegisterMachine(
-          name, addr, String.valueOf(values.get(0)), String.valueOf(values.get(1)), spot, fresh);
+          name,
+          address,
+          String.valueOf(values.get(0)),
+          String.valueOf(values.get(1)),
+          spot,
+          newlyProvisioned);
     }
     throw new JsonFormatException("not a machine");
   }
 
-  /** A rental as a page of rentals holds it. */
+  /** Encodes a provisioning request as the value of an entry in a page of such requests. */
   public static List<Object> encodeProvisionRequest(Decision.ProvisionMachines request) {
     return List.of(request.typeName(), request.zone(), request.spot(), request.count());
   }
 
-  /** The rental in an entry of a page of rentals. */
+  /** Decodes the value of an entry in a page of provisioning requests. */
   public static Decision.ProvisionMachines decodeProvisionRequest(Object value)
       throws JsonFormatException {
     if (value instanceof List<?> values
@@ -209,7 +235,7 @@
     throw new JsonFormatException("not a rental");
   }
 
-  /** Machine types as their record holds them. */
+  /** Encodes the record of the machine types. */
   public static Map<String, Object> encodeMachineTypes(Map<String, MachineType> types) {
     List<Object> rows = new ArrayList<>();
     for (MachineType type : types.values()) {
@@ -232,7 +258,9 @@
     return Map.of("types", rows);
   }
 
-  /** The machine types in their record, by name. */
+  /**
+   * Decodes the record of the machine types; returns the types by name, in the order of the record.
+   */
   public static Map<String, MachineType> decodeMachineTypes(Map<String, Object> value)
       throws JsonFormatException {
     Map<String, MachineType> types = new LinkedHashMap<>();
@@ -268,12 +296,18 @@
     return types;
   }
 
-  /** The record that a job is opened, with the machines of its replicas, if any are named. */
+  /**
+   * Encodes the record that a job is open: the names of the machines of its replicas, or a
+   * placeholder if no machines are given.
+   */
   public static Object encodePlacement(List<String> machines) {
     return machines.isEmpty() ? (Object) 1 : String.join(" ", machines);
   }
 
-  /** The machines named by such a record; {@code value} null: there is none. */
+  /**
+   * Decodes the names of the replicas' machines from the record that a job is open. Returns an
+   * empty list if the record names none, or if {@code value} is null because there is no record.
+   */
   public static List<String> decodePlacement(Object value) {
     return value instanceof String s ? List.of(s.split(" ")) : List.of();
   }
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -14,41 +14,41 @@
 import org.astershift.http.RequestNotSentException;
 
 /**
- * Client of the consensus-backed key-value store, within this node's share of its rate limits.
- * Callable from any thread; calls block up to their timeouts.
+ * Client of the consensus-backed key-value store that stays within this node's share of the store's
+ * rate limits. Thread-safe; calls block up to their timeouts.
  */
 public final class StoreClient {
   /**
-   * Timeout of one attempt to renew the lease, milliseconds: leaves time for another attempt within
-   * the lease's duration.
+   * Timeout of one attempt to renew the leader's lease, in milliseconds; leaves time for another
+   * attempt within the lease's duration.
    */
   public static final int LEADER_LEASE_RENEW_TIMEOUT_MS = 700;
 
-  /** The leader's share of the store's limits; the followers share the rest. */
+  /** Share of the store's rate limits that the leader may use; the followers divide the rest. */
   public static final double LEADER_STORE_SHARE = 0.6;
 
-  /** Multiple of its equal part of the rest that a follower may use: rarely all do at once. */
+  /** Factor by which a follower may exceed its equal part of the rest: rarely all do at once. */
   private static final double FOLLOWER_OVERCOMMIT_FACTOR = 4;
 
   /**
-   * Burst of a follower, as seconds of its share: it only accepts jobs, which come in bursts at one
-   * node.
+   * Burst of a follower, in seconds of its share. A follower only accepts jobs, and submissions
+   * arrive in bursts at one node.
    */
   private static final double FOLLOWER_BURST_S = 3;
 
-  /** Timeout of one request, milliseconds. */
+  /** Timeout of one request, in milliseconds. */
   public static final int STORE_TIMEOUT_MS = 1500;
 
-  /** Milliseconds without a response after which the store counts as unavailable. */
+  /** Time without a response after which the store counts as unavailable, in milliseconds. */
   public static final long STORE_UNAVAILABLE_AFTER_MS = 1500;
 
-  /** Milliseconds that a watch blocks without changes. */
+  /** Time for which a watch request blocks if there are no changes, in milliseconds. */
   public static final int WATCH_BLOCK_MS = 10_000;
 
-  /** Milliseconds that a write may wait for the rate limit. */
+  /** Maximum time that a write may wait for the rate limit, in milliseconds. */
   public static final long STORE_RATE_WAIT_MS = 3000;
 
-  /** Most rows in one page of a list. */
+  /** Maximum number of rows in one page of a list. */
   static final int MAX_LIST_ROWS = 1000;
 
   private static final int OVER_LIMIT_STATUS = 429;
@@ -60,7 +60,7 @@
   private final int peerCount;
   private volatile long lastResponseNs = System.nanoTime();
 
-  /** A client of the store in the settings, with a follower's share. */
+  /** Creates a client of the store in the settings, with a follower's share of the rate limits. */
   public StoreClient(Settings settings) {
     String host = settings.store().host();
     int port = settings.store().port();
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Sets the share of the rate limits. All shares add up to more than one, since load is uneven;
-   * the store answers 429 when it is too much.
+   * Sets this node's share of the rate limits. The shares of all nodes add up to more than one,
+   * since load is uneven; if the nodes together exceed a limit, the store responds with 429.
    */
   public void setLeading(boolean leading) {
     if (peerCount > 0) {
@@ -88,12 +88,12 @@
     }
   }
 
-  /** Whether the store has not responded to this node for a while. */
+  /** Returns whether the store has not responded within {@link #STORE_UNAVAILABLE_AFTER_MS}. */
   public boolean isUnavailable() {
     return silenceMs() > STORE_UNAVAILABLE_AFTER_MS;
   }
 
-  /** Milliseconds since the store last responded to this node. */
+  /** Returns the milliseconds since the store's last response to this node other than a 503. */
   public long silenceMs() {
     return (System.nanoTime() - lastResponseNs) / 1_000_000;
   }
@@ -105,19 +105,22 @@
     return response;
   }
 
-  /** Reason of a rejection that repeats as long as the transaction is the same: too large. */
+  /** Reason of a rejection that the same transaction would meet again, since it is too large. */
   public static final String MALFORMED_REASON = "status 400";
 
-  /** One key; {@code data} null if it does not exist. */
+  /** A key, its value (null if the key does not exist), and the revision of its last change. */
   public record Entry(String key, Map<String, Object> data, long revision) {}
 
-  /** Part of the keys below a prefix. */
+  /** One page of the keys with a prefix, and the revision of the store when it was read. */
   public record Page(List<Entry> entries, boolean hasMore, long revision) {}
 
-  /** Changes since a revision; {@code compacted}: they are gone, and the keys must be listed. */
+  /**
+   * Changes after a revision, up to {@code revision}. If {@code compacted}, the store no longer has
+   * these changes, and the keys must be listed again.
+   */
   public record WatchResponse(List<Entry> entries, long revision, boolean compacted) {}
 
-  /** The store answered with an error; whether a change was applied is unknown. */
+  /** A request to the store failed; whether a change that it asked for was applied is unknown. */
   public static final class StoreException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -128,25 +131,25 @@
 
   /** The outcome of a transaction. */
   public sealed interface Outcome {
-    /** Applied, at this revision. */
+    /** The transaction was applied, at this revision. */
     record Committed(long revision) implements Outcome {}
 
-    /** Not applied: these keys had other revisions. */
+    /** The transaction was not applied, because these keys did not have the required revisions. */
     record ConditionFailed(Set<String> keys) implements Outcome {}
 
-    /** Not applied and never will be: rejected by the store, or not sent. */
+    /** The transaction will never be applied: the store rejected it, or it was not sent. */
     record Rejected(String reason) implements Outcome {}
 
-    /** No response: applied, not applied, or applied later. */
+    /** No valid response: the transaction was applied, was not applied, or is applied later. */
     record Unknown(String reason) implements Outcome {}
   }
 
-  /** A compare-and-swap over several keys. Built by one thread. */
+  /** A compare-and-swap over several keys. Must be built by one thread. */
   public static final class Transaction {
     private final List<Map<String, Object>> conditions = new ArrayList<>();
     private final List<Map<String, Object>> changes = new ArrayList<>();
 
-    /** Applied only if the key has this revision. */
+    /** Adds the condition that the key has this revision, else nothing is applied. */
     public Transaction requireRevision(String key, long revision) {
       Map<String, Object> condition = new LinkedHashMap<>();
       condition.put("k", key);
@@ -155,12 +158,12 @@
       return this;
     }
 
-    /** Sets a key without a lease. */
+    /** Adds a write of a key that is not attached to a lease. */
     public Transaction put(String key, Map<String, Object> value) {
       return put(key, value, 0);
     }
 
-    /** Sets a key, which is deleted when the lease ends; 0: no lease. */
+    /** Adds a write of a key that is deleted when {@code lease} ends; a lease of 0 means none. */
     public Transaction put(String key, Map<String, Object> value, long lease) {
       Map<String, Object> change = new LinkedHashMap<>();
       change.put("set", key);
@@ -172,19 +175,19 @@
       return this;
     }
 
-    /** Deletes a key. */
+    /** Adds the deletion of a key. */
     public Transaction delete(String key) {
       changes.add(Map.of("remove", key));
       return this;
     }
 
-    /** Number of changes, which the rate limit counts. */
+    /** Returns the number of changes, each of which counts against the rate limit of writes. */
     public int size() {
       return changes.size();
     }
   }
 
-  /** Reads a key; its entry has no data if it does not exist. */
+  /** Reads a key; the data of the returned entry is null if the key does not exist. */
   public Entry get(String key) throws IOException {
     HttpClient.Response response = call("GET", "/store/" + key, null);
     if (response.status() == 404) {
@@ -198,7 +201,7 @@
     }
   }
 
-  /** The revision of the key if it is attached to this lease; otherwise 0. */
+  /** Returns the revision of the key if the key is attached to this lease; otherwise 0. */
   public long revisionIfAttached(long lease, String key) throws IOException {
     HttpClient.Response response = call(RateLimiter.Urgency.LEASE, "GET", "/store/" + key, null);
     if (response.status() == 404) {
@@ -213,7 +216,10 @@
     }
   }
 
-  /** One page of the keys with a prefix; {@code after}: the last key before it, or null. */
+  /**
+   * Reads one page of the keys with a prefix. {@code after} is the last key of the previous page;
+   * null for the first page.
+   */
   public Page list(String prefix, String after) throws IOException {
     String path = "/store?starts=" + prefix + "&limit=" + MAX_LIST_ROWS;
     if (after != null) {
@@ -236,7 +242,10 @@
     }
   }
 
-  /** Blocks up to {@link #WATCH_BLOCK_MS} for changes of keys with a prefix after a revision. */
+  /**
+   * Returns the changes of keys with a prefix after revision {@code after}; waits up to {@link
+   * #WATCH_BLOCK_MS} if there are none.
+   */
   public WatchResponse watch(String prefix, long after) throws IOException {
     String path = "/watch?starts=" + prefix + "&from=" + after + "&block_ms=" + WATCH_BLOCK_MS;
     acquire(requests, RateLimiter.Urgency.INTERACTIVE);
@@ -265,8 +274,8 @@
   }
 
   /**
-   * Commits a transaction; rejected without being sent if the rate limit does not allow it within
-   * {@code timeoutMs}.
+   * Commits a transaction. If the rate limit does not allow a request within {@code timeoutMs}, the
+   * transaction is not sent, and the outcome is {@link Outcome.Rejected}.
    */
   public Outcome commit(Transaction txn, RateLimiter.Urgency urgency, long timeoutMs)
       throws InterruptedException {
@@ -278,14 +287,14 @@
       long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
       if (!writes.acquire(urgency, txn.size(), remainingMs)
           || !requests.acquire(urgency, 1, remainingMs)) {
-        return new Outcome.Rejected("over this node's share of the limits");
+        return new Outcome.Rejected("rate limit: timed out waiting for this node's share");
       }
       Outcome outcome = sendOnce(body);
       if (!(outcome instanceof Outcome.Rejected rejected
           && rejected.reason().equals(OVER_LIMIT_REASON))) {
         return outcome;
       }
-      writes.drain(); // the nodes together reached the limit
+      writes.drain(); // all nodes together have reached the limit
     }
   }
 
@@ -315,7 +324,7 @@
     }
   }
 
-  /** Grants a lease of this duration. */
+  /** Grants a lease with a duration of {@code ttlMs} and returns its id. */
   public long grantLease(long ttlMs) throws IOException {
     try {
       byte[] body = Json.encode(Map.of("life_ms", ttlMs));
@@ -326,7 +335,7 @@
     }
   }
 
-  /** Renews a lease; false if it has ended. */
+  /** Renews a lease; returns false if the lease has ended. */
   public boolean renewLease(long lease) throws IOException {
     String path = "/grants/" + lease + "/renew";
     HttpClient.Response response =
@@ -338,7 +347,7 @@
     return true;
   }
 
-  /** Ends a lease and deletes the keys attached to it. */
+  /** Ends a lease, which also deletes the keys attached to it. */
   public void revokeLease(long lease) throws IOException {
     requireOk(call(RateLimiter.Urgency.LEASE, "DELETE", "/grants/" + lease, null));
   }
@@ -361,7 +370,7 @@
     return response;
   }
 
-  /** The nodes together reached the limit: pauses this one. */
+  /** Pauses this node's requests if all nodes together have reached the limit. */
   private void backOffIfOverLimit(HttpClient.Response response) {
     if (response.status() == OVER_LIMIT_STATUS) {
       requests.drain();
@@ -371,7 +380,7 @@
   private static void acquire(RateLimiter limiter, RateLimiter.Urgency urgency) throws IOException {
     try {
       if (!limiter.acquire(urgency, 1, STORE_TIMEOUT_MS)) {
-        throw new StoreException("over this node's share of the limits");
+        throw new StoreException("rate limit: timed out waiting for this node's share");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/org/astershift/store/WatchCache.java
+++ b/src/main/java/org/astershift/store/WatchCache.java
@@ -11,14 +11,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Each node's copy of the live keys of the store, kept up to date by a watch, so that a failover
- * needs no reads. It may lag; what must be current is read from the store. Callable from any
- * thread.
+ * This node's copy of the live keys of the store, kept up to date by a watch, so that a failover
+ * needs no reads from the store. The copy may lag behind: data that must be current is read from
+ * the store itself. Thread-safe.
  */
 public class WatchCache {
   private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
 
-  /** Pause after a watch response, so that changes close together cost one request. */
+  /**
+   * Pause after a watch response, in milliseconds, so that changes in quick succession cost one
+   * request.
+   */
   private static final long WATCH_GAP_MS = 25;
 
   private final StoreClient store;
@@ -26,44 +29,49 @@
   private long revision = -1;
   private Listener listener = changes -> {};
 
-  /** Gets changes in the order of their revisions. */
+  /** Receives changes in the order of their revisions. */
   public interface Listener {
-    /** In the thread that applies the changes, without the cache's lock. */
+    /** Called on the thread that applies the changes, without holding the cache's lock. */
     void onChanges(List<StoreClient.Entry> changes);
   }
 
-  /** Empty until {@link #start}. */
+  /** Creates a cache that is empty until {@link #start} is called. */
   public WatchCache(StoreClient store) {
     this.store = store;
   }
 
-  /** Starts to load and watch the store. */
+  /** Starts loading and watching the live keys, and reporting changes to the listener. */
   public void start(Listener listener) {
     this.listener = listener;
     Threads.startLoop("watch", this::watchLoop);
   }
 
-  /** Whether the cache holds a state of the store. */
+  /** Returns whether the live keys have been loaded. */
   public synchronized boolean isLoaded() {
     return revision >= 0;
   }
 
-  /** The revision of the store that the cache shows; -1 before it is loaded. */
+  /**
+   * Returns the store revision that the cache reflects; -1 before the live keys have been loaded.
+   */
   public synchronized long revision() {
     return revision;
   }
 
-  /** The key as far as the cache knows; null if it does not exist. */
+  /** Returns the cached entry of a key; null if the cache has none. */
   public synchronized StoreClient.Entry get(String key) {
     return entries.get(key);
   }
 
-  /** The keys with this prefix, in order. */
+  /** Returns the cached entries whose keys have this prefix, in key order. */
   public synchronized List<StoreClient.Entry> entriesWithPrefix(String prefix) {
     return new ArrayList<>(entries.subMap(prefix, prefix + Character.MAX_VALUE).values());
   }
 
-  /** Waits until the cache has reached this revision; false if the time is up before. */
+  /**
+   * Waits until the cache has reached {@code targetRevision}; returns false if that takes longer
+   * than {@code timeoutMs}.
+   */
   public synchronized boolean awaitRevision(long targetRevision, long timeoutMs)
       throws InterruptedException {
     long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000;
@@ -85,33 +93,36 @@
         }
         StoreClient.WatchResponse response = store.watch(RecordCodec.LIVE_PREFIX, revision);
         if (response.compacted()) {
-          LOG.info("watch fell behind compaction: reloading");
+          LOG.info("watch revision was compacted in the store; listing all live keys again");
           reload();
         } else if (response.revision() > revision) {
           apply(response.entries(), response.revision());
           Thread.sleep(WATCH_GAP_MS);
         }
       } catch (IOException | RuntimeException e) {
-        LOG.debug("watch failed: {}", e.toString());
+        LOG.debug("watching the store failed, retrying: {}", e.toString());
         Threads.backOff();
       }
     }
   }
 
-  /** Lists all live keys. Later pages may be newer; the watch goes on from the first one's. */
+  /**
+   * Replaces the content of the cache by a list of all live keys. Later pages may show a newer
+   * revision than the first; the watch continues from the revision of the first page.
+   */
   private void reload() throws IOException {
     Map<String, StoreClient.Entry> latest = new HashMap<>();
     long firstRevision = -1;
     String after = null;
-    boolean more = true;
-    while (more) {
+    boolean hasMore = true;
+    while (hasMore) {
       StoreClient.Page page = store.list(RecordCodec.LIVE_PREFIX, after);
       firstRevision = firstRevision < 0 ? page.revision() : firstRevision;
       for (StoreClient.Entry entry : page.entries()) {
         latest.put(entry.key(), entry);
         after = entry.key();
       }
-      more = page.hasMore() && !page.entries().isEmpty();
+      hasMore = page.hasMore() && !page.entries().isEmpty();
     }
     List<StoreClient.Entry> changes = new ArrayList<>();
     synchronized (this) {
--- a/src/main/java/org/astershift/store/package-info.java
+++ b/src/main/java/org/astershift/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The consensus-backed key-value store: its client, the rate limits that all nodes share, each
- * node's cache, and the forms of stored records.
+ * Access to the consensus-backed key-value store: its client, the limiter of request rates, this
+ * node's cache of live records, and the format of stored records.
  */
 package org.astershift.store;
--- a/src/main/java/org/astershift/worker/CommandSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -13,18 +13,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends commands to workers over HTTP. Safe for use by several threads. */
+/** Sends commands to workers over HTTP. Thread-safe. */
 public final class CommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
 
-  /** Workers whose clients are kept, each with an idle connection. */
+  /** Maximum number of workers whose clients are kept, each with an idle connection. */
   private static final int KEPT_WORKER_CONNECTIONS = 100;
 
   private static final int MAX_PORT = 65_535;
 
   /**
-   * The most recently used clients; locked by itself. Bounded so that sockets are left for incoming
-   * connections.
+   * The most recently used clients by address, guarded by the map's own lock. Their number is
+   * bounded so that sockets are left for incoming connections.
    */
   private final Map<String, HttpClient> clients =
       new LinkedHashMap<>(16, 0.75f, true) {
@@ -43,12 +43,15 @@
   /**
    * Result of a request with commands.
    *
-   * @param outcomeUnknown the commands may have been executed, or may be later
+   * @param outcomeUnknown whether the commands may have been executed, or may be executed later
    * @param heartbeat the worker's status in its response; null if there is none
    */
   public record Result(boolean outcomeUnknown, Heartbeat heartbeat) {}
 
-  /** Whether the worker answers a request that needs no fencing token and changes nothing. */
+  /**
+   * Returns whether the worker responds to a request that needs no fencing token and changes
+   * nothing.
+   */
   public boolean isReachable(String address, int timeoutMs) {
     int separator = portSeparator(address);
     if (separator < 0) {
@@ -62,7 +65,9 @@
     }
   }
 
-  /** Index of the colon before the port; -1 if this is not an address. */
+  /**
+   * Returns the index of the colon before the port; -1 if {@code address} is not a valid address.
+   */
   private static int portSeparator(String address) {
     int separator = address.lastIndexOf(':');
     String port = address.substring(separator + 1);
@@ -74,9 +79,9 @@
   }
 
   /**
-   * Sends commands to one incarnation of a worker's agent. {@code commands} is called once the
-   * connection is established, and not at all without one: by then the leader's lease may have
-   * expired or the agent may have restarted.
+   * Sends commands to one incarnation of a worker's agent. {@code commands} is called only once the
+   * connection is established, since by then the leader's lease may have expired or the agent may
+   * have restarted; without a connection it is not called at all.
    */
   public Result send(
       String address,
@@ -105,7 +110,8 @@
       LOG.debug("commands not sent: address={}: {}", address, e.toString());
       return new Result(false, null);
     } catch (IOException | JsonFormatException e) {
-      LOG.info("commands without a response: address={}: {}", address, e.toString());
+      LOG.info(
+          "no valid response to commands, outcome unknown: address={}: {}", address, e.toString());
       return new Result(true, null);
     }
   }
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -14,8 +14,8 @@
 import org.astershift.scheduler.Heartbeat;
 
 /**
- * Maps heartbeats and commands to the wire format of the worker protocol. Heartbeats are most of
- * what a leader reads, so they are streamed without intermediate maps.
+ * Encodes commands and decodes heartbeats in the wire format of the worker protocol. Heartbeats are
+ * most of what a leader reads, so they are parsed as a stream, without intermediate maps.
  */
 public final class WorkerCodec {
   private static final JsonFactory JSON = new JsonFactory();
@@ -23,7 +23,10 @@
 
   private WorkerCodec() {}
 
-  /** Reads a heartbeat. A single invalid field rejects all of it: a part of it would mislead. */
+  /**
+   * Reads a heartbeat. A single invalid field rejects the whole heartbeat, since a part of it would
+   * be misleading.
+   */
   public static Heartbeat readHeartbeat(byte[] text) throws JsonFormatException {
     try (JsonParser parser = JSON.createParser(text)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -44,7 +47,7 @@
     }
   }
 
-  /** The fields of a heartbeat read so far. */
+  /** The fields of a heartbeat that have been read so far. */
   private static final class HeartbeatBuilder {
     private String machineName;
     private String address;
@@ -209,12 +212,14 @@
     return word.equals("halted") ? "stopped" : word;
   }
 
-  /** The body of the response to a heartbeat. */
+  /** Encodes the body of the response to a heartbeat. */
   public static byte[] encodeHeartbeatResponse(long fencingToken, List<Command> commands) {
     return write(fencingToken, -1, commands);
   }
 
-  /** The body of a request with commands; valid for one epoch of the agent only. */
+  /**
+   * Encodes the body of a request with commands, which is valid for one epoch of the agent only.
+   */
   public static byte[] encodeCommandRequest(long fencingToken, long epoch, List<Command> commands) {
     return write(fencingToken, epoch, commands);
   }
--- a/src/main/java/org/astershift/worker/package-info.java
+++ b/src/main/java/org/astershift/worker/package-info.java
@@ -1,2 +1,2 @@
-/** The worker protocol: its wire format, and sending commands to workers. */
+/** The worker protocol: its wire format, and the client that sends commands to workers. */
 package org.astershift.worker;
