--- a/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
+++ b/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
@@ -68,11 +68,11 @@
           out,
           held == m.heldAttemptCount(),
           m.name + " holds " + held + ", not " + m.heldAttemptCount());
-      same(out, m.name + " cpus", cpus, m.usedCpus());
-      same(out, m.name + " gpus", gpus, m.usedGpus());
-      same(out, m.name + " memory", memory, m.usedMemoryGb());
-      same(out, m.name + " replicas", replicas, m.replicaCpus());
-      same(out, m.name + " plain", plain, m.nonGpuCpus());
+      checkEqual(out, m.name + " cpus", cpus, m.usedCpus());
+      checkEqual(out, m.name + " gpus", gpus, m.usedGpus());
+      checkEqual(out, m.name + " memory", memory, m.usedMemoryGb());
+      checkEqual(out, m.name + " replicas", replicas, m.replicaCpus());
+      checkEqual(out, m.name + " plain", plain, m.nonGpuCpus());
       boolean hidden = (m.inherited && !m.fenced) || orphaned;
       check(out, hidden == m.mayHoldUnobservedUsage(), m.name + " in the dark: " + hidden);
       if (hidden) {
@@ -91,19 +91,19 @@
     for (Team team : c.limits.teams().values()) {
       double[] u = teams.getOrDefault(team.name(), new double[2]);
       double[] use = c.teamUsage(team.name());
-      same(out, team.name() + " cpus", u[0], use[0]);
-      same(out, team.name() + " gpus", u[1], use[1]);
+      checkEqual(out, team.name() + " cpus", u[0], use[0]);
+      checkEqual(out, team.name() + " gpus", u[1], use[1]);
       double[] left = c.remainingTeamQuota(team.name());
       if (team.maxCpus() > 0 && !unbounded) {
-        same(out, team.name() + " cpus left", team.maxCpus() - u[0] - dark, left[0]);
+        checkEqual(out, team.name() + " cpus left", team.maxCpus() - u[0] - dark, left[0]);
       }
       if (team.maxGpus() > 0 && !unbounded) {
-        same(out, team.name() + " gpus left", team.maxGpus() - u[1] - darkGpus, left[1]);
+        checkEqual(out, team.name() + " gpus left", team.maxGpus() - u[1] - darkGpus, left[1]);
       }
       check(out, !unbounded || !team.isLimited() || left[0] < 0 || left[1] < 0, "unbounded");
     }
     for (Job job : c.jobs.values()) {
-      job(c, out, job, byJob.getOrDefault(job, Set.of()));
+      checkJob(c, out, job, byJob.getOrDefault(job, Set.of()));
     }
     for (Job job : c.waitingJobs) {
       check(out, c.jobs.get(job.spec.id()) == job, job.spec.id() + " is over and waits");
@@ -114,7 +114,7 @@
     return out;
   }
 
-  private static void job(ClusterState c, List<String> out, Job job, Set<TaskAttempt> runs) {
+  private static void checkJob(ClusterState c, List<String> out, Job job, Set<TaskAttempt> runs) {
     String id = job.spec.id();
     int waiting = 0;
     int running = 0;
@@ -151,7 +151,7 @@
     check(out, !job.isComplete() || c.completionCandidates.contains(job), id + " is complete");
   }
 
-  private static void same(List<String> out, String what, double expected, double kept) {
+  private static void checkEqual(List<String> out, String what, double expected, double kept) {
     check(out, Math.abs(expected - kept) < TOLERANCE, what + ": " + expected + ", not " + kept);
   }
 
--- a/src/test/java/org/astershift/scheduler/EligibilityTest.java
+++ b/src/test/java/org/astershift/scheduler/EligibilityTest.java
@@ -78,7 +78,8 @@
         "spread, with types in one zone only | GANG 2 1 1 1 | - apart | 0 0 | two zones",
         "nothing at all | GANG 2 0 0 0 | - apart | 0 0 | runs",
       })
-  void says(String what, String takes, String where, String limits, String verdict) {
+  void rejectionReasonMatchesVerdict(
+      String what, String takes, String where, String limits, String verdict) {
     String[] j = takes.split(" ");
     String[] z = where.split(" ", 2);
     String[] l = limits.split(" ");
@@ -103,7 +104,7 @@
   }
 
   @Test
-  void offeredNowhereIsNoType() {
+  void typeOfferedInNoZoneFitsNoTask() {
     JobSpec spec = job(JobKind.ARRAY, 1, 1, 4, 1, List.of("gone"), null, false, false, false);
     Team team = new Team("t", 0, 0, 0, 0);
     List<MachineType> types = List.of(type("small", 0, "a"), type("gone", 4, ""));
@@ -117,7 +118,7 @@
    * accepted runs as a whole, and what is refused does not, and nothing breaks a limit meanwhile.
    */
   @Test
-  void whatIsAcceptedRunsAndWhatIsRefusedNeverWould() {
+  void acceptedJobsRunAndRejectedJobsCannot() {
     Map<String, Integer> verdicts = new TreeMap<>();
     for (int seed = 1; seed <= 400; seed++) {
       Random random = new Random(seed);
@@ -146,7 +147,7 @@
 
       String never = Eligibility.rejectionReason(spec, types.values(), team);
       verdicts.merge(never == null ? "runs as " + kind : never, 1, Integer::sum);
-      boolean ran = new Deployment(types, team).runs(spec, never == null ? 120 : 30);
+      boolean ran = new Deployment(types, team).runsWithin(spec, never == null ? 120 : 30);
       assertEquals(never == null, ran, "seed " + seed + ": " + never + ", " + spec + types + team);
     }
     assertEquals(6, verdicts.size(), verdicts.toString());
@@ -164,11 +165,11 @@
     private final Map<String, MachineType> types;
     private final Team team;
     private final Scheduler scheduler;
-    private final Map<String, Box> boxes = new TreeMap<>();
+    private final Map<String, FakeMachine> machines = new TreeMap<>();
     private JobSpec spec;
     private boolean finished;
-    private boolean whole;
-    private int made;
+    private boolean allTasksRan;
+    private int machinesCreated;
 
     Deployment(Map<String, MachineType> types, Team team) {
       this.types = types;
@@ -181,45 +182,45 @@
 
     private static final class Task {
       Command start;
-      long sinceMs;
+      long startedMs;
       boolean done;
 
-      Heartbeat.TaskStatus item() {
+      Heartbeat.TaskStatus status() {
         Heartbeat.TaskPhase phase = done ? Heartbeat.TaskPhase.EXITED : Heartbeat.TaskPhase.RUNNING;
         return new Heartbeat.TaskStatus(
             start.jobId(), start.index(), start.attemptNumber(), phase, done ? "done" : null);
       }
     }
 
-    private static final class Box {
+    private static final class FakeMachine {
       MachineType type;
       String zone;
       boolean spot;
-      long seq;
+      long sequence;
       final Map<Integer, Task> tasks = new TreeMap<>();
 
-      int running() {
+      int runningTasks() {
         return (int) tasks.values().stream().filter(t -> !t.done).count();
       }
     }
 
     /** Whether the job ran as a whole within so many seconds. */
-    boolean runs(JobSpec job, int seconds) {
+    boolean runsWithin(JobSpec job, int seconds) {
       spec = job;
       scheduler.addJob(job, false, new java.util.BitSet(), 0);
       for (long now = 0; now < seconds * 1000L; now += 500) {
         for (Decision d : scheduler.runPass(now, Long.MAX_VALUE / 4)) {
-          carryOut(d, now);
+          execute(d, now);
         }
-        work(now);
+        advanceMachines(now);
         if (finished) {
           return true;
         }
       }
-      return job.kind() == JobKind.SERVICE && running() == job.tasks();
+      return job.kind() == JobKind.SERVICE && runningTasks() == job.tasks();
     }
 
-    private void carryOut(Decision d, long now) {
+    private void execute(Decision d, long now) {
       if (d instanceof Decision.OpenJob o) {
         scheduler.onJobOpened(o.jobId());
       } else if (d instanceof Decision.FinishJob f) {
@@ -229,81 +230,91 @@
         scheduler.onMachineRegistered(e.machineName());
       } else if (d instanceof Decision.ProvisionMachines r) {
         assertTrue(r.count() > 0, () -> r + " for " + spec);
-        if (boxes.size() + r.count() > MACHINES) {
+        if (machines.size() + r.count() > MACHINES) {
           scheduler.onProvisioningFailed("r", r, true, now);
           return;
         }
         scheduler.onProvisioningStarted("r", r);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < Math.min(r.count(), ScaleOut.PROVISION_BATCH_MACHINES); i++) {
-          String name = "vm-" + ++made;
-          Box box = new Box();
+          String name = "vm-" + ++machinesCreated;
+          FakeMachine box = new FakeMachine();
           box.type = types.get(r.typeName());
           box.zone = r.zone();
           box.spot = r.spot();
-          boxes.put(name, box);
+          machines.put(name, box);
           names.add(name);
         }
         scheduler.onMachinesProvisioned("r", names, r, now);
       } else if (d instanceof Decision.ReleaseMachines r) {
         for (String name : r.machineNames()) {
-          assertEquals(0, boxes.remove(name).running(), () -> "given back under " + spec);
+          assertEquals(0, machines.remove(name).runningTasks(), () -> "given back under " + spec);
         }
         scheduler.onMachinesReleased(r.machineNames(), now);
       } else if (d instanceof Decision.SendCommands o) {
-        Box box = boxes.get(o.machineName());
-        obey(box, o.commands(), now);
-        scheduler.onCommandResult(o.machineName(), false, report(o.machineName(), box), now, now);
+        FakeMachine box = machines.get(o.machineName());
+        executeCommands(box, o.commands(), now);
+        scheduler.onCommandResult(
+            o.machineName(), false, heartbeat(o.machineName(), box), now, now);
       }
     }
 
-    private void obey(Box box, List<Command> orders, long now) {
+    private void executeCommands(FakeMachine box, List<Command> orders, long now) {
       for (Command o : orders) {
         switch (o.kind()) {
           case START -> {
             Task t = new Task();
             t.start = o;
-            t.sinceMs = now;
+            t.startedMs = now;
             box.tasks.putIfAbsent(o.index(), t);
           }
           case STOP, FORGET -> box.tasks.remove(o.index());
           default -> throw new IllegalStateException();
         }
       }
-      check();
+      checkInvariants();
     }
 
-    private Heartbeat report(String name, Box box) {
+    private Heartbeat heartbeat(String name, FakeMachine box) {
       List<Heartbeat.TaskStatus> items = new ArrayList<>();
-      box.tasks.values().forEach(t -> items.add(t.item()));
+      box.tasks.values().forEach(t -> items.add(t.status()));
       return new Heartbeat(
-          name, name + ":1", box.type.name(), box.zone, box.spot, 1, ++box.seq, 7, null, items);
+          name,
+          name + ":1",
+          box.type.name(),
+          box.zone,
+          box.spot,
+          1,
+          ++box.sequence,
+          7,
+          null,
+          items);
     }
 
-    private int running() {
-      return boxes.values().stream().mapToInt(Box::running).sum();
+    private int runningTasks() {
+      return machines.values().stream().mapToInt(FakeMachine::runningTasks).sum();
     }
 
-    private void work(long now) {
-      whole |= running() == spec.tasks();
-      for (Map.Entry<String, Box> e : new ArrayList<>(boxes.entrySet())) {
+    private void advanceMachines(long now) {
+      allTasksRan |= runningTasks() == spec.tasks();
+      for (Map.Entry<String, FakeMachine> e : new ArrayList<>(machines.entrySet())) {
         for (Task t : e.getValue().tasks.values()) {
-          boolean together = spec.kind() != JobKind.GANG || whole;
+          boolean together = spec.kind() != JobKind.GANG || allTasksRan;
           boolean ends = spec.kind() != JobKind.SERVICE && together;
-          t.done |= ends && now - t.sinceMs >= 1000;
+          t.done |= ends && now - t.startedMs >= 1000;
         }
-        List<Command> orders = scheduler.onHeartbeat(report(e.getKey(), e.getValue()), now, now);
-        obey(e.getValue(), orders, now);
+        List<Command> orders = scheduler.onHeartbeat(heartbeat(e.getKey(), e.getValue()), now, now);
+        executeCommands(e.getValue(), orders, now);
       }
       scheduler.drainUnpersistedProgress().forEach(scheduler::onProgressPersisted);
     }
 
     /** The rules, and what a report may hold. */
-    private void check() {
+    private void checkInvariants() {
       Map<String, Integer> zones = new TreeMap<>();
       int all = 0;
-      for (Box box : boxes.values()) {
-        int n = box.running();
+      for (FakeMachine box : machines.values()) {
+        int n = box.runningTasks();
         all += n;
         zones.merge(box.zone, n, Integer::sum);
         double tolerance = 1e-6;
--- a/src/test/java/org/astershift/scheduler/FuzzCloud.java
+++ b/src/test/java/org/astershift/scheduler/FuzzCloud.java
@@ -8,19 +8,19 @@
 /** The cloud: it boots, lists and deletes machines, late and with lost answers. */
 final class FuzzCloud {
   private final FuzzSimulation sim;
-  private final Map<String, List<String>> provisionedMachines = new HashMap<>();
-  private int machineNumber;
+  private final Map<String, List<String>> machinesByRequest = new HashMap<>();
+  private int lastMachineNumber;
 
   FuzzCloud(FuzzSimulation sim) {
     this.sim = sim;
   }
 
   FuzzWorker create(String type, String zone, boolean spot, long bootMs) {
-    String name = String.format("vm-%06d", ++machineNumber);
+    String name = String.format("vm-%06d", ++lastMachineNumber);
     FuzzWorker worker = new FuzzWorker(sim, name, type, zone, spot);
-    worker.createdMs = sim.now;
+    worker.createdMs = sim.nowMs;
     sim.workers.put(name, worker);
-    sim.after(bootMs, worker::up);
+    sim.after(bootMs, worker::boot);
     return worker;
   }
 
@@ -33,12 +33,14 @@
             return;
           }
           List<String> names =
-              provisionedMachines.computeIfAbsent(
+              machinesByRequest.computeIfAbsent(
                   name,
                   workerName -> {
                     List<String> listed = new ArrayList<>();
                     long present =
-                        sim.workers.values().stream().filter(worker -> worker.goneMs < 0).count();
+                        sim.workers.values().stream()
+                            .filter(worker -> worker.removedMs < 0)
+                            .count();
                     for (int i = 0;
                         i < request.count() && present + i < FuzzSimulation.MAX_MACHINES;
                         i++) {
@@ -79,7 +81,10 @@
                               name, names, request, controller.clock());
                         }
                         sim.store.write(
-                            controller, () -> sim.store.rentals.remove(name), ok -> {}, "i" + name);
+                            controller,
+                            () -> sim.store.provisionRequests.remove(name),
+                            ok -> {},
+                            "i" + name);
                       }));
         });
   }
@@ -92,9 +97,9 @@
           if (!lost) {
             for (String workerName : names) {
               FuzzWorker worker = sim.workers.get(workerName);
-              if (worker != null && worker.goneMs < 0) {
-                sim.logStory(workerName + " is given back");
-                worker.die(0);
+              if (worker != null && worker.removedMs < 0) {
+                sim.logEvent(workerName + " is given back");
+                worker.shutDown(0);
                 worker.deleted = true;
               }
             }
@@ -115,7 +120,7 @@
 
   /** A list as of some moment within twice the lag, which may be before that of the last one. */
   void listRepeatedly(FuzzController controller) {
-    if (controller.over) {
+    if (controller.terminated) {
       return;
     }
     if (!sim.cloudDown && !controller.paused) {
@@ -124,20 +129,20 @@
           sim.random.nextInt(100),
           () -> {
             long asOf =
-                sim.now - (long) (sim.random.nextDouble() * 2 * FuzzSimulation.LIST_LAG_S * 1000);
+                sim.nowMs - (long) (sim.random.nextDouble() * 2 * FuzzSimulation.LIST_LAG_S * 1000);
             List<ListedMachine> listed = new ArrayList<>();
             for (FuzzWorker worker : sim.workers.values()) {
               boolean gone =
-                  worker.goneMs >= 0
+                  worker.removedMs >= 0
                       && (worker.deleted || worker.preempted)
-                      && worker.goneMs <= asOf;
+                      && worker.removedMs <= asOf;
               if (worker.createdMs <= asOf && !gone) {
                 boolean failed =
-                    worker.goneMs >= 0
+                    worker.removedMs >= 0
                         && !worker.deleted
                         && !worker.preempted
-                        && worker.goneMs < asOf - 30000;
-                String state = failed ? "failed" : worker.upMs < 0 ? "starting" : "running";
+                        && worker.removedMs < asOf - 30000;
+                String state = failed ? "failed" : worker.bootedMs < 0 ? "starting" : "running";
                 double age = (asOf - worker.createdMs) / 1000.0;
                 listed.add(
                     new ListedMachine(
--- a/src/test/java/org/astershift/scheduler/FuzzController.java
+++ b/src/test/java/org/astershift/scheduler/FuzzController.java
@@ -21,22 +21,22 @@
   final long token;
   final Scheduler scheduler;
   final TermJobs termJobs;
-  final double rate;
-  final long offset;
-  final Map<String, Long> cutUntil = new HashMap<>();
-  final Map<String, Boolean> held = new HashMap<>();
-  final List<Runnable> queued = new ArrayList<>();
+  final double clockRate;
+  final long clockOffsetMs;
+  final Map<String, Long> cutUntilMs = new HashMap<>();
+  final Map<String, Boolean> cutHoldsMessages = new HashMap<>();
+  final List<Runnable> queuedInputs = new ArrayList<>();
   long leaseCertainUntilMs;
   boolean storeCut;
-  boolean over;
+  boolean terminated;
   boolean paused;
   boolean resumed;
-  int rentals;
+  int provisionRequests;
 
   FuzzController(FuzzSimulation sim, long token) {
     this.sim = sim;
-    this.rate = 1 + (sim.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
-    this.offset = sim.random.nextInt(1_000_000);
+    this.clockRate = 1 + (sim.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
+    this.clockOffsetMs = sim.random.nextInt(1_000_000);
     this.id = sim.controllers.size();
     this.token = token;
     this.scheduler = new Scheduler(sim.limits, OperatorSettings.defaults(), token);
@@ -44,40 +44,40 @@
   }
 
   long clock() {
-    return offset + (long) (sim.now * rate);
+    return clockOffsetMs + (long) (sim.nowMs * clockRate);
   }
 
   /** All inputs go through here; what comes while the process is paused is handled in any order. */
   void handle(Runnable input) {
-    if (over) {
+    if (terminated) {
       return;
     }
     if (paused) {
-      queued.add(input);
+      queuedInputs.add(input);
       return;
     }
     input.run();
-    if (over) {
+    if (terminated) {
       return;
     }
     List<String> differences = DerivedStateCheck.differences(scheduler.cluster());
     if (!differences.isEmpty()) {
-      sim.rules.broken.add("books at " + sim.now + ": " + differences);
+      sim.rules.violations.add("books at " + sim.nowMs + ": " + differences);
     }
     if (scheduler.isDeposed()) {
-      over("deposed");
+      terminated("deposed");
     }
   }
 
-  void over(String why) {
-    sim.logStory("controller " + id + " is over: " + why);
-    over = true;
+  void terminated(String why) {
+    sim.logEvent("controller " + id + " is over: " + why);
+    terminated = true;
     sim.controllers.remove(this);
   }
 
   void adopt(String job, long revision, boolean opened, BitSet done, long submitted) {
     if (termJobs.adopt(job, revision)) {
-      scheduler.addJob(sim.specs.get(job), opened, done, clock() - (sim.now - submitted));
+      scheduler.addJob(sim.specs.get(job), opened, done, clock() - (sim.nowMs - submitted));
     }
   }
 
@@ -99,33 +99,33 @@
             clock());
       }
     }
-    sim.store.live.forEach(
+    sim.store.liveJobRevisions.forEach(
         (job, revision) ->
             adopt(
                 job,
                 revision,
-                sim.store.opened.contains(job),
+                sim.store.openedJobs.contains(job),
                 (BitSet) sim.store.progress.getOrDefault(job, new BitSet()).clone(),
-                sim.store.submitted.get(job)));
+                sim.store.submittedMs.get(job)));
     termJobs.onLoaded();
-    sim.store.rentals.forEach(
+    sim.store.provisionRequests.forEach(
         (name, r) -> {
           scheduler.onProvisioningStarted(name, r);
           sim.cloud.provision(this, name, r);
         });
-    sim.logStory("controller " + id + " begins with token " + token);
+    sim.logEvent("controller " + id + " begins with token " + token);
     pass();
     sim.after(sim.random.nextInt(1000), () -> sim.cloud.listRepeatedly(this));
-    sim.after(300, this::save);
-    renew();
+    sim.after(300, this::persistProgress);
+    renewLease();
   }
 
-  void renew() {
-    if (over) {
+  void renewLease() {
+    if (terminated) {
       return;
     }
-    if (!sim.storeDown && !storeCut && !paused && sim.store.holder == this) {
-      sim.store.keyEndsMs = sim.now + FuzzSimulation.LEADER_LEASE_MS;
+    if (!sim.storeDown && !storeCut && !paused && sim.store.leaseHolder == this) {
+      sim.store.leaseEndsMs = sim.nowMs + FuzzSimulation.LEADER_LEASE_MS;
       long leaseCertainMs =
           clock()
               + (long) (FuzzSimulation.LEADER_LEASE_MS * (1 - 2 * ClockBounds.CLOCK_DRIFT_SHARE))
@@ -134,11 +134,11 @@
           sim.random.nextInt(20),
           () -> handle(() -> leaseCertainUntilMs = Math.max(leaseCertainUntilMs, leaseCertainMs)));
     }
-    sim.after(300, this::renew);
+    sim.after(300, this::renewLease);
   }
 
   void pass() {
-    if (over) {
+    if (terminated) {
       return;
     }
     handle(
@@ -150,15 +150,15 @@
             }
           }
           List<Decision> decisions = scheduler.runPass(clock(), leaseCertainUntilMs);
-          sim.digest.pass(sim.now, Long.toString(token), decisions);
+          sim.digest.pass(sim.nowMs, Long.toString(token), decisions);
           for (Decision decision : decisions) {
-            carryOut(decision);
+            execute(decision);
           }
         });
     sim.after(50 + sim.random.nextInt(scheduler.passRequested() ? 60 : 250), this::pass);
   }
 
-  void save() {
+  void persistProgress() {
     handle(
         () ->
             scheduler
@@ -166,41 +166,41 @@
                 .forEach(
                     (job, done) -> {
                       if (termJobs.manages(job)) {
-                        saveOne(job, done);
+                        persistJobProgress(job, done);
                       }
                     }));
-    if (!over) {
-      sim.after(500, this::save);
+    if (!terminated) {
+      sim.after(500, this::persistProgress);
     }
   }
 
-  private void saveOne(String job, BitSet done) {
+  private void persistJobProgress(String job, BitSet done) {
     sim.store.write(
         this,
         () -> sim.store.progress.computeIfAbsent(job, j -> new BitSet()).or(done),
         ok -> {
           if (ok != null && ok) {
             scheduler.onProgressPersisted(job, done);
-          } else if (!over && termJobs.manages(job)) {
-            sim.after(500, () -> handle(() -> saveOne(job, done)));
+          } else if (!terminated && termJobs.manages(job)) {
+            sim.after(500, () -> handle(() -> persistJobProgress(job, done)));
           }
         },
         "p" + job);
   }
 
-  private void repeat(Runnable write) {
+  private void retry(Runnable write) {
     sim.after(300, () -> handle(write));
   }
 
-  private void open(String job) {
+  private void persistJobOpened(String job) {
     sim.store.write(
         this,
-        () -> sim.store.opened.add(job),
+        () -> sim.store.openedJobs.add(job),
         ok -> {
           if (ok != null && ok) {
             scheduler.onJobOpened(job);
           } else if (termJobs.manages(job)) {
-            repeat(() -> open(job));
+            retry(() -> persistJobOpened(job));
           }
         },
         "o" + job);
@@ -214,7 +214,7 @@
           if (ok != null && ok) {
             scheduler.onMachineRegistered(registration.machineName());
           } else {
-            repeat(() -> register(registration));
+            retry(() -> register(registration));
           }
         },
         "m" + registration.machineName());
@@ -224,52 +224,53 @@
     sim.store.write(this, () -> sim.store.machines.remove(name), ok -> {}, "m" + name);
   }
 
-  void end(String job, boolean cancelled) {
+  void persistJobEnd(String job, boolean cancelled) {
     if (!termJobs.manages(job)) {
       return;
     }
     sim.store.write(
         this,
         () -> {
-          if (sim.store.ended.putIfAbsent(job, cancelled) == null) {
-            sim.store.live.remove(job);
-            sim.digest.jobOver(sim.now, job, cancelled, sim.specs.get(job).tasks());
-            sim.rules.onJobEnded(job, cancelled, sim.cancellationRequested.contains(job), sim.now);
-            sim.logStory(job + " is over, cancelled " + cancelled);
+          if (sim.store.endedJobs.putIfAbsent(job, cancelled) == null) {
+            sim.store.liveJobRevisions.remove(job);
+            sim.digest.jobOver(sim.nowMs, job, cancelled, sim.specs.get(job).tasks());
+            sim.rules.onJobEnded(
+                job, cancelled, sim.cancellationRequested.contains(job), sim.nowMs);
+            sim.logEvent(job + " is over, cancelled " + cancelled);
           }
         },
         ok -> {
-          Boolean end = ok == null ? null : sim.store.ended.get(job);
+          Boolean end = ok == null ? null : sim.store.endedJobs.get(job);
           if (end != null && termJobs.manages(job)) {
             termJobs.onEnded(job);
             scheduler.onJobEnded(job, end, clock());
-            sim.store.opened.remove(job);
+            sim.store.openedJobs.remove(job);
             sim.store.progress.remove(job);
-          } else if (!over && termJobs.manages(job)) {
+          } else if (!terminated && termJobs.manages(job)) {
             scheduler.onDecisionFailed(new Decision.FinishJob(job));
           }
         },
-        "d" + job + "/" + (++sim.order));
+        "d" + job + "/" + (++sim.lastEventNumber));
   }
 
-  private void carryOut(Decision decision) {
+  private void execute(Decision decision) {
     if (decision instanceof Decision.SendCommands commands) {
       long delayMs = sim.chance(sim.slow) ? sim.random.nextInt(2500) : sim.random.nextInt(30);
       sim.after(delayMs, () -> sim.network.sendDirect(this, commands));
     } else if (decision instanceof Decision.OpenJob opening) {
-      open(opening.jobId());
+      persistJobOpened(opening.jobId());
     } else if (decision instanceof Decision.FinishJob end) {
-      end(end.jobId(), false);
+      persistJobEnd(end.jobId(), false);
     } else if (decision instanceof Decision.RegisterMachine registration) {
       register(registration);
     } else if (decision instanceof Decision.DeregisterMachine removal) {
       deregister(removal.machineName());
     } else if (decision instanceof Decision.ProvisionMachines request) {
-      String name = token + "-" + ++rentals;
+      String name = token + "-" + ++provisionRequests;
       scheduler.onProvisioningStarted(name, request);
       sim.store.write(
           this,
-          () -> sim.store.rentals.put(name, request),
+          () -> sim.store.provisionRequests.put(name, request),
           ok -> {
             if (ok != null && ok) {
               sim.cloud.provision(this, name, request);
@@ -308,12 +309,12 @@
     if (sim.chance(sim.slow)) {
       delayMs += sim.random.nextInt(6000);
     }
-    Long until = cutUntil.get(machine + direction);
-    if (until != null && until > sim.now) {
-      if (!held.get(machine + direction)) {
+    Long until = cutUntilMs.get(machine + direction);
+    if (until != null && until > sim.nowMs) {
+      if (!cutHoldsMessages.get(machine + direction)) {
         return -1;
       }
-      delayMs += until - sim.now;
+      delayMs += until - sim.nowMs;
     }
     return delayMs;
   }
--- a/src/test/java/org/astershift/scheduler/FuzzFaults.java
+++ b/src/test/java/org/astershift/scheduler/FuzzFaults.java
@@ -23,7 +23,7 @@
   }
 
   void injectFaults() {
-    if (sim.now >= sim.faultsEndMs) {
+    if (sim.nowMs >= sim.faultsEndMs) {
       endFaults();
       return;
     }
@@ -31,12 +31,12 @@
     if (worker != null) {
       if (sim.chance(sim.deaths)) {
         sim.count("deaths");
-        sim.logStory(worker.name + " dies");
-        worker.die(0);
+        sim.logEvent(worker.name + " dies");
+        worker.shutDown(0);
       } else if (sim.chance(sim.restarts)) {
         sim.count("restarts");
-        sim.logStory(worker.name + " restarts");
-        worker.die(1 + sim.random.nextInt(4000));
+        sim.logEvent(worker.name + " restarts");
+        worker.shutDown(1 + sim.random.nextInt(4000));
       } else if (sim.chance(sim.hangs)) {
         sim.count("hangs");
         worker.hang(
@@ -48,18 +48,18 @@
         preempt(worker);
       }
       if (sim.chance(sim.cuts)) {
-        cut();
+        cutLinks();
       }
     }
-    FuzzController holder = sim.store.holder;
+    FuzzController holder = sim.store.leaseHolder;
     if (sim.chance(sim.failovers)) {
       sim.count("failovers");
       switch (sim.random.nextInt(4)) {
-        case 0 -> holder.over("crash");
+        case 0 -> holder.terminated("crash");
         case 1, 2 -> holder.storeCut = true;
         default -> {
-          holder.over("resigns");
-          sim.store.keyEndsMs = sim.now - 1;
+          holder.terminated("resigns");
+          sim.store.leaseEndsMs = sim.nowMs - 1;
         }
       }
     }
@@ -86,22 +86,22 @@
     double noticeS = 2 + sim.random.nextInt(6);
     if (sim.random.nextInt(3) > 0) {
       worker.preemptionNoticeS = noticeS;
-      worker.changed = true;
+      worker.statusChanged = true;
     }
     int incarnation = worker.incarnation;
     sim.after(
         (long) (noticeS * 1000),
         () -> {
           if (worker.incarnation == incarnation) {
-            sim.logStory(worker.name + " is preempted");
-            worker.die(0);
+            sim.logEvent(worker.name + " is preempted");
+            worker.shutDown(0);
             worker.preempted = true;
           }
         });
   }
 
   /** Of one machine, or a zone, towards one controller or all, one way or both, held or lost. */
-  private void cut() {
+  private void cutLinks() {
     sim.count("cuts");
     if (sim.controllers.isEmpty()) {
       return;
@@ -113,8 +113,8 @@
     FuzzController only = sim.controllers.get(sim.random.nextInt(sim.controllers.size()));
     int ways = sim.random.nextInt(3);
     boolean hold = sim.random.nextBoolean();
-    long until = sim.now + 500 + sim.random.nextInt(sim.random.nextInt(3) == 0 ? 30_000 : 6000);
-    sim.logStory("cut of " + (zone ? which : one.name) + " ways " + ways + " until " + until);
+    long until = sim.nowMs + 500 + sim.random.nextInt(sim.random.nextInt(3) == 0 ? 30_000 : 6000);
+    sim.logEvent("cut of " + (zone ? which : one.name) + " ways " + ways + " until " + until);
     for (FuzzWorker worker : sim.workers.values()) {
       if (zone ? !worker.zone.equals(which) : worker != one) {
         continue;
@@ -123,8 +123,8 @@
         if (queued || controller == only) {
           for (String direction : List.of("up", "down")) {
             if (ways == 2 || direction.equals(ways == 0 ? "up" : "down")) {
-              controller.cutUntil.put(worker.name + direction, until);
-              controller.held.put(worker.name + direction, hold);
+              controller.cutUntilMs.put(worker.name + direction, until);
+              controller.cutHoldsMessages.put(worker.name + direction, hold);
             }
           }
         }
@@ -137,14 +137,14 @@
       return;
     }
     controller.paused = true;
-    sim.logStory("controller " + controller.id + " stands still");
+    sim.logEvent("controller " + controller.id + " stands still");
     sim.after(
         200 + sim.random.nextInt(sim.random.nextInt(3) == 0 ? 20_000 : 4000),
         () -> {
           controller.paused = false;
           controller.resumed = true;
-          List<Runnable> queued = new ArrayList<>(controller.queued);
-          controller.queued.clear();
+          List<Runnable> queued = new ArrayList<>(controller.queuedInputs);
+          controller.queuedInputs.clear();
           Collections.shuffle(queued, sim.random);
           queued.forEach(r -> sim.after(sim.random.nextInt(300), () -> controller.handle(r)));
         });
@@ -152,10 +152,10 @@
 
   private void endFaults() {
     for (FuzzController controller : new ArrayList<>(sim.controllers)) {
-      controller.cutUntil.clear();
-      controller.storeCut &= controller != sim.store.holder;
-      if (controller != sim.store.holder) {
-        controller.over("ends");
+      controller.cutUntilMs.clear();
+      controller.storeCut &= controller != sim.store.leaseHolder;
+      if (controller != sim.store.leaseHolder) {
+        controller.terminated("ends");
       }
     }
     for (FuzzWorker worker : sim.workers.values()) {
--- a/src/test/java/org/astershift/scheduler/FuzzGang.java
+++ b/src/test/java/org/astershift/scheduler/FuzzGang.java
@@ -13,7 +13,7 @@
   /** A gang that still runs, undisturbed, completes as a whole. */
   void complete(FuzzSimulation sim) {
     for (FuzzWorker member : List.copyOf(members.values())) {
-      member.expire(); // takes what its lease no longer covers out of the gang
+      member.endTasksIfLeaseExpired(); // takes what its lease no longer covers out of the gang
     }
     boolean fine = !broken;
     for (Map.Entry<FuzzTask, FuzzWorker> entry : members.entrySet()) {
@@ -22,14 +22,16 @@
     if (!fine) {
       // Whoever hangs is gone for the others; these exit, and the last leases end the rest.
       for (Map.Entry<FuzzTask, FuzzWorker> entry : new LinkedHashMap<>(members).entrySet()) {
-        entry.getValue().later(0, () -> entry.getValue().exit(entry.getKey(), "peers"));
+        entry
+            .getValue()
+            .afterInIncarnation(0, () -> entry.getValue().exit(entry.getKey(), "peers"));
       }
       return;
     }
     broken = true;
     Map<FuzzTask, FuzzWorker> all = new LinkedHashMap<>(members);
     all.keySet().forEach(t -> sim.rules.onTaskCompleted(t.job, t.index));
-    all.keySet().forEach(t -> sim.digest.completed(sim.now, t.task()));
+    all.keySet().forEach(t -> sim.digest.completed(sim.nowMs, t.taskName()));
     all.forEach((t, w) -> w.exit(t, "done"));
   }
 }
--- a/src/test/java/org/astershift/scheduler/FuzzHeartbeats.java
+++ b/src/test/java/org/astershift/scheduler/FuzzHeartbeats.java
@@ -9,7 +9,7 @@
   private FuzzController target;
 
   /** Number of the heartbeat that waits for its answer; what answers an earlier one is late. */
-  private int outstanding;
+  private int outstandingNumber;
 
   private boolean awaitingAnswer;
   private long lastSentMs = -1000;
@@ -21,45 +21,45 @@
 
   /** The worker restarts. */
   void reset() {
-    outstanding++;
+    outstandingNumber++;
     awaitingAnswer = false;
   }
 
   void sendIfDue() {
     boolean due =
-        sim.now - lastSentMs
+        sim.nowMs - lastSentMs
             >= FuzzSimulation.HEARTBEAT_INTERVAL_MS * 3 / 4
                 + sim.random.nextInt((int) FuzzSimulation.HEARTBEAT_INTERVAL_MS / 2);
     if (!worker.hung
         && !awaitingAnswer
-        && (due || (worker.changed && sim.now - lastSentMs >= 500))) {
+        && (due || (worker.statusChanged && sim.nowMs - lastSentMs >= 500))) {
       send();
     }
   }
 
   private void send() {
-    worker.changed = false;
-    lastSentMs = sim.now;
-    if (target == null || target.over) {
+    worker.statusChanged = false;
+    lastSentMs = sim.nowMs;
+    if (target == null || target.terminated) {
       target =
           sim.controllers.isEmpty()
               ? null
               : sim.controllers.get(sim.random.nextInt(sim.controllers.size()));
     }
-    long sentMs = sim.now;
+    long sentMs = sim.nowMs;
     long sentEpoch = worker.epoch;
     Heartbeat heartbeat = worker.heartbeat();
     if (sim.chance(sim.copies)) {
       sim.count("copies");
       if (sim.random.nextInt(3) == 0) {
-        sim.keptHeartbeats.add(heartbeat);
+        sim.heartbeatsForNextLeader.add(heartbeat);
       } else {
         sim.after(500 + sim.random.nextInt(30_000), () -> sendCopyToAny(heartbeat));
       }
     }
-    int number = ++outstanding;
+    int number = ++outstandingNumber;
     awaitingAnswer = true;
-    worker.later(FuzzSimulation.ANSWER_TIMEOUT_MS, () -> onTimeout(number));
+    worker.afterInIncarnation(FuzzSimulation.ANSWER_TIMEOUT_MS, () -> onTimeout(number));
     FuzzController controller = target;
     if (controller == null) {
       return;
@@ -84,7 +84,7 @@
                         backMs,
                         () -> {
                           if (worker.alive && lifeThen == worker.incarnation) {
-                            worker.serve(
+                            worker.runOrDefer(
                                 () ->
                                     onAnswer(
                                         number,
@@ -109,21 +109,21 @@
   }
 
   private void onTimeout(int number) {
-    if (awaitingAnswer && outstanding == number) {
-      changeController();
+    if (awaitingAnswer && outstandingNumber == number) {
+      switchController();
     }
   }
 
-  private void changeController() {
+  private void switchController() {
     target = null;
-    outstanding++;
-    int number = outstanding;
-    worker.later(
+    outstandingNumber++;
+    int number = outstandingNumber;
+    worker.afterInIncarnation(
         1000,
         () -> {
-          if (outstanding == number) {
+          if (outstandingNumber == number) {
             awaitingAnswer = false;
-            worker.changed = true;
+            worker.statusChanged = true;
           }
         });
   }
@@ -135,11 +135,11 @@
       List<Command> commands,
       long sentMs,
       long sentEpoch) {
-    if (!awaitingAnswer || outstanding != number) {
+    if (!awaitingAnswer || outstandingNumber != number) {
       return;
     }
-    if (sim.now - sentMs > FuzzSimulation.ANSWER_TIMEOUT_MS || !accepted) {
-      changeController();
+    if (sim.nowMs - sentMs > FuzzSimulation.ANSWER_TIMEOUT_MS || !accepted) {
+      switchController();
       return;
     }
     awaitingAnswer = false;
--- a/src/test/java/org/astershift/scheduler/FuzzNetwork.java
+++ b/src/test/java/org/astershift/scheduler/FuzzNetwork.java
@@ -37,7 +37,7 @@
             return;
           }
           int incarnation = worker.incarnation;
-          long sentMs = sim.now;
+          long sentMs = sim.nowMs;
           sim.after(
               decision.timeoutMs(),
               () -> {
@@ -65,12 +65,12 @@
                 // One that was held on its way may reach the next incarnation of the machine.
                 if (!worker.alive
                     || (worker.incarnation != incarnation
-                        && (!reachesNext || sim.store.holder != controller))) {
+                        && (!reachesNext || sim.store.leaseHolder != controller))) {
                   return;
                 }
-                worker.serve(
+                worker.runOrDefer(
                     () -> {
-                      if (sim.now - sentMs > decision.timeoutMs()) {
+                      if (sim.nowMs - sentMs > decision.timeoutMs()) {
                         sim.count("late command");
                       }
                       Heartbeat heartbeat =
--- a/src/test/java/org/astershift/scheduler/FuzzSimulation.java
+++ b/src/test/java/org/astershift/scheduler/FuzzSimulation.java
@@ -25,17 +25,17 @@
   static final int MAX_MACHINES = 14;
 
   final ReferenceRules rules;
-  final Map<String, Integer> happened = new TreeMap<>();
+  final Map<String, Integer> eventCounts = new TreeMap<>();
   final Random random;
 
   /** From then on nothing fails any more, so that all jobs have to end. */
   final long faultsEndMs;
 
   final long endMs;
-  long now;
+  long nowMs;
 
   /** Orders events of the same time, and writes. */
-  long order;
+  long lastEventNumber;
 
   final DeploymentLimits limits;
   final Map<String, MachineType> types = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
   final Map<String, JobSpec> specs = new LinkedHashMap<>();
 
   /** Milliseconds that a task of the job runs. */
-  final Map<String, Long> durations = new HashMap<>();
+  final Map<String, Long> taskDurationsMs = new HashMap<>();
 
   /** Jobs whose user asked to cancel them. */
   final Set<String> cancellationRequested = new HashSet<>();
@@ -57,14 +57,14 @@
   final Map<String, FuzzGang> gangs = new HashMap<>();
 
   /** Copies of heartbeats that reach a later leader. */
-  final List<Heartbeat> keptHeartbeats = new ArrayList<>();
+  final List<Heartbeat> heartbeatsForNextLeader = new ArrayList<>();
 
   final List<String> log = new ArrayList<>();
   final EventDigest digest = new EventDigest();
   boolean storeDown;
   boolean cloudDown;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final boolean story;
+  private final boolean logsEvents;
 
   // Probability of each fault, drawn for the seed: most seeds have some of them, few have all.
 
@@ -82,7 +82,7 @@
   final double errors;
   final double lostWrites;
 
-  private record Event(long atMs, long order, Runnable what) implements Comparable<Event> {
+  private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event o) {
       return atMs != o.atMs ? Long.compare(atMs, o.atMs) : Long.compare(order, o.order);
@@ -90,21 +90,21 @@
   }
 
   FuzzSimulation(long seed, boolean story) {
-    this.story = story;
+    this.logsEvents = story;
     this.random = new Random(seed * 0x9E3779B97F4A7C15L + 1);
-    copies = level(0.3);
-    slow = level(0.15);
-    cuts = level(0.25);
-    deaths = level(0.05);
-    restarts = level(0.15);
-    hangs = level(0.1);
-    preemptions = level(0.05);
-    failovers = level(0.12);
-    pauses = level(0.1);
-    outages = level(0.1);
-    cancellations = level(0.4);
-    errors = level(0.1);
-    lostWrites = level(0.2);
+    copies = drawProbability(0.3);
+    slow = drawProbability(0.15);
+    cuts = drawProbability(0.25);
+    deaths = drawProbability(0.05);
+    restarts = drawProbability(0.15);
+    hangs = drawProbability(0.1);
+    preemptions = drawProbability(0.05);
+    failovers = drawProbability(0.12);
+    pauses = drawProbability(0.1);
+    outages = drawProbability(0.1);
+    cancellations = drawProbability(0.4);
+    errors = drawProbability(0.1);
+    lostWrites = drawProbability(0.2);
     faultsEndMs = 30_000 + random.nextInt(60_000);
     endMs = faultsEndMs + 240_000;
     types.put("p", new MachineType("p", 4, 0, 16, 20, 0.5, 1, 0.3, 8, List.of("a", "b")));
@@ -125,37 +125,37 @@
     rules = new ReferenceRules(teams, CANCELLATION_MS);
   }
 
-  private double level(double most) {
+  private double drawProbability(double most) {
     return random.nextInt(3) == 0 ? 0 : random.nextDouble() * most;
   }
 
   boolean chance(double p) {
-    return now < faultsEndMs && random.nextDouble() < p;
+    return nowMs < faultsEndMs && random.nextDouble() < p;
   }
 
   void after(long ms, Runnable action) {
-    events.add(new Event(now + Math.max(0, ms), ++order, action));
+    events.add(new Event(nowMs + Math.max(0, ms), ++lastEventNumber, action));
   }
 
   void count(String action) {
-    happened.merge(action, 1, Integer::sum);
+    eventCounts.merge(action, 1, Integer::sum);
   }
 
-  void logStory(String action) {
-    if (story) {
-      log.add(now + " " + action);
+  void logEvent(String action) {
+    if (logsEvents) {
+      log.add(nowMs + " " + action);
     }
   }
 
   /** Plays events in the order of their times until there are none, a rule is broken or the end. */
   void playEvents() {
-    while (!events.isEmpty() && rules.broken.isEmpty()) {
+    while (!events.isEmpty() && rules.violations.isEmpty()) {
       Event event = events.poll();
-      now = event.atMs();
-      if (now > endMs) {
+      nowMs = event.atMs();
+      if (nowMs > endMs) {
         break;
       }
-      event.what().run();
+      event.action().run();
     }
   }
 
--- a/src/test/java/org/astershift/scheduler/FuzzStore.java
+++ b/src/test/java/org/astershift/scheduler/FuzzStore.java
@@ -11,29 +11,29 @@
 /** The consensus-backed store. Writes of records go through only for whom the lease is. */
 final class FuzzStore {
   private final FuzzSimulation sim;
-  final Map<String, Long> live = new LinkedHashMap<>();
-  final Map<String, Long> submitted = new HashMap<>();
-  final Map<String, Boolean> ended = new HashMap<>();
-  final Set<String> opened = new HashSet<>();
+  final Map<String, Long> liveJobRevisions = new LinkedHashMap<>();
+  final Map<String, Long> submittedMs = new HashMap<>();
+  final Map<String, Boolean> endedJobs = new HashMap<>();
+  final Set<String> openedJobs = new HashSet<>();
   final Map<String, Decision.RegisterMachine> machines = new LinkedHashMap<>();
   final Map<String, BitSet> progress = new HashMap<>();
-  final Map<String, Decision.ProvisionMachines> rentals = new LinkedHashMap<>();
-  final Map<String, Long> stamps = new HashMap<>();
-  FuzzController holder;
-  long keyEndsMs;
+  final Map<String, Decision.ProvisionMachines> provisionRequests = new LinkedHashMap<>();
+  final Map<String, Long> appliedWriteNumbers = new HashMap<>();
+  FuzzController leaseHolder;
+  long leaseEndsMs;
   long revision = 10;
 
   FuzzStore(FuzzSimulation sim) {
     this.sim = sim;
   }
 
-  void accept(String id, Runnable then) {
+  void acceptJob(String id, Runnable then) {
     if (sim.storeDown) {
-      sim.after(1000, () -> accept(id, then));
+      sim.after(1000, () -> acceptJob(id, then));
       return;
     }
-    live.put(id, ++revision);
-    submitted.put(id, sim.now);
+    liveJobRevisions.put(id, ++revision);
+    submittedMs.put(id, sim.nowMs);
     then.run();
   }
 
@@ -43,7 +43,7 @@
       sim.after(500 + sim.random.nextInt(1500), () -> by.handle(() -> result.accept(null)));
       return;
     }
-    long stamp = ++sim.order;
+    long stamp = ++sim.lastEventNumber;
     boolean silent = sim.chance(sim.lostWrites);
     boolean atOnce = sim.random.nextBoolean();
     long ms = silent && !atOnce ? 2000 + sim.random.nextInt(10_000) : 1 + sim.random.nextInt(20);
@@ -54,23 +54,23 @@
             sim.after(3000, () -> by.handle(() -> result.accept(null)));
             return;
           }
-          boolean applies = holder == by && stamps.getOrDefault(key, 0L) < stamp;
+          boolean applies = leaseHolder == by && appliedWriteNumbers.getOrDefault(key, 0L) < stamp;
           if (applies) {
             revision++;
-            stamps.put(key, stamp);
+            appliedWriteNumbers.put(key, stamp);
             apply.run();
           }
           if (!silent) {
             long back =
                 sim.chance(sim.slow) ? sim.random.nextInt(3000) : 1 + sim.random.nextInt(10);
-            boolean lost = holder != by;
+            boolean lost = leaseHolder != by;
             sim.after(
                 back,
                 () ->
                     by.handle(
                         () -> {
                           if (lost) {
-                            by.over("a write found another leader");
+                            by.terminated("a write found another leader");
                           } else {
                             result.accept(applies);
                           }
--- a/src/test/java/org/astershift/scheduler/FuzzTask.java
+++ b/src/test/java/org/astershift/scheduler/FuzzTask.java
@@ -7,7 +7,7 @@
   final long attempt;
   Heartbeat.TaskPhase phase = Heartbeat.TaskPhase.FETCHING;
   String cause;
-  boolean on;
+  boolean isOnMachine;
   boolean stopped;
   long waitsSinceMs;
 
@@ -17,7 +17,7 @@
     this.attempt = attempt;
   }
 
-  String task() {
+  String taskName() {
     return job + "/" + index;
   }
 
--- a/src/test/java/org/astershift/scheduler/FuzzUsers.java
+++ b/src/test/java/org/astershift/scheduler/FuzzUsers.java
@@ -8,14 +8,14 @@
 /** Users, who submit jobs and cancel some. */
 final class FuzzUsers {
   private final FuzzSimulation sim;
-  private int jobNumber;
+  private int lastJobNumber;
 
   FuzzUsers(FuzzSimulation sim) {
     this.sim = sim;
   }
 
   void submitRepeatedly() {
-    if (sim.now >= sim.faultsEndMs) {
+    if (sim.nowMs >= sim.faultsEndMs) {
       return;
     }
     submit();
@@ -23,7 +23,7 @@
   }
 
   private void submit() {
-    String id = String.format("wk-%06d", ++jobNumber);
+    String id = String.format("wk-%06d", ++lastJobNumber);
     int kindOf = sim.random.nextInt(10);
     JobKind kind = kindOf < 6 ? JobKind.ARRAY : kindOf < 9 ? JobKind.GANG : JobKind.SERVICE;
     boolean accelerated = sim.random.nextInt(4) == 0;
@@ -59,19 +59,19 @@
             saves ? 1 : 0,
             sim.random.nextInt(3) == 0 ? 60.0 : null);
     if (Eligibility.rejectionReason(spec, sim.types.values(), sim.teams.get(team)) != null) {
-      jobNumber--;
+      lastJobNumber--;
       return;
     }
     sim.specs.put(id, spec);
-    sim.durations.put(
+    sim.taskDurationsMs.put(
         id, (long) (500 + sim.random.nextInt(sim.random.nextInt(4) == 0 ? 40_000 : 9000)));
     sim.rules.addJob(spec);
-    long submitted = sim.now;
-    sim.store.accept(
+    long submitted = sim.nowMs;
+    sim.store.acceptJob(
         id,
         () -> {
           for (FuzzController controller : new ArrayList<>(sim.controllers)) {
-            learn(controller, id, submitted);
+            deliverRecord(controller, id, submitted);
           }
         });
     if (sim.chance(sim.cancellations)) {
@@ -79,13 +79,13 @@
     }
     if (kind == JobKind.SERVICE) {
       sim.after(
-          sim.faultsEndMs - sim.now + sim.random.nextInt(20_000), () -> requestCancellation(id));
+          sim.faultsEndMs - sim.nowMs + sim.random.nextInt(20_000), () -> requestCancellation(id));
     }
   }
 
   /** A controller reads a record, and takes in what it read at once or much later. */
-  void learn(FuzzController controller, String id, long submitted) {
-    Long revision = sim.store.live.get(id);
+  void deliverRecord(FuzzController controller, String id, long submitted) {
+    Long revision = sim.store.liveJobRevisions.get(id);
     if (revision != null) {
       long delayMs = sim.chance(0.2) ? sim.random.nextInt(15_000) : sim.random.nextInt(200);
       sim.after(
@@ -97,21 +97,21 @@
   }
 
   private void requestCancellation(String id) {
-    if (sim.rules.over(id) || !sim.cancellationRequested.add(id)) {
+    if (sim.rules.ended(id) || !sim.cancellationRequested.add(id)) {
       return;
     }
     sim.count("cancellations");
-    sim.logStory("cancellation asked of " + id);
+    sim.logEvent("cancellation asked of " + id);
     repeatCancellation(id);
   }
 
   private void repeatCancellation(String id) {
-    if (sim.rules.over(id)) {
+    if (sim.rules.ended(id)) {
       return;
     }
     for (FuzzController controller : new ArrayList<>(sim.controllers)) {
-      if (controller == sim.store.holder || sim.chance(0.2)) {
-        long until = sim.now + 1200;
+      if (controller == sim.store.leaseHolder || sim.chance(0.2)) {
+        long until = sim.nowMs + 1200;
         sim.after(sim.random.nextInt(30), () -> cancelThrough(controller, id, until));
       }
     }
@@ -139,10 +139,10 @@
                       managed && scheduler.canConfirmCancellation(id),
                       managed && scheduler.mayStart(id),
                       view != null && view.complete(),
-                      sim.now > untilMs));
+                      sim.nowMs > untilMs));
           switch (action) {
-            case WRITE_CANCELLED -> controller.end(id, true);
-            case WRITE_DONE -> controller.end(id, false);
+            case WRITE_CANCELLED -> controller.persistJobEnd(id, true);
+            case WRITE_DONE -> controller.persistJobEnd(id, false);
             case WAIT -> sim.after(50, () -> cancelThrough(controller, id, untilMs));
             default -> {}
           }
--- a/src/test/java/org/astershift/scheduler/FuzzWorker.java
+++ b/src/test/java/org/astershift/scheduler/FuzzWorker.java
@@ -13,12 +13,12 @@
   final String name;
   final String type;
   final boolean spot;
-  final double rate;
+  final double clockRate;
   final String zone;
   boolean faulty;
   long createdMs;
-  long upMs = -1;
-  long goneMs = -1;
+  long bootedMs = -1;
+  long removedMs = -1;
   boolean deleted;
   boolean preempted;
   boolean alive;
@@ -29,41 +29,41 @@
   long sequence;
   long leaseFromMs;
   Double preemptionNoticeS;
-  boolean changed;
+  boolean statusChanged;
   final Map<String, FuzzTask> tasks = new LinkedHashMap<>();
-  final List<Runnable> pending = new ArrayList<>();
+  final List<Runnable> deferredActions = new ArrayList<>();
   private final FuzzHeartbeats heartbeats;
 
   FuzzWorker(FuzzSimulation sim, String name, String type, String zone, boolean spot) {
     this.sim = sim;
     this.heartbeats = new FuzzHeartbeats(sim, this);
-    this.rate = 1 + (sim.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
+    this.clockRate = 1 + (sim.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
     this.name = name;
     this.type = type;
     this.zone = zone;
     this.spot = spot;
   }
 
-  void up() {
-    if (goneMs >= 0) {
+  void boot() {
+    if (removedMs >= 0) {
       return;
     }
     alive = true;
-    upMs = upMs < 0 ? sim.now : upMs;
+    bootedMs = bootedMs < 0 ? sim.nowMs : bootedMs;
     faulty = sim.chance(sim.errors);
-    leaseFromMs = sim.now;
-    beat(incarnation);
+    leaseFromMs = sim.nowMs;
+    heartbeatRepeatedly(incarnation);
   }
 
-  void die(long backMs) {
-    if (goneMs >= 0) {
+  void shutDown(long backMs) {
+    if (removedMs >= 0) {
       return;
     }
     alive = false;
     hung = false;
     incarnation++;
-    pending.clear();
-    killAll();
+    deferredActions.clear();
+    removeAllTasks();
     tasks.clear();
     if (backMs > 0) {
       token = 0;
@@ -76,38 +76,38 @@
           backMs,
           () -> {
             if (lifeThen == incarnation) {
-              up();
+              boot();
             }
           });
     } else {
-      goneMs = sim.now;
+      removedMs = sim.nowMs;
     }
   }
 
-  private void killAll() {
+  private void removeAllTasks() {
     for (FuzzTask task : tasks.values()) {
-      leave(task);
+      removeTask(task);
     }
   }
 
-  private void leave(FuzzTask task) {
-    if (task.on) {
-      task.on = false;
-      sim.rules.over(task.job, task.index, name);
-      sim.digest.leaves(sim.now, task.task(), name);
+  private void removeTask(FuzzTask task) {
+    if (task.isOnMachine) {
+      task.isOnMachine = false;
+      sim.rules.ended(task.job, task.index, name);
+      sim.digest.leaves(sim.nowMs, task.taskName(), name);
     }
     FuzzGang gang = sim.gangs.get(task.job + "@" + task.attempt);
     if (gang != null && gang.members.remove(task) != null && gang.running && !gang.broken) {
-      broken(gang);
+      breakGang(gang);
     }
   }
 
   /** The others of a gang that runs notice that one of them is gone. */
-  private void broken(FuzzGang gang) {
+  private void breakGang(FuzzGang gang) {
     gang.broken = true;
     for (Map.Entry<FuzzTask, FuzzWorker> entry : gang.members.entrySet()) {
       FuzzWorker member = entry.getValue();
-      member.later(
+      member.afterInIncarnation(
           sim.random.nextInt((int) FuzzSimulation.GANG_PEER_MS),
           () -> {
             if (member.tasks.containsValue(entry.getKey())) {
@@ -118,22 +118,22 @@
   }
 
   /** Runs the action later if the incarnation lives on; after a hang if it hangs then. */
-  void later(long ms, Runnable action) {
+  void afterInIncarnation(long ms, Runnable action) {
     int lifeThen = incarnation;
     sim.after(
         ms,
         () -> {
           if (alive && lifeThen == incarnation) {
-            serve(action);
+            runOrDefer(action);
           }
         });
   }
 
-  void serve(Runnable action) {
+  void runOrDefer(Runnable action) {
     if (hung) {
-      pending.add(action);
+      deferredActions.add(action);
     } else {
-      expire();
+      endTasksIfLeaseExpired();
       action.run();
     }
   }
@@ -143,39 +143,39 @@
       return;
     }
     hung = true;
-    sim.logStory(name + " hangs for " + ms);
+    sim.logEvent(name + " hangs for " + ms);
     int lifeThen = incarnation;
     sim.after(
         ms,
         () -> {
           if (alive && lifeThen == incarnation && hung) {
             hung = false;
-            expire();
-            List<Runnable> held = new ArrayList<>(pending);
-            pending.clear();
+            endTasksIfLeaseExpired();
+            List<Runnable> held = new ArrayList<>(deferredActions);
+            deferredActions.clear();
             Collections.shuffle(held, sim.random);
-            held.forEach(this::serve);
+            held.forEach(this::runOrDefer);
           }
         });
   }
 
   /** Ends all tasks if its lease has expired; also while it hangs, as nothing may run beyond it. */
-  void expire() {
-    if (!alive || (sim.now - leaseFromMs) * rate <= FuzzSimulation.LEASE_MS) {
+  void endTasksIfLeaseExpired() {
+    if (!alive || (sim.nowMs - leaseFromMs) * clockRate <= FuzzSimulation.LEASE_MS) {
       return;
     }
-    killAll();
+    removeAllTasks();
     if (hung) {
       return;
     }
     if (!tasks.isEmpty()) {
       sim.count("lease expired with tasks");
     }
-    sim.logStory(name + " loses its lease, epoch " + (epoch + 1));
+    sim.logEvent(name + " loses its lease, epoch " + (epoch + 1));
     tasks.clear();
     epoch++;
-    leaseFromMs = sim.now;
-    changed = true;
+    leaseFromMs = sim.nowMs;
+    statusChanged = true;
   }
 
   /** Its status now, as the next message of this epoch. */
@@ -198,18 +198,18 @@
         List.copyOf(items));
   }
 
-  private void beat(int lifeThen) {
+  private void heartbeatRepeatedly(int lifeThen) {
     if (!alive || lifeThen != incarnation) {
       return;
     }
-    expire();
+    endTasksIfLeaseExpired();
     heartbeats.sendIfDue();
-    sim.after(50 + sim.random.nextInt(100), () -> beat(lifeThen));
+    sim.after(50 + sim.random.nextInt(100), () -> heartbeatRepeatedly(lifeThen));
   }
 
   /** The answer to a heartbeat that was sent at this time, under this leader's fencing token. */
   void onAnswer(long fencingToken, List<Command> commands, long sentMs) {
-    changed |= fencingToken > token;
+    statusChanged |= fencingToken > token;
     token = fencingToken;
     leaseFromMs = Math.max(leaseFromMs, sentMs);
     commands.forEach(this::execute);
@@ -217,7 +217,7 @@
 
   Heartbeat onDirectCommands(long fencingToken, long ofEpoch, List<Command> orders) {
     if (fencingToken >= token && ofEpoch == epoch) {
-      changed |= fencingToken > token;
+      statusChanged |= fencingToken > token;
       token = fencingToken;
       orders.forEach(this::execute);
     } else if (fencingToken < token) {
@@ -227,7 +227,7 @@
   }
 
   private void execute(Command command) {
-    sim.digest.command(sim.now, name, command);
+    sim.digest.command(sim.nowMs, name, command);
     String key = command.jobId() + "/" + command.index() + "@" + command.attemptNumber();
     FuzzTask task = tasks.get(key);
     switch (command.kind()) {
@@ -252,8 +252,8 @@
 
   private void start(String key, FuzzTask task) {
     JobSpec spec = sim.specs.get(task.job);
-    sim.logStory(name + " starts " + key);
-    sim.digest.started(sim.now, task.task(), name, task.attempt);
+    sim.logEvent(name + " starts " + key);
+    sim.digest.started(sim.nowMs, task.taskName(), name, task.attempt);
     tasks.put(key, task);
     double cpus = sim.types.get(type).cpus();
     double gpus = sim.types.get(type).gpus();
@@ -277,21 +277,22 @@
       exit(task, "no_room");
       return;
     }
-    changed = true;
-    later(sim.random.nextInt(sim.random.nextInt(5) == 0 ? 8000 : 1200), () -> fetched(task));
+    statusChanged = true;
+    afterInIncarnation(
+        sim.random.nextInt(sim.random.nextInt(5) == 0 ? 8000 : 1200), () -> onImageFetched(task));
   }
 
-  private void fetched(FuzzTask task) {
+  private void onImageFetched(FuzzTask task) {
     if (task.phase != Heartbeat.TaskPhase.FETCHING || !tasks.containsValue(task)) {
       return;
     }
     JobSpec spec = sim.specs.get(task.job);
-    task.on = true;
-    changed = true;
-    sim.digest.begins(sim.now, task.task(), name);
-    sim.logStory(name + " begins " + task.job + "/" + task.index + "@" + task.attempt);
+    task.isOnMachine = true;
+    statusChanged = true;
+    sim.digest.begins(sim.nowMs, task.taskName(), name);
+    sim.logEvent(name + " begins " + task.job + "/" + task.index + "@" + task.attempt);
     sim.rules.onTaskBegun(
-        task.job, task.index, new ReferenceRules.Place(name, type, zone, spot), sim.now);
+        task.job, task.index, new ReferenceRules.MachineView(name, type, zone, spot), sim.nowMs);
     if (sim.rules.isCompleted(task.job, task.index)) {
       sim.count("done again");
       exit(task, "done");
@@ -299,21 +300,21 @@
     }
     if (faulty) {
       task.phase = Heartbeat.TaskPhase.RUNNING;
-      later(sim.random.nextInt(300), () -> exit(task, "error"));
+      afterInIncarnation(sim.random.nextInt(300), () -> exit(task, "error"));
       return;
     }
     if (spec.kind() != JobKind.GANG) {
       task.phase = Heartbeat.TaskPhase.RUNNING;
       if (spec.kind() == JobKind.ARRAY) {
-        later(sim.durations.get(task.job), () -> complete(task));
+        afterInIncarnation(sim.taskDurationsMs.get(task.job), () -> complete(task));
       }
       return;
     }
     task.phase = Heartbeat.TaskPhase.WAITING;
-    task.waitsSinceMs = sim.now;
+    task.waitsSinceMs = sim.nowMs;
     FuzzGang gang = sim.gangs.computeIfAbsent(task.job + "@" + task.attempt, k -> new FuzzGang());
     gang.members.put(task, this);
-    later(
+    afterInIncarnation(
         FuzzSimulation.GANG_WAIT_MS,
         () -> {
           if (task.phase == Heartbeat.TaskPhase.WAITING) {
@@ -326,16 +327,16 @@
       sim.count("gangs run");
       for (Map.Entry<FuzzTask, FuzzWorker> entry : gang.members.entrySet()) {
         entry.getKey().phase = Heartbeat.TaskPhase.RUNNING;
-        entry.getValue().changed = true;
+        entry.getValue().statusChanged = true;
       }
-      sim.after(sim.durations.get(task.job), () -> gang.complete(sim));
+      sim.after(sim.taskDurationsMs.get(task.job), () -> gang.complete(sim));
     }
   }
 
   private void complete(FuzzTask task) {
     if (task.phase == Heartbeat.TaskPhase.RUNNING && !task.stopped && tasks.containsValue(task)) {
       sim.rules.onTaskCompleted(task.job, task.index);
-      sim.digest.completed(sim.now, task.task());
+      sim.digest.completed(sim.nowMs, task.taskName());
       exit(task, "done");
     }
   }
@@ -347,8 +348,8 @@
       if (!task.stopped) {
         task.stopped = true;
         task.phase = Heartbeat.TaskPhase.SAVING;
-        changed = true;
-        later((long) (spec.checkpointSaveS() * 1000), () -> exit(task, "halted"));
+        statusChanged = true;
+        afterInIncarnation((long) (spec.checkpointSaveS() * 1000), () -> exit(task, "halted"));
       }
     } else if (!saves || task.phase != Heartbeat.TaskPhase.SAVING) {
       exit(task, "halted");
@@ -360,11 +361,11 @@
     if (task.exited() || !tasks.containsValue(task)) {
       return;
     }
-    sim.logStory(name + " ends " + task.job + "/" + task.index + "@" + task.attempt + " " + cause);
-    sim.digest.phase(sim.now, task.task(), name, Heartbeat.TaskPhase.EXITED, cause);
+    sim.logEvent(name + " ends " + task.job + "/" + task.index + "@" + task.attempt + " " + cause);
+    sim.digest.phase(sim.nowMs, task.taskName(), name, Heartbeat.TaskPhase.EXITED, cause);
     task.phase = Heartbeat.TaskPhase.EXITED;
     task.cause = cause;
-    changed = true;
-    leave(task);
+    statusChanged = true;
+    removeTask(task);
   }
 }
--- a/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
+++ b/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
@@ -46,7 +46,7 @@
 
   /** Jobs are cancelled while the write that opens them is under way, and machines go. */
   @Test
-  void nothingIsLeftOfJobsThatAreOverAndMachinesThatAreGone() {
+  void decisionsOfEndedJobsAndReleasedMachinesAreDropped() {
     scheduler.updateMachineTypes(Map.of("small", small));
     Decision.ProvisionMachines rent = new Decision.ProvisionMachines("small", "a", false, 1);
     scheduler.onMachinesProvisioned("r", List.of("vm-1"), rent, 0);
--- a/src/test/java/org/astershift/scheduler/PassCostTest.java
+++ b/src/test/java/org/astershift/scheduler/PassCostTest.java
@@ -18,7 +18,7 @@
   private static final int MACHINES = 1000;
   private static final int JOBS = 100;
   private final Scheduler scheduler;
-  private long now = 1_000_000;
+  private long nowMs = 1_000_000;
 
   PassCostTest() {
     DeploymentLimits facts =
@@ -37,7 +37,7 @@
     scheduler.updateMachineTypes(Map.of("small", type));
   }
 
-  private void add(int number, String jobClass, Priority priority, int tasks) {
+  private void addJob(int number, String jobClass, Priority priority, int tasks) {
     JobSpec spec =
         new JobSpec(
             String.format("wk-%06d", number),
@@ -60,10 +60,10 @@
             0,
             0,
             null);
-    scheduler.addJob(spec, true, new BitSet(), now);
+    scheduler.addJob(spec, true, new BitSet(), nowMs);
   }
 
-  private void report(int machine, long seq, List<Heartbeat.TaskStatus> tasks) {
+  private void sendHeartbeat(int machine, long seq, List<Heartbeat.TaskStatus> tasks) {
     scheduler.onHeartbeat(
         new Heartbeat(
             "vm-" + machine,
@@ -76,29 +76,29 @@
             7,
             null,
             tasks),
-        now,
-        now);
+        nowMs,
+        nowMs);
   }
 
   /** A fleet that is full, with all reports in; gives what runs where. */
-  private List<List<Heartbeat.TaskStatus>> full() {
+  private List<List<Heartbeat.TaskStatus>> fillFleet() {
     for (int i = 0; i < MACHINES; i++) {
       scheduler.addInheritedMachine(
-          "vm-" + i, "10.0.0.1:" + i, "small", "abcd".charAt(i % 4) + "", false, now);
+          "vm-" + i, "10.0.0.1:" + i, "small", "abcd".charAt(i % 4) + "", false, nowMs);
     }
     for (int i = 0; i < JOBS; i++) {
-      add(i, "bulk", Priority.LOW, 1000);
+      addJob(i, "bulk", Priority.LOW, 1000);
     }
     for (int i = 0; i < MACHINES; i++) {
-      report(i, 1, List.of());
+      sendHeartbeat(i, 1, List.of());
     }
     List<List<Heartbeat.TaskStatus>> running = new ArrayList<>();
     for (int i = 0; i < MACHINES; i++) {
       running.add(new ArrayList<>());
     }
     for (int pass = 0; pass < 40; pass++) {
-      now += 250;
-      for (Decision d : scheduler.runPass(now, Long.MAX_VALUE)) {
+      nowMs += 250;
+      for (Decision d : scheduler.runPass(nowMs, Long.MAX_VALUE)) {
         if (d instanceof Decision.SendCommands o) {
           int machine = Integer.parseInt(o.machineName().substring(3));
           for (Command order : o.commands()) {
@@ -112,44 +112,44 @@
                         Heartbeat.TaskPhase.RUNNING,
                         null));
           }
-          scheduler.onCommandResult(o.machineName(), false, null, now, now);
-          report(machine, 2 + pass, running.get(machine));
+          scheduler.onCommandResult(o.machineName(), false, null, nowMs, nowMs);
+          sendHeartbeat(machine, 2 + pass, running.get(machine));
         }
       }
     }
     for (int i = 0; i < MACHINES; i++) {
-      report(i, 100, running.get(i));
+      sendHeartbeat(i, 100, running.get(i));
     }
-    now += 250;
-    scheduler.runPass(now, Long.MAX_VALUE);
+    nowMs += 250;
+    scheduler.runPass(nowMs, Long.MAX_VALUE);
     return running;
   }
 
   @Test
-  void fullMachinesCostNoLooks() {
-    List<List<Heartbeat.TaskStatus>> running = full();
+  void fullMachinesCauseNoCandidateChecks() {
+    List<List<Heartbeat.TaskStatus>> running = fillFleet();
     assertEquals(
         MACHINES * 4, running.stream().mapToInt(List::size).sum(), "the fleet is not full");
     long before = scheduler.candidateChecks();
-    now += 250;
-    scheduler.runPass(now, Long.MAX_VALUE);
+    nowMs += 250;
+    scheduler.runPass(nowMs, Long.MAX_VALUE);
     assertEquals(
         0, scheduler.candidateChecks() - before, "a pass in which nothing could be placed");
     before = scheduler.candidateChecks();
     for (int i = 0; i < MACHINES; i++) {
-      report(i, 101, running.get(i));
+      sendHeartbeat(i, 101, running.get(i));
     }
     assertEquals(0, scheduler.candidateChecks() - before, "reports in which nothing changed");
   }
 
   /** Tight work looks at each machine once and then takes the best, however much waits. */
   @Test
-  void tightWorkLooksAtEachMachineAFewTimes() {
-    full();
-    add(JOBS, "urgent", Priority.HIGH, 50);
+  void urgentJobChecksEachMachineAFewTimes() {
+    fillFleet();
+    addJob(JOBS, "urgent", Priority.HIGH, 50);
     long before = scheduler.candidateChecks();
-    now += 250;
-    scheduler.runPass(now, Long.MAX_VALUE);
+    nowMs += 250;
+    scheduler.runPass(nowMs, Long.MAX_VALUE);
     long looks = scheduler.candidateChecks() - before;
     assertTrue(looks >= MACHINES && looks <= 3 * MACHINES + 200, looks + " looks");
   }
--- a/src/test/java/org/astershift/scheduler/ReferenceRules.java
+++ b/src/test/java/org/astershift/scheduler/ReferenceRules.java
@@ -14,15 +14,15 @@
  */
 final class ReferenceRules {
   /** A machine as the rules look at it. */
-  record Place(String machine, String type, String zone, boolean spot) {}
+  record MachineView(String machine, String type, String zone, boolean spot) {}
 
   /** Violations, with their times; the first is mostly the cause. */
-  final Set<String> broken = new LinkedHashSet<>();
+  final Set<String> violations = new LinkedHashSet<>();
 
   private final Map<String, Team> teams;
   private final long cancellationMs;
   private final Map<String, JobSpec> jobs = new HashMap<>();
-  private final Map<String, Map<String, Place>> placesByTask = new LinkedHashMap<>();
+  private final Map<String, Map<String, MachineView>> machinesByTask = new LinkedHashMap<>();
   private final Map<String, Long> cancelledMs = new HashMap<>();
   private final Map<String, BitSet> completedTasks = new HashMap<>();
   private final Map<String, Boolean> publishedEnds = new HashMap<>();
@@ -39,42 +39,43 @@
     completedTasks.put(spec.id(), new BitSet());
   }
 
-  private void fail(String rule, long nowMs, String what) {
-    broken.add(rule + " at " + nowMs + ": " + what);
+  private void recordViolation(String rule, long nowMs, String what) {
+    violations.add(rule + " at " + nowMs + ": " + what);
   }
 
   /** A task has its image and is on its machine from now on. */
-  void onTaskBegun(String job, int index, Place where, long nowMs) {
+  void onTaskBegun(String job, int index, MachineView where, long nowMs) {
     starts++;
     JobSpec spec = jobs.get(job);
     String task = job + "/" + index;
-    Map<String, Place> places = placesByTask.computeIfAbsent(task, t -> new HashMap<>());
+    Map<String, MachineView> places = machinesByTask.computeIfAbsent(task, t -> new HashMap<>());
     if (!places.isEmpty() && !places.containsKey(where.machine())) {
-      fail("ran_twice", nowMs, task + " starts on " + where + " and is on " + places.values());
+      recordViolation(
+          "ran_twice", nowMs, task + " starts on " + where + " and is on " + places.values());
     }
     boolean type = spec.machineTypes() == null || spec.machineTypes().contains(where.type());
     boolean zone = spec.zone() == null || spec.zone().equals(where.zone());
     if (!type || !zone || (where.spot() && !spec.spotAllowed())) {
-      fail("wrong_place", nowMs, task + " on " + where);
+      recordViolation("wrong_place", nowMs, task + " on " + where);
     }
     int inZone = 0;
-    for (Map.Entry<String, Map<String, Place>> entry : placesByTask.entrySet()) {
+    for (Map.Entry<String, Map<String, MachineView>> entry : machinesByTask.entrySet()) {
       if (!entry.getKey().startsWith(job + "/") || entry.getKey().equals(task)) {
         continue;
       }
-      for (Place place : entry.getValue().values()) {
+      for (MachineView place : entry.getValue().values()) {
         inZone += place.zone().equals(where.zone()) ? 1 : 0;
         if (spec.oneZone() && !place.zone().equals(where.zone())) {
-          fail(
+          recordViolation(
               "wrong_place", nowMs, task + " on " + where + ", " + entry.getKey() + " on " + place);
         }
       }
     }
     if (spec.spread() && inZone + 1 > (spec.tasks() + 1) / 2) {
-      fail("wrong_place", nowMs, task + " on " + where + " is one too many in its zone");
+      recordViolation("wrong_place", nowMs, task + " on " + where + " is one too many in its zone");
     }
     if (cancelledMs.containsKey(job)) {
-      fail("ran_cancelled", nowMs, task + " starts after its confirmation");
+      recordViolation("ran_cancelled", nowMs, task + " starts after its confirmation");
     }
     places.put(where.machine(), where);
     checkQuota(spec.team(), nowMs);
@@ -83,7 +84,7 @@
   private void checkQuota(String name, long nowMs) {
     double cpus = 0;
     double gpus = 0;
-    for (Map.Entry<String, Map<String, Place>> entry : placesByTask.entrySet()) {
+    for (Map.Entry<String, Map<String, MachineView>> entry : machinesByTask.entrySet()) {
       JobSpec spec = jobs.get(entry.getKey().substring(0, entry.getKey().indexOf('/')));
       if (spec.team().equals(name)) {
         cpus += entry.getValue().size() * spec.cpus();
@@ -93,17 +94,17 @@
     Team team = teams.get(name);
     if ((team.maxCpus() > 0 && cpus > team.maxCpus() + 1e-6)
         || (team.maxGpus() > 0 && gpus > team.maxGpus() + 1e-6)) {
-      fail("quota", nowMs, name + " uses " + cpus + " and " + gpus);
+      recordViolation("quota", nowMs, name + " uses " + cpus + " and " + gpus);
     }
   }
 
   /** The task is off its machine. */
-  void over(String job, int index, String machine) {
-    Map<String, Place> places = placesByTask.get(job + "/" + index);
+  void ended(String job, int index, String machine) {
+    Map<String, MachineView> places = machinesByTask.get(job + "/" + index);
     if (places != null) {
       places.remove(machine);
       if (places.isEmpty()) {
-        placesByTask.remove(job + "/" + index);
+        machinesByTask.remove(job + "/" + index);
       }
     }
   }
@@ -121,19 +122,19 @@
   void onJobEnded(String job, boolean cancelled, boolean requested, long nowMs) {
     Boolean before = publishedEnds.putIfAbsent(job, cancelled);
     if (before != null && before != cancelled) {
-      fail("went_back", nowMs, job);
+      recordViolation("went_back", nowMs, job);
     }
     if (cancelled && !requested) {
-      fail("went_back", nowMs, job + " was not cancelled by its user");
+      recordViolation("went_back", nowMs, job + " was not cancelled by its user");
     }
     if (cancelled) {
       cancelledMs.put(job, nowMs);
     } else if (completedTasks.get(job).cardinality() < jobs.get(job).tasks()) {
-      fail("not_done", nowMs, job + " " + completedTasks.get(job));
+      recordViolation("not_done", nowMs, job + " " + completedTasks.get(job));
     }
   }
 
-  boolean over(String job) {
+  boolean ended(String job) {
     return publishedEnds.containsKey(job);
   }
 
@@ -143,13 +144,15 @@
       return;
     }
     Set<String> late = new HashSet<>();
-    for (String task : placesByTask.keySet()) {
+    for (String task : machinesByTask.keySet()) {
       Long confirmedMs = cancelledMs.get(task.substring(0, task.indexOf('/')));
       if (confirmedMs != null && nowMs - confirmedMs > cancellationMs) {
         late.add(task);
       }
     }
     late.forEach(
-        t -> fail("ran_cancelled", nowMs / 1000 * 1000, t + " on " + placesByTask.get(t).values()));
+        t ->
+            recordViolation(
+                "ran_cancelled", nowMs / 1000 * 1000, t + " on " + machinesByTask.get(t).values()));
   }
 }
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -23,7 +23,7 @@
   final ReferenceRules rules;
 
   /** Faults and other events of note, with how often each occurred. */
-  final Map<String, Integer> happened;
+  final Map<String, Integer> eventCounts;
 
   /** Jobs that had not ended long after the last fault. */
   final Set<String> unfinished = new HashSet<>();
@@ -35,7 +35,7 @@
     this.seed = seed;
     this.sim = new FuzzSimulation(seed, story);
     this.rules = sim.rules;
-    this.happened = sim.happened;
+    this.eventCounts = sim.eventCounts;
   }
 
   List<String> log() {
@@ -44,7 +44,8 @@
 
   /** Of all that happened, once it is played. */
   String digest() {
-    sim.digest.endOfPlay(sim.now, sim.order, rules.broken.isEmpty() && unfinished.isEmpty());
+    sim.digest.endOfPlay(
+        sim.nowMs, sim.lastEventNumber, rules.violations.isEmpty() && unfinished.isEmpty());
     return sim.digest.hex();
   }
 
@@ -58,11 +59,11 @@
     beginTerm();
     sim.users.submitRepeatedly();
     new FuzzFaults(sim).injectFaults();
-    watch();
+    checkRepeatedly();
     sim.playEvents();
-    if (sim.rules.broken.isEmpty()) {
+    if (sim.rules.violations.isEmpty()) {
       for (String id : sim.specs.keySet()) {
-        if (!sim.rules.over(id) && sim.specs.get(id).kind() != JobKind.SERVICE) {
+        if (!sim.rules.ended(id) && sim.specs.get(id).kind() != JobKind.SERVICE) {
           unfinished.add(id + " " + leaderView(id));
         }
       }
@@ -72,7 +73,7 @@
 
   /** The leader's view of the job's tasks, for the message of a job that never ended. */
   private String leaderView(String id) {
-    Job job = sim.store.holder.scheduler.job(id);
+    Job job = sim.store.leaseHolder.scheduler.job(id);
     if (job == null) {
       return "not known";
     }
@@ -97,7 +98,7 @@
           .append(" stopping=")
           .append(attempt.stopping);
     }
-    for (Machine machine : sim.store.holder.scheduler.cluster().allMachines()) {
+    for (Machine machine : sim.store.leaseHolder.scheduler.cluster().allMachines()) {
       text.append("; ")
           .append(machine.name)
           .append(' ')
@@ -109,7 +110,7 @@
           .append(" registered=")
           .append(machine.registered);
       text.append(" usable=")
-          .append(machine.isUsable(sim.store.holder.clock()))
+          .append(machine.isUsable(sim.store.leaseHolder.clock()))
           .append(" inboundPartitioned=")
           .append(machine.isInboundPartitioned());
       text.append(" quarantined=")
@@ -126,13 +127,13 @@
 
   private void beginTerm() {
     FuzzController controller = new FuzzController(sim, ++sim.store.revision);
-    sim.store.holder = controller;
-    sim.store.keyEndsMs = sim.now + FuzzSimulation.LEADER_LEASE_MS;
+    sim.store.leaseHolder = controller;
+    sim.store.leaseEndsMs = sim.nowMs + FuzzSimulation.LEADER_LEASE_MS;
     sim.controllers.add(controller);
     sim.count("leaders");
-    sim.digest.term(sim.now, Long.toString(controller.token), controller.token);
+    sim.digest.term(sim.nowMs, Long.toString(controller.token), controller.token);
     controller.handle(controller::load);
-    for (Heartbeat heartbeat : sim.keptHeartbeats) {
+    for (Heartbeat heartbeat : sim.heartbeatsForNextLeader) {
       sim.after(
           sim.random.nextInt(300),
           () ->
@@ -141,29 +142,29 @@
                       controller.scheduler.onHeartbeat(
                           heartbeat, controller.clock(), controller.clock())));
     }
-    sim.keptHeartbeats.clear();
+    sim.heartbeatsForNextLeader.clear();
     // Records that another thread of it had read before.
-    for (String id : new ArrayList<>(sim.store.live.keySet())) {
-      sim.users.learn(controller, id, sim.store.submitted.get(id));
+    for (String id : new ArrayList<>(sim.store.liveJobRevisions.keySet())) {
+      sim.users.deliverRecord(controller, id, sim.store.submittedMs.get(id));
     }
   }
 
-  private void watch() {
+  private void checkRepeatedly() {
     for (FuzzWorker worker : sim.workers.values()) {
-      worker.expire();
+      worker.endTasksIfLeaseExpired();
     }
-    sim.rules.checkCancelled(sim.now);
+    sim.rules.checkCancelled(sim.nowMs);
     failoverIfLeaseExpired();
-    if (sim.now > sim.faultsEndMs && jobsOver()) {
+    if (sim.nowMs > sim.faultsEndMs && allJobsEnded()) {
       sim.clearEvents();
       return;
     }
-    sim.after(100, this::watch);
+    sim.after(100, this::checkRepeatedly);
   }
 
-  private boolean jobsOver() {
+  private boolean allJobsEnded() {
     for (String id : sim.specs.keySet()) {
-      if (!sim.rules.over(id)) {
+      if (!sim.rules.ended(id)) {
         return false;
       }
     }
@@ -173,10 +174,11 @@
   /** A lease that nobody renews expires, and the next leader begins its term. */
   private void failoverIfLeaseExpired() {
     if (sim.storeDown) {
-      sim.store.keyEndsMs = Math.max(sim.store.keyEndsMs, sim.now + FuzzSimulation.LEADER_LEASE_MS);
+      sim.store.leaseEndsMs =
+          Math.max(sim.store.leaseEndsMs, sim.nowMs + FuzzSimulation.LEADER_LEASE_MS);
       return;
     }
-    if (sim.now > sim.store.keyEndsMs) {
+    if (sim.nowMs > sim.store.leaseEndsMs) {
       beginTerm();
     }
   }
@@ -195,14 +197,14 @@
               try {
                 fuzzer.play();
               } catch (RuntimeException e) {
-                fuzzer.rules.broken.add(
+                fuzzer.rules.violations.add(
                     e.toString() + " " + List.of(e.getStackTrace()).subList(0, 4));
               }
               synchronized (all) {
-                fuzzer.happened.forEach((what, n) -> all.merge(what, n, Integer::sum));
+                fuzzer.eventCounts.forEach((what, n) -> all.merge(what, n, Integer::sum));
                 all.merge("starts", fuzzer.rules.starts, Integer::sum);
                 all.merge("completions", fuzzer.rules.completions, Integer::sum);
-                if (!fuzzer.rules.broken.isEmpty() || !fuzzer.unfinished.isEmpty()) {
+                if (!fuzzer.rules.violations.isEmpty() || !fuzzer.unfinished.isEmpty()) {
                   failed[0]++;
                   System.out.println(fuzzer);
                   fuzzer.log().forEach(System.out::println);
@@ -215,6 +217,10 @@
 
   @Override
   public String toString() {
-    return "seed " + seed + ": " + rules.broken + (unfinished.isEmpty() ? "" : " " + unfinished);
+    return "seed "
+        + seed
+        + ": "
+        + rules.violations
+        + (unfinished.isEmpty() ? "" : " " + unfinished);
   }
 }
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzerDigestTest.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzerDigestTest.java
@@ -15,7 +15,7 @@
  */
 class SchedulerFuzzerDigestTest {
   @Test
-  void noSeedIsPlayedOtherwiseThanKept() throws IOException {
+  void everySeedMatchesItsKeptDigest() throws IOException {
     List<String> different = SchedulerFuzzerDigests.kept().differencesInBuild();
     assertEquals("", String.join("\n", different));
   }
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzerTest.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzerTest.java
@@ -21,9 +21,9 @@
     Map<String, Integer> happened = new TreeMap<>();
     for (long seed = 1; seed <= 6; seed++) {
       SchedulerFuzzer fuzzer = new SchedulerFuzzer(seed, false).play();
-      fuzzer.happened.forEach((what, n) -> happened.merge(what, n, Integer::sum));
+      fuzzer.eventCounts.forEach((what, n) -> happened.merge(what, n, Integer::sum));
       happened.merge("starts", fuzzer.rules.starts, Integer::sum);
-      if (!fuzzer.rules.broken.isEmpty()) {
+      if (!fuzzer.rules.violations.isEmpty()) {
         broken.add(fuzzer.toString());
       }
     }
--- a/src/test/java/org/astershift/scheduler/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -18,22 +18,22 @@
   private final List<ServiceLevelObjective> objectives = new ArrayList<>();
   private final Map<String, MachineType> types = new LinkedHashMap<>();
   private SchedulingPolicy policy = OperatorSettings.defaults();
-  private final Map<String, Heartbeat> last = new HashMap<>();
+  private final Map<String, Heartbeat> lastHeartbeats = new HashMap<>();
 
   /** The direct order to each machine that was decided last. */
-  private final Map<String, Decision.SendCommands> directs = new HashMap<>();
+  private final Map<String, Decision.SendCommands> lastDirectCommands = new HashMap<>();
 
   private Scheduler scheduler;
 
   /** There are other controllers, and the trace says what they answer. */
-  private boolean others;
+  private boolean hasPeers;
 
   /** The question to the other controllers that was decided last. */
-  private Decision.ProbeThroughPeers asked;
+  private Decision.ProbeThroughPeers lastPeerProbe;
 
-  private double cancelS = 40;
+  private double cancellationS = 40;
 
-  List<String> event(String line) {
+  List<String> play(String line) {
     String[] words = line.trim().split("\\s+");
     Map<String, String> named = new HashMap<>();
     List<String> plain = new ArrayList<>();
@@ -45,9 +45,9 @@
         plain.add(w);
       }
     }
-    Words w = new Words(plain, named);
+    EventLine w = new EventLine(plain, named);
     if (Character.isDigit(line.charAt(0))) {
-      return timed((long) (Double.parseDouble(plain.get(0)) * 1000), w);
+      return playTimedEvent((long) (Double.parseDouble(plain.get(0)) * 1000), w);
     }
     switch (plain.get(0)) {
       case "team" ->
@@ -55,39 +55,39 @@
               plain.get(1),
               new Team(
                   plain.get(1),
-                  w.num("cpus", 0),
-                  w.num("cpus_max", 0),
-                  w.num("gpus", 0),
-                  w.num("gpus_max", 0)));
+                  w.number("cpus", 0),
+                  w.number("cpus_max", 0),
+                  w.number("gpus", 0),
+                  w.number("gpus_max", 0)));
       case "objective" ->
           objectives.add(
-              new ServiceLevelObjective("wait", plain.get(1), w.num("within", 1), 0.9, 1));
-      case "cancellation" -> cancelS = w.num("within", cancelS);
+              new ServiceLevelObjective("wait", plain.get(1), w.number("within", 1), 0.9, 1));
+      case "cancellation" -> cancellationS = w.number("within", cancellationS);
       case "policy" ->
           policy =
               new SchedulingPolicy(
-                  (int) w.num("window", policy.windowTasks()),
-                  w.num("utilization", policy.utilizationThreshold()),
-                  (int) w.num("batch", policy.machineBatchTasks()),
-                  w.num("age", policy.waitingAgeS()),
-                  w.num("idle", policy.idleReleaseS()));
+                  (int) w.number("window", policy.windowTasks()),
+                  w.number("utilization", policy.utilizationThreshold()),
+                  (int) w.number("batch", policy.machineBatchTasks()),
+                  w.number("age", policy.waitingAgeS()),
+                  w.number("idle", policy.idleReleaseS()));
       case "type" ->
           types.put(
               plain.get(1),
               new MachineType(
                   plain.get(1),
-                  w.num("cpus", 4),
-                  w.num("gpus", 0),
-                  w.num("mem", 16),
-                  w.num("cache", 50),
+                  w.number("cpus", 4),
+                  w.number("gpus", 0),
+                  w.number("mem", 16),
+                  w.number("cache", 50),
                   0.5,
-                  w.num("price", 1),
-                  w.num("spot", 0.3),
-                  w.num("boot", 20),
+                  w.number("price", 1),
+                  w.number("spot", 0.3),
+                  w.number("boot", 20),
                   List.of(w.text("zones", "a").split(","))));
-      case "peers" -> others = true;
+      case "peers" -> hasPeers = true;
       case "inherit" ->
-          core()
+          getOrCreateScheduler()
               .addInheritedMachine(
                   plain.get(1), plain.get(1) + ":1", plain.get(2), plain.get(3), false, 0);
       default -> throw new IllegalArgumentException("not an event: " + line);
@@ -95,62 +95,64 @@
     return List.of();
   }
 
-  private record Words(List<String> plain, Map<String, String> named) {
-    double num(String name, double otherwise) {
-      String v = named.get(name);
+  private record EventLine(List<String> words, Map<String, String> options) {
+    double number(String name, double otherwise) {
+      String v = options.get(name);
       return v == null ? otherwise : Double.parseDouble(v);
     }
 
     String text(String name, String otherwise) {
-      return named.getOrDefault(name, otherwise);
+      return options.getOrDefault(name, otherwise);
     }
 
-    boolean flag(String word) {
-      return plain.contains(word);
+    boolean hasFlag(String word) {
+      return words.contains(word);
     }
   }
 
-  private Scheduler core() {
+  private Scheduler getOrCreateScheduler() {
     if (scheduler == null) {
       teams.putIfAbsent("team", new Team("team", 0, 0, 0, 0));
       scheduler =
           new Scheduler(
-              new DeploymentLimits(teams, objectives, 2, 14, 30, 4, cancelS, 3), policy, TOKEN);
+              new DeploymentLimits(teams, objectives, 2, 14, 30, 4, cancellationS, 3),
+              policy,
+              TOKEN);
       scheduler.updateMachineTypes(types);
     }
     return scheduler;
   }
 
-  private List<String> timed(long now, Words w) {
-    List<String> p = w.plain();
-    Scheduler s = core();
+  private List<String> playTimedEvent(long now, EventLine w) {
+    List<String> p = w.words();
+    Scheduler s = getOrCreateScheduler();
     switch (p.get(1)) {
-      case "job" -> s.addJob(spec(w), w.flag("opened"), new BitSet(), now);
+      case "job" -> s.addJob(jobSpec(w), w.hasFlag("opened"), new BitSet(), now);
       case "heartbeat" -> {
-        last.put(p.get(2), report(w));
-        List<Command> answer = s.onHeartbeat(last.get(p.get(2)), now, now);
-        return answer == null ? List.of("not answered") : orders(answer);
+        lastHeartbeats.put(p.get(2), heartbeat(w));
+        List<Command> answer = s.onHeartbeat(lastHeartbeats.get(p.get(2)), now, now);
+        return answer == null ? List.of("not answered") : describeCommands(answer);
       }
       case "heartbeats" -> repeatLastHeartbeats(now, p.subList(2, p.size()));
-      case "answered" -> s.onCommandResult(p.get(2), false, report(w), now, now);
+      case "answered" -> s.onCommandResult(p.get(2), false, heartbeat(w), now, now);
       case "unanswered" -> s.onCommandResult(p.get(2), true, null, now, now);
       case "unsent" -> s.onCommandResult(p.get(2), false, null, now, now);
       case "pass" -> {
-        return pass(now, (long) (w.num("lease_certain", 1e9) * 1000));
+        return pass(now, (long) (w.number("lease_certain", 1e9) * 1000));
       }
       case "dispatch" -> {
         // The turn of a direct order that a pass decided, to be sent now.
-        Decision.SendCommands d = directs.get(p.get(2));
-        boolean sole = now < (long) (w.num("lease_certain", 1e9) * 1000);
+        Decision.SendCommands d = lastDirectCommands.get(p.get(2));
+        boolean sole = now < (long) (w.number("lease_certain", 1e9) * 1000);
         return s.directCommandsStillDue(d, now)
-            ? orders(s.commandsStillWanted(d, sole))
+            ? describeCommands(s.commandsStillWanted(d, sole))
             : List.of("not due");
       }
       case "process_resumed" -> s.onProcessResumed(now);
       case "opened" -> s.onJobOpened(p.get(2));
       case "placement" -> s.restorePlacement(p.get(2), p.subList(3, p.size()));
       case "registered" -> s.onMachineRegistered(p.get(2));
-      case "ended" -> s.onJobEnded(p.get(2), w.flag("cancelled"), now);
+      case "ended" -> s.onJobEnded(p.get(2), w.hasFlag("cancelled"), now);
       case "cancel" -> {
         s.requestCancellation(p.get(2));
         String may = s.mayStart(p.get(2)) ? ", may start" : "";
@@ -161,31 +163,31 @@
         s.onMachinesProvisioned(
             "r",
             List.of(p.get(2)),
-            new Decision.ProvisionMachines(p.get(3), p.get(4), w.flag("spot"), 1),
+            new Decision.ProvisionMachines(p.get(3), p.get(4), w.hasFlag("spot"), 1),
             now);
-        if (!w.flag("unregistered")) {
+        if (!w.hasFlag("unregistered")) {
           s.onMachineRegistered(p.get(2));
         }
       }
       case "no_capacity" ->
           s.onProvisioningFailed(
               "r",
-              new Decision.ProvisionMachines(p.get(2), p.get(3), w.flag("spot"), 1),
+              new Decision.ProvisionMachines(p.get(2), p.get(3), w.hasFlag("spot"), 1),
               true,
               now);
       case "saved" -> {
         BitSet done = new BitSet();
-        done.set((int) w.num("task", 0));
+        done.set((int) w.number("task", 0));
         s.onProgressPersisted(p.get(2), done);
       }
-      case "list" -> s.onMachineList(listed(w), now, now);
+      case "list" -> s.onMachineList(listedMachines(w), now, now);
       case "probed" -> {
         // Each word is what one controller reached of those asked, by comma; "nobody" reached none.
         List<Decision.PeerProbeResult> told = new ArrayList<>();
         for (String one : p.subList(2, p.size())) {
           told.add(probeResult(List.of(one.split(","))));
         }
-        s.onPeerProbeResults(asked, told);
+        s.onPeerProbeResults(lastPeerProbe, told);
       }
       case "isolated" -> {
         return List.of("isolated " + s.isIsolated());
@@ -197,7 +199,7 @@
             p.get(2) + (job.startWarningLogged ? " has not started" : " is not warned of"));
       }
       case "show" -> {
-        return List.of(show(s, p.get(2)));
+        return List.of(describeJob(s, p.get(2)));
       }
       default -> throw new IllegalArgumentException("not an event: " + p);
     }
@@ -207,7 +209,7 @@
   /** Each of these machines repeats its last heartbeat. */
   private void repeatLastHeartbeats(long now, List<String> machineNames) {
     for (String name : machineNames) {
-      Heartbeat before = last.get(name);
+      Heartbeat before = lastHeartbeats.get(name);
       Heartbeat next =
           new Heartbeat(
               name,
@@ -220,7 +222,7 @@
               TOKEN,
               before.preemptionNoticeS(),
               before.tasks());
-      last.put(name, next);
+      lastHeartbeats.put(name, next);
       scheduler.onHeartbeat(next, now, now);
     }
   }
@@ -230,23 +232,23 @@
     List<String> out = new ArrayList<>();
     for (Decision decision : scheduler.runPass(now, leaseCertainUntilMs)) {
       if (decision instanceof Decision.ProbeThroughPeers probe) {
-        asked = probe;
-        if (!others) {
+        lastPeerProbe = probe;
+        if (!hasPeers) {
           scheduler.onPeerProbeResults(probe, List.of()); // there is no other controller
           continue;
         }
       }
       if (decision instanceof Decision.SendCommands commands) {
-        directs.put(commands.machineName(), commands);
+        lastDirectCommands.put(commands.machineName(), commands);
       }
-      out.add(words(decision));
+      out.add(describeDecision(decision));
     }
     return out;
   }
 
-  private static List<ListedMachine> listed(Words w) {
+  private static List<ListedMachine> listedMachines(EventLine w) {
     List<ListedMachine> listed = new ArrayList<>();
-    for (String name : w.plain().subList(2, w.plain().size())) {
+    for (String name : w.words().subList(2, w.words().size())) {
       listed.add(
           new ListedMachine(
               name,
@@ -262,19 +264,20 @@
 
   private Decision.PeerProbeResult probeResult(List<String> reached) {
     Set<String> no = new HashSet<>();
-    for (List<Decision.MachineAddress> some : List.of(asked.suspects(), asked.controls())) {
+    for (List<Decision.MachineAddress> some :
+        List.of(lastPeerProbe.suspects(), lastPeerProbe.controls())) {
       some.forEach(m -> no.add(m.machineName()));
     }
     Set<String> yes = new HashSet<>(no);
     yes.retainAll(reached);
     if (reached.contains("controls")) {
-      asked.controls().forEach(m -> yes.add(m.machineName()));
+      lastPeerProbe.controls().forEach(m -> yes.add(m.machineName()));
     }
     no.removeAll(yes);
     return new Decision.PeerProbeResult(yes, no);
   }
 
-  private static String show(Scheduler s, String job) {
+  private static String describeJob(Scheduler s, String job) {
     Job j = s.job(job);
     if (j == null) {
       return job + " is not managed";
@@ -284,8 +287,8 @@
     return job + " done " + j.doneTasks + " waiting " + j.waitingTasks + " held " + at;
   }
 
-  private static JobSpec spec(Words w) {
-    List<String> p = w.plain();
+  private static JobSpec jobSpec(EventLine w) {
+    List<String> p = w.words();
     String types = w.text("types", null);
     return new JobSpec(
         p.get(2),
@@ -293,28 +296,28 @@
         w.text("team", "team"),
         JobKind.valueOf(p.get(3).toUpperCase(java.util.Locale.ROOT)),
         Priority.valueOf(w.text("priority", "normal").toUpperCase(java.util.Locale.ROOT)),
-        (int) w.num("tasks", 1),
-        w.num("cpus", 1),
-        w.num("gpus", 0),
-        w.num("mem", 1),
+        (int) w.number("tasks", 1),
+        w.number("cpus", 1),
+        w.number("gpus", 0),
+        w.number("mem", 1),
         w.text("image", "img"),
-        w.num("gb", 1),
+        w.number("gb", 1),
         types == null ? null : List.of(types.split(",")),
         w.text("zone", null),
-        w.flag("one_zone"),
-        w.flag("spread"),
-        w.flag("spot"),
-        w.num("estimate", 20),
-        w.num("checkpoint", 0),
-        w.num("save", 0),
-        w.named().containsKey("deadline") ? (Double) w.num("deadline", 0) : null);
+        w.hasFlag("one_zone"),
+        w.hasFlag("spread"),
+        w.hasFlag("spot"),
+        w.number("estimate", 20),
+        w.number("checkpoint", 0),
+        w.number("save", 0),
+        w.options().containsKey("deadline") ? (Double) w.number("deadline", 0) : null);
   }
 
   /**
    * Tasks are words of the form job/index@attempt:state[:cause]; a small attempt is this term's.
    */
-  private static Heartbeat report(Words w) {
-    List<String> p = w.plain();
+  private static Heartbeat heartbeat(EventLine w) {
+    List<String> p = w.words();
     List<Heartbeat.TaskStatus> items = new ArrayList<>();
     for (String word : p.subList(3, p.size())) {
       if (!word.contains("@")) {
@@ -340,23 +343,23 @@
         name + ":1",
         w.text("type", "small"),
         w.text("zone", "a"),
-        w.flag("spot"),
-        (long) w.num("epoch", 1),
-        (long) w.num("sequence", 1),
-        (long) w.num("token", TOKEN),
+        w.hasFlag("spot"),
+        (long) w.number("epoch", 1),
+        (long) w.number("sequence", 1),
+        (long) w.number("token", TOKEN),
         notice == null ? null : Double.valueOf(notice),
         items);
   }
 
-  private static List<String> orders(List<Command> orders) {
+  private static List<String> describeCommands(List<Command> orders) {
     List<String> out = new ArrayList<>();
     for (Command o : orders) {
-      out.add(word(o));
+      out.add(describeCommand(o));
     }
     return out;
   }
 
-  private static String word(Command o) {
+  private static String describeCommand(Command o) {
     long term = o.attemptNumber() >> AttemptNumbers.ATTEMPT_COUNTER_BITS;
     String attempt =
         term == TOKEN
@@ -381,9 +384,14 @@
     return machines.stream().map(Decision.MachineAddress::machineName).toList();
   }
 
-  private static String words(Decision d) {
+  private static String describeDecision(Decision d) {
     if (d instanceof Decision.SendCommands o) {
-      return "send " + o.machineName() + " epoch " + o.epoch() + " " + orders(o.commands());
+      return "send "
+          + o.machineName()
+          + " epoch "
+          + o.epoch()
+          + " "
+          + describeCommands(o.commands());
     } else if (d instanceof Decision.OpenJob o) {
       return "open "
           + o.jobId()
--- a/src/test/java/org/astershift/scheduler/TraceTest.java
+++ b/src/test/java/org/astershift/scheduler/TraceTest.java
@@ -41,7 +41,7 @@
       }
       played.add(line);
       if (!line.isBlank() && !line.startsWith("#")) {
-        for (String answer : player.event(line)) {
+        for (String answer : player.play(line)) {
           played.add("> " + answer);
         }
       }
