--- a/src/test/java/org/astershift/scheduler/CommandConcurrencyLimitTest.java
+++ b/src/test/java/org/astershift/scheduler/CommandConcurrencyLimitTest.java
@@ -6,20 +6,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many direct orders may be under way follows from how they are answered. */
+/** The limit of direct commands in flight adapts to the time in which they are answered. */
 class CommandConcurrencyLimitTest {
   private final CommandConcurrencyLimit limit = new CommandConcurrencyLimit();
 
-  /** Sends as many as may go; each is answered after so long. */
+  /**
+   * Sends commands until the limit is reached, then answers each after {@code answerMs}.
+   *
+   * @return the number of commands sent
+   */
   private int playRound(long nowMs, long answerMs) {
-    int n = 0;
+    int sent = 0;
     while (limit.hasCapacity()) {
-      limit.onSent("vm-" + n++, nowMs);
+      limit.onSent("vm-" + sent++, nowMs);
     }
-    for (int i = 0; i < n; i++) {
+    for (int i = 0; i < sent; i++) {
       limit.onSettled("vm-" + i, true, nowMs + answerMs);
     }
-    return n;
+    return sent;
   }
 
   @Test
@@ -27,16 +31,22 @@
     assertEquals(CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL, playRound(0, 5));
     int grown = playRound(1000, 5);
     assertEquals(2 * CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL, grown);
-    assertEquals(2 * grown, playRound(2000, 3000), "all late");
-    assertEquals(grown, playRound(6000, 3000), "halved once for the whole round");
+    assertEquals(
+        2 * grown, playRound(2000, 3000), "commands sent in the round whose answers are all late");
+    assertEquals(grown, playRound(6000, 3000), "limit halved once for a round of late answers");
     for (int i = 0; i < 20; i++) {
       playRound(10_000 + 4000L * i, 3000);
     }
     assertEquals(
-        CommandConcurrencyLimit.CONCURRENT_COMMANDS_MIN, playRound(200_000, 5), "some always go");
+        CommandConcurrencyLimit.CONCURRENT_COMMANDS_MIN,
+        playRound(200_000, 5),
+        "limit does not fall below its minimum");
   }
 
-  /** Dead machines, of which a zone may have hundreds, say nothing of this node. */
+  /**
+   * A missing answer does not indicate an overload of this node: a zone that fails may leave
+   * hundreds of machines that do not answer.
+   */
   @Test
   void unansweredCommandsDoNotLowerLimit() {
     for (int i = 0; i < CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL; i++) {
@@ -49,7 +59,7 @@
     assertEquals(CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL, playRound(3000, 5));
   }
 
-  /** The end of an order to a machine that is gone meanwhile may never be told. */
+  /** The result of a command may never be reported if its machine is removed meanwhile. */
   @Test
   void lostCommandReleasesItsSlot() {
     for (int i = 0; i < CommandConcurrencyLimit.CONCURRENT_COMMANDS_INITIAL; i++) {
--- a/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
+++ b/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
@@ -7,157 +7,251 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Sums up anew what a term keeps up event by event, and says where the two differ. */
+/**
+ * Recomputes the sums and indexes that a leader's term updates with each event, and reports where
+ * the updated values differ from the recomputed ones.
+ */
 final class DerivedStateCheck {
   private static final double TOLERANCE = 1e-6;
 
   private DerivedStateCheck() {}
 
-  static List<String> differences(ClusterState c) {
-    List<String> out = new ArrayList<>();
-    Map<String, double[]> teams = new HashMap<>();
-    Map<Job, Set<TaskAttempt>> byJob = new HashMap<>();
-    int unreconciled = 0;
-    double dark = 0;
-    double darkGpus = 0;
-    boolean unbounded = false;
-    for (Machine m : c.allMachines()) {
+  static List<String> differences(ClusterState cluster) {
+    List<String> differences = new ArrayList<>();
+    Map<String, double[]> usageByTeam = new HashMap<>();
+    Map<Job, Set<TaskAttempt>> attemptsByJob = new HashMap<>();
+    int unreconciledMachines = 0;
+    double unobservedCpus = 0;
+    double unobservedGpus = 0;
+    boolean unobservedUsageUnbounded = false;
+    for (Machine machine : cluster.allMachines()) {
       double cpus = 0;
       double gpus = 0;
       double memory = 0;
-      double replicas = 0;
-      double plain = 0;
-      int held = 0;
-      boolean orphaned = false;
-      for (TaskAttempt run : m.attempts.values()) {
-        check(out, run.machine == m, run.name() + " is in the books of another machine");
-        check(out, m.attempts.get(run.key) == run, run.name() + " under another key");
-        if (run.isExited()) {
-          check(out, !run.job.duplicateAttempts.contains(run), run.name() + " exited and extra");
-          check(out, run.job.attempts.get(run.index) != run, run.name() + " exited and held");
+      double replicaCpus = 0;
+      double nonGpuCpus = 0;
+      int heldAttempts = 0;
+      boolean holdsOrphan = false;
+      for (TaskAttempt attempt : machine.attempts.values()) {
+        check(
+            differences,
+            attempt.machine == machine,
+            attempt.name() + " refers to another machine than the one that holds it");
+        check(
+            differences,
+            machine.attempts.get(attempt.key) == attempt,
+            attempt.name() + " is stored under the key of another attempt");
+        if (attempt.isExited()) {
+          check(
+              differences,
+              !attempt.job.duplicateAttempts.contains(attempt),
+              attempt.name() + " has exited and is still listed as a duplicate");
+          check(
+              differences,
+              attempt.job.attempts.get(attempt.index) != attempt,
+              attempt.name() + " has exited and is still its task's current attempt");
           continue;
         }
-        JobSpec s = run.job.spec;
-        held++;
-        cpus += s.cpus();
-        gpus += s.gpus();
-        memory += s.memoryGb();
-        replicas += s.kind() == JobKind.SERVICE ? s.cpus() : 0;
-        plain += s.gpus() == 0 ? s.cpus() : 0;
-        orphaned |= run.job.orphaned;
-        double[] u = teams.computeIfAbsent(s.team(), t -> new double[2]);
-        u[0] += s.cpus();
-        u[1] += s.gpus();
-        byJob.computeIfAbsent(run.job, j -> new HashSet<>()).add(run);
-        boolean known =
-            run.job.attempts.get(run.index) == run
-                || run.job.duplicateAttempts.contains(run)
-                || (run.isUnwanted() && run.job.attempts.get(run.index) == null);
-        check(out, known, run.name() + " on " + m.name + " is nobody's");
+        JobSpec spec = attempt.job.spec;
+        heldAttempts++;
+        cpus += spec.cpus();
+        gpus += spec.gpus();
+        memory += spec.memoryGb();
+        replicaCpus += spec.kind() == JobKind.SERVICE ? spec.cpus() : 0;
+        nonGpuCpus += spec.gpus() == 0 ? spec.cpus() : 0;
+        holdsOrphan |= attempt.job.orphaned;
+        double[] usage = usageByTeam.computeIfAbsent(spec.team(), t -> new double[2]);
+        usage[0] += spec.cpus();
+        usage[1] += spec.gpus();
+        attemptsByJob.computeIfAbsent(attempt.job, j -> new HashSet<>()).add(attempt);
+        boolean belongsToJob =
+            attempt.job.attempts.get(attempt.index) == attempt
+                || attempt.job.duplicateAttempts.contains(attempt)
+                || (attempt.isUnwanted() && attempt.job.attempts.get(attempt.index) == null);
+        check(
+            differences,
+            belongsToJob,
+            attempt.name() + " on " + machine.name + " belongs to no job");
         check(
-            out,
-            run.job.state != Job.State.LIVE || c.jobs.get(s.id()) == run.job,
-            run.name() + " is of a job that is live and not known");
-        boolean counts =
-            run.job.state != Job.State.LIVE
-                || run.job.doneTasks.get(run.index)
-                || !run.job.waitingTasks.get(run.index);
-        check(out, counts, run.name() + " on " + m.name + " is held and waits");
+            differences,
+            attempt.job.state != Job.State.LIVE || cluster.jobs.get(spec.id()) == attempt.job,
+            attempt.name() + " belongs to a live job that the cluster state does not list");
+        boolean isNotWaiting =
+            attempt.job.state != Job.State.LIVE
+                || attempt.job.doneTasks.get(attempt.index)
+                || !attempt.job.waitingTasks.get(attempt.index);
+        check(
+            differences,
+            isNotWaiting,
+            attempt.name()
+                + " on "
+                + machine.name
+                + " is held while its task is marked as waiting");
       }
       check(
-          out,
-          held == m.heldAttemptCount(),
-          m.name + " holds " + held + ", not " + m.heldAttemptCount());
-      checkEqual(out, m.name + " cpus", cpus, m.usedCpus());
-      checkEqual(out, m.name + " gpus", gpus, m.usedGpus());
-      checkEqual(out, m.name + " memory", memory, m.usedMemoryGb());
-      checkEqual(out, m.name + " replicas", replicas, m.replicaCpus());
-      checkEqual(out, m.name + " plain", plain, m.nonGpuCpus());
-      boolean hidden = (m.inherited && !m.fenced) || orphaned;
-      check(out, hidden == m.mayHoldUnobservedUsage(), m.name + " in the dark: " + hidden);
-      if (hidden) {
-        unbounded |= m.type == null;
-        dark += m.type == null ? 0 : m.type.cpus();
-        darkGpus += m.type == null ? 0 : m.type.gpus();
+          differences,
+          heldAttempts == machine.heldAttemptCount(),
+          machine.name
+              + " holds "
+              + heldAttempts
+              + " attempts, counted "
+              + machine.heldAttemptCount());
+      checkEqual(differences, machine.name + " used cpus", cpus, machine.usedCpus());
+      checkEqual(differences, machine.name + " used gpus", gpus, machine.usedGpus());
+      checkEqual(differences, machine.name + " used memory", memory, machine.usedMemoryGb());
+      checkEqual(differences, machine.name + " replica cpus", replicaCpus, machine.replicaCpus());
+      checkEqual(
+          differences,
+          machine.name + " cpus of tasks without gpus",
+          nonGpuCpus,
+          machine.nonGpuCpus());
+      boolean mayHoldUnobservedUsage = (machine.inherited && !machine.fenced) || holdsOrphan;
+      check(
+          differences,
+          mayHoldUnobservedUsage == machine.mayHoldUnobservedUsage(),
+          machine.name + " may hold unobserved usage: expected " + mayHoldUnobservedUsage);
+      if (mayHoldUnobservedUsage) {
+        unobservedUsageUnbounded |= machine.type == null;
+        unobservedCpus += machine.type == null ? 0 : machine.type.cpus();
+        unobservedGpus += machine.type == null ? 0 : machine.type.gpus();
       }
-      unreconciled += m.inherited && !m.fenced ? 1 : 0;
-      boolean unrecorded = m.state == Machine.State.LIVE && !m.registered;
-      check(out, unrecorded == c.unregistered.contains(m), m.name + " unrecorded: " + unrecorded);
+      unreconciledMachines += machine.inherited && !machine.fenced ? 1 : 0;
+      boolean isUnregistered = machine.state == Machine.State.LIVE && !machine.registered;
+      check(
+          differences,
+          isUnregistered == cluster.unregistered.contains(machine),
+          machine.name + " is unregistered: expected " + isUnregistered);
     }
     check(
-        out,
-        c.hasUnreconciledMachines() == unreconciled > 0,
-        unreconciled + " machines are unheard");
-    for (Team team : c.limits.teams().values()) {
-      double[] u = teams.getOrDefault(team.name(), new double[2]);
-      double[] use = c.teamUsage(team.name());
-      checkEqual(out, team.name() + " cpus", u[0], use[0]);
-      checkEqual(out, team.name() + " gpus", u[1], use[1]);
-      double[] left = c.remainingTeamQuota(team.name());
-      if (team.maxCpus() > 0 && !unbounded) {
-        checkEqual(out, team.name() + " cpus left", team.maxCpus() - u[0] - dark, left[0]);
+        differences,
+        cluster.hasUnreconciledMachines() == unreconciledMachines > 0,
+        "anyUnreconciled() is wrong with " + unreconciledMachines + " unreconciled machines");
+    for (Team team : cluster.limits.teams().values()) {
+      double[] usage = usageByTeam.getOrDefault(team.name(), new double[2]);
+      double[] keptUsage = cluster.teamUsage(team.name());
+      checkEqual(differences, team.name() + " used cpus", usage[0], keptUsage[0]);
+      checkEqual(differences, team.name() + " used gpus", usage[1], keptUsage[1]);
+      double[] remaining = cluster.remainingTeamQuota(team.name());
+      if (team.maxCpus() > 0 && !unobservedUsageUnbounded) {
+        checkEqual(
+            differences,
+            team.name() + " remaining cpus",
+            team.maxCpus() - usage[0] - unobservedCpus,
+            remaining[0]);
       }
-      if (team.maxGpus() > 0 && !unbounded) {
-        checkEqual(out, team.name() + " gpus left", team.maxGpus() - u[1] - darkGpus, left[1]);
+      if (team.maxGpus() > 0 && !unobservedUsageUnbounded) {
+        checkEqual(
+            differences,
+            team.name() + " remaining gpus",
+            team.maxGpus() - usage[1] - unobservedGpus,
+            remaining[1]);
       }
-      check(out, !unbounded || !team.isLimited() || left[0] < 0 || left[1] < 0, "unbounded");
+      check(
+          differences,
+          !unobservedUsageUnbounded || !team.isLimited() || remaining[0] < 0 || remaining[1] < 0,
+          team.name() + " has quota left although unobserved usage is unbounded");
     }
-    for (Job job : c.jobs.values()) {
-      checkJob(c, out, job, byJob.getOrDefault(job, Set.of()));
+    for (Job job : cluster.jobs.values()) {
+      checkJob(cluster, differences, job, attemptsByJob.getOrDefault(job, Set.of()));
     }
-    for (Job job : c.waitingJobs) {
-      check(out, c.jobs.get(job.spec.id()) == job, job.spec.id() + " is over and waits");
+    for (Job job : cluster.waitingJobs) {
+      check(
+          differences,
+          cluster.jobs.get(job.spec.id()) == job,
+          job.spec.id() + " has ended and is still listed as waiting");
     }
-    for (Job job : c.jobsToOpen) {
-      check(out, c.jobs.get(job.spec.id()) == job, job.spec.id() + " is over and to be opened");
+    for (Job job : cluster.jobsToOpen) {
+      check(
+          differences,
+          cluster.jobs.get(job.spec.id()) == job,
+          job.spec.id() + " has ended and is still listed as to be opened");
     }
-    return out;
+    return differences;
   }
 
-  private static void checkJob(ClusterState c, List<String> out, Job job, Set<TaskAttempt> runs) {
-    String id = job.spec.id();
-    int waiting = 0;
-    int running = 0;
-    Map<String, Integer> zones = new HashMap<>();
-    for (int i = 0; i < job.spec.tasks(); i++) {
-      TaskAttempt run = job.attempts.get(i);
-      boolean waits = run == null && !job.doneTasks.get(i);
-      waiting += waits ? 1 : 0;
-      check(out, waits == job.waitingTasks.get(i), id + "/" + i + " waits: " + waits);
-      if (run != null) {
-        check(out, runs.contains(run), run.name() + " is on no machine");
-        running += run.isRunning() ? 1 : 0;
-        zones.merge(run.machine.zone, 1, Integer::sum);
+  private static void checkJob(
+      ClusterState cluster, List<String> differences, Job job, Set<TaskAttempt> jobAttempts) {
+    String jobId = job.spec.id();
+    int waitingTasks = 0;
+    int runningTasks = 0;
+    Map<String, Integer> attemptsByZone = new HashMap<>();
+    for (int index = 0; index < job.spec.tasks(); index++) {
+      TaskAttempt attempt = job.attempts.get(index);
+      boolean isWaiting = attempt == null && !job.doneTasks.get(index);
+      waitingTasks += isWaiting ? 1 : 0;
+      check(
+          differences,
+          isWaiting == job.waitingTasks.get(index),
+          jobId + "/" + index + " is waiting: expected " + isWaiting);
+      if (attempt != null) {
+        check(
+            differences, jobAttempts.contains(attempt), attempt.name() + " is held by no machine");
+        runningTasks += attempt.isRunning() ? 1 : 0;
+        attemptsByZone.merge(attempt.machine.zone, 1, Integer::sum);
       }
     }
-    for (TaskAttempt extra : job.duplicateAttempts) {
-      check(out, runs.contains(extra), extra.name() + ", extra, is on no machine");
-      check(out, job.attempts.get(extra.index) != extra, extra.name() + " is extra and held");
-      check(out, job.attempts.containsKey(extra.index), extra.name() + " is extra beside nothing");
+    for (TaskAttempt duplicate : job.duplicateAttempts) {
+      check(
+          differences,
+          jobAttempts.contains(duplicate),
+          duplicate.name() + ", a duplicate, is held by no machine");
+      check(
+          differences,
+          job.attempts.get(duplicate.index) != duplicate,
+          duplicate.name() + " is a duplicate and its task's current attempt");
+      check(
+          differences,
+          job.attempts.containsKey(duplicate.index),
+          duplicate.name() + " is a duplicate of a task without a current attempt");
     }
-    check(out, waiting == job.waitingCount(), id + " waiting " + waiting);
-    check(out, job.doneTasks.cardinality() == job.doneCount(), id + " done");
     check(
-        out,
-        running == job.runningCount(),
-        id + " running " + running + ", not " + job.runningCount());
+        differences,
+        waitingTasks == job.waitingCount(),
+        jobId + " has " + waitingTasks + " waiting tasks, counted " + job.waitingCount());
+    check(
+        differences,
+        job.doneTasks.cardinality() == job.doneCount(),
+        jobId + " has another count of done tasks than its set of them");
+    check(
+        differences,
+        runningTasks == job.runningCount(),
+        jobId + " has " + runningTasks + " running tasks, counted " + job.runningCount());
     for (String zone : List.of("a", "b")) {
-      check(out, zones.getOrDefault(zone, 0) == job.attemptsInZone(zone), id + " in zone " + zone);
+      check(
+          differences,
+          attemptsByZone.getOrDefault(zone, 0) == job.attemptsInZone(zone),
+          jobId + " has another count of attempts in zone " + zone);
     }
-    check(out, waiting > 0 == c.waitingJobs.contains(job), id + " among the waiting: " + waiting);
-    check(out, c.unfinishedJobs(job.spec.team()).contains(job), id + " not among its team's");
-    boolean unopened = !job.opened && !job.attempts.isEmpty();
-    check(out, !unopened || c.jobsToOpen.contains(job), id + " is not to be opened");
-    check(out, !job.isComplete() || c.completionCandidates.contains(job), id + " is complete");
+    check(
+        differences,
+        waitingTasks > 0 == cluster.waitingJobs.contains(job),
+        jobId + " has " + waitingTasks + " waiting tasks, unlike the index of waiting jobs");
+    check(
+        differences,
+        cluster.unfinishedJobs(job.spec.team()).contains(job),
+        jobId + " is missing among the unfinished jobs of its team");
+    boolean needsOpening = !job.opened && !job.attempts.isEmpty();
+    check(
+        differences,
+        !needsOpening || cluster.jobsToOpen.contains(job),
+        jobId + " has attempts and is neither opened nor listed as to be opened");
+    check(
+        differences,
+        !job.isComplete() || cluster.completionCandidates.contains(job),
+        jobId + " is complete and missing among the candidates for completion");
   }
 
-  private static void checkEqual(List<String> out, String what, double expected, double kept) {
-    check(out, Math.abs(expected - kept) < TOLERANCE, what + ": " + expected + ", not " + kept);
+  private static void checkEqual(
+      List<String> differences, String value, double expected, double kept) {
+    check(
+        differences,
+        Math.abs(expected - kept) < TOLERANCE,
+        value + ": expected " + expected + ", kept " + kept);
   }
 
-  private static void check(List<String> out, boolean ok, String what) {
-    if (!ok) {
-      out.add(what);
+  private static void check(List<String> differences, boolean holds, String difference) {
+    if (!holds) {
+      differences.add(difference);
     }
   }
 }
--- a/src/test/java/org/astershift/scheduler/EligibilityTest.java
+++ b/src/test/java/org/astershift/scheduler/EligibilityTest.java
@@ -14,12 +14,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which jobs can never run; and that what is accepted runs, where the cloud has enough. */
+/**
+ * Tests which jobs are rejected because they can never run, and that every accepted job does run
+ * where the cloud has enough machines.
+ */
 @Timeout(60)
 class EligibilityTest {
   private static MachineType type(String name, double gpus, String zones) {
-    List<String> in = zones.isEmpty() ? List.of() : List.of(zones.split(""));
-    return new MachineType(name, 4, gpus, 16, 50, 1, 1 + gpus, 0.5, 1, in);
+    List<String> offeredZones = zones.isEmpty() ? List.of() : List.of(zones.split(""));
+    return new MachineType(name, 4, gpus, 16, 50, 1, 1 + gpus, 0.5, 1, offeredZones);
   }
 
   private static JobSpec job(
@@ -27,7 +30,7 @@
       int tasks,
       double cpus,
       double gpus,
-      double gb,
+      double memoryGb,
       List<String> types,
       String zone,
       boolean oneZone,
@@ -37,7 +40,7 @@
         .kind(kind)
         .of("t")
         .takes(cpus, gpus)
-        .memory(gb)
+        .memory(memoryGb)
         .only(types)
         .zone(zone)
         .oneZone(oneZone)
@@ -51,56 +54,57 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        // kind, tasks, cpus, gpus, GB; zone, flags; limits of cpus and gpus; verdict
-        "an array | ARRAY 9 4 0 16 | - - | 0 0 | runs",
-        "a processor too many | ARRAY 1 4.01 0 1 | - - | 0 0 | fits no",
-        "more memory than any has | ARRAY 1 1 0 16.1 | - - | 0 0 | fits no",
-        "accelerators where they are | ARRAY 1 4 4 1 | b - | 0 0 | runs",
-        "accelerators where none are | ARRAY 1 4 1 1 | a - | 0 0 | fits no",
-        "a zone that is not | ARRAY 1 1 0 1 | z - | 0 0 | fits no",
-        "a zone where nothing is offered | ARRAY 1 1 0 1 | d - | 0 0 | fits no",
-        "an array over its limit | ARRAY 9 1 0 1 | - - | 1 0 | runs",
-        "a task over its limit | ARRAY 1 1.5 0 1 | - - | 1 0 | limit",
-        "a gang at its limit | GANG 9 1 0 1 | - - | 9 0 | runs",
-        "a gang of tenths at its limit | GANG 3 0.1 0 1 | - - | 0.3 0 | runs",
-        "a gang over its limit | GANG 9 1 0 1 | - - | 8 0 | limit",
-        "a service over its limit | SERVICE 9 1 0 1 | - - | 8 0 | limit",
-        "accelerators over their limit | GANG 3 1 1 1 | - - | 0 2 | limit",
-        "no limit of what it takes | GANG 3 1 1 1 | - - | 3 0 | runs",
-        "nothing taken of what is limited | GANG 99 1 0 1 | - - | 0 2 | runs",
-        "a spread gang | GANG 2 1 0 1 | - apart | 0 0 | runs",
-        "a spread gang in one zone | GANG 2 1 0 1 | - apart one | 0 0 | two zones",
-        "a spread gang in the zone | GANG 2 1 0 1 | a apart | 0 0 | two zones",
-        "a spread service in one zone | SERVICE 2 1 0 1 | - apart one | 0 0 | two zones",
-        "a spread array in one zone | ARRAY 2 1 0 1 | a apart one | 0 0 | runs",
-        "one spread task in one zone | GANG 1 1 0 1 | a apart one | 0 0 | runs",
-        "a gang in one zone | GANG 9 1 0 1 | - one | 0 0 | runs",
-        "spread, with types in one zone only | GANG 2 1 1 1 | - apart | 0 0 | two zones",
-        "nothing at all | GANG 2 0 0 0 | - apart | 0 0 | runs",
+        // name; kind, tasks, cpus, gpus, GB; zone, flags; team limits of cpus and gpus; verdict
+        "array that fits | ARRAY 9 4 0 16 | - - | 0 0 | runs",
+        "more cpus than any type has | ARRAY 1 4.01 0 1 | - - | 0 0 | fits no",
+        "more memory than any type has | ARRAY 1 1 0 16.1 | - - | 0 0 | fits no",
+        "gpus in a zone that has them | ARRAY 1 4 4 1 | b - | 0 0 | runs",
+        "gpus in a zone without them | ARRAY 1 4 1 1 | a - | 0 0 | fits no",
+        "unknown zone | ARRAY 1 1 0 1 | z - | 0 0 | fits no",
+        "zone in which no type is offered | ARRAY 1 1 0 1 | d - | 0 0 | fits no",
+        "array above its team limit | ARRAY 9 1 0 1 | - - | 1 0 | runs",
+        "single task above its team limit | ARRAY 1 1.5 0 1 | - - | 1 0 | limit",
+        "gang at its team limit | GANG 9 1 0 1 | - - | 9 0 | runs",
+        "gang of fractional cpus at its team limit | GANG 3 0.1 0 1 | - - | 0.3 0 | runs",
+        "gang above its team limit | GANG 9 1 0 1 | - - | 8 0 | limit",
+        "service above its team limit | SERVICE 9 1 0 1 | - - | 8 0 | limit",
+        "gpus above their team limit | GANG 3 1 1 1 | - - | 0 2 | limit",
+        "gpus used and only cpus limited | GANG 3 1 1 1 | - - | 3 0 | runs",
+        "no gpus used and only gpus limited | GANG 99 1 0 1 | - - | 0 2 | runs",
+        "spread gang | GANG 2 1 0 1 | - apart | 0 0 | runs",
+        "spread gang limited to one zone | GANG 2 1 0 1 | - apart one | 0 0 | two zones",
+        "spread gang with a zone given | GANG 2 1 0 1 | a apart | 0 0 | two zones",
+        "spread service limited to one zone | SERVICE 2 1 0 1 | - apart one | 0 0 | two zones",
+        "spread array limited to one zone | ARRAY 2 1 0 1 | a apart one | 0 0 | runs",
+        "single spread task limited to one zone | GANG 1 1 0 1 | a apart one | 0 0 | runs",
+        "gang limited to one zone | GANG 9 1 0 1 | - one | 0 0 | runs",
+        "spread gang with suitable types in one zone only | GANG 2 1 1 1 | - apart | 0 0 | two zones",
+        "gang without resource needs | GANG 2 0 0 0 | - apart | 0 0 | runs",
       })
   void rejectionReasonMatchesVerdict(
-      String what, String takes, String where, String limits, String verdict) {
-    String[] j = takes.split(" ");
-    String[] z = where.split(" ", 2);
-    String[] l = limits.split(" ");
+      String name, String resources, String placement, String limits, String verdict) {
+    String[] jobWords = resources.split(" ");
+    String[] zoneAndFlags = placement.split(" ", 2);
+    String[] limitWords = limits.split(" ");
     JobSpec spec =
         job(
-            JobKind.valueOf(j[0]),
-            Integer.parseInt(j[1]),
-            Double.parseDouble(j[2]),
-            Double.parseDouble(j[3]),
-            Double.parseDouble(j[4]),
+            JobKind.valueOf(jobWords[0]),
+            Integer.parseInt(jobWords[1]),
+            Double.parseDouble(jobWords[2]),
+            Double.parseDouble(jobWords[3]),
+            Double.parseDouble(jobWords[4]),
             null,
-            z[0].equals("-") ? null : z[0],
-            z[1].contains("one"),
-            z[1].contains("apart"),
+            zoneAndFlags[0].equals("-") ? null : zoneAndFlags[0],
+            zoneAndFlags[1].contains("one"),
+            zoneAndFlags[1].contains("apart"),
             false);
-    Team team = new Team("t", 0, Double.parseDouble(l[0]), 0, Double.parseDouble(l[1]));
+    Team team =
+        new Team("t", 0, Double.parseDouble(limitWords[0]), 0, Double.parseDouble(limitWords[1]));
     List<MachineType> types =
         List.of(type("small", 0, "ab"), type("fast", 4, "b"), type("gone", 4, ""));
-    String never = Eligibility.rejectionReason(spec, types, team);
-    String said = never == null ? "runs" : never;
-    assertTrue(said.contains(verdict), said);
+    String rejection = Eligibility.rejectionReason(spec, types, team);
+    String outcome = rejection == null ? "runs" : rejection;
+    assertTrue(outcome.contains(verdict), "expected " + verdict + ", got " + outcome);
   }
 
   @Test
@@ -114,8 +118,9 @@
   }
 
   /**
-   * Drawn jobs, alone on machines of drawn types, with a cloud that has all it offers: what is
-   * accepted runs as a whole, and what is refused does not, and nothing breaks a limit meanwhile.
+   * Submits random jobs, each alone on machines of random types, to a cloud that has every machine
+   * that it offers: an accepted job runs as a whole, a rejected job would not, and no limit is
+   * exceeded meanwhile.
    */
   @Test
   void acceptedJobsRunAndRejectedJobsCannot() {
@@ -132,34 +137,47 @@
       JobKind kind = pick(random, JobKind.values());
       double cpus = pick(random, 0.0, 0.1, 0.7, 1.0, 1.0, 4.0, 5.0);
       double gpus = pick(random, 0.0, 0.0, 0.0, 0.5, 1.0, 4.0, 5.0);
-      double gb = pick(random, 0.0, 0.1, 1.0, 16.0, 17.0);
-      boolean tiny = cpus == 0 && gpus == 0 && gb <= 0.1;
-      int tasks = tiny ? pick(random, 1, 2, 1000) : pick(random, 1, 1, 2, 3, 8, 9, 50);
-      List<String> only = random.nextInt(4) == 0 ? List.of(pick(random, "small", "fast")) : null;
+      double memoryGb = pick(random, 0.0, 0.1, 1.0, 16.0, 17.0);
+      boolean needsAlmostNothing = cpus == 0 && gpus == 0 && memoryGb <= 0.1;
+      int tasks =
+          needsAlmostNothing ? pick(random, 1, 2, 1000) : pick(random, 1, 1, 2, 3, 8, 9, 50);
+      List<String> allowedTypes =
+          random.nextInt(4) == 0 ? List.of(pick(random, "small", "fast")) : null;
       String zone = random.nextInt(4) == 0 ? pick(random, "a", "b") : null;
       boolean oneZone = random.nextInt(4) == 0;
       boolean spread = random.nextInt(2) == 0;
       JobSpec spec =
-          job(kind, tasks, cpus, gpus, gb, only, zone, oneZone, spread, random.nextBoolean());
-      boolean exact = random.nextInt(3) == 0;
-      double cpusMax = exact ? tasks * cpus : pick(random, 0.0, 0.0, 0.9, 4.0, 20.0);
+          job(
+              kind,
+              tasks,
+              cpus,
+              gpus,
+              memoryGb,
+              allowedTypes,
+              zone,
+              oneZone,
+              spread,
+              random.nextBoolean());
+      boolean isLimitExact = random.nextInt(3) == 0;
+      double cpusMax = isLimitExact ? tasks * cpus : pick(random, 0.0, 0.0, 0.9, 4.0, 20.0);
       Team team = new Team("t", 0, cpusMax, 0, pick(random, 0.0, 0.0, 3.0));
 
-      String never = Eligibility.rejectionReason(spec, types.values(), team);
-      verdicts.merge(never == null ? "runs as " + kind : never, 1, Integer::sum);
-      boolean ran = new Deployment(types, team).runsWithin(spec, never == null ? 120 : 30);
-      assertEquals(never == null, ran, "seed " + seed + ": " + never + ", " + spec + types + team);
+      String rejection = Eligibility.rejectionReason(spec, types.values(), team);
+      verdicts.merge(rejection == null ? "runs as " + kind : rejection, 1, Integer::sum);
+      boolean ran = new Deployment(types, team).runsWithin(spec, rejection == null ? 120 : 30);
+      assertEquals(
+          rejection == null, ran, "seed " + seed + ": " + rejection + ", " + spec + types + team);
     }
     assertEquals(6, verdicts.size(), verdicts.toString());
-    verdicts.forEach((verdict, n) -> assertTrue(n > 10, verdicts.toString()));
+    verdicts.forEach((verdict, count) -> assertTrue(count > 10, verdicts.toString()));
   }
 
   @SafeVarargs
-  private static <T> T pick(Random random, T... of) {
-    return of[random.nextInt(of.length)];
+  private static <T> T pick(Random random, T... options) {
+    return options[random.nextInt(options.length)];
   }
 
-  /** A leader alone with a cloud of a hundred machines, which are up within the second. */
+  /** A single leader with a cloud of up to 100 machines, which boot within a second. */
   private static final class Deployment {
     private static final int MACHINES = 100;
     private final Map<String, MachineType> types;
@@ -174,9 +192,9 @@
     Deployment(Map<String, MachineType> types, Team team) {
       this.types = types;
       this.team = team;
-      DeploymentLimits facts =
+      DeploymentLimits limits =
           new DeploymentLimits(Map.of("t", team), List.of(), 2, 14, 30, 4, 40, 3);
-      this.scheduler = new Scheduler(facts, org.astershift.config.OperatorSettings.defaults(), 7);
+      this.scheduler = new Scheduler(limits, org.astershift.config.OperatorSettings.defaults(), 7);
       scheduler.updateMachineTypes(types);
     }
 
@@ -204,15 +222,15 @@
       }
     }
 
-    /** Whether the job ran as a whole within so many seconds. */
+    /** Returns whether the job ran as a whole within {@code seconds}. */
     boolean runsWithin(JobSpec job, int seconds) {
       spec = job;
       scheduler.addJob(job, false, new java.util.BitSet(), 0);
-      for (long now = 0; now < seconds * 1000L; now += 500) {
-        for (Decision d : scheduler.runPass(now, Long.MAX_VALUE / 4)) {
-          execute(d, now);
+      for (long nowMs = 0; nowMs < seconds * 1000L; nowMs += 500) {
+        for (Decision decision : scheduler.runPass(nowMs, Long.MAX_VALUE / 4)) {
+          execute(decision, nowMs);
         }
-        advanceMachines(now);
+        advanceMachines(nowMs);
         if (finished) {
           return true;
         }
@@ -220,119 +238,129 @@
       return job.kind() == JobKind.SERVICE && runningTasks() == job.tasks();
     }
 
-    private void execute(Decision d, long now) {
-      if (d instanceof Decision.OpenJob o) {
-        scheduler.onJobOpened(o.jobId());
-      } else if (d instanceof Decision.FinishJob f) {
-        scheduler.onJobEnded(f.jobId(), false, now);
+    private void execute(Decision decision, long nowMs) {
+      if (decision instanceof Decision.OpenJob opening) {
+        scheduler.onJobOpened(opening.jobId());
+      } else if (decision instanceof Decision.FinishJob end) {
+        scheduler.onJobEnded(end.jobId(), false, nowMs);
         finished = true;
-      } else if (d instanceof Decision.RegisterMachine e) {
-        scheduler.onMachineRegistered(e.machineName());
-      } else if (d instanceof Decision.ProvisionMachines r) {
-        assertTrue(r.count() > 0, () -> r + " for " + spec);
-        if (machines.size() + r.count() > MACHINES) {
-          scheduler.onProvisioningFailed("r", r, true, now);
+      } else if (decision instanceof Decision.RegisterMachine registration) {
+        scheduler.onMachineRegistered(registration.machineName());
+      } else if (decision instanceof Decision.ProvisionMachines request) {
+        assertTrue(request.count() > 0, () -> "empty request " + request + " for " + spec);
+        if (machines.size() + request.count() > MACHINES) {
+          scheduler.onProvisioningFailed("r", request, true, nowMs);
           return;
         }
-        scheduler.onProvisioningStarted("r", r);
+        scheduler.onProvisioningStarted("r", request);
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < Math.min(r.count(), ScaleOut.PROVISION_BATCH_MACHINES); i++) {
+        for (int i = 0; i < Math.min(request.count(), ScaleOut.PROVISION_BATCH_MACHINES); i++) {
           String name = "vm-" + ++machinesCreated;
-          FakeMachine box = new FakeMachine();
-          box.type = types.get(r.typeName());
-          box.zone = r.zone();
-          box.spot = r.spot();
-          machines.put(name, box);
+          FakeMachine machine = new FakeMachine();
+          machine.type = types.get(request.typeName());
+          machine.zone = request.zone();
+          machine.spot = request.spot();
+          machines.put(name, machine);
           names.add(name);
         }
-        scheduler.onMachinesProvisioned("r", names, r, now);
-      } else if (d instanceof Decision.ReleaseMachines r) {
-        for (String name : r.machineNames()) {
-          assertEquals(0, machines.remove(name).runningTasks(), () -> "given back under " + spec);
+        scheduler.onMachinesProvisioned("r", names, request, nowMs);
+      } else if (decision instanceof Decision.ReleaseMachines release) {
+        for (String name : release.machineNames()) {
+          assertEquals(
+              0,
+              machines.remove(name).runningTasks(),
+              () -> "released a machine that runs tasks of " + spec);
         }
-        scheduler.onMachinesReleased(r.machineNames(), now);
-      } else if (d instanceof Decision.SendCommands o) {
-        FakeMachine box = machines.get(o.machineName());
-        executeCommands(box, o.commands(), now);
+        scheduler.onMachinesReleased(release.machineNames(), nowMs);
+      } else if (decision instanceof Decision.SendCommands commands) {
+        FakeMachine machine = machines.get(commands.machineName());
+        executeCommands(machine, commands.commands(), nowMs);
         scheduler.onCommandResult(
-            o.machineName(), false, heartbeat(o.machineName(), box), now, now);
+            commands.machineName(),
+            false,
+            heartbeat(commands.machineName(), machine),
+            nowMs,
+            nowMs);
       }
     }
 
-    private void executeCommands(FakeMachine box, List<Command> orders, long now) {
-      for (Command o : orders) {
-        switch (o.kind()) {
+    private void executeCommands(FakeMachine machine, List<Command> commands, long nowMs) {
+      for (Command command : commands) {
+        switch (command.kind()) {
           case START -> {
-            Task t = new Task();
-            t.start = o;
-            t.startedMs = now;
-            box.tasks.putIfAbsent(o.index(), t);
+            Task task = new Task();
+            task.start = command;
+            task.startedMs = nowMs;
+            machine.tasks.putIfAbsent(command.index(), task);
           }
-          case STOP, FORGET -> box.tasks.remove(o.index());
+          case STOP, FORGET -> machine.tasks.remove(command.index());
           default -> throw new IllegalStateException();
         }
       }
       checkInvariants();
     }
 
-    private Heartbeat heartbeat(String name, FakeMachine box) {
-      List<Heartbeat.TaskStatus> items = new ArrayList<>();
-      box.tasks.values().forEach(t -> items.add(t.status()));
+    private Heartbeat heartbeat(String name, FakeMachine machine) {
+      List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
+      machine.tasks.values().forEach(task -> tasks.add(task.status()));
       return new Heartbeat(
           name,
           name + ":1",
-          box.type.name(),
-          box.zone,
-          box.spot,
+          machine.type.name(),
+          machine.zone,
+          machine.spot,
           1,
-          ++box.sequence,
+          ++machine.sequence,
           7,
           null,
-          items);
+          tasks);
     }
 
     private int runningTasks() {
       return machines.values().stream().mapToInt(FakeMachine::runningTasks).sum();
     }
 
-    private void advanceMachines(long now) {
+    private void advanceMachines(long nowMs) {
       allTasksRan |= runningTasks() == spec.tasks();
-      for (Map.Entry<String, FakeMachine> e : new ArrayList<>(machines.entrySet())) {
-        for (Task t : e.getValue().tasks.values()) {
-          boolean together = spec.kind() != JobKind.GANG || allTasksRan;
-          boolean ends = spec.kind() != JobKind.SERVICE && together;
-          t.done |= ends && now - t.startedMs >= 1000;
+      for (Map.Entry<String, FakeMachine> entry : new ArrayList<>(machines.entrySet())) {
+        for (Task task : entry.getValue().tasks.values()) {
+          boolean mayEnd = spec.kind() != JobKind.GANG || allTasksRan;
+          boolean endsByItself = spec.kind() != JobKind.SERVICE && mayEnd;
+          task.done |= endsByItself && nowMs - task.startedMs >= 1000;
         }
-        List<Command> orders = scheduler.onHeartbeat(heartbeat(e.getKey(), e.getValue()), now, now);
-        executeCommands(e.getValue(), orders, now);
+        List<Command> commands =
+            scheduler.onHeartbeat(heartbeat(entry.getKey(), entry.getValue()), nowMs, nowMs);
+        executeCommands(entry.getValue(), commands, nowMs);
       }
       scheduler.drainUnpersistedProgress().forEach(scheduler::onProgressPersisted);
     }
 
-    /** The rules, and what a report may hold. */
+    /** Checks the placement rules, the limits and the number of tasks in a heartbeat. */
     private void checkInvariants() {
-      Map<String, Integer> zones = new TreeMap<>();
-      int all = 0;
-      for (FakeMachine box : machines.values()) {
-        int n = box.runningTasks();
-        all += n;
-        zones.merge(box.zone, n, Integer::sum);
+      Map<String, Integer> tasksByZone = new TreeMap<>();
+      int totalTasks = 0;
+      for (FakeMachine machine : machines.values()) {
+        int tasks = machine.runningTasks();
+        totalTasks += tasks;
+        tasksByZone.merge(machine.zone, tasks, Integer::sum);
         double tolerance = 1e-6;
-        assertTrue(n * spec.cpus() <= box.type.cpus() + tolerance, spec::toString);
-        assertTrue(n * spec.gpus() <= box.type.gpus() + tolerance, spec::toString);
-        assertTrue(n * spec.memoryGb() <= box.type.memoryGb() + tolerance, spec::toString);
-        assertTrue(box.tasks.size() <= MachineType.MAX_TASKS_PER_MACHINE, spec::toString);
+        assertTrue(tasks * spec.cpus() <= machine.type.cpus() + tolerance, spec::toString);
+        assertTrue(tasks * spec.gpus() <= machine.type.gpus() + tolerance, spec::toString);
+        assertTrue(tasks * spec.memoryGb() <= machine.type.memoryGb() + tolerance, spec::toString);
+        assertTrue(machine.tasks.size() <= MachineType.MAX_TASKS_PER_MACHINE, spec::toString);
         assertTrue(
-            n == 0 || spec.machineTypes() == null || spec.machineTypes().contains(box.type.name()));
-        assertTrue(n == 0 || spec.zone() == null || spec.zone().equals(box.zone));
-        assertTrue(n == 0 || spec.spotAllowed() || !box.spot);
+            tasks == 0
+                || spec.machineTypes() == null
+                || spec.machineTypes().contains(machine.type.name()));
+        assertTrue(tasks == 0 || spec.zone() == null || spec.zone().equals(machine.zone));
+        assertTrue(tasks == 0 || spec.spotAllowed() || !machine.spot);
       }
-      zones.values().removeIf(n -> n == 0);
-      assertTrue(!spec.oneZone() || zones.size() <= 1, () -> spec + ": " + zones);
-      for (int n : zones.values()) {
-        assertTrue(!spec.spread() || n <= spec.spreadLimit(), () -> spec + ": " + zones);
+      tasksByZone.values().removeIf(tasks -> tasks == 0);
+      assertTrue(!spec.oneZone() || tasksByZone.size() <= 1, () -> spec + ": " + tasksByZone);
+      for (int tasks : tasksByZone.values()) {
+        assertTrue(!spec.spread() || tasks <= spec.spreadLimit(), () -> spec + ": " + tasksByZone);
       }
-      assertTrue(team.allows(all * spec.cpus(), all * spec.gpus()), spec::toString);
+      assertTrue(team.allows(totalTasks * spec.cpus(), totalTasks * spec.gpus()), spec::toString);
     }
   }
 }
--- a/src/test/java/org/astershift/scheduler/FuzzCloud.java
+++ b/src/test/java/org/astershift/scheduler/FuzzCloud.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The cloud: it boots, lists and deletes machines, late and with lost answers. */
+/** A cloud that boots, lists and deletes machines, with delays and lost answers. */
 final class FuzzCloud {
   private final FuzzSimulation sim;
   private final Map<String, List<String>> machinesByRequest = new HashMap<>();
@@ -35,23 +35,24 @@
           List<String> names =
               machinesByRequest.computeIfAbsent(
                   name,
-                  workerName -> {
-                    List<String> listed = new ArrayList<>();
-                    long present =
+                  requestName -> {
+                    List<String> created = new ArrayList<>();
+                    long machinesPresent =
                         sim.workers.values().stream()
                             .filter(worker -> worker.removedMs < 0)
                             .count();
                     for (int i = 0;
-                        i < request.count() && present + i < FuzzSimulation.MAX_MACHINES;
+                        i < request.count() && machinesPresent + i < FuzzSimulation.MAX_MACHINES;
                         i++) {
-                      boolean quick = sim.random.nextInt(4) == 0;
-                      long delayMs =
-                          quick ? sim.random.nextInt(2000) : 5000 + sim.random.nextInt(9000);
-                      long boot = sim.random.nextInt(20) == 0 ? 1_000_000 : delayMs;
-                      listed.add(
-                          create(request.typeName(), request.zone(), request.spot(), boot).name);
+                      boolean bootsFast = sim.random.nextInt(4) == 0;
+                      long normalBootMs =
+                          bootsFast ? sim.random.nextInt(2000) : 5000 + sim.random.nextInt(9000);
+                      long actualBootMs = sim.random.nextInt(20) == 0 ? 1_000_000 : normalBootMs;
+                      created.add(
+                          create(request.typeName(), request.zone(), request.spot(), actualBootMs)
+                              .name);
                     }
-                    return listed;
+                    return created;
                   });
           sim.after(
               5,
@@ -98,7 +99,7 @@
             for (String workerName : names) {
               FuzzWorker worker = sim.workers.get(workerName);
               if (worker != null && worker.removedMs < 0) {
-                sim.logEvent(workerName + " is given back");
+                sim.logEvent(workerName + " is released");
                 worker.shutDown(0);
                 worker.deleted = true;
               }
@@ -118,32 +119,35 @@
         });
   }
 
-  /** A list as of some moment within twice the lag, which may be before that of the last one. */
+  /**
+   * Lists the machines as they were at a random time within twice the list lag, which may be
+   * earlier than the time that the previous list showed.
+   */
   void listRepeatedly(FuzzController controller) {
     if (controller.terminated) {
       return;
     }
     if (!sim.cloudDown && !controller.paused) {
-      long asked = controller.clock();
+      long requestedMs = controller.clock();
       sim.after(
           sim.random.nextInt(100),
           () -> {
-            long asOf =
+            long asOfMs =
                 sim.nowMs - (long) (sim.random.nextDouble() * 2 * FuzzSimulation.LIST_LAG_S * 1000);
             List<ListedMachine> listed = new ArrayList<>();
             for (FuzzWorker worker : sim.workers.values()) {
-              boolean gone =
+              boolean isRemoved =
                   worker.removedMs >= 0
                       && (worker.deleted || worker.preempted)
-                      && worker.removedMs <= asOf;
-              if (worker.createdMs <= asOf && !gone) {
-                boolean failed =
+                      && worker.removedMs <= asOfMs;
+              if (worker.createdMs <= asOfMs && !isRemoved) {
+                boolean hasFailed =
                     worker.removedMs >= 0
                         && !worker.deleted
                         && !worker.preempted
-                        && worker.removedMs < asOf - 30000;
-                String state = failed ? "failed" : worker.bootedMs < 0 ? "starting" : "running";
-                double age = (asOf - worker.createdMs) / 1000.0;
+                        && worker.removedMs < asOfMs - 30000;
+                String state = hasFailed ? "failed" : worker.bootedMs < 0 ? "starting" : "running";
+                double ageS = (asOfMs - worker.createdMs) / 1000.0;
                 listed.add(
                     new ListedMachine(
                         worker.name,
@@ -152,7 +156,7 @@
                         worker.zone,
                         worker.spot,
                         state,
-                        age));
+                        ageS));
               }
             }
             sim.after(
@@ -160,7 +164,8 @@
                 () ->
                     controller.handle(
                         () ->
-                            controller.scheduler.onMachineList(listed, asked, controller.clock())));
+                            controller.scheduler.onMachineList(
+                                listed, requestedMs, controller.clock())));
           });
     }
     sim.after(1500 + sim.random.nextInt(1500), () -> listRepeatedly(controller));
--- a/src/test/java/org/astershift/scheduler/FuzzController.java
+++ b/src/test/java/org/astershift/scheduler/FuzzController.java
@@ -12,8 +12,8 @@
 import org.astershift.coordination.TermJobs;
 
 /**
- * A controller: a {@link Scheduler} and its {@link TermJobs}, with the few lines that carry
- * decisions out.
+ * A controller in its term as leader: a {@link Scheduler} and its {@link TermJobs}, with a minimal
+ * execution of the decisions.
  */
 final class FuzzController {
   private final FuzzSimulation sim;
@@ -47,7 +47,10 @@
     return clockOffsetMs + (long) (sim.nowMs * clockRate);
   }
 
-  /** All inputs go through here; what comes while the process is paused is handled in any order. */
+  /**
+   * Handles an input of the controller. Inputs that arrive while the process is paused are queued
+   * and handled in random order after it resumes.
+   */
   void handle(Runnable input) {
     if (terminated) {
       return;
@@ -62,7 +65,7 @@
     }
     List<String> differences = DerivedStateCheck.differences(scheduler.cluster());
     if (!differences.isEmpty()) {
-      sim.rules.violations.add("books at " + sim.nowMs + ": " + differences);
+      sim.rules.violations.add("derived state at " + sim.nowMs + ": " + differences);
     }
     if (scheduler.isDeposed()) {
       terminated("deposed");
@@ -70,14 +73,14 @@
   }
 
   void terminated(String why) {
-    sim.logEvent("controller " + id + " is over: " + why);
+    sim.logEvent("controller " + id + " ends its term: " + why);
     terminated = true;
     sim.controllers.remove(this);
   }
 
-  void adopt(String job, long revision, boolean opened, BitSet done, long submitted) {
+  void adopt(String job, long revision, boolean opened, BitSet done, long submittedMs) {
     if (termJobs.adopt(job, revision)) {
-      scheduler.addJob(sim.specs.get(job), opened, done, clock() - (sim.nowMs - submitted));
+      scheduler.addJob(sim.specs.get(job), opened, done, clock() - (sim.nowMs - submittedMs));
     }
   }
 
@@ -85,10 +88,10 @@
     scheduler.updateMachineTypes(sim.types);
     for (Decision.RegisterMachine registration : sim.store.machines.values()) {
       if (registration.newlyProvisioned()) {
-        Decision.ProvisionMachines r =
+        Decision.ProvisionMachines request =
             new Decision.ProvisionMachines(
                 registration.typeName(), registration.zone(), registration.spot(), 1);
-        scheduler.onMachinesProvisioned("", List.of(registration.machineName()), r, clock());
+        scheduler.onMachinesProvisioned("", List.of(registration.machineName()), request, clock());
       } else {
         scheduler.addInheritedMachine(
             registration.machineName(),
@@ -109,11 +112,11 @@
                 sim.store.submittedMs.get(job)));
     termJobs.onLoaded();
     sim.store.provisionRequests.forEach(
-        (name, r) -> {
-          scheduler.onProvisioningStarted(name, r);
-          sim.cloud.provision(this, name, r);
+        (name, request) -> {
+          scheduler.onProvisioningStarted(name, request);
+          sim.cloud.provision(this, name, request);
         });
-    sim.logEvent("controller " + id + " begins with token " + token);
+    sim.logEvent("controller " + id + " begins its term, token=" + token);
     pass();
     sim.after(sim.random.nextInt(1000), () -> sim.cloud.listRepeatedly(this));
     sim.after(300, this::persistProgress);
@@ -236,7 +239,7 @@
             sim.digest.jobOver(sim.nowMs, job, cancelled, sim.specs.get(job).tasks());
             sim.rules.onJobEnded(
                 job, cancelled, sim.cancellationRequested.contains(job), sim.nowMs);
-            sim.logEvent(job + " is over, cancelled " + cancelled);
+            sim.logEvent(job + " has ended, cancelled=" + cancelled);
           }
         },
         ok -> {
@@ -293,9 +296,9 @@
     }
     Set<String> reached = new HashSet<>();
     Set<String> unreached = new HashSet<>();
-    List<Decision.MachineAddress> all = new ArrayList<>(probe.suspects());
-    all.addAll(probe.controls());
-    for (Decision.MachineAddress address : all) {
+    List<Decision.MachineAddress> addresses = new ArrayList<>(probe.suspects());
+    addresses.addAll(probe.controls());
+    for (Decision.MachineAddress address : addresses) {
       FuzzWorker worker = sim.workers.get(address.machineName());
       (worker != null && worker.alive && !worker.hung ? reached : unreached)
           .add(address.machineName());
@@ -303,18 +306,21 @@
     return List.of(new Decision.PeerProbeResult(reached, unreached));
   }
 
-  /** Milliseconds that a message between it and a machine takes; -1: it is lost. */
+  /**
+   * Returns the delay in milliseconds of a message between this controller and the machine, or -1
+   * if the message is lost.
+   */
   long linkDelayMs(String machine, String direction) {
     long delayMs = 1 + sim.random.nextInt(20);
     if (sim.chance(sim.slow)) {
       delayMs += sim.random.nextInt(6000);
     }
-    Long until = cutUntilMs.get(machine + direction);
-    if (until != null && until > sim.nowMs) {
+    Long untilMs = cutUntilMs.get(machine + direction);
+    if (untilMs != null && untilMs > sim.nowMs) {
       if (!cutHoldsMessages.get(machine + direction)) {
         return -1;
       }
-      delayMs += until - sim.nowMs;
+      delayMs += untilMs - sim.nowMs;
     }
     return delayMs;
   }
--- a/src/test/java/org/astershift/scheduler/FuzzFaults.java
+++ b/src/test/java/org/astershift/scheduler/FuzzFaults.java
@@ -4,7 +4,10 @@
 import java.util.Collections;
 import java.util.List;
 
-/** Faults of machines, links, controllers, the store and the cloud, until the seed calms down. */
+/**
+ * Injects faults of machines, links, controllers, the store and the cloud until the time at which
+ * the faults of the seed end.
+ */
 final class FuzzFaults {
   private final FuzzSimulation sim;
 
@@ -13,13 +16,15 @@
   }
 
   private FuzzWorker anyWorker() {
-    List<FuzzWorker> up = new ArrayList<>();
+    List<FuzzWorker> aliveWorkers = new ArrayList<>();
     for (FuzzWorker worker : sim.workers.values()) {
       if (worker.alive) {
-        up.add(worker);
+        aliveWorkers.add(worker);
       }
     }
-    return up.isEmpty() ? null : up.get(sim.random.nextInt(up.size()));
+    return aliveWorkers.isEmpty()
+        ? null
+        : aliveWorkers.get(sim.random.nextInt(aliveWorkers.size()));
   }
 
   void injectFaults() {
@@ -31,7 +36,7 @@
     if (worker != null) {
       if (sim.chance(sim.deaths)) {
         sim.count("deaths");
-        sim.logEvent(worker.name + " dies");
+        sim.logEvent(worker.name + " fails");
         worker.shutDown(0);
       } else if (sim.chance(sim.restarts)) {
         sim.count("restarts");
@@ -51,14 +56,14 @@
         cutLinks();
       }
     }
-    FuzzController holder = sim.store.leaseHolder;
+    FuzzController leader = sim.store.leaseHolder;
     if (sim.chance(sim.failovers)) {
       sim.count("failovers");
       switch (sim.random.nextInt(4)) {
-        case 0 -> holder.terminated("crash");
-        case 1, 2 -> holder.storeCut = true;
+        case 0 -> leader.terminated("crashed");
+        case 1, 2 -> leader.storeCut = true;
         default -> {
-          holder.terminated("resigns");
+          leader.terminated("resigned");
           sim.store.leaseEndsMs = sim.nowMs - 1;
         }
       }
@@ -100,31 +105,41 @@
         });
   }
 
-  /** Of one machine, or a zone, towards one controller or all, one way or both, held or lost. */
+  /**
+   * Cuts the links of one machine or of a zone, to one controller or to all of them, in one or both
+   * directions. Messages on a cut link are either held until the cut ends or lost.
+   */
   private void cutLinks() {
     sim.count("cuts");
     if (sim.controllers.isEmpty()) {
       return;
     }
-    FuzzWorker one = anyWorker();
-    boolean zone = one == null || sim.random.nextInt(3) == 0;
-    String which = sim.random.nextBoolean() ? "a" : "b";
-    boolean queued = sim.random.nextInt(3) == 0;
-    FuzzController only = sim.controllers.get(sim.random.nextInt(sim.controllers.size()));
-    int ways = sim.random.nextInt(3);
-    boolean hold = sim.random.nextBoolean();
-    long until = sim.nowMs + 500 + sim.random.nextInt(sim.random.nextInt(3) == 0 ? 30_000 : 6000);
-    sim.logEvent("cut of " + (zone ? which : one.name) + " ways " + ways + " until " + until);
+    FuzzWorker singleWorker = anyWorker();
+    boolean wholeZone = singleWorker == null || sim.random.nextInt(3) == 0;
+    String zoneName = sim.random.nextBoolean() ? "a" : "b";
+    boolean allControllers = sim.random.nextInt(3) == 0;
+    FuzzController singleController =
+        sim.controllers.get(sim.random.nextInt(sim.controllers.size()));
+    int directions = sim.random.nextInt(3);
+    boolean holdsMessages = sim.random.nextBoolean();
+    long untilMs = sim.nowMs + 500 + sim.random.nextInt(sim.random.nextInt(3) == 0 ? 30_000 : 6000);
+    sim.logEvent(
+        "links cut: "
+            + (wholeZone ? zoneName : singleWorker.name)
+            + " directions="
+            + directions
+            + " until_ms="
+            + untilMs);
     for (FuzzWorker worker : sim.workers.values()) {
-      if (zone ? !worker.zone.equals(which) : worker != one) {
+      if (wholeZone ? !worker.zone.equals(zoneName) : worker != singleWorker) {
         continue;
       }
       for (FuzzController controller : sim.controllers) {
-        if (queued || controller == only) {
+        if (allControllers || controller == singleController) {
           for (String direction : List.of("up", "down")) {
-            if (ways == 2 || direction.equals(ways == 0 ? "up" : "down")) {
-              controller.cutUntilMs.put(worker.name + direction, until);
-              controller.cutHoldsMessages.put(worker.name + direction, hold);
+            if (directions == 2 || direction.equals(directions == 0 ? "up" : "down")) {
+              controller.cutUntilMs.put(worker.name + direction, untilMs);
+              controller.cutHoldsMessages.put(worker.name + direction, holdsMessages);
             }
           }
         }
@@ -137,16 +152,17 @@
       return;
     }
     controller.paused = true;
-    sim.logEvent("controller " + controller.id + " stands still");
+    sim.logEvent("controller " + controller.id + " is paused");
     sim.after(
         200 + sim.random.nextInt(sim.random.nextInt(3) == 0 ? 20_000 : 4000),
         () -> {
           controller.paused = false;
           controller.resumed = true;
-          List<Runnable> queued = new ArrayList<>(controller.queuedInputs);
+          List<Runnable> inputs = new ArrayList<>(controller.queuedInputs);
           controller.queuedInputs.clear();
-          Collections.shuffle(queued, sim.random);
-          queued.forEach(r -> sim.after(sim.random.nextInt(300), () -> controller.handle(r)));
+          Collections.shuffle(inputs, sim.random);
+          inputs.forEach(
+              input -> sim.after(sim.random.nextInt(300), () -> controller.handle(input)));
         });
   }
 
@@ -155,7 +171,7 @@
       controller.cutUntilMs.clear();
       controller.storeCut &= controller != sim.store.leaseHolder;
       if (controller != sim.store.leaseHolder) {
-        controller.terminated("ends");
+        controller.terminated("not the lease holder when faults end");
       }
     }
     for (FuzzWorker worker : sim.workers.values()) {
--- a/src/test/java/org/astershift/scheduler/FuzzGang.java
+++ b/src/test/java/org/astershift/scheduler/FuzzGang.java
@@ -4,23 +4,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** Tasks of one attempt of a gang that wait for one another, or run together. */
+/** The tasks of one attempt of a gang, which wait for one another or run together. */
 final class FuzzGang {
   final Map<FuzzTask, FuzzWorker> members = new LinkedHashMap<>();
   boolean running;
   boolean broken;
 
-  /** A gang that still runs, undisturbed, completes as a whole. */
+  /**
+   * Completes the whole gang if all its members still run undisturbed; otherwise ends the members.
+   */
   void complete(FuzzSimulation sim) {
     for (FuzzWorker member : List.copyOf(members.values())) {
-      member.endTasksIfLeaseExpired(); // takes what its lease no longer covers out of the gang
+      // Removes the tasks that the member's lease no longer covers from the gang.
+      member.endTasksIfLeaseExpired();
     }
-    boolean fine = !broken;
+    boolean isIntact = !broken;
     for (Map.Entry<FuzzTask, FuzzWorker> entry : members.entrySet()) {
-      fine &= !entry.getKey().stopped && !entry.getValue().hung && entry.getValue().alive;
+      isIntact &= !entry.getKey().stopped && !entry.getValue().hung && entry.getValue().alive;
     }
-    if (!fine) {
-      // Whoever hangs is gone for the others; these exit, and the last leases end the rest.
+    if (!isIntact) {
+      // A member that hangs counts as lost for the others, which exit. Tasks of hung workers end
+      // when their leases expire.
       for (Map.Entry<FuzzTask, FuzzWorker> entry : new LinkedHashMap<>(members).entrySet()) {
         entry
             .getValue()
@@ -29,9 +33,9 @@
       return;
     }
     broken = true;
-    Map<FuzzTask, FuzzWorker> all = new LinkedHashMap<>(members);
-    all.keySet().forEach(t -> sim.rules.onTaskCompleted(t.job, t.index));
-    all.keySet().forEach(t -> sim.digest.completed(sim.nowMs, t.taskName()));
-    all.forEach((t, w) -> w.exit(t, "done"));
+    Map<FuzzTask, FuzzWorker> completed = new LinkedHashMap<>(members);
+    completed.keySet().forEach(task -> sim.rules.onTaskCompleted(task.job, task.index));
+    completed.keySet().forEach(task -> sim.digest.completed(sim.nowMs, task.taskName()));
+    completed.forEach((task, worker) -> worker.exit(task, "done"));
   }
 }
--- a/src/test/java/org/astershift/scheduler/FuzzHeartbeats.java
+++ b/src/test/java/org/astershift/scheduler/FuzzHeartbeats.java
@@ -2,13 +2,16 @@
 
 import java.util.List;
 
-/** The heartbeats of a worker: one at a time, to one controller until that fails to answer. */
+/**
+ * Sends the heartbeats of a worker, one at a time, to the same controller until that controller
+ * fails to answer.
+ */
 final class FuzzHeartbeats {
   private final FuzzSimulation sim;
   private final FuzzWorker worker;
   private FuzzController target;
 
-  /** Number of the heartbeat that waits for its answer; what answers an earlier one is late. */
+  /** Number of the heartbeat whose answer is awaited; answers to earlier ones are discarded. */
   private int outstandingNumber;
 
   private boolean awaitingAnswer;
@@ -19,20 +22,20 @@
     this.worker = worker;
   }
 
-  /** The worker restarts. */
+  /** Discards the outstanding heartbeat when the worker restarts. */
   void reset() {
     outstandingNumber++;
     awaitingAnswer = false;
   }
 
   void sendIfDue() {
-    boolean due =
+    boolean isDue =
         sim.nowMs - lastSentMs
             >= FuzzSimulation.HEARTBEAT_INTERVAL_MS * 3 / 4
                 + sim.random.nextInt((int) FuzzSimulation.HEARTBEAT_INTERVAL_MS / 2);
     if (!worker.hung
         && !awaitingAnswer
-        && (due || (worker.statusChanged && sim.nowMs - lastSentMs >= 500))) {
+        && (isDue || (worker.statusChanged && sim.nowMs - lastSentMs >= 500))) {
       send();
     }
   }
@@ -68,7 +71,7 @@
     if (delayMs < 0) {
       return;
     }
-    int lifeThen = worker.incarnation;
+    int sentIncarnation = worker.incarnation;
     sim.after(
         delayMs,
         () ->
@@ -83,7 +86,7 @@
                     sim.after(
                         backMs,
                         () -> {
-                          if (worker.alive && lifeThen == worker.incarnation) {
+                          if (worker.alive && sentIncarnation == worker.incarnation) {
                             worker.runOrDefer(
                                 () ->
                                     onAnswer(
--- a/src/test/java/org/astershift/scheduler/FuzzNetwork.java
+++ b/src/test/java/org/astershift/scheduler/FuzzNetwork.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The way of direct commands from a controller to a machine, and of the answers. */
+/** Carries direct commands from a controller to a machine, and the answers back. */
 final class FuzzNetwork {
   private final FuzzSimulation sim;
 
@@ -10,7 +10,7 @@
     this.sim = sim;
   }
 
-  /** Sends commands to a machine; the answer, or none, reaches the controller. */
+  /** Sends commands to a machine and reports the answer, or the lack of one, to the controller. */
   void sendDirect(FuzzController controller, Decision.SendCommands decision) {
     controller.handle(
         () -> {
@@ -21,7 +21,7 @@
               controller.scheduler.commandsStillWanted(
                   decision, controller.clock() < controller.leaseCertainUntilMs);
           FuzzWorker worker = sim.workers.get(decision.machineName());
-          boolean[] settled = {false};
+          boolean[] hasResult = {false};
           if (worker == null || !worker.alive) {
             sim.after(
                 sim.random.nextInt(decision.timeoutMs()),
@@ -41,8 +41,8 @@
           sim.after(
               decision.timeoutMs(),
               () -> {
-                if (!settled[0]) {
-                  settled[0] = true;
+                if (!hasResult[0]) {
+                  hasResult[0] = true;
                   sim.count("command without answer");
                   controller.handle(
                       () ->
@@ -62,7 +62,8 @@
           sim.after(
               delayMs,
               () -> {
-                // One that was held on its way may reach the next incarnation of the machine.
+                // Commands that were delayed in flight may reach the next incarnation of the
+                // machine.
                 if (!worker.alive
                     || (worker.incarnation != incarnation
                         && (!reachesNext || sim.store.leaseHolder != controller))) {
@@ -80,8 +81,8 @@
                         sim.after(
                             backMs,
                             () -> {
-                              if (!settled[0]) {
-                                settled[0] = true;
+                              if (!hasResult[0]) {
+                                hasResult[0] = true;
                                 controller.handle(
                                     () ->
                                         controller.scheduler.onCommandResult(
--- a/src/test/java/org/astershift/scheduler/FuzzSimulation.java
+++ b/src/test/java/org/astershift/scheduler/FuzzSimulation.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.astershift.EventDigest;
 
-/** Clock, links and state that all parts of a seed of {@link SchedulerFuzzer} share. */
+/** Clock, event queue and state that all parts of one seed of {@link SchedulerFuzzer} share. */
 final class FuzzSimulation {
   static final long HEARTBEAT_INTERVAL_MS = 2000;
   static final long LEASE_MS = 14_000;
@@ -28,13 +28,13 @@
   final Map<String, Integer> eventCounts = new TreeMap<>();
   final Random random;
 
-  /** From then on nothing fails any more, so that all jobs have to end. */
+  /** Time from which no fault is injected, so that all jobs have to end. */
   final long faultsEndMs;
 
   final long endMs;
   long nowMs;
 
-  /** Orders events of the same time, and writes. */
+  /** Number of the last event or write; orders events of the same time, and writes. */
   long lastEventNumber;
 
   final DeploymentLimits limits;
@@ -48,15 +48,15 @@
   final FuzzUsers users = new FuzzUsers(this);
   final Map<String, JobSpec> specs = new LinkedHashMap<>();
 
-  /** Milliseconds that a task of the job runs. */
+  /** Run time in milliseconds of each task of the job, by job ID. */
   final Map<String, Long> taskDurationsMs = new HashMap<>();
 
-  /** Jobs whose user asked to cancel them. */
+  /** IDs of the jobs whose user requested a cancellation. */
   final Set<String> cancellationRequested = new HashSet<>();
 
   final Map<String, FuzzGang> gangs = new HashMap<>();
 
-  /** Copies of heartbeats that reach a later leader. */
+  /** Copies of heartbeats that are delivered when the next leader begins its term. */
   final List<Heartbeat> heartbeatsForNextLeader = new ArrayList<>();
 
   final List<String> log = new ArrayList<>();
@@ -66,7 +66,8 @@
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final boolean logsEvents;
 
-  // Probability of each fault, drawn for the seed: most seeds have some of them, few have all.
+  // Probability of each fault, drawn for the seed. Most seeds have some of the faults, few have
+  // all.
 
   final double copies;
   final double slow;
@@ -84,8 +85,8 @@
 
   private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
     @Override
-    public int compareTo(Event o) {
-      return atMs != o.atMs ? Long.compare(atMs, o.atMs) : Long.compare(order, o.order);
+    public int compareTo(Event other) {
+      return atMs != other.atMs ? Long.compare(atMs, other.atMs) : Long.compare(order, other.order);
     }
   }
 
@@ -125,12 +126,12 @@
     rules = new ReferenceRules(teams, CANCELLATION_MS);
   }
 
-  private double drawProbability(double most) {
-    return random.nextInt(3) == 0 ? 0 : random.nextDouble() * most;
+  private double drawProbability(double maxProbability) {
+    return random.nextInt(3) == 0 ? 0 : random.nextDouble() * maxProbability;
   }
 
-  boolean chance(double p) {
-    return nowMs < faultsEndMs && random.nextDouble() < p;
+  boolean chance(double probability) {
+    return nowMs < faultsEndMs && random.nextDouble() < probability;
   }
 
   void after(long ms, Runnable action) {
@@ -147,7 +148,7 @@
     }
   }
 
-  /** Plays events in the order of their times until there are none, a rule is broken or the end. */
+  /** Runs events in time order until there are none, a rule is violated or the end is reached. */
   void playEvents() {
     while (!events.isEmpty() && rules.violations.isEmpty()) {
       Event event = events.poll();
--- a/src/test/java/org/astershift/scheduler/FuzzStore.java
+++ b/src/test/java/org/astershift/scheduler/FuzzStore.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The consensus-backed store. Writes of records go through only for whom the lease is. */
+/** The consensus-backed store. It applies writes of records only for the lease holder. */
 final class FuzzStore {
   private final FuzzSimulation sim;
   final Map<String, Long> liveJobRevisions = new LinkedHashMap<>();
@@ -37,49 +37,59 @@
     then.run();
   }
 
-  /** {@code result}: true applied, false certainly not, null no answer. */
-  void write(FuzzController by, Runnable apply, Consumer<Boolean> result, String key) {
-    if (sim.storeDown || by.storeCut) {
-      sim.after(500 + sim.random.nextInt(1500), () -> by.handle(() -> result.accept(null)));
+  /**
+   * Writes a record on behalf of a controller.
+   *
+   * @param result receives true if the write was applied, false if it certainly was not, and null
+   *     if there was no answer
+   */
+  void write(FuzzController controller, Runnable apply, Consumer<Boolean> result, String key) {
+    if (sim.storeDown || controller.storeCut) {
+      sim.after(500 + sim.random.nextInt(1500), () -> controller.handle(() -> result.accept(null)));
       return;
     }
-    long stamp = ++sim.lastEventNumber;
-    boolean silent = sim.chance(sim.lostWrites);
-    boolean atOnce = sim.random.nextBoolean();
-    long ms = silent && !atOnce ? 2000 + sim.random.nextInt(10_000) : 1 + sim.random.nextInt(20);
+    long writeNumber = ++sim.lastEventNumber;
+    boolean isAnswerLost = sim.chance(sim.lostWrites);
+    boolean appliesAtOnce = sim.random.nextBoolean();
+    long delayMs =
+        isAnswerLost && !appliesAtOnce
+            ? 2000 + sim.random.nextInt(10_000)
+            : 1 + sim.random.nextInt(20);
     sim.after(
-        ms,
+        delayMs,
         () -> {
           if (sim.storeDown) {
-            sim.after(3000, () -> by.handle(() -> result.accept(null)));
+            sim.after(3000, () -> controller.handle(() -> result.accept(null)));
             return;
           }
-          boolean applies = leaseHolder == by && appliedWriteNumbers.getOrDefault(key, 0L) < stamp;
+          boolean applies =
+              leaseHolder == controller && appliedWriteNumbers.getOrDefault(key, 0L) < writeNumber;
           if (applies) {
             revision++;
-            appliedWriteNumbers.put(key, stamp);
+            appliedWriteNumbers.put(key, writeNumber);
             apply.run();
           }
-          if (!silent) {
-            long back =
+          if (!isAnswerLost) {
+            long answerDelayMs =
                 sim.chance(sim.slow) ? sim.random.nextInt(3000) : 1 + sim.random.nextInt(10);
-            boolean lost = leaseHolder != by;
+            boolean leaseLost = leaseHolder != controller;
             sim.after(
-                back,
+                answerDelayMs,
                 () ->
-                    by.handle(
+                    controller.handle(
                         () -> {
-                          if (lost) {
-                            by.terminated("a write found another leader");
+                          if (leaseLost) {
+                            controller.terminated(
+                                "a write was rejected because another controller holds the lease");
                           } else {
                             result.accept(applies);
                           }
                         }));
           }
         });
-    if (silent) {
+    if (isAnswerLost) {
       sim.count("lost write");
-      sim.after(2500, () -> by.handle(() -> result.accept(null)));
+      sim.after(2500, () -> controller.handle(() -> result.accept(null)));
     }
   }
 }
--- a/src/test/java/org/astershift/scheduler/FuzzTask.java
+++ b/src/test/java/org/astershift/scheduler/FuzzTask.java
@@ -1,6 +1,6 @@
 package org.astershift.scheduler;
 
-/** A task on a worker. */
+/** An attempt of a task on a worker. */
 final class FuzzTask {
   final String job;
   final int index;
--- a/src/test/java/org/astershift/scheduler/FuzzUsers.java
+++ b/src/test/java/org/astershift/scheduler/FuzzUsers.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.astershift.coordination.Cancellation;
 
-/** Users, who submit jobs and cancel some. */
+/** Submits jobs as users do, and cancels some of them. */
 final class FuzzUsers {
   private final FuzzSimulation sim;
   private int lastJobNumber;
@@ -24,18 +24,18 @@
 
   private void submit() {
     String id = String.format("wk-%06d", ++lastJobNumber);
-    int kindOf = sim.random.nextInt(10);
-    JobKind kind = kindOf < 6 ? JobKind.ARRAY : kindOf < 9 ? JobKind.GANG : JobKind.SERVICE;
-    boolean accelerated = sim.random.nextInt(4) == 0;
+    int kindDraw = sim.random.nextInt(10);
+    JobKind kind = kindDraw < 6 ? JobKind.ARRAY : kindDraw < 9 ? JobKind.GANG : JobKind.SERVICE;
+    boolean usesGpus = sim.random.nextInt(4) == 0;
     int tasks = 1 + sim.random.nextInt(kind == JobKind.ARRAY ? 6 : 3);
     String team = List.of("tight", "tight", "mixed", "free").get(sim.random.nextInt(4));
-    double gpus = accelerated ? 1 : 0;
-    if (accelerated && team.equals("tight")) {
+    double gpus = usesGpus ? 1 : 0;
+    if (usesGpus && team.equals("tight")) {
       tasks = Math.min(2, tasks);
     }
     boolean oneZone = sim.random.nextInt(3) == 0;
     boolean spread = !oneZone && tasks > 1 && sim.random.nextInt(3) == 0;
-    boolean saves = sim.random.nextBoolean();
+    boolean hasCheckpoints = sim.random.nextBoolean();
     JobSpec spec =
         new JobSpec(
             id,
@@ -49,14 +49,14 @@
             1 + sim.random.nextInt(4),
             "img-" + sim.random.nextInt(4),
             1,
-            sim.random.nextInt(4) == 0 ? List.of(accelerated ? "g" : "p") : null,
+            sim.random.nextInt(4) == 0 ? List.of(usesGpus ? "g" : "p") : null,
             sim.random.nextInt(4) == 0 ? "a" : null,
             oneZone,
             spread,
             sim.random.nextBoolean(),
             kind == JobKind.SERVICE ? 0 : 8,
-            saves ? 3 : 0,
-            saves ? 1 : 0,
+            hasCheckpoints ? 3 : 0,
+            hasCheckpoints ? 1 : 0,
             sim.random.nextInt(3) == 0 ? 60.0 : null);
     if (Eligibility.rejectionReason(spec, sim.types.values(), sim.teams.get(team)) != null) {
       lastJobNumber--;
@@ -66,12 +66,12 @@
     sim.taskDurationsMs.put(
         id, (long) (500 + sim.random.nextInt(sim.random.nextInt(4) == 0 ? 40_000 : 9000)));
     sim.rules.addJob(spec);
-    long submitted = sim.nowMs;
+    long submittedMs = sim.nowMs;
     sim.store.acceptJob(
         id,
         () -> {
           for (FuzzController controller : new ArrayList<>(sim.controllers)) {
-            deliverRecord(controller, id, submitted);
+            deliverRecord(controller, id, submittedMs);
           }
         });
     if (sim.chance(sim.cancellations)) {
@@ -83,8 +83,8 @@
     }
   }
 
-  /** A controller reads a record, and takes in what it read at once or much later. */
-  void deliverRecord(FuzzController controller, String id, long submitted) {
+  /** Lets a controller read a job record and adopt the job soon after or up to 15 s later. */
+  void deliverRecord(FuzzController controller, String id, long submittedMs) {
     Long revision = sim.store.liveJobRevisions.get(id);
     if (revision != null) {
       long delayMs = sim.chance(0.2) ? sim.random.nextInt(15_000) : sim.random.nextInt(200);
@@ -92,7 +92,7 @@
           delayMs,
           () ->
               controller.handle(
-                  () -> controller.adopt(id, revision, false, new BitSet(), submitted)));
+                  () -> controller.adopt(id, revision, false, new BitSet(), submittedMs)));
     }
   }
 
@@ -101,7 +101,7 @@
       return;
     }
     sim.count("cancellations");
-    sim.logEvent("cancellation asked of " + id);
+    sim.logEvent("cancellation requested for " + id);
     repeatCancellation(id);
   }
 
@@ -111,8 +111,8 @@
     }
     for (FuzzController controller : new ArrayList<>(sim.controllers)) {
       if (controller == sim.store.leaseHolder || sim.chance(0.2)) {
-        long until = sim.nowMs + 1200;
-        sim.after(sim.random.nextInt(30), () -> cancelThrough(controller, id, until));
+        long untilMs = sim.nowMs + 1200;
+        sim.after(sim.random.nextInt(30), () -> cancelThrough(controller, id, untilMs));
       }
     }
     sim.after(1000 + sim.random.nextInt(2000), () -> repeatCancellation(id));
@@ -121,12 +121,12 @@
   private void cancelThrough(FuzzController controller, String id, long untilMs) {
     controller.handle(
         () -> {
-          boolean managed = controller.termJobs.manages(id);
+          boolean isManaged = controller.termJobs.manages(id);
           Scheduler scheduler = controller.scheduler;
-          if (managed && controller.clock() < controller.leaseCertainUntilMs) {
+          if (isManaged && controller.clock() < controller.leaseCertainUntilMs) {
             scheduler.requestCancellation(id);
           }
-          Scheduler.JobProgress view = scheduler.progress(id);
+          Scheduler.JobProgress progress = scheduler.progress(id);
           Cancellation.Action action =
               Cancellation.next(
                   new Cancellation.View(
@@ -134,11 +134,11 @@
                       false,
                       true,
                       controller.clock() < controller.leaseCertainUntilMs,
-                      managed,
+                      isManaged,
                       true,
-                      managed && scheduler.canConfirmCancellation(id),
-                      managed && scheduler.mayStart(id),
-                      view != null && view.complete(),
+                      isManaged && scheduler.canConfirmCancellation(id),
+                      isManaged && scheduler.mayStart(id),
+                      progress != null && progress.complete(),
                       sim.nowMs > untilMs));
           switch (action) {
             case WRITE_CANCELLED -> controller.persistJobEnd(id, true);
--- a/src/test/java/org/astershift/scheduler/FuzzWorker.java
+++ b/src/test/java/org/astershift/scheduler/FuzzWorker.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.astershift.config.ClockBounds;
 
-/** A machine and its worker, which does what the protocol says. */
+/** A machine with a worker that follows the protocol. */
 final class FuzzWorker {
   private final FuzzSimulation sim;
   final String name;
@@ -55,7 +55,7 @@
     heartbeatRepeatedly(incarnation);
   }
 
-  void shutDown(long backMs) {
+  void shutDown(long restartDelayMs) {
     if (removedMs >= 0) {
       return;
     }
@@ -65,17 +65,17 @@
     deferredActions.clear();
     removeAllTasks();
     tasks.clear();
-    if (backMs > 0) {
+    if (restartDelayMs > 0) {
       token = 0;
       epoch = 1;
       sequence = 0;
       heartbeats.reset();
       preemptionNoticeS = null;
-      int lifeThen = incarnation;
+      int scheduledIncarnation = incarnation;
       sim.after(
-          backMs,
+          restartDelayMs,
           () -> {
-            if (lifeThen == incarnation) {
+            if (scheduledIncarnation == incarnation) {
               boot();
             }
           });
@@ -102,7 +102,7 @@
     }
   }
 
-  /** The others of a gang that runs notice that one of them is gone. */
+  /** Makes the other members of a running gang notice the loss of one member, and exit. */
   private void breakGang(FuzzGang gang) {
     gang.broken = true;
     for (Map.Entry<FuzzTask, FuzzWorker> entry : gang.members.entrySet()) {
@@ -117,13 +117,16 @@
     }
   }
 
-  /** Runs the action later if the incarnation lives on; after a hang if it hangs then. */
+  /**
+   * Schedules an action that runs only if the worker is still in the same incarnation; if the
+   * worker hangs at that time, the action runs after the hang.
+   */
   void afterInIncarnation(long ms, Runnable action) {
-    int lifeThen = incarnation;
+    int scheduledIncarnation = incarnation;
     sim.after(
         ms,
         () -> {
-          if (alive && lifeThen == incarnation) {
+          if (alive && scheduledIncarnation == incarnation) {
             runOrDefer(action);
           }
         });
@@ -143,23 +146,26 @@
       return;
     }
     hung = true;
-    sim.logEvent(name + " hangs for " + ms);
-    int lifeThen = incarnation;
+    sim.logEvent(name + " hangs, duration_ms=" + ms);
+    int hungIncarnation = incarnation;
     sim.after(
         ms,
         () -> {
-          if (alive && lifeThen == incarnation && hung) {
+          if (alive && hungIncarnation == incarnation && hung) {
             hung = false;
             endTasksIfLeaseExpired();
-            List<Runnable> held = new ArrayList<>(deferredActions);
+            List<Runnable> deferred = new ArrayList<>(deferredActions);
             deferredActions.clear();
-            Collections.shuffle(held, sim.random);
-            held.forEach(this::runOrDefer);
+            Collections.shuffle(deferred, sim.random);
+            deferred.forEach(this::runOrDefer);
           }
         });
   }
 
-  /** Ends all tasks if its lease has expired; also while it hangs, as nothing may run beyond it. */
+  /**
+   * Ends all tasks if the worker's lease has expired. Tasks end also while the worker hangs, since
+   * no task may run beyond the lease.
+   */
   void endTasksIfLeaseExpired() {
     if (!alive || (sim.nowMs - leaseFromMs) * clockRate <= FuzzSimulation.LEASE_MS) {
       return;
@@ -171,18 +177,18 @@
     if (!tasks.isEmpty()) {
       sim.count("lease expired with tasks");
     }
-    sim.logEvent(name + " loses its lease, epoch " + (epoch + 1));
+    sim.logEvent(name + " ends its tasks because its lease has expired, epoch=" + (epoch + 1));
     tasks.clear();
     epoch++;
     leaseFromMs = sim.nowMs;
     statusChanged = true;
   }
 
-  /** Its status now, as the next message of this epoch. */
+  /** Returns the worker's current status as the next message of this epoch. */
   Heartbeat heartbeat() {
-    List<Heartbeat.TaskStatus> items = new ArrayList<>();
+    List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
     for (FuzzTask task : tasks.values()) {
-      items.add(
+      statuses.add(
           new Heartbeat.TaskStatus(task.job, task.index, task.attempt, task.phase, task.cause));
     }
     return new Heartbeat(
@@ -195,19 +201,21 @@
         ++sequence,
         token,
         preemptionNoticeS,
-        List.copyOf(items));
+        List.copyOf(statuses));
   }
 
-  private void heartbeatRepeatedly(int lifeThen) {
-    if (!alive || lifeThen != incarnation) {
+  private void heartbeatRepeatedly(int ofIncarnation) {
+    if (!alive || ofIncarnation != incarnation) {
       return;
     }
     endTasksIfLeaseExpired();
     heartbeats.sendIfDue();
-    sim.after(50 + sim.random.nextInt(100), () -> heartbeatRepeatedly(lifeThen));
+    sim.after(50 + sim.random.nextInt(100), () -> heartbeatRepeatedly(ofIncarnation));
   }
 
-  /** The answer to a heartbeat that was sent at this time, under this leader's fencing token. */
+  /**
+   * Handles the answer to a heartbeat that was sent at {@code sentMs}; its leader has this token.
+   */
   void onAnswer(long fencingToken, List<Command> commands, long sentMs) {
     statusChanged |= fencingToken > token;
     token = fencingToken;
@@ -215,11 +223,11 @@
     commands.forEach(this::execute);
   }
 
-  Heartbeat onDirectCommands(long fencingToken, long ofEpoch, List<Command> orders) {
-    if (fencingToken >= token && ofEpoch == epoch) {
+  Heartbeat onDirectCommands(long fencingToken, long commandEpoch, List<Command> commands) {
+    if (fencingToken >= token && commandEpoch == epoch) {
       statusChanged |= fencingToken > token;
       token = fencingToken;
-      orders.forEach(this::execute);
+      commands.forEach(this::execute);
     } else if (fencingToken < token) {
       sim.count("command of a deposed leader");
     }
@@ -252,12 +260,12 @@
 
   private void start(String key, FuzzTask task) {
     JobSpec spec = sim.specs.get(task.job);
-    sim.logEvent(name + " starts " + key);
+    sim.logEvent(name + " fetches the image of " + key);
     sim.digest.started(sim.nowMs, task.taskName(), name, task.attempt);
     tasks.put(key, task);
-    double cpus = sim.types.get(type).cpus();
-    double gpus = sim.types.get(type).gpus();
-    double memory = sim.types.get(type).memoryGb();
+    double freeCpus = sim.types.get(type).cpus();
+    double freeGpus = sim.types.get(type).gpus();
+    double freeMemoryGb = sim.types.get(type).memoryGb();
     for (FuzzTask other : tasks.values()) {
       if (other == task || other.exited()) {
         continue;
@@ -268,11 +276,13 @@
         return;
       }
       JobSpec otherSpec = sim.specs.get(other.job);
-      cpus -= otherSpec.cpus();
-      gpus -= otherSpec.gpus();
-      memory -= otherSpec.memoryGb();
+      freeCpus -= otherSpec.cpus();
+      freeGpus -= otherSpec.gpus();
+      freeMemoryGb -= otherSpec.memoryGb();
     }
-    if (cpus < spec.cpus() - 1e-6 || gpus < spec.gpus() - 1e-6 || memory < spec.memoryGb() - 1e-6) {
+    if (freeCpus < spec.cpus() - 1e-6
+        || freeGpus < spec.gpus() - 1e-6
+        || freeMemoryGb < spec.memoryGb() - 1e-6) {
       sim.count("no room");
       exit(task, "no_room");
       return;
@@ -290,7 +300,7 @@
     task.isOnMachine = true;
     statusChanged = true;
     sim.digest.begins(sim.nowMs, task.taskName(), name);
-    sim.logEvent(name + " begins " + task.job + "/" + task.index + "@" + task.attempt);
+    sim.logEvent(name + " begins to run " + task.job + "/" + task.index + "@" + task.attempt);
     sim.rules.onTaskBegun(
         task.job, task.index, new ReferenceRules.MachineView(name, type, zone, spot), sim.nowMs);
     if (sim.rules.isCompleted(task.job, task.index)) {
@@ -312,7 +322,7 @@
     }
     task.phase = Heartbeat.TaskPhase.WAITING;
     task.waitsSinceMs = sim.nowMs;
-    FuzzGang gang = sim.gangs.computeIfAbsent(task.job + "@" + task.attempt, k -> new FuzzGang());
+    FuzzGang gang = sim.gangs.computeIfAbsent(task.job + "@" + task.attempt, key -> new FuzzGang());
     gang.members.put(task, this);
     afterInIncarnation(
         FuzzSimulation.GANG_WAIT_MS,
@@ -321,8 +331,8 @@
             exit(task, "incomplete");
           }
         });
-    long arrived = gang.members.keySet().stream().map(m -> m.index).distinct().count();
-    if (!gang.running && arrived == spec.tasks()) {
+    long arrivedTasks = gang.members.keySet().stream().map(m -> m.index).distinct().count();
+    if (!gang.running && arrivedTasks == spec.tasks()) {
       gang.running = true;
       sim.count("gangs run");
       for (Map.Entry<FuzzTask, FuzzWorker> entry : gang.members.entrySet()) {
@@ -343,25 +353,26 @@
 
   private void stop(FuzzTask task, double graceS) {
     JobSpec spec = sim.specs.get(task.job);
-    boolean saves = spec.checkpointIntervalS() > 0 && graceS >= spec.checkpointSaveS();
-    if (saves && task.phase == Heartbeat.TaskPhase.RUNNING) {
+    boolean savesCheckpoint = spec.checkpointIntervalS() > 0 && graceS >= spec.checkpointSaveS();
+    if (savesCheckpoint && task.phase == Heartbeat.TaskPhase.RUNNING) {
       if (!task.stopped) {
         task.stopped = true;
         task.phase = Heartbeat.TaskPhase.SAVING;
         statusChanged = true;
         afterInIncarnation((long) (spec.checkpointSaveS() * 1000), () -> exit(task, "halted"));
       }
-    } else if (!saves || task.phase != Heartbeat.TaskPhase.SAVING) {
+    } else if (!savesCheckpoint || task.phase != Heartbeat.TaskPhase.SAVING) {
       exit(task, "halted");
     }
   }
 
-  /** The task ends, once; the next heartbeat shows it. */
+  /** Ends the task, unless it has exited before; the next heartbeat reports the exit. */
   void exit(FuzzTask task, String cause) {
     if (task.exited() || !tasks.containsValue(task)) {
       return;
     }
-    sim.logEvent(name + " ends " + task.job + "/" + task.index + "@" + task.attempt + " " + cause);
+    sim.logEvent(
+        name + " ends " + task.job + "/" + task.index + "@" + task.attempt + ", cause=" + cause);
     sim.digest.phase(sim.nowMs, task.taskName(), name, Heartbeat.TaskPhase.EXITED, cause);
     task.phase = Heartbeat.TaskPhase.EXITED;
     task.cause = cause;
--- a/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
+++ b/src/test/java/org/astershift/scheduler/OutstandingDecisionsTest.java
@@ -8,7 +8,7 @@
 import org.astershift.config.OperatorSettings;
 import org.junit.jupiter.api.Test;
 
-/** What was asked to be put on record is forgotten with what it was about. */
+/** Outstanding decisions are dropped with the job or machine that they refer to. */
 class OutstandingDecisionsTest {
   private static final int JOBS = 100;
   private final Team team = new Team("team", 0, 0, 0, 0);
@@ -44,14 +44,14 @@
         null);
   }
 
-  /** Jobs are cancelled while the write that opens them is under way, and machines go. */
+  /** Jobs are cancelled while the write that opens them is in flight, and machines are released. */
   @Test
   void decisionsOfEndedJobsAndReleasedMachinesAreDropped() {
     scheduler.updateMachineTypes(Map.of("small", small));
-    Decision.ProvisionMachines rent = new Decision.ProvisionMachines("small", "a", false, 1);
-    scheduler.onMachinesProvisioned("r", List.of("vm-1"), rent, 0);
+    Decision.ProvisionMachines request = new Decision.ProvisionMachines("small", "a", false, 1);
+    scheduler.onMachinesProvisioned("r", List.of("vm-1"), request, 0);
     scheduler.onMachineRegistered("vm-1");
-    scheduler.onMachinesProvisioned("s", List.of("vm-2"), rent, 0);
+    scheduler.onMachinesProvisioned("s", List.of("vm-2"), request, 0);
     for (String machine : List.of("vm-1", "vm-2")) {
       scheduler.onHeartbeat(
           new Heartbeat(machine, "x", "small", "a", false, 1, 1, 7, null, List.of()), 0, 0);
@@ -59,11 +59,15 @@
     for (int i = 0; i < JOBS; i++) {
       scheduler.addJob(job("wk-" + i), false, new BitSet(), 0);
     }
-    for (int pass = 1; pass <= 4; pass++) { // so many starts a pass go to one machine
+    for (int pass = 1;
+        pass <= 4;
+        pass++) { // the number of starts per pass on one machine is limited
       scheduler.runPass(pass, Long.MAX_VALUE);
     }
     assertEquals(
-        JOBS + 1, scheduler.outstandingDecisionCount(), "records of jobs, and of a machine");
+        JOBS + 1,
+        scheduler.outstandingDecisionCount(),
+        "one outstanding decision for each job, and one for an unregistered machine");
     for (int i = 0; i < JOBS; i++) {
       scheduler.onJobEnded("wk-" + i, true, 5);
     }
--- a/src/test/java/org/astershift/scheduler/PassCostTest.java
+++ b/src/test/java/org/astershift/scheduler/PassCostTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a pass and a report cost at 1,000 machines and 100,000 tasks, counted as looks at a job for
- * a machine: no clock, so that the verdict is the same on any machine.
+ * Bounds the cost of a scheduling pass and of a heartbeat at 1,000 machines and 100,000 tasks. The
+ * cost is counted in candidate checks (a job considered for a machine) instead of measured time, so
+ * the result is the same on any computer.
  */
 class PassCostTest {
   private static final int MACHINES = 1000;
@@ -21,7 +22,7 @@
   private long nowMs = 1_000_000;
 
   PassCostTest() {
-    DeploymentLimits facts =
+    DeploymentLimits limits =
         new DeploymentLimits(
             Map.of("team", new Team("team", 0, 0, 0, 0)),
             List.of(new ServiceLevelObjective("wait", "urgent", 2, 0.9, 1)),
@@ -31,7 +32,7 @@
             4,
             52,
             3);
-    scheduler = new Scheduler(facts, OperatorSettings.defaults(), 7);
+    scheduler = new Scheduler(limits, OperatorSettings.defaults(), 7);
     MachineType type =
         new MachineType("small", 4, 0, 16, 50, 1, 0.2, 0.1, 15, List.of("a", "b", "c", "d"));
     scheduler.updateMachineTypes(Map.of("small", type));
@@ -63,7 +64,7 @@
     scheduler.addJob(spec, true, new BitSet(), nowMs);
   }
 
-  private void sendHeartbeat(int machine, long seq, List<Heartbeat.TaskStatus> tasks) {
+  private void sendHeartbeat(int machine, long sequence, List<Heartbeat.TaskStatus> tasks) {
     scheduler.onHeartbeat(
         new Heartbeat(
             "vm-" + machine,
@@ -72,7 +73,7 @@
             List.of("a", "b", "c", "d").get(machine % 4),
             false,
             1,
-            seq,
+            sequence,
             7,
             null,
             tasks),
@@ -80,7 +81,11 @@
         nowMs);
   }
 
-  /** A fleet that is full, with all reports in; gives what runs where. */
+  /**
+   * Fills the fleet and handles a heartbeat of every machine that shows its tasks.
+   *
+   * @return the statuses of the running tasks, by machine number
+   */
   private List<List<Heartbeat.TaskStatus>> fillFleet() {
     for (int i = 0; i < MACHINES; i++) {
       scheduler.addInheritedMachine(
@@ -98,21 +103,21 @@
     }
     for (int pass = 0; pass < 40; pass++) {
       nowMs += 250;
-      for (Decision d : scheduler.runPass(nowMs, Long.MAX_VALUE)) {
-        if (d instanceof Decision.SendCommands o) {
-          int machine = Integer.parseInt(o.machineName().substring(3));
-          for (Command order : o.commands()) {
+      for (Decision decision : scheduler.runPass(nowMs, Long.MAX_VALUE)) {
+        if (decision instanceof Decision.SendCommands send) {
+          int machine = Integer.parseInt(send.machineName().substring(3));
+          for (Command command : send.commands()) {
             running
                 .get(machine)
                 .add(
                     new Heartbeat.TaskStatus(
-                        order.jobId(),
-                        order.index(),
-                        order.attemptNumber(),
+                        command.jobId(),
+                        command.index(),
+                        command.attemptNumber(),
                         Heartbeat.TaskPhase.RUNNING,
                         null));
           }
-          scheduler.onCommandResult(o.machineName(), false, null, nowMs, nowMs);
+          scheduler.onCommandResult(send.machineName(), false, null, nowMs, nowMs);
           sendHeartbeat(machine, 2 + pass, running.get(machine));
         }
       }
@@ -129,20 +134,30 @@
   void fullMachinesCauseNoCandidateChecks() {
     List<List<Heartbeat.TaskStatus>> running = fillFleet();
     assertEquals(
-        MACHINES * 4, running.stream().mapToInt(List::size).sum(), "the fleet is not full");
+        MACHINES * 4,
+        running.stream().mapToInt(List::size).sum(),
+        "the fleet should be full: four tasks on each machine");
     long before = scheduler.candidateChecks();
     nowMs += 250;
     scheduler.runPass(nowMs, Long.MAX_VALUE);
     assertEquals(
-        0, scheduler.candidateChecks() - before, "a pass in which nothing could be placed");
+        0,
+        scheduler.candidateChecks() - before,
+        "a pass in which nothing can be placed should need no candidate checks");
     before = scheduler.candidateChecks();
     for (int i = 0; i < MACHINES; i++) {
       sendHeartbeat(i, 101, running.get(i));
     }
-    assertEquals(0, scheduler.candidateChecks() - before, "reports in which nothing changed");
+    assertEquals(
+        0,
+        scheduler.candidateChecks() - before,
+        "heartbeats without changes should need no candidate checks");
   }
 
-  /** Tight work looks at each machine once and then takes the best, however much waits. */
+  /**
+   * An urgent job with a tight objective checks each machine once and then takes the best one,
+   * however many tasks wait.
+   */
   @Test
   void urgentJobChecksEachMachineAFewTimes() {
     fillFleet();
@@ -150,7 +165,9 @@
     long before = scheduler.candidateChecks();
     nowMs += 250;
     scheduler.runPass(nowMs, Long.MAX_VALUE);
-    long looks = scheduler.candidateChecks() - before;
-    assertTrue(looks >= MACHINES && looks <= 3 * MACHINES + 200, looks + " looks");
+    long candidateChecks = scheduler.candidateChecks() - before;
+    assertTrue(
+        candidateChecks >= MACHINES && candidateChecks <= 3 * MACHINES + 200,
+        candidateChecks + " candidate checks");
   }
 }
--- a/src/test/java/org/astershift/scheduler/ReferenceRules.java
+++ b/src/test/java/org/astershift/scheduler/ReferenceRules.java
@@ -9,14 +9,15 @@
 import java.util.Set;
 
 /**
- * The rules of the protocol, checked with a view of every machine: it knows nothing of leaders,
- * fencing tokens or records, only tasks that are on machines, jobs, and the ends that users saw.
+ * Checks the rules of the protocol with a global view of all machines. The checks know only the
+ * tasks that are on machines, the jobs, and the job ends that users saw; they use no leaders,
+ * fencing tokens or records.
  */
 final class ReferenceRules {
-  /** A machine as the rules look at it. */
+  /** The properties of a machine that the rules depend on. */
   record MachineView(String machine, String type, String zone, boolean spot) {}
 
-  /** Violations, with their times; the first is mostly the cause. */
+  /** Violations with their times, in order; usually the first one caused the others. */
   final Set<String> violations = new LinkedHashSet<>();
 
   private final Map<String, Team> teams;
@@ -39,45 +40,52 @@
     completedTasks.put(spec.id(), new BitSet());
   }
 
-  private void recordViolation(String rule, long nowMs, String what) {
-    violations.add(rule + " at " + nowMs + ": " + what);
+  private void recordViolation(String rule, long nowMs, String details) {
+    violations.add(rule + " at " + nowMs + ": " + details);
   }
 
-  /** A task has its image and is on its machine from now on. */
-  void onTaskBegun(String job, int index, MachineView where, long nowMs) {
+  /** Records that a task has fetched its image and is on its machine from now on. */
+  void onTaskBegun(String job, int index, MachineView machine, long nowMs) {
     starts++;
     JobSpec spec = jobs.get(job);
     String task = job + "/" + index;
-    Map<String, MachineView> places = machinesByTask.computeIfAbsent(task, t -> new HashMap<>());
-    if (!places.isEmpty() && !places.containsKey(where.machine())) {
+    Map<String, MachineView> machines = machinesByTask.computeIfAbsent(task, t -> new HashMap<>());
+    if (!machines.isEmpty() && !machines.containsKey(machine.machine())) {
       recordViolation(
-          "ran_twice", nowMs, task + " starts on " + where + " and is on " + places.values());
+          "ran_twice",
+          nowMs,
+          task + " starts on " + machine + " and is already on " + machines.values());
     }
-    boolean type = spec.machineTypes() == null || spec.machineTypes().contains(where.type());
-    boolean zone = spec.zone() == null || spec.zone().equals(where.zone());
-    if (!type || !zone || (where.spot() && !spec.spotAllowed())) {
-      recordViolation("wrong_place", nowMs, task + " on " + where);
+    boolean typeAllowed =
+        spec.machineTypes() == null || spec.machineTypes().contains(machine.type());
+    boolean zoneAllowed = spec.zone() == null || spec.zone().equals(machine.zone());
+    if (!typeAllowed || !zoneAllowed || (machine.spot() && !spec.spotAllowed())) {
+      recordViolation("wrong_place", nowMs, task + " on " + machine);
     }
-    int inZone = 0;
+    int othersInZone = 0;
     for (Map.Entry<String, Map<String, MachineView>> entry : machinesByTask.entrySet()) {
       if (!entry.getKey().startsWith(job + "/") || entry.getKey().equals(task)) {
         continue;
       }
-      for (MachineView place : entry.getValue().values()) {
-        inZone += place.zone().equals(where.zone()) ? 1 : 0;
-        if (spec.oneZone() && !place.zone().equals(where.zone())) {
+      for (MachineView other : entry.getValue().values()) {
+        othersInZone += other.zone().equals(machine.zone()) ? 1 : 0;
+        if (spec.oneZone() && !other.zone().equals(machine.zone())) {
           recordViolation(
-              "wrong_place", nowMs, task + " on " + where + ", " + entry.getKey() + " on " + place);
+              "wrong_place",
+              nowMs,
+              task + " on " + machine + ", " + entry.getKey() + " on " + other);
         }
       }
     }
-    if (spec.spread() && inZone + 1 > (spec.tasks() + 1) / 2) {
-      recordViolation("wrong_place", nowMs, task + " on " + where + " is one too many in its zone");
+    if (spec.spread() && othersInZone + 1 > (spec.tasks() + 1) / 2) {
+      recordViolation(
+          "wrong_place", nowMs, task + " on " + machine + " exceeds the spread limit of its zone");
     }
     if (cancelledMs.containsKey(job)) {
-      recordViolation("ran_cancelled", nowMs, task + " starts after its confirmation");
+      recordViolation(
+          "ran_cancelled", nowMs, task + " starts after its cancellation was confirmed");
     }
-    places.put(where.machine(), where);
+    machines.put(machine.machine(), machine);
     checkQuota(spec.team(), nowMs);
   }
 
@@ -94,16 +102,16 @@
     Team team = teams.get(name);
     if ((team.maxCpus() > 0 && cpus > team.maxCpus() + 1e-6)
         || (team.maxGpus() > 0 && gpus > team.maxGpus() + 1e-6)) {
-      recordViolation("quota", nowMs, name + " uses " + cpus + " and " + gpus);
+      recordViolation("quota", nowMs, name + " uses " + cpus + " cpus and " + gpus + " gpus");
     }
   }
 
-  /** The task is off its machine. */
+  /** Records that the task is no longer on the machine. */
   void ended(String job, int index, String machine) {
-    Map<String, MachineView> places = machinesByTask.get(job + "/" + index);
-    if (places != null) {
-      places.remove(machine);
-      if (places.isEmpty()) {
+    Map<String, MachineView> machines = machinesByTask.get(job + "/" + index);
+    if (machines != null) {
+      machines.remove(machine);
+      if (machines.isEmpty()) {
         machinesByTask.remove(job + "/" + index);
       }
     }
@@ -118,19 +126,23 @@
     return completedTasks.get(job).get(index);
   }
 
-  /** The end is durable: from now on users may see it. */
+  /** Records that the job's end is durable, so that users may see it from now on. */
   void onJobEnded(String job, boolean cancelled, boolean requested, long nowMs) {
-    Boolean before = publishedEnds.putIfAbsent(job, cancelled);
-    if (before != null && before != cancelled) {
-      recordViolation("went_back", nowMs, job);
+    Boolean earlierEnd = publishedEnds.putIfAbsent(job, cancelled);
+    if (earlierEnd != null && earlierEnd != cancelled) {
+      recordViolation("went_back", nowMs, job + " ended a second time in another way");
     }
     if (cancelled && !requested) {
-      recordViolation("went_back", nowMs, job + " was not cancelled by its user");
+      recordViolation(
+          "went_back", nowMs, job + " ended as cancelled without a request by its user");
     }
     if (cancelled) {
       cancelledMs.put(job, nowMs);
     } else if (completedTasks.get(job).cardinality() < jobs.get(job).tasks()) {
-      recordViolation("not_done", nowMs, job + " " + completedTasks.get(job));
+      recordViolation(
+          "not_done",
+          nowMs,
+          job + " ended as done with only these tasks completed: " + completedTasks.get(job));
     }
   }
 
@@ -138,7 +150,7 @@
     return publishedEnds.containsKey(job);
   }
 
-  /** Checks that no task runs on beyond the time promised for a cancellation. */
+  /** Checks that no task of a cancelled job runs beyond the time promised for cancellations. */
   void checkCancelled(long nowMs) {
     if (cancelledMs.isEmpty()) {
       return;
@@ -151,8 +163,10 @@
       }
     }
     late.forEach(
-        t ->
+        task ->
             recordViolation(
-                "ran_cancelled", nowMs / 1000 * 1000, t + " on " + machinesByTask.get(t).values()));
+                "ran_cancelled",
+                nowMs / 1000 * 1000,
+                task + " on " + machinesByTask.get(task).values()));
   }
 }
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -10,19 +10,20 @@
 import org.astershift.SeedArguments;
 
 /**
- * Tries to make the scheduler break a rule, one seed at a time: it simulates all links and clocks,
- * the store, the cloud and the workers, which keep to the protocol, and injects every fault that
- * the protocol allows. A controller is a {@link Scheduler} with the few lines that carry its
- * decisions out. Model and checker are independent of those of the simulation tests on purpose.
+ * Fuzzes the scheduler, one seed at a time, to find a violation of the protocol's rules. The fuzzer
+ * simulates all links and clocks, the store, the cloud and the workers, which follow the protocol,
+ * and injects every fault that the protocol allows. A controller is a {@link Scheduler} with a
+ * minimal execution of its decisions. The model and the checker are deliberately independent of
+ * those of the simulation tests.
  *
- * <p>One case is left out; docs/design.md describes it ("A start that no fence stops"): a start on
- * its way to one incarnation of a machine does not reach the next one after a failover.
+ * <p>One case is excluded, which docs/design.md describes ("A start that no fence stops"): a start
+ * in flight to one incarnation of a machine does not reach the next incarnation after a failover.
  */
 final class SchedulerFuzzer {
-  /** The rules of the protocol, and what broke. */
+  /** The rules of the protocol, with the violations found. */
   final ReferenceRules rules;
 
-  /** Faults and other events of note, with how often each occurred. */
+  /** Number of occurrences of each kind of fault and of other notable events. */
   final Map<String, Integer> eventCounts;
 
   /** Jobs that had not ended long after the last fault. */
@@ -42,14 +43,17 @@
     return sim.log;
   }
 
-  /** Of all that happened, once it is played. */
+  /** Returns the digest of all events of the seed; to be called after {@link #play}. */
   String digest() {
     sim.digest.endOfPlay(
         sim.nowMs, sim.lastEventNumber, rules.violations.isEmpty() && unfinished.isEmpty());
     return sim.digest.hex();
   }
 
-  /** Plays the seed; what broke is in the rules, what never ended in {@link #unfinished}. */
+  /**
+   * Plays the seed. Violations are recorded in {@link #rules}, and jobs that never ended in {@link
+   * #unfinished}.
+   */
   SchedulerFuzzer play() {
     int machines = 3 + sim.random.nextInt(5);
     for (int i = 0; i < machines; i++) {
@@ -71,58 +75,70 @@
     return this;
   }
 
-  /** The leader's view of the job's tasks, for the message of a job that never ended. */
+  /** Describes the leader's view of a job that never ended, for the failure message. */
   private String leaderView(String id) {
     Job job = sim.store.leaseHolder.scheduler.job(id);
     if (job == null) {
-      return "not known";
+      return "unknown to the leader";
     }
-    StringBuilder text =
-        new StringBuilder("waiting " + job.waitingTasks + " of " + job.spec + ", done ");
-    text.append(job.doneTasks).append(", opened ").append(job.opened);
+    StringBuilder description =
+        new StringBuilder("waiting=" + job.waitingTasks + " spec=" + job.spec + " done=");
+    description.append(job.doneTasks).append(" opened=").append(job.opened);
     for (TaskAttempt attempt : job.attempts.values()) {
       Machine machine = attempt.machine;
-      text.append("; ")
+      description
+          .append("; ")
           .append(attempt.key)
           .append(" on ")
           .append(machine.name)
           .append(' ')
           .append(machine.state);
-      text.append(" restarted=")
+      description
+          .append(" restarted=")
           .append(machine.restartedInTerm)
           .append(" fenced=")
           .append(machine.fenced);
-      text.append(" phase=").append(attempt.phase).append(" startSent=").append(attempt.startSent);
-      text.append(" startUnconfirmed=")
+      description
+          .append(" phase=")
+          .append(attempt.phase)
+          .append(" startSent=")
+          .append(attempt.startSent);
+      description
+          .append(" startUnconfirmed=")
           .append(attempt.startUnconfirmed)
           .append(" stopping=")
           .append(attempt.stopping);
     }
     for (Machine machine : sim.store.leaseHolder.scheduler.cluster().allMachines()) {
-      text.append("; ")
+      description
+          .append("; ")
           .append(machine.name)
           .append(' ')
           .append(machine.typeName)
           .append(machine.zone)
           .append(machine.state);
-      text.append(" restarted=")
+      description
+          .append(" restarted=")
           .append(machine.restartedInTerm)
           .append(" registered=")
           .append(machine.registered);
-      text.append(" usable=")
+      description
+          .append(" usable=")
           .append(machine.isUsable(sim.store.leaseHolder.clock()))
           .append(" inboundPartitioned=")
           .append(machine.isInboundPartitioned());
-      text.append(" quarantined=")
+      description
+          .append(" quarantined=")
           .append(machine.quarantined)
           .append(" unverified=")
           .append(machine.unverified);
-      text.append(" preemptionNoticeS=")
+      description
+          .append(" preemptionNoticeS=")
           .append(machine.preemptionNoticeS)
-          .append(" holds ")
+          .append(" attempts=")
           .append(machine.attempts.keySet());
     }
-    return text.toString();
+    return description.toString();
   }
 
   private void beginTerm() {
@@ -143,7 +159,7 @@
                           heartbeat, controller.clock(), controller.clock())));
     }
     sim.heartbeatsForNextLeader.clear();
-    // Records that another thread of it had read before.
+    // Job records that another thread of the controller read before the term began.
     for (String id : new ArrayList<>(sim.store.liveJobRevisions.keySet())) {
       sim.users.deliverRecord(controller, id, sim.store.submittedMs.get(id));
     }
@@ -171,7 +187,7 @@
     return true;
   }
 
-  /** A lease that nobody renews expires, and the next leader begins its term. */
+  /** Begins the term of the next leader if the lease has expired without a renewal. */
   private void failoverIfLeaseExpired() {
     if (sim.storeDown) {
       sim.store.leaseEndsMs =
@@ -183,12 +199,15 @@
     }
   }
 
-  /** Plays seeds FIRST to LAST, and prints what failed; with a third word, the story of each. */
+  /**
+   * Plays the seeds FIRST to LAST and prints those that failed; with {@code story} as third
+   * argument, also prints their event logs.
+   */
   public static void main(String[] args) {
     SeedArguments arguments = SeedArguments.parseOrExit(args, Set.of("story"));
     boolean story = !arguments.options().isEmpty();
-    Map<String, Integer> all = new TreeMap<>();
-    int[] failed = {0};
+    Map<String, Integer> totals = new TreeMap<>();
+    int[] failedSeeds = {0};
     LongStream.rangeClosed(arguments.first(), arguments.last())
         .parallel()
         .forEach(
@@ -200,19 +219,20 @@
                 fuzzer.rules.violations.add(
                     e.toString() + " " + List.of(e.getStackTrace()).subList(0, 4));
               }
-              synchronized (all) {
-                fuzzer.eventCounts.forEach((what, n) -> all.merge(what, n, Integer::sum));
-                all.merge("starts", fuzzer.rules.starts, Integer::sum);
-                all.merge("completions", fuzzer.rules.completions, Integer::sum);
+              synchronized (totals) {
+                fuzzer.eventCounts.forEach(
+                    (event, count) -> totals.merge(event, count, Integer::sum));
+                totals.merge("starts", fuzzer.rules.starts, Integer::sum);
+                totals.merge("completions", fuzzer.rules.completions, Integer::sum);
                 if (!fuzzer.rules.violations.isEmpty() || !fuzzer.unfinished.isEmpty()) {
-                  failed[0]++;
+                  failedSeeds[0]++;
                   System.out.println(fuzzer);
                   fuzzer.log().forEach(System.out::println);
                 }
               }
             });
-    System.out.println(all + " failed: " + failed[0]);
-    System.exit(failed[0] == 0 ? 0 : 1);
+    System.out.println(totals + " failed: " + failedSeeds[0]);
+    System.exit(failedSeeds[0] == 0 ? 0 : 1);
   }
 
   @Override
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzerDigestTest.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzerDigestTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The core decides against the adversary as it did when the digests were kept. The build plays the
- * first {@link KeptDigests#LAST_SEED_IN_BUILD} seeds, {@link DigestRun} all. A change of behaviour
- * that is meant writes them anew with {@code -Ddigests.write=true}, in the commit that changes it.
+ * Checks that the scheduler makes the same decisions under the fuzzer as when the digests were
+ * recorded. The build plays the first {@link KeptDigests#LAST_SEED_IN_BUILD} seeds, {@link
+ * DigestRun} plays all. A commit that changes the behaviour intentionally also rewrites the digests
+ * with {@code -Ddigests.write=true}.
  */
 class SchedulerFuzzerDigestTest {
   @Test
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzerDigests.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzerDigests.java
@@ -2,11 +2,11 @@
 
 import org.astershift.KeptDigests;
 
-/** The digests of the adversary's seeds. */
+/** The recorded digests of the seeds of {@link SchedulerFuzzer}. */
 public final class SchedulerFuzzerDigests {
   private SchedulerFuzzerDigests() {}
 
-  /** Those kept, and how to play a seed. */
+  /** Returns the recorded digests, with the function that plays a seed. */
   public static KeptDigests kept() {
     return KeptDigests.in(
         "adversary.tsv", seed -> new SchedulerFuzzer(seed, false).play().digest());
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzerTest.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzerTest.java
@@ -10,26 +10,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No rule breaks whatever faults the fuzzer injects, and all sums that a term maintains equal those
- * recomputed after each input. More seeds: {@code org.astershift.scheduler.SchedulerFuzzer FIRST
- * LAST}, with the events of each that fails after a third word.
+ * Checks that no rule is violated whatever faults the fuzzer injects, and that all sums that a term
+ * maintains equal those recomputed after each input. To play more seeds, run {@code
+ * org.astershift.scheduler.SchedulerFuzzer FIRST LAST}; with {@code story} as third argument it
+ * prints the events of each seed that fails.
  */
 class SchedulerFuzzerTest {
   @Test
   void noRuleBreaksWhenFaultsCoincide() {
-    List<String> broken = new ArrayList<>();
-    Map<String, Integer> happened = new TreeMap<>();
+    List<String> failedSeeds = new ArrayList<>();
+    Map<String, Integer> eventCounts = new TreeMap<>();
     for (long seed = 1; seed <= 6; seed++) {
       SchedulerFuzzer fuzzer = new SchedulerFuzzer(seed, false).play();
-      fuzzer.eventCounts.forEach((what, n) -> happened.merge(what, n, Integer::sum));
-      happened.merge("starts", fuzzer.rules.starts, Integer::sum);
+      fuzzer.eventCounts.forEach((event, count) -> eventCounts.merge(event, count, Integer::sum));
+      eventCounts.merge("starts", fuzzer.rules.starts, Integer::sum);
       if (!fuzzer.rules.violations.isEmpty()) {
-        broken.add(fuzzer.toString());
+        failedSeeds.add(fuzzer.toString());
       }
     }
-    assertEquals(List.of(), broken);
-    // The seeds did inject the faults, many of them together.
-    for (String what :
+    assertEquals(List.of(), failedSeeds);
+    // Ensures that the seeds injected all these faults, many of them together.
+    for (String fault :
         List.of(
             "restarts",
             "copies",
@@ -43,8 +44,10 @@
             "pauses",
             "failovers",
             "cancellations")) {
-      assertTrue(happened.getOrDefault(what, 0) > 0, what + " is missing: " + happened);
+      assertTrue(
+          eventCounts.getOrDefault(fault, 0) > 0,
+          fault + " did not occur in any seed: " + eventCounts);
     }
-    assertTrue(happened.get("starts") > 300, happened.toString());
+    assertTrue(eventCounts.get("starts") > 300, eventCounts.toString());
   }
 }
--- a/src/test/java/org/astershift/scheduler/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import org.astershift.config.OperatorSettings;
 
-/** Turns the lines of a trace into calls of a scheduler, and what it says into lines. */
+/** Plays the events of a trace on a scheduler and describes its responses as lines of text. */
 final class TracePlayer {
   private static final long TOKEN = 7;
   private final Map<String, Team> teams = new LinkedHashMap<>();
@@ -20,89 +20,95 @@
   private SchedulingPolicy policy = OperatorSettings.defaults();
   private final Map<String, Heartbeat> lastHeartbeats = new HashMap<>();
 
-  /** The direct order to each machine that was decided last. */
+  /** The direct commands to each machine that were decided last, by machine name. */
   private final Map<String, Decision.SendCommands> lastDirectCommands = new HashMap<>();
 
   private Scheduler scheduler;
 
-  /** There are other controllers, and the trace says what they answer. */
+  /** Whether there are other controllers; the trace then gives the results of their probes. */
   private boolean hasPeers;
 
-  /** The question to the other controllers that was decided last. */
+  /** The probe through the other controllers that was decided last. */
   private Decision.ProbeThroughPeers lastPeerProbe;
 
   private double cancellationS = 40;
 
   List<String> play(String line) {
     String[] words = line.trim().split("\\s+");
-    Map<String, String> named = new HashMap<>();
-    List<String> plain = new ArrayList<>();
-    for (String w : words) {
-      int eq = w.indexOf('=');
-      if (eq > 0) {
-        named.put(w.substring(0, eq), w.substring(eq + 1));
+    Map<String, String> options = new HashMap<>();
+    List<String> positional = new ArrayList<>();
+    for (String word : words) {
+      int equalsAt = word.indexOf('=');
+      if (equalsAt > 0) {
+        options.put(word.substring(0, equalsAt), word.substring(equalsAt + 1));
       } else {
-        plain.add(w);
+        positional.add(word);
       }
     }
-    EventLine w = new EventLine(plain, named);
+    EventLine event = new EventLine(positional, options);
     if (Character.isDigit(line.charAt(0))) {
-      return playTimedEvent((long) (Double.parseDouble(plain.get(0)) * 1000), w);
+      return playTimedEvent((long) (Double.parseDouble(positional.get(0)) * 1000), event);
     }
-    switch (plain.get(0)) {
+    switch (positional.get(0)) {
       case "team" ->
           teams.put(
-              plain.get(1),
+              positional.get(1),
               new Team(
-                  plain.get(1),
-                  w.number("cpus", 0),
-                  w.number("cpus_max", 0),
-                  w.number("gpus", 0),
-                  w.number("gpus_max", 0)));
+                  positional.get(1),
+                  event.number("cpus", 0),
+                  event.number("cpus_max", 0),
+                  event.number("gpus", 0),
+                  event.number("gpus_max", 0)));
       case "objective" ->
           objectives.add(
-              new ServiceLevelObjective("wait", plain.get(1), w.number("within", 1), 0.9, 1));
-      case "cancellation" -> cancellationS = w.number("within", cancellationS);
+              new ServiceLevelObjective(
+                  "wait", positional.get(1), event.number("within", 1), 0.9, 1));
+      case "cancellation" -> cancellationS = event.number("within", cancellationS);
       case "policy" ->
           policy =
               new SchedulingPolicy(
-                  (int) w.number("window", policy.windowTasks()),
-                  w.number("utilization", policy.utilizationThreshold()),
-                  (int) w.number("batch", policy.machineBatchTasks()),
-                  w.number("age", policy.waitingAgeS()),
-                  w.number("idle", policy.idleReleaseS()));
+                  (int) event.number("window", policy.windowTasks()),
+                  event.number("utilization", policy.utilizationThreshold()),
+                  (int) event.number("batch", policy.machineBatchTasks()),
+                  event.number("age", policy.waitingAgeS()),
+                  event.number("idle", policy.idleReleaseS()));
       case "type" ->
           types.put(
-              plain.get(1),
+              positional.get(1),
               new MachineType(
-                  plain.get(1),
-                  w.number("cpus", 4),
-                  w.number("gpus", 0),
-                  w.number("mem", 16),
-                  w.number("cache", 50),
+                  positional.get(1),
+                  event.number("cpus", 4),
+                  event.number("gpus", 0),
+                  event.number("mem", 16),
+                  event.number("cache", 50),
                   0.5,
-                  w.number("price", 1),
-                  w.number("spot", 0.3),
-                  w.number("boot", 20),
-                  List.of(w.text("zones", "a").split(","))));
+                  event.number("price", 1),
+                  event.number("spot", 0.3),
+                  event.number("boot", 20),
+                  List.of(event.text("zones", "a").split(","))));
       case "peers" -> hasPeers = true;
       case "inherit" ->
           getOrCreateScheduler()
               .addInheritedMachine(
-                  plain.get(1), plain.get(1) + ":1", plain.get(2), plain.get(3), false, 0);
-      default -> throw new IllegalArgumentException("not an event: " + line);
+                  positional.get(1),
+                  positional.get(1) + ":1",
+                  positional.get(2),
+                  positional.get(3),
+                  false,
+                  0);
+      default -> throw new IllegalArgumentException("unknown event in trace line: " + line);
     }
     return List.of();
   }
 
   private record EventLine(List<String> words, Map<String, String> options) {
-    double number(String name, double otherwise) {
-      String v = options.get(name);
-      return v == null ? otherwise : Double.parseDouble(v);
+    double number(String name, double defaultValue) {
+      String value = options.get(name);
+      return value == null ? defaultValue : Double.parseDouble(value);
     }
 
-    String text(String name, String otherwise) {
-      return options.getOrDefault(name, otherwise);
+    String text(String name, String defaultValue) {
+      return options.getOrDefault(name, defaultValue);
     }
 
     boolean hasFlag(String word) {
@@ -123,203 +129,217 @@
     return scheduler;
   }
 
-  private List<String> playTimedEvent(long now, EventLine w) {
-    List<String> p = w.words();
-    Scheduler s = getOrCreateScheduler();
-    switch (p.get(1)) {
-      case "job" -> s.addJob(jobSpec(w), w.hasFlag("opened"), new BitSet(), now);
+  private List<String> playTimedEvent(long nowMs, EventLine event) {
+    List<String> words = event.words();
+    Scheduler scheduler = getOrCreateScheduler();
+    switch (words.get(1)) {
+      case "job" -> scheduler.addJob(jobSpec(event), event.hasFlag("opened"), new BitSet(), nowMs);
       case "heartbeat" -> {
-        lastHeartbeats.put(p.get(2), heartbeat(w));
-        List<Command> answer = s.onHeartbeat(lastHeartbeats.get(p.get(2)), now, now);
-        return answer == null ? List.of("not answered") : describeCommands(answer);
+        lastHeartbeats.put(words.get(2), heartbeat(event));
+        List<Command> commands =
+            scheduler.onHeartbeat(lastHeartbeats.get(words.get(2)), nowMs, nowMs);
+        return commands == null ? List.of("not answered") : describeCommands(commands);
       }
-      case "heartbeats" -> repeatLastHeartbeats(now, p.subList(2, p.size()));
-      case "answered" -> s.onCommandResult(p.get(2), false, heartbeat(w), now, now);
-      case "unanswered" -> s.onCommandResult(p.get(2), true, null, now, now);
-      case "unsent" -> s.onCommandResult(p.get(2), false, null, now, now);
+      case "heartbeats" -> repeatLastHeartbeats(nowMs, words.subList(2, words.size()));
+      case "answered" ->
+          scheduler.onCommandResult(words.get(2), false, heartbeat(event), nowMs, nowMs);
+      case "unanswered" -> scheduler.onCommandResult(words.get(2), true, null, nowMs, nowMs);
+      case "unsent" -> scheduler.onCommandResult(words.get(2), false, null, nowMs, nowMs);
       case "pass" -> {
-        return pass(now, (long) (w.number("lease_certain", 1e9) * 1000));
+        return pass(nowMs, (long) (event.number("lease_certain", 1e9) * 1000));
       }
       case "dispatch" -> {
-        // The turn of a direct order that a pass decided, to be sent now.
-        Decision.SendCommands d = lastDirectCommands.get(p.get(2));
-        boolean sole = now < (long) (w.number("lease_certain", 1e9) * 1000);
-        return s.directCommandsStillDue(d, now)
-            ? describeCommands(s.commandsStillWanted(d, sole))
+        // The direct commands that a pass decided for this machine are about to be sent.
+        Decision.SendCommands commands = lastDirectCommands.get(words.get(2));
+        boolean isLeaseCertain = nowMs < (long) (event.number("lease_certain", 1e9) * 1000);
+        return scheduler.directCommandsStillDue(commands, nowMs)
+            ? describeCommands(scheduler.commandsStillWanted(commands, isLeaseCertain))
             : List.of("not due");
       }
-      case "process_resumed" -> s.onProcessResumed(now);
-      case "opened" -> s.onJobOpened(p.get(2));
-      case "placement" -> s.restorePlacement(p.get(2), p.subList(3, p.size()));
-      case "registered" -> s.onMachineRegistered(p.get(2));
-      case "ended" -> s.onJobEnded(p.get(2), w.hasFlag("cancelled"), now);
+      case "process_resumed" -> scheduler.onProcessResumed(nowMs);
+      case "opened" -> scheduler.onJobOpened(words.get(2));
+      case "placement" -> scheduler.restorePlacement(words.get(2), words.subList(3, words.size()));
+      case "registered" -> scheduler.onMachineRegistered(words.get(2));
+      case "ended" -> scheduler.onJobEnded(words.get(2), event.hasFlag("cancelled"), nowMs);
       case "cancel" -> {
-        s.requestCancellation(p.get(2));
-        String may = s.mayStart(p.get(2)) ? ", may start" : "";
-        return List.of("confirmable " + s.canConfirmCancellation(p.get(2)) + may);
+        scheduler.requestCancellation(words.get(2));
+        String startNote = scheduler.mayStart(words.get(2)) ? ", may start" : "";
+        return List.of("confirmable " + scheduler.canConfirmCancellation(words.get(2)) + startNote);
       }
-      case "released" -> s.onMachinesReleased(List.of(p.get(2)), now);
+      case "released" -> scheduler.onMachinesReleased(List.of(words.get(2)), nowMs);
       case "provisioned" -> {
-        s.onMachinesProvisioned(
+        scheduler.onMachinesProvisioned(
             "r",
-            List.of(p.get(2)),
-            new Decision.ProvisionMachines(p.get(3), p.get(4), w.hasFlag("spot"), 1),
-            now);
-        if (!w.hasFlag("unregistered")) {
-          s.onMachineRegistered(p.get(2));
+            List.of(words.get(2)),
+            new Decision.ProvisionMachines(words.get(3), words.get(4), event.hasFlag("spot"), 1),
+            nowMs);
+        if (!event.hasFlag("unregistered")) {
+          scheduler.onMachineRegistered(words.get(2));
         }
       }
       case "no_capacity" ->
-          s.onProvisioningFailed(
+          scheduler.onProvisioningFailed(
               "r",
-              new Decision.ProvisionMachines(p.get(2), p.get(3), w.hasFlag("spot"), 1),
+              new Decision.ProvisionMachines(words.get(2), words.get(3), event.hasFlag("spot"), 1),
               true,
-              now);
+              nowMs);
       case "saved" -> {
         BitSet done = new BitSet();
-        done.set((int) w.number("task", 0));
-        s.onProgressPersisted(p.get(2), done);
+        done.set((int) event.number("task", 0));
+        scheduler.onProgressPersisted(words.get(2), done);
       }
-      case "list" -> s.onMachineList(listedMachines(w), now, now);
+      case "list" -> scheduler.onMachineList(listedMachines(event), nowMs, nowMs);
       case "probed" -> {
-        // Each word is what one controller reached of those asked, by comma; "nobody" reached none.
-        List<Decision.PeerProbeResult> told = new ArrayList<>();
-        for (String one : p.subList(2, p.size())) {
-          told.add(probeResult(List.of(one.split(","))));
+        // Each word lists the machines that one controller reached, separated by commas; "nobody"
+        // means none.
+        List<Decision.PeerProbeResult> results = new ArrayList<>();
+        for (String reachedMachines : words.subList(2, words.size())) {
+          results.add(probeResult(List.of(reachedMachines.split(","))));
         }
-        s.onPeerProbeResults(lastPeerProbe, told);
+        scheduler.onPeerProbeResults(lastPeerProbe, results);
       }
       case "isolated" -> {
-        return List.of("isolated " + s.isIsolated());
+        return List.of("isolated " + scheduler.isIsolated());
       }
       case "summary" -> {
-        s.serviceSummary(now);
-        Job job = s.job(p.get(2));
+        scheduler.serviceSummary(nowMs);
+        Job job = scheduler.job(words.get(2));
         return List.of(
-            p.get(2) + (job.startWarningLogged ? " has not started" : " is not warned of"));
+            words.get(2) + (job.startWarningLogged ? " has not started" : " is not warned of"));
       }
       case "show" -> {
-        return List.of(describeJob(s, p.get(2)));
+        return List.of(describeJob(scheduler, words.get(2)));
       }
-      default -> throw new IllegalArgumentException("not an event: " + p);
+      default -> throw new IllegalArgumentException("unknown event in trace line: " + words);
     }
     return List.of();
   }
 
-  /** Each of these machines repeats its last heartbeat. */
-  private void repeatLastHeartbeats(long now, List<String> machineNames) {
+  /** Repeats the last heartbeat of each of these machines, with the next sequence number. */
+  private void repeatLastHeartbeats(long nowMs, List<String> machineNames) {
     for (String name : machineNames) {
-      Heartbeat before = lastHeartbeats.get(name);
+      Heartbeat previous = lastHeartbeats.get(name);
       Heartbeat next =
           new Heartbeat(
               name,
-              before.address(),
-              before.typeName(),
-              before.zone(),
-              before.spot(),
-              before.epoch(),
-              before.sequence() + 1,
+              previous.address(),
+              previous.typeName(),
+              previous.zone(),
+              previous.spot(),
+              previous.epoch(),
+              previous.sequence() + 1,
               TOKEN,
-              before.preemptionNoticeS(),
-              before.tasks());
+              previous.preemptionNoticeS(),
+              previous.tasks());
       lastHeartbeats.put(name, next);
-      scheduler.onHeartbeat(next, now, now);
+      scheduler.onHeartbeat(next, nowMs, nowMs);
     }
   }
 
-  /** Until {@code leaseCertainUntilMs} no other controller can lead. */
-  private List<String> pass(long now, long leaseCertainUntilMs) {
-    List<String> out = new ArrayList<>();
-    for (Decision decision : scheduler.runPass(now, leaseCertainUntilMs)) {
+  /**
+   * Runs a scheduling pass and describes its decisions.
+   *
+   * @param leaseCertainUntilMs time until which no other controller can lead
+   */
+  private List<String> pass(long nowMs, long leaseCertainUntilMs) {
+    List<String> lines = new ArrayList<>();
+    for (Decision decision : scheduler.runPass(nowMs, leaseCertainUntilMs)) {
       if (decision instanceof Decision.ProbeThroughPeers probe) {
         lastPeerProbe = probe;
         if (!hasPeers) {
-          scheduler.onPeerProbeResults(probe, List.of()); // there is no other controller
+          scheduler.onPeerProbeResults(probe, List.of()); // no other controllers exist
           continue;
         }
       }
       if (decision instanceof Decision.SendCommands commands) {
         lastDirectCommands.put(commands.machineName(), commands);
       }
-      out.add(describeDecision(decision));
+      lines.add(describeDecision(decision));
     }
-    return out;
+    return lines;
   }
 
-  private static List<ListedMachine> listedMachines(EventLine w) {
+  private static List<ListedMachine> listedMachines(EventLine event) {
     List<ListedMachine> listed = new ArrayList<>();
-    for (String name : w.words().subList(2, w.words().size())) {
+    for (String name : event.words().subList(2, event.words().size())) {
       listed.add(
           new ListedMachine(
               name,
               name + ":1",
-              w.text("type", "small"),
+              event.text("type", "small"),
               "a",
               false,
-              w.text("state", "running"),
+              event.text("state", "running"),
               5));
     }
     return listed;
   }
 
   private Decision.PeerProbeResult probeResult(List<String> reached) {
-    Set<String> no = new HashSet<>();
-    for (List<Decision.MachineAddress> some :
+    Set<String> unreachedMachines = new HashSet<>();
+    for (List<Decision.MachineAddress> machines :
         List.of(lastPeerProbe.suspects(), lastPeerProbe.controls())) {
-      some.forEach(m -> no.add(m.machineName()));
+      machines.forEach(machine -> unreachedMachines.add(machine.machineName()));
     }
-    Set<String> yes = new HashSet<>(no);
-    yes.retainAll(reached);
+    Set<String> reachedMachines = new HashSet<>(unreachedMachines);
+    reachedMachines.retainAll(reached);
     if (reached.contains("controls")) {
-      lastPeerProbe.controls().forEach(m -> yes.add(m.machineName()));
+      lastPeerProbe.controls().forEach(machine -> reachedMachines.add(machine.machineName()));
     }
-    no.removeAll(yes);
-    return new Decision.PeerProbeResult(yes, no);
+    unreachedMachines.removeAll(reachedMachines);
+    return new Decision.PeerProbeResult(reachedMachines, unreachedMachines);
   }
 
-  private static String describeJob(Scheduler s, String job) {
-    Job j = s.job(job);
-    if (j == null) {
-      return job + " is not managed";
+  private static String describeJob(Scheduler scheduler, String jobId) {
+    Job job = scheduler.job(jobId);
+    if (job == null) {
+      return jobId + " is not managed";
     }
-    Map<Integer, String> at = new TreeMap<>();
-    j.attempts.forEach((i, r) -> at.put(i, r.machine.name));
-    return job + " done " + j.doneTasks + " waiting " + j.waitingTasks + " held " + at;
+    Map<Integer, String> machinesByIndex = new TreeMap<>();
+    job.attempts.forEach((index, attempt) -> machinesByIndex.put(index, attempt.machine.name));
+    return jobId
+        + " done "
+        + job.doneTasks
+        + " waiting "
+        + job.waitingTasks
+        + " held "
+        + machinesByIndex;
   }
 
-  private static JobSpec jobSpec(EventLine w) {
-    List<String> p = w.words();
-    String types = w.text("types", null);
+  private static JobSpec jobSpec(EventLine event) {
+    List<String> words = event.words();
+    String types = event.text("types", null);
     return new JobSpec(
-        p.get(2),
-        w.text("class", "c"),
-        w.text("team", "team"),
-        JobKind.valueOf(p.get(3).toUpperCase(java.util.Locale.ROOT)),
-        Priority.valueOf(w.text("priority", "normal").toUpperCase(java.util.Locale.ROOT)),
-        (int) w.number("tasks", 1),
-        w.number("cpus", 1),
-        w.number("gpus", 0),
-        w.number("mem", 1),
-        w.text("image", "img"),
-        w.number("gb", 1),
+        words.get(2),
+        event.text("class", "c"),
+        event.text("team", "team"),
+        JobKind.valueOf(words.get(3).toUpperCase(java.util.Locale.ROOT)),
+        Priority.valueOf(event.text("priority", "normal").toUpperCase(java.util.Locale.ROOT)),
+        (int) event.number("tasks", 1),
+        event.number("cpus", 1),
+        event.number("gpus", 0),
+        event.number("mem", 1),
+        event.text("image", "img"),
+        event.number("gb", 1),
         types == null ? null : List.of(types.split(",")),
-        w.text("zone", null),
-        w.hasFlag("one_zone"),
-        w.hasFlag("spread"),
-        w.hasFlag("spot"),
-        w.number("estimate", 20),
-        w.number("checkpoint", 0),
-        w.number("save", 0),
-        w.options().containsKey("deadline") ? (Double) w.number("deadline", 0) : null);
+        event.text("zone", null),
+        event.hasFlag("one_zone"),
+        event.hasFlag("spread"),
+        event.hasFlag("spot"),
+        event.number("estimate", 20),
+        event.number("checkpoint", 0),
+        event.number("save", 0),
+        event.options().containsKey("deadline") ? (Double) event.number("deadline", 0) : null);
   }
 
   /**
-   * Tasks are words of the form job/index@attempt:state[:cause]; a small attempt is this term's.
+   * Parses a heartbeat. Task statuses are words of the form job/index@attempt:state[:cause], where
+   * an attempt number is one of this term unless it begins with "old".
    */
-  private static Heartbeat heartbeat(EventLine w) {
-    List<String> p = w.words();
-    List<Heartbeat.TaskStatus> items = new ArrayList<>();
-    for (String word : p.subList(3, p.size())) {
+  private static Heartbeat heartbeat(EventLine event) {
+    List<String> words = event.words();
+    List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
+    for (String word : words.subList(3, words.size())) {
       if (!word.contains("@")) {
         continue;
       }
@@ -328,7 +348,7 @@
           parts[2].startsWith("old")
               ? Long.parseLong(parts[2].substring(3))
               : (TOKEN << AttemptNumbers.ATTEMPT_COUNTER_BITS) | Long.parseLong(parts[2]);
-      items.add(
+      statuses.add(
           new Heartbeat.TaskStatus(
               parts[0],
               Integer.parseInt(parts[1]),
@@ -336,41 +356,41 @@
               Heartbeat.TaskPhase.valueOf(parts[3].toUpperCase(java.util.Locale.ROOT)),
               parts.length > 4 ? parts[4] : null));
     }
-    String name = p.get(2);
-    String notice = w.text("notice", null);
+    String name = words.get(2);
+    String notice = event.text("notice", null);
     return new Heartbeat(
         name,
         name + ":1",
-        w.text("type", "small"),
-        w.text("zone", "a"),
-        w.hasFlag("spot"),
-        (long) w.number("epoch", 1),
-        (long) w.number("sequence", 1),
-        (long) w.number("token", TOKEN),
+        event.text("type", "small"),
+        event.text("zone", "a"),
+        event.hasFlag("spot"),
+        (long) event.number("epoch", 1),
+        (long) event.number("sequence", 1),
+        (long) event.number("token", TOKEN),
         notice == null ? null : Double.valueOf(notice),
-        items);
+        statuses);
   }
 
-  private static List<String> describeCommands(List<Command> orders) {
-    List<String> out = new ArrayList<>();
-    for (Command o : orders) {
-      out.add(describeCommand(o));
+  private static List<String> describeCommands(List<Command> commands) {
+    List<String> lines = new ArrayList<>();
+    for (Command command : commands) {
+      lines.add(describeCommand(command));
     }
-    return out;
+    return lines;
   }
 
-  private static String describeCommand(Command o) {
-    long term = o.attemptNumber() >> AttemptNumbers.ATTEMPT_COUNTER_BITS;
+  private static String describeCommand(Command command) {
+    long term = command.attemptNumber() >> AttemptNumbers.ATTEMPT_COUNTER_BITS;
     String attempt =
         term == TOKEN
-            ? "" + (o.attemptNumber() & ((1L << AttemptNumbers.ATTEMPT_COUNTER_BITS) - 1))
-            : "old" + o.attemptNumber();
-    String grace = o.kind() == Command.Kind.STOP ? " grace " + o.gracePeriodS() : "";
-    return o.kind().name().toLowerCase(java.util.Locale.ROOT)
+            ? "" + (command.attemptNumber() & ((1L << AttemptNumbers.ATTEMPT_COUNTER_BITS) - 1))
+            : "old" + command.attemptNumber();
+    String grace = command.kind() == Command.Kind.STOP ? " grace " + command.gracePeriodS() : "";
+    return command.kind().name().toLowerCase(java.util.Locale.ROOT)
         + " "
-        + o.jobId()
+        + command.jobId()
         + "/"
-        + o.index()
+        + command.index()
         + "@"
         + attempt
         + grace;
@@ -384,39 +404,47 @@
     return machines.stream().map(Decision.MachineAddress::machineName).toList();
   }
 
-  private static String describeDecision(Decision d) {
-    if (d instanceof Decision.SendCommands o) {
+  private static String describeDecision(Decision decision) {
+    if (decision instanceof Decision.SendCommands send) {
       return "send "
-          + o.machineName()
+          + send.machineName()
           + " epoch "
-          + o.epoch()
+          + send.epoch()
           + " "
-          + describeCommands(o.commands());
-    } else if (d instanceof Decision.OpenJob o) {
+          + describeCommands(send.commands());
+    } else if (decision instanceof Decision.OpenJob opening) {
       return "open "
-          + o.jobId()
-          + (o.replicaMachineNames().isEmpty() ? "" : " on " + sorted(o.replicaMachineNames()));
-    } else if (d instanceof Decision.PersistPlacement r) {
-      return "persist_placement " + r.jobId() + " on " + sorted(r.replicaMachineNames());
-    } else if (d instanceof Decision.FinishJob f) {
-      return "finish " + f.jobId();
-    } else if (d instanceof Decision.ProvisionMachines r) {
+          + opening.jobId()
+          + (opening.replicaMachineNames().isEmpty()
+              ? ""
+              : " on " + sorted(opening.replicaMachineNames()));
+    } else if (decision instanceof Decision.PersistPlacement placement) {
+      return "persist_placement "
+          + placement.jobId()
+          + " on "
+          + sorted(placement.replicaMachineNames());
+    } else if (decision instanceof Decision.FinishJob end) {
+      return "finish " + end.jobId();
+    } else if (decision instanceof Decision.ProvisionMachines request) {
       return "provision "
-          + r.count()
+          + request.count()
           + " "
-          + r.typeName()
+          + request.typeName()
           + " in "
-          + r.zone()
-          + (r.spot() ? " spot" : "");
-    } else if (d instanceof Decision.ReleaseMachines r) {
-      return "release " + r.machineNames();
-    } else if (d instanceof Decision.RegisterMachine e) {
-      return "register " + e.machineName();
-    } else if (d instanceof Decision.DeregisterMachine s) {
-      return "deregister " + s.machineName();
-    } else if (d instanceof Decision.ProbeThroughPeers w) {
-      return "probe_through_peers " + names(w.suspects()) + " controls " + names(w.controls());
+          + request.zone()
+          + (request.spot() ? " spot" : "");
+    } else if (decision instanceof Decision.ReleaseMachines release) {
+      return "release " + release.machineNames();
+    } else if (decision instanceof Decision.RegisterMachine registration) {
+      return "register " + registration.machineName();
+    } else if (decision instanceof Decision.DeregisterMachine removal) {
+      return "deregister " + removal.machineName();
+    } else if (decision instanceof Decision.ProbeThroughPeers probe) {
+      return "probe_through_peers "
+          + names(probe.suspects())
+          + " controls "
+          + names(probe.controls());
     }
-    throw new IllegalArgumentException(d.toString());
+    throw new IllegalArgumentException("unknown decision: " + decision);
   }
 }
--- a/src/test/java/org/astershift/scheduler/TraceTest.java
+++ b/src/test/java/org/astershift/scheduler/TraceTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Plays every trace below src/test/resources/traces: events with their times in, decisions out. The
- * words are explained in the README there. With -Dtraces.write=true the answers are written anew,
- * to be read before they are kept.
+ * Plays every trace in src/test/resources/traces: the input is events with their times, the output
+ * is decisions. The README in that directory explains the trace language. With -Dtraces.write=true
+ * the expected output is rewritten; review it before committing it.
  */
 class TraceTest {
   private static final Path TRACES = Path.of("src/test/resources/traces");
@@ -23,19 +23,19 @@
   @TestFactory
   Stream<DynamicTest> traces() throws IOException {
     List<Path> files;
-    try (Stream<Path> all = Files.list(TRACES)) {
-      files = all.filter(p -> p.toString().endsWith(".trace")).sorted().toList();
+    try (Stream<Path> entries = Files.list(TRACES)) {
+      files = entries.filter(path -> path.toString().endsWith(".trace")).sorted().toList();
     }
     assertFalse(files.isEmpty(), "no traces found");
     return files.stream()
-        .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> play(f)));
+        .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> play(file)));
   }
 
   private static void play(Path file) throws IOException {
-    List<String> kept = Files.readAllLines(file);
+    List<String> expected = Files.readAllLines(file);
     List<String> played = new ArrayList<>();
     TracePlayer player = new TracePlayer();
-    for (String line : kept) {
+    for (String line : expected) {
       if (line.startsWith(">")) {
         continue;
       }
@@ -49,6 +49,6 @@
     if (Boolean.getBoolean("traces.write")) {
       Files.write(file, played);
     }
-    assertEquals(String.join("\n", kept), String.join("\n", played));
+    assertEquals(String.join("\n", expected), String.join("\n", played));
   }
 }
