--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -275,8 +275,8 @@
     JobSpec spec =
         JobDraft.array(id, 1)
             .kind(JobKind.SERVICE)
-            .of("demo")
-            .in("c", Priority.LOW)
+            .forTeam("demo")
+            .classAndPriority("c", Priority.LOW)
             .takes(cpus, 0)
             .estimate(1)
             .spec();
--- a/src/test/java/org/astershift/controller/FencingTestCase.java
+++ b/src/test/java/org/astershift/controller/FencingTestCase.java
@@ -72,7 +72,11 @@
   }
 
   static JobSpec job(String id, int tasks) {
-    return JobDraft.array(id, tasks).of("demo").in("c", Priority.LOW).estimate(1).spec();
+    return JobDraft.array(id, tasks)
+        .forTeam("demo")
+        .classAndPriority("c", Priority.LOW)
+        .estimate(1)
+        .spec();
   }
 
   static Map<String, Object> record() {
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -54,7 +54,12 @@
 
   /** {@code aheadMs}: by how much the clock of the node that accepted it is ahead of this one's. */
   private static RecordCodec.JobRecord job(long aheadMs) {
-    JobSpec spec = JobDraft.array("wk-1", 1).of("t").in("c", Priority.LOW).estimate(1).spec();
+    JobSpec spec =
+        JobDraft.array("wk-1", 1)
+            .forTeam("t")
+            .classAndPriority("c", Priority.LOW)
+            .estimate(1)
+            .spec();
     return new RecordCodec.JobRecord(spec, System.currentTimeMillis() + aheadMs);
   }
 
--- a/src/test/java/org/astershift/golden/PeerRequestsTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -58,7 +58,11 @@
     Map<String, Object> job =
         RecordCodec.encodeJob(
             new RecordCodec.JobRecord(
-                JobDraft.array(JOB, 9).kind(JobKind.ARRAY).in("c", Priority.LOW).spec(), 1));
+                JobDraft.array(JOB, 9)
+                    .kind(JobKind.ARRAY)
+                    .classAndPriority("c", Priority.LOW)
+                    .spec(),
+                1));
     List<Object> rows =
         List.of(
             Map.of("set", RecordCodec.LEADER_KEY, "data", RecordCodec.encodeLeader("n2")),
--- a/src/test/java/org/astershift/scheduler/EligibilityTest.java
+++ b/src/test/java/org/astershift/scheduler/EligibilityTest.java
@@ -38,10 +38,10 @@
       boolean spot) {
     return JobDraft.array("wk-1", tasks)
         .kind(kind)
-        .of("t")
+        .forTeam("t")
         .takes(cpus, gpus)
         .memory(memoryGb)
-        .only(types)
+        .machineTypes(types)
         .zone(zone)
         .oneZone(oneZone)
         .spread(spread)
--- a/src/test/java/org/astershift/simulation/AnswerCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/AnswerCombinedFaultsTest.java
@@ -1,9 +1,9 @@
 package org.astershift.simulation;
 
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
+import static org.astershift.simulation.CombinedFaults.createSimulation;
 import static org.astershift.simulation.CombinedFaults.runForS;
-import static org.astershift.simulation.CombinedFaults.simulation;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.astershift.scheduler.JobKind;
@@ -23,11 +23,11 @@
   private static final long MESSAGE_WAIT_MS = 6000;
 
   @Test
-  void overtakenAnswersAfterAllControllersFellRunNothingTwice() {
+  void overtakenAnswersAfterAllControllersCrashedRunNothingTwice() {
     int overtaken = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = playFall(seed);
-      assertSound(simulation);
+      Simulation simulation = playCrashOfAllControllers(seed);
+      assertNoViolations(simulation);
       overtaken += simulation.messageQueueing.answersOvertaken;
     }
     assertTrue(overtaken >= 10 * SEEDS, overtaken + " answers were overtaken");
@@ -35,11 +35,11 @@
         Mutation.BELIEVE_OVERTAKEN_ANSWERS,
         SEEDS,
         "ran_twice",
-        seed -> playFall(seed, Mutation.BELIEVE_OVERTAKEN_ANSWERS));
+        seed -> playCrashOfAllControllers(seed, Mutation.BELIEVE_OVERTAKEN_ANSWERS));
   }
 
-  private static Simulation playFall(long seed, Mutation... mutations) {
-    Simulation simulation = simulation(seed, MACHINES, mutations);
+  private static Simulation playCrashOfAllControllers(long seed, Mutation... mutations) {
+    Simulation simulation = createSimulation(seed, MACHINES, mutations);
     simulation.messageQueueing.heartbeatsOnChange = true;
     simulation.runTo(8);
     for (ControllerModel controller : simulation.controllers) {
--- a/src/test/java/org/astershift/simulation/CombinedFaults.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaults.java
@@ -39,7 +39,7 @@
   }
 
   /** Not started yet: at time 0, without the safety measures that the mutations take away. */
-  static Simulation simulation(long seed, int machines, Mutation... mutations) {
+  static Simulation createSimulation(long seed, int machines, Mutation... mutations) {
     Simulation simulation = new Simulation(seed, Setup.of(3, machines));
     simulation.mutations.addAll(List.of(mutations));
     return simulation;
@@ -49,8 +49,9 @@
    * A service with a task for each machine and the arrays {@code wk-10} to {@code wk-15}, which do
    * not end, under one leader.
    */
-  static Simulation withArrays(long seed, int machines, int tasks, Mutation... mutations) {
-    Simulation simulation = simulation(seed, machines, mutations);
+  static Simulation createSimulationWithArrays(
+      long seed, int machines, int tasks, Mutation... mutations) {
+    Simulation simulation = createSimulation(seed, machines, mutations);
     simulation.runTo(4);
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, machines), null);
     for (int i = 10; i < 16; i++) {
@@ -80,12 +81,12 @@
   }
 
   /** Whether another controller than this one leads. */
-  static boolean leadsBeside(Simulation simulation, ControllerModel old) {
+  static boolean hasOtherLeader(Simulation simulation, ControllerModel old) {
     return simulation.leaders().stream().anyMatch(controller -> controller != old);
   }
 
   /** No invariant was violated. */
-  static void assertSound(Simulation simulation) {
+  static void assertNoViolations(Simulation simulation) {
     assertEquals(
         List.of(),
         simulation.checker.violations,
@@ -93,12 +94,12 @@
   }
 
   /** All faults are healed: so long later all that ends is done, and no invariant was violated. */
-  static void assertServed(Simulation simulation, double afterS) {
+  static void healAndAssertServed(Simulation simulation, double afterS) {
     simulation.healAll();
     simulation.delayedHeartbeats.release();
     simulation.starvationCheck.onFaultsHealed();
     runForS(simulation, afterS);
-    assertSound(simulation);
+    assertNoViolations(simulation);
     for (String job : simulation.users.accepted()) {
       boolean ends = simulation.users.runMsOf(job, 0) != null;
       String message = "seed " + simulation.seed + ": " + job + " is left\n";
--- a/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
@@ -1,9 +1,9 @@
 package org.astershift.simulation;
 
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
-import static org.astershift.simulation.CombinedFaults.leadsBeside;
-import static org.astershift.simulation.CombinedFaults.withArrays;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
+import static org.astershift.simulation.CombinedFaults.createSimulationWithArrays;
+import static org.astershift.simulation.CombinedFaults.hasOtherLeader;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -27,16 +27,16 @@
   @Test
   void staleJobReadIsNotAdopted() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      assertSound(delayedJobRead(seed));
+      assertNoViolations(playDelayedJobRead(seed));
     }
     assertDetected(
         Mutation.ADOPT_STALE_JOBS,
         MUTANT_SEEDS,
-        seed -> delayedJobRead(seed, Mutation.ADOPT_STALE_JOBS));
+        seed -> playDelayedJobRead(seed, Mutation.ADOPT_STALE_JOBS));
   }
 
-  private static Simulation delayedJobRead(long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+  private static Simulation playDelayedJobRead(long seed, Mutation... mutations) {
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     simulation.threadStallMs = 8000;
     for (ControllerModel controller : simulation.controllers) {
       for (int i = 10; i < 16; i++) {
@@ -60,23 +60,23 @@
     assertDetected(
         Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE,
         MUTANT_SEEDS,
-        seed -> FleetUnderLoad.twoLeaders(seed, Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE));
+        seed -> FleetUnderLoad.playTwoLeaders(seed, Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE));
   }
 
   /** A job comes, and the leader loses the store and the others before it is opened. */
   @Test
-  void leaderPartitionedWhileJobIsOpened() {
+  void partitionedLeaderStartsNoUnopenedJob() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      assertSound(isolatedOnSubmission(seed));
+      assertNoViolations(playIsolationOnSubmission(seed));
     }
     assertDetected(
         Mutation.START_BEFORE_JOB_OPENED,
         MUTANT_SEEDS,
-        s -> isolatedOnSubmission(s, Mutation.START_BEFORE_JOB_OPENED));
+        s -> playIsolationOnSubmission(s, Mutation.START_BEFORE_JOB_OPENED));
   }
 
-  private static Simulation isolatedOnSubmission(long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+  private static Simulation playIsolationOnSubmission(long seed, Mutation... mutations) {
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     simulation.submit(JobDraft.job("wk-30", JobKind.ARRAY, 6), 60_000L);
     assertTrue(simulation.runUntil(() -> old.manages("wk-30"), 25), simulation.recentLog());
@@ -88,7 +88,7 @@
       }
     }
     simulation.runTo(60);
-    assertTrue(leadsBeside(simulation, old), simulation.recentLog());
+    assertTrue(hasOtherLeader(simulation, old), simulation.recentLog());
     return simulation;
   }
 
@@ -97,22 +97,22 @@
    * controller, with machines that boot meanwhile and a leader that ends just after it.
    */
   @Test
-  void delayedWriteAppliedAfterNewerOnes() {
+  void delayedWritesDoNotOverwriteNewerOnes() {
     int late = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = delayedWrites(seed);
-      assertSound(simulation);
+      Simulation simulation = playDelayedWrites(seed);
+      assertNoViolations(simulation);
       late += simulation.store.appliedAfterNewer;
     }
     assertNotEquals(0, late, "none came after a newer one");
     assertDetected(
         Mutation.UNCONDITIONAL_RECORD_WRITES,
         MUTANT_SEEDS,
-        s -> delayedWrites(s, Mutation.UNCONDITIONAL_RECORD_WRITES));
+        s -> playDelayedWrites(s, Mutation.UNCONDITIONAL_RECORD_WRITES));
   }
 
-  private static Simulation delayedWrites(long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 6, 3, mutations);
+  private static Simulation playDelayedWrites(long seed, Mutation... mutations) {
+    Simulation simulation = createSimulationWithArrays(seed, 6, 3, mutations);
     simulation.store.lateShare = 0.5;
     simulation.submit(
         JobDraft.job("wk-40", JobKind.SERVICE, 40), null); // machines are provisioned for it
@@ -135,9 +135,9 @@
    * leader changes, twice, once with the machine that had the early task gone.
    */
   @Test
-  void tasksEndFarApartAcrossFailovers() {
+  void jobsCompleteWhenTasksEndFarApartAcrossFailovers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = withArrays(seed, 12, 3);
+      Simulation simulation = createSimulationWithArrays(seed, 12, 3);
       simulation.userSubmits(JobDraft.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
       simulation.userSubmits(JobDraft.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
       simulation.users.taskRunMs.put("wk-60/1", 45_000L);
@@ -155,7 +155,7 @@
       old.start();
       simulation.leaders().forEach(ControllerModel::resign);
       simulation.runTo(110);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       for (ControllerModel controller : simulation.controllers) {
         assertEquals(
             "done", simulation.checker.lastState("wk-60", controller.name), simulation.fullLog());
@@ -167,9 +167,9 @@
 
   /** Controllers hand over and back, all end, and one returns, all within a second or two. */
   @Test
-  void leadershipTransfersAndAllControllersCrash() {
+  void cancellationsSurviveTransfersAndCrashOfAllControllers() {
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      Simulation simulation = withArrays(seed, 12, 3);
+      Simulation simulation = createSimulationWithArrays(seed, 12, 3);
       simulation.pollAllJobs();
       for (int i = 10; i < 13; i++) {
         simulation.userCancels("wk-" + i);
@@ -187,9 +187,9 @@
             50 + simulation.random.nextLong(controller == first ? 300 : 6000), controller::start);
       }
       simulation.runTo(100);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       simulation.checker.checkAllAnswered(25_000);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertEquals(1, simulation.leaders().size(), simulation.recentLog());
       for (int i = 10; i < 13; i++) {
         assertNotNull(simulation.checker.cancelConfirmedMs("wk-" + i), simulation.fullLog());
@@ -203,10 +203,10 @@
    * ever: such machines are released. What is not cancelled runs in the end.
    */
   @Test
-  void failoverWhileMachinesAreUnreachable() {
+  void unreachableMachinesDoNotBlockFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = unreachableMachines(seed);
-      assertSound(simulation);
+      Simulation simulation = playUnreachableMachines(seed);
+      assertNoViolations(simulation);
       for (int i = 10; i < 13; i++) {
         Long confirmed = simulation.checker.cancelConfirmedMs("wk-" + i);
         assertTrue(confirmed != null && confirmed < 60_000, simulation.fullLog());
@@ -218,11 +218,11 @@
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
-        seed -> unreachableMachines(seed, Mutation.NO_INHERITED_MACHINES));
+        seed -> playUnreachableMachines(seed, Mutation.NO_INHERITED_MACHINES));
   }
 
-  private static Simulation unreachableMachines(long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+  private static Simulation playUnreachableMachines(long seed, Mutation... mutations) {
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     old.crash();
     for (ControllerModel controller : simulation.controllers) {
@@ -246,10 +246,10 @@
    * and then arrive; in the middle of it the leader changes, or not.
    */
   @Test
-  void commandsHeldWhileMachinesContinue() {
+  void tasksEndDespiteDelayedCommands() {
     int held = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-      Simulation simulation = withArrays(seed, 12, 3);
+      Simulation simulation = createSimulationWithArrays(seed, 12, 3);
       ControllerModel old = simulation.leaders().get(0);
       for (int i = 0; i < 4; i++) {
         String machine = "vm-" + (seed + 3 * i) % 12;
@@ -272,7 +272,7 @@
       simulation.runTo(22);
       held += simulation.heldMessageCount();
       simulation.runTo(70);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       for (int i = 0; i < 8; i++) {
         assertEquals(0, simulation.checker.tasksOnMachines("wk-5" + i), simulation.fullLog());
       }
--- a/src/test/java/org/astershift/simulation/DelayedStartCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/DelayedStartCombinedFaultsTest.java
@@ -1,11 +1,11 @@
 package org.astershift.simulation;
 
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
 import static org.astershift.simulation.LeaderLossFaults.MACHINES;
-import static org.astershift.simulation.LeaderLossFaults.leader;
-import static org.astershift.simulation.LeaderLossFaults.leadsAfter;
-import static org.astershift.simulation.LeaderLossFaults.loadedSimulation;
+import static org.astershift.simulation.LeaderLossFaults.createLoadedSimulation;
+import static org.astershift.simulation.LeaderLossFaults.hasNewerLeader;
+import static org.astershift.simulation.LeaderLossFaults.newestLeader;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -29,7 +29,7 @@
    * token").
    */
   @Test
-  void delayedStartUnderEarlierTokenMeetsNewIncarnation() {
+  void delayedStartIsRefusedOnceNewIncarnationIsAnswered() {
     int[] refused = new int[2];
     int open = 0;
     int twice = 0;
@@ -37,7 +37,7 @@
       DelayedStart start = playDelayedStart(seed, false);
       boolean broken = !start.simulation.checker.violations.isEmpty();
       if (!start.unprotected) {
-        assertSound(start.simulation);
+        assertNoViolations(start.simulation);
         refused[start.restarted ? 1 : 0] += start.startedElsewhere ? 1 : 0;
       } else {
         open++;
@@ -62,10 +62,10 @@
       long sinceRestartMs) {}
 
   private static DelayedStart playDelayedStart(long seed, boolean connections) {
-    Simulation simulation = loadedSimulation(seed, 0);
+    Simulation simulation = createLoadedSimulation(seed, 0);
     simulation.connectionOriented = connections;
     simulation.runTo(20);
-    ControllerModel old = leader(simulation);
+    ControllerModel old = newestLeader(simulation);
     final long token = old.token();
     List<WorkerModel> cut = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -77,10 +77,11 @@
     simulation.runTo(20.4 + simulation.random.nextInt(600) / 1000.0);
     old.resign();
     assertTrue(
-        simulation.runUntil(() -> leadsAfter(simulation, token), 40), simulation.recentLog());
+        simulation.runUntil(() -> hasNewerLeader(simulation, token), 40), simulation.recentLog());
     simulation.runUntil(
         () ->
-            !leader(simulation).reconciling() && simulation.checker.tasksOnMachines("wk-50") == 12,
+            !newestLeader(simulation).reconciling()
+                && simulation.checker.tasksOnMachines("wk-50") == 12,
         60);
     WorkerModel restarted = cut.get(0);
     long beginsMs = 1000 + simulation.random.nextLong(2000);
@@ -111,9 +112,9 @@
     int withheld = 0;
     int elsewhere = 0;
     for (long seed = 1; seed <= 5 * SEEDS; seed++) {
-      assertSound(playDelayedStart(seed, true).simulation);
+      assertNoViolations(playDelayedStart(seed, true).simulation);
       PausedLeader still = playPausedLeader(seed);
-      assertSound(still.simulation);
+      assertNoViolations(still.simulation);
       withheld += still.withheld;
       elsewhere += still.startedElsewhere ? 1 : 0;
     }
@@ -129,10 +130,10 @@
   private record PausedLeader(Simulation simulation, int withheld, boolean startedElsewhere) {}
 
   private static PausedLeader playPausedLeader(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 0, mutations);
+    Simulation simulation = createLoadedSimulation(seed, 0, mutations);
     simulation.connectionOriented = true;
     simulation.runTo(20);
-    ControllerModel old = leader(simulation);
+    ControllerModel old = newestLeader(simulation);
     final long token = old.token();
     List<WorkerModel> cut = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -154,7 +155,7 @@
     }
     simulation.runTo((simulation.now() + stillMs - 1700) / 1000.0);
     final boolean elsewhere =
-        leadsAfter(simulation, token) && simulation.checker.tasksOnMachines("wk-50") == 12;
+        hasNewerLeader(simulation, token) && simulation.checker.tasksOnMachines("wk-50") == 12;
     simulation.runTo(60);
     return new PausedLeader(simulation, old.withheldStarts() - before, elsewhere);
   }
--- a/src/test/java/org/astershift/simulation/FailoverTest.java
+++ b/src/test/java/org/astershift/simulation/FailoverTest.java
@@ -1,9 +1,9 @@
 package org.astershift.simulation;
 
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
+import static org.astershift.simulation.CombinedFaults.createSimulationWithArrays;
 import static org.astershift.simulation.CombinedFaults.runForS;
-import static org.astershift.simulation.CombinedFaults.withArrays;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,7 +24,7 @@
   void delayedEndWritesAreFencedAfterFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       Simulation simulation = playDelayedEnds(seed);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       for (int i = 10; i < 16; i++) {
         assertTrue(simulation.checker.cancelConfirmedMs("wk-" + i) != null, simulation.fullLog());
       }
@@ -36,7 +36,7 @@
   }
 
   private static Simulation playDelayedEnds(long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 2, mutations);
+    Simulation simulation = createSimulationWithArrays(seed, 12, 2, mutations);
     ControllerModel old = simulation.leaders().get(0);
     List<ControllerModel> others =
         simulation.controllers.stream().filter(controller -> controller != old).toList();
@@ -62,9 +62,9 @@
    * What was accepted just before a leader began is known to it, however slow its watch cache is.
    */
   @Test
-  void watchCacheLagsAtFailover() {
+  void laggingWatchCacheHidesNoAcceptedJob() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      assertSound(playLaggingWatchCache(seed));
+      assertNoViolations(playLaggingWatchCache(seed));
     }
     assertDetected(
         Mutation.NO_CATCH_UP,
@@ -73,7 +73,7 @@
   }
 
   private static Simulation playLaggingWatchCache(long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 2, mutations);
+    Simulation simulation = createSimulationWithArrays(seed, 12, 2, mutations);
     ControllerModel old = simulation.leaders().get(0);
     simulation.store.answerDelayMs = 2500;
     for (int i = 20; i < 50; i++) {
@@ -101,9 +101,9 @@
    * A leader crashes while every transaction is carried out and none is answered: another leads.
    */
   @Test
-  void keyCreationAppliedWithLostAnswer() {
+  void leaderIsElectedWhenKeyCreationAnswerIsLost() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = withArrays(seed, 12, 2);
+      Simulation simulation = createSimulationWithArrays(seed, 12, 2);
       ControllerModel old = simulation.leaders().get(0);
       simulation.store.unansweredShare = 1;
       old.crash();
@@ -116,7 +116,7 @@
       simulation.store.unansweredShare = 0;
       old.start();
       simulation.runTo(80);
-      assertSound(simulation);
+      assertNoViolations(simulation);
     }
   }
 }
--- a/src/test/java/org/astershift/simulation/FleetUnderLoad.java
+++ b/src/test/java/org/astershift/simulation/FleetUnderLoad.java
@@ -15,7 +15,7 @@
   private FleetUnderLoad() {}
 
   /** A simulation with replicas on it that has come to rest. */
-  static Simulation loadedSimulation(long seed, Setup setup) {
+  static Simulation createLoadedSimulation(long seed, Setup setup) {
     Simulation simulation = new Simulation(seed, setup);
     simulation.runTo(4);
     // Something is on each machine to the end, so that none is ever idle: each return is for
@@ -25,16 +25,16 @@
     simulation.runTo(20);
     assertEquals(1, simulation.leaders().size(), simulation.recentLog());
     assertTrue(
-        running(simulation) >= 4 * setup.machines(),
-        running(simulation) + " run\n" + simulation.recentLog());
+        countRunningTasks(simulation) >= 4 * setup.machines(),
+        countRunningTasks(simulation) + " run\n" + simulation.recentLog());
     return simulation;
   }
 
-  static int running(Simulation simulation) {
+  static int countRunningTasks(Simulation simulation) {
     return simulation.workers.values().stream().mapToInt(WorkerModel::runningTasks).sum();
   }
 
-  static void assertSound(Simulation simulation) {
+  static void assertNoViolations(Simulation simulation) {
     assertEquals(List.of(), simulation.checker.violations, simulation.recentLog());
     assertEquals(List.of(), simulation.checker.healthyReleased, simulation.recentLog());
   }
@@ -47,8 +47,8 @@
   }
 
   /** With safety measures taken away once all are at rest. */
-  static Simulation twoLeaders(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+  static Simulation playTwoLeaders(long seed, Mutation... mutations) {
+    Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
     simulation.mutations.addAll(List.of(mutations));
     ControllerModel old = simulation.leaders().get(0);
     ControllerModel later = follower(simulation, 0);
--- a/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
@@ -2,16 +2,16 @@
 
 import static org.astershift.simulation.CombinedFaults.LeaderFault;
 import static org.astershift.simulation.CombinedFaults.apply;
-import static org.astershift.simulation.CombinedFaults.assertServed;
+import static org.astershift.simulation.CombinedFaults.healAndAssertServed;
 import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.astershift.simulation.GangFaults.GANGS;
 import static org.astershift.simulation.GangFaults.MachineFault;
-import static org.astershift.simulation.GangFaults.applyToMachines;
-import static org.astershift.simulation.GangFaults.count;
-import static org.astershift.simulation.GangFaults.gangs;
-import static org.astershift.simulation.GangFaults.loadedSimulation;
-import static org.astershift.simulation.GangFaults.machinesOf;
-import static org.astershift.simulation.GangFaults.randomMachines;
+import static org.astershift.simulation.GangFaults.applyToMachine;
+import static org.astershift.simulation.GangFaults.countJobs;
+import static org.astershift.simulation.GangFaults.createGangs;
+import static org.astershift.simulation.GangFaults.createLoadedSimulation;
+import static org.astershift.simulation.GangFaults.machinesRunning;
+import static org.astershift.simulation.GangFaults.pickRandomMachines;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -31,7 +31,7 @@
   /** Machines that hold tasks of gangs that gather; where none does, of any of the gangs. */
   private static List<String> gatheringMachines(Simulation simulation) {
     List<String> gathering = GANGS.stream().filter(simulation.gangs::isGathering).toList();
-    return machinesOf(simulation, gathering.isEmpty() ? GANGS : gathering);
+    return machinesRunning(simulation, gathering.isEmpty() ? GANGS : gathering);
   }
 
   /**
@@ -39,7 +39,7 @@
    * of the seeds one of the machines on which a task waits for the others is lost, too.
    */
   @Test
-  void failoverWhileGangsGather() {
+  void gangsCompleteAfterFailoverWhileGathering() {
     long gathered = 0;
     int lost = 0;
     int replaced = 0;
@@ -47,24 +47,24 @@
     for (LeaderFault fault : LeaderFault.values()) {
       for (MachineFault machineFault : MachineFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = loadedSimulation(seed);
+          Simulation simulation = createLoadedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
           long[] lasts = {6000, 12_000, 20_000, 34_000};
           for (String machine :
-              randomMachines(simulation, List.copyOf(simulation.workers.keySet()), 3)) {
-            applyToMachines(simulation, machineFault, machine, lasts[(int) (seed % 4)]);
+              pickRandomMachines(simulation, List.copyOf(simulation.workers.keySet()), 3)) {
+            applyToMachine(simulation, machineFault, machine, lasts[(int) (seed % 4)]);
           }
-          gangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
+          createGangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
           simulation.runTo(22 + 0.5 * (seed % 3));
-          gathered += count(simulation, simulation.gangs::isGathering);
+          gathered += countJobs(simulation, simulation.gangs::isGathering);
           apply(simulation, old, fault);
           if (seed % 2 == 0) {
             runForS(simulation, simulation.random.nextDouble());
-            randomMachines(simulation, gatheringMachines(simulation), 1)
+            pickRandomMachines(simulation, gatheringMachines(simulation), 1)
                 .forEach(machine -> simulation.workers.get(machine).restart(500));
           }
           simulation.runTo(60);
-          assertServed(simulation, 110);
+          healAndAssertServed(simulation, 110);
           lost += simulation.gangs.lostWhileGathering;
           replaced += simulation.gangs.startedAfterReplacement;
           played++;
@@ -81,7 +81,7 @@
    * late: the tasks give up waiting as the leader ends, or soon before or after.
    */
   @Test
-  void failoverWhileGangTasksTimeOut() {
+  void gangsCompleteAfterFailoverDuringGatherTimeout() {
     int incomplete = 0;
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
@@ -96,7 +96,7 @@
                 .filter(machine -> machine.zone.equals("a"))
                 .map(machine -> machine.name)
                 .toList();
-        String lost = randomMachines(simulation, there, 1).get(0);
+        String lost = pickRandomMachines(simulation, there, 1).get(0);
         simulation.userSubmits(
             JobDraft.gang(GANGS.get(0), 4).zone("a").takes(4, 0).spec(), 12_000L, () -> {});
         simulation.runUntil(() -> simulation.gangs.isGathering(GANGS.get(0)), 30);
@@ -104,7 +104,7 @@
         simulation.after(
             26_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fault));
         simulation.runTo(80);
-        assertServed(simulation, 90);
+        healAndAssertServed(simulation, 90);
         incomplete += simulation.gangs.gatherTimeouts;
         played++;
       }
@@ -114,13 +114,14 @@
   }
 
   /** Full of gangs at which urgent work aims; so these are stopped as a whole, and save. */
-  private static Simulation fullCluster(long seed) {
+  private static Simulation createFullCluster(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, 12));
     simulation.cloud.capacity.put(CloudModel.TYPE, 12);
     simulation.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
     simulation.runTo(4);
     for (int i = 0; i < 4; i++) {
-      JobDraft draft = JobDraft.gang(GANGS.get(i), 12).in("c", Priority.LOW).saves(1 + i % 2);
+      JobDraft draft =
+          JobDraft.gang(GANGS.get(i), 12).classAndPriority("c", Priority.LOW).saves(1 + i % 2);
       simulation.submit((i == 0 ? draft.spread() : draft).spec(), 25_000L);
     }
     simulation.runTo(20);
@@ -134,7 +135,7 @@
    * others wait.
    */
   @Test
-  void failoverWhileGangsAreStopped() {
+  void gangsCompleteAfterFailoverWhileBeingStopped() {
     int saving = 0;
     int inOrder = 0;
     int failed = 0;
@@ -144,20 +145,22 @@
     for (LeaderFault fault : LeaderFault.values()) {
       for (MachineFault machineFault : MachineFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = fullCluster(seed);
+          Simulation simulation = createFullCluster(seed);
           ControllerModel old = simulation.leaders().get(0);
           for (String machine :
-              randomMachines(simulation, machinesOf(simulation, GANGS), (int) (seed % 3) * 2)) {
-            applyToMachines(simulation, machineFault, machine, seed < 3 ? 2500 : 9000);
+              pickRandomMachines(
+                  simulation, machinesRunning(simulation, GANGS), (int) (seed % 3) * 2)) {
+            applyToMachine(simulation, machineFault, machine, seed < 3 ? 2500 : 9000);
           }
-          simulation.submit(JobDraft.array("wk-u", 5).in("u", Priority.HIGH).spec(), 8_000L);
+          simulation.submit(
+              JobDraft.array("wk-u", 5).classAndPriority("u", Priority.HIGH).spec(), 8_000L);
           boolean met =
-              simulation.runUntil(() -> count(simulation, simulation.gangs::isSaving) > 0, 30);
+              simulation.runUntil(() -> countJobs(simulation, simulation.gangs::isSaving) > 0, 30);
           runForS(simulation, 0.3 * (seed % 4));
           saving += met ? 1 : 0;
           apply(simulation, old, fault);
           simulation.runTo(45);
-          assertServed(simulation, 150);
+          healAndAssertServed(simulation, 150);
           inOrder += simulation.gangs.stoppedInOrder;
           failed += simulation.gangs.saveFailed;
           resumed += simulation.gangs.resumed;
@@ -177,7 +180,7 @@
    * Gangs are cancelled within 0.2 s whose machines pause or are partitioned; the leader changes.
    */
   @Test
-  void gangsCancelledDuringFailover() {
+  void gangCancellationsAreConfirmedDuringFailover() {
     int onFaultyMachines = 0;
     int confirmed = 0;
     int gathered = 0;
@@ -185,21 +188,21 @@
     for (LeaderFault fault : LeaderFault.values()) {
       for (MachineFault machineFault : MachineFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = loadedSimulation(seed);
+          Simulation simulation = createLoadedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
           List<Long> whenMs = List.of(-1500L, 100L, 1500L);
           boolean early = seed % 2 == 0; // so that they are still gathering
           long forMs = 4000 + 4000 * seed;
           if (!early) {
-            gangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
+            createGangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
             simulation.runTo(26);
           }
           List<String> all =
-              early ? List.copyOf(simulation.workers.keySet()) : machinesOf(simulation, GANGS);
-          List<String> machines = randomMachines(simulation, all, 4);
-          machines.forEach(machine -> applyToMachines(simulation, machineFault, machine, forMs));
+              early ? List.copyOf(simulation.workers.keySet()) : machinesRunning(simulation, GANGS);
+          List<String> machines = pickRandomMachines(simulation, all, 4);
+          machines.forEach(machine -> applyToMachine(simulation, machineFault, machine, forMs));
           if (early) {
-            gangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
+            createGangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
           }
           simulation.after(
               2000 + whenMs.get((int) (seed % 3)), () -> apply(simulation, old, fault));
@@ -208,14 +211,14 @@
                   simulation.after(
                       2000 + simulation.random.nextLong(200), () -> simulation.userCancels(gang)));
           runForS(simulation, 2);
-          gathered += count(simulation, simulation.gangs::isGathering);
+          gathered += countJobs(simulation, simulation.gangs::isGathering);
           int[] counts = new int[1];
           simulation.checker.eachOnMachine(
               (task, machine) -> counts[0] += machines.contains(machine) ? 1 : 0);
           onFaultyMachines += counts[0];
           simulation.pollAllJobs();
           runForS(simulation, 45);
-          assertServed(simulation, 30);
+          healAndAssertServed(simulation, 30);
           confirmed += simulation.checker.cancelsConfirmed();
           played++;
         }
@@ -241,16 +244,17 @@
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        Simulation simulation = loadedSimulation(seed);
+        Simulation simulation = createLoadedSimulation(seed);
         ControllerModel old = simulation.leaders().get(0);
         simulation.delayedHeartbeats.keepShare = 0.4;
         simulation.delayedHeartbeats.holdShare = 0.3;
-        gangs().forEach(gang -> simulation.userSubmits(gang, 8_000L, () -> {}));
+        createGangs().forEach(gang -> simulation.userSubmits(gang, 8_000L, () -> {}));
         boolean runs =
-            simulation.runUntil(() -> count(simulation, simulation.gangs::isDone) > 0, 60);
+            simulation.runUntil(() -> countJobs(simulation, simulation.gangs::isDone) > 0, 60);
         assertTrue(runs, simulation.fullLog());
         confirmed += old.manages(GANGS.get(0)) || old.manages(GANGS.get(1)) ? 1 : 0;
-        List<String> there = randomMachines(simulation, machinesOfDone(simulation), 1);
+        List<String> there =
+            pickRandomMachines(simulation, machinesWithCompletedGangs(simulation), 1);
         there.forEach(
             machine ->
                 simulation.workers.get(machine).restart(300 + simulation.random.nextLong(2000)));
@@ -261,7 +265,7 @@
         runForS(simulation, 20);
         duplicates += simulation.delayedHeartbeats.withEndedTasks;
         heldHeartbeats += simulation.delayedHeartbeats.heldAtLeader;
-        assertServed(simulation, 60);
+        healAndAssertServed(simulation, 60);
         played++;
       }
     }
@@ -274,7 +278,7 @@
   }
 
   /** Machines with tasks that have just completed. */
-  private static List<String> machinesOfDone(Simulation simulation) {
+  private static List<String> machinesWithCompletedGangs(Simulation simulation) {
     return simulation.workers.values().stream()
         .filter(
             machine ->
--- a/src/test/java/org/astershift/simulation/GangFaults.java
+++ b/src/test/java/org/astershift/simulation/GangFaults.java
@@ -19,12 +19,12 @@
 
   /** What becomes of machines that hold tasks of the gangs. */
   enum MachineFault {
-    CUT_OFF,
+    PARTITIONED,
     INBOUND_PARTITIONED,
     PAUSED
   }
 
-  static Simulation loadedSimulation(long seed) {
+  static Simulation createLoadedSimulation(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, 12));
     simulation.runTo(4);
     simulation.submit(JobDraft.array("wk-all", 6).kind(JobKind.SERVICE).spec(), null);
@@ -33,7 +33,7 @@
     return simulation;
   }
 
-  static void applyToMachines(
+  static void applyToMachine(
       Simulation simulation, MachineFault machineFault, String machine, long forMs) {
     if (machineFault == MachineFault.PAUSED) {
       simulation.workers.get(machine).pause(forMs);
@@ -41,7 +41,7 @@
     }
     for (ControllerModel controller : simulation.controllers) {
       simulation.cut(controller.name, machine);
-      if (machineFault == MachineFault.CUT_OFF) {
+      if (machineFault == MachineFault.PARTITIONED) {
         simulation.cut(machine, controller.name);
       }
       simulation.after(forMs, () -> simulation.healBoth(controller.name, machine));
@@ -49,7 +49,7 @@
   }
 
   /** One gang anywhere, one in one zone, one in zone a, and one half of which is in one zone. */
-  static List<JobSpec> gangs() {
+  static List<JobSpec> createGangs() {
     return List.of(
         JobDraft.gang(GANGS.get(0), 6).saves(1).spec(),
         JobDraft.gang(GANGS.get(1), 6).oneZone().spec(),
@@ -58,7 +58,7 @@
   }
 
   /** Machines that hold tasks of the jobs. */
-  static List<String> machinesOf(Simulation simulation, List<String> jobs) {
+  static List<String> machinesRunning(Simulation simulation, List<String> jobs) {
     Set<String> tasks = new HashSet<>();
     simulation.checker.eachOnMachine(
         (task, machine) -> {
@@ -69,7 +69,7 @@
     return tasks.stream().sorted().toList();
   }
 
-  static List<String> randomMachines(Simulation simulation, List<String> machines, int most) {
+  static List<String> pickRandomMachines(Simulation simulation, List<String> machines, int most) {
     List<String> left = new ArrayList<>(machines);
     List<String> out = new ArrayList<>();
     while (!left.isEmpty() && out.size() < most) {
@@ -78,7 +78,7 @@
     return out;
   }
 
-  static long count(Simulation simulation, Predicate<String> what) {
+  static long countJobs(Simulation simulation, Predicate<String> what) {
     return simulation.users.accepted().stream().filter(what).count();
   }
 }
--- a/src/test/java/org/astershift/simulation/GangStartCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangStartCombinedFaultsTest.java
@@ -3,16 +3,16 @@
 import static org.astershift.simulation.CombinedFaults.LeaderFault;
 import static org.astershift.simulation.CombinedFaults.addAcceleratorMachines;
 import static org.astershift.simulation.CombinedFaults.apply;
-import static org.astershift.simulation.CombinedFaults.assertServed;
+import static org.astershift.simulation.CombinedFaults.healAndAssertServed;
 import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.astershift.simulation.GangFaults.GANGS;
 import static org.astershift.simulation.GangFaults.MachineFault;
-import static org.astershift.simulation.GangFaults.applyToMachines;
-import static org.astershift.simulation.GangFaults.count;
-import static org.astershift.simulation.GangFaults.gangs;
-import static org.astershift.simulation.GangFaults.loadedSimulation;
-import static org.astershift.simulation.GangFaults.machinesOf;
-import static org.astershift.simulation.GangFaults.randomMachines;
+import static org.astershift.simulation.GangFaults.applyToMachine;
+import static org.astershift.simulation.GangFaults.countJobs;
+import static org.astershift.simulation.GangFaults.createGangs;
+import static org.astershift.simulation.GangFaults.createLoadedSimulation;
+import static org.astershift.simulation.GangFaults.machinesRunning;
+import static org.astershift.simulation.GangFaults.pickRandomMachines;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -33,23 +33,25 @@
    * machines with its tasks are lost or cannot be reached, and the leader ends.
    */
   @Test
-  void teamAtLimitByGangs() {
+  void gangsCompleteWhenTeamLimitIsReachedDuringFailover() {
     int atLimit = 0;
     int onFaultyMachines = 0;
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (MachineFault machineFault : MachineFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = limitedSimulation(seed);
+          Simulation simulation = createLimitedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
           double[] use = simulation.checker.usage("red");
           atLimit += use[0] > 12 - 3 && use[1] > 3 - 2 ? 1 : 0;
           List<String> machines =
-              randomMachines(
-                  simulation, machinesOf(simulation, List.copyOf(simulation.users.accepted())), 4);
+              pickRandomMachines(
+                  simulation,
+                  machinesRunning(simulation, List.copyOf(simulation.users.accepted())),
+                  4);
           onFaultyMachines += machines.size();
           long forMs = 5000 + 4000 * seed;
-          machines.forEach(machine -> applyToMachines(simulation, machineFault, machine, forMs));
+          machines.forEach(machine -> applyToMachine(simulation, machineFault, machine, forMs));
           if (seed % 2 == 0) {
             machines.stream().limit(2).forEach(simulation.cloud::die);
           }
@@ -59,7 +61,7 @@
           }
           apply(simulation, old, fault);
           runForS(simulation, 45);
-          assertServed(simulation, 150);
+          healAndAssertServed(simulation, 150);
           played++;
         }
       }
@@ -69,19 +71,19 @@
         onFaultyMachines >= 3 * played, onFaultyMachines + " faulty or unreachable machines");
   }
 
-  private static Simulation limitedSimulation(long seed) {
+  private static Simulation createLimitedSimulation(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, 12));
     addAcceleratorMachines(simulation);
     simulation.teams.put("red", new Team("red", 4, 12, 1, 3));
     simulation.teams.put("team", new Team("team", 0, 0, 0, 0));
     simulation.runTo(4);
     for (int i = 0; i < 4; i++) {
-      JobDraft acc = JobDraft.gang("wk-ra" + i, 2).of("red").takes(1, 1);
+      JobDraft acc = JobDraft.gang("wk-ra" + i, 2).forTeam("red").takes(1, 1);
       simulation.submit((i % 2 == 0 ? acc.oneZone() : acc).spec(), 15_000L);
     }
     simulation.runTo(6);
     for (int i = 0; i < 6; i++) {
-      JobDraft draft = JobDraft.gang("wk-r" + i, 2 + i % 3).of("red").saves(i % 2);
+      JobDraft draft = JobDraft.gang("wk-r" + i, 2 + i % 3).forTeam("red").saves(i % 2);
       simulation.submit((i % 3 == 0 ? draft.oneZone() : draft).spec(), 15_000L);
     }
     simulation.runTo(17);
@@ -95,7 +97,7 @@
    * of the seeds the gangs are cancelled meanwhile.
    */
   @Test
-  void startCommandsOfHalfAGangAreDelayed() {
+  void gangsCompleteWhenHalfTheirStartsAreDelayed() {
     int held = 0;
     long gathered = 0;
     int startedLate = 0;
@@ -103,19 +105,19 @@
     for (LeaderFault fault : LeaderFault.values()) {
       for (boolean partitioned : new boolean[] {false, true}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = loadedSimulation(seed);
+          Simulation simulation = createLoadedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
           List<String> machines =
-              randomMachines(simulation, List.copyOf(simulation.workers.keySet()), 6);
+              pickRandomMachines(simulation, List.copyOf(simulation.workers.keySet()), 6);
           long forMs = List.of(1500L, 3000L, 6000L, 13_000L).get((int) (seed % 4));
           machines.forEach(machine -> simulation.cut(old.name, machine));
           if (partitioned) {
             machines.forEach(
                 machine -> simulation.workers.get(machine).partitionOutbound(forMs + 2000));
           }
-          gangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
+          createGangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
           simulation.runTo(21.5);
-          gathered += count(simulation, simulation.gangs::isGathering);
+          gathered += countJobs(simulation, simulation.gangs::isGathering);
           apply(simulation, old, fault);
           if (seed % 3 == 0) {
             GANGS.forEach(simulation::userCancels);
@@ -128,7 +130,7 @@
           startedLate += simulation.checker.started - before;
           simulation.pollAllJobs();
           runForS(simulation, 40);
-          assertServed(simulation, 60);
+          healAndAssertServed(simulation, 60);
           played++;
         }
       }
--- a/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
+++ b/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
@@ -13,7 +13,7 @@
   private static final int MACHINES = 24;
   private static final int RESTARTED = 5;
   private static final double CUT_AFTER_S = 1.3;
-  private static final double UNSEEN_S = 12;
+  private static final double HEARTBEATS_CUT_S = 12;
   private static final int SEEDS = 3;
   private static final long RESTART_MS = 900;
   private static final long HEARTBEAT_MS = Setup.of(3, MACHINES).heartbeatMs();
@@ -27,7 +27,7 @@
    */
   @Test
   void restartedMachineIsNotReleasedAfterOneFailedProbe() {
-    assertNothingReleased(HealthyMachinesTest::restart);
+    assertNothingReleased(HealthyMachinesTest::playRestart);
   }
 
   /**
@@ -37,7 +37,7 @@
    */
   @Test
   void machineSeenOnlyThroughCommandAnswersIsNotReleasedOnRestart() {
-    assertNothingReleased(HealthyMachinesTest::restartUnseen);
+    assertNothingReleased(HealthyMachinesTest::playRestartUnseenByLeader);
   }
 
   /** Their messages have arrived, and wait in the leader's process to be handled. */
@@ -48,15 +48,15 @@
   }
 
   /** What is played under a seed, with a restart so long after some moment. */
-  private interface Play {
-    Simulation with(long seed, long atMs);
+  private interface Scenario {
+    Simulation play(long seed, long atMs);
   }
 
-  private static void assertNothingReleased(Play play) {
+  private static void assertNothingReleased(Scenario play) {
     List<String> givenAway = new ArrayList<>();
     for (long seed = 1; seed <= SEEDS; seed++) {
       for (long atMs = 0; atMs < 2 * HEARTBEAT_MS; atMs += STEP_MS) {
-        Simulation simulation = play.with(seed, atMs);
+        Simulation simulation = play.play(seed, atMs);
         assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
         for (String machine : simulation.checker.healthyReleased) {
           givenAway.add("seed " + seed + ", at " + atMs + " ms: " + machine);
@@ -67,7 +67,7 @@
   }
 
   /** A service runs on all machines, and one controller leads. */
-  private static Simulation served(long seed) {
+  private static Simulation createServiceSimulation(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
     simulation.runTo(4);
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, 2 * MACHINES), null);
@@ -75,33 +75,33 @@
     return simulation;
   }
 
-  private static Simulation restartUnseen(long seed, long atMs) {
-    Simulation simulation = served(seed);
+  private static Simulation playRestartUnseenByLeader(long seed, long atMs) {
+    Simulation simulation = createServiceSimulation(seed);
     ControllerModel leader = simulation.onlyLeader();
     for (int i = 0; i < RESTARTED; i++) {
-      simulation.cut(restarted(seed, i), leader.name);
+      simulation.cut(restartedMachine(seed, i), leader.name);
     }
-    simulation.runTo(20 + UNSEEN_S + atMs / 1000.0);
+    simulation.runTo(20 + HEARTBEATS_CUT_S + atMs / 1000.0);
     restartMachines(simulation);
-    simulation.runTo(20 + UNSEEN_S + 8);
+    simulation.runTo(20 + HEARTBEATS_CUT_S + 8);
     simulation.healAll();
-    simulation.runTo(20 + UNSEEN_S + 20);
+    simulation.runTo(20 + HEARTBEATS_CUT_S + 20);
     return simulation;
   }
 
   /** Some for longer than others, all within a second. */
   private static void restartMachines(Simulation simulation) {
     for (int i = 0; i < RESTARTED; i++) {
-      simulation.workers.get(restarted(simulation.seed, i)).restart(RESTART_MS - 150 * i);
+      simulation.workers.get(restartedMachine(simulation.seed, i)).restart(RESTART_MS - 150 * i);
     }
   }
 
-  private static String restarted(long seed, int i) {
+  private static String restartedMachine(long seed, int i) {
     return "vm-" + (seed + 3 * i) % MACHINES;
   }
 
-  private static Simulation restart(long seed, long atMs) {
-    Simulation simulation = served(seed);
+  private static Simulation playRestart(long seed, long atMs) {
+    Simulation simulation = createServiceSimulation(seed);
     ControllerModel leader = simulation.onlyLeader();
     simulation.runTo(20 + atMs / 1000.0);
     restartMachines(simulation);
--- a/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
@@ -5,11 +5,11 @@
 import static org.astershift.simulation.LeaderLossFaults.LeaderLoss;
 import static org.astershift.simulation.LeaderLossFaults.MACHINES;
 import static org.astershift.simulation.LeaderLossFaults.apply;
-import static org.astershift.simulation.LeaderLossFaults.assertServes;
+import static org.astershift.simulation.LeaderLossFaults.assertAllJobsServed;
 import static org.astershift.simulation.LeaderLossFaults.cancelJobs;
-import static org.astershift.simulation.LeaderLossFaults.leader;
-import static org.astershift.simulation.LeaderLossFaults.leadsAfter;
-import static org.astershift.simulation.LeaderLossFaults.loadedSimulation;
+import static org.astershift.simulation.LeaderLossFaults.createLoadedSimulation;
+import static org.astershift.simulation.LeaderLossFaults.hasNewerLeader;
+import static org.astershift.simulation.LeaderLossFaults.newestLeader;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.EnumMap;
@@ -26,7 +26,7 @@
   private static final int MUTANT_SEEDS = 60;
 
   /** Until all machines of the term before are reconciled. */
-  private static final long RECONCILE_MS = 6000;
+  private static final long MAX_RECONCILE_MS = 6000;
 
   /**
    * Copies of what machines said before, of tasks that have ended, moved or been cancelled since
@@ -35,7 +35,7 @@
    * violated, and what was opened before does not wait longer for machines to be reconciled.
    */
   @Test
-  void duplicateHeartbeatsReachAllControllersAtTermBegin() {
+  void duplicateHeartbeatsAtTermBeginDoNotDelayReconciliation() {
     Map<Moment, Integer> at = new EnumMap<>(Moment.class);
     int ended = 0;
     int incarnations = 0;
@@ -43,9 +43,9 @@
     for (LeaderLoss how : LeaderLoss.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
         ReconcilePlay played = playDuplicates(how, seed);
-        assertServes(played.simulation);
+        assertAllJobsServed(played.simulation);
         assertTrue(
-            played.reconciledMs <= RECONCILE_MS,
+            played.reconciledMs <= MAX_RECONCILE_MS,
             played.reconciledMs + " ms\n" + played.simulation.fullLog());
         DelayedHeartbeats delayed = played.simulation.delayedHeartbeats;
         delayed.atLeader.forEach((moment, n) -> at.merge(moment, n, Integer::sum));
@@ -77,7 +77,7 @@
   private record ReconcilePlay(Simulation simulation, long reconciledMs) {}
 
   private static ReconcilePlay playDuplicates(LeaderLoss how, long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, seed % 2 == 0 ? 0.4 : 0.1, mutations);
+    Simulation simulation = createLoadedSimulation(seed, seed % 2 == 0 ? 0.4 : 0.1, mutations);
     simulation.pollAllJobs();
     // One is not reached and released, some restart, and users cancel.
     String cut = "vm-" + seed % MACHINES;
@@ -92,17 +92,19 @@
     }
     cancelJobs(simulation, 20, 23, 4000);
     simulation.runTo(24 + simulation.random.nextInt(2000) / 1000.0);
-    ControllerModel old = leader(simulation);
+    ControllerModel old = newestLeader(simulation);
     long token = old.token();
     apply(simulation, old, how);
     assertTrue(
-        simulation.runUntil(() -> leadsAfter(simulation, token), 60), simulation.recentLog());
+        simulation.runUntil(() -> hasNewerLeader(simulation, token), 60), simulation.recentLog());
     long wonMs = simulation.now();
-    simulation.runUntil(() -> leader(simulation) != null && !leader(simulation).reconciling(), 100);
+    simulation.runUntil(
+        () -> newestLeader(simulation) != null && !newestLeader(simulation).reconciling(), 100);
     long reconciledMs = simulation.now() - wonMs;
     simulation.runTo(nowS(simulation) + simulation.random.nextInt(5000) / 1000.0);
-    if (leader(simulation) != null) {
-      apply(simulation, leader(simulation), LeaderLoss.values()[simulation.random.nextInt(3)]);
+    if (newestLeader(simulation) != null) {
+      apply(
+          simulation, newestLeader(simulation), LeaderLoss.values()[simulation.random.nextInt(3)]);
     }
     simulation.runTo(100);
     return new ReconcilePlay(simulation, reconciledMs);
@@ -113,12 +115,12 @@
    * while their machines went on to other controllers, some of them in a new incarnation.
    */
   @Test
-  void heartbeatsHeldUntilNewLeaderHasActed() {
+  void jobsAreServedDespiteHeartbeatsHeldUntilNewLeaderActs() {
     int arrived = 0;
     for (LeaderLoss how : LeaderLoss.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = playHeldHeartbeats(how, seed);
-        assertServes(simulation);
+        assertAllJobsServed(simulation);
         arrived += simulation.delayedHeartbeats.heldAtLeader;
       }
     }
@@ -131,11 +133,11 @@
   }
 
   private static Simulation playHeldHeartbeats(LeaderLoss how, long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 0, mutations);
+    Simulation simulation = createLoadedSimulation(seed, 0, mutations);
     simulation.pollAllJobs();
     simulation.runTo(15);
     simulation.delayedHeartbeats.holdShare = 0.6;
-    ControllerModel old = leader(simulation);
+    ControllerModel old = newestLeader(simulation);
     long token = old.token();
     old.rejectHeartbeats(6000); // so machines try the others, where they are held back, too
     simulation.runTo(19 + simulation.random.nextInt(1500) / 1000.0);
@@ -146,12 +148,12 @@
       simulation.after(simulation.random.nextLong(6000), () -> restarted.restart(100));
     }
     assertTrue(
-        simulation.runUntil(() -> leadsAfter(simulation, token), 60), simulation.recentLog());
+        simulation.runUntil(() -> hasNewerLeader(simulation, token), 60), simulation.recentLog());
     simulation.delayedHeartbeats.holdShare = 0;
     cancelJobs(simulation, 22, 23, 4000);
     simulation.runTo(nowS(simulation) + 8);
     if (how == LeaderLoss.HANDS_OVER) {
-      leader(simulation).resign(); // and back, maybe
+      newestLeader(simulation).resign(); // and back, maybe
     }
     simulation.runTo(40);
     simulation.delayedHeartbeats.release();
@@ -164,11 +166,11 @@
    * from the next one, and copies of what they and others said before come at all controllers.
    */
   @Test
-  void duplicatesFromMachinesUnreachableForNextLeader() {
+  void cancellationsAreConfirmedDespiteDuplicatesFromUnreachableMachines() {
     int duplicates = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
       Simulation simulation = playUnreachableMachines(seed);
-      assertServes(simulation);
+      assertAllJobsServed(simulation);
       duplicates += simulation.delayedHeartbeats.atLeader.values().stream().mapToInt(n -> n).sum();
       for (int i = 20; i < 24; i++) {
         assertTrue(simulation.checker.cancelConfirmedMs("wk-" + i) < 60_000, simulation.fullLog());
@@ -182,10 +184,10 @@
   }
 
   private static Simulation playUnreachableMachines(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 0.4, mutations);
+    Simulation simulation = createLoadedSimulation(seed, 0.4, mutations);
     simulation.pollAllJobs();
     simulation.runTo(20);
-    ControllerModel old = leader(simulation);
+    ControllerModel old = newestLeader(simulation);
     old.crash();
     for (ControllerModel controller : simulation.controllers) {
       simulation.cut(controller.name, "zone b");
--- a/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
@@ -23,7 +23,7 @@
   private static final double HEARTBEAT_WAIT_S = 10;
 
   /** How the earlier leader knows the machine before it is partitioned. */
-  private enum Known {
+  private enum PriorKnowledge {
     /** On record only: it sent no heartbeat in this term. */
     NEVER_SEEN,
     /** Heard a few times, so that the next incarnation soon has said more. */
@@ -40,9 +40,9 @@
    * be an incarnation that began after the later leader had fenced the one before.
    */
   @Test
-  void machineFirstSeenWhileLeaseUncertain() {
-    assertNothingRunsTwice(Known.NEVER_SEEN);
-    assertDetected(Known.NEVER_SEEN);
+  void machineFirstSeenWithUncertainLeaseRunsNothingTwice() {
+    assertNothingRunsTwice(PriorKnowledge.NEVER_SEEN);
+    assertDetected(PriorKnowledge.NEVER_SEEN);
   }
 
   /**
@@ -50,9 +50,9 @@
    * one before by the time that the earlier leader asks it.
    */
   @Test
-  void restartUnnoticedWhileLeaseUncertain() {
-    assertNothingRunsTwice(Known.SEEN_BRIEFLY);
-    assertDetected(Known.SEEN_BRIEFLY);
+  void unnoticedRestartWithUncertainLeaseRunsNothingTwice() {
+    assertNothingRunsTwice(PriorKnowledge.SEEN_BRIEFLY);
+    assertDetected(PriorKnowledge.SEEN_BRIEFLY);
   }
 
   /**
@@ -61,14 +61,14 @@
    * gets starts by direct commands of a certain leader only.
    */
   @Test
-  void recordWriteAnsweredAfterNextRestart() {
-    assertNothingRunsTwice(Known.RECORD_ANSWERED_LATE);
+  void recordWriteAnsweredAfterNextRestartRunsNothingTwice() {
+    assertNothingRunsTwice(PriorKnowledge.RECORD_ANSWERED_LATE);
   }
 
-  private static void assertNothingRunsTwice(Known known) {
+  private static void assertNothingRunsTwice(PriorKnowledge known) {
     int seen = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Restart restart = restart(seed, known);
+      Restart restart = playRestart(seed, known);
       assertEquals(List.of(), restart.simulation.checker.violations, restart.simulation.fullLog());
       seen += restart.newIncarnationSeen ? 1 : 0;
     }
@@ -77,16 +77,16 @@
   }
 
   /** Without the proof that an incarnation was there in time, a task runs twice. */
-  private static void assertDetected(Known known) {
+  private static void assertDetected(PriorKnowledge known) {
     Mutation unproven = Mutation.TRUST_UNPROVEN_INCARNATIONS;
     boolean missed = false;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      missed |= !restart(seed, known, unproven).simulation.checker.violations.isEmpty();
+      missed |= !playRestart(seed, known, unproven).simulation.checker.violations.isEmpty();
     }
     assertTrue(missed, unproven + " taken away is not missed");
   }
 
-  private static Restart restart(long seed, Known known, Mutation... mutations) {
+  private static Restart playRestart(long seed, PriorKnowledge known, Mutation... mutations) {
     Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
     simulation.mutations.addAll(List.of(mutations));
     simulation.runTo(5);
@@ -98,7 +98,7 @@
     simulation.submit(JobDraft.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
     simulation.runTo(19);
     final WorkerModel machine = simulation.workers.get("vm-" + seed % MACHINES);
-    if (known == Known.SEEN_BRIEFLY) {
+    if (known == PriorKnowledge.SEEN_BRIEFLY) {
       machine.restart(200);
     }
     ControllerModel first = simulation.onlyLeader();
@@ -107,14 +107,14 @@
     final ControllerModel earlier = others.get(0);
     final ControllerModel later = others.get(1);
     simulation.cutBoth(later.name, "state");
-    if (known == Known.NEVER_SEEN) {
+    if (known == PriorKnowledge.NEVER_SEEN) {
       machine.partitionOutbound(20_000);
       simulation.cutBoth(earlier.name, machine.name);
     }
     first.crash();
     assertTrue(simulation.runUntil(earlier::leads, 40), simulation.recentLog());
     runFor(simulation, 2500);
-    if (known == Known.RECORD_ANSWERED_LATE) {
+    if (known == PriorKnowledge.RECORD_ANSWERED_LATE) {
       simulation.recordAnswerDelayMs = RECORD_ANSWER_DELAY_MS;
       machine.restart(100);
       runFor(simulation, 2000);
@@ -129,7 +129,7 @@
     simulation.cutBoth(later.name, machine.name);
     machine.healOutbound();
     machine.restart(100);
-    if (known == Known.SEEN_BRIEFLY) {
+    if (known == PriorKnowledge.SEEN_BRIEFLY) {
       machine.partitionOutbound(8000);
       runFor(simulation, 8100);
     }
--- a/src/test/java/org/astershift/simulation/JobDraft.java
+++ b/src/test/java/org/astershift/simulation/JobDraft.java
@@ -52,12 +52,12 @@
     return this;
   }
 
-  public JobDraft of(String team) {
+  public JobDraft forTeam(String team) {
     this.team = team;
     return this;
   }
 
-  public JobDraft in(String jobClass, Priority priority) {
+  public JobDraft classAndPriority(String jobClass, Priority priority) {
     this.jobClass = jobClass;
     this.priority = priority;
     return this;
@@ -74,12 +74,12 @@
     return this;
   }
 
-  public JobDraft only(String type) {
-    return only(List.of(type));
+  public JobDraft machineTypes(String type) {
+    return machineTypes(List.of(type));
   }
 
   /** Null: any type. */
-  public JobDraft only(List<String> types) {
+  public JobDraft machineTypes(List<String> types) {
     this.types = types;
     return this;
   }
--- a/src/test/java/org/astershift/simulation/JobStreamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/JobStreamCombinedFaultsTest.java
@@ -1,12 +1,12 @@
 package org.astershift.simulation;
 
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
-import static org.astershift.simulation.CombinedFaults.withArrays;
-import static org.astershift.simulation.UserFaults.Change;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
+import static org.astershift.simulation.CombinedFaults.createSimulationWithArrays;
+import static org.astershift.simulation.UserFaults.LeaderChange;
 import static org.astershift.simulation.UserFaults.apply;
-import static org.astershift.simulation.UserFaults.assertEnded;
-import static org.astershift.simulation.UserFaults.submit;
+import static org.astershift.simulation.UserFaults.assertJobsEnded;
+import static org.astershift.simulation.UserFaults.submitJobs;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -30,17 +30,18 @@
    * in the middle, or not.
    */
   @Test
-  void fourOneTaskJobsPerSecond() {
+  void streamedJobsEndAndCancelInTime() {
     List<Long> quietMs = new ArrayList<>();
-    for (Change change : List.of(Change.NONE, Change.CRASHES, Change.HANDS_OVER)) {
+    for (LeaderChange change :
+        List.of(LeaderChange.NONE, LeaderChange.CRASHES, LeaderChange.HANDS_OVER)) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = playStream(seed, change);
-        assertSound(simulation);
+        assertNoViolations(simulation);
         assertEquals(480, simulation.users.accepted().size() - 1, simulation.recentLog());
         int confirmed = simulation.checker.cancelsConfirmed();
         assertTrue(confirmed > 40, confirmed + " confirmed\n" + simulation.recentLog());
         assertEquals(480, simulation.checker.jobsEnded(), simulation.recentLog());
-        if (change == Change.NONE) {
+        if (change == LeaderChange.NONE) {
           quietMs.addAll(simulation.checker.cancelLatencyMs);
         }
       }
@@ -52,11 +53,11 @@
     assertDetected(
         Mutation.CONFIRM_CANCEL_WHILE_STARTING,
         MUTANT_SEEDS,
-        seed -> playStream(seed, Change.NONE, Mutation.CONFIRM_CANCEL_WHILE_STARTING));
+        seed -> playStream(seed, LeaderChange.NONE, Mutation.CONFIRM_CANCEL_WHILE_STARTING));
   }
 
-  private static Simulation playStream(long seed, Change change, Mutation... mutations) {
-    Simulation simulation = CombinedFaults.simulation(seed, 20, mutations);
+  private static Simulation playStream(long seed, LeaderChange change, Mutation... mutations) {
+    Simulation simulation = CombinedFaults.createSimulation(seed, 20, mutations);
     simulation.runTo(4);
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, 20), null);
     simulation.runTo(15);
@@ -68,16 +69,16 @@
 
   /** The leader changes ten times in two minutes, half of that inside an outage, or without one. */
   @Test
-  void tenFailoversInTwoMinutes() {
+  void jobsEndDespiteTenFailoversInTwoMinutes() {
     int confirmed = 0;
     for (boolean outage : List.of(false, true)) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = playTenFailovers(seed, outage);
-        assertSound(simulation);
+        assertNoViolations(simulation);
         assertTrue(
             simulation.checker.leaders.size() >= 10,
             simulation.checker.leaders + simulation.recentLog());
-        assertEnded(simulation, 100, 30);
+        assertJobsEnded(simulation, 100, 30);
         confirmed += simulation.checker.cancelsConfirmed();
       }
     }
@@ -89,16 +90,16 @@
   }
 
   private static Simulation playTenFailovers(long seed, boolean outage, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     simulation.users.closeQueryShare = 0.5;
     simulation.users.cancelOnAcceptShare = 0.2;
     simulation.pollAllJobs();
-    submit(simulation, 100, 30, 110_000, 4000);
+    submitJobs(simulation, 100, 30, 110_000, 4000);
     for (int i = 0; i < 10; i++) {
       simulation.after(i * 2000, () -> simulation.users.cancelNow(1));
-      List<Change> all = new ArrayList<>(List.of(Change.values()));
-      all.remove(Change.NONE);
-      Change change = all.get(simulation.random.nextInt(all.size()));
+      List<LeaderChange> all = new ArrayList<>(List.of(LeaderChange.values()));
+      all.remove(LeaderChange.NONE);
+      LeaderChange change = all.get(simulation.random.nextInt(all.size()));
       simulation.after(
           1000 + i * 12_000 + simulation.random.nextLong(6000), () -> apply(simulation, change));
       if (outage) {
--- a/src/test/java/org/astershift/simulation/LargeFleetTest.java
+++ b/src/test/java/org/astershift/simulation/LargeFleetTest.java
@@ -26,32 +26,32 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
-  void hundredsOfMachinesRestartWhileLeadershipUncertain(int controllers) {
+  void jobsSurviveHundredsOfRestartsWhileLeadershipUncertain(int controllers) {
     Simulation simulation = new Simulation(controllers, Setup.of(controllers, MACHINES));
     simulation.runTo(4);
     for (int i = 0; i < SERVICES; i++) {
       simulation.submit(JobDraft.job("wk-s" + i, JobKind.SERVICE, REPLICAS), null);
     }
     simulation.runTo(20);
-    arrays(simulation, "wk-a");
+    submitArrays(simulation, "wk-a");
     simulation.onlyLeader().crash();
-    restart(simulation, 0);
+    restartMachines(simulation, 0);
     simulation.runTo(23);
     simulation.controllers.stream()
         .filter(controller -> !controller.up())
         .forEach(ControllerModel::start);
     simulation.runTo(45);
-    arrays(simulation, "wk-b");
+    submitArrays(simulation, "wk-b");
     String refused = simulation.onlyLeader().name;
     simulation.cutBoth(refused, "state");
     simulation.runTo(46);
-    restart(simulation, 1);
+    restartMachines(simulation, 1);
     simulation.runTo(52);
     simulation.healBoth(refused, "state");
     simulation.runTo(70);
-    arrays(simulation, "wk-c");
+    submitArrays(simulation, "wk-c");
     simulation.controllers.forEach(ControllerModel::crash);
-    restart(simulation, 2);
+    restartMachines(simulation, 2);
     simulation.runTo(72);
     simulation.controllers.forEach(ControllerModel::start);
     simulation.runTo(140);
@@ -66,14 +66,14 @@
     }
   }
 
-  private static void arrays(Simulation simulation, String prefix) {
+  private static void submitArrays(Simulation simulation, String prefix) {
     for (int i = 0; i < ARRAYS; i++) {
       simulation.submit(JobDraft.job(prefix + i, JobKind.ARRAY, TASKS), TASK_MS);
     }
   }
 
   /** Others each time, in all zones, for up to a second. */
-  private static void restart(Simulation simulation, int time) {
+  private static void restartMachines(Simulation simulation, int time) {
     for (int i = 0; i < RESTARTED; i++) {
       String machine = "vm-" + (i * (MACHINES / RESTARTED) + time);
       simulation.workers.get(machine).restart(1 + simulation.random.nextLong(RESTART_MS));
--- a/src/test/java/org/astershift/simulation/LeaderLossFaults.java
+++ b/src/test/java/org/astershift/simulation/LeaderLossFaults.java
@@ -1,6 +1,6 @@
 package org.astershift.simulation;
 
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
@@ -21,20 +21,20 @@
   /** How the leader ends. */
   enum LeaderLoss {
     CRASHES,
-    BACK_AT_ONCE,
+    RESTARTS_AT_ONCE,
     HANDS_OVER,
     /** It loses the store and the others, and workers and users still reach it. */
-    CUT_OFF,
+    PARTITIONED,
     /** The store is down for all, and it crashes meanwhile. */
-    IN_AN_OUTAGE
+    CRASHES_IN_STORE_OUTAGE
   }
 
   /**
    * Arrays that end ({@code wk-10..15}), that are cancelled before the leader ends (20..23), and
    * that run on (30..32), beside a service and under a limit.
    */
-  static Simulation loadedSimulation(long seed, double kept, Mutation... mutations) {
-    Simulation simulation = CombinedFaults.simulation(seed, MACHINES, mutations);
+  static Simulation createLoadedSimulation(long seed, double kept, Mutation... mutations) {
+    Simulation simulation = CombinedFaults.createSimulation(seed, MACHINES, mutations);
     simulation.teamCpuLimit = seed % 2 == 0 ? 44 : 0;
     simulation.runTo(4);
     simulation.delayedHeartbeats.keepShare = kept;
@@ -49,22 +49,22 @@
       simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
     }
     simulation.runTo(9);
-    assertNotNull(leader(simulation), simulation.recentLog());
+    assertNotNull(newestLeader(simulation), simulation.recentLog());
     return simulation;
   }
 
   /** Whoever leads with the highest token; null: nobody. */
-  static ControllerModel leader(Simulation simulation) {
+  static ControllerModel newestLeader(Simulation simulation) {
     return simulation.leaders().stream()
         .max(Comparator.comparingLong(ControllerModel::token))
         .orElse(null);
   }
 
-  static boolean leadsAfter(Simulation simulation, long token) {
-    return leader(simulation) != null && leader(simulation).token() > token;
+  static boolean hasNewerLeader(Simulation simulation, long token) {
+    return newestLeader(simulation) != null && newestLeader(simulation).token() > token;
   }
 
-  static void assertDone(Simulation simulation, int first, int last) {
+  static void assertJobsDone(Simulation simulation, int first, int last) {
     for (int i = first; i <= last; i++) {
       for (ControllerModel controller : simulation.controllers) {
         assertEquals(
@@ -73,10 +73,10 @@
     }
   }
 
-  static void assertServes(Simulation simulation) {
-    assertSound(simulation);
-    assertDone(simulation, 10, 15);
-    assertDone(simulation, 30, 32);
+  static void assertAllJobsServed(Simulation simulation) {
+    assertNoViolations(simulation);
+    assertJobsDone(simulation, 10, 15);
+    assertJobsDone(simulation, 30, 32);
     for (int i = 20; i < 24; i++) {
       assertNotNull(simulation.checker.cancelConfirmedMs("wk-" + i), simulation.fullLog());
       assertEquals(0, simulation.checker.tasksOnMachines("wk-" + i), simulation.fullLog());
@@ -91,12 +91,12 @@
   /** Ends the leader; who leads next is another one, or the same process restarted. */
   static void apply(Simulation simulation, ControllerModel old, LeaderLoss how) {
     switch (how) {
-      case BACK_AT_ONCE -> {
+      case RESTARTS_AT_ONCE -> {
         old.crash();
         simulation.after(100 + simulation.random.nextLong(400), old::start);
       }
       case HANDS_OVER -> old.resign();
-      case CUT_OFF -> {
+      case PARTITIONED -> {
         List<String> lost = new ArrayList<>(List.of("state"));
         simulation.controllers.stream()
             .filter(controller -> controller != old)
@@ -105,7 +105,7 @@
         simulation.after(20_000, () -> lost.forEach(other -> simulation.healBoth(old.name, other)));
       }
       default -> {
-        if (how == LeaderLoss.IN_AN_OUTAGE) {
+        if (how == LeaderLoss.CRASHES_IN_STORE_OUTAGE) {
           simulation.store.unavailable(true);
           simulation.after(3000, () -> simulation.store.unavailable(false));
         }
--- a/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
@@ -1,7 +1,7 @@
 package org.astershift.simulation;
 
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
 import static org.astershift.simulation.CombinedFaults.nowS;
 import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -32,13 +32,13 @@
   private enum LeaderFault {
     STAYS,
     CRASHES,
-    BACK_AT_ONCE,
+    RESTARTS_AT_ONCE,
     HANDS_OVER
   }
 
-  private static Simulation loadedSimulation(
+  private static Simulation createLoadedSimulation(
       long seed, int replicas, double limit, Mutation... mutations) {
-    Simulation simulation = CombinedFaults.simulation(seed, MACHINES, mutations);
+    Simulation simulation = CombinedFaults.createSimulation(seed, MACHINES, mutations);
     simulation.teamCpuLimit = limit;
     simulation.runTo(4);
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, replicas), null);
@@ -54,7 +54,7 @@
         controller.crash();
         simulation.after(8000, controller::start);
       }
-      case BACK_AT_ONCE -> {
+      case RESTARTS_AT_ONCE -> {
         controller.crash();
         simulation.after(300, controller::start);
       }
@@ -63,7 +63,7 @@
     }
   }
 
-  private static List<WorkerModel> randomMachines(Simulation simulation, int machines) {
+  private static List<WorkerModel> pickRandomMachines(Simulation simulation, int machines) {
     List<WorkerModel> all = new ArrayList<>(simulation.workers.values());
     all.removeIf(machine -> !machine.alive());
     List<WorkerModel> out = new ArrayList<>();
@@ -73,7 +73,7 @@
     return out;
   }
 
-  private static int sum(Simulation simulation, ToIntFunction<WorkerModel> count) {
+  private static int sumOverMachines(Simulation simulation, ToIntFunction<WorkerModel> count) {
     return simulation.workers.values().stream().mapToInt(count).sum();
   }
 
@@ -111,14 +111,14 @@
     for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         PartitionPlay played = playOutboundPartition(seed, seed % 2 == 0 ? 1 : 4, fault);
-        assertSound(played.simulation);
+        assertNoViolations(played.simulation);
         assertEquals(
             2 * MACHINES,
             played.simulation.checker.tasksOnMachines("wk-1"),
             played.simulation.fullLog());
         assertEquals(
             STREAM_JOBS + 1, played.simulation.checker.jobsEnded(), played.simulation.fullLog());
-        undelivered += sum(played.simulation, x -> x.undeliveredHeartbeats);
+        undelivered += sumOverMachines(played.simulation, x -> x.undeliveredHeartbeats);
         killed += played.simulation.checker.killedByLease;
         // A new leader gives it half a lease to send a heartbeat, and begins within six seconds.
         long latest = LEASE_MS / 2 + 1000 + (fault == LeaderFault.STAYS ? 0 : 2000 + 6000 + 1500);
@@ -141,11 +141,11 @@
 
   private static PartitionPlay playOutboundPartition(
       long seed, int machines, LeaderFault fault, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 2 * MACHINES, 0, mutations);
+    Simulation simulation = createLoadedSimulation(seed, 2 * MACHINES, 0, mutations);
     submitStream(simulation, STREAM_JOBS, 4000);
     simulation.userSubmits(JobDraft.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
     simulation.runTo(27);
-    List<WorkerModel> partitioned = randomMachines(simulation, machines);
+    List<WorkerModel> partitioned = pickRandomMachines(simulation, machines);
     List<String> held = new ArrayList<>();
     for (WorkerModel machine : partitioned) {
       held.addAll(machine.liveTasks().stream().filter(task -> task.startsWith("wk-1/")).toList());
@@ -177,7 +177,7 @@
    * and longer; starts and stops in any order, and the leader changes or not.
    */
   @Test
-  void pausedMachinesResume() {
+  void jobsEndDespitePausedMachines() {
     int executed = 0;
     int answered = 0;
     int resumed = 0;
@@ -185,13 +185,13 @@
       for (long ms : pauseDurationsMs()) {
         for (long seed = 1; seed <= 2 * SEEDS; seed++) {
           Simulation simulation = playPauses(seed, ms, fault);
-          assertSound(simulation);
+          assertNoViolations(simulation);
           assertEquals(12, simulation.checker.jobsEnded(), simulation.fullLog());
           assertEquals(
               2 * MACHINES, simulation.checker.tasksOnMachines("wk-1"), simulation.fullLog());
-          executed += sum(simulation, machine -> machine.commandsAfterPause);
-          answered += sum(simulation, machine -> machine.answersAfterPause);
-          resumed += sum(simulation, machine -> machine.tasksResumed);
+          executed += sumOverMachines(simulation, machine -> machine.commandsAfterPause);
+          answered += sumOverMachines(simulation, machine -> machine.answersAfterPause);
+          resumed += sumOverMachines(simulation, machine -> machine.tasksResumed);
         }
       }
     }
@@ -218,7 +218,7 @@
 
   private static Simulation playPauses(
       long seed, long ms, LeaderFault fault, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 2 * MACHINES, 0, mutations);
+    Simulation simulation = createLoadedSimulation(seed, 2 * MACHINES, 0, mutations);
     for (int i = 20; i < 32; i++) {
       String job = "wk-" + i;
       Runnable cancel =
@@ -229,7 +229,7 @@
           simulation.random.nextLong(1500),
           () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 3000L, then));
     }
-    for (WorkerModel machine : randomMachines(simulation, 5)) {
+    for (WorkerModel machine : pickRandomMachines(simulation, 5)) {
       boolean reporting = simulation.random.nextBoolean();
       simulation.after(simulation.random.nextLong(1500), () -> pause(machine, reporting, ms));
     }
@@ -245,14 +245,14 @@
    * machines pause just then; the leader stays, or ends as soon as it has confirmed one of them.
    */
   @Test
-  void jobsCancelledOnPausedMachines() {
+  void cancelledJobsEndOnPausedMachines() {
     int resumed = 0;
     int left = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long ms : pauseDurationsMs()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = playCancellations(seed, ms, fault);
-          assertSound(simulation);
+          assertNoViolations(simulation);
           for (int i = 20; i < 34; i++) {
             assertTrue(
                 simulation.checker.cancelConfirmedMs("wk-" + i) != null, simulation.fullLog());
@@ -263,7 +263,7 @@
               simulation.checker.tasksOnMachines("wk-34")
                   + simulation.checker.tasksOnMachines("wk-35"),
               simulation.fullLog());
-          resumed += sum(simulation, machine -> machine.cancelledTasksResumed);
+          resumed += sumOverMachines(simulation, machine -> machine.cancelledTasksResumed);
           left += simulation.checker.leftAtConfirmation;
         }
       }
@@ -280,7 +280,7 @@
 
   private static Simulation playCancellations(
       long seed, long ms, LeaderFault fault, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, MACHINES, 0, mutations);
+    Simulation simulation = createLoadedSimulation(seed, MACHINES, 0, mutations);
     for (int i = 20; i < 36; i++) {
       simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
@@ -289,7 +289,7 @@
       String job = "wk-" + i;
       simulation.after(simulation.random.nextLong(200), () -> simulation.userCancels(job));
     }
-    for (WorkerModel machine : randomMachines(simulation, 8)) {
+    for (WorkerModel machine : pickRandomMachines(simulation, 8)) {
       boolean reporting = simulation.random.nextInt(4) == 0;
       simulation.after(simulation.random.nextLong(300), () -> pause(machine, reporting, ms));
     }
@@ -307,14 +307,14 @@
    * limit, and each machine that has tasks is known in the end.
    */
   @Test
-  void fastBootsDuringFailover() {
+  void fastBootingMachinesAreKnownAfterFailover() {
     int early = 0;
     int busyEarly = 0;
     int late = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
         Simulation simulation = playFastBoots(seed, fault);
-        assertSound(simulation);
+        assertNoViolations(simulation);
         assertEquals(
             5 * MACHINES, simulation.checker.tasksOnMachines("wk-2"), simulation.fullLog());
         assertEquals(10, simulation.checker.jobsEnded(), simulation.fullLog());
@@ -334,7 +334,7 @@
 
   private static Simulation playFastBoots(long seed, LeaderFault fault, Mutation... mutations) {
     Simulation simulation =
-        loadedSimulation(seed, MACHINES, seed % 2 == 0 ? 0 : 6.5 * MACHINES, mutations);
+        createLoadedSimulation(seed, MACHINES, seed % 2 == 0 ? 0 : 6.5 * MACHINES, mutations);
     simulation.cloud.bootMs = () -> 50 + simulation.random.nextLong(1950);
     simulation.cloud.answerDelayMs = 4000;
     simulation.store.lateShare = 0.4;
--- a/src/test/java/org/astershift/simulation/OutageCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/OutageCombinedFaultsTest.java
@@ -5,12 +5,12 @@
 import static org.astershift.simulation.LeaderLossFaults.LeaderLoss;
 import static org.astershift.simulation.LeaderLossFaults.MACHINES;
 import static org.astershift.simulation.LeaderLossFaults.apply;
-import static org.astershift.simulation.LeaderLossFaults.assertDone;
-import static org.astershift.simulation.LeaderLossFaults.assertServes;
+import static org.astershift.simulation.LeaderLossFaults.assertAllJobsServed;
+import static org.astershift.simulation.LeaderLossFaults.assertJobsDone;
 import static org.astershift.simulation.LeaderLossFaults.cancelJobs;
-import static org.astershift.simulation.LeaderLossFaults.leader;
-import static org.astershift.simulation.LeaderLossFaults.leadsAfter;
-import static org.astershift.simulation.LeaderLossFaults.loadedSimulation;
+import static org.astershift.simulation.LeaderLossFaults.createLoadedSimulation;
+import static org.astershift.simulation.LeaderLossFaults.hasNewerLeader;
+import static org.astershift.simulation.LeaderLossFaults.newestLeader;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
    * next. Then one, or all return, at once or one by one, with the store down as they do, or not.
    */
   @Test
-  void allControllersDownLongerThanLease() {
+  void jobsAreServedAfterAllControllersWereDownLongerThanLease() {
     int killed = 0;
     int held = 0;
     int started = 0;
@@ -50,7 +50,7 @@
     for (ReturnOrder back : ReturnOrder.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
         ControllerOutage outage = playControllerOutage(back, seed);
-        assertServes(outage.simulation);
+        assertAllJobsServed(outage.simulation);
         killed += outage.simulation.checker.killedByLease;
         held += outage.heldMessages;
         started += outage.started;
@@ -83,9 +83,9 @@
 
   private static ControllerOutage playControllerOutage(
       ReturnOrder back, long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 0.3, mutations);
+    Simulation simulation = createLoadedSimulation(seed, 0.3, mutations);
     simulation.pollAllJobs();
-    ControllerModel old = leader(simulation);
+    ControllerModel old = newestLeader(simulation);
     for (int i = 0; i < 4; i++) {
       simulation.cut(old.name, "vm-" + (seed + 3 * i) % MACHINES);
     }
@@ -140,10 +140,10 @@
       simulation.after(awayMs + after, simulation.controllers.get((first + i) % 3)::start);
     }
     int started = simulation.checker.started;
-    simulation.runUntil(() -> leader(simulation) != null, 80);
+    simulation.runUntil(() -> newestLeader(simulation) != null, 80);
     started = simulation.checker.started - started;
     simulation.runTo(130);
-    assertDone(simulation, 40, 42);
+    assertJobsDone(simulation, 40, 42);
     return new ControllerOutage(simulation, confirmed, held, started);
   }
 
@@ -154,7 +154,7 @@
    * reaches are released, or, with the cloud away as well, live on to the end of it.
    */
   @Test
-  void zoneWithControllerPartitionedLongerThanLease() {
+  void jobsAreServedAfterZonePartitionLongerThanLease() {
     int before = 0;
     int meanwhile = 0;
     int withUncertainLease = 0;
@@ -163,7 +163,7 @@
       for (boolean cloud : new boolean[] {true, false}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           ZonePartition partition = playZonePartition(withLeader, cloud, seed);
-          assertServes(partition.simulation);
+          assertAllJobsServed(partition.simulation);
           before += partition.confirmedBefore;
           meanwhile += partition.confirmedMeanwhile;
           withUncertainLease += partition.answeredWithUncertainLease;
@@ -190,10 +190,10 @@
 
   private static ZonePartition playZonePartition(
       boolean withLeader, boolean cloud, long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, 0.2, mutations);
+    Simulation simulation = createLoadedSimulation(seed, 0.2, mutations);
     simulation.pollAllJobs();
     simulation.runTo(15);
-    ControllerModel old = leader(simulation);
+    ControllerModel old = newestLeader(simulation);
     long token = old.token();
     ControllerModel inZone =
         withLeader
@@ -221,13 +221,13 @@
     int answered = old.answeredWithUncertainLease();
     simulation.runTo(
         15 + (simulation.setup.leaseMs() + 1500 + simulation.random.nextInt(25_000)) / 1000.0);
-    assertTrue(!withLeader || leadsAfter(simulation, token), simulation.recentLog());
+    assertTrue(!withLeader || hasNewerLeader(simulation, token), simulation.recentLog());
     int meanwhile = simulation.checker.cancelsConfirmed() - before;
     long lived =
         simulation.workers.values().stream()
             .filter(machine -> machine.alive() && machine.zone.equals("a"))
             .count();
-    ControllerModel next = leader(simulation);
+    ControllerModel next = newestLeader(simulation);
     simulation.after(
         simulation.random.nextLong(1000),
         () -> apply(simulation, next, LeaderLoss.values()[simulation.random.nextInt(3)]));
--- a/src/test/java/org/astershift/simulation/OverloadCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/OverloadCombinedFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.astershift.simulation.CombinedFaults.LeaderFault;
 import static org.astershift.simulation.CombinedFaults.apply;
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -22,26 +22,26 @@
    * still more work than room.
    */
   @Test
-  void overloadOverSlowLinks() {
+  void noJobStarvesUnderOverloadOverSlowLinks() {
     int preempted = 0;
     int waitedAfter = 0;
     long longest = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation simulation = overloadedSimulation(seed);
+        Simulation simulation = createOverloadedSimulation(seed);
         ControllerModel old = simulation.leaders().get(0);
         simulation.after(
             20_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fault));
         simulation.runTo(60);
-        playSlowLinks(simulation, 0);
-        waitedAfter += waiting(simulation);
+        setLinkDelays(simulation, 0);
+        waitedAfter += countWaitingTasks(simulation);
         preempted += simulation.checker.stopped;
         simulation.starvationCheck.onFaultsHealed();
         simulation.runTo(75);
-        urgent(simulation, 40);
+        submitUrgentJob(simulation, 40);
         simulation.runTo(160);
-        longest = Math.max(longest, simulation.starvationCheck.longestMs());
-        assertSound(simulation);
+        longest = Math.max(longest, simulation.starvationCheck.longestWaitMs());
+        assertNoViolations(simulation);
       }
     }
     int played = LeaderFault.values().length * SEEDS;
@@ -50,13 +50,13 @@
     assertTrue(waitedAfter >= 50 * played, waitedAfter + " waited when the faults were over");
   }
 
-  private static int waiting(Simulation simulation) {
+  private static int countWaitingTasks(Simulation simulation) {
     return simulation.users.accepted().stream()
         .mapToInt(job -> simulation.checker.waiting(simulation.users.spec(job)).size())
         .sum();
   }
 
-  private static void playSlowLinks(Simulation simulation, long ms) {
+  private static void setLinkDelays(Simulation simulation, long ms) {
     for (ControllerModel controller : simulation.controllers) {
       for (String host : List.of("workers", "state", "cloud")) {
         simulation.delayLink(controller.name, host, host.equals("state") ? ms / 4 : ms);
@@ -65,31 +65,32 @@
     }
   }
 
-  private static Simulation overloadedSimulation(long seed) {
+  private static Simulation createOverloadedSimulation(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, 12));
     simulation.cloud.capacity.put(CloudModel.TYPE, 12);
     simulation.objectives.add(new ServiceLevelObjective("wait", "u", 2, 0.9, 1));
     simulation.objectives.add(new ServiceLevelObjective("wait", "n", 30, 0.9, 1));
-    playSlowLinks(simulation, 1000);
+    setLinkDelays(simulation, 1000);
     simulation.runTo(6);
     for (int i = 0; i < 10; i++) {
       // Guests at whose work nobody aims, and large and small work of the others.
-      JobDraft guest = JobDraft.array("wk-g" + i, 12).in("g", Priority.LOW);
+      JobDraft guest = JobDraft.array("wk-g" + i, 12).classAndPriority("g", Priority.LOW);
       simulation.submit(guest.saves(i % 2 == 0 ? 2 : 0).spec(), 15_000L);
       boolean large = i % 3 == 0;
-      JobDraft normal = JobDraft.array("wk-n" + i, large ? 60 : 8).in("n", Priority.NORMAL);
+      JobDraft normal =
+          JobDraft.array("wk-n" + i, large ? 60 : 8).classAndPriority("n", Priority.NORMAL);
       simulation.submit(normal.takes(large ? 3 : 2, 0).spec(), 12_000L);
     }
     for (int i = 0; i < 10; i++) {
       int id = i;
-      simulation.after(5000 * i, () -> urgent(simulation, id));
+      simulation.after(5000 * i, () -> submitUrgentJob(simulation, id));
     }
     simulation.runTo(18);
     return simulation;
   }
 
-  private static void urgent(Simulation simulation, int id) {
-    JobDraft draft = JobDraft.array("wk-u" + id, 6).in("u", Priority.HIGH);
+  private static void submitUrgentJob(Simulation simulation, int id) {
+    JobDraft draft = JobDraft.array("wk-u" + id, 6).classAndPriority("u", Priority.HIGH);
     simulation.submit(draft.takes(id % 2 == 0 ? 2 : 1, 0).spec(), 8_000L);
   }
 }
--- a/src/test/java/org/astershift/simulation/PartitionTest.java
+++ b/src/test/java/org/astershift/simulation/PartitionTest.java
@@ -1,9 +1,9 @@
 package org.astershift.simulation;
 
-import static org.astershift.simulation.FleetUnderLoad.assertSound;
+import static org.astershift.simulation.FleetUnderLoad.assertNoViolations;
+import static org.astershift.simulation.FleetUnderLoad.countRunningTasks;
+import static org.astershift.simulation.FleetUnderLoad.createLoadedSimulation;
 import static org.astershift.simulation.FleetUnderLoad.follower;
-import static org.astershift.simulation.FleetUnderLoad.loadedSimulation;
-import static org.astershift.simulation.FleetUnderLoad.running;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -24,7 +24,7 @@
   /** Without handing over the inbound-partitioned leader stays, and the leases run out. */
   @Test
   void withoutLeadershipTransferWorkerLeasesExpire() {
-    Simulation simulation = loadedSimulation(1, Setup.of(3, 60));
+    Simulation simulation = createLoadedSimulation(1, Setup.of(3, 60));
     simulation.mutations.add(Mutation.NO_LEADERSHIP_TRANSFER);
     simulation.cutBoth(simulation.leaders().get(0).name, "workers");
     simulation.runTo(60);
@@ -32,9 +32,9 @@
   }
 
   @Test
-  void secondLeaderPartitionedFromWorkersLikeFirst() {
+  void thirdControllerLeadsWhenFirstTwoAreCutFromWorkers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       ControllerModel first = simulation.leaders().get(0);
       ControllerModel second = follower(simulation, 0);
       ControllerModel third = follower(simulation, 1);
@@ -47,15 +47,15 @@
       simulation.healBoth(first.name, "workers");
       simulation.healBoth(second.name, "workers");
       simulation.runTo(120);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
     }
   }
 
   @Test
-  void allControllersPartitionedAndHealedOneByOne() {
+  void leaderStaysWhileNoControllerReachesWorkers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "workers"));
       int before = simulation.checker.leaders.size();
       simulation.runTo(90);
@@ -69,33 +69,34 @@
       assertEquals(List.of(back), simulation.leaders(), simulation.recentLog());
       simulation.controllers.forEach(controller -> simulation.healBoth(controller.name, "workers"));
       simulation.runTo(150);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertEquals(before + 1, simulation.checker.leaders.size(), simulation.recentLog());
       assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
       assertTrue(
-          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 180,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
   @Test
-  void leaderOutboundPartitionedFromWorkers() {
+  void outboundPartitionedLeaderReleasesNoMachines() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       ControllerModel first = simulation.leaders().get(0);
       simulation.cut(first.name, "workers");
       simulation.runTo(80);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
       simulation.heal(first.name, "workers");
       simulation.runTo(110);
-      assertSound(simulation);
+      assertNoViolations(simulation);
     }
   }
 
   @Test
-  void leaderPartitionedDuringScaleIn() {
+  void onlyDeadMachinesAreReleasedWhenLeaderIsPartitioned() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       ControllerModel first = simulation.leaders().get(0);
       for (int i = 0; i < 12; i++) {
         simulation.cloud.die("vm-" + i);
@@ -103,55 +104,58 @@
       simulation.runTo(23.5 + seed % 25 * 0.1);
       simulation.cutBoth(first.name, "workers");
       simulation.runTo(60);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertNotEquals(List.of(first), simulation.leaders(), simulation.recentLog());
       assertEquals(12, simulation.checker.released.size(), simulation.recentLog());
       simulation.healBoth(first.name, "workers");
       simulation.runTo(100);
-      assertSound(simulation);
+      assertNoViolations(simulation);
     }
   }
 
   /** Heartbeats of a zone arrive and nothing that is said to it, while leaders change. */
   @Test
-  void zoneInboundPartitionedDuringFailover() {
+  void workMovesOutOfInboundPartitionedZoneAfterFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       simulation.controllers.forEach(controller -> simulation.cut(controller.name, "zone a"));
       simulation.runTo(21 + seed % 10);
       simulation.leaders().get(0).crash();
       simulation.runTo(40);
       simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
       simulation.runTo(100);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       // What was opened before waits for none of them for ever: they are released, and replaced.
       assertTrue(
-          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 180,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
       assertTrue(
           simulation.checker.released.stream()
               .allMatch(m -> simulation.workers.get(m).zone.equals("a")),
           simulation.recentLog());
       simulation.controllers.forEach(controller -> simulation.heal(controller.name, "zone a"));
       simulation.runTo(130);
-      assertSound(simulation);
+      assertNoViolations(simulation);
     }
   }
 
   /** A few such machines under a leader that stays: they get nothing new, and are used again. */
   @Test
-  void machineInboundPartitionedForAWhile() {
+  void workContinuesWhileMachineIsInboundPartitioned() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       simulation.controllers.forEach(controller -> simulation.cut(controller.name, "vm-7"));
       simulation.submit(JobDraft.job("wk-3", JobKind.SERVICE, 30), null);
       simulation.runTo(32);
       assertTrue(
-          running(simulation) >= 210, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 210,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
       simulation.controllers.forEach(controller -> simulation.heal(controller.name, "vm-7"));
       simulation.runTo(80);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertTrue(
-          running(simulation) >= 210, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 210,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
@@ -163,7 +167,7 @@
   @Test
   void oneUnreconciledMachineDoesNotBlockAllJobs() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       simulation.leaders().get(0).crash();
       simulation.controllers.stream()
           .filter(controller -> !controller.crashed())
@@ -175,10 +179,11 @@
           .forEach(controller -> simulation.heal(controller.name, "vm-3"));
       simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
       simulation.runTo(70);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertFalse(next.reconciling(), simulation.recentLog());
       assertTrue(
-          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 180,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
@@ -186,9 +191,9 @@
    * Alone with its workers the old leader continues for as long as no worker knows a newer token.
    */
   @Test
-  void leaderPartitionedFromAllButItsWorkers() {
+  void leaderPartitionedFromAllButItsWorkersKeepsThem() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       ControllerModel old = simulation.leaders().get(0);
       for (String host :
           List.of("state", follower(simulation, 0).name, follower(simulation, 1).name)) {
@@ -202,11 +207,12 @@
       }
       simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
       simulation.runTo(70);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertEquals(0, simulation.checker.killedByLease, simulation.recentLog());
       assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
       assertTrue(
-          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 180,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
       assertEquals(
           1,
           simulation.leaders().stream().filter(controller -> controller != old).count(),
@@ -215,9 +221,9 @@
   }
 
   @Test
-  void zonePartitionedWithLeader() {
+  void zonePartitionedWithLeaderIsReleased() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       ControllerModel first = simulation.leaders().get(0);
       for (String host :
           List.of(
@@ -255,14 +261,14 @@
   @Test
   void loneControllerReleasesDeadMachines() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       follower(simulation, 0).crash();
       follower(simulation, 1).crash();
       for (int i = 0; i < 10; i++) {
         simulation.cloud.die("vm-" + i);
       }
       simulation.runTo(45); // before the cloud says that they failed
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertEquals(10, simulation.checker.released.size(), simulation.recentLog());
     }
   }
@@ -274,7 +280,7 @@
   @Test
   void loneLeaderKeepsZoneUntilPeersReturn() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       ControllerModel leader = simulation.leaders().get(0);
       List<ControllerModel> others =
           simulation.controllers.stream().filter(controller -> controller != leader).toList();
@@ -284,7 +290,7 @@
           controller ->
               simulation.after(7000 + simulation.random.nextLong(3000), controller::start));
       simulation.runTo(60);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       int few =
           simulation.checker.released
               .size(); // by its own ears, before most of the zone was overdue
@@ -294,21 +300,21 @@
           .filter(controller -> !controller.leads())
           .forEach(ControllerModel::crash);
       simulation.runTo(85);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertTrue(simulation.checker.released.size() - few >= 16, simulation.recentLog());
     }
   }
 
   @Test
-  void controllersSplitBetweenHalvesOfWorkers() {
+  void leadershipSettlesWhenControllersReachDifferentHalvesOfWorkers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       Simulation simulation =
-          loadedSimulation(seed, new Setup(5, 60, List.of("a", "b"), 2000, 14_000));
+          createLoadedSimulation(seed, new Setup(5, 60, List.of("a", "b"), 2000, 14_000));
       for (int i = 0; i < 5; i++) {
         simulation.cutBoth("n" + i, i < 3 ? "zone a" : "zone b");
       }
       simulation.runTo(100);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertTrue(
           simulation.checker.leaders.size() <= 4,
           simulation.checker.leaders + "\n" + simulation.recentLog());
--- a/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
@@ -9,10 +9,10 @@
 
   /** Those kept, and how to play a seed. */
   public static KeptDigests kept() {
-    return KeptDigests.in("swarm.tsv", RandomizedScenarioDigests::of);
+    return KeptDigests.in("swarm.tsv", RandomizedScenarioDigests::digestOf);
   }
 
-  private static String of(long seed) {
+  private static String digestOf(long seed) {
     RandomizedScenario scenario = RandomizedScenario.play(seed);
     Simulation simulation = scenario.simulation;
     EventDigest digest = simulation.digest;
--- a/src/test/java/org/astershift/simulation/RandomizedWorkload.java
+++ b/src/test/java/org/astershift/simulation/RandomizedWorkload.java
@@ -65,7 +65,7 @@
     simulation.submit(JobDraft.job("wk-0", JobKind.SERVICE, replicas), null);
     if (drawn.withSpot) {
       JobDraft draft = JobDraft.array("wk-spot", SPOT_MACHINES).kind(JobKind.SERVICE).spot();
-      simulation.submit(draft.only(SPOT_TYPE).spec(), null);
+      simulation.submit(draft.machineTypes(SPOT_TYPE).spec(), null);
     }
     for (int i = 1; i <= JOBS; i++) {
       int id = i;
@@ -105,10 +105,10 @@
   }
 
   private static JobDraft withTeam(JobDraft job, int id, boolean gang) {
-    JobDraft draft = job.of("t" + id % 3).takes(1 + id % 2, 0);
+    JobDraft draft = job.forTeam("t" + id % 3).takes(1 + id % 2, 0);
     draft = gang ? draft : draft.saves(id % 5 == 0 ? 2 : 0);
     // A gang of four such tasks would be beyond its team's limit.
     draft = id % 7 == 0 && !gang ? draft.takes(1, 1) : draft;
-    return id % 4 == 0 ? draft.in("u", Priority.HIGH) : draft;
+    return id % 4 == 0 ? draft.classAndPriority("u", Priority.HIGH) : draft;
   }
 }
--- a/src/test/java/org/astershift/simulation/ReservedRoomTest.java
+++ b/src/test/java/org/astershift/simulation/ReservedRoomTest.java
@@ -27,42 +27,43 @@
   void smallJobsDoNotStarveBesideReservedRoom() {
     long longestMs = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = overload(seed);
+      Simulation simulation = playOverload(seed);
       assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
-      longestMs = Math.max(longestMs, simulation.starvationCheck.longestMs());
+      longestMs = Math.max(longestMs, simulation.starvationCheck.longestWaitMs());
     }
     assertTrue(longestMs > 30_000, "the longest wait beside room was " + longestMs + " ms");
   }
 
-  private static Simulation overload(long seed) {
+  private static Simulation playOverload(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
     simulation.cloud.capacity.put(CloudModel.TYPE, MACHINES);
     simulation.runTo(6);
     // Three of four processors of each machine, in part for minutes.
     for (int i = 0; i < MACHINES; i++) {
       long runMs = LONG_MS - simulation.random.nextLong(LONG_MS / 2);
-      JobDraft draft = JobDraft.array("wk-long" + i, 1).in("long", Priority.NORMAL);
+      JobDraft draft = JobDraft.array("wk-long" + i, 1).classAndPriority("long", Priority.NORMAL);
       simulation.submit(draft.takes(2 + i % 2, 0).estimate(LONG_MS / 1000.0).spec(), runMs);
     }
     simulation.runTo(12);
     for (int i = 0; i < 4; i++) {
-      JobDraft large = JobDraft.array("wk-large" + i, 2).in("large", Priority.NORMAL);
+      JobDraft large = JobDraft.array("wk-large" + i, 2).classAndPriority("large", Priority.NORMAL);
       simulation.submit(large.takes(4, 0).spec(), SMALL_MS);
       JobDraft gang = JobDraft.array("wk-gang" + i, 6).kind(JobKind.GANG);
-      simulation.submit(gang.in("gang", Priority.NORMAL).takes(3, 0).spec(), SMALL_MS);
+      simulation.submit(
+          gang.classAndPriority("gang", Priority.NORMAL).takes(3, 0).spec(), SMALL_MS);
     }
     simulation.starvationCheck.onFaultsHealed();
     for (int i = 0; i < 130; i++) {
       int id = i;
-      simulation.after(3000L * i, () -> small(simulation, id));
+      simulation.after(3000L * i, () -> submitSmallJob(simulation, id));
     }
     simulation.runTo(END_S);
     return simulation;
   }
 
-  private static void small(Simulation simulation, int id) {
+  private static void submitSmallJob(Simulation simulation, int id) {
     Priority priority = id % 3 == 0 ? Priority.LOW : Priority.NORMAL;
-    JobDraft draft = JobDraft.array("wk-s" + id, 2).in("small" + id % 2, priority);
+    JobDraft draft = JobDraft.array("wk-s" + id, 2).classAndPriority("small" + id % 2, priority);
     simulation.submit(draft.takes(1 + id % 2, 0).spec(), SMALL_MS);
   }
 }
--- a/src/test/java/org/astershift/simulation/SimulationTest.java
+++ b/src/test/java/org/astershift/simulation/SimulationTest.java
@@ -1,9 +1,9 @@
 package org.astershift.simulation;
 
-import static org.astershift.simulation.FleetUnderLoad.assertSound;
-import static org.astershift.simulation.FleetUnderLoad.loadedSimulation;
-import static org.astershift.simulation.FleetUnderLoad.running;
-import static org.astershift.simulation.FleetUnderLoad.twoLeaders;
+import static org.astershift.simulation.FleetUnderLoad.assertNoViolations;
+import static org.astershift.simulation.FleetUnderLoad.countRunningTasks;
+import static org.astershift.simulation.FleetUnderLoad.createLoadedSimulation;
+import static org.astershift.simulation.FleetUnderLoad.playTwoLeaders;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -29,7 +29,7 @@
     int taken = 0;
     for (long seed = 1; seed <= seeds; seed++) {
       RandomizedScenario scenario = RandomizedScenario.play(seed);
-      assertSound(scenario.simulation);
+      assertNoViolations(scenario.simulation);
       assertEquals("", scenario.unserved(), scenario.simulation.recentLog());
       gangs += scenario.simulation.gangs.started;
       taken += scenario.simulation.cloud.preemptedWithTasks;
@@ -67,9 +67,9 @@
   @Test
   void leaderWithUncertainLeaseTrustsNoExpiry() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = twoLeaders(seed);
+      Simulation simulation = playTwoLeaders(seed);
       assertEquals(2, simulation.leaders().size(), simulation.recentLog());
-      assertSound(simulation);
+      assertNoViolations(simulation);
     }
   }
 
@@ -78,31 +78,33 @@
    * the leader starts in the next ones lives by their own beginning, not by the last heartbeat.
    */
   @Test
-  void heartbeatsLostWhileCommandsPass() {
+  void workResumesWhenHeartbeatsAreRejectedButCommandsPass() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       simulation.controllers.forEach(controller -> controller.rejectHeartbeats(40_000));
       simulation.runTo(100);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertNotEquals(0, simulation.checker.killedByLease, simulation.recentLog());
       assertTrue(
-          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 180,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
   @Test
-  void manyMachinesDeadAtFailover() {
-    Simulation simulation = loadedSimulation(1, Setup.of(3, 600));
+  void manyDeadMachinesAreReplacedAfterFailover() {
+    Simulation simulation = createLoadedSimulation(1, Setup.of(3, 600));
     ControllerModel first = simulation.leaders().get(0);
     for (int i = 0; i < 180; i++) {
       simulation.cloud.die("vm-" + i);
     }
     first.crash();
     simulation.runTo(60);
-    assertSound(simulation);
+    assertNoViolations(simulation);
     assertEquals(180, simulation.checker.released.size(), simulation.recentLog());
     assertTrue(
-        running(simulation) >= 1800, running(simulation) + " run\n" + simulation.recentLog());
+        countRunningTasks(simulation) >= 1800,
+        countRunningTasks(simulation) + " run\n" + simulation.recentLog());
   }
 
   /**
@@ -112,11 +114,11 @@
   @Test
   void teamLimitHoldsAcrossFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = simulationAtTeamLimit(seed);
+      Simulation simulation = createSimulationAtTeamLimit(seed);
       crashLeaderAndCutZone(simulation);
       simulation.runTo(90);
-      assertSound(simulation);
-      assertEquals(120, running(simulation), simulation.recentLog());
+      assertNoViolations(simulation);
+      assertEquals(120, countRunningTasks(simulation), simulation.recentLog());
     }
   }
 
@@ -125,20 +127,21 @@
    * takeover.
    */
   @Test
-  void duplicateHeartbeatsArriveLate() {
+  void lateDuplicateHeartbeatsViolateNoInvariant() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       Simulation simulation = playDuplicates(seed);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
       assertTrue(
-          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 180,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
     }
     Simulation simulation = playDuplicates(1, Mutation.ACCEPT_DUPLICATE_HEARTBEATS);
     assertFalse(simulation.checker.violations.isEmpty(), "a safety measure was taken away");
   }
 
   private static Simulation playDuplicates(long seed, Mutation... mutations) {
-    Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+    Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
     simulation.mutations.addAll(List.of(mutations));
     simulation.duplicateShare = 1;
     for (int i = 0; i < 30; i++) {
@@ -161,9 +164,9 @@
 
   /** Machines are back within a second, under their names, in the middle of an election. */
   @Test
-  void machinesRestartDuringElection() {
+  void workResumesWhenMachinesRestartDuringElection() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = loadedSimulation(seed, Setup.of(3, 60));
+      Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       simulation.duplicateShare = 0.2;
       simulation.leaders().get(0).crash();
       for (int i = 0; i < 12; i++) {
@@ -173,9 +176,10 @@
             () -> machine.restart(50 + simulation.random.nextLong(900)));
       }
       simulation.runTo(80);
-      assertSound(simulation);
+      assertNoViolations(simulation);
       assertTrue(
-          running(simulation) >= 180, running(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) >= 180,
+          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
     }
   }
 
@@ -184,7 +188,7 @@
     simulation.leaders().get(0).crash();
   }
 
-  private static Simulation simulationAtTeamLimit(long seed) {
+  private static Simulation createSimulationAtTeamLimit(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, 60));
     simulation.teamCpuLimit = 120;
     simulation.runTo(4);
@@ -192,7 +196,7 @@
     simulation.runTo(20);
     simulation.submit(JobDraft.job("wk-2", JobKind.SERVICE, 40), null);
     simulation.runTo(25);
-    assertEquals(120, running(simulation), simulation.recentLog());
+    assertEquals(120, countRunningTasks(simulation), simulation.recentLog());
     return simulation;
   }
 }
--- a/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.astershift.simulation.CombinedFaults.LeaderFault;
 import static org.astershift.simulation.CombinedFaults.apply;
-import static org.astershift.simulation.CombinedFaults.assertServed;
+import static org.astershift.simulation.CombinedFaults.healAndAssertServed;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -32,14 +32,14 @@
     AS_ANNOUNCED(1),
     HALF_AS_LONG_AGAIN(1.5);
 
-    final double times;
+    final double factor;
 
     Notice(double times) {
-      this.times = times;
+      this.factor = times;
     }
   }
 
-  private static Simulation loadedSimulation(long seed) {
+  private static Simulation createLoadedSimulation(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, 6));
     simulation.cloud.addType(
         new MachineType(SPOT, 4, 0, 16, 50, 0.5, 2, 0.1, 10, simulation.setup.zones()));
@@ -49,9 +49,9 @@
     }
     simulation.runTo(4);
     JobDraft replicas = JobDraft.array("wk-s", REPLICAS).kind(JobKind.SERVICE).spread();
-    simulation.submit(replicas.spot().only(SPOT).spec(), null);
+    simulation.submit(replicas.spot().machineTypes(SPOT).spec(), null);
     simulation.submit(
-        JobDraft.gang("wk-g0", 4).spot().only(SPOT).oneZone().saves(1).spec(), 25_000L);
+        JobDraft.gang("wk-g0", 4).spot().machineTypes(SPOT).oneZone().saves(1).spec(), 25_000L);
     simulation.submit(JobDraft.gang("wk-g1", 4).spot().spread().saves(1).spec(), 25_000L);
     simulation.submit(JobDraft.array("wk-a", 6).spot().spec(), 25_000L);
     simulation.runTo(18);
@@ -65,7 +65,7 @@
    * go, or in between; in half of the seeds one cannot be reached from the notice on.
    */
   @Test
-  void spotMachinesPreemptedDuringFailover() {
+  void replicasMoveOffPreemptedMachinesDuringFailover() {
     int taken = 0;
     int moved = 0;
     int broken = 0;
@@ -73,7 +73,7 @@
     for (Notice notice : Notice.values()) {
       for (LeaderFault fault : LeaderFault.values()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = loadedSimulation(seed);
+          Simulation simulation = createLoadedSimulation(seed);
           List<String> spot = new ArrayList<>();
           for (int i = (int) (seed % 3); i < MACHINES; i++) {
             spot.add("vm-spot" + i);
@@ -87,7 +87,7 @@
             simulation.controllers.forEach(
                 controller -> simulation.cutBoth(controller.name, machine));
           }
-          long goMs = Math.round(NOTICE_MS * notice.times);
+          long goMs = Math.round(NOTICE_MS * notice.factor);
           simulation.after(
               List.of(500L, goMs / 2, goMs + 1000).get((int) (seed % 3)),
               () -> apply(simulation, simulation.onlyLeader(), fault));
@@ -96,7 +96,7 @@
           boolean back =
               simulation.runUntil(() -> simulation.checker.tasksOnMachines("wk-s") == REPLICAS, 90);
           assertTrue(back, simulation.fullLog());
-          assertServed(simulation, 100);
+          healAndAssertServed(simulation, 100);
           taken += simulation.cloud.preemptedWithTasks;
           broken += simulation.gangs.lostWhileRunning;
           played++;
@@ -112,7 +112,7 @@
     if (notice == Notice.NONE) {
       simulation.cloud.preempt(machine);
     } else {
-      simulation.cloud.announcePreemption(machine, NOTICE_MS, notice.times);
+      simulation.cloud.announcePreemption(machine, NOTICE_MS, notice.factor);
     }
   }
 
@@ -121,17 +121,17 @@
    * they are drained as the leader changes, and released.
    */
   @Test
-  void faultyMachinesDrainedDuringFailover() {
+  void faultyMachinesAreDrainedDuringFailover() {
     int drained = 0;
     int halted = 0;
     int saved = 0;
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        Simulation simulation = loadedSimulation(seed);
+        Simulation simulation = createLoadedSimulation(seed);
         String type = CloudModel.TYPE;
         simulation.submit(
-            JobDraft.gang("wk-gang", 6).only(type).takes(3, 0).saves(1).spec(), 60_000L);
+            JobDraft.gang("wk-gang", 6).machineTypes(type).takes(3, 0).saves(1).spec(), 60_000L);
         simulation.runTo(24);
         List<String> faulty = List.of("vm-" + seed % 6, "vm-" + (seed + 2) % 6);
         faulty.forEach(machine -> simulation.workers.get(machine).faulty = true);
@@ -139,7 +139,8 @@
           JobDraft draft =
               i % 4 == 0 ? JobDraft.gang("wk-f" + i, 2) : JobDraft.array("wk-f" + i, 1);
           simulation.after(
-              300L * i, () -> simulation.userSubmits(draft.only(type).spec(), 4_000L, () -> {}));
+              300L * i,
+              () -> simulation.userSubmits(draft.machineTypes(type).spec(), 4_000L, () -> {}));
         }
         simulation.after(
             1000 + 500 * seed, () -> apply(simulation, simulation.onlyLeader(), fault));
@@ -151,7 +152,7 @@
           drained += worker.alive() ? 0 : 1;
           worker.faulty = false;
         }
-        assertServed(simulation, 120);
+        healAndAssertServed(simulation, 120);
         played++;
       }
     }
--- a/src/test/java/org/astershift/simulation/StarvationCheck.java
+++ b/src/test/java/org/astershift/simulation/StarvationCheck.java
@@ -25,22 +25,22 @@
   private static final long CHECK_INTERVAL_MS = 1000;
 
   /** A heartbeat, the pass and the command that follow, and the task's start. */
-  private static final long SETTLED_MS = 5000;
+  private static final long ROOM_SETTLED_MS = 5000;
 
   private static final double TOLERANCE = 1e-6;
   private final Simulation simulation;
 
   /** By job, since when it has waited beside room without a start. */
-  private final Map<String, Long> sinceMs = new HashMap<>();
+  private final Map<String, Long> waitingSinceMs = new HashMap<>();
 
   /** By job, since when each machine has had room for a task of it. */
   private final Map<String, Map<String, Long>> roomSinceMs = new HashMap<>();
 
   private final Set<String> reported = new HashSet<>();
 
-  private long longestMs;
+  private long longestWaitMs;
 
-  private String longest = "none";
+  private String longestWait = "none";
 
   StarvationCheck(Simulation simulation) {
     this.simulation = simulation;
@@ -69,7 +69,7 @@
     }
 
     /** How many such tasks find room, at most {@code most}. */
-    int fits(JobSpec spec, int most) {
+    int countFitting(JobSpec spec, int most) {
       int n = 0;
       while (n < most
           && cpus + TOLERANCE >= (n + 1) * spec.cpus()
@@ -89,17 +89,17 @@
 
   /** From now on no fault is left. */
   void onFaultsHealed() {
-    sinceMs.clear();
+    waitingSinceMs.clear();
     check();
   }
 
   /** Which job waited longest beside room once the faults were healed, and for how long. */
-  String longest() {
-    return longest;
+  String longestWait() {
+    return longestWait;
   }
 
-  long longestMs() {
-    return longestMs;
+  long longestWaitMs() {
+    return longestWaitMs;
   }
 
   private void check() {
@@ -107,16 +107,18 @@
     for (String job : simulation.users.accepted()) {
       JobSpec spec = simulation.users.spec(job);
       List<Integer> waiting = simulation.checker.waiting(spec);
-      if (waiting.isEmpty() || !mayStart(spec, waiting.size(), rooms)) {
-        sinceMs.remove(job);
+      if (waiting.isEmpty() || !canStart(spec, waiting.size(), rooms)) {
+        waitingSinceMs.remove(job);
         continue;
       }
       long since =
-          Math.max(sinceMs.getOrDefault(job, simulation.now()), simulation.checker.lastStart(job));
-      sinceMs.put(job, since);
-      if (simulation.now() - since > longestMs) {
-        longestMs = simulation.now() - since;
-        longest = job + " for " + longestMs + " ms";
+          Math.max(
+              waitingSinceMs.getOrDefault(job, simulation.now()),
+              simulation.checker.lastStart(job));
+      waitingSinceMs.put(job, since);
+      if (simulation.now() - since > longestWaitMs) {
+        longestWaitMs = simulation.now() - since;
+        longestWait = job + " for " + longestWaitMs + " ms";
       }
       if (simulation.now() - since >= MAX_WAIT_MS && reported.add(job)) {
         simulation.checker.violations.add(
@@ -146,7 +148,7 @@
   }
 
   /** Whether one of the waiting tasks could start, or all of a gang's together. */
-  private boolean mayStart(JobSpec spec, int waiting, Map<String, Room> rooms) {
+  private boolean canStart(JobSpec spec, int waiting, Map<String, Room> rooms) {
     int need = spec.kind() == JobKind.GANG ? waiting : 1;
     double[] use = simulation.checker.usage(spec.team());
     Team team = simulation.teams().get(spec.team());
@@ -166,11 +168,11 @@
     for (Room room : rooms.values()) {
       String zone = room.kind.zone();
       if (room.allows(spec) && (!spec.oneZone() || zones.isEmpty() || zones.containsKey(zone))) {
-        int fits = room.fits(spec, need);
+        int fits = room.countFitting(spec, need);
         if (fits == 0) {
           since.remove(room.machine);
         } else if (simulation.now() - since.computeIfAbsent(room.machine, n -> simulation.now())
-            >= SETTLED_MS) {
+            >= ROOM_SETTLED_MS) {
           found.merge(zone, fits, Integer::sum);
         }
       }
--- a/src/test/java/org/astershift/simulation/StoreOutageCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/StoreOutageCombinedFaultsTest.java
@@ -1,11 +1,11 @@
 package org.astershift.simulation;
 
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
-import static org.astershift.simulation.CombinedFaults.leadsBeside;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
+import static org.astershift.simulation.CombinedFaults.createSimulationWithArrays;
+import static org.astershift.simulation.CombinedFaults.hasOtherLeader;
 import static org.astershift.simulation.CombinedFaults.nowS;
 import static org.astershift.simulation.CombinedFaults.runForS;
-import static org.astershift.simulation.CombinedFaults.withArrays;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -34,7 +34,7 @@
   private enum LeaderFault {
     STAYS,
     CRASHES,
-    BACK_AT_ONCE,
+    RESTARTS_AT_ONCE,
     HANDS_OVER
   }
 
@@ -54,7 +54,7 @@
    * old leader. And all that once more, with whoever leads then.
    */
   @Test
-  void leaderRefusedByStoreThenStoreOutage() {
+  void cancellationsHoldWhenStoreRefusesLeaderAndThenFails() {
     int confirmedBefore = 0;
     int answeredByOld = 0;
     for (PeerReach heard : PeerReach.values()) {
@@ -62,7 +62,7 @@
         for (OutageStart down : OutageStart.values()) {
           for (long seed = 1; seed <= 6; seed++) {
             Played played = playOutage(new OutageCase(heard, fault, down), seed);
-            assertSound(played.simulation);
+            assertNoViolations(played.simulation);
             confirmedBefore += played.confirmedBefore;
             answeredByOld += played.answeredByOld;
             for (int i = 10; i < 14; i++) {
@@ -86,7 +86,7 @@
   private record Played(Simulation simulation, int confirmedBefore, int answeredByOld) {}
 
   private static Played playOutage(OutageCase outageCase, long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     List<ControllerModel> others =
         simulation.controllers.stream().filter(controller -> controller != old).toList();
@@ -113,7 +113,7 @@
       simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 300_000L, then);
     }
     if (outageCase.outage != OutageStart.BEFORE_ANYBODY_WINS) {
-      simulation.runUntil(() -> leadsBeside(simulation, old), 30);
+      simulation.runUntil(() -> hasOtherLeader(simulation, old), 30);
     }
     if (outageCase.outage == OutageStart.AFTER_A_CONFIRMATION
         || outageCase.fault != LeaderFault.STAYS) {
@@ -126,7 +126,7 @@
             .orElse(others.get(0));
     apply(simulation, winner, outageCase.fault, others);
     if (outageCase.outage == OutageStart.AS_THE_NEXT_WINS) {
-      simulation.runUntil(() -> leadsBeside(simulation, old) && !winner.leads(), 35);
+      simulation.runUntil(() -> hasOtherLeader(simulation, old) && !winner.leads(), 35);
     }
     simulation.runTo((simulation.now() + seed * 7) / 1000.0);
     int confirmed = simulation.checker.cancelsConfirmed();
@@ -173,7 +173,7 @@
           simulation.after(6000, () -> simulation.healBoth(controller.name, "zone b"));
         }
       }
-      case BACK_AT_ONCE -> {
+      case RESTARTS_AT_ONCE -> {
         winner.crash();
         simulation.after(300, winner::start);
       }
@@ -201,19 +201,19 @@
   void nextLeaderStopsTasksOfCancelledJobs() {
     int left = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Simulation simulation = crashAfterConfirmation(seed);
-      assertSound(simulation);
+      Simulation simulation = playCrashAfterConfirmation(seed);
+      assertNoViolations(simulation);
       left += simulation.checker.leftAtConfirmation;
     }
     assertNotEquals(0, left, "none was left when it was confirmed");
     assertDetected(
         Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE,
         MUTANT_SEEDS,
-        seed -> crashAfterConfirmation(seed, Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE));
+        seed -> playCrashAfterConfirmation(seed, Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE));
   }
 
-  private static Simulation crashAfterConfirmation(long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+  private static Simulation playCrashAfterConfirmation(long seed, Mutation... mutations) {
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     ControllerModel first = simulation.leaders().get(0);
     for (int i = 10; i < 14; i++) {
       simulation.userCancels("wk-" + i);
@@ -226,7 +226,7 @@
         LeaderFault.CRASHES,
         simulation.controllers.stream().filter(controller -> controller != first).toList());
     assertTrue(
-        simulation.runUntil(() -> leadsBeside(simulation, first), 35), simulation.recentLog());
+        simulation.runUntil(() -> hasOtherLeader(simulation, first), 35), simulation.recentLog());
     simulation.store.unavailable(true);
     simulation.runTo((simulation.now() + 3 * InvariantChecker.CANCEL_MS) / 1000.0);
     simulation.store.unavailable(false);
--- a/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
@@ -4,7 +4,7 @@
 import static org.astershift.simulation.CombinedFaults.addAcceleratorMachines;
 import static org.astershift.simulation.CombinedFaults.apply;
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
 import static org.astershift.simulation.CombinedFaults.nowS;
 import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -26,25 +26,25 @@
   private static final List<String> TEAMS = List.of("red", "green", "blue");
 
   /** When that happens, counted from the cancellations. */
-  private enum When {
+  private enum FaultTiming {
     BEFORE(-1500),
     AT_ONCE(100),
     AFTER(1500);
 
     final long ms;
 
-    When(long ms) {
+    FaultTiming(long ms) {
       this.ms = ms;
     }
   }
 
   /** What becomes of machines that hold tasks of the cancelled jobs. */
   private enum MachineFault {
-    CUT_OFF,
+    PARTITIONED,
     PAUSED
   }
 
-  private record FaultCase(LeaderFault fault, When when, MachineFault machineFault) {}
+  private record FaultCase(LeaderFault fault, FaultTiming timing, MachineFault machineFault) {}
 
   /** What a played meeting brought about. */
   private static final class Played {
@@ -67,8 +67,8 @@
   }
 
   /** Three teams with limits far below what there is; more of each waits than its limit allows. */
-  private static Simulation limitedSimulation(long seed, Mutation... mutations) {
-    Simulation simulation = CombinedFaults.simulation(seed, 12, mutations);
+  private static Simulation createLimitedSimulation(long seed, Mutation... mutations) {
+    Simulation simulation = CombinedFaults.createSimulation(seed, 12, mutations);
     addAcceleratorMachines(simulation);
     for (String team : TEAMS) {
       simulation.teams.put(team, new Team(team, 4, 10, 1, 3));
@@ -78,7 +78,7 @@
       String task = team.substring(0, 1);
       for (int i = 0; i < 4; i++) {
         simulation.userSubmits(
-            JobDraft.array("wk-" + task + "acc" + i, 1).of(team).takes(1, 1).spec(),
+            JobDraft.array("wk-" + task + "acc" + i, 1).forTeam(team).takes(1, 1).spec(),
             300_000L,
             () -> {});
       }
@@ -90,7 +90,7 @@
         String id = "wk-" + task + i;
         boolean saves = i % 2 == 0;
         simulation.userSubmits(
-            JobDraft.array(id, 3).of(team).takes(1 + i % 2, 0).saves(saves ? 3 : 0).spec(),
+            JobDraft.array(id, 3).forTeam(team).takes(1 + i % 2, 0).saves(saves ? 3 : 0).spec(),
             300_000L,
             () -> {});
       }
@@ -101,7 +101,7 @@
   }
 
   /** Something of the team waits, and its limit allows no more of what does. */
-  private static boolean atLimit(Simulation simulation, String team) {
+  private static boolean isAtLimit(Simulation simulation, String team) {
     double[] use = simulation.checker.usage(team);
     Team quota = simulation.teams.get(team);
     boolean any = false;
@@ -117,7 +117,7 @@
     return any && use[1] >= quota.maxGpus();
   }
 
-  private static String machineOf(Simulation simulation, String job) {
+  private static String pickMachineWithTaskOf(Simulation simulation, String job) {
     List<String> machines = new ArrayList<>();
     simulation.checker.eachOnMachine(
         (task, machine) -> {
@@ -128,7 +128,7 @@
     return machines.isEmpty() ? null : machines.get(simulation.random.nextInt(machines.size()));
   }
 
-  private static int cancelledTasksOn(
+  private static int countCancelledTasksOn(
       Simulation simulation, List<String> jobs, List<String> machines) {
     int[] n = new int[1];
     simulation.checker.eachOnMachine(
@@ -145,17 +145,17 @@
    * the leader changes. What waits takes what the cancellations free.
    */
   private static Played playCancellations(FaultCase faultCase, long seed, Mutation... mutations) {
-    Simulation simulation = limitedSimulation(seed, mutations);
+    Simulation simulation = createLimitedSimulation(seed, mutations);
     Played played = new Played(simulation);
     for (String team : TEAMS) {
-      played.atLimit += atLimit(simulation, team) ? 1 : 0;
+      played.atLimit += isAtLimit(simulation, team) ? 1 : 0;
     }
     List<String> jobs = new ArrayList<>();
     List<String> machines = new ArrayList<>();
     for (String team : TEAMS) {
       for (String job : List.of("0", "1", "acc0", "acc1")) {
         String id = "wk-" + team.substring(0, 1) + job;
-        String machine = machineOf(simulation, id);
+        String machine = pickMachineWithTaskOf(simulation, id);
         if (machine != null) {
           jobs.add(id);
           machines.add(machine);
@@ -170,9 +170,9 @@
     ControllerModel old = simulation.leaders().get(0);
     simulation.after(
         troubleMs - simulation.now(),
-        () -> machines.forEach(machine -> applyToMachines(simulation, faultCase, machine, forMs)));
+        () -> machines.forEach(machine -> applyToMachine(simulation, faultCase, machine, forMs)));
     simulation.after(
-        cancelMs + faultCase.when.ms - simulation.now(),
+        cancelMs + faultCase.timing.ms - simulation.now(),
         () -> apply(simulation, old, faultCase.fault));
     for (String job : jobs) {
       simulation.after(
@@ -180,7 +180,7 @@
           () -> simulation.userCancels(job));
     }
     simulation.runTo(cancelMs / 1000.0);
-    played.onFaultyMachines = cancelledTasksOn(simulation, jobs, machines);
+    played.onFaultyMachines = countCancelledTasksOn(simulation, jobs, machines);
     int before = simulation.checker.started;
     simulation.runTo((troubleMs + forMs) / 1000.0);
     played.startedMeanwhile = simulation.checker.started - before;
@@ -197,7 +197,7 @@
     return played;
   }
 
-  private static void applyToMachines(
+  private static void applyToMachine(
       Simulation simulation, FaultCase faultCase, String machine, long forMs) {
     if (faultCase.machineFault == MachineFault.PAUSED) {
       simulation.workers.get(machine).pause(forMs);
@@ -214,17 +214,17 @@
 
   /** Every team is at its limit while jobs are cancelled whose machines do not answer. */
   @Test
-  void jobsCancelledWhileTeamsAreAtLimit() {
+  void teamLimitsHoldWhileJobsAreCancelled() {
     int played = 0;
     int atLimit = 0;
     int onFaultyMachines = 0;
     int started = 0;
     for (LeaderFault fault : LeaderFault.values()) {
-      for (When when : When.values()) {
+      for (FaultTiming when : FaultTiming.values()) {
         for (MachineFault machineFault : MachineFault.values()) {
           for (long seed = 1; seed <= SEEDS; seed++) {
             Played play = playCancellations(new FaultCase(fault, when, machineFault), seed);
-            assertSound(play.simulation);
+            assertNoViolations(play.simulation);
             assertTrue(play.leaderChanged, play.simulation.fullLog());
             played++;
             atLimit += play.atLimit;
@@ -239,7 +239,8 @@
         onFaultyMachines >= 6 * played,
         onFaultyMachines + " tasks on faulty or unreachable machines");
     assertTrue(started >= 3 * played, started + " started meanwhile");
-    FaultCase faultCase = new FaultCase(LeaderFault.CRASHES, When.BEFORE, MachineFault.CUT_OFF);
+    FaultCase faultCase =
+        new FaultCase(LeaderFault.CRASHES, FaultTiming.BEFORE, MachineFault.PARTITIONED);
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
@@ -252,14 +253,14 @@
    * says, and jobs are cancelled while it waits for them; all teams are at their limits.
    */
   @Test
-  void jobsCancelledWhileMachinesCannotBeProbed() {
+  void teamLimitsHoldWhileMachinesCannotBeProbed() {
     int inTheSpell = 0;
     int startedInIt = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (boolean inboundPartitioned : new boolean[] {false, true}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           PartitionPlay spell = playPartition(fault, inboundPartitioned, seed);
-          assertSound(spell.simulation);
+          assertNoViolations(spell.simulation);
           inTheSpell += spell.cancelled;
           startedInIt += spell.started;
         }
@@ -281,7 +282,7 @@
 
   private static PartitionPlay playPartition(
       LeaderFault fault, boolean inboundPartitioned, long seed, Mutation... mutations) {
-    Simulation simulation = limitedSimulation(seed, mutations);
+    Simulation simulation = createLimitedSimulation(seed, mutations);
     ControllerModel old = simulation.leaders().get(0);
     String zone = "zone " + simulation.setup.zones().get((int) (seed % 3));
     long forMs = 4000 + seed * 3000;
@@ -308,7 +309,7 @@
         cancelled += simulation.leaders().stream().anyMatch(ControllerModel::reconciling) ? 1 : 0;
       }
       simulation.userSubmits(
-          JobDraft.array("wk-late-" + team, 2).of(team).spec(), 300_000L, () -> {});
+          JobDraft.array("wk-late-" + team, 2).forTeam(team).spec(), 300_000L, () -> {});
     }
     runForS(simulation, 6);
     int started = simulation.checker.started - before;
--- a/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -2,13 +2,13 @@
 
 import static org.astershift.simulation.CombinedFaults.ENDLESS_MS;
 import static org.astershift.simulation.CombinedFaults.assertDetected;
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
+import static org.astershift.simulation.CombinedFaults.createSimulationWithArrays;
 import static org.astershift.simulation.CombinedFaults.runForS;
-import static org.astershift.simulation.CombinedFaults.withArrays;
-import static org.astershift.simulation.UserFaults.Change;
+import static org.astershift.simulation.UserFaults.LeaderChange;
 import static org.astershift.simulation.UserFaults.apply;
-import static org.astershift.simulation.UserFaults.assertEnded;
-import static org.astershift.simulation.UserFaults.submit;
+import static org.astershift.simulation.UserFaults.assertJobsEnded;
+import static org.astershift.simulation.UserFaults.submitJobs;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -30,15 +30,15 @@
    * slow in every other seed, and the leader changes in the middle, or not.
    */
   @Test
-  void allControllersQueriedWithinMilliseconds() {
+  void answersAreConsistentWithinMilliseconds() {
     int looks = 0;
     int repeats = 0;
     int cancelled = 0;
-    for (Change change : Change.values()) {
+    for (LeaderChange change : LeaderChange.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = playCloseQueries(seed, change);
-        assertSound(simulation);
-        assertEnded(simulation, 100, 24);
+        assertNoViolations(simulation);
+        assertJobsEnded(simulation, 100, 24);
         looks += simulation.users.closeQueriesAnswered;
         repeats += simulation.users.resubmissionsAnswered;
         cancelled += simulation.users.cancelledOnAccept;
@@ -48,17 +48,19 @@
     assertTrue(cancelled > 100, cancelled + " cancelled at once");
     for (Mutation mutation :
         List.of(Mutation.JOIN_REQUEST_IN_FLIGHT, Mutation.ANSWER_FROM_WATCH_CACHE)) {
-      assertDetected(mutation, MUTANT_SEEDS, seed -> playCloseQueries(seed, Change.NONE, mutation));
+      assertDetected(
+          mutation, MUTANT_SEEDS, seed -> playCloseQueries(seed, LeaderChange.NONE, mutation));
     }
   }
 
-  private static Simulation playCloseQueries(long seed, Change change, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+  private static Simulation playCloseQueries(
+      long seed, LeaderChange change, Mutation... mutations) {
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     simulation.threadStallMs = seed % 2 == 0 ? 1500 : 0;
     simulation.users.closeQueryShare = 1;
     simulation.users.cancelOnAcceptShare = 0.3;
     simulation.pollAllJobs();
-    submit(simulation, 100, 24, 20_000, 3000);
+    submitJobs(simulation, 100, 24, 20_000, 3000);
     simulation.after(10_000, () -> apply(simulation, change));
     simulation.runTo(75);
     return simulation;
@@ -70,15 +72,15 @@
    * leader and reads the store itself; the leader changes, or not.
    */
   @Test
-  void writeAnswersAreLost() {
-    for (Change change : Change.values()) {
+  void answersAreConsistentWhenWriteAnswersAreLost() {
+    for (LeaderChange change : LeaderChange.values()) {
       int live = 0;
       int ends = 0;
       int notes = 0;
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = playLostAnswers(seed, change);
-        assertSound(simulation);
-        assertEnded(simulation, 100, 16);
+        assertNoViolations(simulation);
+        assertJobsEnded(simulation, 100, 16);
         live += simulation.store.unansweredRead.getOrDefault("j/", 0);
         ends += simulation.store.unansweredRead.getOrDefault("d/", 0);
         notes += simulation.store.unansweredRead.getOrDefault("o/", 0);
@@ -88,11 +90,11 @@
     assertDetected(
         Mutation.ANSWER_WHILE_ENDING,
         MUTANT_SEEDS,
-        seed -> playLostAnswers(seed, Change.NONE, Mutation.ANSWER_WHILE_ENDING));
+        seed -> playLostAnswers(seed, LeaderChange.NONE, Mutation.ANSWER_WHILE_ENDING));
   }
 
-  private static Simulation playLostAnswers(long seed, Change change, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+  private static Simulation playLostAnswers(long seed, LeaderChange change, Mutation... mutations) {
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     simulation.users.closeQueryShare = 1;
     simulation.users.cancelOnAcceptShare = 0.2;
     simulation.pollAllJobs();
@@ -101,7 +103,7 @@
     ControllerModel apart =
         simulation.controllers.get(simulation.controllers.indexOf(leader) == 0 ? 1 : 0);
     simulation.cutBoth(leader.name, apart.name);
-    submit(simulation, 100, 16, 15_000, 3000);
+    submitJobs(simulation, 100, 16, 15_000, 3000);
     simulation.after(8000, () -> apply(simulation, change));
     simulation.runTo(50);
     simulation.store.unansweredShare = 0;
@@ -115,14 +117,16 @@
    * work changes hands: some run for long, of others the starts are on their way.
    */
   @Test
-  void jobsCancelledDuringFailover() {
+  void cancellationsAreConfirmedDuringFailover() {
     int byTheNext = 0;
     int starting = 0;
-    for (Change change : List.of(Change.HANDS_OVER, Change.CRASHES, Change.BOTH)) {
+    for (LeaderChange change :
+        List.of(
+            LeaderChange.HANDS_OVER, LeaderChange.CRASHES, LeaderChange.HANDS_OVER_THEN_CRASHES)) {
       for (int afterMs : List.of(0, 5, 100, 400)) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = playChangeOfHands(seed, change, afterMs);
-          assertSound(simulation);
+          Simulation simulation = playFailover(seed, change, afterMs);
+          assertNoViolations(simulation);
           for (int i = 0; i < 18; i++) {
             String job = "wk-" + (i < 6 ? 10 + i : 94 + i);
             assertNotNull(simulation.checker.cancelConfirmedMs(job), job + simulation.fullLog());
@@ -139,12 +143,12 @@
     assertDetected(
         mutation,
         MUTANT_SEEDS,
-        seed -> playChangeOfHands(seed, Change.HANDS_OVER, 25 * (int) seed, mutation));
+        seed -> playFailover(seed, LeaderChange.HANDS_OVER, 25 * (int) seed, mutation));
   }
 
-  private static Simulation playChangeOfHands(
-      long seed, Change change, int afterMs, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 16, 3, mutations);
+  private static Simulation playFailover(
+      long seed, LeaderChange change, int afterMs, Mutation... mutations) {
+    Simulation simulation = createSimulationWithArrays(seed, 16, 3, mutations);
     simulation.store.answerDelayMs = seed % 2 == 0 ? 1500 : 0; // the next leader's watch cache lags
     // Half of these are accepted within the last moments before it.
     for (int i = 0; i < 12; i++) {
@@ -174,14 +178,14 @@
    * milliseconds of it, and within the time in which that gets around; nothing else is wrong.
    */
   @Test
-  void jobsCancelledAsLastTaskEnds() {
+  void jobsCancelledAsLastTaskEndsHaveOneEnd() {
     int askedOrder = 0;
     int confirmed = 0;
     int looks = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
       Simulation simulation = playCancellationAtEnd(seed);
-      assertSound(simulation);
-      assertEnded(simulation, 100, 40);
+      assertNoViolations(simulation);
+      assertJobsEnded(simulation, 100, 40);
       askedOrder += simulation.users.cancelledAtEnd;
       confirmed += simulation.checker.cancelsConfirmed();
       looks += simulation.users.closeQueriesAnswered + simulation.users.resubmissionsAnswered;
@@ -196,11 +200,11 @@
   }
 
   private static Simulation playCancellationAtEnd(long seed, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 16, 3, mutations);
+    Simulation simulation = createSimulationWithArrays(seed, 16, 3, mutations);
     simulation.users.closeQueryShare = 1;
     simulation.users.cancelAtEndShare = 1;
     simulation.pollAllJobs();
-    submit(simulation, 100, 40, 20_000, 2000);
+    submitJobs(simulation, 100, 40, 20_000, 2000);
     simulation.runTo(60);
     return simulation;
   }
@@ -211,7 +215,7 @@
    * task may live, and workers go on reporting to the old leader.
    */
   @Test
-  void jobsCancelledWhileStoreRefuses() {
+  void cancellationsAreConfirmedWhenStoreRefusesLeader() {
     int onRecord = 0;
     int not = 0;
     int withUncertainLease = 0;
@@ -219,7 +223,7 @@
       for (boolean hands : List.of(false, true)) {
         for (long seed = 1; seed <= SEEDS; seed++) {
           RefusalPlay played = playRefusal(seed, afterMs, hands);
-          assertSound(played.simulation);
+          assertNoViolations(played.simulation);
           onRecord += played.onRecord;
           not += 6 - played.onRecord;
           withUncertainLease += played.leaseUncertain;
@@ -247,7 +251,7 @@
 
   private static RefusalPlay playRefusal(
       long seed, int afterMs, boolean hands, Mutation... mutations) {
-    Simulation simulation = withArrays(seed, 12, 3, mutations);
+    Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     for (int i = 10; i < 16; i++) {
       simulation.userCancels("wk-" + i);
--- a/src/test/java/org/astershift/simulation/UserFaults.java
+++ b/src/test/java/org/astershift/simulation/UserFaults.java
@@ -9,29 +9,30 @@
   private UserFaults() {}
 
   /** How one controller's work comes to another. */
-  enum Change {
+  enum LeaderChange {
     NONE,
     HANDS_OVER,
     CRASHES,
     /** It hands over and ends within milliseconds. */
-    BOTH
+    HANDS_OVER_THEN_CRASHES
   }
 
-  static void apply(Simulation simulation, Change change) {
+  static void apply(Simulation simulation, LeaderChange change) {
     for (ControllerModel controller : simulation.leaders()) {
-      if (change == Change.HANDS_OVER || change == Change.BOTH) {
+      if (change == LeaderChange.HANDS_OVER || change == LeaderChange.HANDS_OVER_THEN_CRASHES) {
         controller.resign();
       }
-      if (change == Change.CRASHES || change == Change.BOTH) {
+      if (change == LeaderChange.CRASHES || change == LeaderChange.HANDS_OVER_THEN_CRASHES) {
         simulation.after(
-            change == Change.BOTH ? simulation.random.nextLong(20) : 0, controller::crash);
+            change == LeaderChange.HANDS_OVER_THEN_CRASHES ? simulation.random.nextLong(20) : 0,
+            controller::crash);
         simulation.after(300 + simulation.random.nextLong(5000), controller::start);
       }
     }
   }
 
   /** Each has ended, and each controller says so. */
-  static void assertEnded(Simulation simulation, int from, int jobs) {
+  static void assertJobsEnded(Simulation simulation, int from, int jobs) {
     for (int i = from; i < from + jobs; i++) {
       for (ControllerModel controller : simulation.controllers) {
         String state = simulation.checker.lastState("wk-" + i, controller.name);
@@ -42,7 +43,7 @@
     }
   }
 
-  static void submit(Simulation simulation, int from, int jobs, long withinMs, long runMs) {
+  static void submitJobs(Simulation simulation, int from, int jobs, long withinMs, long runMs) {
     for (int i = from; i < from + jobs; i++) {
       String job = "wk-" + i;
       int tasks = 1 + i % 3;
--- a/src/test/java/org/astershift/simulation/ZoneLossCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/ZoneLossCombinedFaultsTest.java
@@ -2,7 +2,7 @@
 
 import static org.astershift.simulation.CombinedFaults.LeaderFault;
 import static org.astershift.simulation.CombinedFaults.apply;
-import static org.astershift.simulation.CombinedFaults.assertSound;
+import static org.astershift.simulation.CombinedFaults.assertNoViolations;
 import static org.astershift.simulation.CombinedFaults.runForS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,8 +21,8 @@
   /** How machines of a zone are lost. */
   private enum Loss {
     DIE,
-    TAKEN,
-    ZONE_CUT
+    PREEMPTED,
+    ZONE_PARTITIONED
   }
 
   /**
@@ -30,7 +30,7 @@
    * leaders: once the zone is back what waits for it runs after two boots and what they take.
    */
   @Test
-  void zoneBoundJobsLoseTheirMachines() {
+  void zoneBoundJobsRunAgainAfterZoneLoss() {
     long longestMs = 0;
     int emptied = 0;
     int played = 0;
@@ -40,15 +40,15 @@
           Simulation simulation = new Simulation(seed, Setup.of(3, 24));
           emptied += playZoneLoss(simulation, loss, changes) ? 1 : 0;
           played++;
-          assertSound(simulation);
+          assertNoViolations(simulation);
           long since = simulation.now();
           assertTrue(
               simulation.runUntil(
-                  () -> zoneBoundTasks(simulation) == 12, (since + 90_000) / 1000.0),
+                  () -> countZoneBoundTasks(simulation) == 12, (since + 90_000) / 1000.0),
               simulation.fullLog());
           longestMs = Math.max(longestMs, simulation.now() - since);
           runForS(simulation, 20);
-          assertSound(simulation);
+          assertNoViolations(simulation);
         }
       }
     }
@@ -57,7 +57,7 @@
   }
 
   /** Tasks of the jobs bound to zone a that are on machines. */
-  private static int zoneBoundTasks(Simulation simulation) {
+  private static int countZoneBoundTasks(Simulation simulation) {
     return simulation.checker.tasksOnMachines("wk-a1")
         + simulation.checker.tasksOnMachines("wk-a2")
         + simulation.checker.tasksOnMachines("wk-a3");
@@ -65,7 +65,7 @@
 
   /** Says whether no live machine was left there when the fault was over. */
   private static boolean playZoneLoss(Simulation simulation, Loss loss, boolean changes) {
-    boolean spot = loss == Loss.TAKEN;
+    boolean spot = loss == Loss.PREEMPTED;
     simulation.cloud.addType(
         new MachineType("brief", 4, 0, 16, 50, 0.5, 2, 0.1, 10, simulation.setup.zones()));
     for (int i = 0; spot && i < 4; i++) {
@@ -77,10 +77,10 @@
       JobDraft draft = JobDraft.array("wk-a" + i, 4).zone("a");
       draft = i == 1 ? draft.kind(JobKind.SERVICE) : i == 2 ? draft.oneZone() : draft;
       simulation.submit(
-          (spot ? draft.spot().only("brief") : draft).spec(), i == 1 ? null : 300_000L);
+          (spot ? draft.spot().machineTypes("brief") : draft).spec(), i == 1 ? null : 300_000L);
     }
     simulation.runTo(22);
-    assertEquals(12, zoneBoundTasks(simulation), simulation.recentLog());
+    assertEquals(12, countZoneBoundTasks(simulation), simulation.recentLog());
     long forMs = 20_000 + 5000 * (simulation.seed % 6);
     List<String> there = new ArrayList<>();
     simulation.workers.forEach(
@@ -89,7 +89,7 @@
             there.add(name);
           }
         });
-    if (loss == Loss.ZONE_CUT) {
+    if (loss == Loss.ZONE_PARTITIONED) {
       simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
     } else {
       there.forEach(loss == Loss.DIE ? simulation.cloud::die : simulation.cloud::preempt);
