--- a/src/test/java/org/astershift/simulation/AnswerCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/AnswerCombinedFaultsTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Answers to direct commands and heartbeats of one machine are handled in another order than they
- * were written, by the leader that begins after all controllers have fallen.
+ * Guards against a task that runs twice because the leader takes an overtaken answer for the newest
+ * message of its machine. After all controllers have crashed, the leader of the next term handles
+ * answers to direct commands and heartbeats of one machine in another order than they were written.
  */
 class AnswerCombinedFaultsTest {
   private static final int SEEDS = 20;
@@ -19,7 +20,10 @@
   private static final int JOBS = 12;
   private static final long TASK_MS = 6000;
 
-  /** Longer than a worker waits for the answer to its heartbeat. */
+  /**
+   * Longest time that a message waits at the leader, in milliseconds: longer than a worker waits
+   * for the answer to its heartbeat.
+   */
   private static final long MESSAGE_WAIT_MS = 6000;
 
   @Test
--- a/src/test/java/org/astershift/simulation/CombinedFaults.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaults.java
@@ -11,7 +11,9 @@
 
 /** Set-up, faults and assertions that the combined-faults tests share. */
 final class CombinedFaults {
-  /** Longer than any test: such tasks end only if they are stopped. */
+  /**
+   * Run time of tasks that end only when they are stopped, in milliseconds: longer than any test.
+   */
   static final long ENDLESS_MS = 300_000;
 
   private static final int ACCELERATOR_MACHINES = 6;
@@ -19,14 +21,16 @@
 
   private CombinedFaults() {}
 
-  /** What happens to the leader. */
+  /** A fault of the leader. */
   enum LeaderFault {
     CRASHES,
     HANDS_OVER,
     PAUSES
   }
 
-  /** A crashed or paused leader is back after some seconds. */
+  /**
+   * Applies the fault to the leader. A leader that crashes or pauses is back after at most 10 s.
+   */
   static void apply(Simulation simulation, ControllerModel leader, LeaderFault fault) {
     switch (fault) {
       case CRASHES -> {
@@ -38,7 +42,10 @@
     }
   }
 
-  /** Not started yet: at time 0, without the safety measures that the mutations take away. */
+  /**
+   * Creates a simulation of three controllers at time 0, without the safety measures that the
+   * mutations take away.
+   */
   static Simulation createSimulation(long seed, int machines, Mutation... mutations) {
     Simulation simulation = new Simulation(seed, Setup.of(3, machines));
     simulation.mutations.addAll(List.of(mutations));
@@ -46,8 +53,8 @@
   }
 
   /**
-   * A service with a task for each machine and the arrays {@code wk-10} to {@code wk-15}, which do
-   * not end, under one leader.
+   * Creates a simulation with one leader, a service with one task per machine, and the arrays
+   * {@code wk-10} to {@code wk-15}, whose tasks do not end.
    */
   static Simulation createSimulationWithArrays(
       long seed, int machines, int tasks, Mutation... mutations) {
@@ -62,7 +69,7 @@
     return simulation;
   }
 
-  /** Beside the others there are machines with accelerators, in each zone as many. */
+  /** Adds machines with accelerators to the others, equally many in each zone. */
   static void addAcceleratorMachines(Simulation simulation) {
     List<String> zones = simulation.setup.zones();
     simulation.cloud.addType(new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, zones));
@@ -80,12 +87,12 @@
     simulation.runTo(nowS(simulation) + seconds);
   }
 
-  /** Whether another controller than this one leads. */
+  /** Returns whether a controller other than {@code old} leads. */
   static boolean hasOtherLeader(Simulation simulation, ControllerModel old) {
     return simulation.leaders().stream().anyMatch(controller -> controller != old);
   }
 
-  /** No invariant was violated. */
+  /** Asserts that no invariant was violated. */
   static void assertNoViolations(Simulation simulation) {
     assertEquals(
         List.of(),
@@ -93,7 +100,10 @@
         () -> "seed " + simulation.seed + "\n" + simulation.fullLog());
   }
 
-  /** All faults are healed: so long later all that ends is done, and no invariant was violated. */
+  /**
+   * Heals all faults, runs on for {@code afterS} seconds, and asserts that every accepted job that
+   * ends by itself has ended and that no invariant was violated.
+   */
   static void healAndAssertServed(Simulation simulation, double afterS) {
     simulation.healAll();
     simulation.delayedHeartbeats.release();
@@ -101,26 +111,33 @@
     runForS(simulation, afterS);
     assertNoViolations(simulation);
     for (String job : simulation.users.accepted()) {
-      boolean ends = simulation.users.runMsOf(job, 0) != null;
-      String message = "seed " + simulation.seed + ": " + job + " is left\n";
-      assertTrue(!ends || simulation.checker.isEnded(job), () -> message + simulation.fullLog());
+      boolean endsByItself = simulation.users.runMsOf(job, 0) != null;
+      String message = "seed " + simulation.seed + ": " + job + " has not ended\n";
+      assertTrue(
+          !endsByItself || simulation.checker.isEnded(job), () -> message + simulation.fullLog());
     }
   }
 
-  /** The mutation violates an invariant under one of the seeds from 1 to {@code lastSeed}. */
+  /**
+   * Asserts that the mutation violates an invariant under one of the seeds from 1 to {@code
+   * lastSeed}.
+   */
   static void assertDetected(Mutation mutation, int lastSeed, LongFunction<Simulation> play) {
     assertDetected(mutation, lastSeed, "", play);
   }
 
-  /** The same, where the violation is of the invariant with this name. */
+  /**
+   * Asserts that the mutation violates the named invariant under one of the seeds from 1 to {@code
+   * lastSeed}.
+   */
   static void assertDetected(
-      Mutation mutation, int lastSeed, String rule, LongFunction<Simulation> play) {
+      Mutation mutation, int lastSeed, String invariant, LongFunction<Simulation> play) {
     for (long seed = 1; seed <= lastSeed; seed++) {
       List<String> violations = play.apply(seed).checker.violations;
-      if (violations.stream().anyMatch(violation -> violation.startsWith(rule))) {
+      if (violations.stream().anyMatch(violation -> violation.startsWith(invariant))) {
         return;
       }
     }
-    assertEquals("detected", "not detected", mutation + " taken away");
+    assertEquals("detected", "not detected", mutation + ": no seed violates the invariant");
   }
 }
--- a/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
@@ -13,16 +13,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two faults that meet, each seen to have happened: no invariant is violated, and each user gets an
- * answer in the end. For most a mutation shows that the checker detects what it is about.
+ * Pairs of faults that meet, each shown to have occurred: no invariant is violated, and each user
+ * gets an answer in the end. For most pairs a mutation shows that the checker detects the failure
+ * that the test guards against.
  */
 class CombinedFaultsTest {
   private static final int SEEDS = 20;
   private static final int MUTANT_SEEDS = 4 * SEEDS;
 
   /**
-   * A follower reads a live job for a user, or accepts it, and the thread that did pauses; the job
-   * is cancelled, its leader ends, the follower leads, and the thread goes on.
+   * Guards against adopting a job from a read that is older than the end of the job. A follower
+   * reads a live job for a user, or accepts it, and the thread that does so pauses; the job is
+   * cancelled, the leader crashes, the follower leads, and the thread resumes.
    */
   @Test
   void staleJobReadIsNotAdopted() {
@@ -54,7 +56,10 @@
     return simulation;
   }
 
-  /** Two that both believe; the one whose lease is uncertain trusts no lease expiry. */
+  /**
+   * Two controllers believe that they lead; the one whose lease is uncertain must not trust that a
+   * worker lease has expired.
+   */
   @Test
   void leaseExpiryProvesNothingWhileLeaseUncertain() {
     assertDetected(
@@ -63,7 +68,10 @@
         seed -> FleetUnderLoad.playTwoLeaders(seed, Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE));
   }
 
-  /** A job comes, and the leader loses the store and the others before it is opened. */
+  /**
+   * A job is submitted, and the leader loses the store and the other controllers before the job is
+   * opened on record.
+   */
   @Test
   void partitionedLeaderStartsNoUnopenedJob() {
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -72,7 +80,7 @@
     assertDetected(
         Mutation.START_BEFORE_JOB_OPENED,
         MUTANT_SEEDS,
-        s -> playIsolationOnSubmission(s, Mutation.START_BEFORE_JOB_OPENED));
+        seed -> playIsolationOnSubmission(seed, Mutation.START_BEFORE_JOB_OPENED));
   }
 
   private static Simulation playIsolationOnSubmission(long seed, Mutation... mutations) {
@@ -84,7 +92,7 @@
     for (ControllerModel controller : simulation.controllers) {
       if (controller != old) {
         simulation.cutBoth(old.name, controller.name);
-        simulation.cutBoth(controller.name, "zone a"); // which only the old leader reaches
+        simulation.cutBoth(controller.name, "zone a"); // only the old leader reaches zone a
       }
     }
     simulation.runTo(60);
@@ -93,8 +101,8 @@
   }
 
   /**
-   * A transaction gets no answer and is carried out 2 to 12 s later, after newer ones of the same
-   * controller, with machines that boot meanwhile and a leader that ends just after it.
+   * A transaction gets no answer and is applied 2 to 12 s later, after newer ones of the same
+   * controller, while machines boot; the leader crashes just after that.
    */
   @Test
   void delayedWritesDoNotOverwriteNewerOnes() {
@@ -104,18 +112,18 @@
       assertNoViolations(simulation);
       late += simulation.store.appliedAfterNewer;
     }
-    assertNotEquals(0, late, "none came after a newer one");
+    assertNotEquals(0, late, "no late write was applied after a newer one");
     assertDetected(
         Mutation.UNCONDITIONAL_RECORD_WRITES,
         MUTANT_SEEDS,
-        s -> playDelayedWrites(s, Mutation.UNCONDITIONAL_RECORD_WRITES));
+        seed -> playDelayedWrites(seed, Mutation.UNCONDITIONAL_RECORD_WRITES));
   }
 
   private static Simulation playDelayedWrites(long seed, Mutation... mutations) {
     Simulation simulation = createSimulationWithArrays(seed, 6, 3, mutations);
     simulation.store.lateShare = 0.5;
-    simulation.submit(
-        JobDraft.job("wk-40", JobKind.SERVICE, 40), null); // machines are provisioned for it
+    // Machines are provisioned for this service.
+    simulation.submit(JobDraft.job("wk-40", JobKind.SERVICE, 40), null);
     simulation.runTo(24);
     simulation.store.lateShare = seed % 2 == 0 ? 0.3 : 0;
     for (int i = 0; i < 8; i++) {
@@ -131,8 +139,9 @@
   }
 
   /**
-   * Jobs of two and three tasks of which one ends early and the last late, and in between the
-   * leader changes, twice, once with the machine that had the early task gone.
+   * Jobs of two and three tasks, of which one ends early and the last late, and the leader changes
+   * twice in between: once while the record of the early task is in flight or late, and once by a
+   * hand-over.
    */
   @Test
   void jobsCompleteWhenTasksEndFarApartAcrossFailovers() {
@@ -142,7 +151,7 @@
       simulation.userSubmits(JobDraft.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
       simulation.users.taskRunMs.put("wk-60/1", 45_000L);
       simulation.users.taskRunMs.put("wk-61/2", 45_000L);
-      // The early tasks are done, their record is on its way or late, and the leader ends.
+      // The early task is done, its record is in flight or late, and the leader crashes.
       simulation.store.lateShare = seed % 2 == 0 ? 0.5 : 0;
       ControllerModel old = simulation.leaders().get(0);
       assertTrue(
@@ -165,7 +174,7 @@
     }
   }
 
-  /** Controllers hand over and back, all end, and one returns, all within a second or two. */
+  /** Controllers hand over and back, all crash, and one restarts, all within a second or two. */
   @Test
   void cancellationsSurviveTransfersAndCrashOfAllControllers() {
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
@@ -198,9 +207,10 @@
   }
 
   /**
-   * A leader ends while machines with long tasks cannot be reached, or are inbound-partitioned from
-   * the next one; users cancel meanwhile. Nothing is confirmed too early, and it is not put off for
-   * ever: such machines are released. What is not cancelled runs in the end.
+   * The leader crashes while machines with long tasks cannot be reached, or are inbound-partitioned
+   * from the next leader; users cancel meanwhile. No cancellation is confirmed too early, and none
+   * is put off indefinitely, since such machines are released. What is not cancelled runs in the
+   * end.
    */
   @Test
   void unreachableMachinesDoNotBlockFailover() {
@@ -242,8 +252,8 @@
   }
 
   /**
-   * Commands are held on their way to a few machines for seconds, starts and stops in any order,
-   * and then arrive; in the middle of it the leader changes, or not.
+   * Start and stop commands to a few machines are held for seconds and then arrive in any order;
+   * under every other seed the leader hands over meanwhile.
    */
   @Test
   void tasksEndDespiteDelayedCommands() {
--- a/src/test/java/org/astershift/simulation/FailoverTest.java
+++ b/src/test/java/org/astershift/simulation/FailoverTest.java
@@ -11,14 +11,18 @@
 import org.astershift.scheduler.JobKind;
 import org.junit.jupiter.api.Test;
 
-/** What a leader wrote last, and the one that follows it. */
+/**
+ * Failovers in which the old leader's last writes are still in flight, or the next leader reads
+ * what was written late.
+ */
 class FailoverTest {
   private static final int SEEDS = 10;
   private static final int MUTANT_SEEDS = 40;
 
   /**
-   * A leader's cancellations get no answer, it ends, and they would be carried out when the next
-   * one leads, which runs these jobs; a third reads what is on record and does not reach it.
+   * Guards against writes of an old leader that are applied under the next one. The leader's
+   * cancellation writes get no answer, it crashes, and they would be applied when the next leader
+   * runs these jobs; a third controller, which does not reach that leader, reads what is on record.
    */
   @Test
   void delayedEndWritesAreFencedAfterFailover() {
@@ -59,7 +63,8 @@
   }
 
   /**
-   * What was accepted just before a leader began is known to it, however slow its watch cache is.
+   * A new leader knows what was accepted just before its term began, however far its watch cache
+   * lags.
    */
   @Test
   void laggingWatchCacheHidesNoAcceptedJob() {
@@ -86,7 +91,7 @@
     }
     simulation.after(3000, old::resign);
     simulation.runTo(23.1);
-    assertEquals(List.of(), simulation.leaders(), "the work is handed over");
+    assertEquals(List.of(), simulation.leaders(), "expected no leader just after the hand-over");
     simulation.runTo(26);
     assertTrue(
         simulation.runUntil(() -> !simulation.leaders().isEmpty(), 60), simulation.recentLog());
@@ -98,7 +103,8 @@
   }
 
   /**
-   * A leader crashes while every transaction is carried out and none is answered: another leads.
+   * The leader crashes while every transaction is applied and none is answered: another controller
+   * leads.
    */
   @Test
   void leaderIsElectedWhenKeyCreationAnswerIsLost() {
@@ -110,9 +116,11 @@
       boolean led =
           simulation.runUntil(
               () -> simulation.leaders().stream().anyMatch(controller -> controller != old), 30);
-      int claims =
+      int unansweredClaims =
           simulation.store.unansweredWrites.getOrDefault(StoreModel.LEADER.substring(0, 2), 0);
-      assertTrue(led && claims > 0, claims + " claims unanswered\n" + simulation.recentLog());
+      assertTrue(
+          led && unansweredClaims > 0,
+          unansweredClaims + " unanswered writes of the leader key\n" + simulation.recentLog());
       simulation.store.unansweredShare = 0;
       old.start();
       simulation.runTo(80);
--- a/src/test/java/org/astershift/simulation/FleetUnderLoad.java
+++ b/src/test/java/org/astershift/simulation/FleetUnderLoad.java
@@ -8,17 +8,17 @@
 import org.astershift.simulation.Simulation.Setup;
 
 /**
- * A fleet on which each machine has work to the end, so that none is idle and each release is for
- * silence.
+ * A fleet in which every machine has work until the end, so that no machine is idle and every
+ * release is for silence.
  */
 final class FleetUnderLoad {
   private FleetUnderLoad() {}
 
-  /** A simulation with replicas on it that has come to rest. */
+  /** Creates a simulation in which a service and an array run and exactly one controller leads. */
   static Simulation createLoadedSimulation(long seed, Setup setup) {
     Simulation simulation = new Simulation(seed, setup);
     simulation.runTo(4);
-    // Something is on each machine to the end, so that none is ever idle: each return is for
+    // Every machine has work until the end, so that none is ever idle: every release is for
     // silence.
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, 3 * setup.machines()), null);
     simulation.submit(JobDraft.job("wk-2", JobKind.ARRAY, setup.machines()), 40_000L);
@@ -26,7 +26,7 @@
     assertEquals(1, simulation.leaders().size(), simulation.recentLog());
     assertTrue(
         countRunningTasks(simulation) >= 4 * setup.machines(),
-        countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+        countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
     return simulation;
   }
 
@@ -39,14 +39,17 @@
     assertEquals(List.of(), simulation.checker.healthyReleased, simulation.recentLog());
   }
 
-  static ControllerModel follower(Simulation simulation, int which) {
+  static ControllerModel follower(Simulation simulation, int index) {
     return simulation.controllers.stream()
         .filter(controller -> !controller.leads())
         .toList()
-        .get(which);
+        .get(index);
   }
 
-  /** With safety measures taken away once all are at rest. */
+  /**
+   * Plays a partition in which two controllers believe that they lead. The mutations take effect
+   * once the fleet is under load.
+   */
   static Simulation playTwoLeaders(long seed, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
     simulation.mutations.addAll(List.of(mutations));
--- a/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
@@ -22,21 +22,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Gangs, whose tasks gather, run, save and complete together, as the leader changes and machines
- * cannot be reached. Each case counts that its faults met.
+ * Gangs, whose tasks gather, run, save and complete together, while the leader changes and machines
+ * cannot be reached. Each case asserts that its faults occurred together.
  */
 class GangCombinedFaultsTest {
   private static final int SEEDS = 6;
 
-  /** Machines that hold tasks of gangs that gather; where none does, of any of the gangs. */
+  /** Returns the machines with tasks of gathering gangs or, if no gang gathers, of any gang. */
   private static List<String> gatheringMachines(Simulation simulation) {
     List<String> gathering = GANGS.stream().filter(simulation.gangs::isGathering).toList();
     return machinesRunning(simulation, gathering.isEmpty() ? GANGS : gathering);
   }
 
   /**
-   * Gangs gather, since some machines do not get their start commands, and the leader ends; in half
-   * of the seeds one of the machines on which a task waits for the others is lost, too.
+   * Gangs are kept gathering because some machines do not get their start commands, and the leader
+   * is lost; in half of the seeds one of the machines on which a task waits for the others is lost,
+   * too.
    */
   @Test
   void gangsCompleteAfterFailoverWhileGathering() {
@@ -49,10 +50,10 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = createLoadedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
-          long[] lasts = {6000, 12_000, 20_000, 34_000};
+          long[] durationsMs = {6000, 12_000, 20_000, 34_000};
           for (String machine :
               pickRandomMachines(simulation, List.copyOf(simulation.workers.keySet()), 3)) {
-            applyToMachine(simulation, machineFault, machine, lasts[(int) (seed % 4)]);
+            applyToMachine(simulation, machineFault, machine, durationsMs[(int) (seed % 4)]);
           }
           createGangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
           simulation.runTo(22 + 0.5 * (seed % 3));
@@ -71,18 +72,20 @@
         }
       }
     }
-    assertTrue(gathered >= played, gathered + " gathered as the leader ended, in " + played);
-    assertTrue(lost >= played / 3, lost + " lost a task while they gathered");
-    assertTrue(replaced >= played / 4, replaced + " of these began all the same");
+    assertTrue(
+        gathered >= played,
+        gathered + " gangs were gathering when the leader was lost; plays: " + played);
+    assertTrue(lost >= played / 3, lost + " attempts lost a task while gathering");
+    assertTrue(replaced >= played / 4, replaced + " of these attempts started all the same");
   }
 
   /**
-   * A machine dies while a gang gathers that takes all there are in its zone, and another comes too
-   * late: the tasks give up waiting as the leader ends, or soon before or after.
+   * A machine dies while a gang gathers that needs all machines of its zone, and its replacement
+   * comes too late: the tasks give up waiting just as the leader is lost, or soon before or after.
    */
   @Test
   void gangsCompleteAfterFailoverDuringGatherTimeout() {
-    int incomplete = 0;
+    int timedOut = 0;
     int played = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
@@ -91,12 +94,12 @@
         simulation.cloud.bootMs = () -> 32_000L;
         simulation.runTo(20);
         ControllerModel old = simulation.leaders().get(0);
-        List<String> there =
+        List<String> zoneMachines =
             simulation.workers.values().stream()
                 .filter(machine -> machine.zone.equals("a"))
                 .map(machine -> machine.name)
                 .toList();
-        String lost = pickRandomMachines(simulation, there, 1).get(0);
+        String lost = pickRandomMachines(simulation, zoneMachines, 1).get(0);
         simulation.userSubmits(
             JobDraft.gang(GANGS.get(0), 4).zone("a").takes(4, 0).spec(), 12_000L, () -> {});
         simulation.runUntil(() -> simulation.gangs.isGathering(GANGS.get(0)), 30);
@@ -105,15 +108,18 @@
             26_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fault));
         simulation.runTo(80);
         healAndAssertServed(simulation, 90);
-        incomplete += simulation.gangs.gatherTimeouts;
+        timedOut += simulation.gangs.gatherTimeouts;
         played++;
       }
     }
     assertTrue(
-        incomplete >= 2 * played, incomplete + " tasks waited without success, in " + played);
+        timedOut >= 2 * played, timedOut + " tasks timed out while gathering; plays: " + played);
   }
 
-  /** Full of gangs at which urgent work aims; so these are stopped as a whole, and save. */
+  /**
+   * Creates a cluster full of low-priority gangs. Urgent work preempts them, so that they are
+   * stopped as a whole and save.
+   */
   private static Simulation createFullCluster(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, 12));
     simulation.cloud.capacity.put(CloudModel.TYPE, 12);
@@ -130,9 +136,9 @@
   }
 
   /**
-   * Gangs are being stopped for urgent work, so that they save together, as the leader ends; in two
-   * thirds of the seeds some machines do not get the stop command, for less and for longer than the
-   * others wait.
+   * Gangs are being stopped for urgent work, so that they save together, while the leader is lost;
+   * in two thirds of the seeds some machines do not get the stop command, for less and for longer
+   * than the other tasks wait.
    */
   @Test
   void gangsCompleteAfterFailoverWhileBeingStopped() {
@@ -169,15 +175,18 @@
         }
       }
     }
-    assertTrue(saving >= played * 3 / 4, saving + " saved as the leader ended, of " + played);
-    assertTrue(inOrder >= played / 4, inOrder + " saved");
-    assertTrue(failed >= played / 4, failed + " saved without success");
-    assertTrue(resumed >= played / 2, resumed + " went on from what was saved");
-    assertEquals(0, tooLate, "tasks started of an attempt that had begun");
+    assertTrue(
+        saving >= played * 3 / 4,
+        saving + " plays in which gangs were saving when the leader was lost, of " + played);
+    assertTrue(inOrder >= played / 4, inOrder + " gangs saved when they were stopped");
+    assertTrue(failed >= played / 4, failed + " gangs failed to save");
+    assertTrue(resumed >= played / 2, resumed + " gangs resumed from saved progress");
+    assertEquals(0, tooLate, "tasks started of an attempt whose gang had already started");
   }
 
   /**
-   * Gangs are cancelled within 0.2 s whose machines pause or are partitioned; the leader changes.
+   * Gangs whose machines pause or are partitioned are cancelled within 0.2 s while the leader
+   * changes.
    */
   @Test
   void gangCancellationsAreConfirmedDuringFailover() {
@@ -190,8 +199,8 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = createLoadedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
-          List<Long> whenMs = List.of(-1500L, 100L, 1500L);
-          boolean early = seed % 2 == 0; // so that they are still gathering
+          List<Long> faultOffsetsMs = List.of(-1500L, 100L, 1500L);
+          boolean early = seed % 2 == 0; // so that the gangs are still gathering
           long forMs = 4000 + 4000 * seed;
           if (!early) {
             createGangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
@@ -205,7 +214,7 @@
             createGangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
           }
           simulation.after(
-              2000 + whenMs.get((int) (seed % 3)), () -> apply(simulation, old, fault));
+              2000 + faultOffsetsMs.get((int) (seed % 3)), () -> apply(simulation, old, fault));
           GANGS.forEach(
               gang ->
                   simulation.after(
@@ -224,20 +233,20 @@
         }
       }
     }
-    assertEquals(4 * played, confirmed, "gangs confirmed as cancelled in " + played);
+    assertEquals(4 * played, confirmed, "gangs whose cancellation was confirmed; plays: " + played);
     assertTrue(
         onFaultyMachines >= 3 * played,
         onFaultyMachines + " tasks on faulty or unreachable machines");
-    assertTrue(gathered >= played / 2, gathered + " of the gangs gathered then");
+    assertTrue(gathered >= played / 2, gathered + " gangs were gathering by then");
   }
 
   /**
-   * Gangs complete as the leader ends: heartbeats of some machines from before come late, copies of
-   * others are kept for the next leader, and one machine is lost before it tells.
+   * Gangs complete while the leader is lost: earlier heartbeats of some machines come late,
+   * duplicates of others are kept for the next leader, and one machine is lost before it reports.
    */
   @Test
   void gangsCompleteWithDelayedHeartbeatsDuringFailover() {
-    int confirmed = 0;
+    int stillManaged = 0;
     int duplicates = 0;
     int heldHeartbeats = 0;
     int lost = 0;
@@ -249,16 +258,16 @@
         simulation.delayedHeartbeats.keepShare = 0.4;
         simulation.delayedHeartbeats.holdShare = 0.3;
         createGangs().forEach(gang -> simulation.userSubmits(gang, 8_000L, () -> {}));
-        boolean runs =
+        boolean completed =
             simulation.runUntil(() -> countJobs(simulation, simulation.gangs::isDone) > 0, 60);
-        assertTrue(runs, simulation.fullLog());
-        confirmed += old.manages(GANGS.get(0)) || old.manages(GANGS.get(1)) ? 1 : 0;
-        List<String> there =
+        assertTrue(completed, simulation.fullLog());
+        stillManaged += old.manages(GANGS.get(0)) || old.manages(GANGS.get(1)) ? 1 : 0;
+        List<String> restarted =
             pickRandomMachines(simulation, machinesWithCompletedGangs(simulation), 1);
-        there.forEach(
+        restarted.forEach(
             machine ->
                 simulation.workers.get(machine).restart(300 + simulation.random.nextLong(2000)));
-        lost += there.size();
+        lost += restarted.size();
         runForS(simulation, simulation.random.nextDouble());
         apply(simulation, old, fault);
         simulation.pollAllJobs();
@@ -269,15 +278,17 @@
         played++;
       }
     }
-    assertTrue(confirmed >= played * 3 / 4, confirmed + " were not known to be done, of " + played);
-    assertTrue(duplicates >= played, duplicates + " copies with tasks that had ended");
+    assertTrue(
+        stillManaged >= played * 3 / 4,
+        stillManaged + " plays in which the leader still managed a completed gang, of " + played);
+    assertTrue(duplicates >= played, duplicates + " duplicates with tasks that had ended");
     assertTrue(
         heldHeartbeats >= played / 4,
-        heldHeartbeats + " heartbeats held back until the next had acted");
-    assertTrue(lost >= played * 3 / 4, lost + " machines lost before their heartbeat");
+        heldHeartbeats + " heartbeats held back until the next leader had acted");
+    assertTrue(lost >= played * 3 / 4, lost + " machines lost before they reported");
   }
 
-  /** Machines with tasks that have just completed. */
+  /** Returns the machines with tasks of gangs that have completed. */
   private static List<String> machinesWithCompletedGangs(Simulation simulation) {
     return simulation.workers.values().stream()
         .filter(
--- a/src/test/java/org/astershift/simulation/GangFaults.java
+++ b/src/test/java/org/astershift/simulation/GangFaults.java
@@ -11,13 +11,13 @@
 import org.astershift.scheduler.JobSpec;
 import org.astershift.simulation.Simulation.Setup;
 
-/** Set-up of the tests with gangs, and faults at machines that hold their tasks. */
+/** Set-up of the tests with gangs, and faults of the machines that run their tasks. */
 final class GangFaults {
   private GangFaults() {}
 
   static final List<String> GANGS = List.of("wk-g0", "wk-g1", "wk-g2", "wk-g3");
 
-  /** What becomes of machines that hold tasks of the gangs. */
+  /** A fault of a machine that has tasks of the gangs. */
   enum MachineFault {
     PARTITIONED,
     INBOUND_PARTITIONED,
@@ -48,7 +48,10 @@
     }
   }
 
-  /** One gang anywhere, one in one zone, one in zone a, and one half of which is in one zone. */
+  /**
+   * Returns four gangs: one that may run anywhere, one that runs in any one zone, one that runs in
+   * zone a, and one with at most half of its tasks in one zone.
+   */
   static List<JobSpec> createGangs() {
     return List.of(
         JobDraft.gang(GANGS.get(0), 6).saves(1).spec(),
@@ -57,28 +60,29 @@
         JobDraft.gang(GANGS.get(3), 5).spread().spec());
   }
 
-  /** Machines that hold tasks of the jobs. */
+  /** Returns the names of the machines that have tasks of the jobs, sorted. */
   static List<String> machinesRunning(Simulation simulation, List<String> jobs) {
-    Set<String> tasks = new HashSet<>();
+    Set<String> machines = new HashSet<>();
     simulation.checker.eachOnMachine(
         (task, machine) -> {
           if (jobs.contains(task.substring(0, task.indexOf('/')))) {
-            tasks.add(machine);
+            machines.add(machine);
           }
         });
-    return tasks.stream().sorted().toList();
+    return machines.stream().sorted().toList();
   }
 
-  static List<String> pickRandomMachines(Simulation simulation, List<String> machines, int most) {
-    List<String> left = new ArrayList<>(machines);
-    List<String> out = new ArrayList<>();
-    while (!left.isEmpty() && out.size() < most) {
-      out.add(left.remove(simulation.random.nextInt(left.size())));
+  static List<String> pickRandomMachines(
+      Simulation simulation, List<String> machines, int maxCount) {
+    List<String> remaining = new ArrayList<>(machines);
+    List<String> picked = new ArrayList<>();
+    while (!remaining.isEmpty() && picked.size() < maxCount) {
+      picked.add(remaining.remove(simulation.random.nextInt(remaining.size())));
     }
-    return out;
+    return picked;
   }
 
-  static long countJobs(Simulation simulation, Predicate<String> what) {
-    return simulation.users.accepted().stream().filter(what).count();
+  static long countJobs(Simulation simulation, Predicate<String> condition) {
+    return simulation.users.accepted().stream().filter(condition).count();
   }
 }
--- a/src/test/java/org/astershift/simulation/GangStartCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangStartCombinedFaultsTest.java
@@ -23,14 +23,14 @@
 
 /**
  * Gangs that wait for room under their team's limit, or for the start commands of some of their
- * tasks, as the leader changes. Each case counts that its faults met.
+ * tasks, while the leader changes. Each case asserts that its faults occurred together.
  */
 class GangStartCombinedFaultsTest {
   private static final int SEEDS = 6;
 
   /**
-   * A team is at its limit by gangs, of processors and of accelerators, and more of them wait;
-   * machines with its tasks are lost or cannot be reached, and the leader ends.
+   * Gangs take up the limits of a team on processors and accelerators, and more of its gangs wait;
+   * machines with its tasks are lost or cannot be reached, and the leader is lost.
    */
   @Test
   void gangsCompleteWhenTeamLimitIsReachedDuringFailover() {
@@ -42,8 +42,8 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
           Simulation simulation = createLimitedSimulation(seed);
           ControllerModel old = simulation.leaders().get(0);
-          double[] use = simulation.checker.usage("red");
-          atLimit += use[0] > 12 - 3 && use[1] > 3 - 2 ? 1 : 0;
+          double[] usage = simulation.checker.usage("red");
+          atLimit += usage[0] > 12 - 3 && usage[1] > 3 - 2 ? 1 : 0;
           List<String> machines =
               pickRandomMachines(
                   simulation,
@@ -66,7 +66,7 @@
         }
       }
     }
-    assertEquals(played, atLimit, "times at the limit");
+    assertEquals(played, atLimit, "plays in which the team was at its limit");
     assertTrue(
         onFaultyMachines >= 3 * played, onFaultyMachines + " faulty or unreachable machines");
   }
@@ -78,8 +78,8 @@
     simulation.teams.put("team", new Team("team", 0, 0, 0, 0));
     simulation.runTo(4);
     for (int i = 0; i < 4; i++) {
-      JobDraft acc = JobDraft.gang("wk-ra" + i, 2).forTeam("red").takes(1, 1);
-      simulation.submit((i % 2 == 0 ? acc.oneZone() : acc).spec(), 15_000L);
+      JobDraft acceleratorGang = JobDraft.gang("wk-ra" + i, 2).forTeam("red").takes(1, 1);
+      simulation.submit((i % 2 == 0 ? acceleratorGang.oneZone() : acceleratorGang).spec(), 15_000L);
     }
     simulation.runTo(6);
     for (int i = 0; i < 6; i++) {
@@ -92,9 +92,9 @@
   }
 
   /**
-   * The starts of half a gang are held on their way, the others gather; the leader ends, and the
-   * starts arrive later, from before the first answer of the next leader until after it. In a third
-   * of the seeds the gangs are cancelled meanwhile.
+   * The start commands of half a gang are held in flight while its other tasks gather; the leader
+   * is lost, and the starts arrive later, from before the first answer of the next leader until
+   * after it. In a third of the seeds the gangs are cancelled meanwhile.
    */
   @Test
   void gangsCompleteWhenHalfTheirStartsAreDelayed() {
@@ -135,8 +135,8 @@
         }
       }
     }
-    assertTrue(held >= 4 * played, held + " messages held in " + played);
-    assertTrue(gathered >= played, gathered + " gathered as the leader ended");
-    assertTrue(startedLate >= played / 2, startedLate + " started late");
+    assertTrue(held >= 4 * played, held + " messages held; plays: " + played);
+    assertTrue(gathered >= played, gathered + " gangs were gathering when the leader was lost");
+    assertTrue(startedLate >= played / 2, startedLate + " tasks started late");
   }
 }
--- a/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
+++ b/src/test/java/org/astershift/simulation/HealthyMachinesTest.java
@@ -8,7 +8,7 @@
 import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
-/** Machines that other controllers reach are not given away, since work runs there. */
+/** Machines that other controllers reach are not released, since work runs there. */
 class HealthyMachinesTest {
   private static final int MACHINES = 24;
   private static final int RESTARTED = 5;
@@ -21,9 +21,10 @@
   private static final long SEED_OF_WAITING_MESSAGES = 781;
 
   /**
-   * A machine restarts within a second, at whatever moment between two of its heartbeats, and then
-   * does not reach the leader any more, while it reaches the other controllers. The leader and the
-   * others may have asked it without success while it restarted; that is once, and it is there.
+   * A machine restarts within a second, at any moment between two of its heartbeats, and then no
+   * longer reaches the leader, while it reaches the other controllers. The leader and the others
+   * may have probed it without success during the restart; one failed probe does not show that the
+   * machine is gone.
    */
   @Test
   void restartedMachineIsNotReleasedAfterOneFailedProbe() {
@@ -31,42 +32,43 @@
   }
 
   /**
-   * Heartbeats of some machines do not reach the leader, which sees them only by their answers to
-   * its questions alone, while the others reach them. One that restarts then answers nobody for a
-   * moment; its silence before says nothing, since none of its heartbeats was to be expected.
+   * Heartbeats of some machines do not reach the leader but the other controllers; the leader sees
+   * these machines only through their answers to its commands. A machine that restarts then answers
+   * nobody for a moment; its silence before that proves nothing, since the leader had no heartbeat
+   * to expect from it.
    */
   @Test
   void machineSeenOnlyThroughCommandAnswersIsNotReleasedOnRestart() {
     assertNothingReleased(HealthyMachinesTest::playRestartUnseenByLeader);
   }
 
-  /** Their messages have arrived, and wait in the leader's process to be handled. */
+  /** The machines' messages have arrived at the leader and wait in its process to be handled. */
   @Test
   void machineWhoseMessagesWaitAtLeaderIsNotReleased() {
     Simulation simulation = RandomizedScenario.play(SEED_OF_WAITING_MESSAGES).simulation;
     assertEquals(List.of(), simulation.checker.healthyReleased, simulation.recentLog());
   }
 
-  /** What is played under a seed, with a restart so long after some moment. */
+  /** A scenario that is played under a seed, with restarts {@code atMs} after a fixed moment. */
   private interface Scenario {
     Simulation play(long seed, long atMs);
   }
 
   private static void assertNothingReleased(Scenario play) {
-    List<String> givenAway = new ArrayList<>();
+    List<String> released = new ArrayList<>();
     for (long seed = 1; seed <= SEEDS; seed++) {
       for (long atMs = 0; atMs < 2 * HEARTBEAT_MS; atMs += STEP_MS) {
         Simulation simulation = play.play(seed, atMs);
         assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
         for (String machine : simulation.checker.healthyReleased) {
-          givenAway.add("seed " + seed + ", at " + atMs + " ms: " + machine);
+          released.add("seed " + seed + ", at " + atMs + " ms: " + machine);
         }
       }
     }
-    assertEquals(List.of(), givenAway);
+    assertEquals(List.of(), released);
   }
 
-  /** A service runs on all machines, and one controller leads. */
+  /** Creates a simulation in which a service runs on all machines and one controller leads. */
   private static Simulation createServiceSimulation(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
     simulation.runTo(4);
@@ -89,7 +91,7 @@
     return simulation;
   }
 
-  /** Some for longer than others, all within a second. */
+  /** Restarts several machines, each for a different time below one second. */
   private static void restartMachines(Simulation simulation) {
     for (int i = 0; i < RESTARTED; i++) {
       simulation.workers.get(restartedMachine(simulation.seed, i)).restart(RESTART_MS - 150 * i);
@@ -106,7 +108,7 @@
     simulation.runTo(20 + atMs / 1000.0);
     restartMachines(simulation);
     simulation.runTo(20 + atMs / 1000.0 + CUT_AFTER_S);
-    simulation.workers.keySet().forEach(m -> simulation.cut(m, leader.name));
+    simulation.workers.keySet().forEach(machine -> simulation.cut(machine, leader.name));
     simulation.runTo(20 + atMs / 1000.0 + 6);
     simulation.healAll();
     simulation.runTo(40);
--- a/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
@@ -19,48 +19,53 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Duplicate and delayed heartbeats meet a change of leaders. Each case counts that its faults met.
+ * Duplicate and delayed heartbeats that meet a change of leaders. Each case asserts that its faults
+ * occurred together.
  */
 class HeartbeatCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MUTANT_SEEDS = 60;
 
-  /** Until all machines of the term before are reconciled. */
+  /**
+   * Longest time until a new leader has reconciled all machines of the term before, in
+   * milliseconds.
+   */
   private static final long MAX_RECONCILE_MS = 6000;
 
   /**
-   * Copies of what machines said before, of tasks that have ended, moved or been cancelled since
-   * and of earlier incarnations, reach all controllers at once: just before one wins, as it wins,
-   * as it catches up, as it begins, and after it has acted; twice in a row. No invariant is
-   * violated, and what was opened before does not wait longer for machines to be reconciled.
+   * Duplicates of earlier heartbeats, which show tasks that have ended, moved or been cancelled
+   * since or come from earlier incarnations, reach all controllers at once: just before a
+   * controller wins the election, as it wins, as it catches up, as its term begins, and after it
+   * has acted; twice in a row. No invariant is violated, and jobs opened before do not wait longer
+   * for machines to be reconciled.
    */
   @Test
   void duplicateHeartbeatsAtTermBeginDoNotDelayReconciliation() {
-    Map<Moment, Integer> at = new EnumMap<>(Moment.class);
+    Map<Moment, Integer> atLeader = new EnumMap<>(Moment.class);
     int ended = 0;
     int incarnations = 0;
     int dead = 0;
-    for (LeaderLoss how : LeaderLoss.values()) {
+    for (LeaderLoss loss : LeaderLoss.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        ReconcilePlay played = playDuplicates(how, seed);
+        ReconcilePlay played = playDuplicates(loss, seed);
         assertAllJobsServed(played.simulation);
         assertTrue(
             played.reconciledMs <= MAX_RECONCILE_MS,
-            played.reconciledMs + " ms\n" + played.simulation.fullLog());
+            played.reconciledMs + " ms to reconcile\n" + played.simulation.fullLog());
         DelayedHeartbeats delayed = played.simulation.delayedHeartbeats;
-        delayed.atLeader.forEach((moment, n) -> at.merge(moment, n, Integer::sum));
+        delayed.atLeader.forEach((moment, n) -> atLeader.merge(moment, n, Integer::sum));
         ended += delayed.withEndedTasks;
         incarnations += delayed.ofEarlierIncarnations;
         dead += delayed.ofDeadMachines;
       }
     }
-    for (Moment mutation : Moment.values()) {
-      assertTrue(at.getOrDefault(mutation, 0) >= 20, at + " copies came at a leader");
+    for (Moment moment : Moment.values()) {
+      assertTrue(atLeader.getOrDefault(moment, 0) >= 20, atLeader + " duplicates reached a leader");
     }
-    assertTrue(ended > 100, ended + " showed a task that was there no more");
+    assertTrue(ended > 100, ended + " duplicates showed a task that was no longer there");
     assertTrue(
         incarnations > 10 && dead > 10,
-        incarnations + " of earlier incarnations, " + dead + " of what is gone");
+        incarnations + " duplicates of earlier incarnations, " + dead + " of dead machines");
     for (Mutation mutation :
         List.of(Mutation.ACCEPT_DUPLICATE_HEARTBEATS, Mutation.DUPLICATES_CARRY_CURRENT_TOKEN)) {
       assertDetected(
@@ -71,20 +76,22 @@
   }
 
   /**
-   * {@code reconciledMs}: until the first new leader had reconciled all machines of the term
+   * {@code reconciledMs}: time until the first new leader had reconciled all machines of the term
    * before.
    */
   private record ReconcilePlay(Simulation simulation, long reconciledMs) {}
 
-  private static ReconcilePlay playDuplicates(LeaderLoss how, long seed, Mutation... mutations) {
+  private static ReconcilePlay playDuplicates(LeaderLoss loss, long seed, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, seed % 2 == 0 ? 0.4 : 0.1, mutations);
     simulation.pollAllJobs();
-    // One is not reached and released, some restart, and users cancel.
-    String cut = "vm-" + seed % MACHINES;
-    simulation.controllers.forEach(controller -> simulation.cut(controller.name, cut));
+    // One machine cannot be reached and is released, some restart, and users cancel.
+    String unreachable = "vm-" + seed % MACHINES;
+    simulation.controllers.forEach(controller -> simulation.cut(controller.name, unreachable));
     simulation.after(
         14_500,
-        () -> simulation.controllers.forEach(controller -> simulation.heal(controller.name, cut)));
+        () ->
+            simulation.controllers.forEach(
+                controller -> simulation.heal(controller.name, unreachable)));
     simulation.runTo(20);
     for (int i = 1; i < 6; i++) {
       WorkerModel restarted = simulation.workers.get("vm-" + (seed + i) % MACHINES);
@@ -94,7 +101,7 @@
     simulation.runTo(24 + simulation.random.nextInt(2000) / 1000.0);
     ControllerModel old = newestLeader(simulation);
     long token = old.token();
-    apply(simulation, old, how);
+    apply(simulation, old, loss);
     assertTrue(
         simulation.runUntil(() -> hasNewerLeader(simulation, token), 60), simulation.recentLog());
     long wonMs = simulation.now();
@@ -111,15 +118,15 @@
   }
 
   /**
-   * Heartbeats are held back on their way until a new leader has acted, and then arrive there,
-   * while their machines went on to other controllers, some of them in a new incarnation.
+   * Heartbeats are held back in flight until a new leader has acted, and then arrive there, while
+   * their machines have gone on to other controllers, some of them in a new incarnation.
    */
   @Test
   void jobsAreServedDespiteHeartbeatsHeldUntilNewLeaderActs() {
     int arrived = 0;
-    for (LeaderLoss how : LeaderLoss.values()) {
+    for (LeaderLoss loss : LeaderLoss.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        Simulation simulation = playHeldHeartbeats(how, seed);
+        Simulation simulation = playHeldHeartbeats(loss, seed);
         assertAllJobsServed(simulation);
         arrived += simulation.delayedHeartbeats.heldAtLeader;
       }
@@ -132,17 +139,18 @@
         seed -> playHeldHeartbeats(LeaderLoss.values()[(int) seed % 5], seed, mutation));
   }
 
-  private static Simulation playHeldHeartbeats(LeaderLoss how, long seed, Mutation... mutations) {
+  private static Simulation playHeldHeartbeats(LeaderLoss loss, long seed, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, 0, mutations);
     simulation.pollAllJobs();
     simulation.runTo(15);
     simulation.delayedHeartbeats.holdShare = 0.6;
     ControllerModel old = newestLeader(simulation);
     long token = old.token();
-    old.rejectHeartbeats(6000); // so machines try the others, where they are held back, too
+    // Machines then try the other controllers, where heartbeats are held back, too.
+    old.rejectHeartbeats(6000);
     simulation.runTo(19 + simulation.random.nextInt(1500) / 1000.0);
     cancelJobs(simulation, 20, 21, 500);
-    simulation.after(600 + simulation.random.nextLong(300), () -> apply(simulation, old, how));
+    simulation.after(600 + simulation.random.nextLong(300), () -> apply(simulation, old, loss));
     for (int i = 0; i < 2; i++) {
       WorkerModel restarted = simulation.workers.get("vm-" + (seed + 5 * i) % MACHINES);
       simulation.after(simulation.random.nextLong(6000), () -> restarted.restart(100));
@@ -152,8 +160,8 @@
     simulation.delayedHeartbeats.holdShare = 0;
     cancelJobs(simulation, 22, 23, 4000);
     simulation.runTo(nowS(simulation) + 8);
-    if (how == LeaderLoss.HANDS_OVER) {
-      newestLeader(simulation).resign(); // and back, maybe
+    if (loss == LeaderLoss.HANDS_OVER) {
+      newestLeader(simulation).resign(); // possibly back to the old leader
     }
     simulation.runTo(40);
     simulation.delayedHeartbeats.release();
@@ -162,8 +170,9 @@
   }
 
   /**
-   * The leader ends while machines with long tasks cannot be reached, or are inbound-partitioned
-   * from the next one, and copies of what they and others said before come at all controllers.
+   * The leader crashes while machines with long tasks cannot be reached, or are inbound-partitioned
+   * from the next leader, and duplicates of earlier heartbeats of these and other machines reach
+   * all controllers.
    */
   @Test
   void cancellationsAreConfirmedDespiteDuplicatesFromUnreachableMachines() {
@@ -176,7 +185,7 @@
         assertTrue(simulation.checker.cancelConfirmedMs("wk-" + i) < 60_000, simulation.fullLog());
       }
     }
-    assertTrue(duplicates > 100, duplicates + " copies came at a leader");
+    assertTrue(duplicates > 100, duplicates + " duplicates reached a leader");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
--- a/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/IncarnationCombinedFaultsTest.java
@@ -9,11 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine restarts under its name between two leaders, of which the earlier one is partitioned
- * and does not know that its lease has expired. The later one has fenced the incarnation before the
- * restart, so it starts waiting tasks elsewhere; the incarnation after it has no token, comes to
- * the earlier leader, and must get nothing from it. Each case counts the starts on it, or asserts
- * that the earlier leader had seen it.
+ * Guards against an earlier leader that gives work to a restarted machine. The machine restarts
+ * under its name between two leaders, of which the earlier one is partitioned and does not know
+ * that its lease has expired. The later leader has fenced the incarnation before the restart, so it
+ * starts waiting tasks elsewhere; the incarnation after the restart has no token, sends heartbeats
+ * to the earlier leader, and must get nothing from it. Each case asserts that the earlier leader
+ * had seen the new incarnation.
  */
 class IncarnationCombinedFaultsTest {
   private static final int SEEDS = 6;
@@ -22,22 +23,26 @@
   private static final long RECORD_ANSWER_DELAY_MS = 9000;
   private static final double HEARTBEAT_WAIT_S = 10;
 
-  /** How the earlier leader knows the machine before it is partitioned. */
+  /** What the earlier leader knows of the machine before the leader is partitioned. */
   private enum PriorKnowledge {
-    /** On record only: it sent no heartbeat in this term. */
+    /** The machine is on record only: it sent no heartbeat in this term. */
     NEVER_SEEN,
-    /** Heard a few times, so that the next incarnation soon has said more. */
+    /** The machine sent a few heartbeats, so that its next incarnation soon has sent more. */
     SEEN_BRIEFLY,
-    /** Put on record, but the thread that writes records handles the answer seconds later. */
+    /**
+     * The machine was put on record, but the thread that writes records handles the answer seconds
+     * later.
+     */
     RECORD_ANSWERED_LATE
   }
 
-  /** {@code newIncarnationSeen}: the earlier leader has seen the new incarnation. */
+  /** {@code newIncarnationSeen}: whether the earlier leader has seen the new incarnation. */
   private record Restart(Simulation simulation, boolean newIncarnationSeen) {}
 
   /**
-   * The earlier leader sees the machine for the first time while its lease is uncertain. That may
-   * be an incarnation that began after the later leader had fenced the one before.
+   * The earlier leader sees the machine for the first time while the lease of the leader is
+   * uncertain. This may be an incarnation that began after the later leader had fenced the one
+   * before.
    */
   @Test
   void machineFirstSeenWithUncertainLeaseRunsNothingTwice() {
@@ -46,8 +51,8 @@
   }
 
   /**
-   * The earlier leader knows the machine, whose next incarnation has sent more messages than the
-   * one before by the time that the earlier leader asks it.
+   * The earlier leader knows the machine, but by the time it probes the machine, the next
+   * incarnation has sent more messages than the one before.
    */
   @Test
   void unnoticedRestartWithUncertainLeaseRunsNothingTwice() {
@@ -57,8 +62,8 @@
 
   /**
    * The answer to the write of the machine's record is handled after the machine has restarted once
-   * more and that was noticed. There is no mutation for it: a machine that restarted in this term
-   * gets starts by direct commands of a certain leader only.
+   * more and this restart was noticed. There is no mutation for this case: a machine that restarted
+   * in this term gets starts only by direct commands of a leader with a certain lease.
    */
   @Test
   void recordWriteAnsweredAfterNextRestartRunsNothingTwice() {
@@ -72,28 +77,28 @@
       assertEquals(List.of(), restart.simulation.checker.violations, restart.simulation.fullLog());
       seen += restart.newIncarnationSeen ? 1 : 0;
     }
-    // In one seed of the third case the earlier leader gives the machine up as silent before.
-    assertTrue(seen >= SEEDS - 1, "the new incarnation was heard in " + seen + " seeds");
+    // In one seed of the third case the earlier leader has given the machine up as silent before
+    // that.
+    assertTrue(
+        seen >= SEEDS - 1, "the earlier leader saw the new incarnation only in " + seen + " seeds");
   }
 
-  /** Without the proof that an incarnation was there in time, a task runs twice. */
+  /** Asserts that a task runs twice without the proof that an incarnation existed in time. */
   private static void assertDetected(PriorKnowledge known) {
-    Mutation unproven = Mutation.TRUST_UNPROVEN_INCARNATIONS;
-    boolean missed = false;
+    Mutation mutation = Mutation.TRUST_UNPROVEN_INCARNATIONS;
+    boolean detected = false;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      missed |= !playRestart(seed, known, unproven).simulation.checker.violations.isEmpty();
+      detected |= !playRestart(seed, known, mutation).simulation.checker.violations.isEmpty();
     }
-    assertTrue(missed, unproven + " taken away is not missed");
+    assertTrue(detected, mutation + ": no seed violates an invariant");
   }
 
   private static Restart playRestart(long seed, PriorKnowledge known, Mutation... mutations) {
     Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
     simulation.mutations.addAll(List.of(mutations));
     simulation.runTo(5);
-    simulation.controllers.forEach(
-        controller ->
-            simulation.cutBoth(
-                controller.name, "cloud")); // nothing is provisioned: some tasks have to wait
+    // No machine can be provisioned, so some tasks have to wait.
+    simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "cloud"));
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, MACHINES), null);
     simulation.submit(JobDraft.job("wk-2", JobKind.ARRAY, 3 * MACHINES + 8), TASK_MS);
     simulation.runTo(19);
@@ -146,7 +151,10 @@
     simulation.runTo((simulation.now() + ms) / 1000.0);
   }
 
-  /** Nobody reaches it and it reaches nobody: it cannot know that its lease is over. */
+  /**
+   * Cuts a controller off from the store, the other controllers and the workers, in both
+   * directions, so that it cannot know that its lease has expired.
+   */
   private static void isolate(Simulation simulation, ControllerModel isolated) {
     simulation.cutBoth(isolated.name, "state");
     simulation.controllers.stream()
--- a/src/test/java/org/astershift/simulation/JobDraft.java
+++ b/src/test/java/org/astershift/simulation/JobDraft.java
@@ -6,8 +6,8 @@
 import org.astershift.scheduler.Priority;
 
 /**
- * A job as a test describes it, for all tests: one task of an array that takes one processor, of
- * one team, unless it says otherwise.
+ * A draft of a job for all tests. By default it is an array with one task that takes one processor,
+ * of one team.
  */
 public final class JobDraft {
   private final String id;
@@ -31,7 +31,7 @@
     this.id = id;
   }
 
-  /** A job of this kind, with nothing else said of it. */
+  /** Returns the specification of a job of this kind, with defaults for everything else. */
   static JobSpec job(String id, JobKind kind, int tasks) {
     return array(id, tasks).kind(kind).spec();
   }
@@ -42,7 +42,7 @@
     return draft;
   }
 
-  /** All its tasks run at the same time, or none does. */
+  /** Drafts a gang: its tasks run all at the same time or not at all. */
   static JobDraft gang(String id, int tasks) {
     return array(id, tasks).kind(JobKind.GANG);
   }
@@ -78,19 +78,19 @@
     return machineTypes(List.of(type));
   }
 
-  /** Null: any type. */
+  /** Restricts the job to these machine types; null: any type. */
   public JobDraft machineTypes(List<String> types) {
     this.types = types;
     return this;
   }
 
-  /** What its owner thinks that a task takes. */
+  /** Sets the owner's estimate of the run time of a task. */
   public JobDraft estimate(double seconds) {
     estimateS = seconds;
     return this;
   }
 
-  /** Null: any zone. */
+  /** Restricts the job to a zone; null: any zone. */
   public JobDraft zone(String zone) {
     this.zone = zone;
     return this;
@@ -100,8 +100,8 @@
     return oneZone(true);
   }
 
-  public JobDraft oneZone(boolean is) {
-    oneZone = is;
+  public JobDraft oneZone(boolean enabled) {
+    oneZone = enabled;
     return this;
   }
 
@@ -109,8 +109,8 @@
     return spread(true);
   }
 
-  public JobDraft spread(boolean is) {
-    spread = is;
+  public JobDraft spread(boolean enabled) {
+    spread = enabled;
     return this;
   }
 
@@ -118,18 +118,20 @@
     return spot(true);
   }
 
-  public JobDraft spot(boolean is) {
-    spot = is;
+  public JobDraft spot(boolean enabled) {
+    spot = enabled;
     return this;
   }
 
-  /** Its tasks save when they are stopped, and take so long for that. */
+  /**
+   * Makes tasks save when they are stopped, which takes {@code saveS} seconds; 0: they do not save.
+   */
   public JobDraft saves(double saveS) {
     this.saveS = saveS;
     return this;
   }
 
-  /** The job as drafted. */
+  /** Returns the specification of the job. */
   public JobSpec spec() {
     double checkpointS = saveS > 0 ? 5 : 0;
     return new JobSpec(
--- a/src/test/java/org/astershift/simulation/JobStreamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/JobStreamCombinedFaultsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Streams of short jobs, and of failovers: each job ends or is cancelled, and its user learns of it
+ * Streams of short jobs and of failovers: each job ends or is cancelled, and its user learns of it
  * in time.
  */
 class JobStreamCombinedFaultsTest {
@@ -26,12 +26,12 @@
   private static final int MUTANT_SEEDS = 80;
 
   /**
-   * One-task jobs come four a second for two minutes, and a quarter is cancelled; the leader ends
-   * in the middle, or not.
+   * One-task jobs arrive four a second for two minutes, and a quarter of them is cancelled; the
+   * leader crashes or hands over in the middle, or stays.
    */
   @Test
   void streamedJobsEndAndCancelInTime() {
-    List<Long> quietMs = new ArrayList<>();
+    List<Long> undisturbedLatencyMs = new ArrayList<>();
     for (LeaderChange change :
         List.of(LeaderChange.NONE, LeaderChange.CRASHES, LeaderChange.HANDS_OVER)) {
       for (long seed = 1; seed <= SEEDS; seed++) {
@@ -39,17 +39,19 @@
         assertNoViolations(simulation);
         assertEquals(480, simulation.users.accepted().size() - 1, simulation.recentLog());
         int confirmed = simulation.checker.cancelsConfirmed();
-        assertTrue(confirmed > 40, confirmed + " confirmed\n" + simulation.recentLog());
+        assertTrue(
+            confirmed > 40, confirmed + " cancellations confirmed\n" + simulation.recentLog());
         assertEquals(480, simulation.checker.jobsEnded(), simulation.recentLog());
         if (change == LeaderChange.NONE) {
-          quietMs.addAll(simulation.checker.cancelLatencyMs);
+          undisturbedLatencyMs.addAll(simulation.checker.cancelLatencyMs);
         }
       }
     }
-    // What nothing starts after is waited for; yet on a quiet day hardly anybody has to ask again.
-    Collections.sort(quietMs);
-    long most = quietMs.get(quietMs.size() * 98 / 100);
-    assertTrue(most < LoopTiming.CANCEL_WAIT_MS, quietMs.toString());
+    // A cancellation is confirmed only once no further start can follow; without a failover hardly
+    // any user has to ask again all the same.
+    Collections.sort(undisturbedLatencyMs);
+    long percentile98Ms = undisturbedLatencyMs.get(undisturbedLatencyMs.size() * 98 / 100);
+    assertTrue(percentile98Ms < LoopTiming.CANCEL_WAIT_MS, undisturbedLatencyMs.toString());
     assertDetected(
         Mutation.CONFIRM_CANCEL_WHILE_STARTING,
         MUTANT_SEEDS,
@@ -67,7 +69,10 @@
     return simulation;
   }
 
-  /** The leader changes ten times in two minutes, half of that inside an outage, or without one. */
+  /**
+   * The leader changes ten times in two minutes; in half of the plays these changes meet store
+   * outages.
+   */
   @Test
   void jobsEndDespiteTenFailoversInTwoMinutes() {
     int confirmed = 0;
@@ -82,7 +87,7 @@
         confirmed += simulation.checker.cancelsConfirmed();
       }
     }
-    assertTrue(confirmed > 100, confirmed + " confirmed");
+    assertTrue(confirmed > 100, confirmed + " cancellations confirmed");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
@@ -97,13 +102,13 @@
     submitJobs(simulation, 100, 30, 110_000, 4000);
     for (int i = 0; i < 10; i++) {
       simulation.after(i * 2000, () -> simulation.users.cancelNow(1));
-      List<LeaderChange> all = new ArrayList<>(List.of(LeaderChange.values()));
-      all.remove(LeaderChange.NONE);
-      LeaderChange change = all.get(simulation.random.nextInt(all.size()));
+      List<LeaderChange> changes = new ArrayList<>(List.of(LeaderChange.values()));
+      changes.remove(LeaderChange.NONE);
+      LeaderChange change = changes.get(simulation.random.nextInt(changes.size()));
       simulation.after(
           1000 + i * 12_000 + simulation.random.nextLong(6000), () -> apply(simulation, change));
       if (outage) {
-        // Each change falls into an outage of some seconds, or just before or after it.
+        // Each leader change falls into an outage of some seconds, or just before or after it.
         simulation.after(2000 + i * 12_000, () -> simulation.store.unavailable(true));
         simulation.after(6000 + i * 12_000, () -> simulation.store.unavailable(false));
       }
--- a/src/test/java/org/astershift/simulation/LargeFleetTest.java
+++ b/src/test/java/org/astershift/simulation/LargeFleetTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What happens to a few machines elsewhere, in a fleet of the size that operators run. */
+/** Faults that other tests play on a few machines, in a fleet of the size that operators run. */
 class LargeFleetTest {
   private static final int MACHINES = 4000;
   private static final int SERVICES = 20;
@@ -21,8 +21,8 @@
   private static final long RESTART_MS = 900;
 
   /**
-   * The leader ends; its successor is refused by the store for some seconds; then all controllers
-   * end at once. Each time 200 machines restart within a second, in the midst of it.
+   * The leader crashes; the store refuses its successor for some seconds; then all controllers
+   * crash at once. Each time 200 machines restart within a second meanwhile.
    */
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
@@ -62,7 +62,7 @@
         (task, machine) -> replicas[0] += task.startsWith("wk-s") ? 1 : 0);
     assertEquals(SERVICES * REPLICAS, replicas[0]);
     for (String job : simulation.users.accepted()) {
-      assertTrue(job.startsWith("wk-s") || simulation.checker.isEnded(job), job + " is not over");
+      assertTrue(job.startsWith("wk-s") || simulation.checker.isEnded(job), job + " has not ended");
     }
   }
 
@@ -72,10 +72,10 @@
     }
   }
 
-  /** Others each time, in all zones, for up to a second. */
-  private static void restartMachines(Simulation simulation, int time) {
+  /** Restarts other machines each time, in all zones, each for up to a second. */
+  private static void restartMachines(Simulation simulation, int round) {
     for (int i = 0; i < RESTARTED; i++) {
-      String machine = "vm-" + (i * (MACHINES / RESTARTED) + time);
+      String machine = "vm-" + (i * (MACHINES / RESTARTED) + round);
       simulation.workers.get(machine).restart(1 + simulation.random.nextLong(RESTART_MS));
     }
   }
--- a/src/test/java/org/astershift/simulation/LeaderLossFaults.java
+++ b/src/test/java/org/astershift/simulation/LeaderLossFaults.java
@@ -11,33 +11,38 @@
 
 /**
  * Set-up and assertions of the tests in which a leader is lost in different ways while jobs end,
- * are cancelled and go on.
+ * are cancelled and run on.
  */
 final class LeaderLossFaults {
   private LeaderLossFaults() {}
 
   static final int MACHINES = 12;
 
-  /** How the leader ends. */
+  /** How the leader is lost. */
   enum LeaderLoss {
     CRASHES,
     RESTARTS_AT_ONCE,
     HANDS_OVER,
-    /** It loses the store and the others, and workers and users still reach it. */
+    /**
+     * The leader is cut off from the store and the other controllers; workers and users still reach
+     * it.
+     */
     PARTITIONED,
-    /** The store is down for all, and it crashes meanwhile. */
+    /** The leader crashes while the store is unavailable to all. */
     CRASHES_IN_STORE_OUTAGE
   }
 
   /**
-   * Arrays that end ({@code wk-10..15}), that are cancelled before the leader ends (20..23), and
-   * that run on (30..32), beside a service and under a limit.
+   * Creates a simulation with arrays that end ({@code wk-10..15}), arrays for the test to cancel
+   * around the loss of the leader (20..23) and arrays that run on (30..32), beside a service and,
+   * under even seeds, a team limit. {@code keepShare} is the share of the heartbeats of which a
+   * duplicate is kept for the next leader.
    */
-  static Simulation createLoadedSimulation(long seed, double kept, Mutation... mutations) {
+  static Simulation createLoadedSimulation(long seed, double keepShare, Mutation... mutations) {
     Simulation simulation = CombinedFaults.createSimulation(seed, MACHINES, mutations);
     simulation.teamCpuLimit = seed % 2 == 0 ? 44 : 0;
     simulation.runTo(4);
-    simulation.delayedHeartbeats.keepShare = kept;
+    simulation.delayedHeartbeats.keepShare = keepShare;
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, MACHINES), null);
     for (int i = 10; i < 16; i++) {
       simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
@@ -53,7 +58,7 @@
     return simulation;
   }
 
-  /** Whoever leads with the highest token; null: nobody. */
+  /** Returns the leader with the highest fencing token; null if no controller leads. */
   static ControllerModel newestLeader(Simulation simulation) {
     return simulation.leaders().stream()
         .max(Comparator.comparingLong(ControllerModel::token))
@@ -88,34 +93,41 @@
         simulation.recentLog());
   }
 
-  /** Ends the leader; who leads next is another one, or the same process restarted. */
-  static void apply(Simulation simulation, ControllerModel old, LeaderLoss how) {
-    switch (how) {
+  /**
+   * Ends the leadership of {@code old}; the next leader is another controller, or the same one
+   * restarted.
+   */
+  static void apply(Simulation simulation, ControllerModel old, LeaderLoss loss) {
+    switch (loss) {
       case RESTARTS_AT_ONCE -> {
         old.crash();
         simulation.after(100 + simulation.random.nextLong(400), old::start);
       }
       case HANDS_OVER -> old.resign();
       case PARTITIONED -> {
-        List<String> lost = new ArrayList<>(List.of("state"));
+        List<String> unreachable = new ArrayList<>(List.of("state"));
         simulation.controllers.stream()
             .filter(controller -> controller != old)
-            .forEach(controller -> lost.add(controller.name));
-        lost.forEach(other -> simulation.cutBoth(old.name, other));
-        simulation.after(20_000, () -> lost.forEach(other -> simulation.healBoth(old.name, other)));
+            .forEach(controller -> unreachable.add(controller.name));
+        unreachable.forEach(other -> simulation.cutBoth(old.name, other));
+        simulation.after(
+            20_000, () -> unreachable.forEach(other -> simulation.healBoth(old.name, other)));
       }
       default -> {
-        if (how == LeaderLoss.CRASHES_IN_STORE_OUTAGE) {
+        if (loss == LeaderLoss.CRASHES_IN_STORE_OUTAGE) {
           simulation.store.unavailable(true);
           simulation.after(3000, () -> simulation.store.unavailable(false));
         }
-        simulation.after(how == LeaderLoss.CRASHES ? 0 : 1500, old::crash);
+        simulation.after(loss == LeaderLoss.CRASHES ? 0 : 1500, old::crash);
         simulation.after(6000, old::start);
       }
     }
   }
 
-  /** The cancelled arrays' users ask within the next seconds. */
+  /**
+   * Schedules the cancellation of the jobs {@code first} to {@code last} by their users, each
+   * within {@code withinMs}.
+   */
   static void cancelJobs(Simulation simulation, int first, int last, long withinMs) {
     for (int i = first; i <= last; i++) {
       String job = "wk-" + i;
--- a/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines that pause, that reach no controller, or that are up at once, and what else goes wrong
- * meanwhile. Each case counts what it is about, so that it is seen to have happened.
+ * Machines that pause, that reach no controller, or that boot within seconds, while other faults
+ * occur. Each case counts the fault that it is about, to show that it occurred.
  */
 class MachineCombinedFaultsTest {
   private static final int SEEDS = 6;
@@ -28,7 +28,7 @@
   private static final int STREAM_JOBS = 120;
   private static final long LEASE_MS = Setup.of(3, MACHINES).leaseMs();
 
-  /** What becomes of the leader in the middle of it. */
+  /** What happens to the leader meanwhile. */
   private enum LeaderFault {
     STAYS,
     CRASHES,
@@ -64,20 +64,23 @@
   }
 
   private static List<WorkerModel> pickRandomMachines(Simulation simulation, int machines) {
-    List<WorkerModel> all = new ArrayList<>(simulation.workers.values());
-    all.removeIf(machine -> !machine.alive());
-    List<WorkerModel> out = new ArrayList<>();
+    List<WorkerModel> alive = new ArrayList<>(simulation.workers.values());
+    alive.removeIf(machine -> !machine.alive());
+    List<WorkerModel> picked = new ArrayList<>();
     for (int i = 0; i < machines; i++) {
-      out.add(all.remove(simulation.random.nextInt(all.size())));
+      picked.add(alive.remove(simulation.random.nextInt(alive.size())));
     }
-    return out;
+    return picked;
   }
 
   private static int sumOverMachines(Simulation simulation, ToIntFunction<WorkerModel> count) {
     return simulation.workers.values().stream().mapToInt(count).sum();
   }
 
-  /** One-task jobs, four a second, and each fourth of them is cancelled soon after. */
+  /**
+   * Submits one-task jobs, four a second; each fourth of them is cancelled soon after it was
+   * accepted.
+   */
   private static void submitStream(Simulation simulation, int jobs, long runMs) {
     for (int i = 0; i < jobs; i++) {
       String job = "wk-" + (1000 + i);
@@ -94,15 +97,17 @@
   }
 
   /**
-   * {@code lastStartMs}: the last start on an outbound-partitioned machine after it became so; 0:
-   * there was none.
+   * {@code lastStartMs}: time from the beginning of the partition to the last start on an
+   * outbound-partitioned machine, 0 if there was none; {@code movedMs}: time until all tasks of
+   * these machines ran elsewhere.
    */
   private record PartitionPlay(Simulation simulation, long lastStartMs, long movedMs) {}
 
   /**
-   * Machines reach no controller for three leases, while direct commands reach them. They get
-   * nothing new, what they held runs elsewhere, and what users cancel there ends in time; also
-   * where the leader changes meanwhile, which sees them only by their answers and waits for none.
+   * Machines reach no controller for three leases, while direct commands reach them. They get no
+   * new tasks, the tasks that they held run elsewhere, and the tasks that users cancel there end in
+   * time; also where the leader changes meanwhile: the new leader sees these machines only by their
+   * answers, and waits for none of them.
    */
   @Test
   void outboundPartitionedMachinesGetNoNewTasks() {
@@ -118,25 +123,29 @@
             played.simulation.fullLog());
         assertEquals(
             STREAM_JOBS + 1, played.simulation.checker.jobsEnded(), played.simulation.fullLog());
-        undelivered += sumOverMachines(played.simulation, x -> x.undeliveredHeartbeats);
+        undelivered += sumOverMachines(played.simulation, machine -> machine.undeliveredHeartbeats);
         killed += played.simulation.checker.killedByLease;
-        // A new leader gives it half a lease to send a heartbeat, and begins within six seconds.
+        // A new leader gives the machine half a lease to send a heartbeat, and its term begins
+        // within six seconds.
         long latest = LEASE_MS / 2 + 1000 + (fault == LeaderFault.STAYS ? 0 : 2000 + 6000 + 1500);
         assertTrue(
-            played.lastStartMs <= latest, played.lastStartMs + "\n" + played.simulation.fullLog());
+            played.lastStartMs <= latest,
+            played.lastStartMs + " ms to the last start\n" + played.simulation.fullLog());
         assertTrue(
-            played.movedMs <= 2 * LEASE_MS, played.movedMs + "\n" + played.simulation.fullLog());
+            played.movedMs <= 2 * LEASE_MS,
+            played.movedMs + " ms until all tasks ran elsewhere\n" + played.simulation.fullLog());
       }
     }
-    assertTrue(undelivered > 500, undelivered + " heartbeats reached nobody");
-    assertTrue(killed > 50, killed + " tasks ended with a lease");
+    assertTrue(undelivered > 500, undelivered + " heartbeats reached no controller");
+    assertTrue(killed > 50, killed + " tasks were killed by an expired lease");
     int late = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       PartitionPlay played =
           playOutboundPartition(seed, 4, LeaderFault.STAYS, Mutation.COMMAND_ANSWERS_RENEW_LEASES);
       late += played.lastStartMs > LEASE_MS / 2 + 1000 ? 1 : 0;
     }
-    assertNotEquals(0, late, Mutation.COMMAND_ANSWERS_RENEW_LEASES + " not missed");
+    assertNotEquals(
+        0, late, Mutation.COMMAND_ANSWERS_RENEW_LEASES + ": no seed starts a task too late");
   }
 
   private static PartitionPlay playOutboundPartition(
@@ -173,8 +182,8 @@
   }
 
   /**
-   * Commands and answers are held up by machines that pause, for less than a lease, exactly one,
-   * and longer; starts and stops in any order, and the leader changes or not.
+   * Machines that pause for less than a lease, for exactly one lease and for longer hold up
+   * commands and answers; starts and stops come in any order, and the leader changes or not.
    */
   @Test
   void jobsEndDespitePausedMachines() {
@@ -182,9 +191,9 @@
     int answered = 0;
     int resumed = 0;
     for (LeaderFault fault : LeaderFault.values()) {
-      for (long ms : pauseDurationsMs()) {
+      for (long pauseMs : pauseDurationsMs()) {
         for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-          Simulation simulation = playPauses(seed, ms, fault);
+          Simulation simulation = playPauses(seed, pauseMs, fault);
           assertNoViolations(simulation);
           assertEquals(12, simulation.checker.jobsEnded(), simulation.fullLog());
           assertEquals(
@@ -195,20 +204,21 @@
         }
       }
     }
-    assertTrue(executed > 40, executed + " commands were executed when a machine went on");
-    assertTrue(answered > 15, answered + " answers were heard when a machine went on");
-    assertTrue(resumed > 200, resumed + " tasks went on");
+    assertTrue(executed > 40, executed + " commands were executed when a machine resumed");
+    assertTrue(answered > 15, answered + " heartbeat answers were handled when a machine resumed");
+    assertTrue(resumed > 200, resumed + " tasks resumed");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
-        s -> playPauses(s, LEASE_MS / 2, LeaderFault.CRASHES, Mutation.NO_INHERITED_MACHINES));
+        seed ->
+            playPauses(seed, LEASE_MS / 2, LeaderFault.CRASHES, Mutation.NO_INHERITED_MACHINES));
   }
 
-  private static void pause(WorkerModel machine, boolean reporting, long ms) {
-    if (reporting) {
-      machine.pauseAfterHeartbeat(ms);
+  private static void pause(WorkerModel machine, boolean afterHeartbeat, long pauseMs) {
+    if (afterHeartbeat) {
+      machine.pauseAfterHeartbeat(pauseMs);
     } else {
-      machine.pause(ms);
+      machine.pause(pauseMs);
     }
   }
 
@@ -217,7 +227,7 @@
   }
 
   private static Simulation playPauses(
-      long seed, long ms, LeaderFault fault, Mutation... mutations) {
+      long seed, long pauseMs, LeaderFault fault, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, 2 * MACHINES, 0, mutations);
     for (int i = 20; i < 32; i++) {
       String job = "wk-" + i;
@@ -230,8 +240,9 @@
           () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 3000L, then));
     }
     for (WorkerModel machine : pickRandomMachines(simulation, 5)) {
-      boolean reporting = simulation.random.nextBoolean();
-      simulation.after(simulation.random.nextLong(1500), () -> pause(machine, reporting, ms));
+      boolean afterHeartbeat = simulation.random.nextBoolean();
+      simulation.after(
+          simulation.random.nextLong(1500), () -> pause(machine, afterHeartbeat, pauseMs));
     }
     simulation.runTo(20.5 + simulation.random.nextInt(3000) / 1000.0);
     apply(simulation, fault);
@@ -241,17 +252,18 @@
   }
 
   /**
-   * Many jobs with long to go are cancelled within a fifth of a second, and up to eight of their
-   * machines pause just then; the leader stays, or ends as soon as it has confirmed one of them.
+   * Many jobs with long tasks are cancelled within a fifth of a second, and up to eight of their
+   * machines pause just then; the leader stays, or is lost as soon as it has confirmed one of the
+   * cancellations.
    */
   @Test
   void cancelledJobsEndOnPausedMachines() {
     int resumed = 0;
     int left = 0;
     for (LeaderFault fault : LeaderFault.values()) {
-      for (long ms : pauseDurationsMs()) {
+      for (long pauseMs : pauseDurationsMs()) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Simulation simulation = playCancellations(seed, ms, fault);
+          Simulation simulation = playCancellations(seed, pauseMs, fault);
           assertNoViolations(simulation);
           for (int i = 20; i < 34; i++) {
             assertTrue(
@@ -268,18 +280,18 @@
         }
       }
     }
-    assertTrue(left > 100, left + " tasks were left as it was confirmed");
-    assertTrue(resumed > 50, resumed + " cancelled tasks went on with their machine");
+    assertTrue(left > 100, left + " tasks were left when their cancellation was confirmed");
+    assertTrue(resumed > 50, resumed + " cancelled tasks resumed with their machine");
     assertDetected(
         Mutation.NO_STOPS_FOR_ENDED_JOBS,
         MUTANT_SEEDS,
-        s ->
+        seed ->
             playCancellations(
-                s, LEASE_MS / 2, LeaderFault.CRASHES, Mutation.NO_STOPS_FOR_ENDED_JOBS));
+                seed, LEASE_MS / 2, LeaderFault.CRASHES, Mutation.NO_STOPS_FOR_ENDED_JOBS));
   }
 
   private static Simulation playCancellations(
-      long seed, long ms, LeaderFault fault, Mutation... mutations) {
+      long seed, long pauseMs, LeaderFault fault, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, MACHINES, 0, mutations);
     for (int i = 20; i < 36; i++) {
       simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
@@ -290,8 +302,9 @@
       simulation.after(simulation.random.nextLong(200), () -> simulation.userCancels(job));
     }
     for (WorkerModel machine : pickRandomMachines(simulation, 8)) {
-      boolean reporting = simulation.random.nextInt(4) == 0;
-      simulation.after(simulation.random.nextLong(300), () -> pause(machine, reporting, ms));
+      boolean afterHeartbeat = simulation.random.nextInt(4) == 0;
+      simulation.after(
+          simulation.random.nextLong(300), () -> pause(machine, afterHeartbeat, pauseMs));
     }
     simulation.runUntil(simulation.checker::anyCancelConfirmed, 32);
     apply(simulation, fault);
@@ -301,10 +314,10 @@
   }
 
   /**
-   * Machines are up within two seconds, some before the controller has the provisioning request's
-   * answer, and get work at once, while what the leader writes gets no answer and is carried out
-   * late; and the leader ends in the middle of it, twice. Nothing runs twice, nothing is over a
-   * limit, and each machine that has tasks is known in the end.
+   * Machines boot within two seconds, some before the controller has the answer to its provisioning
+   * request, and get work at once, while the leader's writes get no answer and are applied late;
+   * the leader is lost meanwhile, twice. No task runs twice, no limit is exceeded, and each machine
+   * that has tasks is known in the end.
    */
   @Test
   void fastBootingMachinesAreKnownAfterFailover() {
@@ -323,13 +336,14 @@
         late += simulation.store.appliedAfterNewer;
       }
     }
-    assertTrue(early > 100, early + " machines were up before their provisioning request's answer");
+    assertTrue(
+        early > 100, early + " machines were up before their provisioning request was answered");
     assertTrue(busyEarly > 20, busyEarly + " of them had tasks by then");
-    assertNotEquals(0, late, "no write came after a newer one");
+    assertNotEquals(0, late, "no late write was applied after a newer one");
     assertDetected(
         Mutation.TASKS_BEFORE_REGISTRATION,
         MUTANT_SEEDS,
-        s -> playFastBoots(s, LeaderFault.CRASHES, Mutation.TASKS_BEFORE_REGISTRATION));
+        seed -> playFastBoots(seed, LeaderFault.CRASHES, Mutation.TASKS_BEFORE_REGISTRATION));
   }
 
   private static Simulation playFastBoots(long seed, LeaderFault fault, Mutation... mutations) {
--- a/src/test/java/org/astershift/simulation/OutageCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/OutageCombinedFaultsTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All controllers, or a zone with one of them, are away for longer than a lease. Each case counts
- * that its faults met.
+ * All controllers, or a zone with one of them, are unavailable for longer than a lease. Each case
+ * asserts that its faults occurred together.
  */
 class OutageCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MUTANT_SEEDS = 60;
 
-  /** Who returns after all controllers were away. */
+  /** The order in which controllers return after all of them were down. */
   private enum ReturnOrder {
     ONE,
     ALL_AT_ONCE,
@@ -34,10 +34,11 @@
   }
 
   /**
-   * All controllers are away for longer than a lease, with machines that worked on until theirs ran
-   * out, died or restarted; jobs were cancelled just before, confirmed and not confirmed; commands
-   * from before are still on their way; and duplicates of old heartbeats wait for whoever leads
-   * next. Then one, or all return, at once or one by one, with the store down as they do, or not.
+   * All controllers are down for longer than a lease, while machines work on until their leases
+   * expire, die or restart. Jobs were cancelled just before, some of them with a confirmation and
+   * some without; commands from before are still in flight; and duplicates of old heartbeats wait
+   * for the next leader. Then one controller returns, or all return, at once or one by one, with
+   * the store unavailable meanwhile or not.
    */
   @Test
   void jobsAreServedAfterAllControllersWereDownLongerThanLease() {
@@ -47,9 +48,9 @@
     int confirmed = 0;
     int unconfirmed = 0;
     int epochs = 0;
-    for (ReturnOrder back : ReturnOrder.values()) {
+    for (ReturnOrder order : ReturnOrder.values()) {
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-        ControllerOutage outage = playControllerOutage(back, seed);
+        ControllerOutage outage = playControllerOutage(order, seed);
         assertAllJobsServed(outage.simulation);
         killed += outage.simulation.checker.killedByLease;
         held += outage.heldMessages;
@@ -60,12 +61,12 @@
       }
     }
     assertTrue(killed > 200, killed + " tasks were killed by their machines' leases");
-    assertTrue(held > 50, held + " messages from before were on their way");
-    assertTrue(started > 5, started + " tasks started by commands from before, with nobody there");
+    assertTrue(held > 50, held + " messages from before were in flight");
+    assertTrue(started > 5, started + " tasks started by commands from before while nobody led");
     assertTrue(
         confirmed > 20 && unconfirmed > 20,
-        confirmed + " told before, and " + unconfirmed + " were not");
-    assertTrue(epochs > 50, epochs + " copies of earlier epochs came at a leader");
+        confirmed + " cancellations were confirmed before, " + unconfirmed + " were not");
+    assertTrue(epochs > 50, epochs + " duplicates of earlier epochs reached a leader");
     Mutation mutation = Mutation.NO_INHERITED_MACHINES;
     assertDetected(
         mutation,
@@ -75,14 +76,15 @@
   }
 
   /**
-   * {@code confirmed}: cancellations before all were away; {@code heldMessages}: messages on their
-   * way; {@code started}: tasks that started with nobody there, by commands from before.
+   * {@code confirmed}: cancellations confirmed before all controllers were down; {@code
+   * heldMessages}: messages in flight at that time; {@code started}: tasks that commands from
+   * before started while nobody led.
    */
   private record ControllerOutage(
       Simulation simulation, int confirmed, int heldMessages, int started) {}
 
   private static ControllerOutage playControllerOutage(
-      ReturnOrder back, long seed, Mutation... mutations) {
+      ReturnOrder order, long seed, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, 0.3, mutations);
     simulation.pollAllJobs();
     ControllerModel old = newestLeader(simulation);
@@ -95,23 +97,20 @@
     simulation.runTo(10);
     cancelJobs(simulation, 20, 21, 300);
     simulation.runTo(11.5);
-    cancelJobs(
-        simulation,
-        22,
-        23,
-        1000); // some are confirmed, some wait, and some begin to wait with all away
+    // Some are confirmed, some wait, and some begin to wait while all controllers are down.
+    cancelJobs(simulation, 22, 23, 1000);
     simulation.runTo(12);
     int confirmed = simulation.checker.cancelsConfirmed();
     int held = simulation.heldMessageCount();
     simulation.controllers.forEach(
         controller -> simulation.after(simulation.random.nextLong(300), controller::crash));
     simulation.runTo(12.4);
-    long awayMs = simulation.setup.leaseMs() + 1000 + simulation.random.nextLong(12_000);
+    long downMs = simulation.setup.leaseMs() + 1000 + simulation.random.nextLong(12_000);
     for (int i = 0; i < 4; i++) {
-      // What was on its way when all ended arrives in a new incarnation, or in the old one's next
-      // epoch.
+      // What was in flight when all controllers crashed arrives in a new incarnation, or in the old
+      // incarnation's next epoch.
       String machine = "vm-" + (seed + 3 * i) % MACHINES;
-      long restartMs = awayMs - 500 - simulation.random.nextLong(simulation.setup.leaseMs());
+      long restartMs = downMs - 500 - simulation.random.nextLong(simulation.setup.leaseMs());
       if (simulation.random.nextInt(4) > 0) {
         simulation.after(restartMs, () -> simulation.workers.get(machine).restart(200));
       }
@@ -124,20 +123,20 @@
       }
     }
     if (seed % 2 == 0) {
-      simulation.after(awayMs - 1000, () -> simulation.store.unavailable(true));
+      simulation.after(downMs - 1000, () -> simulation.store.unavailable(true));
       simulation.after(
-          awayMs + 2000 + simulation.random.nextLong(5000),
+          downMs + 2000 + simulation.random.nextLong(5000),
           () -> simulation.store.unavailable(false));
     }
     int first = simulation.random.nextInt(3);
     for (int i = 0; i < 3; i++) {
       long after =
-          switch (back) {
+          switch (order) {
             case ONE -> i * 15_000L;
             case ALL_AT_ONCE -> simulation.random.nextLong(50);
             default -> i * 700L + simulation.random.nextLong(3000);
           };
-      simulation.after(awayMs + after, simulation.controllers.get((first + i) % 3)::start);
+      simulation.after(downMs + after, simulation.controllers.get((first + i) % 3)::start);
     }
     int started = simulation.checker.started;
     simulation.runUntil(() -> newestLeader(simulation) != null, 80);
@@ -148,34 +147,37 @@
   }
 
   /**
-   * A zone with its workers and a controller, the leader or another, is partitioned for longer than
-   * a lease; cancellations are confirmed on both sides of it, just before by the old leader and
-   * meanwhile by the next one; it is healed as the leader changes once more. Machines that nobody
-   * reaches are released, or, with the cloud away as well, live on to the end of it.
+   * A zone with its workers and a controller, the leader or another one, is partitioned for longer
+   * than a lease. Cancellations are confirmed on both sides of the partition, just before it by the
+   * old leader and meanwhile by the next one; the partition is healed as the leader changes once
+   * more. Machines that no controller reaches are released or, with the cloud unreachable as well,
+   * live on to the end of the partition.
    */
   @Test
   void jobsAreServedAfterZonePartitionLongerThanLease() {
     int before = 0;
     int meanwhile = 0;
     int withUncertainLease = 0;
-    int lived = 0;
+    int survivors = 0;
     for (boolean withLeader : new boolean[] {true, false}) {
-      for (boolean cloud : new boolean[] {true, false}) {
+      for (boolean cloudReachable : new boolean[] {true, false}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          ZonePartition partition = playZonePartition(withLeader, cloud, seed);
+          ZonePartition partition = playZonePartition(withLeader, cloudReachable, seed);
           assertAllJobsServed(partition.simulation);
           before += partition.confirmedBefore;
           meanwhile += partition.confirmedMeanwhile;
           withUncertainLease += partition.answeredWithUncertainLease;
-          lived += partition.survivors;
+          survivors += partition.survivors;
         }
       }
     }
-    assertTrue(before > 20 && meanwhile > 20, before + " told before, " + meanwhile + " meanwhile");
+    assertTrue(
+        before > 20 && meanwhile > 20,
+        before + " cancellations confirmed before, " + meanwhile + " meanwhile");
     assertTrue(
         withUncertainLease > 100,
-        withUncertainLease + " heartbeats answered by the leader that was cut off");
-    assertTrue(lived > 20, lived + " machines of the zone lived on");
+        withUncertainLease + " heartbeats answered by the partitioned leader");
+    assertTrue(survivors > 20, survivors + " machines of the zone survived");
     Mutation mutation = Mutation.CONFIRM_CANCEL_UNRECONCILED;
     assertDetected(
         mutation, MUTANT_SEEDS, seed -> playZonePartition(true, false, seed, mutation).simulation);
@@ -189,7 +191,7 @@
       int survivors) {}
 
   private static ZonePartition playZonePartition(
-      boolean withLeader, boolean cloud, long seed, Mutation... mutations) {
+      boolean withLeader, boolean cloudReachable, long seed, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, 0.2, mutations);
     simulation.pollAllJobs();
     simulation.runTo(15);
@@ -203,18 +205,18 @@
                 .findFirst()
                 .orElseThrow();
     cancelJobs(simulation, 20, 21, 100);
-    simulation.runTo(
-        15.05 + simulation.random.nextInt(150) / 1000.0); // stops may not have gone out yet
+    // Stop commands may not have been sent yet.
+    simulation.runTo(15.05 + simulation.random.nextInt(150) / 1000.0);
     final int before = simulation.checker.cancelsConfirmed();
-    List<String> lost = new ArrayList<>(List.of("state", "zone b", "zone c"));
+    List<String> unreachable = new ArrayList<>(List.of("state", "zone b", "zone c"));
     for (ControllerModel controller : simulation.controllers) {
       if (controller != inZone) {
-        lost.add(controller.name);
+        unreachable.add(controller.name);
         simulation.cutBoth(controller.name, "zone a");
       }
     }
-    lost.forEach(other -> simulation.cutBoth(inZone.name, other));
-    if (!cloud) {
+    unreachable.forEach(other -> simulation.cutBoth(inZone.name, other));
+    if (!cloudReachable) {
       simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "cloud"));
     }
     cancelJobs(simulation, 22, 23, 8000);
@@ -223,7 +225,7 @@
         15 + (simulation.setup.leaseMs() + 1500 + simulation.random.nextInt(25_000)) / 1000.0);
     assertTrue(!withLeader || hasNewerLeader(simulation, token), simulation.recentLog());
     int meanwhile = simulation.checker.cancelsConfirmed() - before;
-    long lived =
+    long survivors =
         simulation.workers.values().stream()
             .filter(machine -> machine.alive() && machine.zone.equals("a"))
             .count();
@@ -235,6 +237,10 @@
     simulation.healAll();
     simulation.runTo(130);
     return new ZonePartition(
-        simulation, before, meanwhile, old.answeredWithUncertainLease() - answered, (int) lived);
+        simulation,
+        before,
+        meanwhile,
+        old.answeredWithUncertainLease() - answered,
+        (int) survivors);
   }
 }
--- a/src/test/java/org/astershift/simulation/OverloadCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/OverloadCombinedFaultsTest.java
@@ -11,21 +11,24 @@
 import org.astershift.simulation.Simulation.Setup;
 import org.junit.jupiter.api.Test;
 
-/** More work than room over slow links, as the leader changes: nothing starves beside room. */
+/**
+ * More work than room over slow links while the leader changes: no job starves while there is room
+ * for it.
+ */
 class OverloadCombinedFaultsTest {
   private static final int SEEDS = 6;
 
   /**
    * More work than there is room, urgent and not, large tasks and small, over links that take up to
-   * a second, and the leader changes in the middle of it. No invariant is violated, all that was
-   * submitted is done, and once the links are fast again nothing waits beside room, though there is
-   * still more work than room.
+   * a second, and the leader changes meanwhile. No invariant is violated, and once the links are
+   * fast again no job waits while there is room for it, although there is still more work than
+   * room.
    */
   @Test
   void noJobStarvesUnderOverloadOverSlowLinks() {
     int preempted = 0;
     int waitedAfter = 0;
-    long longest = 0;
+    long longestMs = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = createOverloadedSimulation(seed);
@@ -40,14 +43,15 @@
         simulation.runTo(75);
         submitUrgentJob(simulation, 40);
         simulation.runTo(160);
-        longest = Math.max(longest, simulation.starvationCheck.longestWaitMs());
+        longestMs = Math.max(longestMs, simulation.starvationCheck.longestWaitMs());
         assertNoViolations(simulation);
       }
     }
     int played = LeaderFault.values().length * SEEDS;
-    assertTrue(preempted >= played, preempted + " stopped for urgent work");
-    assertTrue(longest > 30_000, "the longest wait beside room " + longest + " ms");
-    assertTrue(waitedAfter >= 50 * played, waitedAfter + " waited when the faults were over");
+    assertTrue(preempted >= played, preempted + " tasks stopped for urgent work");
+    assertTrue(longestMs > 30_000, "longest wait while there was room: " + longestMs + " ms");
+    assertTrue(
+        waitedAfter >= 50 * played, waitedAfter + " tasks waited when the faults were healed");
   }
 
   private static int countWaitingTasks(Simulation simulation) {
@@ -56,11 +60,11 @@
         .sum();
   }
 
-  private static void setLinkDelays(Simulation simulation, long ms) {
+  private static void setLinkDelays(Simulation simulation, long addedMs) {
     for (ControllerModel controller : simulation.controllers) {
       for (String host : List.of("workers", "state", "cloud")) {
-        simulation.delayLink(controller.name, host, host.equals("state") ? ms / 4 : ms);
-        simulation.delayLink(host, controller.name, host.equals("state") ? ms / 4 : ms);
+        simulation.delayLink(controller.name, host, host.equals("state") ? addedMs / 4 : addedMs);
+        simulation.delayLink(host, controller.name, host.equals("state") ? addedMs / 4 : addedMs);
       }
     }
   }
@@ -73,9 +77,10 @@
     setLinkDelays(simulation, 1000);
     simulation.runTo(6);
     for (int i = 0; i < 10; i++) {
-      // Guests at whose work nobody aims, and large and small work of the others.
-      JobDraft guest = JobDraft.array("wk-g" + i, 12).classAndPriority("g", Priority.LOW);
-      simulation.submit(guest.saves(i % 2 == 0 ? 2 : 0).spec(), 15_000L);
+      // Low-priority work of a class without an objective, and large and small work of another
+      // class.
+      JobDraft lowPriority = JobDraft.array("wk-g" + i, 12).classAndPriority("g", Priority.LOW);
+      simulation.submit(lowPriority.saves(i % 2 == 0 ? 2 : 0).spec(), 15_000L);
       boolean large = i % 3 == 0;
       JobDraft normal =
           JobDraft.array("wk-n" + i, large ? 60 : 8).classAndPriority("n", Priority.NORMAL);
--- a/src/test/java/org/astershift/simulation/PartitionTest.java
+++ b/src/test/java/org/astershift/simulation/PartitionTest.java
@@ -21,14 +21,20 @@
 class PartitionTest {
   private static final int SEEDS = 25;
 
-  /** Without handing over the inbound-partitioned leader stays, and the leases run out. */
+  /**
+   * Without a leadership transfer the leader that is partitioned from its workers stays, and the
+   * worker leases expire.
+   */
   @Test
   void withoutLeadershipTransferWorkerLeasesExpire() {
     Simulation simulation = createLoadedSimulation(1, Setup.of(3, 60));
     simulation.mutations.add(Mutation.NO_LEADERSHIP_TRANSFER);
     simulation.cutBoth(simulation.leaders().get(0).name, "workers");
     simulation.runTo(60);
-    assertNotEquals(0, simulation.checker.killedByLease, "a safety measure was taken away");
+    assertNotEquals(
+        0,
+        simulation.checker.killedByLease,
+        "no worker lease expired without a leadership transfer");
   }
 
   @Test
@@ -62,7 +68,7 @@
       assertEquals(
           before,
           simulation.checker.leaders.size(),
-          "nobody reaches them: one stays\n" + simulation.recentLog());
+          "no controller reaches the workers, so the leader must stay\n" + simulation.recentLog());
       ControllerModel back = follower(simulation, 1);
       simulation.healBoth(back.name, "workers");
       simulation.runTo(110);
@@ -74,7 +80,7 @@
       assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
     }
   }
 
@@ -113,7 +119,10 @@
     }
   }
 
-  /** Heartbeats of a zone arrive and nothing that is said to it, while leaders change. */
+  /**
+   * Heartbeats of a zone arrive, but nothing that is sent to the zone does, while the leader
+   * changes.
+   */
   @Test
   void workMovesOutOfInboundPartitionedZoneAfterFailover() {
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -125,13 +134,14 @@
       simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
       simulation.runTo(100);
       assertNoViolations(simulation);
-      // What was opened before waits for none of them for ever: they are released, and replaced.
+      // What was opened before does not wait for these machines indefinitely: they are released and
+      // replaced.
       assertTrue(
           countRunningTasks(simulation) >= 180,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
       assertTrue(
           simulation.checker.released.stream()
-              .allMatch(m -> simulation.workers.get(m).zone.equals("a")),
+              .allMatch(machine -> simulation.workers.get(machine).zone.equals("a")),
           simulation.recentLog());
       simulation.controllers.forEach(controller -> simulation.heal(controller.name, "zone a"));
       simulation.runTo(130);
@@ -139,7 +149,10 @@
     }
   }
 
-  /** A few such machines under a leader that stays: they get nothing new, and are used again. */
+  /**
+   * A machine is inbound-partitioned for a while under a leader that stays: it gets no new tasks,
+   * and is used again after the partition.
+   */
   @Test
   void workContinuesWhileMachineIsInboundPartitioned() {
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -149,20 +162,20 @@
       simulation.runTo(32);
       assertTrue(
           countRunningTasks(simulation) >= 210,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
       simulation.controllers.forEach(controller -> simulation.heal(controller.name, "vm-7"));
       simulation.runTo(80);
       assertNoViolations(simulation);
       assertTrue(
           countRunningTasks(simulation) >= 210,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
     }
   }
 
   /**
-   * The next leader cannot make one machine listen, though the other controller reaches it: for a
-   * while it is kept, but not for as long as the cut lasts, since all jobs opened before wait for
-   * it.
+   * The next leader cannot send to one machine, though the other controller reaches it. The machine
+   * is kept for a while, but not for as long as the cut lasts, since all jobs opened before wait
+   * for it.
    */
   @Test
   void oneUnreconciledMachineDoesNotBlockAllJobs() {
@@ -183,12 +196,13 @@
       assertFalse(next.reconciling(), simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
     }
   }
 
   /**
-   * Alone with its workers the old leader continues for as long as no worker knows a newer token.
+   * The old leader, which reaches only its workers, continues for as long as no worker knows a
+   * newer token.
    */
   @Test
   void leaderPartitionedFromAllButItsWorkersKeepsThem() {
@@ -203,7 +217,7 @@
       if (seed % 2 == 0) {
         simulation.leaders().stream()
             .filter(controller -> controller != old)
-            .forEach(ControllerModel::crash); // in the election
+            .forEach(ControllerModel::crash); // during the election
       }
       simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
       simulation.runTo(70);
@@ -212,7 +226,7 @@
       assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
       assertEquals(
           1,
           simulation.leaders().stream().filter(controller -> controller != old).count(),
@@ -242,14 +256,12 @@
       }
       simulation.runTo(50);
       assertEquals(List.of(), simulation.checker.violations, simulation.recentLog());
-      // The zone's machines are reached by no controller that could use them: released, and
-      // replaced.
-      assertTrue(
-          simulation.checker.released.size() >= 20,
-          simulation.recentLog()); // and what was provisioned there before
+      // No controller that could use the zone's machines reaches them, so they are released and
+      // replaced, and so are those that were provisioned there before.
+      assertTrue(simulation.checker.released.size() >= 20, simulation.recentLog());
       assertTrue(
           simulation.checker.released.stream()
-              .allMatch(m -> simulation.workers.get(m).zone.equals("a")),
+              .allMatch(machine -> simulation.workers.get(machine).zone.equals("a")),
           simulation.recentLog());
       assertTrue(
           simulation.controllers.stream()
@@ -267,15 +279,16 @@
       for (int i = 0; i < 10; i++) {
         simulation.cloud.die("vm-" + i);
       }
-      simulation.runTo(45); // before the cloud says that they failed
+      simulation.runTo(45); // before the cloud lists them as failed
       assertNoViolations(simulation);
       assertEquals(10, simulation.checker.released.size(), simulation.recentLog());
     }
   }
 
   /**
-   * A leader is partitioned from a zone while the others are starting: it keeps the zone until they
-   * can tell. Where they stay away, and nobody reaches the zone, it goes all the same.
+   * The leader is partitioned from a zone while the other controllers start: it keeps the zone
+   * until they can report on it. If they stay down and nobody reaches the zone, the zone is
+   * released all the same.
    */
   @Test
   void loneLeaderKeepsZoneUntilPeersReturn() {
@@ -291,17 +304,16 @@
               simulation.after(7000 + simulation.random.nextLong(3000), controller::start));
       simulation.runTo(60);
       assertNoViolations(simulation);
-      int few =
-          simulation.checker.released
-              .size(); // by its own ears, before most of the zone was overdue
-      assertTrue(few <= 4, simulation.recentLog());
+      // Released by the leader's own evidence alone, before most of the zone was overdue.
+      int releasedAlone = simulation.checker.released.size();
+      assertTrue(releasedAlone <= 4, simulation.recentLog());
       simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
       simulation.controllers.stream()
           .filter(controller -> !controller.leads())
           .forEach(ControllerModel::crash);
       simulation.runTo(85);
       assertNoViolations(simulation);
-      assertTrue(simulation.checker.released.size() - few >= 16, simulation.recentLog());
+      assertTrue(simulation.checker.released.size() - releasedAlone >= 16, simulation.recentLog());
     }
   }
 
--- a/src/test/java/org/astershift/simulation/RandomizedScenarioDigestTest.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigestTest.java
@@ -9,9 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The swarm decides and does what it did when its digests were kept. The build plays the first
- * {@link KeptDigests#LAST_SEED_IN_BUILD} seeds, {@link DigestRun} all. A change of behaviour that
- * is meant writes them anew with {@code -Ddigests.write=true}, in the commit that changes it.
+ * Checks that the randomized scenarios ({@code swarm} in {@link DigestRun}) decide and do what they
+ * did when their digests were kept. The build plays the first {@link
+ * KeptDigests#LAST_SEED_IN_BUILD} seeds, {@link DigestRun} plays all. A commit that changes
+ * behaviour on purpose writes the digests anew with {@code -Ddigests.write=true}.
  */
 class RandomizedScenarioDigestTest {
   @Test
--- a/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
@@ -3,11 +3,11 @@
 import org.astershift.EventDigest;
 import org.astershift.KeptDigests;
 
-/** The digests of the randomized scenarios. */
+/** Digests of the randomized scenarios. */
 public final class RandomizedScenarioDigests {
   private RandomizedScenarioDigests() {}
 
-  /** Those kept, and how to play a seed. */
+  /** Returns the kept digests, with the function that plays a seed and computes its digest. */
   public static KeptDigests kept() {
     return KeptDigests.in("swarm.tsv", RandomizedScenarioDigests::digestOf);
   }
--- a/src/test/java/org/astershift/simulation/ReservedRoomTest.java
+++ b/src/test/java/org/astershift/simulation/ReservedRoomTest.java
@@ -10,11 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * More work than room for minutes, without any fault: long tasks that leave a part of each machine
- * free, large tasks and gangs that fit on none of them, for which room is kept once they have
- * waited for long, and small work that comes all the time. Nothing waits for 90 s beside room,
- * which the operators' page asks for, and room was kept: on the sources before small work waited
- * for as long as a long task ran.
+ * Guards against small jobs that wait for as long as a long task runs, as they did in earlier
+ * versions. There is more work than room for minutes, without any fault: long tasks that leave a
+ * part of each machine free, large tasks and gangs that fit on none of the machines, for which room
+ * is reserved once they have waited for long, and small jobs that arrive all the time. No job waits
+ * for 90 s while there is room for it, which is the bound that the operators ask for, and room was
+ * reserved.
  */
 class ReservedRoomTest {
   private static final int SEEDS = 6;
@@ -31,14 +32,14 @@
       assertEquals(List.of(), simulation.checker.violations, simulation.fullLog());
       longestMs = Math.max(longestMs, simulation.starvationCheck.longestWaitMs());
     }
-    assertTrue(longestMs > 30_000, "the longest wait beside room was " + longestMs + " ms");
+    assertTrue(longestMs > 30_000, "longest wait while there was room: " + longestMs + " ms");
   }
 
   private static Simulation playOverload(long seed) {
     Simulation simulation = new Simulation(seed, Setup.of(3, MACHINES));
     simulation.cloud.capacity.put(CloudModel.TYPE, MACHINES);
     simulation.runTo(6);
-    // Three of four processors of each machine, in part for minutes.
+    // Takes up to three of the four processors of each machine, some of them for minutes.
     for (int i = 0; i < MACHINES; i++) {
       long runMs = LONG_MS - simulation.random.nextLong(LONG_MS / 2);
       JobDraft draft = JobDraft.array("wk-long" + i, 1).classAndPriority("long", Priority.NORMAL);
--- a/src/test/java/org/astershift/simulation/SimulationTest.java
+++ b/src/test/java/org/astershift/simulation/SimulationTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Randomized scenarios, which violate no invariant, and single failovers with crashes, lost and
- * duplicate heartbeats.
+ * Randomized scenarios, which violate no invariant, and single failovers with crashes and with lost
+ * and duplicate heartbeats.
  */
 class SimulationTest {
   private static final int SEEDS = 25;
@@ -26,20 +26,21 @@
   void randomizedScenariosViolateNoInvariant() {
     int seeds = Integer.getInteger("simulation.seeds", 150);
     int gangs = 0;
-    int taken = 0;
+    int preempted = 0;
     for (long seed = 1; seed <= seeds; seed++) {
       RandomizedScenario scenario = RandomizedScenario.play(seed);
       assertNoViolations(scenario.simulation);
       assertEquals("", scenario.unserved(), scenario.simulation.recentLog());
       gangs += scenario.simulation.gangs.started;
-      taken += scenario.simulation.cloud.preemptedWithTasks;
+      preempted += scenario.simulation.cloud.preemptedWithTasks;
     }
     assertTrue(gangs >= seeds / 2, gangs + " gangs ran");
-    assertTrue(taken >= seeds / 2, taken + " machines with tasks were preempted");
+    assertTrue(preempted >= seeds / 2, preempted + " machines with tasks were preempted");
   }
 
   /**
-   * The checker can fail: each of these safety measures taken away is missed within so many seeds.
+   * Shows that the checker can fail: with each of these safety measures taken away, one of the
+   * seeds up to {@link #MUTANT_SEEDS} fails.
    */
   @Test
   void eachMutationIsDetected() {
@@ -61,8 +62,9 @@
   }
 
   /**
-   * Two controllers believe that they lead: the old one, with an uncertain lease, reaches zones b
-   * and c, the new one zone a only. Lease expiry proves nothing to the old one.
+   * Two controllers believe that they lead: the old one, whose lease is uncertain, reaches zones b
+   * and c, and the new one reaches zone a only. The old leader must not trust that a worker lease
+   * has expired.
    */
   @Test
   void leaderWithUncertainLeaseTrustsNoExpiry() {
@@ -74,8 +76,9 @@
   }
 
   /**
-   * Heartbeats find no place for longer than a lease and direct commands pass: epochs end, and what
-   * the leader starts in the next ones lives by their own beginning, not by the last heartbeat.
+   * Heartbeats are rejected for longer than a lease while direct commands pass: epochs end, and the
+   * lease of what the leader starts in the next epochs counts from the beginning of the epoch, not
+   * from the last heartbeat.
    */
   @Test
   void workResumesWhenHeartbeatsAreRejectedButCommandsPass() {
@@ -87,7 +90,7 @@
       assertNotEquals(0, simulation.checker.killedByLease, simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
     }
   }
 
@@ -104,12 +107,12 @@
     assertEquals(180, simulation.checker.released.size(), simulation.recentLog());
     assertTrue(
         countRunningTasks(simulation) >= 1800,
-        countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+        countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
   }
 
   /**
-   * A team at its limit whose work also waits, a change of leaders, and a zone that says nothing:
-   * what its machines may hold counts until they are gone.
+   * A team is at its limit and more of its work waits, the leader changes, and a zone is silent:
+   * what the machines of the zone may hold counts until they are gone.
    */
   @Test
   void teamLimitHoldsAcrossFailover() {
@@ -123,8 +126,8 @@
   }
 
   /**
-   * Of each heartbeat a copy comes up to three leases later, at any controller, also after a
-   * takeover.
+   * A duplicate of each heartbeat arrives up to three leases later, at any controller, also after a
+   * failover.
    */
   @Test
   void lateDuplicateHeartbeatsViolateNoInvariant() {
@@ -134,10 +137,11 @@
       assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
     }
     Simulation simulation = playDuplicates(1, Mutation.ACCEPT_DUPLICATE_HEARTBEATS);
-    assertFalse(simulation.checker.violations.isEmpty(), "a safety measure was taken away");
+    assertFalse(
+        simulation.checker.violations.isEmpty(), "accepted duplicates violate no invariant");
   }
 
   private static Simulation playDuplicates(long seed, Mutation... mutations) {
@@ -162,7 +166,7 @@
     return simulation;
   }
 
-  /** Machines are back within a second, under their names, in the middle of an election. */
+  /** Machines restart within a second, under their names, during an election. */
   @Test
   void workResumesWhenMachinesRestartDuringElection() {
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -179,7 +183,7 @@
       assertNoViolations(simulation);
       assertTrue(
           countRunningTasks(simulation) >= 180,
-          countRunningTasks(simulation) + " run\n" + simulation.recentLog());
+          countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
     }
   }
 
--- a/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines that the cloud preempts, with a notice or without, and machines that are drained, as the
- * leader changes: replicas find another place, gangs and arrays end. Each case counts that its
- * faults met.
+ * Machines that the cloud preempts, with or without a notice, and machines that are drained, while
+ * the leader changes: replicas move to other machines, and gangs and arrays end. Each case asserts
+ * that its faults occurred together.
  */
 class SpotCombinedFaultsTest {
   private static final int SEEDS = 6;
@@ -25,7 +25,10 @@
   private static final int REPLICAS = 12;
   private static final long NOTICE_MS = 12_000;
 
-  /** How long after its notice a machine is preempted, as a multiple of what the notice says. */
+  /**
+   * Time from its notice to the preemption of a machine, as a multiple of the time that the notice
+   * states.
+   */
   private enum Notice {
     NONE(0),
     HALF(0.5),
@@ -61,12 +64,13 @@
   }
 
   /**
-   * Most spot machines are preempted within seconds, and the leader ends as they are told, as they
-   * go, or in between; in half of the seeds one cannot be reached from the notice on.
+   * Most spot machines are preempted within seconds, and the leader is lost when they get their
+   * notice, when they are preempted, or in between; in half of the seeds one machine cannot be
+   * reached from the notice on.
    */
   @Test
   void replicasMoveOffPreemptedMachinesDuringFailover() {
-    int taken = 0;
+    int preempted = 0;
     int moved = 0;
     int broken = 0;
     int played = 0;
@@ -87,24 +91,26 @@
             simulation.controllers.forEach(
                 controller -> simulation.cutBoth(controller.name, machine));
           }
-          long goMs = Math.round(NOTICE_MS * notice.factor);
+          long preemptionMs = Math.round(NOTICE_MS * notice.factor);
           simulation.after(
-              List.of(500L, goMs / 2, goMs + 1000).get((int) (seed % 3)),
+              List.of(500L, preemptionMs / 2, preemptionMs + 1000).get((int) (seed % 3)),
               () -> apply(simulation, simulation.onlyLeader(), fault));
-          simulation.runTo(20 + goMs / 1000.0);
+          simulation.runTo(20 + preemptionMs / 1000.0);
           moved += REPLICAS - simulation.checker.tasksOnMachines("wk-s");
-          boolean back =
+          boolean replaced =
               simulation.runUntil(() -> simulation.checker.tasksOnMachines("wk-s") == REPLICAS, 90);
-          assertTrue(back, simulation.fullLog());
+          assertTrue(replaced, simulation.fullLog());
           healAndAssertServed(simulation, 100);
-          taken += simulation.cloud.preemptedWithTasks;
+          preempted += simulation.cloud.preemptedWithTasks;
           broken += simulation.gangs.lostWhileRunning;
           played++;
         }
       }
     }
-    assertTrue(taken >= 4 * played, taken + " machines taken with tasks, in " + played);
-    assertTrue(moved >= 4 * played, moved + " replicas had to find another place");
+    assertTrue(
+        preempted >= 4 * played,
+        preempted + " machines with tasks were preempted; plays: " + played);
+    assertTrue(moved >= 4 * played, moved + " replicas had to move to another machine");
     assertTrue(broken >= played / 2, broken + " gangs lost a task");
   }
 
@@ -117,8 +123,8 @@
   }
 
   /**
-   * What is started on two machines from now on fails, and tasks of a gang run there from before;
-   * they are drained as the leader changes, and released.
+   * Whatever starts on two machines from now on fails, while tasks of a gang run there from before;
+   * the machines are drained while the leader changes, and released.
    */
   @Test
   void faultyMachinesAreDrainedDuringFailover() {
@@ -156,7 +162,7 @@
         played++;
       }
     }
-    assertTrue(drained >= played / 2, drained + " machines drained, in " + played);
+    assertTrue(drained >= played / 2, drained + " machines drained; plays: " + played);
     assertTrue(halted >= played / 2, halted + " tasks stopped");
     assertTrue(saved >= played / 6, saved + " gangs saved");
   }
--- a/src/test/java/org/astershift/simulation/StarvationCheck.java
+++ b/src/test/java/org/astershift/simulation/StarvationCheck.java
@@ -12,28 +12,34 @@
 import org.astershift.scheduler.Team;
 
 /**
- * Once all faults are healed no job is left waiting for 90 s while a machine that fits has room and
- * its team is under its limit. Looked at once a second, by what is on the machines and not by what
- * any controller believes: what nobody can use any more, because a controller with an uncertain
- * lease holds it, is room. A gang waits for room for all of its tasks. Room counts once it has been
- * there for some seconds: where there is more work than room, some is always between two tasks.
+ * Checks that, once all faults are healed, no job is left waiting for 90 s while a suitable machine
+ * has room for it and its team is under its limit.
+ *
+ * <p>The check runs once a second and looks at what is on the machines, not at what any controller
+ * believes: capacity that nobody can use any more, because a controller with an uncertain lease
+ * holds it, counts as room. A gang waits for room for all of its tasks. Room counts only once it
+ * has existed for some seconds: where there is more work than room, some room is always between two
+ * tasks.
  */
 final class StarvationCheck {
-  /** The operators' bound. */
+  /** Bound that the operators set on the wait of a job while there is room, in milliseconds. */
   static final long MAX_WAIT_MS = 90_000;
 
   private static final long CHECK_INTERVAL_MS = 1000;
 
-  /** A heartbeat, the pass and the command that follow, and the task's start. */
+  /**
+   * How long room must have existed to count, in milliseconds: enough for a heartbeat, the
+   * following pass and command, and the task's start.
+   */
   private static final long ROOM_SETTLED_MS = 5000;
 
   private static final double TOLERANCE = 1e-6;
   private final Simulation simulation;
 
-  /** By job, since when it has waited beside room without a start. */
+  /** By job, since when it has waited without a start while there was room. */
   private final Map<String, Long> waitingSinceMs = new HashMap<>();
 
-  /** By job, since when each machine has had room for a task of it. */
+  /** By job, since when each machine has had room for one of its tasks. */
   private final Map<String, Map<String, Long>> roomSinceMs = new HashMap<>();
 
   private final Set<String> reported = new HashSet<>();
@@ -46,7 +52,7 @@
     this.simulation = simulation;
   }
 
-  /** What is left of a live machine. */
+  /** Free capacity of a live machine. */
   private static final class Room {
     final String machine;
     final CloudModel.Kind kind;
@@ -68,16 +74,16 @@
       memory -= spec.memoryGb();
     }
 
-    /** How many such tasks find room, at most {@code most}. */
-    int countFitting(JobSpec spec, int most) {
-      int n = 0;
-      while (n < most
-          && cpus + TOLERANCE >= (n + 1) * spec.cpus()
-          && gpus + TOLERANCE >= (n + 1) * spec.gpus()
-          && memory + TOLERANCE >= (n + 1) * spec.memoryGb()) {
-        n++;
+    /** Returns how many tasks of the job fit, at most {@code max}. */
+    int countFitting(JobSpec spec, int max) {
+      int count = 0;
+      while (count < max
+          && cpus + TOLERANCE >= (count + 1) * spec.cpus()
+          && gpus + TOLERANCE >= (count + 1) * spec.gpus()
+          && memory + TOLERANCE >= (count + 1) * spec.memoryGb()) {
+        count++;
       }
-      return n;
+      return count;
     }
 
     boolean allows(JobSpec spec) {
@@ -87,13 +93,16 @@
     }
   }
 
-  /** From now on no fault is left. */
+  /** Starts the check: from now on no fault is left. */
   void onFaultsHealed() {
     waitingSinceMs.clear();
     check();
   }
 
-  /** Which job waited longest beside room once the faults were healed, and for how long. */
+  /**
+   * Returns which job waited longest while there was room after the faults were healed, and for how
+   * long.
+   */
   String longestWait() {
     return longestWait;
   }
@@ -122,7 +131,12 @@
       }
       if (simulation.now() - since >= MAX_WAIT_MS && reported.add(job)) {
         simulation.checker.violations.add(
-            "left waiting: " + waiting.size() + " of " + spec + " since " + since);
+            "starvation: "
+                + waiting.size()
+                + " tasks wait while there is room, since "
+                + since
+                + ": "
+                + spec);
       }
     }
     simulation.after(CHECK_INTERVAL_MS, this::check);
@@ -147,46 +161,52 @@
     return rooms;
   }
 
-  /** Whether one of the waiting tasks could start, or all of a gang's together. */
+  /**
+   * Returns whether one of the waiting tasks could start, or all waiting tasks of a gang together.
+   */
   private boolean canStart(JobSpec spec, int waiting, Map<String, Room> rooms) {
-    int need = spec.kind() == JobKind.GANG ? waiting : 1;
-    double[] use = simulation.checker.usage(spec.team());
+    int needed = spec.kind() == JobKind.GANG ? waiting : 1;
+    double[] usage = simulation.checker.usage(spec.team());
     Team team = simulation.teams().get(spec.team());
-    if (!team.allows(use[0] + need * spec.cpus(), use[1] + need * spec.gpus())) {
+    if (!team.allows(usage[0] + needed * spec.cpus(), usage[1] + needed * spec.gpus())) {
       return false;
     }
-    Map<String, Integer> zones = new HashMap<>();
+    Map<String, Integer> tasksByZone = new HashMap<>();
     simulation.checker.eachOnMachine(
         (task, machine) -> {
           if (task.startsWith(spec.id() + "/")) {
-            zones.merge(simulation.workers.get(machine).zone, 1, Integer::sum);
+            tasksByZone.merge(simulation.workers.get(machine).zone, 1, Integer::sum);
           }
         });
-    Map<String, Integer> found = new HashMap<>();
-    Map<String, Long> since = roomSinceMs.computeIfAbsent(spec.id(), j -> new HashMap<>());
-    since.keySet().retainAll(rooms.keySet());
+    Map<String, Integer> fittingByZone = new HashMap<>();
+    Map<String, Long> sinceByMachineMs =
+        roomSinceMs.computeIfAbsent(spec.id(), j -> new HashMap<>());
+    sinceByMachineMs.keySet().retainAll(rooms.keySet());
     for (Room room : rooms.values()) {
       String zone = room.kind.zone();
-      if (room.allows(spec) && (!spec.oneZone() || zones.isEmpty() || zones.containsKey(zone))) {
-        int fits = room.countFitting(spec, need);
+      if (room.allows(spec)
+          && (!spec.oneZone() || tasksByZone.isEmpty() || tasksByZone.containsKey(zone))) {
+        int fits = room.countFitting(spec, needed);
         if (fits == 0) {
-          since.remove(room.machine);
-        } else if (simulation.now() - since.computeIfAbsent(room.machine, n -> simulation.now())
+          sinceByMachineMs.remove(room.machine);
+        } else if (simulation.now()
+                - sinceByMachineMs.computeIfAbsent(room.machine, n -> simulation.now())
             >= ROOM_SETTLED_MS) {
-          found.merge(zone, fits, Integer::sum);
+          fittingByZone.merge(zone, fits, Integer::sum);
         }
       }
     }
-    int all = 0;
-    int most = 0;
-    for (Map.Entry<String, Integer> e : found.entrySet()) {
-      int here = e.getValue();
+    int total = 0;
+    int mostInOneZone = 0;
+    for (Map.Entry<String, Integer> entry : fittingByZone.entrySet()) {
+      int fitting = entry.getValue();
       if (spec.spread()) {
-        here = Math.min(here, spec.spreadLimit() - zones.getOrDefault(e.getKey(), 0));
+        fitting =
+            Math.min(fitting, spec.spreadLimit() - tasksByZone.getOrDefault(entry.getKey(), 0));
       }
-      all += Math.max(0, here);
-      most = Math.max(most, here);
+      total += Math.max(0, fitting);
+      mostInOneZone = Math.max(mostInOneZone, fitting);
     }
-    return (spec.oneZone() ? most : all) >= need;
+    return (spec.oneZone() ? mostInOneZone : total) >= needed;
   }
 }
--- a/src/test/java/org/astershift/simulation/StoreOutageCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/StoreOutageCombinedFaultsTest.java
@@ -16,21 +16,23 @@
 
 /**
  * The store refuses the leader, another controller confirms cancellations, and then the store is
- * down for all. Each case counts that its faults met, and a mutation shows that the checker detects
- * them.
+ * unavailable to all. Each case asserts that its faults occurred together, and a mutation shows
+ * that the checker detects the violations that they may cause.
  */
 class StoreOutageCombinedFaultsTest {
   private static final int SEEDS = 20;
   private static final int MUTANT_SEEDS = 4 * SEEDS;
 
-  /** Which machines the other controllers reach once the leader is refused. */
+  /** Which machines the other controllers reach once the store refuses the leader. */
   private enum PeerReach {
     ALL,
     SOME,
     NONE
   }
 
-  /** What the new leader does just after it has confirmed a cancellation, or has won. */
+  /**
+   * What the new leader does just after it has confirmed a cancellation, or has won the election.
+   */
   private enum LeaderFault {
     STAYS,
     CRASHES,
@@ -38,7 +40,7 @@
     HANDS_OVER
   }
 
-  /** When the store is down for all. */
+  /** When the store becomes unavailable to all. */
   private enum OutageStart {
     AS_ANOTHER_WINS,
     AFTER_A_CONFIRMATION,
@@ -49,19 +51,20 @@
   private record OutageCase(PeerReach reach, LeaderFault fault, OutageStart outage) {}
 
   /**
-   * The store refuses the leader alone; another one confirms cancellations; then it is down for
-   * all, for three times as long as a cancelled task may live, while workers go on reporting to the
-   * old leader. And all that once more, with whoever leads then.
+   * The store refuses the leader alone, and another controller confirms cancellations; then the
+   * store is unavailable to all for three times as long as a cancelled task may live, while workers
+   * keep sending heartbeats to the old leader. All of this happens once more to the controller that
+   * leads then.
    */
   @Test
   void cancellationsHoldWhenStoreRefusesLeaderAndThenFails() {
     int confirmedBefore = 0;
     int answeredByOld = 0;
-    for (PeerReach heard : PeerReach.values()) {
+    for (PeerReach reach : PeerReach.values()) {
       for (LeaderFault fault : LeaderFault.values()) {
-        for (OutageStart down : OutageStart.values()) {
+        for (OutageStart outage : OutageStart.values()) {
           for (long seed = 1; seed <= 6; seed++) {
-            Played played = playOutage(new OutageCase(heard, fault, down), seed);
+            Played played = playOutage(new OutageCase(reach, fault, outage), seed);
             assertNoViolations(played.simulation);
             confirmedBefore += played.confirmedBefore;
             answeredByOld += played.answeredByOld;
@@ -74,14 +77,16 @@
         }
       }
     }
-    assertTrue(confirmedBefore > 100, confirmedBefore + " confirmed before the outage");
     assertTrue(
-        answeredByOld > 1000, answeredByOld + " heartbeats answered by the old leader in it");
+        confirmedBefore > 100, confirmedBefore + " cancellations confirmed before the outage");
+    assertTrue(
+        answeredByOld > 1000,
+        answeredByOld + " heartbeats answered by the old leader during the outage");
   }
 
   /**
-   * {@code confirmedBefore}: by another, before the outage; {@code answeredByOld}: by the old
-   * leader in it.
+   * {@code confirmedBefore}: cancellations that another controller confirmed before the outage;
+   * {@code answeredByOld}: heartbeats that the old leader answered during the outage.
    */
   private record Played(Simulation simulation, int confirmedBefore, int answeredByOld) {}
 
@@ -92,15 +97,15 @@
         simulation.controllers.stream().filter(controller -> controller != old).toList();
     simulation.store.refuse(old.name, true);
     if (seed % 2 == 0) {
-      others.forEach(
-          controller -> simulation.cutBoth(old.name, controller.name)); // nobody tells it who leads
+      // Nobody tells the old leader who leads.
+      others.forEach(controller -> simulation.cutBoth(old.name, controller.name));
     }
     if (outageCase.reach != PeerReach.ALL) {
-      String who = outageCase.reach == PeerReach.SOME ? "zone a" : "workers";
-      others.forEach(controller -> simulation.cutBoth(controller.name, who));
+      String unreachable = outageCase.reach == PeerReach.SOME ? "zone a" : "workers";
+      others.forEach(controller -> simulation.cutBoth(controller.name, unreachable));
     }
-    simulation.store.answerDelayMs =
-        seed % 3 == 0 ? 2500 : 0; // wins, and may be too late to catch up
+    // With slow answers a controller wins the election, but may be too late to catch up.
+    simulation.store.answerDelayMs = seed % 3 == 0 ? 2500 : 0;
     for (int i = 10; i < 14; i++) {
       String job = "wk-" + i;
       simulation.after(simulation.random.nextLong(1500), () -> simulation.userCancels(job));
@@ -131,7 +136,7 @@
     simulation.runTo((simulation.now() + seed * 7) / 1000.0);
     int confirmed = simulation.checker.cancelsConfirmed();
     int answered = old.answeredWithUncertainLease();
-    simulation.log("state", "is down");
+    simulation.log("state", "is unavailable");
     simulation.store.unavailable(true);
     simulation.store.answerDelayMs = 0;
     simulation.after(12_000, () -> simulation.store.refuse(old.name, false));
@@ -141,7 +146,8 @@
     simulation.healAll();
     simulation.store.unavailable(false);
     runForS(simulation, 15);
-    // The second meeting, as on the operators' day: refused 1.5 s before all are.
+    // The faults meet a second time, as in the operators' incident: the store refuses the leader
+    // 1.5 s before it refuses everybody.
     if (winner.crashed()) {
       winner.start();
     }
@@ -167,9 +173,8 @@
       case CRASHES -> {
         winner.crash();
         for (ControllerModel controller : others) {
-          simulation.cutBoth(
-              controller.name,
-              "zone b"); // which the next leader hears while its own lease is uncertain
+          // The next leader receives heartbeats of zone b only while its own lease is uncertain.
+          simulation.cutBoth(controller.name, "zone b");
           simulation.after(6000, () -> simulation.healBoth(controller.name, "zone b"));
         }
       }
@@ -182,7 +187,7 @@
     }
   }
 
-  /** Tasks outlive a cancellation that does not wait for unreconciled machines. */
+  /** Tasks outlive a cancellation whose confirmation does not wait for unreconciled machines. */
   @Test
   void confirmingBeforeReconciliationIsDetected() {
     OutageCase outageCase =
@@ -194,8 +199,9 @@
   }
 
   /**
-   * Who confirmed it ends before its stops go out; who leads next hears a zone only when it is in
-   * doubt itself, and keeps the machines there all the same.
+   * The leader that confirmed a cancellation crashes before its stop commands go out; the next
+   * leader receives heartbeats of one zone only while its own lease is uncertain, and keeps the
+   * machines there all the same.
    */
   @Test
   void nextLeaderStopsTasksOfCancelledJobs() {
@@ -205,7 +211,7 @@
       assertNoViolations(simulation);
       left += simulation.checker.leftAtConfirmation;
     }
-    assertNotEquals(0, left, "none was left when it was confirmed");
+    assertNotEquals(0, left, "no task was left when its cancellation was confirmed");
     assertDetected(
         Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE,
         MUTANT_SEEDS,
--- a/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
@@ -18,14 +18,14 @@
 
 /**
  * Teams at their limits, with work that waits: no limit is exceeded at any moment, whatever faults
- * meet. Each case counts that its faults met.
+ * meet. Each case asserts that its faults occurred together.
  */
 class TeamCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MUTANT_SEEDS = 40;
   private static final List<String> TEAMS = List.of("red", "green", "blue");
 
-  /** When that happens, counted from the cancellations. */
+  /** When the leader fault occurs, in milliseconds from the cancellations. */
   private enum FaultTiming {
     BEFORE(-1500),
     AT_ONCE(100),
@@ -38,7 +38,7 @@
     }
   }
 
-  /** What becomes of machines that hold tasks of the cancelled jobs. */
+  /** A fault of a machine that has tasks of the cancelled jobs. */
   private enum MachineFault {
     PARTITIONED,
     PAUSED
@@ -46,17 +46,17 @@
 
   private record FaultCase(LeaderFault fault, FaultTiming timing, MachineFault machineFault) {}
 
-  /** What a played meeting brought about. */
+  /** A simulation that was played, and what was counted in it. */
   private static final class Played {
     final Simulation simulation;
 
-    /** Teams that were at their limit when the cancellations came. */
+    /** Teams that were at their limits when the jobs were cancelled. */
     int atLimit;
 
-    /** Tasks of cancelled jobs that were then on faulty or unreachable machines. */
+    /** Tasks of cancelled jobs that were on faulty or unreachable machines at that moment. */
     int onFaultyMachines;
 
-    /** Tasks started between the cancellations and the end of the fault. */
+    /** Tasks started between the cancellations and the end of the machine fault. */
     int startedMeanwhile;
 
     boolean leaderChanged;
@@ -66,7 +66,10 @@
     }
   }
 
-  /** Three teams with limits far below what there is; more of each waits than its limit allows. */
+  /**
+   * Creates a simulation with three teams whose limits are far below the capacity of the fleet;
+   * more work of each team waits than its limit allows.
+   */
   private static Simulation createLimitedSimulation(long seed, Mutation... mutations) {
     Simulation simulation = CombinedFaults.createSimulation(seed, 12, mutations);
     addAcceleratorMachines(simulation);
@@ -75,19 +78,19 @@
     }
     simulation.runTo(4);
     for (String team : TEAMS) {
-      String task = team.substring(0, 1);
+      String letter = team.substring(0, 1);
       for (int i = 0; i < 4; i++) {
         simulation.userSubmits(
-            JobDraft.array("wk-" + task + "acc" + i, 1).forTeam(team).takes(1, 1).spec(),
+            JobDraft.array("wk-" + letter + "acc" + i, 1).forTeam(team).takes(1, 1).spec(),
             300_000L,
             () -> {});
       }
     }
     simulation.runTo(8);
     for (String team : TEAMS) {
-      String task = team.substring(0, 1);
+      String letter = team.substring(0, 1);
       for (int i = 0; i < 5; i++) {
-        String id = "wk-" + task + i;
+        String id = "wk-" + letter + i;
         boolean saves = i % 2 == 0;
         simulation.userSubmits(
             JobDraft.array(id, 3).forTeam(team).takes(1 + i % 2, 0).saves(saves ? 3 : 0).spec(),
@@ -100,21 +103,24 @@
     return simulation;
   }
 
-  /** Something of the team waits, and its limit allows no more of what does. */
+  /**
+   * Returns whether work of the team waits, none of it is allowed by the limit, and the
+   * accelerators of the limit are used up.
+   */
   private static boolean isAtLimit(Simulation simulation, String team) {
-    double[] use = simulation.checker.usage(team);
+    double[] usage = simulation.checker.usage(team);
     Team quota = simulation.teams.get(team);
-    boolean any = false;
+    boolean anyWaiting = false;
     for (String job : simulation.users.accepted()) {
       JobSpec spec = simulation.users.spec(job);
       if (spec.team().equals(team) && !simulation.checker.waiting(spec).isEmpty()) {
-        any = true;
-        if (quota.allows(use[0] + spec.cpus(), use[1] + spec.gpus())) {
+        anyWaiting = true;
+        if (quota.allows(usage[0] + spec.cpus(), usage[1] + spec.gpus())) {
           return false;
         }
       }
     }
-    return any && use[1] >= quota.maxGpus();
+    return anyWaiting && usage[1] >= quota.maxGpus();
   }
 
   private static String pickMachineWithTaskOf(Simulation simulation, String job) {
@@ -130,19 +136,19 @@
 
   private static int countCancelledTasksOn(
       Simulation simulation, List<String> jobs, List<String> machines) {
-    int[] n = new int[1];
+    int[] count = new int[1];
     simulation.checker.eachOnMachine(
         (task, machine) -> {
           boolean cancelled = jobs.contains(task.substring(0, task.indexOf('/')));
-          n[0] += cancelled && machines.contains(machine) ? 1 : 0;
+          count[0] += cancelled && machines.contains(machine) ? 1 : 0;
         });
-    return n[0];
+    return count[0];
   }
 
   /**
-   * Jobs of each team, which hold two thirds of its limit, are cancelled within 0.2 s; machines on
-   * which they run are partitioned or pause, for less than the lease, just as long, and longer; and
-   * the leader changes. What waits takes what the cancellations free.
+   * Cancels jobs of each team, which hold two thirds of its limit, within 0.2 s; the machines on
+   * which they run are partitioned or pause, for less than the lease, about as long, and longer;
+   * and the leader changes. Waiting work takes what the cancellations free.
    */
   private static Played playCancellations(FaultCase faultCase, long seed, Mutation... mutations) {
     Simulation simulation = createLimitedSimulation(seed, mutations);
@@ -163,13 +169,13 @@
       }
     }
     long cancelMs = simulation.now() + 3000;
-    long troubleMs = cancelMs - simulation.random.nextLong(1000);
+    long machineFaultMs = cancelMs - simulation.random.nextLong(1000);
     long leaseMs = simulation.setup.leaseMs();
-    long[] lasts = {leaseMs / 2, leaseMs - 500, leaseMs + 500, 2 * leaseMs};
-    long forMs = lasts[(int) (seed % 4)];
+    long[] durationsMs = {leaseMs / 2, leaseMs - 500, leaseMs + 500, 2 * leaseMs};
+    long forMs = durationsMs[(int) (seed % 4)];
     ControllerModel old = simulation.leaders().get(0);
     simulation.after(
-        troubleMs - simulation.now(),
+        machineFaultMs - simulation.now(),
         () -> machines.forEach(machine -> applyToMachine(simulation, faultCase, machine, forMs)));
     simulation.after(
         cancelMs + faultCase.timing.ms - simulation.now(),
@@ -182,9 +188,9 @@
     simulation.runTo(cancelMs / 1000.0);
     played.onFaultyMachines = countCancelledTasksOn(simulation, jobs, machines);
     int before = simulation.checker.started;
-    simulation.runTo((troubleMs + forMs) / 1000.0);
+    simulation.runTo((machineFaultMs + forMs) / 1000.0);
     played.startedMeanwhile = simulation.checker.started - before;
-    simulation.runTo((troubleMs + forMs) / 1000.0 + 10);
+    simulation.runTo((machineFaultMs + forMs) / 1000.0 + 10);
     played.leaderChanged =
         simulation.checker.leaders.stream().distinct().count() > 1
             || simulation.checker.leaders.size() > 1;
@@ -205,8 +211,8 @@
       simulation.controllers.forEach(
           controller -> {
             simulation.cutBoth(controller.name, machine);
-            simulation.delayLink(
-                controller.name, machine, 1500); // and what is said to it then comes late
+            // What is sent to the machine after the partition arrives late.
+            simulation.delayLink(controller.name, machine, 1500);
             simulation.after(forMs, () -> simulation.healBoth(controller.name, machine));
           });
     }
@@ -220,10 +226,10 @@
     int onFaultyMachines = 0;
     int started = 0;
     for (LeaderFault fault : LeaderFault.values()) {
-      for (FaultTiming when : FaultTiming.values()) {
+      for (FaultTiming timing : FaultTiming.values()) {
         for (MachineFault machineFault : MachineFault.values()) {
           for (long seed = 1; seed <= SEEDS; seed++) {
-            Played play = playCancellations(new FaultCase(fault, when, machineFault), seed);
+            Played play = playCancellations(new FaultCase(fault, timing, machineFault), seed);
             assertNoViolations(play.simulation);
             assertTrue(play.leaderChanged, play.simulation.fullLog());
             played++;
@@ -238,43 +244,48 @@
     assertTrue(
         onFaultyMachines >= 6 * played,
         onFaultyMachines + " tasks on faulty or unreachable machines");
-    assertTrue(started >= 3 * played, started + " started meanwhile");
+    assertTrue(started >= 3 * played, started + " tasks started meanwhile");
     FaultCase faultCase =
         new FaultCase(LeaderFault.CRASHES, FaultTiming.BEFORE, MachineFault.PARTITIONED);
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
         "quota",
-        s -> playCancellations(faultCase, s, Mutation.NO_INHERITED_MACHINES).simulation);
+        seed -> playCancellations(faultCase, seed, Mutation.NO_INHERITED_MACHINES).simulation);
   }
 
   /**
-   * The leader changes, the next one cannot ask a zone's machines, or they hear nothing of what it
-   * says, and jobs are cancelled while it waits for them; all teams are at their limits.
+   * The leader changes, the next leader cannot probe the machines of a zone, or they receive
+   * nothing that it sends, and jobs are cancelled while it waits for these machines; all teams are
+   * at their limits.
    */
   @Test
   void teamLimitsHoldWhileMachinesCannotBeProbed() {
-    int inTheSpell = 0;
-    int startedInIt = 0;
+    int cancelledWhileReconciling = 0;
+    int startedAfterCancel = 0;
     for (LeaderFault fault : LeaderFault.values()) {
       for (boolean inboundPartitioned : new boolean[] {false, true}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          PartitionPlay spell = playPartition(fault, inboundPartitioned, seed);
-          assertNoViolations(spell.simulation);
-          inTheSpell += spell.cancelled;
-          startedInIt += spell.started;
+          PartitionPlay play = playPartition(fault, inboundPartitioned, seed);
+          assertNoViolations(play.simulation);
+          cancelledWhileReconciling += play.cancelled;
+          startedAfterCancel += play.started;
         }
       }
     }
     int played = LeaderFault.values().length * 2 * SEEDS;
-    assertTrue(inTheSpell >= 3 * played, inTheSpell + " cancelled in the spell");
-    assertTrue(startedInIt >= played, startedInIt + " started in the spell");
+    assertTrue(
+        cancelledWhileReconciling >= 3 * played,
+        cancelledWhileReconciling + " jobs cancelled while machines were unreconciled");
+    assertTrue(
+        startedAfterCancel >= played,
+        startedAfterCancel + " tasks started after the cancellations");
     assertDetected(
         Mutation.NO_INHERITED_MACHINES,
         MUTANT_SEEDS,
         "quota",
-        s ->
-            playPartition(LeaderFault.CRASHES, s % 2 == 0, s, Mutation.NO_INHERITED_MACHINES)
+        seed ->
+            playPartition(LeaderFault.CRASHES, seed % 2 == 0, seed, Mutation.NO_INHERITED_MACHINES)
                 .simulation);
   }
 
@@ -303,7 +314,8 @@
     int cancelled = 0;
     int before = simulation.checker.started;
     for (String team : TEAMS) {
-      // Some hold tasks where nobody can ask, some wait: what they leave is there to be taken.
+      // Some of these jobs hold tasks where no controller can probe, some wait: the capacity that
+      // they free is there to be taken.
       for (String job : List.of("0", "1", "acc0")) {
         simulation.userCancels("wk-" + team.substring(0, 1) + job);
         cancelled += simulation.leaders().stream().anyMatch(ControllerModel::reconciling) ? 1 : 0;
--- a/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -17,21 +17,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests of users that meet other faults, each time seen to have happened. For most a mutation
- * shows that the checker detects what it is about.
+ * User requests that meet other faults, each shown to have occurred. For most cases a mutation
+ * shows that the checker detects the failure that the test guards against.
  */
 class UserCombinedFaultsTest {
   private static final int SEEDS = 6;
   private static final int MUTANT_SEEDS = 80;
 
   /**
-   * Users ask all controllers within milliseconds of an acceptance, an end or a confirmation told
-   * by any controller, again and again, and repeat the submission; some cancel at once. Threads are
-   * slow in every other seed, and the leader changes in the middle, or not.
+   * Users ask all controllers again and again within milliseconds of an acceptance, an end or a
+   * confirmation that any controller reported, and repeat the submission; some cancel at once.
+   * Threads are slow in every other seed, and the leader changes meanwhile, or not.
    */
   @Test
   void answersAreConsistentWithinMilliseconds() {
-    int looks = 0;
+    int queries = 0;
     int repeats = 0;
     int cancelled = 0;
     for (LeaderChange change : LeaderChange.values()) {
@@ -39,13 +39,15 @@
         Simulation simulation = playCloseQueries(seed, change);
         assertNoViolations(simulation);
         assertJobsEnded(simulation, 100, 24);
-        looks += simulation.users.closeQueriesAnswered;
+        queries += simulation.users.closeQueriesAnswered;
         repeats += simulation.users.resubmissionsAnswered;
         cancelled += simulation.users.cancelledOnAccept;
       }
     }
-    assertTrue(looks > 10_000 && repeats > 2000, looks + " looks, " + repeats + " repeats");
-    assertTrue(cancelled > 100, cancelled + " cancelled at once");
+    assertTrue(
+        queries > 10_000 && repeats > 2000,
+        queries + " queries, " + repeats + " repeated submissions");
+    assertTrue(cancelled > 100, cancelled + " jobs cancelled at once");
     for (Mutation mutation :
         List.of(Mutation.JOIN_REQUEST_IN_FLIGHT, Mutation.ANSWER_FROM_WATCH_CACHE)) {
       assertDetected(
@@ -67,25 +69,27 @@
   }
 
   /**
-   * Transactions are carried out at once and only their answer is lost, while the other controllers
-   * read what they wrote: acceptances, ends, cancellations and records; one does not reach the
-   * leader and reads the store itself; the leader changes, or not.
+   * Transactions are applied at once and only their answers are lost, while the other controllers
+   * read what was written: acceptances, ends, cancellations and records. One controller does not
+   * reach the leader and reads the store itself; the leader changes, or not.
    */
   @Test
   void answersAreConsistentWhenWriteAnswersAreLost() {
     for (LeaderChange change : LeaderChange.values()) {
       int live = 0;
       int ends = 0;
-      int notes = 0;
+      int opened = 0;
       for (long seed = 1; seed <= SEEDS; seed++) {
         Simulation simulation = playLostAnswers(seed, change);
         assertNoViolations(simulation);
         assertJobsEnded(simulation, 100, 16);
         live += simulation.store.unansweredRead.getOrDefault("j/", 0);
         ends += simulation.store.unansweredRead.getOrDefault("d/", 0);
-        notes += simulation.store.unansweredRead.getOrDefault("o/", 0);
+        opened += simulation.store.unansweredRead.getOrDefault("o/", 0);
       }
-      assertTrue(live > 10 && ends > 10 && notes > 10, live + " " + ends + " " + notes);
+      assertTrue(
+          live > 10 && ends > 10 && opened > 10,
+          live + " live jobs, " + ends + " ends, " + opened + " opened jobs read");
     }
     assertDetected(
         Mutation.ANSWER_WHILE_ENDING,
@@ -100,9 +104,9 @@
     simulation.pollAllJobs();
     simulation.store.unansweredShare = 0.4;
     ControllerModel leader = simulation.leaders().get(0);
-    ControllerModel apart =
+    ControllerModel partitioned =
         simulation.controllers.get(simulation.controllers.indexOf(leader) == 0 ? 1 : 0);
-    simulation.cutBoth(leader.name, apart.name);
+    simulation.cutBoth(leader.name, partitioned.name);
     submitJobs(simulation, 100, 16, 15_000, 3000);
     simulation.after(8000, () -> apply(simulation, change));
     simulation.runTo(50);
@@ -113,13 +117,14 @@
   }
 
   /**
-   * Jobs are cancelled, many within a fifth of a second, in the moment in which one controller's
-   * work changes hands: some run for long, of others the starts are on their way.
+   * Jobs are cancelled, many within a fifth of a second, at the moment at which leadership passes
+   * from one controller to another: some run for long, and the start commands of others are in
+   * flight.
    */
   @Test
   void cancellationsAreConfirmedDuringFailover() {
-    int byTheNext = 0;
-    int starting = 0;
+    int byNextLeader = 0;
+    int tasksLeft = 0;
     for (LeaderChange change :
         List.of(
             LeaderChange.HANDS_OVER, LeaderChange.CRASHES, LeaderChange.HANDS_OVER_THEN_CRASHES)) {
@@ -130,15 +135,16 @@
           for (int i = 0; i < 18; i++) {
             String job = "wk-" + (i < 6 ? 10 + i : 94 + i);
             assertNotNull(simulation.checker.cancelConfirmedMs(job), job + simulation.fullLog());
-            byTheNext +=
+            byNextLeader +=
                 simulation.checker.cancelConfirmedMs(job) > 20_000 + 1000 + afterMs ? 1 : 0;
           }
-          starting += simulation.checker.leftAtConfirmation;
+          tasksLeft += simulation.checker.leftAtConfirmation;
         }
       }
     }
-    assertTrue(byTheNext > 300, byTheNext + " confirmed after the change");
-    assertTrue(starting > 100, starting + " tasks left as their job was confirmed");
+    assertTrue(
+        byNextLeader > 300, byNextLeader + " cancellations confirmed after the leader change");
+    assertTrue(tasksLeft > 100, tasksLeft + " tasks left when their cancellation was confirmed");
     Mutation mutation = Mutation.CONFIRM_CANCEL_WHILE_STARTING;
     assertDetected(
         mutation,
@@ -149,8 +155,9 @@
   private static Simulation playFailover(
       long seed, LeaderChange change, int afterMs, Mutation... mutations) {
     Simulation simulation = createSimulationWithArrays(seed, 16, 3, mutations);
-    simulation.store.answerDelayMs = seed % 2 == 0 ? 1500 : 0; // the next leader's watch cache lags
-    // Half of these are accepted within the last moments before it.
+    // The watch cache of the next leader lags.
+    simulation.store.answerDelayMs = seed % 2 == 0 ? 1500 : 0;
+    // Half of these jobs are accepted within the last moments before the leader changes.
     for (int i = 0; i < 12; i++) {
       String job = "wk-" + (100 + i);
       long atMs = i < 6 ? 0 : 600 + simulation.random.nextLong(300);
@@ -175,24 +182,27 @@
 
   /**
    * Cancellations, questions and repeated submissions meet the end of a job's last task: within ten
-   * milliseconds of it, and within the time in which that gets around; nothing else is wrong.
+   * milliseconds of it, and within the time that the news of it takes to spread; there is no other
+   * fault.
    */
   @Test
   void jobsCancelledAsLastTaskEndsHaveOneEnd() {
-    int askedOrder = 0;
+    int cancelledAtEnd = 0;
     int confirmed = 0;
-    int looks = 0;
+    int queries = 0;
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
       Simulation simulation = playCancellationAtEnd(seed);
       assertNoViolations(simulation);
       assertJobsEnded(simulation, 100, 40);
-      askedOrder += simulation.users.cancelledAtEnd;
+      cancelledAtEnd += simulation.users.cancelledAtEnd;
       confirmed += simulation.checker.cancelsConfirmed();
-      looks += simulation.users.closeQueriesAnswered + simulation.users.resubmissionsAnswered;
+      queries += simulation.users.closeQueriesAnswered + simulation.users.resubmissionsAnswered;
     }
-    assertTrue(askedOrder > 200, askedOrder + " cancelled around their end");
-    assertTrue(confirmed > 20 && confirmed < askedOrder - 20, confirmed + " of " + askedOrder);
-    assertTrue(looks > 5000, looks + " looks");
+    assertTrue(cancelledAtEnd > 200, cancelledAtEnd + " jobs cancelled around their end");
+    assertTrue(
+        confirmed > 20 && confirmed < cancelledAtEnd - 20,
+        confirmed + " cancellations confirmed of " + cancelledAtEnd);
+    assertTrue(queries > 5000, queries + " queries and repeated submissions");
     assertDetected(
         Mutation.OVERWRITE_JOB_END,
         MUTANT_SEEDS,
@@ -211,21 +221,21 @@
 
   /**
    * Jobs are cancelled at the very moment at which the store refuses the leader alone, some
-   * milliseconds before, and after; a second later it is down for all, for longer than a cancelled
-   * task may live, and workers go on reporting to the old leader.
+   * milliseconds before it, and after it; a second later the store is unavailable to all, for
+   * longer than a cancelled task may live, while workers keep sending heartbeats to the old leader.
    */
   @Test
   void cancellationsAreConfirmedWhenStoreRefusesLeader() {
     int onRecord = 0;
-    int not = 0;
+    int notOnRecord = 0;
     int withUncertainLease = 0;
     for (int afterMs : List.of(2, 6, 12, 60, 250)) {
-      for (boolean hands : List.of(false, true)) {
+      for (boolean handsOver : List.of(false, true)) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          RefusalPlay played = playRefusal(seed, afterMs, hands);
+          RefusalPlay played = playRefusal(seed, afterMs, handsOver);
           assertNoViolations(played.simulation);
           onRecord += played.onRecord;
-          not += 6 - played.onRecord;
+          notOnRecord += 6 - played.onRecord;
           withUncertainLease += played.leaseUncertain;
           for (int i = 10; i < 16; i++) {
             assertNotNull(
@@ -235,7 +245,9 @@
         }
       }
     }
-    assertTrue(onRecord > 30 && not > 30, onRecord + " on record before the outage, not " + not);
+    assertTrue(
+        onRecord > 30 && notOnRecord > 30,
+        onRecord + " ends on record before the outage, not on record: " + notOnRecord);
     assertTrue(
         withUncertainLease > 500,
         withUncertainLease + " heartbeats answered with an uncertain lease");
@@ -250,20 +262,19 @@
   private record RefusalPlay(Simulation simulation, int onRecord, int leaseUncertain) {}
 
   private static RefusalPlay playRefusal(
-      long seed, int afterMs, boolean hands, Mutation... mutations) {
+      long seed, int afterMs, boolean handsOver, Mutation... mutations) {
     Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     for (int i = 10; i < 16; i++) {
       simulation.userCancels("wk-" + i);
     }
     simulation.runTo((simulation.now() + afterMs) / 1000.0);
-    if (hands) {
+    if (handsOver) {
       old.resign();
       for (ControllerModel controller : simulation.controllers) {
         if (controller != old) {
-          simulation.cutBoth(
-              controller.name,
-              "zone b"); // which the next leader hears while its own lease is uncertain
+          // The next leader receives heartbeats of zone b only while its own lease is uncertain.
+          simulation.cutBoth(controller.name, "zone b");
           simulation.after(6000, () -> simulation.healBoth(controller.name, "zone b"));
         }
       }
--- a/src/test/java/org/astershift/simulation/UserFaults.java
+++ b/src/test/java/org/astershift/simulation/UserFaults.java
@@ -4,16 +4,16 @@
 
 import org.astershift.scheduler.JobKind;
 
-/** Changes of leaders and jobs that the tests of user requests share. */
+/** Leader changes, submissions and assertions that the tests of user requests share. */
 final class UserFaults {
   private UserFaults() {}
 
-  /** How one controller's work comes to another. */
+  /** How leadership passes from one controller to another. */
   enum LeaderChange {
     NONE,
     HANDS_OVER,
     CRASHES,
-    /** It hands over and ends within milliseconds. */
+    /** The leader hands over and crashes less than 20 ms later. */
     HANDS_OVER_THEN_CRASHES
   }
 
@@ -31,14 +31,14 @@
     }
   }
 
-  /** Each has ended, and each controller says so. */
+  /** Asserts that every controller reports each of the jobs as done or withdrawn. */
   static void assertJobsEnded(Simulation simulation, int from, int jobs) {
     for (int i = from; i < from + jobs; i++) {
       for (ControllerModel controller : simulation.controllers) {
         String state = simulation.checker.lastState("wk-" + i, controller.name);
         assertTrue(
             "done".equals(state) || "withdrawn".equals(state),
-            i + ": " + state + simulation.recentLog());
+            controller.name + " reports wk-" + i + " as " + state + "\n" + simulation.recentLog());
       }
     }
   }
--- a/src/test/java/org/astershift/simulation/ZoneLossCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/ZoneLossCombinedFaultsTest.java
@@ -18,7 +18,7 @@
 class ZoneLossCombinedFaultsTest {
   private static final int SEEDS = 6;
 
-  /** How machines of a zone are lost. */
+  /** How the machines of a zone are lost. */
   private enum Loss {
     DIE,
     PREEMPTED,
@@ -26,8 +26,9 @@
   }
 
   /**
-   * Jobs bound to a zone, arrays too, lose all their machines there, with and without a change of
-   * leaders: once the zone is back what waits for it runs after two boots and what they take.
+   * Jobs bound to a zone, arrays among them, lose all their machines there, with and without a
+   * change of leaders. Once the zone is back, the work that waits for it runs within the time of
+   * two machine boots and what they involve.
    */
   @Test
   void zoneBoundJobsRunAgainAfterZoneLoss() {
@@ -41,29 +42,31 @@
           emptied += playZoneLoss(simulation, loss, changes) ? 1 : 0;
           played++;
           assertNoViolations(simulation);
-          long since = simulation.now();
+          long restoredMs = simulation.now();
           assertTrue(
               simulation.runUntil(
-                  () -> countZoneBoundTasks(simulation) == 12, (since + 90_000) / 1000.0),
+                  () -> countZoneBoundTasks(simulation) == 12, (restoredMs + 90_000) / 1000.0),
               simulation.fullLog());
-          longestMs = Math.max(longestMs, simulation.now() - since);
+          longestMs = Math.max(longestMs, simulation.now() - restoredMs);
           runForS(simulation, 20);
           assertNoViolations(simulation);
         }
       }
     }
-    assertTrue(emptied >= played * 2 / 3, emptied + " times nothing was left in the zone");
-    assertTrue(longestMs < 30_000, longestMs + " ms after the zone was back");
+    assertTrue(emptied >= played * 2 / 3, emptied + " plays left no live machine in the zone");
+    assertTrue(longestMs < 30_000, longestMs + " ms until all tasks ran after the zone was back");
   }
 
-  /** Tasks of the jobs bound to zone a that are on machines. */
+  /** Returns how many tasks of the jobs bound to zone a are on machines. */
   private static int countZoneBoundTasks(Simulation simulation) {
     return simulation.checker.tasksOnMachines("wk-a1")
         + simulation.checker.tasksOnMachines("wk-a2")
         + simulation.checker.tasksOnMachines("wk-a3");
   }
 
-  /** Says whether no live machine was left there when the fault was over. */
+  /**
+   * Plays the loss; returns whether no live machine was left in the zone when the fault was over.
+   */
   private static boolean playZoneLoss(Simulation simulation, Loss loss, boolean changes) {
     boolean spot = loss == Loss.PREEMPTED;
     simulation.cloud.addType(
@@ -82,17 +85,17 @@
     simulation.runTo(22);
     assertEquals(12, countZoneBoundTasks(simulation), simulation.recentLog());
     long forMs = 20_000 + 5000 * (simulation.seed % 6);
-    List<String> there = new ArrayList<>();
+    List<String> zoneMachines = new ArrayList<>();
     simulation.workers.forEach(
         (name, worker) -> {
           if (worker.zone.equals("a") && worker.alive() && worker.kind.spot() == spot) {
-            there.add(name);
+            zoneMachines.add(name);
           }
         });
     if (loss == Loss.ZONE_PARTITIONED) {
       simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
     } else {
-      there.forEach(loss == Loss.DIE ? simulation.cloud::die : simulation.cloud::preempt);
+      zoneMachines.forEach(loss == Loss.DIE ? simulation.cloud::die : simulation.cloud::preempt);
     }
     if (changes) {
       ControllerModel old = simulation.leaders().get(0);
@@ -101,7 +104,7 @@
           () -> apply(simulation, old, LeaderFault.values()[(int) simulation.seed % 3]));
     }
     simulation.runTo((22_000 + forMs) / 1000.0);
-    boolean empty = there.stream().noneMatch(name -> simulation.workers.get(name).alive());
+    boolean empty = zoneMachines.stream().noneMatch(name -> simulation.workers.get(name).alive());
     simulation.healAll();
     simulation.starvationCheck.onFaultsHealed();
     return empty;
