--- a/src/test/java/org/astershift/simulation/AnswerCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/AnswerCombinedFaultsTest.java
@@ -50,8 +50,8 @@
       controller.crash();
       simulation.after(300 + simulation.random.nextLong(2700), controller::start);
     }
-    simulation.messageQueueing.longestWaitMs = MESSAGE_WAIT_MS;
-    simulation.messageQueueing.waitingShare = 0.4;
+    simulation.messageQueueing.maxWaitMs = MESSAGE_WAIT_MS;
+    simulation.messageQueueing.queuedShare = 0.4;
     for (int i = 0; i < JOBS; i++) {
       String job = "wk-2" + i;
       simulation.after(
@@ -59,7 +59,7 @@
           () -> simulation.submit(JobDraft.job(job, JobKind.ARRAY, MACHINES / 2), TASK_MS));
     }
     runForS(simulation, 25);
-    simulation.messageQueueing.waitingShare = 0;
+    simulation.messageQueueing.queuedShare = 0;
     runForS(simulation, 30);
     return simulation;
   }
--- a/src/test/java/org/astershift/simulation/CloudModel.java
+++ b/src/test/java/org/astershift/simulation/CloudModel.java
@@ -21,8 +21,8 @@
  */
 final class CloudModel {
   static final String TYPE = "small";
-  private static final long LAG_MS = 3000;
-  private static final long FAILED_AFTER_MS = 30_000;
+  private static final long LIST_LAG_MS = 3000;
+  private static final long LISTED_AS_FAILED_AFTER_MS = 30_000;
   private static final long BOOT_MS = 10_000;
 
   /** How long new machines take until their first heartbeat; null: it never comes. */
@@ -46,7 +46,7 @@
   private final Map<String, Long> diedMs = new HashMap<>();
   private final Set<String> released = new HashSet<>();
   private final Deque<Snapshot> snapshots = new ArrayDeque<>();
-  private final List<String> names = new ArrayList<>();
+  private final List<String> machineNames = new ArrayList<>();
   private final Map<String, Kind> kinds = new HashMap<>();
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
@@ -84,7 +84,7 @@
   }
 
   void addMachine(String name, Kind kind, boolean up) {
-    names.add(name);
+    machineNames.add(name);
     kinds.put(name, kind);
     WorkerModel worker = new WorkerModel(simulation, name, kind);
     simulation.workers.put(name, worker);
@@ -93,11 +93,11 @@
             ? Long.valueOf(simulation.random.nextLong(simulation.setup.heartbeatMs()))
             : bootMs.get();
     if (ms != null) {
-      simulation.after(ms, () -> start(worker));
+      simulation.after(ms, () -> startUnlessGone(worker));
     }
   }
 
-  private void start(WorkerModel worker) {
+  private void startUnlessGone(WorkerModel worker) {
     if (!released.contains(worker.name) && !diedMs.containsKey(worker.name)) {
       worker.start();
     }
@@ -114,7 +114,7 @@
           () -> {
             for (String name : names) {
               WorkerModel worker = simulation.workers.get(name);
-              aliveBeforeAnswer += worker.alive() ? 1 : 0;
+              aliveBeforeAnswer += worker.isAlive() ? 1 : 0;
               busyBeforeAnswer += worker.liveTasks().isEmpty() ? 0 : 1;
             }
             answer.accept(names);
@@ -122,9 +122,9 @@
     }
   }
 
-  void die(String name) {
+  void killMachine(String name) {
     diedMs.put(name, simulation.now());
-    simulation.workers.get(name).die();
+    simulation.workers.get(name).kill();
   }
 
   private List<String> provision(String request, Decision.ProvisionMachines provisioning) {
@@ -132,7 +132,7 @@
         request,
         n -> {
           List<String> out = new ArrayList<>();
-          for (int i = 0; i < provisioning.count() && hasMore(provisioning.typeName()); i++) {
+          for (int i = 0; i < provisioning.count() && hasCapacity(provisioning.typeName()); i++) {
             String name = "vm-" + nextMachineNumber++;
             addMachine(
                 name,
@@ -144,9 +144,9 @@
         });
   }
 
-  private boolean hasMore(String type) {
+  private boolean hasCapacity(String type) {
     long there =
-        names.stream()
+        machineNames.stream()
             .filter(n -> !released.contains(n) && kinds.get(n).type().equals(type))
             .count();
     return there < capacity.getOrDefault(type, Integer.MAX_VALUE);
@@ -158,7 +158,7 @@
       simulation.log(name, "is preempted");
       preempted++;
       preemptedWithTasks += simulation.workers.get(name).liveTasks().isEmpty() ? 0 : 1;
-      simulation.workers.get(name).die();
+      simulation.workers.get(name).kill();
     }
   }
 
@@ -168,8 +168,8 @@
    */
   void announcePreemption(String name, long noticeMs, double times) {
     WorkerModel worker = simulation.workers.get(name);
-    if (worker.alive()) {
-      worker.noticePreemption(noticeMs);
+    if (worker.isAlive()) {
+      worker.onPreemptionNotice(noticeMs);
       simulation.after(Math.round(noticeMs * times), () -> preempt(name));
     }
   }
@@ -179,19 +179,19 @@
       if (kinds.containsKey(name) && released.add(name)) {
         WorkerModel worker = simulation.workers.get(name);
         if (silent) {
-          simulation.checker.released.add(name);
+          simulation.checker.releasedAsSilent.add(name);
         }
-        worker.die();
+        worker.kill();
       }
     }
   }
 
   private void takeSnapshot() {
     List<ListedMachine> listed = new ArrayList<>();
-    for (String name : names) {
+    for (String name : machineNames) {
       if (!released.contains(name)) {
         Long died = diedMs.get(name);
-        boolean failed = died != null && simulation.now() - died > FAILED_AFTER_MS;
+        boolean failed = died != null && simulation.now() - died > LISTED_AS_FAILED_AFTER_MS;
         listed.add(
             new ListedMachine(
                 name,
@@ -204,7 +204,7 @@
       }
     }
     snapshots.addLast(new Snapshot(simulation.now(), listed));
-    while (snapshots.peekFirst().atMs() < simulation.now() - 2 * LAG_MS) {
+    while (snapshots.peekFirst().atMs() < simulation.now() - 2 * LIST_LAG_MS) {
       snapshots.removeFirst();
     }
     simulation.after(500, this::takeSnapshot);
--- a/src/test/java/org/astershift/simulation/CloudProvisionerModel.java
+++ b/src/test/java/org/astershift/simulation/CloudProvisionerModel.java
@@ -16,7 +16,7 @@
   private final LeaderTermModel term;
 
   /** Provisioning requests so far: part of the name of the next one. */
-  private int requests;
+  private int requestCount;
 
   CloudProvisionerModel(ControllerModel controller, LeaderTermModel term) {
     this.controller = controller;
@@ -25,11 +25,11 @@
   }
 
   /** A new request, sent once its name is on record: repeated, it provisions nothing more. */
-  void begin(Decision.ProvisionMachines decision) {
-    requests++;
-    String request = "as-" + term.token() + "-" + requests;
+  void startProvisioning(Decision.ProvisionMachines decision) {
+    requestCount++;
+    String request = "as-" + term.token() + "-" + requestCount;
     term.scheduler().onProvisioningStarted(request, decision);
-    term.records().persist("i/" + request, decision, () -> provision(request, decision));
+    term.recordWriter().persist("i/" + request, decision, () -> provision(request, decision));
   }
 
   /** Sends a request until it is answered. */
@@ -43,7 +43,8 @@
             return;
           }
           if (machines == null) {
-            controller.later(LoopTiming.CLOUD_RETRY_BACKOFF_MS, () -> provision(request, decision));
+            controller.runLater(
+                LoopTiming.CLOUD_RETRY_BACKOFF_MS, () -> provision(request, decision));
             return;
           }
           onProvisioned(request, decision, machines);
@@ -58,7 +59,7 @@
           left[0]--;
           if (left[0] == 0) {
             // Not before its machines are on record.
-            term.records().persist("i/" + request, null, () -> {});
+            term.recordWriter().persist("i/" + request, null, () -> {});
           }
         };
     for (String machine : machines) {
@@ -69,7 +70,7 @@
       Decision.RegisterMachine registration =
           new Decision.RegisterMachine(
               machine, null, decision.typeName(), decision.zone(), decision.spot(), true);
-      term.records().persist("m/" + machine, new MachineRow(registration), onPersisted);
+      term.recordWriter().persist("m/" + machine, new MachineRow(registration), onPersisted);
     }
     term.scheduler().onMachinesProvisioned(request, machines, decision, controller.clock());
     onPersisted.run();
@@ -90,7 +91,7 @@
           if (term.isCurrent() && released != null) {
             term.scheduler().onMachinesReleased(decision.machineNames(), controller.clock());
           } else if (term.isCurrent()) {
-            controller.later(
+            controller.runLater(
                 LoopTiming.CLOUD_RETRY_BACKOFF_MS,
                 () -> term.scheduler().onReleaseFailed(decision.machineNames()));
           }
@@ -111,7 +112,7 @@
           if (term.isCurrent() && listed != null) {
             term.scheduler().onMachineList(listed, requestedMs, controller.clock());
           }
-          controller.later(LoopTiming.MACHINE_LIST_INTERVAL_MS, this::pollMachineList);
+          controller.runLater(LoopTiming.MACHINE_LIST_INTERVAL_MS, this::pollMachineList);
         });
   }
 }
--- a/src/test/java/org/astershift/simulation/CombinedFaults.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaults.java
@@ -38,7 +38,7 @@
         simulation.after(300 + simulation.random.nextLong(4000), leader::start);
       }
       case HANDS_OVER -> leader.resign();
-      case PAUSES -> leader.freeze(4000 + simulation.random.nextLong(6000));
+      case PAUSES -> leader.pause(4000 + simulation.random.nextLong(6000));
     }
   }
 
@@ -62,7 +62,7 @@
     simulation.runTo(4);
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, machines), null);
     for (int i = 10; i < 16; i++) {
-      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, tasks), ENDLESS_MS, () -> {});
+      simulation.submitAsUser(JobDraft.job("wk-" + i, JobKind.ARRAY, tasks), ENDLESS_MS, () -> {});
     }
     simulation.runTo(20);
     simulation.onlyLeader();
@@ -106,7 +106,7 @@
    */
   static void healAndAssertServed(Simulation simulation, double afterS) {
     simulation.healAll();
-    simulation.delayedHeartbeats.release();
+    simulation.delayedHeartbeats.releaseHeld();
     simulation.starvationCheck.onFaultsHealed();
     runForS(simulation, afterS);
     assertNoViolations(simulation);
--- a/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/CombinedFaultsTest.java
@@ -46,7 +46,7 @@
       }
     }
     for (int i = 10; i < 16; i++) {
-      simulation.userCancels("wk-" + i);
+      simulation.cancelAsUser("wk-" + i);
     }
     ControllerModel old = simulation.leaders().get(0);
     simulation.runUntil(() -> simulation.checker.cancelsConfirmed() >= 3, 40);
@@ -128,8 +128,8 @@
     simulation.store.lateShare = seed % 2 == 0 ? 0.3 : 0;
     for (int i = 0; i < 8; i++) {
       String job = "wk-5" + i;
-      Runnable then = () -> simulation.after(3000, () -> simulation.userCancels(job));
-      simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 5_000L, then);
+      Runnable then = () -> simulation.after(3000, () -> simulation.cancelAsUser(job));
+      simulation.submitAsUser(JobDraft.job(job, JobKind.ARRAY, 2), 5_000L, then);
     }
     simulation.runTo(33 + simulation.random.nextInt(4));
     simulation.store.lateShare = 0;
@@ -147,8 +147,8 @@
   void jobsCompleteWhenTasksEndFarApartAcrossFailovers() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       Simulation simulation = createSimulationWithArrays(seed, 12, 3);
-      simulation.userSubmits(JobDraft.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
-      simulation.userSubmits(JobDraft.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
+      simulation.submitAsUser(JobDraft.job("wk-60", JobKind.ARRAY, 2), 8_000L, () -> {});
+      simulation.submitAsUser(JobDraft.job("wk-61", JobKind.ARRAY, 3), 8_000L, () -> {});
       simulation.users.taskRunMs.put("wk-60/1", 45_000L);
       simulation.users.taskRunMs.put("wk-61/2", 45_000L);
       // The early task is done, its record is in flight or late, and the leader crashes.
@@ -181,7 +181,7 @@
       Simulation simulation = createSimulationWithArrays(seed, 12, 3);
       simulation.pollAllJobs();
       for (int i = 10; i < 13; i++) {
-        simulation.userCancels("wk-" + i);
+        simulation.cancelAsUser("wk-" + i);
       }
       for (int i = 0; i < 6; i++) {
         simulation.after(
@@ -245,7 +245,7 @@
     simulation.after(3000, old::start);
     simulation.runTo(22);
     for (int i = 10; i < 13; i++) {
-      simulation.userCancels("wk-" + i);
+      simulation.cancelAsUser("wk-" + i);
     }
     simulation.runTo(110);
     return simulation;
@@ -272,8 +272,8 @@
         Runnable then =
             () ->
                 simulation.after(
-                    simulation.random.nextLong(6000), () -> simulation.userCancels(job));
-        simulation.userSubmits(
+                    simulation.random.nextLong(6000), () -> simulation.cancelAsUser(job));
+        simulation.submitAsUser(
             JobDraft.job(job, JobKind.ARRAY, 2), 3_000L, i % 2 == 0 ? then : () -> {});
       }
       if (seed % 2 == 0) {
--- a/src/test/java/org/astershift/simulation/CommandSenderModel.java
+++ b/src/test/java/org/astershift/simulation/CommandSenderModel.java
@@ -34,16 +34,16 @@
                 .onCommandResult(
                     decision.machineName(), false, null, controller.clock(), controller.clock());
           } else if (workerIncarnation != null) {
-            List<Command> wanted = stillWanted(decision);
+            List<Command> wanted = commandsStillWanted(decision);
             long timeoutMs = Math.max(1, untilMs - controller.clock());
             deliver(decision, wanted, workerIncarnation, timeoutMs);
           }
         });
   }
 
-  private List<Command> stillWanted(Decision.SendCommands decision) {
+  private List<Command> commandsStillWanted(Decision.SendCommands decision) {
     boolean leaseCertain =
-        term.leaseCertain() || controller.mutated(Mutation.STARTS_WITH_UNCERTAIN_LEASE);
+        term.isLeaseCertain() || controller.hasMutation(Mutation.STARTS_WITH_UNCERTAIN_LEASE);
     List<Command> wanted = term.scheduler().commandsStillWanted(decision, leaseCertain);
     controller.onStartsWithheld(decision.commands().size() - wanted.size());
     return wanted;
@@ -72,7 +72,7 @@
         machine,
         () -> {
           WorkerModel worker = simulation.workers.get(machine);
-          if (worker != null && worker.alive()) {
+          if (worker != null && worker.isAlive()) {
             int accepted = worker.incarnation();
             simulation.send(
                 machine,
@@ -105,7 +105,7 @@
           }
         },
         (WorkerModel.CommandAnswer answer) ->
-            simulation.messageQueueing.onMessage(
+            simulation.messageQueueing.handleInTurn(
                 controller,
                 () -> {
                   if (term.isCurrent()) {
@@ -117,7 +117,7 @@
   private void onAnswer(String machine, WorkerModel.CommandAnswer answer) {
     Heartbeat heartbeat = answer == null ? null : answer.heartbeat();
     if (heartbeat != null) {
-      if (controller.mutated(Mutation.BELIEVE_OVERTAKEN_ANSWERS)) {
+      if (controller.hasMutation(Mutation.BELIEVE_OVERTAKEN_ANSWERS)) {
         heartbeat = simulation.messageQueueing.asNewest(controller.name, heartbeat);
       }
       simulation.messageQueueing.onHandled(controller.name, heartbeat, true);
@@ -125,7 +125,7 @@
     term.schedulerWithLease()
         .onCommandResult(
             machine, answer == null, heartbeat, controller.clock(), controller.clock());
-    if (heartbeat != null && controller.mutated(Mutation.COMMAND_ANSWERS_RENEW_LEASES)) {
+    if (heartbeat != null && controller.hasMutation(Mutation.COMMAND_ANSWERS_RENEW_LEASES)) {
       term.scheduler().onHeartbeat(heartbeat, controller.clock(), controller.clock());
     }
     term.stepDownIfDeposed(machine);
@@ -134,8 +134,8 @@
   /** All of them, unless a mutation withholds stops. */
   List<Command> permitted(List<Command> commands) {
     boolean noStops =
-        controller.mutated(Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE) && !term.leaseCertain();
-    boolean noStopsOfEnded = controller.mutated(Mutation.NO_STOPS_FOR_ENDED_JOBS);
+        controller.hasMutation(Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE) && !term.isLeaseCertain();
+    boolean noStopsOfEnded = controller.hasMutation(Mutation.NO_STOPS_FOR_ENDED_JOBS);
     return commands.stream()
         .filter(
             command ->
--- a/src/test/java/org/astershift/simulation/CompletionWriterModel.java
+++ b/src/test/java/org/astershift/simulation/CompletionWriterModel.java
@@ -34,7 +34,7 @@
   }
 
   /** The job is complete. */
-  void add(String job) {
+  void addCompleted(String job) {
     pending.add(job);
     writePending();
   }
@@ -54,7 +54,7 @@
   }
 
   private void addEnd(String job, EndRow end, Map<String, Long> conditions, List<Write> writes) {
-    if (!controller.mutated(Mutation.OVERWRITE_JOB_END)) {
+    if (!controller.hasMutation(Mutation.OVERWRITE_JOB_END)) {
       conditions.put("d/" + job, 0L);
     }
     writes.add(new Write("j/" + job, null, 0));
@@ -74,7 +74,7 @@
 
   private void onRejected(String job, Outcome outcome, Consumer<EndRow> done) {
     term.jobs().onEndWriteRejected(job);
-    if (outcome.failed().contains(StoreModel.LEADER)) {
+    if (outcome.failed().contains(StoreModel.LEADER_KEY)) {
       stepDown();
       done.accept(null);
     } else if (outcome == StoreModel.REFUSED) {
@@ -129,7 +129,7 @@
     } else if (outcome == StoreModel.REFUSED) {
       jobs.forEach(term.jobs()::onEndWriteRejected);
       jobs.forEach(this::retry);
-    } else if (outcome.failed().contains(StoreModel.LEADER)) {
+    } else if (outcome.failed().contains(StoreModel.LEADER_KEY)) {
       stepDown();
     } else {
       // One of them was cancelled meanwhile, or an attempt without an answer was applied.
@@ -151,7 +151,7 @@
 
   private void retry(String job) {
     if (term.isCurrent()) {
-      controller.later(
+      controller.runLater(
           Threads.RETRY_BACKOFF_MS,
           () -> term.scheduler().onDecisionFailed(new Decision.FinishJob(job)));
     }
@@ -173,7 +173,7 @@
     controller.endedJobs().put(job, end);
     term.jobs().onEnded(job);
     term.scheduler().onJobEnded(job, end.cancelled(), controller.clock());
-    term.records().persist("o/" + job, null, () -> {});
-    term.records().persist("p/" + job, null, () -> {});
+    term.recordWriter().persist("o/" + job, null, () -> {});
+    term.recordWriter().persist("p/" + job, null, () -> {});
   }
 }
--- a/src/test/java/org/astershift/simulation/ControllerModel.java
+++ b/src/test/java/org/astershift/simulation/ControllerModel.java
@@ -54,7 +54,7 @@
     endedJobs = new HashMap<>();
     term = null;
     watchCache.poll();
-    election.run();
+    election.runRound();
     peers.start();
   }
 
@@ -76,7 +76,7 @@
   }
 
   /** Whether this safety measure is taken away. */
-  boolean mutated(Mutation mutation) {
+  boolean hasMutation(Mutation mutation) {
     return simulation.mutations.contains(mutation);
   }
 
@@ -132,7 +132,7 @@
               simulation.store.loseAnswer(name, writes, outcome);
               return;
             }
-            simulation.after(storeDelayMs(), () -> answer.accept(outcome));
+            simulation.after(drawStoreDelayMs(), () -> answer.accept(outcome));
           }
         },
         (Outcome outcome) -> {
@@ -148,14 +148,14 @@
    * like the answer to a command.
    */
   void onDuplicateHeartbeat(Heartbeat heartbeat) {
-    if (!mutated(Mutation.ACCEPT_DUPLICATE_HEARTBEATS)) {
+    if (!hasMutation(Mutation.ACCEPT_DUPLICATE_HEARTBEATS)) {
       onHeartbeat(heartbeat, answer -> {});
       return;
     }
     runIn(
         incarnation(),
         () -> {
-          if (!crashed() && term != null) {
+          if (!isCrashed() && term != null) {
             term.schedulerWithLease()
                 .onCommandResult(heartbeat.machineName(), false, heartbeat, clock(), clock());
           }
@@ -165,13 +165,13 @@
   /** A heartbeat arrives; {@code answer} is not called where none gets out. */
   void onHeartbeat(Heartbeat heartbeat, Consumer<WorkerModel.HeartbeatAnswer> answer) {
     boolean rejecting = simulation.now() < rejectsHeartbeatsUntilMs;
-    if (crashed() || (rejecting && simulation.now() >= outboundPartitionedUntilMs)) {
+    if (isCrashed() || (rejecting && simulation.now() >= outboundPartitionedUntilMs)) {
       return;
     }
     runIn(
         incarnation(),
         () ->
-            simulation.messageQueueing.onMessage(
+            simulation.messageQueueing.handleInTurn(
                 this, () -> answerHeartbeat(heartbeat, rejecting, answer)));
   }
 
@@ -185,7 +185,7 @@
       current.stepDownIfDeposed(heartbeat.machineName());
       if (current == term) {
         if (!rejecting) {
-          answeredWithUncertainLease += current.leaseCertain() ? 0 : 1;
+          answeredWithUncertainLease += current.isLeaseCertain() ? 0 : 1;
           answer.accept(current.heartbeatAnswer(commands));
         }
         return;
@@ -241,7 +241,7 @@
   }
 
   /** Whether it leads and has not reconciled all machines of earlier terms yet. */
-  boolean reconciling() {
+  boolean isReconciling() {
     return term != null && term.scheduler().isReconciling();
   }
 
--- a/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
+++ b/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
@@ -15,10 +15,10 @@
   /** What is delivered on account of one moment comes within so long. */
   private static final long DELIVERY_WINDOW_MS = 5;
 
-  private static final long ACTED_WINDOW_MS = 10_000;
+  private static final long FIRST_DECISION_WINDOW_MS = 10_000;
 
   /** A moment of a failover. */
-  enum Moment {
+  enum FailoverStep {
     /** It is about to create its key. */
     BEFORE_KEY_CREATION,
     /** It has created it. */
@@ -38,7 +38,7 @@
   double holdShare;
 
   /** Copies delivered at a controller that led, by the moment on account of which they came. */
-  final Map<Moment, Integer> atLeader = new EnumMap<>(Moment.class);
+  final Map<FailoverStep, Integer> duplicatesAtLeader = new EnumMap<>(FailoverStep.class);
 
   /** Among them, those that showed a task which was on that machine no more. */
   int withEndedTasks;
@@ -55,13 +55,13 @@
   int heldAtLeader;
 
   private final Simulation simulation;
-  private final Map<Moment, List<Duplicate>> duplicates = new EnumMap<>(Moment.class);
+  private final Map<FailoverStep, List<Duplicate>> duplicates = new EnumMap<>(FailoverStep.class);
   private final List<HeldHeartbeat> held = new ArrayList<>();
 
   private record Duplicate(
       WorkerModel worker, Heartbeat heartbeat, int incarnation, long fencingToken) {}
 
-  private record HeldHeartbeat(ControllerModel to, long fencingToken, Runnable delivery) {}
+  private record HeldHeartbeat(ControllerModel receiver, long fencingToken, Runnable delivery) {}
 
   DelayedHeartbeats(Simulation simulation) {
     this.simulation = simulation;
@@ -69,9 +69,10 @@
 
   /** A machine sends this; a duplicate of it may be kept. */
   void onHeartbeatSent(WorkerModel worker, Heartbeat heartbeat) {
-    duplicate(worker, heartbeat);
+    sendDuplicateIfDrawn(worker, heartbeat);
     if (keepShare > 0 && simulation.random.nextDouble() < keepShare) {
-      Moment at = Moment.values()[simulation.random.nextInt(Moment.values().length)];
+      FailoverStep at =
+          FailoverStep.values()[simulation.random.nextInt(FailoverStep.values().length)];
       duplicates
           .computeIfAbsent(at, moment -> new ArrayList<>())
           .add(new Duplicate(worker, heartbeat, worker.incarnation(), simulation.latestToken()));
@@ -79,7 +80,7 @@
   }
 
   /** Delivers a heartbeat to its controller, or holds it back if that is drawn. */
-  <A> Simulation.Service<A> delayIfDrawn(ControllerModel receiver, Simulation.Service<A> service) {
+  <A> Simulation.Service<A> holdIfDrawn(ControllerModel receiver, Simulation.Service<A> service) {
     if (holdShare == 0 || simulation.random.nextDouble() >= holdShare) {
       return service;
     }
@@ -89,8 +90,9 @@
   }
 
   /** A change of leaders has come so far at this controller. */
-  void onMoment(Moment moment, ControllerModel leader) {
-    long within = moment == Moment.FIRST_DECISION ? ACTED_WINDOW_MS : DELIVERY_WINDOW_MS;
+  void onFailoverStep(FailoverStep moment, ControllerModel leader) {
+    long within =
+        moment == FailoverStep.FIRST_DECISION ? FIRST_DECISION_WINDOW_MS : DELIVERY_WINDOW_MS;
     List<Duplicate> due = duplicates.computeIfAbsent(moment, key -> new ArrayList<>());
     // What was sent in this very term is kept for the next one.
     List<Duplicate> now =
@@ -103,7 +105,7 @@
             () -> deliverDuplicate(moment, duplicate, controller));
       }
     }
-    if (moment == Moment.FIRST_DECISION) {
+    if (moment == FailoverStep.FIRST_DECISION) {
       List<HeldHeartbeat> free =
           held.stream().filter(entry -> entry.fencingToken < leader.token()).toList();
       held.removeAll(free);
@@ -113,9 +115,10 @@
     }
   }
 
-  private void deliverDuplicate(Moment moment, Duplicate duplicate, ControllerModel receiver) {
-    if (receiver.up() && receiver.leads()) {
-      atLeader.merge(moment, 1, Integer::sum);
+  private void deliverDuplicate(
+      FailoverStep moment, Duplicate duplicate, ControllerModel receiver) {
+    if (receiver.isUp() && receiver.leads()) {
+      duplicatesAtLeader.merge(moment, 1, Integer::sum);
       boolean ended =
           duplicate.heartbeat.tasks().stream()
               .filter(status -> status.phase() != Heartbeat.TaskPhase.EXITED)
@@ -124,9 +127,9 @@
                       !simulation.checker.isOn(
                           status.jobId() + "/" + status.index(), duplicate.worker.name));
       withEndedTasks += ended ? 1 : 0;
-      ofDeadMachines += duplicate.worker.alive() ? 0 : 1;
+      ofDeadMachines += duplicate.worker.isAlive() ? 0 : 1;
       ofEarlierIncarnations +=
-          duplicate.worker.alive() && duplicate.incarnation < duplicate.worker.incarnation()
+          duplicate.worker.isAlive() && duplicate.incarnation < duplicate.worker.incarnation()
               ? 1
               : 0;
       ofEarlierEpochs +=
@@ -135,17 +138,21 @@
               ? 1
               : 0;
     }
-    receiver.onDuplicateHeartbeat(asReadLate(duplicate.worker, duplicate.heartbeat));
+    receiver.onDuplicateHeartbeat(asLateHeartbeat(duplicate.worker, duplicate.heartbeat));
   }
 
   private void deliverHeld(HeldHeartbeat entry) {
     heldAtLeader +=
-        entry.to.up() && entry.to.leads() && entry.to.token() > entry.fencingToken ? 1 : 0;
+        entry.receiver.isUp()
+                && entry.receiver.leads()
+                && entry.receiver.token() > entry.fencingToken
+            ? 1
+            : 0;
     entry.delivery.run();
   }
 
   /** Nothing is kept or held back any more; what was held back arrives. */
-  void release() {
+  void releaseHeld() {
     keepShare = 0;
     holdShare = 0;
     held.forEach(
@@ -154,22 +161,22 @@
   }
 
   /** A duplicate arrives later, up to three leases after the original, at any controller. */
-  private void duplicate(WorkerModel worker, Heartbeat heartbeat) {
+  private void sendDuplicateIfDrawn(WorkerModel worker, Heartbeat heartbeat) {
     if (simulation.random.nextDouble() < simulation.duplicateShare) {
       ControllerModel receiver =
           simulation.controllers.get(simulation.random.nextInt(simulation.controllers.size()));
       long ms = 1000 + simulation.random.nextLong(3 * simulation.setup.leaseMs());
-      simulation.after(ms, () -> receiver.onDuplicateHeartbeat(asReadLate(worker, heartbeat)));
+      simulation.after(ms, () -> receiver.onDuplicateHeartbeat(asLateHeartbeat(worker, heartbeat)));
     }
   }
 
   /** As it was sent, or as a leader would read it that lacks a safety measure. */
-  Heartbeat asReadLate(WorkerModel worker, Heartbeat heartbeat) {
+  Heartbeat asLateHeartbeat(WorkerModel worker, Heartbeat heartbeat) {
     boolean asNew = simulation.mutations.contains(Mutation.ACCEPT_DUPLICATE_HEARTBEATS);
     boolean withCurrentToken =
         simulation.mutations.contains(Mutation.DUPLICATES_CARRY_CURRENT_TOKEN);
     long token = withCurrentToken ? simulation.latestToken() : heartbeat.fencingToken();
-    return copy(
+    return withPosition(
         heartbeat,
         heartbeat.epoch(),
         asNew ? worker.sequence() + 1 : heartbeat.sequence(),
@@ -177,7 +184,7 @@
   }
 
   /** The message with another position and fencing token. */
-  static Heartbeat copy(Heartbeat message, long epoch, long sequence, long fencingToken) {
+  static Heartbeat withPosition(Heartbeat message, long epoch, long sequence, long fencingToken) {
     return new Heartbeat(
         message.machineName(),
         message.address(),
--- a/src/test/java/org/astershift/simulation/DelayedStartCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/DelayedStartCombinedFaultsTest.java
@@ -88,7 +88,7 @@
         simulation.runUntil(() -> hasNewerLeader(simulation, token), 40), simulation.recentLog());
     simulation.runUntil(
         () ->
-            !newestLeader(simulation).reconciling()
+            !newestLeader(simulation).isReconciling()
                 && simulation.checker.tasksOnMachines("wk-50") == 12,
         60);
     WorkerModel restarted = unreachable.get(0);
@@ -156,7 +156,7 @@
     simulation.runTo(20.4 + simulation.random.nextInt(600) / 1000.0);
     final int before = old.withheldStarts();
     long pauseMs = 9000 + simulation.random.nextLong(3000);
-    old.freeze(pauseMs);
+    old.pause(pauseMs);
     for (WorkerModel machine : unreachable) {
       long restartMs = pauseMs - 100 - simulation.random.nextLong(1500);
       simulation.after(restartMs, () -> machine.restart(50));
--- a/src/test/java/org/astershift/simulation/ElectionModel.java
+++ b/src/test/java/org/astershift/simulation/ElectionModel.java
@@ -16,10 +16,10 @@
   private final Election election;
 
   /** Numbers the waits, so that only the newest ends in a round. */
-  private long wait;
+  private long waitNumber;
 
   /** No action is under way: the next round waits for its time or for the leader's key. */
-  private boolean waiting;
+  private boolean isWaiting;
 
   ElectionModel(ControllerModel controller) {
     this.controller = controller;
@@ -38,19 +38,19 @@
 
   /** The leader's key has changed: the next round comes at once, unless one is under way. */
   void onLeaderKeyChanged() {
-    if (waiting) {
-      runAfter(0);
+    if (isWaiting) {
+      runRoundAfter(0);
     }
   }
 
-  private void runAfter(long ms) {
-    waiting = true;
-    long own = ++wait;
-    controller.later(
+  private void runRoundAfter(long ms) {
+    isWaiting = true;
+    long own = ++waitNumber;
+    controller.runLater(
         ms,
         () -> {
-          if (own == wait) {
-            run();
+          if (own == waitNumber) {
+            runRound();
           }
         });
   }
@@ -62,9 +62,9 @@
   }
 
   /** One round of the election; it arranges for the next. */
-  void run() {
-    waiting = false;
-    wait++;
+  void runRound() {
+    isWaiting = false;
+    waitNumber++;
     Action action = election.next(view());
     long intervalMs = intervalMs();
     if (action instanceof Action.ReadKey) {
@@ -81,50 +81,52 @@
       catchUp(catchUp.revision(), controller.clock() + Election.LEADER_LEASE_MS);
     } else if (action instanceof Action.BeginTerm begin) {
       beginTerm(begin.token());
-      runAfter(intervalMs);
+      runRoundAfter(intervalMs);
     } else if (action instanceof Action.RenewLease renewal) {
       renewLease(renewal, intervalMs);
     } else {
       execute(List.of(action));
-      runAfter(intervalMs);
+      runRoundAfter(intervalMs);
     }
   }
 
   private void readKey() {
     controller.storeRequest(
         () -> simulation.store.revision(),
-        revision -> runAfter(revision == null ? Threads.RETRY_BACKOFF_MS : 0));
+        revision -> runRoundAfter(revision == null ? Threads.RETRY_BACKOFF_MS : 0));
   }
 
   private void removeStaleKey(Action.RemoveStaleKey removal, long intervalMs) {
     controller.compareAndSwap(
-        Map.of(StoreModel.LEADER, removal.revision()),
-        List.of(new Write(StoreModel.LEADER, null, 0)),
-        outcome -> runAfter(intervalMs));
+        Map.of(StoreModel.LEADER_KEY, removal.revision()),
+        List.of(new Write(StoreModel.LEADER_KEY, null, 0)),
+        outcome -> runRoundAfter(intervalMs));
   }
 
   private void grantLease(Action.GrantLease grant) {
     controller.storeRequest(
-        () -> simulation.store.grant(grant.ttlMs()),
+        () -> simulation.store.grantLease(grant.ttlMs()),
         lease -> {
           if (lease != null) {
             election.onLeaseGranted(lease);
           }
-          runAfter(lease == null ? Threads.RETRY_BACKOFF_MS : 0);
+          runRoundAfter(lease == null ? Threads.RETRY_BACKOFF_MS : 0);
         });
   }
 
   private void createKey(Action.CreateKey creation) {
-    simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.BEFORE_KEY_CREATION, controller);
+    simulation.delayedHeartbeats.onFailoverStep(
+        DelayedHeartbeats.FailoverStep.BEFORE_KEY_CREATION, controller);
     controller.compareAndSwap(
-        Map.of(StoreModel.LEADER, 0L),
-        List.of(new Write(StoreModel.LEADER, controller.name, creation.lease())),
+        Map.of(StoreModel.LEADER_KEY, 0L),
+        List.of(new Write(StoreModel.LEADER_KEY, controller.name, creation.lease())),
         outcome -> {
           election.onKeyCreation(keyCreation(outcome), outcome == null ? 0 : outcome.revision());
           if (outcome != null && outcome.revision() > 0) {
-            simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.KEY_CREATED, controller);
+            simulation.delayedHeartbeats.onFailoverStep(
+                DelayedHeartbeats.FailoverStep.KEY_CREATED, controller);
           }
-          runAfter(0);
+          runRoundAfter(0);
         });
   }
 
@@ -139,39 +141,41 @@
     controller.storeRequest(
         () -> {
           StoreModel.Row row =
-              simulation.store.renew(verification.lease())
-                  ? simulation.store.get(StoreModel.LEADER)
+              simulation.store.renewLease(verification.lease())
+                  ? simulation.store.get(StoreModel.LEADER_KEY)
                   : null;
           return row != null && row.lease() == verification.lease() ? row.revision() : 0L;
         },
         revision -> {
           election.onKeyVerified(revision == null ? 0 : revision);
-          runAfter(0);
+          runRoundAfter(0);
         });
   }
 
   private void renewLease(Action.RenewLease renewal, long intervalMs) {
     controller.storeRequest(
-        () -> simulation.store.renew(renewal.lease()),
+        () -> simulation.store.renewLease(renewal.lease()),
         renewed -> {
           election.onLeaseRenewed(renewed);
           if (renewed == null) {
-            runAfter(Threads.RETRY_BACKOFF_MS);
+            runRoundAfter(Threads.RETRY_BACKOFF_MS);
           } else {
-            runAfter(election.token() == 0 ? 0 : intervalMs);
+            runRoundAfter(election.token() == 0 ? 0 : intervalMs);
           }
         });
   }
 
   private void catchUp(long revision, long untilMs) {
-    simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.CATCHING_UP, controller);
+    simulation.delayedHeartbeats.onFailoverStep(
+        DelayedHeartbeats.FailoverStep.CATCHING_UP, controller);
     boolean done =
-        controller.watchCache().revision() >= revision || controller.mutated(Mutation.NO_CATCH_UP);
+        controller.watchCache().revision() >= revision
+            || controller.hasMutation(Mutation.NO_CATCH_UP);
     if (done || controller.clock() > untilMs) {
       election.onCaughtUp(revision, done);
-      runAfter(0);
+      runRoundAfter(0);
     } else {
-      controller.later(WatchCacheModel.POLL_MS / 2, () -> catchUp(revision, untilMs));
+      controller.runLater(WatchCacheModel.POLL_INTERVAL_MS / 2, () -> catchUp(revision, untilMs));
     }
   }
 
@@ -188,7 +192,7 @@
       } else if (action instanceof Action.RevokeLease revocation) {
         controller.storeRequest(
             () -> {
-              simulation.store.revoke(revocation.lease());
+              simulation.store.revokeLease(revocation.lease());
               return true;
             },
             ok -> {});
@@ -220,7 +224,7 @@
   }
 
   /** Whether no other controller can lead now. */
-  boolean leaseCertain(long token) {
+  boolean isLeaseCertain(long token) {
     return election.isLeaseCertain(token, controller.clock());
   }
 
--- a/src/test/java/org/astershift/simulation/FailoverTest.java
+++ b/src/test/java/org/astershift/simulation/FailoverTest.java
@@ -46,7 +46,7 @@
         simulation.controllers.stream().filter(controller -> controller != old).toList();
     simulation.store.lateShare = 1;
     for (int i = 10; i < 16; i++) {
-      simulation.userCancels("wk-" + i);
+      simulation.cancelAsUser("wk-" + i);
     }
     simulation.runTo(20.4);
     old.crash();
@@ -86,7 +86,7 @@
       simulation.after(
           simulation.random.nextLong(6000),
           () ->
-              simulation.userSubmits(
+              simulation.submitAsUser(
                   JobDraft.job("wk-" + id, JobKind.ARRAY, 1), 20_000L, () -> {}));
     }
     simulation.after(3000, old::resign);
@@ -117,7 +117,7 @@
           simulation.runUntil(
               () -> simulation.leaders().stream().anyMatch(controller -> controller != old), 30);
       int unansweredClaims =
-          simulation.store.unansweredWrites.getOrDefault(StoreModel.LEADER.substring(0, 2), 0);
+          simulation.store.unansweredWrites.getOrDefault(StoreModel.LEADER_KEY.substring(0, 2), 0);
       assertTrue(
           led && unansweredClaims > 0,
           unansweredClaims + " unanswered writes of the leader key\n" + simulation.recentLog());
--- a/src/test/java/org/astershift/simulation/FaultInjector.java
+++ b/src/test/java/org/astershift/simulation/FaultInjector.java
@@ -16,13 +16,13 @@
 
   private final Simulation simulation;
   private final int kinds;
-  private final List<Fault> faults =
+  private final List<Fault> faultsByKind =
       List.of(
           (controller, forMs) -> cutRandomly(controller.name, "workers", forMs),
           (controller, forMs) -> cutRandomly(controller.name, "state", forMs),
           (controller, forMs) -> cutRandomly(controller.name, "cloud", forMs),
           this::cutFromController,
-          (controller, forMs) -> controller.freeze(Math.min(forMs, MAX_PAUSE_MS)),
+          (controller, forMs) -> controller.pause(Math.min(forMs, MAX_PAUSE_MS)),
           this::crashRepeatedly,
           (controller, forMs) -> storeOutage(Math.min(forMs, MAX_OUTAGE_MS)),
           (controller, forMs) -> cutRandomly(controller.name, randomZone(), forMs),
@@ -72,7 +72,7 @@
     ControllerModel controller =
         atLeader ? simulation.leaders().stream().findFirst().orElse(any) : any;
     long forMs = 1000 + simulation.random.nextLong(45_000);
-    faults.get(kind).inject(controller, forMs);
+    faultsByKind.get(kind).inject(controller, forMs);
   }
 
   private void cutFromController(ControllerModel controller, long forMs) {
@@ -135,8 +135,8 @@
   /** The store refuses the controller and serves the others. */
   void refuseAtStore(ControllerModel controller, long forMs) {
     if (!simulation.store.refuses(controller.name)) {
-      simulation.store.refuse(controller.name, true);
-      simulation.after(forMs, () -> simulation.store.refuse(controller.name, false));
+      simulation.store.setRefused(controller.name, true);
+      simulation.after(forMs, () -> simulation.store.setRefused(controller.name, false));
     }
   }
 
@@ -157,7 +157,7 @@
 
   private void killMachines() {
     for (int i = 0; i < 1 + simulation.random.nextInt(5); i++) {
-      simulation.cloud.die(randomMachine());
+      simulation.cloud.killMachine(randomMachine());
     }
   }
 
@@ -180,14 +180,14 @@
   void storeOutage(long forMs) {
     if (!simulation.store.isUnavailable()) {
       simulation.log("state", "is down");
-      simulation.store.unavailable(true);
-      simulation.after(forMs, () -> simulation.store.unavailable(false));
+      simulation.store.setUnavailable(true);
+      simulation.after(forMs, () -> simulation.store.setUnavailable(false));
     }
   }
 
   /** Back after between 50 ms and 10 s, in half of the cases within half a second. */
   void crashAndRestart(ControllerModel controller) {
-    if (!controller.crashed()) {
+    if (!controller.isCrashed()) {
       controller.crash();
       boolean soon = simulation.random.nextBoolean();
       simulation.after(50 + simulation.random.nextLong(soon ? 450 : 9950), controller::start);
--- a/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangCombinedFaultsTest.java
@@ -55,7 +55,7 @@
               pickRandomMachines(simulation, List.copyOf(simulation.workers.keySet()), 3)) {
             applyToMachine(simulation, machineFault, machine, durationsMs[(int) (seed % 4)]);
           }
-          createGangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
+          createGangs().forEach(gang -> simulation.submitAsUser(gang, 12_000L, () -> {}));
           simulation.runTo(22 + 0.5 * (seed % 3));
           gathered += countJobs(simulation, simulation.gangs::isGathering);
           apply(simulation, old, fault);
@@ -100,10 +100,10 @@
                 .map(machine -> machine.name)
                 .toList();
         String lost = pickRandomMachines(simulation, zoneMachines, 1).get(0);
-        simulation.userSubmits(
+        simulation.submitAsUser(
             JobDraft.gang(GANGS.get(0), 4).zone("a").takes(4, 0).spec(), 12_000L, () -> {});
         simulation.runUntil(() -> simulation.gangs.isGathering(GANGS.get(0)), 30);
-        simulation.cloud.die(lost);
+        simulation.cloud.killMachine(lost);
         simulation.after(
             26_000 + simulation.random.nextLong(5000), () -> apply(simulation, old, fault));
         simulation.runTo(80);
@@ -203,7 +203,7 @@
           boolean early = seed % 2 == 0; // so that the gangs are still gathering
           long forMs = 4000 + 4000 * seed;
           if (!early) {
-            createGangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
+            createGangs().forEach(gang -> simulation.submitAsUser(gang, 300_000L, () -> {}));
             simulation.runTo(26);
           }
           List<String> all =
@@ -211,18 +211,18 @@
           List<String> machines = pickRandomMachines(simulation, all, 4);
           machines.forEach(machine -> applyToMachine(simulation, machineFault, machine, forMs));
           if (early) {
-            createGangs().forEach(gang -> simulation.userSubmits(gang, 300_000L, () -> {}));
+            createGangs().forEach(gang -> simulation.submitAsUser(gang, 300_000L, () -> {}));
           }
           simulation.after(
               2000 + faultOffsetsMs.get((int) (seed % 3)), () -> apply(simulation, old, fault));
           GANGS.forEach(
               gang ->
                   simulation.after(
-                      2000 + simulation.random.nextLong(200), () -> simulation.userCancels(gang)));
+                      2000 + simulation.random.nextLong(200), () -> simulation.cancelAsUser(gang)));
           runForS(simulation, 2);
           gathered += countJobs(simulation, simulation.gangs::isGathering);
           int[] counts = new int[1];
-          simulation.checker.eachOnMachine(
+          simulation.checker.forEachPlacement(
               (task, machine) -> counts[0] += machines.contains(machine) ? 1 : 0);
           onFaultyMachines += counts[0];
           simulation.pollAllJobs();
@@ -257,7 +257,7 @@
         ControllerModel old = simulation.leaders().get(0);
         simulation.delayedHeartbeats.keepShare = 0.4;
         simulation.delayedHeartbeats.holdShare = 0.3;
-        createGangs().forEach(gang -> simulation.userSubmits(gang, 8_000L, () -> {}));
+        createGangs().forEach(gang -> simulation.submitAsUser(gang, 8_000L, () -> {}));
         boolean completed =
             simulation.runUntil(() -> countJobs(simulation, simulation.gangs::isDone) > 0, 60);
         assertTrue(completed, simulation.fullLog());
--- a/src/test/java/org/astershift/simulation/GangFaults.java
+++ b/src/test/java/org/astershift/simulation/GangFaults.java
@@ -63,7 +63,7 @@
   /** Returns the names of the machines that have tasks of the jobs, sorted. */
   static List<String> machinesRunning(Simulation simulation, List<String> jobs) {
     Set<String> machines = new HashSet<>();
-    simulation.checker.eachOnMachine(
+    simulation.checker.forEachPlacement(
         (task, machine) -> {
           if (jobs.contains(task.substring(0, task.indexOf('/')))) {
             machines.add(machine);
--- a/src/test/java/org/astershift/simulation/GangModel.java
+++ b/src/test/java/org/astershift/simulation/GangModel.java
@@ -27,7 +27,7 @@
   /** By job, the progress from which its next attempt resumes. */
   private final Map<String, Long> progressMs = new HashMap<>();
 
-  private final Set<String> done = new HashSet<>();
+  private final Set<String> completedGangs = new HashSet<>();
 
   /** Gangs that started, and those that did after their cancellation was confirmed. */
   int started;
@@ -65,7 +65,7 @@
     /** Those with their image, by index. */
     final Map<Integer, TaskModel> members = new TreeMap<>();
 
-    boolean lostOne;
+    boolean lostTask;
     boolean started;
 
     /** It lost a task, failed to save, saved or completed: it ends as a whole. */
@@ -126,25 +126,25 @@
   }
 
   boolean isDone(String job) {
-    return done.contains(job);
+    return completedGangs.contains(job);
   }
 
   /** The task has its image. */
   void onImageFetched(TaskModel task) {
-    if (done.contains(task.job)) {
-      task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "done");
+    if (completedGangs.contains(task.job)) {
+      task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.EXITED, "done");
       return;
     }
     Attempt attempt = attemptOf(task);
     startedAfterGangStart += attempt.started ? 1 : 0;
     attempt.members.put(task.index, task);
-    task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.WAITING, null);
-    task.worker.afterWork(
+    task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.WAITING, null);
+    task.worker.afterRunTime(
         GATHER_TIMEOUT_MS,
         () -> {
           if (task.phase == Heartbeat.TaskPhase.WAITING) {
             gatherTimeouts++;
-            task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "incomplete");
+            task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.EXITED, "incomplete");
           }
         });
     startIfComplete(attempt);
@@ -158,22 +158,23 @@
     attempt.startedMs = simulation.now();
     attempt.resumedFromMs = progressMs.getOrDefault(attempt.job, 0L);
     started++;
-    startedAfterReplacement += attempt.lostOne ? 1 : 0;
+    startedAfterReplacement += attempt.lostTask ? 1 : 0;
     resumed += attempt.resumedFromMs > 0 ? 1 : 0;
     startedAfterCancelConfirmed +=
         simulation.checker.cancelConfirmedMs(attempt.job) == null ? 0 : 1;
     simulation.log("gang", attempt.job + " begins");
     List<TaskModel> all = new ArrayList<>(attempt.members.values());
-    all.forEach(task -> task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.RUNNING, null));
-    all.forEach(task -> task.worker.tasks().failIfFaulty(task, WorkerTasks.FAILS_AFTER_MS));
+    all.forEach(task -> task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.RUNNING, null));
+    all.forEach(
+        task -> task.worker.tasks().scheduleFailureIfFaulty(task, WorkerTasks.FAILURE_DELAY_MS));
     all.stream()
         .map(task -> task.worker)
-        .filter(WorkerModel::paused)
+        .filter(WorkerModel::isPaused)
         .forEach(this::onMachinePaused);
     Long runMs = simulation.users.runMsOf(attempt.job, 0);
     if (runMs != null) {
       long leftMs = Math.max(0, runMs - attempt.resumedFromMs);
-      simulation.users.started(attempt.job, leftMs);
+      simulation.users.onTaskStarted(attempt.job, leftMs);
       simulation.after(leftMs, () -> finish(attempt));
     }
   }
@@ -183,19 +184,19 @@
     if (attempt.ended || attempt.firstStopMs >= 0) {
       return;
     }
-    if (attempt.members.values().stream().anyMatch(task -> task.worker.paused())) {
+    if (attempt.members.values().stream().anyMatch(task -> task.worker.isPaused())) {
       simulation.after(PEER_CHECK_MS, () -> finish(attempt));
       return;
     }
     attempt.ended = true;
-    done.add(attempt.job);
+    completedGangs.add(attempt.job);
     simulation.log("gang", attempt.job + " is complete");
     for (int i = 0; i < attempt.spec.tasks(); i++) {
       simulation.users.onTaskCompleted(attempt.job, i);
       simulation.checker.onTaskCompleted(attempt.job + "/" + i);
     }
     for (TaskModel task : List.copyOf(attempt.members.values())) {
-      task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "done");
+      task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.EXITED, "done");
     }
   }
 
@@ -211,7 +212,7 @@
         simulation.after(
             PEER_TIMEOUT_MS,
             () -> {
-              if (worker.paused()
+              if (worker.isPaused()
                   && worker.pauses() == pause
                   && attempt.members.get(task.index) == task) {
                 onTaskLost(attempt);
@@ -228,8 +229,8 @@
       return;
     }
     if (!attempt.started) {
-      lostWhileGathering += attempt.lostOne ? 0 : 1;
-      attempt.lostOne = true;
+      lostWhileGathering += attempt.lostTask ? 0 : 1;
+      attempt.lostTask = true;
     } else {
       onTaskLost(attempt);
     }
@@ -245,7 +246,7 @@
     saveFailed += attempt.firstStopMs >= 0 ? 1 : 0;
     long everyMs = Math.round(attempt.spec.checkpointIntervalS() * 1000);
     if (everyMs > 0) {
-      progressMs.put(attempt.job, ranMs(attempt) / everyMs * everyMs);
+      progressMs.put(attempt.job, attemptProgressMs(attempt) / everyMs * everyMs);
     }
     simulation.log("gang", attempt.job + " has lost a task");
     for (TaskModel task : attempt.members.values()) {
@@ -254,13 +255,16 @@
           () ->
               task.worker
                   .tasks()
-                  .whenRunning(
+                  .whenWorkerRuns(
                       task,
-                      () -> task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "peers")));
+                      () ->
+                          task.worker
+                              .tasks()
+                              .transitionTo(task, Heartbeat.TaskPhase.EXITED, "peers")));
     }
   }
 
-  private long ranMs(Attempt attempt) {
+  private long attemptProgressMs(Attempt attempt) {
     return attempt.resumedFromMs
         + (attempt.firstStopMs >= 0 ? attempt.firstStopMs : simulation.now())
         - attempt.startedMs;
@@ -273,7 +277,7 @@
       return;
     }
     if (attempt.ended || !inTime || task.phase != Heartbeat.TaskPhase.RUNNING) {
-      task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "halted");
+      task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.EXITED, "halted");
       return;
     }
     if (attempt.firstStopMs < 0) {
@@ -287,33 +291,34 @@
           });
     }
     attempt.stopRequested.add(task.index);
-    task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.SAVING, null);
-    task.worker.afterWork(
+    task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.SAVING, null);
+    task.worker.afterRunTime(
         Math.round(attempt.spec.checkpointSaveS() * 1000),
         () -> {
           attempt.saved.add(task.index);
-          exitSaved(attempt);
+          exitSavedTasks(attempt);
         });
-    exitSaved(attempt);
+    exitSavedTasks(attempt);
   }
 
   /** Those that have saved exit once all have their stop command. */
-  private void exitSaved(Attempt attempt) {
+  private void exitSavedTasks(Attempt attempt) {
     if (!attempt.allStopRequested() || attempt.saved.isEmpty()) {
       return;
     }
     if (!attempt.ended) {
       attempt.ended = true;
       stoppedInOrder++;
-      progressMs.put(attempt.job, ranMs(attempt));
+      progressMs.put(attempt.job, attemptProgressMs(attempt));
       simulation.log("gang", attempt.job + " has saved");
     }
     for (TaskModel task : List.copyOf(attempt.members.values())) {
       if (task.phase == Heartbeat.TaskPhase.SAVING && attempt.saved.contains(task.index)) {
         task.worker
             .tasks()
-            .whenRunning(
-                task, () -> task.worker.tasks().moveTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
+            .whenWorkerRuns(
+                task,
+                () -> task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
       }
     }
   }
--- a/src/test/java/org/astershift/simulation/GangStartCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/GangStartCombinedFaultsTest.java
@@ -53,11 +53,11 @@
           long forMs = 5000 + 4000 * seed;
           machines.forEach(machine -> applyToMachine(simulation, machineFault, machine, forMs));
           if (seed % 2 == 0) {
-            machines.stream().limit(2).forEach(simulation.cloud::die);
+            machines.stream().limit(2).forEach(simulation.cloud::killMachine);
           }
           runForS(simulation, 1);
           if (seed % 3 == 0) {
-            simulation.userCancels("wk-r0");
+            simulation.cancelAsUser("wk-r0");
           }
           apply(simulation, old, fault);
           runForS(simulation, 45);
@@ -115,12 +115,12 @@
             machines.forEach(
                 machine -> simulation.workers.get(machine).partitionOutbound(forMs + 2000));
           }
-          createGangs().forEach(gang -> simulation.userSubmits(gang, 12_000L, () -> {}));
+          createGangs().forEach(gang -> simulation.submitAsUser(gang, 12_000L, () -> {}));
           simulation.runTo(21.5);
           gathered += countJobs(simulation, simulation.gangs::isGathering);
           apply(simulation, old, fault);
           if (seed % 3 == 0) {
-            GANGS.forEach(simulation::userCancels);
+            GANGS.forEach(simulation::cancelAsUser);
           }
           simulation.runTo(20 + forMs / 1000.0);
           held += simulation.heldMessageCount();
--- a/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/HeartbeatCombinedFaultsTest.java
@@ -15,7 +15,7 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import org.astershift.simulation.DelayedHeartbeats.Moment;
+import org.astershift.simulation.DelayedHeartbeats.FailoverStep;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -41,7 +41,7 @@
    */
   @Test
   void duplicateHeartbeatsAtTermBeginDoNotDelayReconciliation() {
-    Map<Moment, Integer> atLeader = new EnumMap<>(Moment.class);
+    Map<FailoverStep, Integer> atLeader = new EnumMap<>(FailoverStep.class);
     int ended = 0;
     int incarnations = 0;
     int dead = 0;
@@ -53,13 +53,13 @@
             played.reconciledMs <= MAX_RECONCILE_MS,
             played.reconciledMs + " ms to reconcile\n" + played.simulation.fullLog());
         DelayedHeartbeats delayed = played.simulation.delayedHeartbeats;
-        delayed.atLeader.forEach((moment, n) -> atLeader.merge(moment, n, Integer::sum));
+        delayed.duplicatesAtLeader.forEach((moment, n) -> atLeader.merge(moment, n, Integer::sum));
         ended += delayed.withEndedTasks;
         incarnations += delayed.ofEarlierIncarnations;
         dead += delayed.ofDeadMachines;
       }
     }
-    for (Moment moment : Moment.values()) {
+    for (FailoverStep moment : FailoverStep.values()) {
       assertTrue(atLeader.getOrDefault(moment, 0) >= 20, atLeader + " duplicates reached a leader");
     }
     assertTrue(ended > 100, ended + " duplicates showed a task that was no longer there");
@@ -106,7 +106,7 @@
         simulation.runUntil(() -> hasNewerLeader(simulation, token), 60), simulation.recentLog());
     long wonMs = simulation.now();
     simulation.runUntil(
-        () -> newestLeader(simulation) != null && !newestLeader(simulation).reconciling(), 100);
+        () -> newestLeader(simulation) != null && !newestLeader(simulation).isReconciling(), 100);
     long reconciledMs = simulation.now() - wonMs;
     simulation.runTo(nowS(simulation) + simulation.random.nextInt(5000) / 1000.0);
     if (newestLeader(simulation) != null) {
@@ -164,7 +164,7 @@
       newestLeader(simulation).resign(); // possibly back to the old leader
     }
     simulation.runTo(40);
-    simulation.delayedHeartbeats.release();
+    simulation.delayedHeartbeats.releaseHeld();
     simulation.runTo(100);
     return simulation;
   }
@@ -180,7 +180,8 @@
     for (long seed = 1; seed <= 2 * SEEDS; seed++) {
       Simulation simulation = playUnreachableMachines(seed);
       assertAllJobsServed(simulation);
-      duplicates += simulation.delayedHeartbeats.atLeader.values().stream().mapToInt(n -> n).sum();
+      duplicates +=
+          simulation.delayedHeartbeats.duplicatesAtLeader.values().stream().mapToInt(n -> n).sum();
       for (int i = 20; i < 24; i++) {
         assertTrue(simulation.checker.cancelConfirmedMs("wk-" + i) < 60_000, simulation.fullLog());
       }
--- a/src/test/java/org/astershift/simulation/HeartbeatSchedule.java
+++ b/src/test/java/org/astershift/simulation/HeartbeatSchedule.java
@@ -11,13 +11,13 @@
   private long sentMs;
 
   /** No controller has accepted the last heartbeat yet. */
-  private boolean unaccepted;
+  private boolean awaitingAcceptance;
 
   /** The tasks have changed since the last heartbeat was sent. */
   private boolean tasksChanged;
 
   /** Counts those scheduled: one that was put forward replaces the one before. */
-  private int scheduled;
+  private int scheduleNumber;
 
   HeartbeatSchedule(Simulation simulation, PausableProcess process, Runnable send) {
     this.simulation = simulation;
@@ -28,13 +28,13 @@
   /** A heartbeat is sent now. */
   void onSent() {
     sentMs = simulation.now();
-    unaccepted = true;
+    awaitingAcceptance = true;
     tasksChanged = false;
   }
 
   /** A controller has accepted it: the next one follows after so long, or with a change. */
   void onAccepted(long nextAfterMs) {
-    unaccepted = false;
+    awaitingAcceptance = false;
     sendAfter(nextAfterMs);
     if (tasksChanged) {
       onTasksChanged();
@@ -42,12 +42,12 @@
   }
 
   void sendAfter(long delayMs) {
-    scheduled++;
-    int number = scheduled;
+    scheduleNumber++;
+    int number = scheduleNumber;
     process.after(
         delayMs,
         () -> {
-          if (number == scheduled) {
+          if (number == scheduleNumber) {
             send.run();
           }
         });
@@ -56,7 +56,7 @@
   /** The tasks have changed, which the next heartbeat shows as soon as it may be sent. */
   void onTasksChanged() {
     tasksChanged = true;
-    if (simulation.messageQueueing.heartbeatsOnChange && !unaccepted) {
+    if (simulation.messageQueueing.heartbeatsOnChange && !awaitingAcceptance) {
       sendAfter(Math.max(0, sentMs + MIN_INTERVAL_MS - simulation.now()));
     }
   }
--- a/src/test/java/org/astershift/simulation/InvariantChecker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -24,9 +24,9 @@
    * So long after the cancellation of a job is confirmed no task of it may be left, nor start: less
    * than the operators ask for, and as much as a lease and the heartbeats around it take.
    */
-  static final long CANCEL_MS = 20_000;
+  static final long CANCEL_DEADLINE_MS = 20_000;
 
-  private final Map<String, Long> cancelRequestedMs = new HashMap<>();
+  private final Map<String, Long> onCancelRequested = new HashMap<>();
 
   /** How long each user waited for the confirmation of a cancellation, in milliseconds. */
   final List<Long> cancelLatencyMs = new ArrayList<>();
@@ -41,22 +41,22 @@
   private final Map<String, Long> lastAnswerMs = new HashMap<>();
 
   /** Questions and answers in the order in which users send and get them. */
-  private long questionOrder;
+  private long userMessageOrder;
 
   /** By job, the moment at which a user was first told that it is over. */
-  private final Map<String, Long> reportedOverAt = new HashMap<>();
+  private final Map<String, Long> endReportedOrder = new HashMap<>();
 
   private final Simulation simulation;
-  private final Map<String, String> running = new HashMap<>();
+  private final Map<String, String> machineByTask = new HashMap<>();
 
   /** The same where a task is on two machines at once, for what a team uses. */
-  private final Set<String> onMachines = new HashSet<>();
+  private final Set<String> placements = new HashSet<>();
 
   /** Tasks that have completed, by name. */
-  private final Set<String> completed = new HashSet<>();
+  private final Set<String> completedTasks = new HashSet<>();
 
   /** By job, when a task of it was started last. */
-  private final Map<String, Long> lastStartMs = new HashMap<>();
+  private final Map<String, Long> lastStartTimesMs = new HashMap<>();
 
   private final Set<String> releaseDecided = new HashSet<>();
   private final Set<String> endedJobs = new HashSet<>();
@@ -65,9 +65,9 @@
   /** Machines released though they were alive and some controller reached them. */
   final List<String> healthyReleased = new ArrayList<>();
 
-  final List<String> released = new ArrayList<>();
-  final List<String> leaders = new ArrayList<>();
-  int killedByLease;
+  final List<String> releasedAsSilent = new ArrayList<>();
+  final List<String> termLeaders = new ArrayList<>();
+  int killedOnLeaseExpiry;
 
   /** Tasks that started, or got their image, after their cancellation was confirmed. */
   int startedAfterConfirmation;
@@ -92,18 +92,18 @@
     simulation.digest.started(simulation.now(), task, machine, attempt);
     String job = task.substring(0, task.indexOf('/'));
     Long confirmed = cancelConfirmedMs.get(job);
-    if (confirmed != null && simulation.now() > confirmed + CANCEL_MS) {
+    if (confirmed != null && simulation.now() > confirmed + CANCEL_DEADLINE_MS) {
       violations.add("ran_cancelled: " + task + " starts, cancelled as told at " + confirmed);
     }
     checkNotCancelled(task, machine);
     checkPlacement(job, task, machine);
-    onMachines.add(task + " on " + machine);
-    String at = running.putIfAbsent(task, machine);
+    placements.add(task + " on " + machine);
+    String at = machineByTask.putIfAbsent(task, machine);
     if (at != null) {
       violations.add(
           "ran_twice: " + task + " starts on " + machine + " while on " + at + " @" + attempt);
     }
-    lastStartMs.put(job, simulation.now());
+    lastStartTimesMs.put(job, simulation.now());
     checkQuota(simulation.users.spec(job).team(), task);
   }
 
@@ -125,7 +125,7 @@
   /** Processors and accelerators that the team's tasks take on machines. */
   double[] usage(String team) {
     double[] use = new double[2];
-    for (String other : onMachines) {
+    for (String other : placements) {
       JobSpec spec = simulation.users.spec(other.substring(0, other.indexOf('/')));
       if (spec.team().equals(team)) {
         use[0] += spec.cpus();
@@ -136,8 +136,8 @@
   }
 
   /** Calls this with each task that is on a machine, and that. */
-  void eachOnMachine(BiConsumer<String, String> body) {
-    for (String on : onMachines) {
+  void forEachPlacement(BiConsumer<String, String> body) {
+    for (String on : placements) {
       int at = on.indexOf(" on ");
       body.accept(on.substring(0, at), on.substring(at + 4));
     }
@@ -147,14 +147,14 @@
    * Tasks of a job that is neither over nor cancelled which are on no machine and have not
    * completed.
    */
-  List<Integer> waiting(JobSpec spec) {
+  List<Integer> waitingTasks(JobSpec spec) {
     List<Integer> out = new ArrayList<>();
-    if (isEnded(spec.id()) || cancelRequestedMs.containsKey(spec.id())) {
+    if (isEnded(spec.id()) || onCancelRequested.containsKey(spec.id())) {
       return out;
     }
     for (int i = 0; i < spec.tasks(); i++) {
       String task = spec.id() + "/" + i;
-      if (!running.containsKey(task) && !completed.contains(task)) {
+      if (!machineByTask.containsKey(task) && !completedTasks.contains(task)) {
         out.add(i);
       }
     }
@@ -162,13 +162,13 @@
   }
 
   /** When a task of the job was started last; none yet: long ago. */
-  long lastStart(String job) {
-    return lastStartMs.getOrDefault(job, Long.MIN_VALUE);
+  long lastStartMs(String job) {
+    return lastStartTimesMs.getOrDefault(job, Long.MIN_VALUE);
   }
 
   /** The task has completed somewhere. */
   void onTaskCompleted(String task) {
-    completed.add(task);
+    completedTasks.add(task);
     simulation.digest.completed(simulation.now(), task);
   }
 
@@ -193,7 +193,7 @@
     String zone = simulation.workers.get(machine).zone;
     int here = 1;
     boolean elsewhere = false;
-    for (String other : onMachines) {
+    for (String other : placements) {
       if (other.startsWith(job + "/") && !other.startsWith(task + " ")) {
         String at = simulation.workers.get(other.substring(other.lastIndexOf(' ') + 1)).zone;
         here += at.equals(zone) ? 1 : 0;
@@ -212,8 +212,8 @@
 
   void onTaskGone(String task, String machine) {
     simulation.digest.leaves(simulation.now(), task, machine);
-    running.remove(task, machine);
-    onMachines.remove(task + " on " + machine);
+    machineByTask.remove(task, machine);
+    placements.remove(task + " on " + machine);
   }
 
   /**
@@ -229,16 +229,16 @@
       for (ControllerModel controller : simulation.controllers) {
         // Nor one that the leader cannot make listen while everything opened before waits for it.
         boolean holdsUp =
-            leader.reconciling() && leader.leadingForMs() > Scheduler.UNFENCED_RELEASE_MS;
+            leader.isReconciling() && leader.leadingForMs() > Scheduler.UNFENCED_RELEASE_MS;
         boolean mayAsk =
             controller == leader || (!holdsUp && simulation.reaches(leader.name, controller.name));
         // Not just after a path came back: nobody can know yet that it reaches them again.
         boolean settled =
             simulation.now() - simulation.connectivityChangedMs() >= CONNECTIVITY_SETTLED_MS;
         if (settled
-            && worker.alive()
-            && !worker.paused()
-            && controller.up()
+            && worker.isAlive()
+            && !worker.isPaused()
+            && controller.isUp()
             && mayAsk
             && simulation.reaches(controller.name, machine)) {
           healthyReleased.add(machine + " by " + leader.name + ", reached by " + controller.name);
@@ -259,7 +259,7 @@
     String id = job.substring(job.indexOf('/') + 1);
     simulation.digest.jobOver(simulation.now(), id, end.cancelled(), end.done());
     int tasks = simulation.users.spec(id).tasks();
-    long all = IntStream.range(0, tasks).filter(i -> completed.contains(id + "/" + i)).count();
+    long all = IntStream.range(0, tasks).filter(i -> completedTasks.contains(id + "/" + i)).count();
     if (!end.cancelled() && (end.done() < tasks || all < tasks)) {
       violations.add(
           "not_done: " + job + " with " + end.done() + " of " + tasks + ", " + all + " completed");
@@ -268,7 +268,7 @@
 
   /** A user asks something now: the moment of it. */
   long onQuestion() {
-    return ++questionOrder;
+    return ++userMessageOrder;
   }
 
   /**
@@ -281,7 +281,7 @@
     if (state == null || state.equals("503")) {
       return false;
     }
-    questionOrder++;
+    userMessageOrder++;
     boolean news = false;
     lastAnswerMs.put(job + " at " + controller, simulation.now());
     lastState.put(job + " at " + controller, state);
@@ -293,14 +293,14 @@
     } else if (simulation.users.spec(job) == null) {
       violations.add("invented: " + controller + " says that " + job + " is " + state);
     } else if (end) {
-      reportedOverAt.putIfAbsent(job, questionOrder);
+      endReportedOrder.putIfAbsent(job, userMessageOrder);
       String first = reportedEnd.putIfAbsent(job, state);
       news = first == null;
       if (first != null && !first.equals(state)) {
         violations.add(
             "went_back: " + controller + " says that " + job + " is " + state + ", not " + first);
       }
-    } else if (reportedOverAt.getOrDefault(job, Long.MAX_VALUE) < askedOrder) {
+    } else if (endReportedOrder.getOrDefault(job, Long.MAX_VALUE) < askedOrder) {
       violations.add("went_back: " + controller + " says that " + job + " is " + state);
     }
     if (state.equals("withdrawn")) {
@@ -311,42 +311,45 @@
   }
 
   /** A user wants the job to be cancelled. */
-  void cancelRequestedMs(String job) {
-    cancelRequestedMs.put(job, simulation.now());
+  void onCancelRequested(String job) {
+    onCancelRequested.put(job, simulation.now());
   }
 
   /** Invariant ran_cancelled, from the first confirmation on. */
   private void onCancelConfirmed(String job, String controller) {
-    if (!cancelRequestedMs.containsKey(job)) {
+    if (!onCancelRequested.containsKey(job)) {
       violations.add(
           "went_back: " + controller + " calls " + job + " cancelled, and its user did not");
     }
     if (cancelConfirmedMs.putIfAbsent(job, simulation.now()) == null) {
-      cancelLatencyMs.add(simulation.now() - cancelRequestedMs.getOrDefault(job, simulation.now()));
-      leftAtConfirmation += remaining(job).size();
+      cancelLatencyMs.add(simulation.now() - onCancelRequested.getOrDefault(job, simulation.now()));
+      leftAtConfirmation += placementsOf(job).size();
       simulation.log(
-          controller, "confirms that " + job + " is cancelled; tasks left: " + remaining(job));
+          controller, "confirms that " + job + " is cancelled; tasks left: " + placementsOf(job));
       simulation.after(
-          CANCEL_MS,
+          CANCEL_DEADLINE_MS,
           () -> {
-            if (!remaining(job).isEmpty()) {
+            if (!placementsOf(job).isEmpty()) {
               violations.add(
-                  "ran_cancelled: " + remaining(job) + ", told at " + cancelConfirmedMs.get(job));
+                  "ran_cancelled: "
+                      + placementsOf(job)
+                      + ", told at "
+                      + cancelConfirmedMs.get(job));
             }
           });
     }
   }
 
-  private List<String> remaining(String job) {
-    return onMachines.stream().filter(task -> task.startsWith(job + "/")).toList();
+  private List<String> placementsOf(String job) {
+    return placements.stream().filter(task -> task.startsWith(job + "/")).toList();
   }
 
   /** Tasks of the job that are on machines. */
   int tasksOnMachines(String job) {
-    return remaining(job).size();
+    return placementsOf(job).size();
   }
 
-  boolean anyCancelConfirmed() {
+  boolean hasConfirmedCancels() {
     return !cancelConfirmedMs.isEmpty();
   }
 
@@ -389,7 +392,7 @@
 
   /** Whether the task is on this machine. */
   boolean isOn(String task, String machine) {
-    return onMachines.contains(task + " on " + machine);
+    return placements.contains(task + " on " + machine);
   }
 
   long latestToken() {
@@ -399,7 +402,7 @@
   void onTermBegun(String controller, long token) {
     simulation.digest.term(simulation.now(), controller, token);
     latestToken = Math.max(latestToken, token);
-    leaders.add(controller);
+    termLeaders.add(controller);
     simulation.log(controller, "begins a term token=" + token);
   }
 }
--- a/src/test/java/org/astershift/simulation/JobServiceModel.java
+++ b/src/test/java/org/astershift/simulation/JobServiceModel.java
@@ -22,14 +22,14 @@
 
   private final ControllerModel controller;
   private final Simulation simulation;
-  private final RequestCoalescerModel leaderQueries;
-  private final RequestCoalescerModel storeReads;
+  private final RequestCoalescerModel leaderRequests;
+  private final RequestCoalescerModel storeRequests;
 
   JobServiceModel(ControllerModel controller) {
     this.controller = controller;
     this.simulation = controller.simulation;
-    this.leaderQueries = new RequestCoalescerModel(controller, this::askLeader);
-    this.storeReads = new RequestCoalescerModel(controller, this::readState);
+    this.leaderRequests = new RequestCoalescerModel(controller, this::askLeader);
+    this.storeRequests = new RequestCoalescerModel(controller, this::readState);
   }
 
   /** The job is on record before its user gets an answer. */
@@ -39,8 +39,8 @@
 
   private void submitNow(JobSpec spec, Consumer<String> answer) {
     EndRow end = controller.endedJobs().get(spec.id());
-    if (controller.crashed() || end != null || controller.storeLost()) {
-      answer.accept(controller.crashed() || end == null ? UNAVAILABLE : stateOf(end));
+    if (controller.isCrashed() || end != null || controller.isStoreLost()) {
+      answer.accept(controller.isCrashed() || end == null ? UNAVAILABLE : stateOf(end));
       return;
     }
     JobRow job = new JobRow(spec, simulation.now());
@@ -77,9 +77,10 @@
     controller.runIn(
         controller.incarnation(),
         () -> {
-          if (!controller.crashed()) {
+          if (!controller.isCrashed()) {
             long deadlineMs = controller.clock() + LoopTiming.CANCEL_WAIT_MS;
-            advance(new CancelRequest(job, controller.term(), forward, deadlineMs, answer), false);
+            advanceCancel(
+                new CancelRequest(job, controller.term(), forward, deadlineMs, answer), false);
           }
         });
   }
@@ -95,46 +96,47 @@
     LeaderTermModel term = request.term();
     boolean managed = request.managed();
     Scheduler.JobProgress progress = managed ? term.scheduler().progress(request.job()) : null;
-    boolean unreconciled = controller.mutated(Mutation.CONFIRM_CANCEL_UNRECONCILED);
+    boolean unreconciled = controller.hasMutation(Mutation.CONFIRM_CANCEL_UNRECONCILED);
     return new Cancellation.View(
         controller.endedJobs().containsKey(request.job()),
         request.forward(),
         term != null,
-        term != null && term.isCurrent() && term.leaseCertain(),
+        term != null && term.isCurrent() && term.isLeaseCertain(),
         managed,
         storeRead,
         managed && (unreconciled || term.scheduler().canConfirmCancellation(request.job())),
         managed
-            && !controller.mutated(Mutation.CONFIRM_CANCEL_WHILE_STARTING)
+            && !controller.hasMutation(Mutation.CONFIRM_CANCEL_WHILE_STARTING)
             && term.scheduler().mayStart(request.job()),
         progress != null && progress.complete(),
         controller.clock() >= request.deadlineMs());
   }
 
-  private void advance(CancelRequest request, boolean storeRead) {
+  private void advanceCancel(CancelRequest request, boolean storeRead) {
     Cancellation.Action action = Cancellation.next(view(request, storeRead));
     if (action.needsTerm()) {
       request.term().scheduler().requestCancellation(request.job());
       request.term().requestPass();
     }
     if (action == Cancellation.Action.WRITE_CANCELLED
-        && controller.mutated(Mutation.CONFIRM_CANCEL_BEFORE_WRITE)) {
+        && controller.hasMutation(Mutation.CONFIRM_CANCEL_BEFORE_WRITE)) {
       request.answer().accept("withdrawn");
     }
     switch (action) {
       case REPLY_WITH_END ->
           request.answer().accept(stateOf(controller.endedJobs().get(request.job())));
-      case FORWARD -> forward(request);
+      case FORWARD -> forwardCancel(request);
       case READ_STORE -> readStore(request);
       case WRITE_CANCELLED -> writeEnd(request, true, storeRead);
       case WRITE_DONE -> writeEnd(request, false, storeRead);
-      case WAIT -> advanceLater(request, storeRead);
+      case WAIT -> advanceCancelLater(request, storeRead);
       default -> request.answer().accept(UNAVAILABLE);
     }
   }
 
-  private void advanceLater(CancelRequest request, boolean storeRead) {
-    controller.later(LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> advance(request, storeRead));
+  private void advanceCancelLater(CancelRequest request, boolean storeRead) {
+    controller.runLater(
+        LoopTiming.CANCEL_POLL_INTERVAL_MS, () -> advanceCancel(request, storeRead));
   }
 
   private void readStore(CancelRequest request) {
@@ -142,7 +144,7 @@
         request.job(),
         state -> {
           if (state.equals(QUEUED)) {
-            advance(request, true);
+            advanceCancel(request, true);
           } else {
             request.answer().accept(state);
           }
@@ -152,7 +154,7 @@
   private void writeEnd(CancelRequest request, boolean cancelled, boolean storeRead) {
     request
         .term()
-        .completions()
+        .completionWriter()
         .write(
             request.job(),
             cancelled,
@@ -160,12 +162,12 @@
               if (end != null) {
                 request.answer().accept(stateOf(end));
               } else {
-                advanceLater(request, storeRead);
+                advanceCancelLater(request, storeRead);
               }
             });
   }
 
-  private void forward(CancelRequest request) {
+  private void forwardCancel(CancelRequest request) {
     ControllerModel leader = controller.otherLeader();
     if (leader == null) {
       request.answer().accept(UNAVAILABLE);
@@ -188,13 +190,13 @@
    * first. 503 where none of these gives an answer.
    */
   void jobState(String job, boolean forward, Consumer<String> answer) {
-    if (!controller.crashed()) {
+    if (!controller.isCrashed()) {
       controller.runIn(controller.incarnation(), () -> jobStateNow(job, forward, answer));
     }
   }
 
   private void jobStateNow(String job, boolean forward, Consumer<String> answer) {
-    if (controller.mutated(Mutation.FORGET_ONE_JOB)
+    if (controller.hasMutation(Mutation.FORGET_ONE_JOB)
         && controller.name.equals("n1")
         && job.equals("wk-7")) {
       answer.accept(UNAVAILABLE);
@@ -210,9 +212,9 @@
     if (known != null) {
       answer.accept(known);
     } else if (term == null && forward) {
-      leaderQueries.ask(job, answer);
+      leaderRequests.ask(job, answer);
     } else {
-      storeReads.ask(job, answer);
+      storeRequests.ask(job, answer);
     }
   }
 
@@ -220,13 +222,14 @@
   private String stateFromMemory(LeaderTermModel term, String job) {
     boolean mayAnswer =
         term != null
-            && (controller.mutated(Mutation.ANSWER_WHILE_ENDING) || !term.jobs().mayHaveEnded(job));
+            && (controller.hasMutation(Mutation.ANSWER_WHILE_ENDING)
+                || !term.jobs().mayHaveEnded(job));
     Scheduler.JobProgress progress = mayAnswer ? term.scheduler().progress(job) : null;
-    if (progress != null && term.leaseCertain()) {
+    if (progress != null && term.isLeaseCertain()) {
       return progress.running() ? "running" : QUEUED;
     }
     boolean cached =
-        controller.mutated(Mutation.ANSWER_FROM_WATCH_CACHE)
+        controller.hasMutation(Mutation.ANSWER_FROM_WATCH_CACHE)
             && controller.watchCache().contains("j/" + job);
     return cached ? QUEUED : null;
   }
@@ -261,11 +264,11 @@
   private void afterThreadStall(Runnable body) {
     long stallMs =
         simulation.threadStallMs == 0 ? 0 : simulation.random.nextLong(simulation.threadStallMs);
-    controller.later(stallMs, body);
+    controller.runLater(stallMs, body);
   }
 
   private void readState(String job, Consumer<String> answer) {
-    if (controller.storeLost()) {
+    if (controller.isStoreLost()) {
       answer.accept(UNAVAILABLE);
       return;
     }
--- a/src/test/java/org/astershift/simulation/JobStreamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/JobStreamCombinedFaultsTest.java
@@ -63,7 +63,7 @@
     simulation.runTo(4);
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, 20), null);
     simulation.runTo(15);
-    simulation.users.stream(1000, 480, 4000);
+    simulation.users.submitStream(1000, 480, 4000);
     simulation.after(60_000, () -> apply(simulation, change));
     simulation.runTo(165);
     return simulation;
@@ -81,8 +81,8 @@
         Simulation simulation = playTenFailovers(seed, outage);
         assertNoViolations(simulation);
         assertTrue(
-            simulation.checker.leaders.size() >= 10,
-            simulation.checker.leaders + simulation.recentLog());
+            simulation.checker.termLeaders.size() >= 10,
+            simulation.checker.termLeaders + simulation.recentLog());
         assertJobsEnded(simulation, 100, 30);
         confirmed += simulation.checker.cancelsConfirmed();
       }
@@ -101,7 +101,7 @@
     simulation.pollAllJobs();
     submitJobs(simulation, 100, 30, 110_000, 4000);
     for (int i = 0; i < 10; i++) {
-      simulation.after(i * 2000, () -> simulation.users.cancelNow(1));
+      simulation.after(i * 2000, () -> simulation.users.cancelRunningJobs(1));
       List<LeaderChange> changes = new ArrayList<>(List.of(LeaderChange.values()));
       changes.remove(LeaderChange.NONE);
       LeaderChange change = changes.get(simulation.random.nextInt(changes.size()));
@@ -109,8 +109,8 @@
           1000 + i * 12_000 + simulation.random.nextLong(6000), () -> apply(simulation, change));
       if (outage) {
         // Each leader change falls into an outage of some seconds, or just before or after it.
-        simulation.after(2000 + i * 12_000, () -> simulation.store.unavailable(true));
-        simulation.after(6000 + i * 12_000, () -> simulation.store.unavailable(false));
+        simulation.after(2000 + i * 12_000, () -> simulation.store.setUnavailable(true));
+        simulation.after(6000 + i * 12_000, () -> simulation.store.setUnavailable(false));
       }
     }
     simulation.runTo(190);
--- a/src/test/java/org/astershift/simulation/LargeFleetTest.java
+++ b/src/test/java/org/astershift/simulation/LargeFleetTest.java
@@ -38,7 +38,7 @@
     restartMachines(simulation, 0);
     simulation.runTo(23);
     simulation.controllers.stream()
-        .filter(controller -> !controller.up())
+        .filter(controller -> !controller.isUp())
         .forEach(ControllerModel::start);
     simulation.runTo(45);
     submitArrays(simulation, "wk-b");
@@ -58,7 +58,7 @@
     assertEquals(List.of(), simulation.checker.violations);
     assertEquals(List.of(), simulation.checker.healthyReleased);
     int[] replicas = new int[1];
-    simulation.checker.eachOnMachine(
+    simulation.checker.forEachPlacement(
         (task, machine) -> replicas[0] += task.startsWith("wk-s") ? 1 : 0);
     assertEquals(SERVICES * REPLICAS, replicas[0]);
     for (String job : simulation.users.accepted()) {
--- a/src/test/java/org/astershift/simulation/LeaderLossFaults.java
+++ b/src/test/java/org/astershift/simulation/LeaderLossFaults.java
@@ -45,13 +45,13 @@
     simulation.delayedHeartbeats.keepShare = keepShare;
     simulation.submit(JobDraft.job("wk-1", JobKind.SERVICE, MACHINES), null);
     for (int i = 10; i < 16; i++) {
-      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
+      simulation.submitAsUser(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 6_000L, () -> {});
     }
     for (int i = 20; i < 24; i++) {
-      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      simulation.submitAsUser(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
     for (int i = 30; i < 33; i++) {
-      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
+      simulation.submitAsUser(JobDraft.job("wk-" + i, JobKind.ARRAY, 3), 25_000L, () -> {});
     }
     simulation.runTo(9);
     assertNotNull(newestLeader(simulation), simulation.recentLog());
@@ -115,8 +115,8 @@
       }
       default -> {
         if (loss == LeaderLoss.CRASHES_IN_STORE_OUTAGE) {
-          simulation.store.unavailable(true);
-          simulation.after(3000, () -> simulation.store.unavailable(false));
+          simulation.store.setUnavailable(true);
+          simulation.after(3000, () -> simulation.store.setUnavailable(false));
         }
         simulation.after(loss == LeaderLoss.CRASHES ? 0 : 1500, old::crash);
         simulation.after(6000, old::start);
@@ -131,7 +131,7 @@
   static void cancelJobs(Simulation simulation, int first, int last, long withinMs) {
     for (int i = first; i <= last; i++) {
       String job = "wk-" + i;
-      simulation.after(simulation.random.nextLong(withinMs), () -> simulation.userCancels(job));
+      simulation.after(simulation.random.nextLong(withinMs), () -> simulation.cancelAsUser(job));
     }
   }
 }
--- a/src/test/java/org/astershift/simulation/LeaderTermModel.java
+++ b/src/test/java/org/astershift/simulation/LeaderTermModel.java
@@ -27,7 +27,7 @@
   private static final double LIST_LAG_S = 3;
 
   /** No machine is idle for so long, so that each release is for silence. */
-  private static final double NEVER_IDLE_S = 1e6;
+  private static final double IDLE_RELEASE_S = 1e6;
 
   private final ControllerModel controller;
   private final Simulation simulation;
@@ -35,20 +35,20 @@
   private final long beganMs;
   private final Scheduler scheduler;
   private final TermJobs jobs;
-  private final RecordWriterModel records;
-  private final CompletionWriterModel completions;
-  private final CommandSenderModel commands;
+  private final RecordWriterModel recordWriter;
+  private final CompletionWriterModel completionWriter;
+  private final CommandSenderModel commandSender;
   private final CloudProvisionerModel provisioner;
 
   /** Machines that this leader has registered. */
-  private final Set<String> registered = new HashSet<>();
+  private final Set<String> registeredMachines = new HashSet<>();
 
   private boolean passRequested;
 
   /** It has decided something beyond probes. */
-  private boolean acted;
+  private boolean hasDecided;
 
-  private long passDueMs = Long.MAX_VALUE;
+  private long nextPassDueMs = Long.MAX_VALUE;
 
   LeaderTermModel(ControllerModel controller, long token) {
     this.controller = controller;
@@ -57,9 +57,9 @@
     this.beganMs = controller.clock();
     this.scheduler = new Scheduler(limits(), policy(), token);
     this.jobs = new TermJobs(token);
-    this.records = new RecordWriterModel(controller, this);
-    this.completions = new CompletionWriterModel(controller, this);
-    this.commands = new CommandSenderModel(controller, this);
+    this.recordWriter = new RecordWriterModel(controller, this);
+    this.completionWriter = new CompletionWriterModel(controller, this);
+    this.commandSender = new CommandSenderModel(controller, this);
     this.provisioner = new CloudProvisionerModel(controller, this);
   }
 
@@ -71,18 +71,18 @@
         simulation.setup.leaseMs() / MS_PER_S,
         GangModel.GATHER_TIMEOUT_MS / MS_PER_S,
         GangModel.PEER_TIMEOUT_MS / MS_PER_S,
-        InvariantChecker.CANCEL_MS / MS_PER_S,
+        InvariantChecker.CANCEL_DEADLINE_MS / MS_PER_S,
         LIST_LAG_S);
   }
 
   private static SchedulingPolicy policy() {
-    return new SchedulingPolicy(2500, 0.9, 64, 5, NEVER_IDLE_S);
+    return new SchedulingPolicy(2500, 0.9, 64, 5, IDLE_RELEASE_S);
   }
 
   /** The term begins with what the watch cache shows. */
   void begin() {
     scheduler.updateMachineTypes(simulation.cloud.types());
-    if (!controller.mutated(Mutation.NO_INHERITED_MACHINES)) {
+    if (!controller.hasMutation(Mutation.NO_INHERITED_MACHINES)) {
       inheritMachines();
     }
     controller.setTerm(this);
@@ -91,12 +91,12 @@
         .rows()
         .forEach(
             (key, row) -> {
-              records.load(key, row);
+              recordWriter.load(key, row);
               if (key.startsWith("j/")) {
                 adoptJob((JobRow) row.value(), row.revision());
               }
             });
-    if (!controller.mutated(Mutation.ADOPT_STALE_JOBS)) {
+    if (!controller.hasMutation(Mutation.ADOPT_STALE_JOBS)) {
       jobs.onLoaded();
     }
     controller
@@ -106,7 +106,8 @@
             (request, decision) ->
                 provisioner.provision(request, (Decision.ProvisionMachines) decision));
     simulation.checker.onTermBegun(controller.name, token);
-    simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.TERM_BEGUN, controller);
+    simulation.delayedHeartbeats.onFailoverStep(
+        DelayedHeartbeats.FailoverStep.TERM_BEGUN, controller);
     runPasses();
     provisioner.pollMachineList();
     saveProgress();
@@ -152,17 +153,17 @@
       return;
     }
     runPass();
-    passDueMs = controller.clock() + LoopTiming.PASS_INTERVAL_MS;
-    controller.later(LoopTiming.PASS_INTERVAL_MS, this::runPasses);
+    nextPassDueMs = controller.clock() + LoopTiming.PASS_INTERVAL_MS;
+    controller.runLater(LoopTiming.PASS_INTERVAL_MS, this::runPasses);
   }
 
   /** Any pass may be the first after the process paused. */
   private void runPass() {
-    if (controller.clock() - passDueMs > LoopTiming.PROCESS_PAUSE_MS) {
+    if (controller.clock() - nextPassDueMs > LoopTiming.PROCESS_PAUSE_MS) {
       scheduler.onProcessResumed(controller.clock());
     }
     long leaseCertainUntilMs =
-        controller.mutated(Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE)
+        controller.hasMutation(Mutation.TRUST_EXPIRY_WITH_UNCERTAIN_LEASE)
             ? Long.MAX_VALUE
             : controller.election().leaseCertainUntilMs();
     List<Decision> decisions = scheduler.runPass(controller.clock(), leaseCertainUntilMs);
@@ -174,7 +175,7 @@
   void requestPass() {
     if (!passRequested) {
       passRequested = true;
-      controller.later(
+      controller.runLater(
           LoopTiming.PASS_MIN_GAP_MS,
           () -> {
             passRequested = false;
@@ -186,22 +187,23 @@
   }
 
   private void execute(Decision decision) {
-    if (!acted && !(decision instanceof Decision.ProbeThroughPeers)) {
-      acted = true;
-      simulation.delayedHeartbeats.onMoment(DelayedHeartbeats.Moment.FIRST_DECISION, controller);
+    if (!hasDecided && !(decision instanceof Decision.ProbeThroughPeers)) {
+      hasDecided = true;
+      simulation.delayedHeartbeats.onFailoverStep(
+          DelayedHeartbeats.FailoverStep.FIRST_DECISION, controller);
     }
     if (decision instanceof Decision.SendCommands send) {
-      commands.send(send);
+      commandSender.send(send);
     } else if (decision instanceof Decision.OpenJob opening) {
       openJob(opening.jobId());
     } else if (decision instanceof Decision.FinishJob completion) {
-      completions.add(completion.jobId());
+      completionWriter.addCompleted(completion.jobId());
     } else if (decision instanceof Decision.RegisterMachine registration) {
       registerMachine(registration);
     } else if (decision instanceof Decision.DeregisterMachine removal) {
-      records.persist("m/" + removal.machineName(), null, () -> {});
+      recordWriter.persist("m/" + removal.machineName(), null, () -> {});
     } else if (decision instanceof Decision.ProvisionMachines request) {
-      provisioner.begin(request);
+      provisioner.startProvisioning(request);
     } else if (decision instanceof Decision.ReleaseMachines release) {
       provisioner.release(release);
     } else if (decision instanceof Decision.ProbeThroughPeers probe) {
@@ -210,11 +212,11 @@
   }
 
   private void openJob(String job) {
-    boolean early = controller.mutated(Mutation.START_BEFORE_JOB_OPENED);
+    boolean early = controller.hasMutation(Mutation.START_BEFORE_JOB_OPENED);
     if (early) {
       scheduler.onJobOpened(job);
     }
-    records.persist(
+    recordWriter.persist(
         "o/" + job,
         true,
         () -> {
@@ -226,17 +228,17 @@
 
   private void registerMachine(Decision.RegisterMachine registration) {
     String machine = registration.machineName();
-    registered.add(machine);
-    if (controller.mutated(Mutation.TASKS_BEFORE_REGISTRATION)) {
+    registeredMachines.add(machine);
+    if (controller.hasMutation(Mutation.TASKS_BEFORE_REGISTRATION)) {
       scheduler.onMachineRegistered(machine);
     }
-    records.persist(
+    recordWriter.persist(
         "m/" + machine, new MachineRow(registration), () -> scheduler.onMachineRegistered(machine));
   }
 
   /** Marks a machine as registered by this leader; false if it was already. */
   boolean markRegistered(String machine) {
-    return registered.add(machine);
+    return registeredMachines.add(machine);
   }
 
   private void probeThroughPeers(Decision.ProbeThroughPeers probe) {
@@ -260,8 +262,9 @@
         .drainUnpersistedProgress()
         .forEach(
             (job, done) ->
-                records.persist("p/" + job, done, () -> scheduler.onProgressPersisted(job, done)));
-    controller.later(LoopTiming.PROGRESS_SAVE_INTERVAL_MS, this::saveProgress);
+                recordWriter.persist(
+                    "p/" + job, done, () -> scheduler.onProgressPersisted(job, done)));
+    controller.runLater(LoopTiming.PROGRESS_SAVE_INTERVAL_MS, this::saveProgress);
   }
 
   /** Whether the process still leads in this term. */
@@ -286,22 +289,22 @@
     return jobs;
   }
 
-  RecordWriterModel records() {
-    return records;
+  RecordWriterModel recordWriter() {
+    return recordWriter;
   }
 
-  CompletionWriterModel completions() {
-    return completions;
+  CompletionWriterModel completionWriter() {
+    return completionWriter;
   }
 
   /** Whether no other controller can lead now. */
-  boolean leaseCertain() {
-    return controller.election().leaseCertain(token);
+  boolean isLeaseCertain() {
+    return controller.election().isLeaseCertain(token);
   }
 
   /** The scheduler, which knows until when no other controller can lead. */
   Scheduler schedulerWithLease() {
-    boolean unproven = controller.mutated(Mutation.TRUST_UNPROVEN_INCARNATIONS);
+    boolean unproven = controller.hasMutation(Mutation.TRUST_UNPROVEN_INCARNATIONS);
     scheduler.extendLeaseCertainty(
         unproven ? Long.MAX_VALUE : controller.election().leaseCertainUntilMs());
     return scheduler;
@@ -320,15 +323,15 @@
 
   /** What a heartbeat is answered with; {@code wanted} null: it is not accepted. */
   WorkerModel.HeartbeatAnswer heartbeatAnswer(List<Command> wanted) {
-    List<Command> permitted = wanted == null ? null : commands.permitted(wanted);
+    List<Command> permitted = wanted == null ? null : commandSender.permitted(wanted);
     return new WorkerModel.HeartbeatAnswer(wanted != null, token, permitted, null);
   }
 
   /** Conditions that hold only while this leader's key exists. */
   Map<String, Long> leaderCondition() {
     Map<String, Long> conditions = new HashMap<>();
-    if (!controller.mutated(Mutation.UNFENCED_WRITES)) {
-      conditions.put(StoreModel.LEADER, token);
+    if (!controller.hasMutation(Mutation.UNFENCED_WRITES)) {
+      conditions.put(StoreModel.LEADER_KEY, token);
     }
     return conditions;
   }
--- a/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/MachineCombinedFaultsTest.java
@@ -65,7 +65,7 @@
 
   private static List<WorkerModel> pickRandomMachines(Simulation simulation, int machines) {
     List<WorkerModel> alive = new ArrayList<>(simulation.workers.values());
-    alive.removeIf(machine -> !machine.alive());
+    alive.removeIf(machine -> !machine.isAlive());
     List<WorkerModel> picked = new ArrayList<>();
     for (int i = 0; i < machines; i++) {
       picked.add(alive.remove(simulation.random.nextInt(alive.size())));
@@ -86,12 +86,13 @@
       String job = "wk-" + (1000 + i);
       Runnable then =
           () ->
-              simulation.after(simulation.random.nextLong(3000), () -> simulation.userCancels(job));
+              simulation.after(
+                  simulation.random.nextLong(3000), () -> simulation.cancelAsUser(job));
       boolean cancelled = i % 4 == 3;
       simulation.after(
           i * 250L,
           () ->
-              simulation.userSubmits(
+              simulation.submitAsUser(
                   JobDraft.job(job, JobKind.ARRAY, 1), runMs, cancelled ? then : () -> {}));
     }
   }
@@ -124,7 +125,7 @@
         assertEquals(
             STREAM_JOBS + 1, played.simulation.checker.jobsEnded(), played.simulation.fullLog());
         undelivered += sumOverMachines(played.simulation, machine -> machine.undeliveredHeartbeats);
-        killed += played.simulation.checker.killedByLease;
+        killed += played.simulation.checker.killedOnLeaseExpiry;
         // A new leader gives the machine half a lease to send a heartbeat, and its term begins
         // within six seconds.
         long latest = LEASE_MS / 2 + 1000 + (fault == LeaderFault.STAYS ? 0 : 2000 + 6000 + 1500);
@@ -152,7 +153,7 @@
       long seed, int machines, LeaderFault fault, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, 2 * MACHINES, 0, mutations);
     submitStream(simulation, STREAM_JOBS, 4000);
-    simulation.userSubmits(JobDraft.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
+    simulation.submitAsUser(JobDraft.job("wk-2", JobKind.ARRAY, 8), 300_000L, () -> {});
     simulation.runTo(27);
     List<WorkerModel> partitioned = pickRandomMachines(simulation, machines);
     List<String> held = new ArrayList<>();
@@ -163,7 +164,7 @@
     long fromMs = simulation.now();
     simulation.runTo(29);
     apply(simulation, fault);
-    simulation.userCancels("wk-2");
+    simulation.cancelAsUser("wk-2");
     Set<String> missing = new HashSet<>(held);
     long movedMs = 0;
     while (simulation.now() < fromMs + 3 * LEASE_MS - 250) {
@@ -176,7 +177,7 @@
       movedMs = missing.isEmpty() ? movedMs : simulation.now() - fromMs;
     }
     long startedMs =
-        partitioned.stream().mapToLong(machine -> machine.startedMs).max().orElse(0) - fromMs;
+        partitioned.stream().mapToLong(machine -> machine.lastTaskStartMs).max().orElse(0) - fromMs;
     simulation.runTo(110);
     return new PartitionPlay(simulation, Math.max(0, startedMs), movedMs);
   }
@@ -233,11 +234,12 @@
       String job = "wk-" + i;
       Runnable cancel =
           () ->
-              simulation.after(simulation.random.nextLong(4000), () -> simulation.userCancels(job));
+              simulation.after(
+                  simulation.random.nextLong(4000), () -> simulation.cancelAsUser(job));
       Runnable then = i % 2 == 0 ? cancel : () -> {};
       simulation.after(
           simulation.random.nextLong(1500),
-          () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 3000L, then));
+          () -> simulation.submitAsUser(JobDraft.job(job, JobKind.ARRAY, 2), 3000L, then));
     }
     for (WorkerModel machine : pickRandomMachines(simulation, 5)) {
       boolean afterHeartbeat = simulation.random.nextBoolean();
@@ -294,19 +296,19 @@
       long seed, long pauseMs, LeaderFault fault, Mutation... mutations) {
     Simulation simulation = createLoadedSimulation(seed, MACHINES, 0, mutations);
     for (int i = 20; i < 36; i++) {
-      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
+      simulation.submitAsUser(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 300_000L, () -> {});
     }
     simulation.runTo(30);
     for (int i = 20; i < 34; i++) {
       String job = "wk-" + i;
-      simulation.after(simulation.random.nextLong(200), () -> simulation.userCancels(job));
+      simulation.after(simulation.random.nextLong(200), () -> simulation.cancelAsUser(job));
     }
     for (WorkerModel machine : pickRandomMachines(simulation, 8)) {
       boolean afterHeartbeat = simulation.random.nextInt(4) == 0;
       simulation.after(
           simulation.random.nextLong(300), () -> pause(machine, afterHeartbeat, pauseMs));
     }
-    simulation.runUntil(simulation.checker::anyCancelConfirmed, 32);
+    simulation.runUntil(simulation.checker::hasConfirmedCancels, 32);
     apply(simulation, fault);
     simulation.pollAllJobs();
     simulation.runTo(100);
@@ -358,8 +360,9 @@
       String job = "wk-" + i;
       Runnable then =
           () ->
-              simulation.after(simulation.random.nextLong(4000), () -> simulation.userCancels(job));
-      simulation.userSubmits(
+              simulation.after(
+                  simulation.random.nextLong(4000), () -> simulation.cancelAsUser(job));
+      simulation.submitAsUser(
           JobDraft.job(job, JobKind.ARRAY, 2), 5_000L, i % 2 == 0 ? then : () -> {});
     }
     simulation.runTo(22 + simulation.random.nextInt(6000) / 1000.0);
--- a/src/test/java/org/astershift/simulation/MessageQueueing.java
+++ b/src/test/java/org/astershift/simulation/MessageQueueing.java
@@ -11,10 +11,10 @@
  */
 final class MessageQueueing {
   /** A message that waits is handled up to so much later than it arrives. */
-  long longestWaitMs;
+  long maxWaitMs;
 
   /** Share of the heartbeats, and of the answers to direct commands, that wait. */
-  double waitingShare;
+  double queuedShare;
 
   /** Workers send a heartbeat as soon as their tasks change, as the protocol has it. */
   boolean heartbeatsOnChange;
@@ -30,11 +30,11 @@
   }
 
   /** Handles a message in this process when its turn has come. */
-  void onMessage(ProcessModel process, Runnable handling) {
-    if (waitingShare == 0 || simulation.random.nextDouble() >= waitingShare) {
+  void handleInTurn(ProcessModel process, Runnable handling) {
+    if (queuedShare == 0 || simulation.random.nextDouble() >= queuedShare) {
       handling.run();
     } else {
-      process.later(simulation.random.nextLong(longestWaitMs), handling);
+      process.runLater(simulation.random.nextLong(maxWaitMs), handling);
     }
   }
 
@@ -44,7 +44,7 @@
     if (newest == null || !newest.isNewerThan(answer.epoch(), answer.sequence())) {
       return answer;
     }
-    return DelayedHeartbeats.copy(
+    return DelayedHeartbeats.withPosition(
         answer, newest.epoch(), newest.sequence() + 1, answer.fencingToken());
   }
 
--- a/src/test/java/org/astershift/simulation/OutageCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/OutageCombinedFaultsTest.java
@@ -52,7 +52,7 @@
       for (long seed = 1; seed <= 2 * SEEDS; seed++) {
         ControllerOutage outage = playControllerOutage(order, seed);
         assertAllJobsServed(outage.simulation);
-        killed += outage.simulation.checker.killedByLease;
+        killed += outage.simulation.checker.killedOnLeaseExpiry;
         held += outage.heldMessages;
         started += outage.started;
         confirmed += outage.confirmed;
@@ -92,7 +92,7 @@
       simulation.cut(old.name, "vm-" + (seed + 3 * i) % MACHINES);
     }
     for (int i = 40; i < 43; i++) {
-      simulation.userSubmits(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
+      simulation.submitAsUser(JobDraft.job("wk-" + i, JobKind.ARRAY, 2), 25_000L, () -> {});
     }
     simulation.runTo(10);
     cancelJobs(simulation, 20, 21, 300);
@@ -119,14 +119,15 @@
           () -> simulation.heal(old.name, machine));
       String dies = "vm-" + (seed + 3 * i + 1) % MACHINES;
       if (simulation.random.nextInt(3) == 0) {
-        simulation.after(simulation.random.nextLong(20_000), () -> simulation.cloud.die(dies));
+        simulation.after(
+            simulation.random.nextLong(20_000), () -> simulation.cloud.killMachine(dies));
       }
     }
     if (seed % 2 == 0) {
-      simulation.after(downMs - 1000, () -> simulation.store.unavailable(true));
+      simulation.after(downMs - 1000, () -> simulation.store.setUnavailable(true));
       simulation.after(
           downMs + 2000 + simulation.random.nextLong(5000),
-          () -> simulation.store.unavailable(false));
+          () -> simulation.store.setUnavailable(false));
     }
     int first = simulation.random.nextInt(3);
     for (int i = 0; i < 3; i++) {
@@ -227,7 +228,7 @@
     int meanwhile = simulation.checker.cancelsConfirmed() - before;
     long survivors =
         simulation.workers.values().stream()
-            .filter(machine -> machine.alive() && machine.zone.equals("a"))
+            .filter(machine -> machine.isAlive() && machine.zone.equals("a"))
             .count();
     ControllerModel next = newestLeader(simulation);
     simulation.after(
--- a/src/test/java/org/astershift/simulation/OverloadCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/OverloadCombinedFaultsTest.java
@@ -56,7 +56,7 @@
 
   private static int countWaitingTasks(Simulation simulation) {
     return simulation.users.accepted().stream()
-        .mapToInt(job -> simulation.checker.waiting(simulation.users.spec(job)).size())
+        .mapToInt(job -> simulation.checker.waitingTasks(simulation.users.spec(job)).size())
         .sum();
   }
 
--- a/src/test/java/org/astershift/simulation/PartitionTest.java
+++ b/src/test/java/org/astershift/simulation/PartitionTest.java
@@ -33,7 +33,7 @@
     simulation.runTo(60);
     assertNotEquals(
         0,
-        simulation.checker.killedByLease,
+        simulation.checker.killedOnLeaseExpiry,
         "no worker lease expired without a leadership transfer");
   }
 
@@ -49,12 +49,12 @@
       simulation.runTo(35);
       assertEquals(List.of(third), simulation.leaders(), simulation.recentLog());
       simulation.runTo(95);
-      assertEquals(0, simulation.checker.killedByLease, simulation.recentLog());
+      assertEquals(0, simulation.checker.killedOnLeaseExpiry, simulation.recentLog());
       simulation.healBoth(first.name, "workers");
       simulation.healBoth(second.name, "workers");
       simulation.runTo(120);
       assertNoViolations(simulation);
-      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.releasedAsSilent, simulation.recentLog());
     }
   }
 
@@ -63,11 +63,11 @@
     for (long seed = 1; seed <= SEEDS; seed++) {
       Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "workers"));
-      int before = simulation.checker.leaders.size();
+      int before = simulation.checker.termLeaders.size();
       simulation.runTo(90);
       assertEquals(
           before,
-          simulation.checker.leaders.size(),
+          simulation.checker.termLeaders.size(),
           "no controller reaches the workers, so the leader must stay\n" + simulation.recentLog());
       ControllerModel back = follower(simulation, 1);
       simulation.healBoth(back.name, "workers");
@@ -76,8 +76,8 @@
       simulation.controllers.forEach(controller -> simulation.healBoth(controller.name, "workers"));
       simulation.runTo(150);
       assertNoViolations(simulation);
-      assertEquals(before + 1, simulation.checker.leaders.size(), simulation.recentLog());
-      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertEquals(before + 1, simulation.checker.termLeaders.size(), simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.releasedAsSilent, simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
           countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
@@ -92,7 +92,7 @@
       simulation.cut(first.name, "workers");
       simulation.runTo(80);
       assertNoViolations(simulation);
-      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.releasedAsSilent, simulation.recentLog());
       simulation.heal(first.name, "workers");
       simulation.runTo(110);
       assertNoViolations(simulation);
@@ -105,14 +105,14 @@
       Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       ControllerModel first = simulation.leaders().get(0);
       for (int i = 0; i < 12; i++) {
-        simulation.cloud.die("vm-" + i);
+        simulation.cloud.killMachine("vm-" + i);
       }
       simulation.runTo(23.5 + seed % 25 * 0.1);
       simulation.cutBoth(first.name, "workers");
       simulation.runTo(60);
       assertNoViolations(simulation);
       assertNotEquals(List.of(first), simulation.leaders(), simulation.recentLog());
-      assertEquals(12, simulation.checker.released.size(), simulation.recentLog());
+      assertEquals(12, simulation.checker.releasedAsSilent.size(), simulation.recentLog());
       simulation.healBoth(first.name, "workers");
       simulation.runTo(100);
       assertNoViolations(simulation);
@@ -140,7 +140,7 @@
           countRunningTasks(simulation) >= 180,
           countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
       assertTrue(
-          simulation.checker.released.stream()
+          simulation.checker.releasedAsSilent.stream()
               .allMatch(machine -> simulation.workers.get(machine).zone.equals("a")),
           simulation.recentLog());
       simulation.controllers.forEach(controller -> simulation.heal(controller.name, "zone a"));
@@ -183,7 +183,7 @@
       Simulation simulation = createLoadedSimulation(seed, Setup.of(3, 60));
       simulation.leaders().get(0).crash();
       simulation.controllers.stream()
-          .filter(controller -> !controller.crashed())
+          .filter(controller -> !controller.isCrashed())
           .forEach(controller -> simulation.cut(controller.name, "vm-3"));
       simulation.runTo(24);
       ControllerModel next = simulation.leaders().get(0);
@@ -193,7 +193,7 @@
       simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
       simulation.runTo(70);
       assertNoViolations(simulation);
-      assertFalse(next.reconciling(), simulation.recentLog());
+      assertFalse(next.isReconciling(), simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
           countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
@@ -222,8 +222,8 @@
       simulation.submit(JobDraft.job("wk-3", JobKind.ARRAY, 60), 5_000L);
       simulation.runTo(70);
       assertNoViolations(simulation);
-      assertEquals(0, simulation.checker.killedByLease, simulation.recentLog());
-      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertEquals(0, simulation.checker.killedOnLeaseExpiry, simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.releasedAsSilent, simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
           countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
@@ -258,9 +258,9 @@
       assertEquals(List.of(), simulation.checker.violations, simulation.recentLog());
       // No controller that could use the zone's machines reaches them, so they are released and
       // replaced, and so are those that were provisioned there before.
-      assertTrue(simulation.checker.released.size() >= 20, simulation.recentLog());
+      assertTrue(simulation.checker.releasedAsSilent.size() >= 20, simulation.recentLog());
       assertTrue(
-          simulation.checker.released.stream()
+          simulation.checker.releasedAsSilent.stream()
               .allMatch(machine -> simulation.workers.get(machine).zone.equals("a")),
           simulation.recentLog());
       assertTrue(
@@ -277,11 +277,11 @@
       follower(simulation, 0).crash();
       follower(simulation, 1).crash();
       for (int i = 0; i < 10; i++) {
-        simulation.cloud.die("vm-" + i);
+        simulation.cloud.killMachine("vm-" + i);
       }
       simulation.runTo(45); // before the cloud lists them as failed
       assertNoViolations(simulation);
-      assertEquals(10, simulation.checker.released.size(), simulation.recentLog());
+      assertEquals(10, simulation.checker.releasedAsSilent.size(), simulation.recentLog());
     }
   }
 
@@ -305,7 +305,7 @@
       simulation.runTo(60);
       assertNoViolations(simulation);
       // Released by the leader's own evidence alone, before most of the zone was overdue.
-      int releasedAlone = simulation.checker.released.size();
+      int releasedAlone = simulation.checker.releasedAsSilent.size();
       assertTrue(releasedAlone <= 4, simulation.recentLog());
       simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
       simulation.controllers.stream()
@@ -313,7 +313,8 @@
           .forEach(ControllerModel::crash);
       simulation.runTo(85);
       assertNoViolations(simulation);
-      assertTrue(simulation.checker.released.size() - releasedAlone >= 16, simulation.recentLog());
+      assertTrue(
+          simulation.checker.releasedAsSilent.size() - releasedAlone >= 16, simulation.recentLog());
     }
   }
 
@@ -328,8 +329,8 @@
       simulation.runTo(100);
       assertNoViolations(simulation);
       assertTrue(
-          simulation.checker.leaders.size() <= 4,
-          simulation.checker.leaders + "\n" + simulation.recentLog());
+          simulation.checker.termLeaders.size() <= 4,
+          simulation.checker.termLeaders + "\n" + simulation.recentLog());
     }
   }
 }
--- a/src/test/java/org/astershift/simulation/PausableProcess.java
+++ b/src/test/java/org/astershift/simulation/PausableProcess.java
@@ -12,7 +12,7 @@
   private final String name;
   private final Runnable onPaused;
   private final Runnable onResumed;
-  private boolean alive;
+  private boolean isAlive;
   private int incarnation;
 
   /** -1: it does not pause. */
@@ -21,7 +21,7 @@
   private long pausedUntilMs;
 
   /** For how long this incarnation paused before. */
-  private long pausedBeforeMs;
+  private long totalPausedMs;
 
   private long resumedMs = -1;
   private int pauses;
@@ -38,26 +38,26 @@
   }
 
   void start() {
-    alive = true;
+    isAlive = true;
   }
 
   /** It ends, with all that was under way in it. */
   void end() {
-    alive = false;
+    isAlive = false;
     pausedSinceMs = -1;
     pausedUntilMs = 0;
-    pausedBeforeMs = 0;
+    totalPausedMs = 0;
     deferred.clear();
     incarnation++;
   }
 
   void pause(long forMs) {
-    if (!alive) {
+    if (!isAlive) {
       return;
     }
     simulation.log(name, "pauses for " + forMs + " ms");
     pausedUntilMs = Math.max(pausedUntilMs, simulation.now() + forMs);
-    if (!paused()) {
+    if (!isPaused()) {
       pausedSinceMs = simulation.now();
       pauses++;
       onPaused.run();
@@ -67,11 +67,11 @@
   }
 
   private void resume(int startedIn) {
-    if (!alive || incarnation != startedIn || !paused() || simulation.now() < pausedUntilMs) {
+    if (!isAlive || incarnation != startedIn || !isPaused() || simulation.now() < pausedUntilMs) {
       return;
     }
     simulation.log(name, "resumes");
-    pausedBeforeMs += simulation.now() - pausedSinceMs;
+    totalPausedMs += simulation.now() - pausedSinceMs;
     pausedSinceMs = -1;
     resumedMs = simulation.now();
     simulation.markConnectivityChanged(); // no controller can know yet
@@ -81,15 +81,15 @@
     waiting.forEach(body -> simulation.after(0, () -> runIn(startedIn, body)));
   }
 
-  boolean alive() {
-    return alive;
+  boolean isAlive() {
+    return isAlive;
   }
 
   int incarnation() {
     return incarnation;
   }
 
-  boolean paused() {
+  boolean isPaused() {
     return pausedSinceMs >= 0;
   }
 
@@ -99,14 +99,14 @@
   }
 
   /** Whether it has resumed in this very millisecond. */
-  boolean resumedNow() {
+  boolean hasResumedNow() {
     return resumedMs == simulation.now();
   }
 
   /** Runs this at once, when it resumes, or never if that incarnation has ended. */
   void runIn(int startedIn, Runnable body) {
-    if (alive && incarnation == startedIn) {
-      if (paused()) {
+    if (isAlive && incarnation == startedIn) {
+      if (isPaused()) {
         deferred.add(body);
       } else {
         body.run();
@@ -121,24 +121,24 @@
   }
 
   /** For how long this incarnation has not paused: what run time is counted by. */
-  private long workedMs() {
-    return simulation.now() - pausedBeforeMs - (paused() ? simulation.now() - pausedSinceMs : 0);
+  private long runTimeMs() {
+    return simulation.now() - totalPausedMs - (isPaused() ? simulation.now() - pausedSinceMs : 0);
   }
 
   /** Runs this after so much run time. */
-  void afterWork(long ms, Runnable body) {
-    whenWorked(incarnation, workedMs() + ms, body);
+  void afterRunTime(long ms, Runnable body) {
+    whenRunTimeReaches(incarnation, runTimeMs() + ms, body);
   }
 
-  private void whenWorked(int startedIn, long atMs, Runnable body) {
+  private void whenRunTimeReaches(int startedIn, long atMs, Runnable body) {
     simulation.after(
-        atMs - workedMs(),
+        atMs - runTimeMs(),
         () ->
             runIn(
                 startedIn,
                 () -> {
-                  if (workedMs() < atMs) {
-                    whenWorked(startedIn, atMs, body); // it paused meanwhile
+                  if (runTimeMs() < atMs) {
+                    whenRunTimeReaches(startedIn, atMs, body); // it paused meanwhile
                   } else {
                     body.run();
                   }
--- a/src/test/java/org/astershift/simulation/PeerModel.java
+++ b/src/test/java/org/astershift/simulation/PeerModel.java
@@ -34,8 +34,8 @@
   }
 
   void start() {
-    controller.every(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS, this::sampleWorkers);
-    controller.every(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS, this::queryPeers);
+    controller.runEvery(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS, this::sampleWorkers);
+    controller.runEvery(LoopTiming.REACHABILITY_QUERY_INTERVAL_MS, this::queryPeers);
   }
 
   Candidacy candidacy() {
@@ -74,7 +74,7 @@
   private final class Sample {
     private final int probed;
     private final long atMs;
-    private int ended;
+    private int completed;
     private int reached;
 
     Sample(int probed, long atMs) {
@@ -83,9 +83,9 @@
     }
 
     void onProbed(boolean answered) {
-      ended++;
+      completed++;
       reached += answered ? 1 : 0;
-      if (ended == probed) {
+      if (completed == probed) {
         reachability.onSample(probed, reached, atMs);
       }
     }
@@ -117,7 +117,7 @@
             peer.name,
             timeoutMs,
             answer -> {
-              if (!peer.crashed()) {
+              if (!peer.isCrashed()) {
                 peer.runIn(peer.incarnation(), () -> question.accept(peer, answer));
               }
             },
@@ -138,7 +138,7 @@
   }
 
   private void queryPeers() {
-    if (controller.storeLost()) {
+    if (controller.isStoreLost()) {
       queryLeader();
       return;
     }
@@ -146,14 +146,14 @@
     LeaderTermModel term = controller.term();
     if (term == null
         || !term.scheduler().isIsolated()
-        || controller.mutated(Mutation.NO_LEADERSHIP_TRANSFER)) {
+        || controller.hasMutation(Mutation.NO_LEADERSHIP_TRANSFER)) {
       return;
     }
     askPeers(
         (ControllerModel peer, Consumer<Candidacy.PeerStatus> answer) ->
             answer.accept(
                 new Candidacy.PeerStatus(
-                    peer.name, !peer.storeLost(), peer.peers().reachability())),
+                    peer.name, !peer.isStoreLost(), peer.peers().reachability())),
         LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
         answers -> transferLeadership(term, new ArrayList<>(answers.values())));
   }
@@ -161,9 +161,9 @@
   private void queryLeader() {
     askPeers(
         (ControllerModel peer, Consumer<Row> answer) -> {
-          if (!peer.storeLost()) {
+          if (!peer.isStoreLost()) {
             Row row = peer.watchCache().leaderRow();
-            answer.accept(row == null ? new Row(StoreModel.LEADER, "", 0, 0) : row);
+            answer.accept(row == null ? new Row(StoreModel.LEADER_KEY, "", 0, 0) : row);
           }
         },
         LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
@@ -249,7 +249,7 @@
           answered -> {
             boolean control = probe.controls().contains(machine);
             boolean counted =
-                controller.mutated(Mutation.PEER_PROBES_ALWAYS_FAIL) ? control : answered;
+                controller.hasMutation(Mutation.PEER_PROBES_ALWAYS_FAIL) ? control : answered;
             (counted ? reached : unreached).add(machine.machineName());
             if (reached.size() + unreached.size() == machines.size()) {
               answer.accept(new Decision.PeerProbeResult(reached, unreached));
--- a/src/test/java/org/astershift/simulation/ProcessModel.java
+++ b/src/test/java/org/astershift/simulation/ProcessModel.java
@@ -14,10 +14,10 @@
 
   final String name;
   final Simulation simulation;
-  private final double drift;
+  private final double driftShare;
   private int incarnation;
-  private boolean crashed;
-  private long frozenUntilMs;
+  private boolean isCrashed;
+  private long pausedUntilMs;
 
   /** When the store last answered, by this clock. */
   private long storeAnsweredMs;
@@ -25,12 +25,12 @@
   ProcessModel(Simulation simulation, String name) {
     this.simulation = simulation;
     this.name = name;
-    this.drift = (simulation.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
+    this.driftShare = (simulation.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
   }
 
   /** A process begins, with nothing of what an earlier one was about to do. */
   final void beginIncarnation() {
-    crashed = false;
+    isCrashed = false;
     incarnation++;
     storeAnsweredMs = clock();
   }
@@ -42,27 +42,27 @@
 
   void crash() {
     simulation.log(name, "crashes");
-    crashed = true;
+    isCrashed = true;
     incarnation++;
   }
 
-  void freeze(long forMs) {
+  void pause(long forMs) {
     simulation.log(name, "pauses for " + forMs + " ms");
-    frozenUntilMs = simulation.now() + forMs;
+    pausedUntilMs = simulation.now() + forMs;
     simulation.after(forMs, simulation::markConnectivityChanged);
   }
 
-  boolean crashed() {
-    return crashed;
+  boolean isCrashed() {
+    return isCrashed;
   }
 
-  boolean up() {
-    return !crashed && simulation.now() >= frozenUntilMs;
+  boolean isUp() {
+    return !isCrashed && simulation.now() >= pausedUntilMs;
   }
 
   /** Its steady clock. */
   long clock() {
-    return (long) (simulation.now() * (1 + drift));
+    return (long) (simulation.now() * (1 + driftShare));
   }
 
   /** Runs this in the process: not after its end, and later if it pauses. */
@@ -70,24 +70,24 @@
     if (incarnation != startedIn) {
       return;
     }
-    if (simulation.now() < frozenUntilMs) {
-      simulation.after(frozenUntilMs - simulation.now(), () -> runIn(startedIn, body));
+    if (simulation.now() < pausedUntilMs) {
+      simulation.after(pausedUntilMs - simulation.now(), () -> runIn(startedIn, body));
     } else {
       body.run();
     }
   }
 
-  void later(long delayMs, Runnable body) {
+  void runLater(long delayMs, Runnable body) {
     int startedIn = incarnation;
     simulation.after(delayMs, () -> runIn(startedIn, body));
   }
 
-  void every(long ms, Runnable body) {
-    later(
+  void runEvery(long ms, Runnable body) {
+    runLater(
         ms + simulation.random.nextLong(20),
         () -> {
           body.run();
-          every(ms, body);
+          runEvery(ms, body);
         });
   }
 
@@ -111,7 +111,7 @@
             answer.accept(null);
           } else if (!simulation.store.isUnavailable()) {
             A a = request.get();
-            simulation.after(storeDelayMs(), () -> answer.accept(a));
+            simulation.after(drawStoreDelayMs(), () -> answer.accept(a));
           }
         },
         (A a) -> {
@@ -123,7 +123,7 @@
   }
 
   /** By how much the answer of a slow store is delayed. */
-  long storeDelayMs() {
+  long drawStoreDelayMs() {
     return simulation.store.answerDelayMs == 0
         ? 0
         : simulation.random.nextLong(simulation.store.answerDelayMs);
@@ -140,7 +140,7 @@
   }
 
   /** Whether the store has not answered for too long. */
-  boolean storeLost() {
+  boolean isStoreLost() {
     return clock() - storeAnsweredMs > StoreClient.STORE_UNAVAILABLE_AFTER_MS;
   }
 }
--- a/src/test/java/org/astershift/simulation/RandomSetup.java
+++ b/src/test/java/org/astershift/simulation/RandomSetup.java
@@ -41,10 +41,10 @@
   final boolean withMessageQueueing;
 
   /** The longest such wait. */
-  final long messageWaitMs;
+  final long maxMessageWaitMs;
 
   /** When all controllers fall, as a share of the time of faults. */
-  final double fallAtShare;
+  final double crashAtShare;
 
   /** The order of the draws is part of each seed's scenario. */
   RandomSetup(long seed) {
@@ -64,7 +64,7 @@
     withSpot = random.nextInt(3) == 0;
     withFaultyMachines = random.nextInt(4) == 0;
     withMessageQueueing = random.nextInt(3) == 0;
-    messageWaitMs = 500 + random.nextInt(5500);
-    fallAtShare = random.nextDouble();
+    maxMessageWaitMs = 500 + random.nextInt(5500);
+    crashAtShare = random.nextDouble();
   }
 }
--- a/src/test/java/org/astershift/simulation/RandomizedScenario.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenario.java
@@ -25,20 +25,22 @@
   private static final double MESSAGE_WAITING_SHARE = 0.4;
 
   final Simulation simulation;
-  private final RandomSetup drawn;
+  private final RandomSetup randomSetup;
   private final RandomizedWorkload workload;
   private final FaultInjector faults;
   private final UserFaultInjector userFaults;
 
   private RandomizedScenario(long seed) {
-    drawn = new RandomSetup(seed);
-    simulation = new Simulation(seed, drawn.setup);
-    workload = new RandomizedWorkload(simulation, drawn);
-    faults = new FaultInjector(simulation, drawn.faultKinds);
+    randomSetup = new RandomSetup(seed);
+    simulation = new Simulation(seed, randomSetup.setup);
+    workload = new RandomizedWorkload(simulation, randomSetup);
+    faults = new FaultInjector(simulation, randomSetup.faultKinds);
     userFaults = new UserFaultInjector(simulation, faults, HEALED_S * 1000L);
   }
 
-  /** Plays a seed to its end; what went wrong is in the checker and in {@link #unserved}. */
+  /**
+   * Plays a seed to its end; what went wrong is in the checker and in {@link #describeUnserved}.
+   */
   static RandomizedScenario play(long seed, Mutation... mutations) {
     RandomizedScenario scenario = new RandomizedScenario(seed);
     scenario.simulation.mutations.addAll(List.of(mutations));
@@ -52,15 +54,15 @@
   }
 
   private void playFaults() {
-    simulation.delayedHeartbeats.keepShare = drawn.duplicateKeepShare;
+    simulation.delayedHeartbeats.keepShare = randomSetup.duplicateKeepShare;
     simulation.runTo(FAULTS_FROM_S);
-    simulation.delayedHeartbeats.holdShare = drawn.heartbeatHoldShare;
+    simulation.delayedHeartbeats.holdShare = randomSetup.heartbeatHoldShare;
     scheduleFaults();
     scheduleUserFaults();
     schedulePreemptions();
     scheduleFaultyMachines();
-    if (drawn.withMessageQueueing) {
-      queueMessages();
+    if (randomSetup.withMessageQueueing) {
+      delayMessagesAndCrashAll();
     }
     simulation.after(POLLED_FROM_S * 1000L - simulation.now(), simulation::pollAllJobs);
     simulation.runTo(HEALED_S);
@@ -81,7 +83,7 @@
 
   private void scheduleUserFaults() {
     for (int i = 0; i < UserFaultInjector.KINDS; i++) {
-      if ((drawn.userFaultKinds & 1 << i) != 0) {
+      if ((randomSetup.userFaultKinds & 1 << i) != 0) {
         int kind = i;
         simulation.after(simulation.random.nextLong(FAULTS_MS), () -> userFaults.inject(kind));
       }
@@ -91,23 +93,23 @@
   /** All that is announced has happened when the faults are healed. */
   private void schedulePreemptions() {
     long lastMs = FAULTS_MS - 3 * PREEMPTION_NOTICE_MS / 2 - 2000;
-    for (int i = 0; drawn.withSpot && i < 1 + simulation.random.nextInt(4); i++) {
+    for (int i = 0; randomSetup.withSpot && i < 1 + simulation.random.nextInt(4); i++) {
       simulation.after(simulation.random.nextLong(lastMs), this::preemptSpotMachines);
     }
   }
 
   /** Messages wait at the leader, and all controllers fall once and are back within seconds. */
-  private void queueMessages() {
+  private void delayMessagesAndCrashAll() {
     simulation.messageQueueing.heartbeatsOnChange = true;
-    simulation.messageQueueing.longestWaitMs = drawn.messageWaitMs;
-    simulation.messageQueueing.waitingShare = MESSAGE_WAITING_SHARE;
+    simulation.messageQueueing.maxWaitMs = randomSetup.maxMessageWaitMs;
+    simulation.messageQueueing.queuedShare = MESSAGE_WAITING_SHARE;
     simulation.after(
-        Math.round(drawn.fallAtShare * FAULTS_MS),
+        Math.round(randomSetup.crashAtShare * FAULTS_MS),
         () -> simulation.controllers.forEach(faults::crashAndRestart));
   }
 
   private void scheduleFaultyMachines() {
-    for (int i = 0; drawn.withFaultyMachines && i < 1 + simulation.random.nextInt(3); i++) {
+    for (int i = 0; randomSetup.withFaultyMachines && i < 1 + simulation.random.nextInt(3); i++) {
       simulation.after(simulation.random.nextLong(FAULTS_MS), this::makeMachineFaulty);
     }
   }
@@ -119,7 +121,7 @@
     boolean all = simulation.random.nextBoolean();
     for (WorkerModel machine : List.copyOf(simulation.workers.values())) {
       boolean affected =
-          machine.alive() && machine.kind.spot() && (all || machine.zone.equals(zone));
+          machine.isAlive() && machine.kind.spot() && (all || machine.zone.equals(zone));
       if (affected && simulation.random.nextInt(3) > 0) {
         boolean announced = simulation.random.nextInt(4) > 0;
         long inMs = simulation.random.nextLong(2000);
@@ -150,32 +152,32 @@
     simulation.store.unansweredShare = 0;
     simulation.store.answerDelayMs = 0;
     simulation.threadStallMs = 0;
-    simulation.messageQueueing.waitingShare = 0;
-    simulation.delayedHeartbeats.release();
+    simulation.messageQueueing.queuedShare = 0;
+    simulation.delayedHeartbeats.releaseHeld();
     simulation.controllers.forEach(ControllerModel::acceptHeartbeats);
     simulation.workers.values().forEach(WorkerModel::healOutbound);
     simulation.controllers.stream()
         .filter(controller -> simulation.store.refuses(controller.name))
-        .forEach(controller -> simulation.store.refuse(controller.name, false));
+        .forEach(controller -> simulation.store.setRefused(controller.name, false));
     if (simulation.store.isUnavailable()) {
-      simulation.store.unavailable(false);
+      simulation.store.setUnavailable(false);
     }
     simulation.starvationCheck.onFaultsHealed();
   }
 
   /** Whether an invariant was violated, a healthy machine released, or something is not served. */
-  boolean failed() {
+  boolean hasFailed() {
     return !simulation.checker.violations.isEmpty()
         || !simulation.checker.healthyReleased.isEmpty()
-        || !unserved().isEmpty();
+        || !describeUnserved().isEmpty();
   }
 
   /** What is not served though all is healed; empty if everything is. */
-  String unserved() {
+  String describeUnserved() {
     int leaders = simulation.leaders().size();
     int running = simulation.workers.values().stream().mapToInt(WorkerModel::runningTasks).sum();
     String out = leaders == 1 ? "" : leaders + " lead; ";
-    out += running >= workload.replicas() ? "" : running + " replicas run; ";
+    out += running >= workload.serviceReplicas() ? "" : running + " replicas run; ";
     int ended = simulation.checker.jobsEnded();
     int jobs = RandomizedWorkload.JOBS + userFaults.streamedJobs();
     int late = jobs - ended - jobsAtTeamLimit();
@@ -191,7 +193,7 @@
       if (spec.kind() != JobKind.SERVICE && !simulation.checker.isEnded(job)) {
         out.append(spec)
             .append(" waiting ")
-            .append(simulation.checker.waiting(spec))
+            .append(simulation.checker.waitingTasks(spec))
             .append(", on machines ")
             .append(simulation.checker.tasksOnMachines(job))
             .append("; ");
@@ -202,7 +204,7 @@
 
   /** Jobs of teams with limits that are at work, or wait since their team is at its limit. */
   private int jobsAtTeamLimit() {
-    if (!drawn.withTeams && simulation.teamCpuLimit <= 0) {
+    if (!randomSetup.withTeams && simulation.teamCpuLimit <= 0) {
       return 0;
     }
     int count = 0;
@@ -216,8 +218,8 @@
   }
 
   private boolean mayBeUnfinished(JobSpec spec) {
-    if (simulation.checker.waiting(spec).isEmpty()) {
-      return simulation.now() - simulation.checker.lastStart(spec.id()) < MAX_WORK_MS;
+    if (simulation.checker.waitingTasks(spec).isEmpty()) {
+      return simulation.now() - simulation.checker.lastStartMs(spec.id()) < MAX_WORK_MS;
     }
     double[] usage = simulation.checker.usage(spec.team());
     int atOnce = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
--- a/src/test/java/org/astershift/simulation/RandomizedWorkload.java
+++ b/src/test/java/org/astershift/simulation/RandomizedWorkload.java
@@ -18,11 +18,11 @@
   private static final int LIMITED_TEAMS = 3;
 
   private final Simulation simulation;
-  private final RandomSetup drawn;
+  private final RandomSetup randomSetup;
 
   RandomizedWorkload(Simulation simulation, RandomSetup drawn) {
     this.simulation = simulation;
-    this.drawn = drawn;
+    this.randomSetup = drawn;
     simulation.teamCpuLimit = drawn.withTeamLimit ? 3 * drawn.setup.machines() : 0;
     if (drawn.withSpot) {
       addSpotMachines();
@@ -55,15 +55,15 @@
   }
 
   /** Replicas of all services. */
-  int replicas() {
-    return 2 * drawn.setup.machines() + (drawn.withSpot ? SPOT_MACHINES : 0);
+  int serviceReplicas() {
+    return 2 * randomSetup.setup.machines() + (randomSetup.withSpot ? SPOT_MACHINES : 0);
   }
 
   /** The services are submitted now, the other jobs in the course of the scenario. */
   void submit() {
-    int replicas = 2 * drawn.setup.machines();
+    int replicas = 2 * randomSetup.setup.machines();
     simulation.submit(JobDraft.job("wk-0", JobKind.SERVICE, replicas), null);
-    if (drawn.withSpot) {
+    if (randomSetup.withSpot) {
       JobDraft draft = JobDraft.array("wk-spot", SPOT_MACHINES).kind(JobKind.SERVICE).spot();
       simulation.submit(draft.machineTypes(SPOT_TYPE).spec(), null);
     }
@@ -76,18 +76,18 @@
   /** Every other job is on record at once; the others come through their users. */
   private void submitJob(int id) {
     long runMs = simulation.random.nextBoolean() ? 5_000L : 25_000L;
-    JobSpec spec = draw(id);
+    JobSpec spec = drawJob(id);
     boolean cancelled = simulation.random.nextBoolean();
     long afterMs = simulation.random.nextLong(40_000);
     if (id % 2 == 0) {
       simulation.submit(spec, runMs);
     } else {
-      Runnable cancel = () -> simulation.after(afterMs, () -> simulation.userCancels(spec.id()));
-      simulation.userSubmits(spec, runMs, cancelled ? cancel : () -> {});
+      Runnable cancel = () -> simulation.after(afterMs, () -> simulation.cancelAsUser(spec.id()));
+      simulation.submitAsUser(spec, runMs, cancelled ? cancel : () -> {});
     }
   }
 
-  private JobSpec draw(int id) {
+  private JobSpec drawJob(int id) {
     int placement = simulation.random.nextInt(8);
     JobDraft draft = JobDraft.array("wk-" + id, 1 + simulation.random.nextInt(4));
     draft = placement == 1 ? draft.oneZone() : placement == 2 ? draft.spread() : draft;
@@ -95,13 +95,13 @@
       List<String> zones = simulation.setup.zones();
       draft = draft.zone(zones.get(simulation.random.nextInt(zones.size())));
     }
-    draft = drawn.withSpot && id % 2 == 0 ? draft.spot() : draft;
-    boolean gang = drawn.withGangs && id % 3 == 0;
+    draft = randomSetup.withSpot && id % 2 == 0 ? draft.spot() : draft;
+    boolean gang = randomSetup.withGangs && id % 3 == 0;
     if (gang) {
       draft = draft.kind(JobKind.GANG).saves(id % 2 == 0 ? 1.5 : 0);
       draft = id % 4 == 0 && placement != 2 ? draft.oneZone() : draft;
     }
-    return (drawn.withTeams ? withTeam(draft, id, gang) : draft).spec();
+    return (randomSetup.withTeams ? withTeam(draft, id, gang) : draft).spec();
   }
 
   private static JobDraft withTeam(JobDraft job, int id, boolean gang) {
--- a/src/test/java/org/astershift/simulation/RecordWriterModel.java
+++ b/src/test/java/org/astershift/simulation/RecordWriterModel.java
@@ -30,8 +30,8 @@
     final String key;
     Object value;
     long revision;
-    boolean writing;
-    boolean dirty;
+    boolean isWriting;
+    boolean isDirty;
     Runnable onPersisted;
 
     Entry(String key) {
@@ -55,19 +55,19 @@
     Entry entry = records.computeIfAbsent(key, Entry::new);
     entry.value = value;
     entry.onPersisted = onPersisted;
-    entry.dirty = true;
+    entry.isDirty = true;
     write(entry);
   }
 
   private void write(Entry entry) {
-    if (entry.writing || !entry.dirty || !term.isCurrent()) {
+    if (entry.isWriting || !entry.isDirty || !term.isCurrent()) {
       return;
     }
-    entry.writing = true;
-    entry.dirty = false;
+    entry.isWriting = true;
+    entry.isDirty = false;
     Attempt attempt = new Attempt(entry, entry.value, entry.onPersisted);
     Map<String, Long> conditions = term.leaderCondition();
-    if (!controller.mutated(Mutation.UNCONDITIONAL_RECORD_WRITES)) {
+    if (!controller.hasMutation(Mutation.UNCONDITIONAL_RECORD_WRITES)) {
       conditions.put(entry.key, entry.revision);
     }
     controller.compareAndSwap(
@@ -75,7 +75,7 @@
         List.of(new Write(entry.key, attempt.value(), 0)),
         outcome -> {
           if (simulation.recordAnswerDelayMs > 0) {
-            controller.later(simulation.recordAnswerDelayMs, () -> onAnswer(attempt, outcome));
+            controller.runLater(simulation.recordAnswerDelayMs, () -> onAnswer(attempt, outcome));
           } else {
             onAnswer(attempt, outcome);
           }
@@ -87,16 +87,16 @@
       return;
     }
     Entry entry = attempt.entry();
-    entry.writing = false;
+    entry.isWriting = false;
     if (outcome != null && outcome.revision() > 0) {
       entry.revision = attempt.value() == null ? 0 : outcome.revision();
       attempt.onPersisted().run();
       write(entry);
-    } else if (outcome != null && outcome.failed().contains(StoreModel.LEADER)) {
+    } else if (outcome != null && outcome.failed().contains(StoreModel.LEADER_KEY)) {
       term.stepDown("a write found another leader");
     } else {
-      entry.dirty = true;
-      controller.later(Threads.RETRY_BACKOFF_MS, () -> retry(entry, outcome));
+      entry.isDirty = true;
+      controller.runLater(Threads.RETRY_BACKOFF_MS, () -> retry(entry, outcome));
     }
   }
 
--- a/src/test/java/org/astershift/simulation/RequestCoalescerModel.java
+++ b/src/test/java/org/astershift/simulation/RequestCoalescerModel.java
@@ -13,42 +13,42 @@
  */
 final class RequestCoalescerModel {
   private final ControllerModel controller;
-  private final BiConsumer<String, Consumer<String>> find;
+  private final BiConsumer<String, Consumer<String>> fetch;
   private final Map<String, Batch> batches = new HashMap<>();
 
-  /** {@code find}: finds the answer for a job. */
+  /** {@code fetch}: finds the answer for a job. */
   RequestCoalescerModel(ControllerModel controller, BiConsumer<String, Consumer<String>> find) {
     this.controller = controller;
-    this.find = find;
+    this.fetch = find;
   }
 
   /** Who waits for the answer that is being found, and for the one after it. */
   private static final class Batch {
-    final List<Consumer<String>> answering = new ArrayList<>();
+    final List<Consumer<String>> inFlight = new ArrayList<>();
     final List<Consumer<String>> next = new ArrayList<>();
   }
 
   void ask(String job, Consumer<String> answer) {
     Batch batch = batches.computeIfAbsent(job, j -> new Batch());
     boolean joins =
-        controller.mutated(Mutation.JOIN_REQUEST_IN_FLIGHT) && !batch.answering.isEmpty();
-    (joins ? batch.answering : batch.next).add(answer);
-    if (batch.answering.isEmpty()) {
-      findNext(job, batch);
+        controller.hasMutation(Mutation.JOIN_REQUEST_IN_FLIGHT) && !batch.inFlight.isEmpty();
+    (joins ? batch.inFlight : batch.next).add(answer);
+    if (batch.inFlight.isEmpty()) {
+      fetchNext(job, batch);
     }
   }
 
-  private void findNext(String job, Batch batch) {
-    batch.answering.addAll(batch.next);
+  private void fetchNext(String job, Batch batch) {
+    batch.inFlight.addAll(batch.next);
     batch.next.clear();
-    find.accept(
+    fetch.accept(
         job,
         state -> {
-          List<Consumer<String>> waiting = new ArrayList<>(batch.answering);
-          batch.answering.clear();
+          List<Consumer<String>> waiting = new ArrayList<>(batch.inFlight);
+          batch.inFlight.clear();
           waiting.forEach(answer -> answer.accept(state));
-          if (batch.answering.isEmpty() && !batch.next.isEmpty()) {
-            findNext(job, batch);
+          if (batch.inFlight.isEmpty() && !batch.next.isEmpty()) {
+            fetchNext(job, batch);
           }
         });
   }
--- a/src/test/java/org/astershift/simulation/SeedRunner.java
+++ b/src/test/java/org/astershift/simulation/SeedRunner.java
@@ -13,14 +13,14 @@
  * failed, with the log of all hosts where {@code story} is asked for; exit 1 if any did.
  */
 public final class SeedRunner {
-  private static final String STORY = "story";
+  private static final String PRINT_LOG_OPTION = "story";
 
   private SeedRunner() {}
 
   private static Set<String> options() {
     Set<String> options =
         Stream.of(Mutation.values()).map(Mutation::name).collect(Collectors.toSet());
-    options.add(STORY);
+    options.add(PRINT_LOG_OPTION);
     return options;
   }
 
@@ -29,10 +29,10 @@
     SeedArguments arguments = SeedArguments.parseOrExit(args, options());
     long first = arguments.first();
     long last = arguments.last();
-    boolean story = arguments.options().contains(STORY);
+    boolean story = arguments.options().contains(PRINT_LOG_OPTION);
     Mutation[] mutations =
         arguments.options().stream()
-            .filter(a -> !a.equals(STORY))
+            .filter(a -> !a.equals(PRINT_LOG_OPTION))
             .map(Mutation::valueOf)
             .toArray(Mutation[]::new);
     TreeMap<Long, String> failed =
@@ -51,14 +51,14 @@
 
   private static String play(long seed, boolean story, Mutation... mutations) {
     RandomizedScenario scenario = RandomizedScenario.play(seed, mutations);
-    if (!scenario.failed()) {
+    if (!scenario.hasFailed()) {
       return null;
     }
     String what =
         Set.copyOf(scenario.simulation.checker.violations)
             + " "
             + scenario.simulation.checker.healthyReleased
-            + scenario.unserved();
+            + scenario.describeUnserved();
     return what + (story ? "\n" + scenario.simulation.fullLog() : "");
   }
 }
--- a/src/test/java/org/astershift/simulation/Simulation.java
+++ b/src/test/java/org/astershift/simulation/Simulation.java
@@ -151,7 +151,7 @@
   }
 
   /** Hosts are "n0", "n1", ..., "state", "cloud", and machines by name. */
-  private boolean linkUp(String from, String to) {
+  private boolean isLinkUp(String from, String to) {
     return !cutLinks.contains(new Link(from, to))
         && !cutLinks.contains(new Link(hostGroup(from), to))
         && !cutLinks.contains(new Link(from, hostGroup(to)))
@@ -186,8 +186,8 @@
     cutLinks.remove(new Link(from, to));
     markConnectivityChanged();
     for (Link link : new ArrayList<>(heldMessages.keySet())) {
-      if (linkUp(link.from(), link.to())) {
-        heldMessages.remove(link).forEach(r -> after(baseDelayMs(), r));
+      if (isLinkUp(link.from(), link.to())) {
+        heldMessages.remove(link).forEach(r -> after(drawBaseDelayMs(), r));
       }
     }
   }
@@ -221,7 +221,7 @@
   /** Controllers that lead, as far as they know. */
   List<ControllerModel> leaders() {
     return controllers.stream()
-        .filter(controller -> controller.up() && controller.leads())
+        .filter(controller -> controller.isUp() && controller.leads())
         .toList();
   }
 
@@ -233,10 +233,10 @@
   }
 
   boolean reaches(String a, String b) {
-    return linkUp(a, b) && linkUp(b, a);
+    return isLinkUp(a, b) && isLinkUp(b, a);
   }
 
-  private long baseDelayMs() {
+  private long drawBaseDelayMs() {
     return 1 + random.nextLong(4);
   }
 
@@ -247,12 +247,12 @@
   }
 
   /** What a message takes; one sent later may arrive before it, over another connection. */
-  private long delayMs(String from, String to) {
+  private long drawDelayMs(String from, String to) {
     long most =
         addedDelayMs.isEmpty()
             ? 0
             : Math.max(addedDelayMs(from, to), addedDelayMs(hostGroup(from), hostGroup(to)));
-    return baseDelayMs() + (most == 0 ? 0 : random.nextLong(most));
+    return drawBaseDelayMs() + (most == 0 ? 0 : random.nextLong(most));
   }
 
   private long addedDelayMs(String from, String to) {
@@ -260,8 +260,8 @@
   }
 
   void send(String from, String to, Runnable delivered) {
-    if (linkUp(from, to)) {
-      after(delayMs(from, to), delivered);
+    if (isLinkUp(from, to)) {
+      after(drawDelayMs(from, to), delivered);
     } else {
       heldMessages.computeIfAbsent(new Link(from, to), link -> new ArrayList<>()).add(delivered);
     }
@@ -295,12 +295,12 @@
   }
 
   /** A user submits the job until it is accepted; {@code then}: what follows that. */
-  void userSubmits(org.astershift.scheduler.JobSpec spec, Long ms, Runnable then) {
+  void submitAsUser(org.astershift.scheduler.JobSpec spec, Long ms, Runnable then) {
     users.submit(spec, ms, then);
   }
 
   /** Its user cancels it, and asks at any controller until that is answered. */
-  void userCancels(String job) {
+  void cancelAsUser(String job) {
     users.cancel(job);
   }
 
--- a/src/test/java/org/astershift/simulation/SimulationTest.java
+++ b/src/test/java/org/astershift/simulation/SimulationTest.java
@@ -30,7 +30,7 @@
     for (long seed = 1; seed <= seeds; seed++) {
       RandomizedScenario scenario = RandomizedScenario.play(seed);
       assertNoViolations(scenario.simulation);
-      assertEquals("", scenario.unserved(), scenario.simulation.recentLog());
+      assertEquals("", scenario.describeUnserved(), scenario.simulation.recentLog());
       gangs += scenario.simulation.gangs.started;
       preempted += scenario.simulation.cloud.preemptedWithTasks;
     }
@@ -53,7 +53,7 @@
             Mutation.CONFIRM_CANCEL_BEFORE_WRITE,
             Mutation.OVERWRITE_JOB_END)) {
       long seed = 1;
-      while (seed <= MUTANT_SEEDS && !RandomizedScenario.play(seed, mutation).failed()) {
+      while (seed <= MUTANT_SEEDS && !RandomizedScenario.play(seed, mutation).hasFailed()) {
         seed++;
       }
       found.append(mutation).append(" by seed ").append(seed).append('\n');
@@ -87,7 +87,7 @@
       simulation.controllers.forEach(controller -> controller.rejectHeartbeats(40_000));
       simulation.runTo(100);
       assertNoViolations(simulation);
-      assertNotEquals(0, simulation.checker.killedByLease, simulation.recentLog());
+      assertNotEquals(0, simulation.checker.killedOnLeaseExpiry, simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
           countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
@@ -99,12 +99,12 @@
     Simulation simulation = createLoadedSimulation(1, Setup.of(3, 600));
     ControllerModel first = simulation.leaders().get(0);
     for (int i = 0; i < 180; i++) {
-      simulation.cloud.die("vm-" + i);
+      simulation.cloud.killMachine("vm-" + i);
     }
     first.crash();
     simulation.runTo(60);
     assertNoViolations(simulation);
-    assertEquals(180, simulation.checker.released.size(), simulation.recentLog());
+    assertEquals(180, simulation.checker.releasedAsSilent.size(), simulation.recentLog());
     assertTrue(
         countRunningTasks(simulation) >= 1800,
         countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
@@ -134,7 +134,7 @@
     for (long seed = 1; seed <= SEEDS; seed++) {
       Simulation simulation = playDuplicates(seed);
       assertNoViolations(simulation);
-      assertEquals(List.of(), simulation.checker.released, simulation.recentLog());
+      assertEquals(List.of(), simulation.checker.releasedAsSilent, simulation.recentLog());
       assertTrue(
           countRunningTasks(simulation) >= 180,
           countRunningTasks(simulation) + " tasks run\n" + simulation.recentLog());
@@ -158,7 +158,7 @@
     simulation.runTo(60);
     simulation.leaders().get(0).crash();
     simulation.controllers.stream()
-        .filter(controller -> controller.crashed())
+        .filter(controller -> controller.isCrashed())
         .findFirst()
         .orElseThrow()
         .start();
--- a/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/SpotCombinedFaultsTest.java
@@ -146,7 +146,7 @@
               i % 4 == 0 ? JobDraft.gang("wk-f" + i, 2) : JobDraft.array("wk-f" + i, 1);
           simulation.after(
               300L * i,
-              () -> simulation.userSubmits(draft.machineTypes(type).spec(), 4_000L, () -> {}));
+              () -> simulation.submitAsUser(draft.machineTypes(type).spec(), 4_000L, () -> {}));
         }
         simulation.after(
             1000 + 500 * seed, () -> apply(simulation, simulation.onlyLeader(), fault));
@@ -155,7 +155,7 @@
         saved += simulation.gangs.stoppedInOrder;
         for (String machine : faulty) {
           WorkerModel worker = simulation.workers.get(machine);
-          drained += worker.alive() ? 0 : 1;
+          drained += worker.isAlive() ? 0 : 1;
           worker.faulty = false;
         }
         healAndAssertServed(simulation, 120);
--- a/src/test/java/org/astershift/simulation/StarvationCheck.java
+++ b/src/test/java/org/astershift/simulation/StarvationCheck.java
@@ -115,7 +115,7 @@
     Map<String, Room> rooms = rooms();
     for (String job : simulation.users.accepted()) {
       JobSpec spec = simulation.users.spec(job);
-      List<Integer> waiting = simulation.checker.waiting(spec);
+      List<Integer> waiting = simulation.checker.waitingTasks(spec);
       if (waiting.isEmpty() || !canStart(spec, waiting.size(), rooms)) {
         waitingSinceMs.remove(job);
         continue;
@@ -123,7 +123,7 @@
       long since =
           Math.max(
               waitingSinceMs.getOrDefault(job, simulation.now()),
-              simulation.checker.lastStart(job));
+              simulation.checker.lastStartMs(job));
       waitingSinceMs.put(job, since);
       if (simulation.now() - since > longestWaitMs) {
         longestWaitMs = simulation.now() - since;
@@ -146,13 +146,13 @@
     Map<String, Room> rooms = new LinkedHashMap<>();
     simulation.workers.forEach(
         (name, worker) -> {
-          if (worker.alive() && !worker.paused()) {
+          if (worker.isAlive() && !worker.isPaused()) {
             rooms.put(
                 name,
                 new Room(name, worker.kind, simulation.cloud.types().get(worker.kind.type())));
           }
         });
-    simulation.checker.eachOnMachine(
+    simulation.checker.forEachPlacement(
         (task, machine) -> {
           if (rooms.containsKey(machine)) {
             rooms.get(machine).take(simulation.users.spec(task.substring(0, task.indexOf('/'))));
@@ -172,7 +172,7 @@
       return false;
     }
     Map<String, Integer> tasksByZone = new HashMap<>();
-    simulation.checker.eachOnMachine(
+    simulation.checker.forEachPlacement(
         (task, machine) -> {
           if (task.startsWith(spec.id() + "/")) {
             tasksByZone.merge(simulation.workers.get(machine).zone, 1, Integer::sum);
--- a/src/test/java/org/astershift/simulation/StoreModel.java
+++ b/src/test/java/org/astershift/simulation/StoreModel.java
@@ -18,14 +18,14 @@
  * sent.
  */
 final class StoreModel {
-  static final String LEADER = "leader";
+  static final String LEADER_KEY = "leader";
   private final Simulation simulation;
   private final TreeMap<String, Row> rows = new TreeMap<>();
   private final List<Row> changes = new ArrayList<>();
-  private final Map<Long, Long> leases = new HashMap<>();
+  private final Map<Long, Long> leaseExpiryMs = new HashMap<>();
   private long revision;
-  private long leaseNumber;
-  private boolean unavailable;
+  private long lastLease;
+  private boolean setUnavailable;
   private final Map<Long, Long> leaseTtlMs = new HashMap<>();
 
   /** Controllers that get 503 while the others are served. */
@@ -43,7 +43,7 @@
   /** Such writes by the prefix of their keys, and how many of them another controller has read. */
   final Map<String, Integer> unansweredWrites = new TreeMap<>();
 
-  final Map<String, Integer> unansweredRead = new TreeMap<>();
+  final Map<String, Integer> unansweredWritesRead = new TreeMap<>();
 
   /** Answers take up to so long. */
   long answerDelayMs;
@@ -52,13 +52,13 @@
   int appliedAfterNewer;
 
   /** By controller, how many of its transactions were carried out. */
-  private final Map<String, Integer> applied = new HashMap<>();
+  private final Map<String, Integer> appliedCounts = new HashMap<>();
 
   /** A key as it was set, or with {@code value} null as it was removed. */
   record Row(String key, Object value, long revision, long lease) {}
 
   /** A live job on record; that it is opened is a record of its own. */
-  record JobRow(JobSpec spec, long atMs) {}
+  record JobRow(JobSpec spec, long acceptedMs) {}
 
   /** A machine on record. */
   record MachineRow(Decision.RegisterMachine machine) {}
@@ -79,19 +79,19 @@
     this.simulation = simulation;
   }
 
-  void unavailable(boolean now) {
-    unavailable = now;
+  void setUnavailable(boolean now) {
+    setUnavailable = now;
     if (!now) {
-      leases.replaceAll((lease, until) -> simulation.now() + leaseTtlMs.get(lease));
-      leases.keySet().forEach(this::watchLease);
+      leaseExpiryMs.replaceAll((lease, until) -> simulation.now() + leaseTtlMs.get(lease));
+      leaseExpiryMs.keySet().forEach(this::scheduleLeaseExpiry);
     }
   }
 
   boolean isUnavailable() {
-    return unavailable;
+    return setUnavailable;
   }
 
-  void refuse(String controller, boolean now) {
+  void setRefused(String controller, boolean now) {
     simulation.log("state", (now ? "refuses " : "serves ") + controller);
     if (now) {
       refusedControllers.add(controller);
@@ -106,13 +106,13 @@
 
   /** Applies a transaction of a controller. */
   Outcome commit(String controller, Map<String, Long> conditions, List<Write> writes) {
-    applied.merge(controller, 1, Integer::sum);
+    appliedCounts.merge(controller, 1, Integer::sum);
     return commit(conditions, writes);
   }
 
   /** Applies it 2 to 12 s later, when its sender has given up. */
   void commitLate(String controller, Map<String, Long> conditions, List<Write> writes) {
-    int before = applied.getOrDefault(controller, 0);
+    int before = appliedCounts.getOrDefault(controller, 0);
     simulation.after(
         2000 + simulation.random.nextLong(10_000),
         () -> applyLate(controller, conditions, writes, before));
@@ -120,24 +120,24 @@
 
   private void applyLate(
       String controller, Map<String, Long> conditions, List<Write> writes, int before) {
-    if (unavailable) {
+    if (setUnavailable) {
       simulation.after(1000, () -> applyLate(controller, conditions, writes, before));
       return;
     }
-    appliedAfterNewer += applied.getOrDefault(controller, 0) > before ? 1 : 0;
+    appliedAfterNewer += appliedCounts.getOrDefault(controller, 0) > before ? 1 : 0;
     Outcome outcome = commit(controller, conditions, writes);
     simulation.log("state", "applies late for " + controller + ": " + writes + " " + outcome);
   }
 
-  long grant(long lifeMs) {
-    long lease = ++leaseNumber;
+  long grantLease(long lifeMs) {
+    long lease = ++lastLease;
     leaseTtlMs.put(lease, lifeMs);
     extendLease(lease);
     return lease;
   }
 
-  boolean renew(long lease) {
-    if (!leases.containsKey(lease)) {
+  boolean renewLease(long lease) {
+    if (!leaseExpiryMs.containsKey(lease)) {
       return false;
     }
     extendLease(lease);
@@ -145,23 +145,26 @@
   }
 
   private void extendLease(long lease) {
-    leases.put(lease, simulation.now() + leaseTtlMs.get(lease) + simulation.random.nextLong(100));
-    watchLease(lease);
+    leaseExpiryMs.put(
+        lease, simulation.now() + leaseTtlMs.get(lease) + simulation.random.nextLong(100));
+    scheduleLeaseExpiry(lease);
   }
 
-  private void watchLease(long lease) {
-    Long until = leases.get(lease);
+  private void scheduleLeaseExpiry(long lease) {
+    Long until = leaseExpiryMs.get(lease);
     simulation.after(
         until - simulation.now(),
         () -> {
-          if (!unavailable && leases.containsKey(lease) && leases.get(lease) <= simulation.now()) {
-            revoke(lease);
+          if (!setUnavailable
+              && leaseExpiryMs.containsKey(lease)
+              && leaseExpiryMs.get(lease) <= simulation.now()) {
+            revokeLease(lease);
           }
         });
   }
 
-  void revoke(long lease) {
-    if (leases.remove(lease) != null) {
+  void revokeLease(long lease) {
+    if (leaseExpiryMs.remove(lease) != null) {
       for (Row row : new ArrayList<>(rows.values())) {
         if (row.lease() == lease) {
           revision++;
@@ -184,7 +187,7 @@
   /** {@code conditions}: keys and the revisions they must have, 0 for none. */
   Outcome commit(Map<String, Long> conditions, List<Write> writes) {
     for (Write write : writes) {
-      if (write.lease() != 0 && !leases.containsKey(write.lease())) {
+      if (write.lease() != 0 && !leaseExpiryMs.containsKey(write.lease())) {
         return new Outcome(-1, List.of());
       }
     }
@@ -222,18 +225,18 @@
         "state", "applies without an answer for " + controller + ": " + writes + " " + outcome);
   }
 
-  private void noteRead(String controller, String key) {
+  private void recordRead(String controller, String key) {
     String writer = unansweredWriter.get(key);
     if (writer != null && !writer.equals(controller)) {
       unansweredWriter.remove(key);
-      unansweredRead.merge(key.substring(0, 2), 1, Integer::sum);
+      unansweredWritesRead.merge(key.substring(0, 2), 1, Integer::sum);
     }
   }
 
   /** What a controller reads. */
   Row get(String controller, String key) {
     if (rows.containsKey(key)) {
-      noteRead(controller, key);
+      recordRead(controller, key);
     }
     return rows.get(key);
   }
@@ -251,7 +254,7 @@
     List<Row> news = changesAfter(after);
     for (Row row : news) {
       if (!row.key().startsWith("d/")) { // which no watch cache holds
-        noteRead(controller, row.key());
+        recordRead(controller, row.key());
       }
     }
     return news;
@@ -282,7 +285,7 @@
     return out;
   }
 
-  static BitSet bits(Object value) {
+  static BitSet copyBits(Object value) {
     return value == null ? new BitSet() : (BitSet) ((BitSet) value).clone();
   }
 }
--- a/src/test/java/org/astershift/simulation/StoreOutageCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/StoreOutageCombinedFaultsTest.java
@@ -95,7 +95,7 @@
     ControllerModel old = simulation.leaders().get(0);
     List<ControllerModel> others =
         simulation.controllers.stream().filter(controller -> controller != old).toList();
-    simulation.store.refuse(old.name, true);
+    simulation.store.setRefused(old.name, true);
     if (seed % 2 == 0) {
       // Nobody tells the old leader who leads.
       others.forEach(controller -> simulation.cutBoth(old.name, controller.name));
@@ -108,21 +108,21 @@
     simulation.store.answerDelayMs = seed % 3 == 0 ? 2500 : 0;
     for (int i = 10; i < 14; i++) {
       String job = "wk-" + i;
-      simulation.after(simulation.random.nextLong(1500), () -> simulation.userCancels(job));
+      simulation.after(simulation.random.nextLong(1500), () -> simulation.cancelAsUser(job));
     }
     for (int i = 20; i < 24; i++) {
       String job = "wk-" + i;
       Runnable then =
           () ->
-              simulation.after(simulation.random.nextLong(400), () -> simulation.userCancels(job));
-      simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), 300_000L, then);
+              simulation.after(simulation.random.nextLong(400), () -> simulation.cancelAsUser(job));
+      simulation.submitAsUser(JobDraft.job(job, JobKind.ARRAY, 2), 300_000L, then);
     }
     if (outageCase.outage != OutageStart.BEFORE_ANYBODY_WINS) {
       simulation.runUntil(() -> hasOtherLeader(simulation, old), 30);
     }
     if (outageCase.outage == OutageStart.AFTER_A_CONFIRMATION
         || outageCase.fault != LeaderFault.STAYS) {
-      simulation.runUntil(() -> simulation.checker.anyCancelConfirmed(), 30);
+      simulation.runUntil(() -> simulation.checker.hasConfirmedCancels(), 30);
     }
     ControllerModel winner =
         simulation.leaders().stream()
@@ -137,29 +137,29 @@
     int confirmed = simulation.checker.cancelsConfirmed();
     int answered = old.answeredWithUncertainLease();
     simulation.log("state", "is unavailable");
-    simulation.store.unavailable(true);
+    simulation.store.setUnavailable(true);
     simulation.store.answerDelayMs = 0;
-    simulation.after(12_000, () -> simulation.store.refuse(old.name, false));
-    double outageS = 3 * InvariantChecker.CANCEL_MS / 1000.0;
+    simulation.after(12_000, () -> simulation.store.setRefused(old.name, false));
+    double outageS = 3 * InvariantChecker.CANCEL_DEADLINE_MS / 1000.0;
     runForS(simulation, outageS);
     answered = old.answeredWithUncertainLease() - answered;
     simulation.healAll();
-    simulation.store.unavailable(false);
+    simulation.store.setUnavailable(false);
     runForS(simulation, 15);
     // The faults meet a second time, as in the operators' incident: the store refuses the leader
     // 1.5 s before it refuses everybody.
-    if (winner.crashed()) {
+    if (winner.isCrashed()) {
       winner.start();
     }
     simulation.runUntil(() -> !simulation.leaders().isEmpty(), nowS(simulation) + 10);
     ControllerModel next = simulation.leaders().get(0);
-    simulation.store.refuse(next.name, true);
-    simulation.userCancels("wk-14");
+    simulation.store.setRefused(next.name, true);
+    simulation.cancelAsUser("wk-14");
     runForS(simulation, 1.5);
-    simulation.store.unavailable(true);
+    simulation.store.setUnavailable(true);
     runForS(simulation, outageS);
-    simulation.store.refuse(next.name, false);
-    simulation.store.unavailable(false);
+    simulation.store.setRefused(next.name, false);
+    simulation.store.setUnavailable(false);
     runForS(simulation, 50);
     return new Played(simulation, confirmed, answered);
   }
@@ -222,10 +222,10 @@
     Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     ControllerModel first = simulation.leaders().get(0);
     for (int i = 10; i < 14; i++) {
-      simulation.userCancels("wk-" + i);
+      simulation.cancelAsUser("wk-" + i);
     }
     assertTrue(
-        simulation.runUntil(simulation.checker::anyCancelConfirmed, 30), simulation.recentLog());
+        simulation.runUntil(simulation.checker::hasConfirmedCancels, 30), simulation.recentLog());
     apply(
         simulation,
         first,
@@ -233,9 +233,9 @@
         simulation.controllers.stream().filter(controller -> controller != first).toList());
     assertTrue(
         simulation.runUntil(() -> hasOtherLeader(simulation, first), 35), simulation.recentLog());
-    simulation.store.unavailable(true);
-    simulation.runTo((simulation.now() + 3 * InvariantChecker.CANCEL_MS) / 1000.0);
-    simulation.store.unavailable(false);
+    simulation.store.setUnavailable(true);
+    simulation.runTo((simulation.now() + 3 * InvariantChecker.CANCEL_DEADLINE_MS) / 1000.0);
+    simulation.store.setUnavailable(false);
     runForS(simulation, 30);
     return simulation;
   }
--- a/src/test/java/org/astershift/simulation/TaskModel.java
+++ b/src/test/java/org/astershift/simulation/TaskModel.java
@@ -13,7 +13,7 @@
   Heartbeat.TaskPhase phase = Heartbeat.TaskPhase.FETCHING;
 
   /** Why it exited; null before. */
-  String cause;
+  String exitReason;
 
   TaskModel(WorkerModel worker, String job, int index, long attempt) {
     this.worker = worker;
--- a/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/TeamCombinedFaultsTest.java
@@ -80,7 +80,7 @@
     for (String team : TEAMS) {
       String letter = team.substring(0, 1);
       for (int i = 0; i < 4; i++) {
-        simulation.userSubmits(
+        simulation.submitAsUser(
             JobDraft.array("wk-" + letter + "acc" + i, 1).forTeam(team).takes(1, 1).spec(),
             300_000L,
             () -> {});
@@ -92,7 +92,7 @@
       for (int i = 0; i < 5; i++) {
         String id = "wk-" + letter + i;
         boolean saves = i % 2 == 0;
-        simulation.userSubmits(
+        simulation.submitAsUser(
             JobDraft.array(id, 3).forTeam(team).takes(1 + i % 2, 0).saves(saves ? 3 : 0).spec(),
             300_000L,
             () -> {});
@@ -113,7 +113,7 @@
     boolean anyWaiting = false;
     for (String job : simulation.users.accepted()) {
       JobSpec spec = simulation.users.spec(job);
-      if (spec.team().equals(team) && !simulation.checker.waiting(spec).isEmpty()) {
+      if (spec.team().equals(team) && !simulation.checker.waitingTasks(spec).isEmpty()) {
         anyWaiting = true;
         if (quota.allows(usage[0] + spec.cpus(), usage[1] + spec.gpus())) {
           return false;
@@ -125,7 +125,7 @@
 
   private static String pickMachineWithTaskOf(Simulation simulation, String job) {
     List<String> machines = new ArrayList<>();
-    simulation.checker.eachOnMachine(
+    simulation.checker.forEachPlacement(
         (task, machine) -> {
           if (task.startsWith(job + "/")) {
             machines.add(machine);
@@ -137,7 +137,7 @@
   private static int countCancelledTasksOn(
       Simulation simulation, List<String> jobs, List<String> machines) {
     int[] count = new int[1];
-    simulation.checker.eachOnMachine(
+    simulation.checker.forEachPlacement(
         (task, machine) -> {
           boolean cancelled = jobs.contains(task.substring(0, task.indexOf('/')));
           count[0] += cancelled && machines.contains(machine) ? 1 : 0;
@@ -183,7 +183,7 @@
     for (String job : jobs) {
       simulation.after(
           cancelMs + simulation.random.nextLong(200) - simulation.now(),
-          () -> simulation.userCancels(job));
+          () -> simulation.cancelAsUser(job));
     }
     simulation.runTo(cancelMs / 1000.0);
     played.onFaultyMachines = countCancelledTasksOn(simulation, jobs, machines);
@@ -192,8 +192,8 @@
     played.startedMeanwhile = simulation.checker.started - before;
     simulation.runTo((machineFaultMs + forMs) / 1000.0 + 10);
     played.leaderChanged =
-        simulation.checker.leaders.stream().distinct().count() > 1
-            || simulation.checker.leaders.size() > 1;
+        simulation.checker.termLeaders.stream().distinct().count() > 1
+            || simulation.checker.termLeaders.size() > 1;
     simulation.healAll();
     simulation.controllers.forEach(
         controller ->
@@ -317,10 +317,10 @@
       // Some of these jobs hold tasks where no controller can probe, some wait: the capacity that
       // they free is there to be taken.
       for (String job : List.of("0", "1", "acc0")) {
-        simulation.userCancels("wk-" + team.substring(0, 1) + job);
-        cancelled += simulation.leaders().stream().anyMatch(ControllerModel::reconciling) ? 1 : 0;
+        simulation.cancelAsUser("wk-" + team.substring(0, 1) + job);
+        cancelled += simulation.leaders().stream().anyMatch(ControllerModel::isReconciling) ? 1 : 0;
       }
-      simulation.userSubmits(
+      simulation.submitAsUser(
           JobDraft.array("wk-late-" + team, 2).forTeam(team).spec(), 300_000L, () -> {});
     }
     runForS(simulation, 6);
--- a/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/UserCombinedFaultsTest.java
@@ -83,9 +83,9 @@
         Simulation simulation = playLostAnswers(seed, change);
         assertNoViolations(simulation);
         assertJobsEnded(simulation, 100, 16);
-        live += simulation.store.unansweredRead.getOrDefault("j/", 0);
-        ends += simulation.store.unansweredRead.getOrDefault("d/", 0);
-        opened += simulation.store.unansweredRead.getOrDefault("o/", 0);
+        live += simulation.store.unansweredWritesRead.getOrDefault("j/", 0);
+        ends += simulation.store.unansweredWritesRead.getOrDefault("d/", 0);
+        opened += simulation.store.unansweredWritesRead.getOrDefault("o/", 0);
       }
       assertTrue(
           live > 10 && ends > 10 && opened > 10,
@@ -163,14 +163,14 @@
       long atMs = i < 6 ? 0 : 600 + simulation.random.nextLong(300);
       simulation.after(
           atMs,
-          () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, 2), ENDLESS_MS, () -> {}));
+          () -> simulation.submitAsUser(JobDraft.job(job, JobKind.ARRAY, 2), ENDLESS_MS, () -> {}));
     }
     simulation.after(
         1000,
         () -> {
           for (int i = 0; i < 18; i++) {
             String job = "wk-" + (i < 6 ? 10 + i : 94 + i);
-            simulation.after(simulation.random.nextLong(200), () -> simulation.userCancels(job));
+            simulation.after(simulation.random.nextLong(200), () -> simulation.cancelAsUser(job));
           }
         });
     simulation.after(1000 + afterMs, () -> apply(simulation, change));
@@ -266,7 +266,7 @@
     Simulation simulation = createSimulationWithArrays(seed, 12, 3, mutations);
     ControllerModel old = simulation.leaders().get(0);
     for (int i = 10; i < 16; i++) {
-      simulation.userCancels("wk-" + i);
+      simulation.cancelAsUser("wk-" + i);
     }
     simulation.runTo((simulation.now() + afterMs) / 1000.0);
     if (handsOver) {
@@ -280,18 +280,18 @@
       }
       simulation.runTo((simulation.now() + 10) / 1000.0);
     }
-    simulation.store.refuse(old.name, true);
+    simulation.store.setRefused(old.name, true);
     runForS(simulation, 1);
     int onRecord = 0;
     for (int i = 10; i < 16; i++) {
       onRecord += simulation.store.get("d/wk-" + i) == null ? 0 : 1;
     }
-    simulation.store.unavailable(true);
+    simulation.store.setUnavailable(true);
     int before = old.answeredWithUncertainLease();
-    simulation.runTo((simulation.now() + InvariantChecker.CANCEL_MS) / 1000.0 + 10);
+    simulation.runTo((simulation.now() + InvariantChecker.CANCEL_DEADLINE_MS) / 1000.0 + 10);
     int withUncertainLease = old.answeredWithUncertainLease() - before;
-    simulation.store.refuse(old.name, false);
-    simulation.store.unavailable(false);
+    simulation.store.setRefused(old.name, false);
+    simulation.store.setUnavailable(false);
     runForS(simulation, 40);
     return new RefusalPlay(simulation, onRecord, withUncertainLease);
   }
--- a/src/test/java/org/astershift/simulation/UserFaultInjector.java
+++ b/src/test/java/org/astershift/simulation/UserFaultInjector.java
@@ -21,7 +21,7 @@
   private final FaultInjector faults;
   private final long healedMs;
   private int streamedJobs;
-  private final List<Fault> kinds =
+  private final List<Fault> faultsByKind =
       List.of(
           (leader, forMs) -> queryClosely(forMs),
           (leader, forMs) -> loseWriteAnswers(forMs),
@@ -47,7 +47,7 @@
     long forMs = 5000 + simulation.random.nextLong(45_000);
     ControllerModel leader =
         simulation.leaders().stream().findFirst().orElse(simulation.controllers.get(0));
-    kinds.get(kind).inject(leader, forMs);
+    faultsByKind.get(kind).inject(leader, forMs);
   }
 
   /** Jobs that streams have added to the others. */
@@ -73,7 +73,7 @@
   }
 
   private void cancelNow() {
-    simulation.users.cancelNow(2 + simulation.random.nextInt(8));
+    simulation.users.cancelRunningJobs(2 + simulation.random.nextInt(8));
   }
 
   private void cancelAtEnd(long forMs) {
@@ -83,14 +83,14 @@
 
   private void streamJobs() {
     streamedJobs += STREAM_JOBS;
-    simulation.users.stream(FIRST_STREAM_JOB, STREAM_JOBS, STREAM_TASK_MS);
+    simulation.users.submitStream(FIRST_STREAM_JOB, STREAM_JOBS, STREAM_TASK_MS);
   }
 
   /** Jobs are cancelled as the store refuses the leader, and a second later all, for long. */
   private void cancelAndRefuse(ControllerModel leader) {
-    simulation.users.cancelNow(2 + simulation.random.nextInt(6));
+    simulation.users.cancelRunningJobs(2 + simulation.random.nextInt(6));
     beforeHealing(simulation.random.nextLong(100), () -> faults.refuseAtStore(leader, 3000));
-    beforeHealing(1000, () -> faults.storeOutage(InvariantChecker.CANCEL_MS + 2000));
+    beforeHealing(1000, () -> faults.storeOutage(InvariantChecker.CANCEL_DEADLINE_MS + 2000));
   }
 
   private void changeLeaders(long forMs) {
--- a/src/test/java/org/astershift/simulation/UserFaults.java
+++ b/src/test/java/org/astershift/simulation/UserFaults.java
@@ -49,7 +49,7 @@
       int tasks = 1 + i % 3;
       simulation.after(
           simulation.random.nextLong(withinMs),
-          () -> simulation.userSubmits(JobDraft.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
+          () -> simulation.submitAsUser(JobDraft.job(job, JobKind.ARRAY, tasks), runMs, () -> {}));
     }
   }
 }
--- a/src/test/java/org/astershift/simulation/UserModel.java
+++ b/src/test/java/org/astershift/simulation/UserModel.java
@@ -20,13 +20,13 @@
  */
 final class UserModel {
   /** How long they wait for the answer to a submission or a cancellation, and to a question. */
-  private static final long REQUEST_MS = 5000;
+  private static final long REQUEST_TIMEOUT_MS = 5000;
 
-  private static final long QUESTION_MS = 2000;
-  private static final long POLL_MS = 5000;
+  private static final long QUESTION_TIMEOUT_MS = 2000;
+  private static final long POLL_INTERVAL_MS = 5000;
 
   /** Within so long after an acceptance or end all controllers are asked, so many times each. */
-  private static final long CLOSE_QUERY_MS = 40;
+  private static final long CLOSE_QUERY_WINDOW_MS = 40;
 
   private static final int CLOSE_QUERIES = 4;
 
@@ -99,7 +99,8 @@
             queryClosely(spec.id());
             if (simulation.random.nextDouble() < cancelOnAcceptShare) {
               cancelledOnAccept++;
-              simulation.after(simulation.random.nextLong(CLOSE_QUERY_MS), () -> cancel(spec.id()));
+              simulation.after(
+                  simulation.random.nextLong(CLOSE_QUERY_WINDOW_MS), () -> cancel(spec.id()));
             }
           }
         });
@@ -108,13 +109,13 @@
   /** Its user wants it cancelled. */
   void cancel(String job) {
     if (cancelled.add(job)) {
-      simulation.checker.cancelRequestedMs(job);
+      simulation.checker.onCancelRequested(job);
       request(job, (controller, answer) -> controller.cancel(job, true, answer), () -> {});
     }
   }
 
   /** So many jobs whose tasks are on machines are cancelled within a fifth of a second. */
-  int cancelNow(int count) {
+  int cancelRunningJobs(int count) {
     List<String> run =
         accepted.stream()
             .filter(job -> !cancelled.contains(job) && simulation.checker.tasksOnMachines(job) > 0)
@@ -129,7 +130,7 @@
    * One-task jobs, four a second, of which a quarter is cancelled sooner or later; {@code id}: the
    * number of the first.
    */
-  void stream(int id, int jobs, long ms) {
+  void submitStream(int id, int jobs, long ms) {
     for (int i = 0; i < jobs; i++) {
       String job = "wk-" + (id + i);
       boolean cancels = simulation.random.nextInt(4) == 0;
@@ -152,7 +153,7 @@
     send(
         job,
         controller,
-        REQUEST_MS,
+        REQUEST_TIMEOUT_MS,
         service,
         state -> {
           if (state == null || state.equals("503")) {
@@ -194,7 +195,7 @@
 
   private void poll(String job) {
     for (ControllerModel controller : simulation.controllers) {
-      simulation.after(simulation.random.nextLong(POLL_MS), () -> poll(job, controller));
+      simulation.after(simulation.random.nextLong(POLL_INTERVAL_MS), () -> poll(job, controller));
     }
   }
 
@@ -202,9 +203,9 @@
     send(
         job,
         controller,
-        QUESTION_MS,
+        QUESTION_TIMEOUT_MS,
         (node, answer) -> node.jobState(job, true, answer),
-        state -> simulation.after(POLL_MS, () -> poll(job, controller)));
+        state -> simulation.after(POLL_INTERVAL_MS, () -> poll(job, controller)));
   }
 
   /** A user has just learnt that the job is accepted, or that it is over. */
@@ -217,7 +218,7 @@
         querySoon(
             job,
             controller,
-            QUESTION_MS,
+            QUESTION_TIMEOUT_MS,
             (node, answer) -> node.jobState(job, true, answer),
             () -> closeQueriesAnswered++);
       }
@@ -225,7 +226,7 @@
       querySoon(
           job,
           controller,
-          REQUEST_MS,
+          REQUEST_TIMEOUT_MS,
           (node, answer) -> node.submit(spec, answer),
           () -> resubmissionsAnswered++);
     }
@@ -239,7 +240,7 @@
       Runnable answered) {
     closeQueries++;
     simulation.after(
-        simulation.random.nextLong(CLOSE_QUERY_MS),
+        simulation.random.nextLong(CLOSE_QUERY_WINDOW_MS),
         () ->
             send(
                 job,
@@ -254,17 +255,17 @@
   }
 
   /** A task is being started on a machine, and will end after so long if nothing happens. */
-  void started(String job, int index, long endsMs) {
+  void onTaskStarted(String job, int index, long endsMs) {
     if (cancelAtEndShare > 0 && simulation.random.nextDouble() < cancelAtEndShare) {
       // A request takes some milliseconds, and the news of the end some hundred.
       long aroundMs = simulation.random.nextBoolean() ? 10 : 600;
       long atMs = endsMs + simulation.random.nextLong(2 * aroundMs) - aroundMs;
-      simulation.after(atMs, () -> cancelLast(job, index));
+      simulation.after(atMs, () -> cancelIfLastTask(job, index));
     }
   }
 
   /** The same for a gang, which completes as a whole. */
-  void started(String gang, long endsMs) {
+  void onTaskStarted(String gang, long endsMs) {
     if (cancelAtEndShare > 0 && simulation.random.nextDouble() < cancelAtEndShare) {
       long aroundMs = simulation.random.nextBoolean() ? 10 : 600;
       long atMs = endsMs + simulation.random.nextLong(2 * aroundMs) - aroundMs;
@@ -279,7 +280,7 @@
     }
   }
 
-  private void cancelLast(String job, int index) {
+  private void cancelIfLastTask(String job, int index) {
     Set<Integer> done = new HashSet<>(onTaskCompleted.getOrDefault(job, Set.of()));
     done.add(index);
     if (done.size() == submitted.get(job).tasks() && !cancelled.contains(job)) {
--- a/src/test/java/org/astershift/simulation/WatchCacheModel.java
+++ b/src/test/java/org/astershift/simulation/WatchCacheModel.java
@@ -12,7 +12,7 @@
 
 /** A controller's copy of the store's rows, which lags behind the store. */
 final class WatchCacheModel {
-  static final long POLL_MS = 60;
+  static final long POLL_INTERVAL_MS = 60;
 
   private final ControllerModel controller;
   private final Simulation simulation;
@@ -44,14 +44,15 @@
           if (changes != null) {
             apply(changes);
           }
-          controller.later(changes == null ? Threads.RETRY_BACKOFF_MS : POLL_MS, this::poll);
+          controller.runLater(
+              changes == null ? Threads.RETRY_BACKOFF_MS : POLL_INTERVAL_MS, this::poll);
         });
   }
 
   private void apply(Changes changes) {
     boolean leaderChanged = false;
     for (Row row : changes.rows()) {
-      leaderChanged |= row.key().equals(StoreModel.LEADER);
+      leaderChanged |= row.key().equals(StoreModel.LEADER_KEY);
       if (row.value() == null) {
         rows.remove(row.key());
       } else {
@@ -85,7 +86,7 @@
 
   /** The row of the leader's key; null: there is none. */
   Row leaderRow() {
-    return rows.get(StoreModel.LEADER);
+    return rows.get(StoreModel.LEADER_KEY);
   }
 
   /** Who holds the leader's key; null: nobody. */
@@ -103,7 +104,7 @@
   /** The job's tasks that are done on record. */
   BitSet doneTasks(String job) {
     Row done = rows.get("p/" + job);
-    return StoreModel.bits(done == null ? null : done.value());
+    return StoreModel.copyBits(done == null ? null : done.value());
   }
 
   /** Values by what follows the prefix in their keys. */
--- a/src/test/java/org/astershift/simulation/WorkerModel.java
+++ b/src/test/java/org/astershift/simulation/WorkerModel.java
@@ -18,7 +18,7 @@
   private static final long HEARTBEAT_TIMEOUT_MS = 4000;
 
   /** Until it tries another controller after one did not help. */
-  private static final long NEXT_CONTROLLER_MS = 1000;
+  private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
 
   final String name;
   final String zone;
@@ -41,7 +41,7 @@
   private long outboundPartitionedUntilMs;
 
   /** Its connection keeps the first heartbeat of the partition, and delivers it after that. */
-  private boolean firstHeartbeatKept;
+  private boolean holdsFirstHeartbeat;
 
   /** When the cloud preempts it by the notice; -1: there was no notice. */
   private long preemptedAtMs = -1;
@@ -50,7 +50,7 @@
   boolean faulty;
 
   /** When a task was started last. */
-  long startedMs = -1;
+  long lastTaskStartMs = -1;
 
   /** Tasks started while it reached no controller. */
   int startedWhilePartitioned;
@@ -90,8 +90,8 @@
     this.schedule = new HeartbeatSchedule(simulation, process, this::sendHeartbeat);
   }
 
-  boolean alive() {
-    return process.alive();
+  boolean isAlive() {
+    return process.isAlive();
   }
 
   /** Counts its processes: what was under way in an earlier one ended with it. */
@@ -118,18 +118,18 @@
   void start() {
     process.start();
     leaseStartMs = simulation.now();
-    watchLease();
+    scheduleLeaseExpiry();
     controllerIndex = simulation.random.nextInt(simulation.controllers.size());
     sendHeartbeat();
   }
 
   /** It ends and is back soon, under its name, with nothing of before: epoch 1, no token. */
   void restart(long afterMs) {
-    if (!alive()) {
+    if (!isAlive()) {
       return;
     }
     simulation.log(name, "restarts in " + afterMs + " ms");
-    die();
+    kill();
     fencingToken = 0;
     epoch = 1;
     sequence = 0;
@@ -144,11 +144,11 @@
         });
   }
 
-  void die() {
+  void kill() {
     process.end();
     pauseAfterHeartbeatMs = 0;
     preemptedAtMs = -1;
-    tasks.kill();
+    tasks.killAll();
   }
 
   /** It does nothing for a while, and then continues as if no time had passed. */
@@ -161,8 +161,8 @@
     pauseAfterHeartbeatMs = forMs;
   }
 
-  boolean paused() {
-    return process.paused();
+  boolean isPaused() {
+    return process.isPaused();
   }
 
   int pauses() {
@@ -186,11 +186,11 @@
   void partitionOutbound(long forMs) {
     simulation.log(name, "reaches no controller for " + forMs + " ms");
     outboundPartitionedUntilMs = Math.max(outboundPartitionedUntilMs, simulation.now() + forMs);
-    firstHeartbeatKept = simulation.random.nextBoolean();
+    holdsFirstHeartbeat = simulation.random.nextBoolean();
     simulation.after(forMs, simulation::markConnectivityChanged);
   }
 
-  private boolean outboundPartitioned() {
+  private boolean isOutboundPartitioned() {
     return simulation.now() < outboundPartitionedUntilMs;
   }
 
@@ -200,7 +200,7 @@
   }
 
   /** The cloud will preempt it; its next heartbeats say so. */
-  void noticePreemption(long inMs) {
+  void onPreemptionNotice(long inMs) {
     simulation.log(name, "gets a preemption notice of " + inMs + " ms");
     preemptedAtMs = simulation.now() + inMs;
   }
@@ -210,13 +210,13 @@
     process.runIn(incarnation(), request);
   }
 
-  void afterWork(long ms, Runnable body) {
-    process.afterWork(ms, body);
+  void afterRunTime(long ms, Runnable body) {
+    process.afterRunTime(ms, body);
   }
 
   void onTaskStarted() {
-    startedMs = simulation.now();
-    startedWhilePartitioned += outboundPartitioned() ? 1 : 0;
+    lastTaskStartMs = simulation.now();
+    startedWhilePartitioned += isOutboundPartitioned() ? 1 : 0;
     startedAfterPreemptionNotice += preemptedAtMs < 0 ? 0 : 1;
   }
 
@@ -248,7 +248,7 @@
     simulation.delayedHeartbeats.onHeartbeatSent(this, heartbeat);
     int startedIn = incarnation();
     ControllerModel receiver = simulation.controllers.get(controllerIndex);
-    if (outboundPartitioned()) {
+    if (isOutboundPartitioned()) {
       failToSend(heartbeat, receiver);
       return;
     }
@@ -256,7 +256,7 @@
         name,
         receiver.name,
         HEARTBEAT_TIMEOUT_MS,
-        simulation.delayedHeartbeats.delayIfDrawn(
+        simulation.delayedHeartbeats.holdIfDrawn(
             receiver, answer -> deliver(receiver, heartbeat, answer)),
         (HeartbeatAnswer answer) ->
             process.runIn(startedIn, () -> onAnswer(answer, sentMs, sentEpoch)));
@@ -271,17 +271,17 @@
       ControllerModel receiver, Heartbeat heartbeat, Consumer<HeartbeatAnswer> answer) {
     boolean late = sequence > heartbeat.sequence();
     if (late && simulation.mutations.contains(Mutation.ACCEPT_DUPLICATE_HEARTBEATS)) {
-      receiver.onDuplicateHeartbeat(simulation.delayedHeartbeats.asReadLate(this, heartbeat));
+      receiver.onDuplicateHeartbeat(simulation.delayedHeartbeats.asLateHeartbeat(this, heartbeat));
     } else {
       receiver.onHeartbeat(
-          late ? simulation.delayedHeartbeats.asReadLate(this, heartbeat) : heartbeat, answer);
+          late ? simulation.delayedHeartbeats.asLateHeartbeat(this, heartbeat) : heartbeat, answer);
     }
   }
 
   /** The connection is refused at once, or the heartbeat times out. */
   private void failToSend(Heartbeat heartbeat, ControllerModel receiver) {
-    if (firstHeartbeatKept) {
-      firstHeartbeatKept = false;
+    if (holdsFirstHeartbeat) {
+      holdsFirstHeartbeat = false;
       simulation.after(
           outboundPartitionedUntilMs - simulation.now() + 1,
           () -> receiver.onHeartbeat(heartbeat, answer -> {}));
@@ -306,7 +306,7 @@
 
   private void tryNextController() {
     controllerIndex = (controllerIndex + 1) % simulation.controllers.size();
-    schedule.sendAfter(NEXT_CONTROLLER_MS);
+    schedule.sendAfter(NEXT_CONTROLLER_DELAY_MS);
   }
 
   private void followRedirect(int leaderIndex) {
@@ -320,10 +320,10 @@
 
   private void onAccepted(HeartbeatAnswer answer, long sentMs, long sentEpoch) {
     if (answer.fencingToken() >= fencingToken && sentEpoch == epoch) {
-      answersAfterPause += process.resumedNow() ? 1 : 0;
+      answersAfterPause += process.hasResumedNow() ? 1 : 0;
       fencingToken = answer.fencingToken();
       leaseStartMs = Math.max(leaseStartMs, sentMs);
-      watchLease();
+      scheduleLeaseExpiry();
       answer.commands().forEach(tasks::execute);
     }
     long intervalMs = simulation.setup.heartbeatMs();
@@ -334,31 +334,31 @@
     schedule.onTasksChanged();
   }
 
-  boolean leaseExpired() {
+  boolean hasLeaseExpired() {
     return simulation.now() - leaseStartMs > simulation.setup.leaseMs();
   }
 
   /** If its lease has expired, it kills and forgets all of its tasks and begins a new epoch. */
   void expireLease() {
-    if (!leaseExpired()) {
+    if (!hasLeaseExpired()) {
       return;
     }
-    tasks.killByLease();
-    if (paused()) {
+    tasks.killOnLeaseExpiry();
+    if (isPaused()) {
       return; // none of them can go on; the rest it does itself as it resumes
     }
     tasks.forget();
     epoch++;
     leaseStartMs = simulation.now();
-    watchLease();
+    scheduleLeaseExpiry();
   }
 
-  private void watchLease() {
+  private void scheduleLeaseExpiry() {
     int startedIn = incarnation();
     simulation.after(
         leaseStartMs + simulation.setup.leaseMs() + 1 - simulation.now(),
         () -> {
-          if (alive() && incarnation() == startedIn) {
+          if (isAlive() && incarnation() == startedIn) {
             expireLease();
           }
         });
@@ -371,7 +371,7 @@
       return new CommandAnswer(false, heartbeat());
     }
     fencingToken = senderToken;
-    commandsAfterPause += process.resumedNow() ? commands.size() : 0;
+    commandsAfterPause += process.hasResumedNow() ? commands.size() : 0;
     commands.forEach(tasks::execute);
     return new CommandAnswer(true, heartbeat());
   }
--- a/src/test/java/org/astershift/simulation/WorkerTasks.java
+++ b/src/test/java/org/astershift/simulation/WorkerTasks.java
@@ -11,7 +11,7 @@
 /** The tasks on a worker: they fetch their image, run, save, exit, and are forgotten. */
 final class WorkerTasks {
   /** How long after its start a task on a faulty machine fails. */
-  static final long FAILS_AFTER_MS = 300;
+  static final long FAILURE_DELAY_MS = 300;
 
   private static final long IMAGE_FETCH_MS = 800;
 
@@ -58,16 +58,18 @@
     worker.onTaskStarted();
     simulation.checker.onTaskStarted(task.name(), worker.name, command.attemptNumber());
     if (task.isGang(simulation)) {
-      worker.afterWork(IMAGE_FETCH_MS, () -> whenRunning(task, () -> onGangImageFetched(task)));
+      worker.afterRunTime(
+          IMAGE_FETCH_MS, () -> whenWorkerRuns(task, () -> onGangImageFetched(task)));
       return;
     }
-    worker.afterWork(IMAGE_FETCH_MS, () -> moveTo(task, Heartbeat.TaskPhase.RUNNING, null));
-    failIfFaulty(task, IMAGE_FETCH_MS + FAILS_AFTER_MS);
+    worker.afterRunTime(
+        IMAGE_FETCH_MS, () -> transitionTo(task, Heartbeat.TaskPhase.RUNNING, null));
+    scheduleFailureIfFaulty(task, IMAGE_FETCH_MS + FAILURE_DELAY_MS);
     Long runMs = simulation.users.runMsOf(job, index);
     if (runMs != null) {
-      simulation.users.started(job, index, IMAGE_FETCH_MS + runMs);
-      worker.afterWork(
-          IMAGE_FETCH_MS + runMs, () -> moveTo(task, Heartbeat.TaskPhase.EXITED, "done"));
+      simulation.users.onTaskStarted(job, index, IMAGE_FETCH_MS + runMs);
+      worker.afterRunTime(
+          IMAGE_FETCH_MS + runMs, () -> transitionTo(task, Heartbeat.TaskPhase.EXITED, "done"));
     }
   }
 
@@ -78,9 +80,9 @@
   }
 
   /** On a faulty machine the task fails so long from now. */
-  void failIfFaulty(TaskModel task, long ms) {
+  void scheduleFailureIfFaulty(TaskModel task, long ms) {
     if (worker.faulty) {
-      worker.afterWork(ms, () -> moveTo(task, Heartbeat.TaskPhase.EXITED, "error"));
+      worker.afterRunTime(ms, () -> transitionTo(task, Heartbeat.TaskPhase.EXITED, "error"));
     }
   }
 
@@ -96,23 +98,23 @@
     } else if (saves && task.phase == Heartbeat.TaskPhase.RUNNING) {
       task.phase = Heartbeat.TaskPhase.SAVING;
       long ms = Math.round(spec.checkpointSaveS() * 1000);
-      worker.afterWork(ms, () -> moveTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
+      worker.afterRunTime(ms, () -> transitionTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
     } else if (!saves || task.phase != Heartbeat.TaskPhase.SAVING) {
-      moveTo(task, Heartbeat.TaskPhase.EXITED, "halted");
+      transitionTo(task, Heartbeat.TaskPhase.EXITED, "halted");
     }
   }
 
   /** The task moves on, unless it has exited or the worker's lease has expired. */
-  void moveTo(TaskModel task, Heartbeat.TaskPhase phase, String cause) {
-    if (!worker.alive() || !tasks.containsValue(task) || task.isExited()) {
+  void transitionTo(TaskModel task, Heartbeat.TaskPhase phase, String cause) {
+    if (!worker.isAlive() || !tasks.containsValue(task) || task.isExited()) {
       return;
     }
-    if (worker.leaseExpired()) {
+    if (worker.hasLeaseExpired()) {
       worker.expireLease();
       return;
     }
     task.phase = phase;
-    task.cause = cause;
+    task.exitReason = cause;
     simulation.digest.phase(simulation.now(), task.name(), worker.name, phase, cause);
     Heartbeat.TaskPhase first =
         task.isGang(simulation) ? Heartbeat.TaskPhase.WAITING : Heartbeat.TaskPhase.RUNNING;
@@ -130,13 +132,13 @@
   private void onExited(TaskModel task) {
     simulation.checker.onTaskGone(task.name(), worker.name);
     simulation.gangs.onTaskGone(task);
-    if ("done".equals(task.cause)) {
+    if ("done".equals(task.exitReason)) {
       simulation.checker.onTaskCompleted(task.name());
     }
   }
 
   /** Runs this as soon as the worker does not pause, if the task is still there. */
-  void whenRunning(TaskModel task, Runnable body) {
+  void whenWorkerRuns(TaskModel task, Runnable body) {
     worker.serve(
         () -> {
           if (tasks.containsValue(task)) {
@@ -146,10 +148,10 @@
   }
 
   /** The lease has expired: none of them goes on. */
-  void killByLease() {
+  void killOnLeaseExpiry() {
     for (TaskModel task : all()) {
       if (!task.isExited()) {
-        simulation.checker.killedByLease++;
+        simulation.checker.killedOnLeaseExpiry++;
         simulation.log(worker.name, "kills a task by lease expiry task=" + task.name());
         onGone(task);
       }
@@ -162,7 +164,7 @@
   }
 
   /** The worker's process ends, and they with it. */
-  void kill() {
+  void killAll() {
     List<TaskModel> killed = all();
     tasks.clear();
     killed.forEach(this::onGone);
@@ -183,7 +185,8 @@
     List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
     for (TaskModel task : tasks.values()) {
       statuses.add(
-          new Heartbeat.TaskStatus(task.job, task.index, task.attempt, task.phase, task.cause));
+          new Heartbeat.TaskStatus(
+              task.job, task.index, task.attempt, task.phase, task.exitReason));
     }
     return statuses;
   }
--- a/src/test/java/org/astershift/simulation/ZoneLossCombinedFaultsTest.java
+++ b/src/test/java/org/astershift/simulation/ZoneLossCombinedFaultsTest.java
@@ -88,14 +88,15 @@
     List<String> zoneMachines = new ArrayList<>();
     simulation.workers.forEach(
         (name, worker) -> {
-          if (worker.zone.equals("a") && worker.alive() && worker.kind.spot() == spot) {
+          if (worker.zone.equals("a") && worker.isAlive() && worker.kind.spot() == spot) {
             zoneMachines.add(name);
           }
         });
     if (loss == Loss.ZONE_PARTITIONED) {
       simulation.controllers.forEach(controller -> simulation.cutBoth(controller.name, "zone a"));
     } else {
-      zoneMachines.forEach(loss == Loss.DIE ? simulation.cloud::die : simulation.cloud::preempt);
+      zoneMachines.forEach(
+          loss == Loss.DIE ? simulation.cloud::killMachine : simulation.cloud::preempt);
     }
     if (changes) {
       ControllerModel old = simulation.leaders().get(0);
@@ -104,7 +105,7 @@
           () -> apply(simulation, old, LeaderFault.values()[(int) simulation.seed % 3]));
     }
     simulation.runTo((22_000 + forMs) / 1000.0);
-    boolean empty = zoneMachines.stream().noneMatch(name -> simulation.workers.get(name).alive());
+    boolean empty = zoneMachines.stream().noneMatch(name -> simulation.workers.get(name).isAlive());
     simulation.healAll();
     simulation.starvationCheck.onFaultsHealed();
     return empty;
