--- a/src/test/java/org/astershift/simulation/CloudModel.java
+++ b/src/test/java/org/astershift/simulation/CloudModel.java
@@ -16,8 +16,9 @@
 import org.astershift.scheduler.MachineType;
 
 /**
- * The cloud: request names, machines that boot, lists that lag and go back, dead machines that are
- * listed as running for 30 s and then as failed.
+ * Models the cloud: named provisioning requests, machines that boot, lists that lag and may be
+ * older than the list before, and dead machines that are listed as running for 30 s and then as
+ * failed.
  */
 final class CloudModel {
   static final String TYPE = "small";
@@ -25,13 +26,13 @@
   private static final long LISTED_AS_FAILED_AFTER_MS = 30_000;
   private static final long BOOT_MS = 10_000;
 
-  /** How long new machines take until their first heartbeat; null: it never comes. */
+  /** Time until a new machine's first heartbeat, in milliseconds; null if it never comes. */
   Supplier<Long> bootMs = () -> BOOT_MS;
 
-  /** Provisioning happens at once, and its answer takes up to so long. */
+  /** Longest delay of a provisioning answer, in milliseconds; the machines are added at once. */
   long answerDelayMs;
 
-  /** Machines that were alive, and that had tasks, before their request was answered. */
+  /** Machines that were already alive, or had tasks, when their request was answered. */
   int aliveBeforeAnswer;
 
   int busyBeforeAnswer;
@@ -50,12 +51,12 @@
   private final Map<String, Kind> kinds = new HashMap<>();
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  /** Machines that there may be at once of a type, in all zones; none named: as many as asked. */
+  /** Most machines of a type at once, in all zones together; unlimited for types not listed. */
   final Map<String, Integer> capacity = new HashMap<>();
 
   private int nextMachineNumber = 100_000;
 
-  /** What a machine is: type, zone, and whether it is a spot machine. */
+  /** A machine's type, its zone, and whether it is a spot machine. */
   record Kind(String type, String zone, boolean spot) {}
 
   private record Snapshot(long atMs, List<ListedMachine> listed) {}
@@ -66,7 +67,7 @@
     takeSnapshot();
   }
 
-  /** One more type of machines. */
+  /** Adds a machine type. */
   void addType(MachineType type) {
     types.put(type.name(), type);
   }
@@ -79,21 +80,21 @@
     return kinds.get(name);
   }
 
-  void addMachine(String name, String zone, boolean up) {
-    addMachine(name, new Kind(TYPE, zone, false), up);
+  void addMachine(String name, String zone, boolean alreadyUp) {
+    addMachine(name, new Kind(TYPE, zone, false), alreadyUp);
   }
 
-  void addMachine(String name, Kind kind, boolean up) {
+  void addMachine(String name, Kind kind, boolean alreadyUp) {
     machineNames.add(name);
     kinds.put(name, kind);
     WorkerModel worker = new WorkerModel(simulation, name, kind);
     simulation.workers.put(name, worker);
-    Long ms =
-        up
+    Long firstHeartbeatMs =
+        alreadyUp
             ? Long.valueOf(simulation.random.nextLong(simulation.setup.heartbeatMs()))
             : bootMs.get();
-    if (ms != null) {
-      simulation.after(ms, () -> startUnlessGone(worker));
+    if (firstHeartbeatMs != null) {
+      simulation.after(firstHeartbeatMs, () -> startUnlessGone(worker));
     }
   }
 
@@ -130,29 +131,29 @@
   private List<String> provision(String request, Decision.ProvisionMachines provisioning) {
     return provisioned.computeIfAbsent(
         request,
-        n -> {
-          List<String> out = new ArrayList<>();
+        key -> {
+          List<String> added = new ArrayList<>();
           for (int i = 0; i < provisioning.count() && hasCapacity(provisioning.typeName()); i++) {
             String name = "vm-" + nextMachineNumber++;
             addMachine(
                 name,
                 new Kind(provisioning.typeName(), provisioning.zone(), provisioning.spot()),
                 false);
-            out.add(name);
+            added.add(name);
           }
-          return out;
+          return added;
         });
   }
 
   private boolean hasCapacity(String type) {
-    long there =
+    long existing =
         machineNames.stream()
-            .filter(n -> !released.contains(n) && kinds.get(n).type().equals(type))
+            .filter(name -> !released.contains(name) && kinds.get(name).type().equals(type))
             .count();
-    return there < capacity.getOrDefault(type, Integer.MAX_VALUE);
+    return existing < capacity.getOrDefault(type, Integer.MAX_VALUE);
   }
 
-  /** Preempts a spot machine, without a notice. */
+  /** Preempts a spot machine without notice. */
   void preempt(String name) {
     if (released.add(name)) {
       simulation.log(name, "is preempted");
@@ -163,14 +164,14 @@
   }
 
   /**
-   * It takes one back after a notice, that much later times half to one and a half: its worker's
-   * heartbeats show the time of the notice.
+   * Announces a preemption; it comes after {@code noticeMs} times {@code noticeFactor}, which is
+   * between one half and one and a half. The worker's heartbeats show the announced time.
    */
-  void announcePreemption(String name, long noticeMs, double times) {
+  void announcePreemption(String name, long noticeMs, double noticeFactor) {
     WorkerModel worker = simulation.workers.get(name);
     if (worker.isAlive()) {
       worker.onPreemptionNotice(noticeMs);
-      simulation.after(Math.round(noticeMs * times), () -> preempt(name));
+      simulation.after(Math.round(noticeMs * noticeFactor), () -> preempt(name));
     }
   }
 
@@ -190,8 +191,8 @@
     List<ListedMachine> listed = new ArrayList<>();
     for (String name : machineNames) {
       if (!released.contains(name)) {
-        Long died = diedMs.get(name);
-        boolean failed = died != null && simulation.now() - died > LISTED_AS_FAILED_AFTER_MS;
+        Long deathMs = diedMs.get(name);
+        boolean failed = deathMs != null && simulation.now() - deathMs > LISTED_AS_FAILED_AFTER_MS;
         listed.add(
             new ListedMachine(
                 name,
@@ -210,7 +211,10 @@
     simulation.after(500, this::takeSnapshot);
   }
 
-  /** Any state of the last six seconds, so a list may be older than the one before it. */
+  /**
+   * Returns the state at a random time within the last six seconds, possibly older than the list
+   * before.
+   */
   List<ListedMachine> listMachines() {
     List<Snapshot> all = new ArrayList<>(snapshots);
     return all.get(simulation.random.nextInt(all.size())).listed();
--- a/src/test/java/org/astershift/simulation/CloudProvisionerModel.java
+++ b/src/test/java/org/astershift/simulation/CloudProvisionerModel.java
@@ -7,7 +7,7 @@
 import org.astershift.scheduler.ListedMachine;
 import org.astershift.simulation.StoreModel.MachineRow;
 
-/** A leader's requests to the cloud: provisioning, releases and the list of machines. */
+/** Sends a leader's requests to the cloud: provisioning, releases and machine lists. */
 final class CloudProvisionerModel {
   private static final long TIMEOUT_MS = 5000;
 
@@ -15,7 +15,7 @@
   private final Simulation simulation;
   private final LeaderTermModel term;
 
-  /** Provisioning requests so far: part of the name of the next one. */
+  /** Number of provisioning requests so far, which is part of the next request's name. */
   private int requestCount;
 
   CloudProvisionerModel(ControllerModel controller, LeaderTermModel term) {
@@ -24,7 +24,10 @@
     this.term = term;
   }
 
-  /** A new request, sent once its name is on record: repeated, it provisions nothing more. */
+  /**
+   * Starts a new provisioning request, which is sent once its name is durable: a repeated request
+   * with the same name provisions no more machines.
+   */
   void startProvisioning(Decision.ProvisionMachines decision) {
     requestCount++;
     String request = "as-" + term.token() + "-" + requestCount;
@@ -53,20 +56,20 @@
 
   private void onProvisioned(
       String request, Decision.ProvisionMachines decision, List<String> machines) {
-    int[] left = {1};
+    int[] unpersisted = {1};
     Runnable onPersisted =
         () -> {
-          left[0]--;
-          if (left[0] == 0) {
-            // Not before its machines are on record.
+          unpersisted[0]--;
+          if (unpersisted[0] == 0) {
+            // The request's record is removed only after its machines are durable.
             term.recordWriter().persist("i/" + request, null, () -> {});
           }
         };
     for (String machine : machines) {
       if (!term.markRegistered(machine) || controller.watchCache().contains("m/" + machine)) {
-        continue; // it may have tasks already, and is no longer newly provisioned
+        continue; // already registered: it may have tasks and is no longer newly provisioned
       }
-      left[0]++;
+      unpersisted[0]++;
       Decision.RegisterMachine registration =
           new Decision.RegisterMachine(
               machine, null, decision.typeName(), decision.zone(), decision.spot(), true);
@@ -98,7 +101,7 @@
         });
   }
 
-  /** Reads the list of machines, and goes on doing so while the term lasts. */
+  /** Reads the machine list repeatedly while the term lasts. */
   void pollMachineList() {
     if (!term.isCurrent()) {
       return;
--- a/src/test/java/org/astershift/simulation/CommandSenderModel.java
+++ b/src/test/java/org/astershift/simulation/CommandSenderModel.java
@@ -18,13 +18,16 @@
     this.term = term;
   }
 
-  /** Sends at once, or over a connection, where what is sent is decided once it is open. */
+  /**
+   * Sends commands at once, or over a connection, in which case the commands still wanted are
+   * determined once it is open.
+   */
   void send(Decision.SendCommands decision) {
     if (!simulation.connectionOriented) {
       deliver(decision, decision.commands(), null, decision.timeoutMs());
       return;
     }
-    long untilMs = controller.clock() + decision.timeoutMs();
+    long deadlineMs = controller.clock() + decision.timeoutMs();
     connect(
         decision.address(),
         decision.timeoutMs(),
@@ -35,7 +38,7 @@
                     decision.machineName(), false, null, controller.clock(), controller.clock());
           } else if (workerIncarnation != null) {
             List<Command> wanted = commandsStillWanted(decision);
-            long timeoutMs = Math.max(1, untilMs - controller.clock());
+            long timeoutMs = Math.max(1, deadlineMs - controller.clock());
             deliver(decision, wanted, workerIncarnation, timeoutMs);
           }
         });
@@ -51,19 +54,19 @@
 
   /**
    * Opens a connection to an incarnation of the machine; {@code done} gets null if none opened in
-   * time. One that opened while this process paused is found when it resumes.
+   * time. A connection that opened while this process was paused is found on resuming.
    */
   private void connect(String machine, long timeoutMs, Consumer<Integer> done) {
     int startedIn = controller.incarnation();
     Integer[] workerIncarnation = new Integer[1];
-    boolean[] over = new boolean[1];
-    Runnable end =
+    boolean[] isOver = new boolean[1];
+    Runnable finish =
         () ->
             controller.runIn(
                 startedIn,
                 () -> {
-                  if (!over[0]) {
-                    over[0] = true;
+                  if (!isOver[0]) {
+                    isOver[0] = true;
                     done.accept(workerIncarnation[0]);
                   }
                 });
@@ -73,20 +76,23 @@
         () -> {
           WorkerModel worker = simulation.workers.get(machine);
           if (worker != null && worker.isAlive()) {
-            int accepted = worker.incarnation();
+            int acceptedBy = worker.incarnation();
             simulation.send(
                 machine,
                 controller.name,
                 () -> {
-                  workerIncarnation[0] = accepted;
-                  end.run();
+                  workerIncarnation[0] = acceptedBy;
+                  finish.run();
                 });
           }
         });
-    simulation.after(timeoutMs, end);
+    simulation.after(timeoutMs, finish);
   }
 
-  /** {@code workerIncarnation}: the only one that may get them; null: any. */
+  /**
+   * Delivers commands. {@code workerIncarnation} is the only incarnation that may receive them;
+   * null for any.
+   */
   private void deliver(
       Decision.SendCommands decision,
       List<Command> wanted,
@@ -131,16 +137,17 @@
     term.stepDownIfDeposed(machine);
   }
 
-  /** All of them, unless a mutation withholds stops. */
+  /** Returns all commands, except stops that a mutation withholds. */
   List<Command> permitted(List<Command> commands) {
-    boolean noStops =
+    boolean withholdsStops =
         controller.hasMutation(Mutation.NO_STOPS_WITH_UNCERTAIN_LEASE) && !term.isLeaseCertain();
-    boolean noStopsOfEnded = controller.hasMutation(Mutation.NO_STOPS_FOR_ENDED_JOBS);
+    boolean withholdsStopsOfEnded = controller.hasMutation(Mutation.NO_STOPS_FOR_ENDED_JOBS);
     return commands.stream()
         .filter(
             command ->
                 command.kind() != Command.Kind.STOP
-                    || !(noStops || (noStopsOfEnded && !term.jobs().manages(command.jobId()))))
+                    || !(withholdsStops
+                        || (withholdsStopsOfEnded && !term.jobs().manages(command.jobId()))))
         .toList();
   }
 }
--- a/src/test/java/org/astershift/simulation/CompletionWriterModel.java
+++ b/src/test/java/org/astershift/simulation/CompletionWriterModel.java
@@ -15,14 +15,14 @@
 
 /**
  * Makes the ends of jobs durable before anybody learns of them. Done and cancelled exclude each
- * other: the first one on record stays.
+ * other: the first end that becomes durable stays.
  */
 final class CompletionWriterModel {
   private final ControllerModel controller;
   private final Simulation simulation;
   private final LeaderTermModel term;
 
-  /** Completed jobs whose end is not on record yet. */
+  /** Completed jobs whose end is not durable yet. */
   private final List<String> pending = new ArrayList<>();
 
   private boolean writing;
@@ -33,13 +33,13 @@
     this.term = term;
   }
 
-  /** The job is complete. */
+  /** Adds a completed job, whose end is to be written. */
   void addCompleted(String job) {
     pending.add(job);
     writePending();
   }
 
-  /** Writes one end; {@code done} gets null if it is not certain to be on record. */
+  /** Writes the end of one job; {@code done} gets null unless the end is certain to be durable. */
   void write(String job, boolean cancelled, Consumer<EndRow> done) {
     if (!term.jobs().manages(job)) {
       done.accept(controller.endedJobs().get(job));
@@ -63,7 +63,7 @@
 
   private void onWritten(String job, EndRow end, Outcome outcome, Consumer<EndRow> done) {
     if (outcome != null && outcome.revision() > 0) {
-      onEnded(job, end); // on record, whoever leads by now
+      onEnded(job, end); // the end is durable, whichever controller leads by now
       done.accept(end);
     } else if (outcome == null) {
       done.accept(null);
@@ -85,10 +85,10 @@
   }
 
   private void stepDown() {
-    term.stepDown("a write found another leader");
+    term.stepDown("a write was rejected because the leader key has changed");
   }
 
-  /** Writes the ends of pending jobs, as many in a transaction as it may have. */
+  /** Writes the ends of pending jobs, as many as fit into one transaction. */
   private void writePending() {
     if (writing || pending.isEmpty() || !term.isCurrent()) {
       return;
@@ -132,7 +132,8 @@
     } else if (outcome.failed().contains(StoreModel.LEADER_KEY)) {
       stepDown();
     } else {
-      // One of them was cancelled meanwhile, or an attempt without an answer was applied.
+      // One of the jobs was cancelled meanwhile, or an earlier attempt that got no answer was
+      // applied.
       jobs.forEach(term.jobs()::onEndWriteRejected);
       jobs.forEach(this::writeAlone);
     }
--- a/src/test/java/org/astershift/simulation/ControllerModel.java
+++ b/src/test/java/org/astershift/simulation/ControllerModel.java
@@ -14,16 +14,16 @@
 import org.astershift.simulation.StoreModel.Write;
 
 /**
- * One controller process: the program's own decisions, carried out over the simulation's links as
- * the program's loops do. This class holds what a process knows and loses in a crash; each concern
- * has a class of its own: {@link WatchCacheModel}, {@link ElectionModel}, {@link PeerModel}, {@link
- * LeaderTermModel} and {@link JobServiceModel}.
+ * Models one controller process: the program's own decisions, carried out over the simulation's
+ * links as the program's loops do. This class holds the state that the process loses in a crash;
+ * each concern has its own class: {@link WatchCacheModel}, {@link ElectionModel}, {@link
+ * PeerModel}, {@link LeaderTermModel} and {@link JobServiceModel}.
  */
 final class ControllerModel extends ProcessModel {
-  /** Until then no answer to a heartbeat gets out, while commands to workers do. */
+  /** Until when answers to heartbeats are lost; commands to workers still pass. */
   private long outboundPartitionedUntilMs;
 
-  /** Until then heartbeats are refused. */
+  /** Until when heartbeats are rejected. */
   private long rejectsHeartbeatsUntilMs;
 
   private WatchCacheModel watchCache;
@@ -31,10 +31,10 @@
   private ElectionModel election;
   private JobServiceModel jobService;
 
-  /** Ends of jobs that this process knows. */
+  /** Ends of jobs that this process has learned of, by job. */
   private Map<String, EndRow> endedJobs;
 
-  /** Null while it does not lead. */
+  /** The current term; null while this controller does not lead. */
   private LeaderTermModel term;
 
   private int answeredWithUncertainLease;
@@ -44,7 +44,7 @@
     super(simulation, name);
   }
 
-  /** A new process of this controller, with nothing of what an earlier one knew. */
+  /** Starts a new process of this controller, without the state of the previous one. */
   void start() {
     beginIncarnation();
     peers = new PeerModel(this);
@@ -59,23 +59,24 @@
   }
 
   /**
-   * Workers get no answer to heartbeats for so long. In the first part of it heartbeats still
-   * arrive, so that this controller has seen machines later than they got an answer.
+   * Leaves heartbeats unanswered for this time. In its first part heartbeats still arrive, so that
+   * this controller has seen machines later than they last got an answer.
    */
-  void rejectHeartbeats(long forMs) {
-    simulation.log(name, "rejects heartbeats for " + forMs + " ms");
-    outboundPartitionedUntilMs = simulation.now() + Math.min(forMs, simulation.setup.leaseMs()) / 2;
-    rejectsHeartbeatsUntilMs = simulation.now() + forMs;
-    simulation.after(forMs, simulation::markConnectivityChanged);
+  void rejectHeartbeats(long durationMs) {
+    simulation.log(name, "rejects heartbeats for " + durationMs + " ms");
+    outboundPartitionedUntilMs =
+        simulation.now() + Math.min(durationMs, simulation.setup.leaseMs()) / 2;
+    rejectsHeartbeatsUntilMs = simulation.now() + durationMs;
+    simulation.after(durationMs, simulation::markConnectivityChanged);
   }
 
-  /** Heartbeats are answered again. */
+  /** Answers heartbeats again. */
   void acceptHeartbeats() {
     outboundPartitionedUntilMs = 0;
     rejectsHeartbeatsUntilMs = 0;
   }
 
-  /** Whether this safety measure is taken away. */
+  /** Returns whether this safety measure is disabled. */
   boolean hasMutation(Mutation mutation) {
     return simulation.mutations.contains(mutation);
   }
@@ -92,7 +93,7 @@
     return peers;
   }
 
-  /** The current term; null while it does not lead. */
+  /** Returns the current term; null while this controller does not lead. */
   LeaderTermModel term() {
     return term;
   }
@@ -105,19 +106,21 @@
     return endedJobs;
   }
 
-  /** A live job was read from the store, possibly some time ago. */
+  /** Handles a live job that was read from the store, possibly some time ago. */
   void onJobRead(JobRow job, long revision) {
     if (term != null && !endedJobs.containsKey(job.spec().id())) {
       term.adoptJob(job, revision);
     }
   }
 
-  /** {@code done} gets null where the effect is unknown. */
+  /**
+   * Sends a conditional transaction to the store; {@code done} gets null if its effect is unknown.
+   */
   void compareAndSwap(Map<String, Long> conditions, List<Write> writes, Consumer<Outcome> done) {
-    double drawn = simulation.random.nextDouble();
-    boolean late = drawn < simulation.store.lateShare;
+    double fraction = simulation.random.nextDouble();
+    boolean late = fraction < simulation.store.lateShare;
     boolean unanswered =
-        !late && drawn < simulation.store.lateShare + simulation.store.unansweredShare;
+        !late && fraction < simulation.store.lateShare + simulation.store.unansweredShare;
     request(
         "state",
         STORE_TIMEOUT_MS,
@@ -144,8 +147,8 @@
   }
 
   /**
-   * A delayed or duplicated heartbeat. Where duplicates are accepted as new, the leader believes it
-   * like the answer to a command.
+   * Handles a delayed or duplicate heartbeat. If duplicates are accepted as new, the leader trusts
+   * it like the answer to a command.
    */
   void onDuplicateHeartbeat(Heartbeat heartbeat) {
     if (!hasMutation(Mutation.ACCEPT_DUPLICATE_HEARTBEATS)) {
@@ -162,7 +165,7 @@
         });
   }
 
-  /** A heartbeat arrives; {@code answer} is not called where none gets out. */
+  /** Handles a heartbeat; {@code answer} is not called if the answer is lost. */
   void onHeartbeat(Heartbeat heartbeat, Consumer<WorkerModel.HeartbeatAnswer> answer) {
     boolean rejecting = simulation.now() < rejectsHeartbeatsUntilMs;
     if (isCrashed() || (rejecting && simulation.now() >= outboundPartitionedUntilMs)) {
@@ -192,16 +195,16 @@
       }
     }
     String leader = knownLeader();
-    boolean other = leader != null && !leader.equals(name);
-    answer.accept(new WorkerModel.HeartbeatAnswer(false, 0, List.of(), other ? leader : null));
+    boolean isOther = leader != null && !leader.equals(name);
+    answer.accept(new WorkerModel.HeartbeatAnswer(false, 0, List.of(), isOther ? leader : null));
   }
 
-  /** Who leads as far as known here, maybe this controller; null: unknown. */
+  /** Returns the leader's name as far as known here, possibly its own; null if unknown. */
   private String knownLeader() {
     return peers.reportedLeader() != null ? peers.reportedLeader() : watchCache.leader();
   }
 
-  /** The other controller that leads as far as known here; null: none, or this one. */
+  /** Returns the other controller that leads as far as known here; null if unknown or itself. */
   ControllerModel otherLeader() {
     String leader = knownLeader();
     return leader == null || leader.equals(name)
@@ -212,17 +215,17 @@
             .orElseThrow();
   }
 
-  /** A user submits a job. */
+  /** Handles a user's submission of a job. */
   void submit(JobSpec spec, Consumer<String> answer) {
     jobService.submit(spec, answer);
   }
 
-  /** A user cancels a job; {@code forward}: may be passed on to the leader. */
+  /** Handles a user's cancellation of a job; {@code forward} allows forwarding it to the leader. */
   void cancel(String job, boolean forward, Consumer<String> answer) {
     jobService.cancel(job, forward, answer);
   }
 
-  /** A user asks for the state of a job; {@code forward}: the leader may be asked. */
+  /** Handles a user's question about a job's state; {@code forward} allows asking the leader. */
   void jobState(String job, boolean forward, Consumer<String> answer) {
     jobService.jobState(job, forward, answer);
   }
@@ -235,46 +238,49 @@
     return term != null;
   }
 
-  /** The fencing token of its term; 0 if it does not lead. */
+  /** Returns the fencing token of the current term; 0 if this controller does not lead. */
   long token() {
     return term == null ? 0 : term.token();
   }
 
-  /** Whether it leads and has not reconciled all machines of earlier terms yet. */
+  /** Returns whether this controller leads and has unreconciled machines of earlier terms. */
   boolean isReconciling() {
     return term != null && term.scheduler().isReconciling();
   }
 
-  /** For how long it has led. */
+  /** Returns for how long the current term has lasted, in milliseconds; 0 without a term. */
   long leadingForMs() {
     return term == null ? 0 : clock() - term.beganMs();
   }
 
-  /** Heartbeats answered while another controller may have led. */
+  /** Returns how many heartbeats were answered while another controller might have led. */
   int answeredWithUncertainLease() {
     return answeredWithUncertainLease;
   }
 
-  /** Starts left out over a connection: their jobs had ended, or another might lead. */
+  /**
+   * Returns how many starts were left out on an open connection, because their jobs had ended or
+   * another controller might have led.
+   */
   int withheldStarts() {
     return withheldStarts;
   }
 
-  /** Whether its term manages the job. */
+  /** Returns whether the current term manages the job. */
   boolean manages(String job) {
     return term != null && term.jobs().manages(job);
   }
 
-  /** Tasks of the job that it knows to be done. */
+  /** Returns how many tasks of the job this controller knows to be done. */
   int doneTasks(String job) {
     Scheduler.JobProgress progress = term == null ? null : term.scheduler().progress(job);
     return progress == null ? 0 : progress.doneTasks();
   }
 
-  /** It resigns, as a leader does that reaches too few workers. */
+  /** Resigns, as a leader does that reaches too few workers. */
   void resign() {
     if (term != null) {
-      election.resign(term, "lets another lead");
+      election.resign(term, "resigns so that another controller may lead");
     }
   }
 
--- a/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
+++ b/src/test/java/org/astershift/simulation/DelayedHeartbeats.java
@@ -7,51 +7,57 @@
 import org.astershift.scheduler.Heartbeat;
 
 /**
- * Heartbeats that arrive just as a term begins: duplicates kept for the next leader, which reach
- * every controller at a moment of a failover, and heartbeats that are held back until a new leader
- * has acted.
+ * Delays heartbeats so that they arrive just as a term begins: duplicates are kept for the next
+ * leader and delivered to every controller at a step of the failover, and some heartbeats are held
+ * back until a new leader has made its first decision.
  */
 final class DelayedHeartbeats {
-  /** What is delivered on account of one moment comes within so long. */
+  /** Time, in milliseconds, within which the duplicates of one step are delivered. */
   private static final long DELIVERY_WINDOW_MS = 5;
 
   private static final long FIRST_DECISION_WINDOW_MS = 10_000;
 
-  /** A moment of a failover. */
+  /** A step of a failover, as seen by the controller that becomes the leader. */
   enum FailoverStep {
-    /** It is about to create its key. */
+    /** The controller is about to create its leader key. */
     BEFORE_KEY_CREATION,
-    /** It has created it. */
+    /** The controller has created its leader key. */
     KEY_CREATED,
-    /** Its watch cache is read up to there. */
+    /** The controller waits for its watch cache to reach the leader key's revision. */
     CATCHING_UP,
-    /** It answers workers. */
+    /** The controller answers workers. */
     TERM_BEGUN,
-    /** It has opened a job, put a machine on record, or given commands; up to seconds before. */
+    /**
+     * The controller has opened a job, registered a machine or sent commands, up to seconds ago.
+     */
     FIRST_DECISION
   }
 
   /** Share of the heartbeats of which a duplicate is kept for the next leader. */
   double keepShare;
 
-  /** Share of the heartbeats that are held back until a new leader has acted. */
+  /** Share of the heartbeats that are held back until a new leader has made its first decision. */
   double holdShare;
 
-  /** Copies delivered at a controller that led, by the moment on account of which they came. */
+  /** Duplicates delivered to a leading controller, by the failover step that triggered them. */
   final Map<FailoverStep, Integer> duplicatesAtLeader = new EnumMap<>(FailoverStep.class);
 
-  /** Among them, those that showed a task which was on that machine no more. */
+  /** Of these duplicates, those that showed a task which was no longer on that machine. */
   int withEndedTasks;
 
-  /** Among them, those of an earlier epoch of their machine, or of an earlier incarnation. */
+  /**
+   * Of these duplicates, those from an earlier epoch or an earlier incarnation of their machine.
+   */
   int ofEarlierEpochs;
 
   int ofEarlierIncarnations;
 
-  /** Among them, those of dead machines. */
+  /** Of these duplicates, those from dead machines. */
   int ofDeadMachines;
 
-  /** Heartbeats held back that arrived at a controller which led, began later and had acted. */
+  /**
+   * Held heartbeats delivered to a leader whose term began later and has made its first decision.
+   */
   int heldAtLeader;
 
   private final Simulation simulation;
@@ -67,19 +73,19 @@
     this.simulation = simulation;
   }
 
-  /** A machine sends this; a duplicate of it may be kept. */
+  /** Handles a heartbeat that a machine sends; a duplicate of it may be kept. */
   void onHeartbeatSent(WorkerModel worker, Heartbeat heartbeat) {
     sendDuplicateIfDrawn(worker, heartbeat);
     if (keepShare > 0 && simulation.random.nextDouble() < keepShare) {
-      FailoverStep at =
+      FailoverStep step =
           FailoverStep.values()[simulation.random.nextInt(FailoverStep.values().length)];
       duplicates
-          .computeIfAbsent(at, moment -> new ArrayList<>())
+          .computeIfAbsent(step, key -> new ArrayList<>())
           .add(new Duplicate(worker, heartbeat, worker.incarnation(), simulation.latestToken()));
     }
   }
 
-  /** Delivers a heartbeat to its controller, or holds it back if that is drawn. */
+  /** Returns a service that delivers the heartbeat, or holds it back if a random draw says so. */
   <A> Simulation.Service<A> holdIfDrawn(ControllerModel receiver, Simulation.Service<A> service) {
     if (holdShare == 0 || simulation.random.nextDouble() >= holdShare) {
       return service;
@@ -89,44 +95,43 @@
             new HeldHeartbeat(receiver, simulation.latestToken(), () -> service.serve(answer)));
   }
 
-  /** A change of leaders has come so far at this controller. */
-  void onFailoverStep(FailoverStep moment, ControllerModel leader) {
-    long within =
-        moment == FailoverStep.FIRST_DECISION ? FIRST_DECISION_WINDOW_MS : DELIVERY_WINDOW_MS;
-    List<Duplicate> due = duplicates.computeIfAbsent(moment, key -> new ArrayList<>());
-    // What was sent in this very term is kept for the next one.
-    List<Duplicate> now =
-        due.stream().filter(duplicate -> leader.token() != duplicate.fencingToken).toList();
-    due.removeAll(now);
-    for (Duplicate duplicate : now) {
+  /** Delivers the heartbeats that wait for this step of a failover. */
+  void onFailoverStep(FailoverStep step, ControllerModel leader) {
+    long windowMs =
+        step == FailoverStep.FIRST_DECISION ? FIRST_DECISION_WINDOW_MS : DELIVERY_WINDOW_MS;
+    List<Duplicate> kept = duplicates.computeIfAbsent(step, key -> new ArrayList<>());
+    // Duplicates sent in the current term are kept for the next one.
+    List<Duplicate> due =
+        kept.stream().filter(duplicate -> leader.token() != duplicate.fencingToken).toList();
+    kept.removeAll(due);
+    for (Duplicate duplicate : due) {
       for (ControllerModel controller : simulation.controllers) {
         simulation.after(
-            simulation.random.nextLong(within),
-            () -> deliverDuplicate(moment, duplicate, controller));
+            simulation.random.nextLong(windowMs),
+            () -> deliverDuplicate(step, duplicate, controller));
       }
     }
-    if (moment == FailoverStep.FIRST_DECISION) {
-      List<HeldHeartbeat> free =
+    if (step == FailoverStep.FIRST_DECISION) {
+      List<HeldHeartbeat> released =
           held.stream().filter(entry -> entry.fencingToken < leader.token()).toList();
-      held.removeAll(free);
-      for (HeldHeartbeat entry : free) {
-        simulation.after(simulation.random.nextLong(within), () -> deliverHeld(entry));
+      held.removeAll(released);
+      for (HeldHeartbeat entry : released) {
+        simulation.after(simulation.random.nextLong(windowMs), () -> deliverHeld(entry));
       }
     }
   }
 
-  private void deliverDuplicate(
-      FailoverStep moment, Duplicate duplicate, ControllerModel receiver) {
+  private void deliverDuplicate(FailoverStep step, Duplicate duplicate, ControllerModel receiver) {
     if (receiver.isUp() && receiver.leads()) {
-      duplicatesAtLeader.merge(moment, 1, Integer::sum);
-      boolean ended =
+      duplicatesAtLeader.merge(step, 1, Integer::sum);
+      boolean showsEndedTask =
           duplicate.heartbeat.tasks().stream()
               .filter(status -> status.phase() != Heartbeat.TaskPhase.EXITED)
               .anyMatch(
                   status ->
                       !simulation.checker.isOn(
                           status.jobId() + "/" + status.index(), duplicate.worker.name));
-      withEndedTasks += ended ? 1 : 0;
+      withEndedTasks += showsEndedTask ? 1 : 0;
       ofDeadMachines += duplicate.worker.isAlive() ? 0 : 1;
       ofEarlierIncarnations +=
           duplicate.worker.isAlive() && duplicate.incarnation < duplicate.worker.incarnation()
@@ -151,7 +156,7 @@
     entry.delivery.run();
   }
 
-  /** Nothing is kept or held back any more; what was held back arrives. */
+  /** Stops keeping and holding back heartbeats, and delivers those held back. */
   void releaseHeld() {
     keepShare = 0;
     holdShare = 0;
@@ -160,17 +165,18 @@
     held.clear();
   }
 
-  /** A duplicate arrives later, up to three leases after the original, at any controller. */
+  /** Sends a drawn duplicate up to three lease durations after the original, to any controller. */
   private void sendDuplicateIfDrawn(WorkerModel worker, Heartbeat heartbeat) {
     if (simulation.random.nextDouble() < simulation.duplicateShare) {
       ControllerModel receiver =
           simulation.controllers.get(simulation.random.nextInt(simulation.controllers.size()));
-      long ms = 1000 + simulation.random.nextLong(3 * simulation.setup.leaseMs());
-      simulation.after(ms, () -> receiver.onDuplicateHeartbeat(asLateHeartbeat(worker, heartbeat)));
+      long delayMs = 1000 + simulation.random.nextLong(3 * simulation.setup.leaseMs());
+      simulation.after(
+          delayMs, () -> receiver.onDuplicateHeartbeat(asLateHeartbeat(worker, heartbeat)));
     }
   }
 
-  /** As it was sent, or as a leader would read it that lacks a safety measure. */
+  /** Returns the heartbeat as sent, or as a leader without a safety measure would read it. */
   Heartbeat asLateHeartbeat(WorkerModel worker, Heartbeat heartbeat) {
     boolean asNew = simulation.mutations.contains(Mutation.ACCEPT_DUPLICATE_HEARTBEATS);
     boolean withCurrentToken =
@@ -183,7 +189,7 @@
         asNew ? worker.fencingToken() : token);
   }
 
-  /** The message with another position and fencing token. */
+  /** Returns the message with another epoch, sequence and fencing token. */
   static Heartbeat withPosition(Heartbeat message, long epoch, long sequence, long fencingToken) {
     return new Heartbeat(
         message.machineName(),
--- a/src/test/java/org/astershift/simulation/ElectionModel.java
+++ b/src/test/java/org/astershift/simulation/ElectionModel.java
@@ -9,16 +9,19 @@
 import org.astershift.simulation.StoreModel.Outcome;
 import org.astershift.simulation.StoreModel.Write;
 
-/** Carries out what the program's {@link Election} decides, one action at a time. */
+/** Carries out the actions of the program's {@link Election}, one at a time. */
 final class ElectionModel {
   private final ControllerModel controller;
   private final Simulation simulation;
   private final Election election;
 
-  /** Numbers the waits, so that only the newest ends in a round. */
+  /** Number of the newest wait; only the newest one leads to a round. */
   private long waitNumber;
 
-  /** No action is under way: the next round waits for its time or for the leader's key. */
+  /**
+   * Whether no action is in progress, and the next round waits for its time or for a change of the
+   * leader key.
+   */
   private boolean isWaiting;
 
   ElectionModel(ControllerModel controller) {
@@ -36,20 +39,20 @@
         controller.clock() - controller.storeAnsweredMs());
   }
 
-  /** The leader's key has changed: the next round comes at once, unless one is under way. */
+  /** Handles a change of the leader key: runs the next round at once, unless one is in progress. */
   void onLeaderKeyChanged() {
     if (isWaiting) {
       runRoundAfter(0);
     }
   }
 
-  private void runRoundAfter(long ms) {
+  private void runRoundAfter(long delayMs) {
     isWaiting = true;
-    long own = ++waitNumber;
+    long number = ++waitNumber;
     controller.runLater(
-        ms,
+        delayMs,
         () -> {
-          if (own == waitNumber) {
+          if (number == waitNumber) {
             runRound();
           }
         });
@@ -61,7 +64,7 @@
         : LoopTiming.LEADER_LEASE_RENEW_INTERVAL_MS;
   }
 
-  /** One round of the election; it arranges for the next. */
+  /** Runs one round of the election and schedules the next. */
   void runRound() {
     isWaiting = false;
     waitNumber++;
@@ -165,17 +168,18 @@
         });
   }
 
-  private void catchUp(long revision, long untilMs) {
+  private void catchUp(long revision, long deadlineMs) {
     simulation.delayedHeartbeats.onFailoverStep(
         DelayedHeartbeats.FailoverStep.CATCHING_UP, controller);
-    boolean done =
+    boolean caughtUp =
         controller.watchCache().revision() >= revision
             || controller.hasMutation(Mutation.NO_CATCH_UP);
-    if (done || controller.clock() > untilMs) {
-      election.onCaughtUp(revision, done);
+    if (caughtUp || controller.clock() > deadlineMs) {
+      election.onCaughtUp(revision, caughtUp);
       runRoundAfter(0);
     } else {
-      controller.runLater(WatchCacheModel.POLL_INTERVAL_MS / 2, () -> catchUp(revision, untilMs));
+      controller.runLater(
+          WatchCacheModel.POLL_INTERVAL_MS / 2, () -> catchUp(revision, deadlineMs));
     }
   }
 
@@ -195,7 +199,7 @@
               simulation.store.revokeLease(revocation.lease());
               return true;
             },
-            ok -> {});
+            revoked -> {});
       }
     }
   }
@@ -203,32 +207,32 @@
   private void endTerm(Action.EndTerm end) {
     LeaderTermModel term = controller.term();
     if (term != null && term.token() == end.token()) {
-      simulation.log(controller.name, "stops leading token=" + end.token() + ": " + end.reason());
+      simulation.log(controller.name, "ends its term token=" + end.token() + ": " + end.reason());
       controller.setTerm(null);
     }
   }
 
-  /** Peers report a leader key of this revision. */
+  /** Handles the peers' report of a leader key with this revision. */
   void onLeaderObserved(long revision) {
     execute(election.onLeaderObserved(revision));
   }
 
-  /** The term ends: another controller leads. */
+  /** Ends the term because another controller leads. */
   void stepDown(LeaderTermModel term, String reason) {
     execute(election.stepDown(term.token(), reason));
   }
 
-  /** The term ends so that another controller may lead. */
+  /** Ends the term so that another controller may lead. */
   void resign(LeaderTermModel term, String reason) {
     execute(election.resign(term.token(), reason, controller.clock()));
   }
 
-  /** Whether no other controller can lead now. */
+  /** Returns whether no other controller can lead now. */
   boolean isLeaseCertain(long token) {
     return election.isLeaseCertain(token, controller.clock());
   }
 
-  /** Until when no other controller can lead, by this controller's clock. */
+  /** Returns until when no other controller can lead, by this controller's clock. */
   long leaseCertainUntilMs() {
     return election.leaseCertainUntilMs();
   }
--- a/src/test/java/org/astershift/simulation/GangModel.java
+++ b/src/test/java/org/astershift/simulation/GangModel.java
@@ -11,11 +11,12 @@
 import org.astershift.scheduler.JobSpec;
 
 /**
- * What the tasks of gangs do with one another, as the protocol's section on gangs says: those of
- * one attempt gather, begin together, notice the loss of one within seconds, save together or not
- * at all, and complete together.
+ * Models how the tasks of a gang act on one another, as the protocol's section on gangs defines it:
+ * the tasks of one attempt gather, start together, notice the loss of a task within seconds, save a
+ * checkpoint together or not at all, and complete together.
  *
- * <p>They find one another whatever is cut: the links are those between machines and controllers.
+ * <p>Tasks reach one another whichever links are cut, because the simulated links are those between
+ * machines and controllers.
  */
 final class GangModel {
   static final long GATHER_TIMEOUT_MS = 30_000;
@@ -24,37 +25,37 @@
   private final Simulation simulation;
   private final Map<String, Attempt> attempts = new HashMap<>();
 
-  /** By job, the progress from which its next attempt resumes. */
+  /** Progress from which the next attempt resumes, by job. */
   private final Map<String, Long> progressMs = new HashMap<>();
 
   private final Set<String> completedGangs = new HashSet<>();
 
-  /** Gangs that started, and those that did after their cancellation was confirmed. */
+  /** Gangs that started, and those that started after their cancellation was confirmed. */
   int started;
 
   int startedAfterCancelConfirmed;
 
-  /** Attempts that lost a task while they gathered, and those that began all the same. */
+  /** Attempts that lost a task while gathering, and those that started after its replacement. */
   int lostWhileGathering;
 
   int startedAfterReplacement;
 
-  /** Attempts that lost a task while they ran, or whose save failed. */
+  /** Attempts that lost a task while running, or whose save failed. */
   int lostWhileRunning;
 
-  /** Attempts of which all tasks got a stop command in time, and saved. */
+  /** Attempts of which all tasks got a stop command in time and saved. */
   int stoppedInOrder;
 
-  /** Attempts of which some task got a stop command, but not all of them in time. */
+  /** Attempts of which some tasks, but not all, got a stop command in time. */
   int saveFailed;
 
-  /** Attempts that went on from progress saved before. */
+  /** Attempts that resumed from saved progress. */
   int resumed;
 
   /** Tasks that gave up waiting for the others. */
   int gatherTimeouts;
 
-  /** Tasks started of an attempt whose gang had started before. */
+  /** Tasks that started in an attempt whose gang had already started. */
   int startedAfterGangStart;
 
   /** One attempt of a gang. */
@@ -62,13 +63,13 @@
     final String job;
     final JobSpec spec;
 
-    /** Those with their image, by index. */
+    /** Tasks that have fetched their image, by index. */
     final Map<Integer, TaskModel> members = new TreeMap<>();
 
     boolean lostTask;
     boolean started;
 
-    /** It lost a task, failed to save, saved or completed: it ends as a whole. */
+    /** Whether the attempt lost a task, failed to save, saved or completed: it ends as a whole. */
     boolean ended;
 
     long startedMs;
@@ -93,17 +94,18 @@
 
   private Attempt attemptOf(TaskModel task) {
     return attempts.computeIfAbsent(
-        task.job + "@" + task.attempt, k -> new Attempt(task.job, simulation.users.spec(task.job)));
+        task.job + "@" + task.attempt,
+        key -> new Attempt(task.job, simulation.users.spec(task.job)));
   }
 
-  /** Whether some attempt of the job is gathering now, and has lost none, or has. */
+  /** Returns whether an attempt of the job is gathering, including one that has lost a task. */
   boolean isGathering(String job) {
     return attempts.values().stream()
         .anyMatch(
             attempt -> attempt.job.equals(job) && !attempt.started && !attempt.members.isEmpty());
   }
 
-  /** Whether an attempt of the job runs, and is not being stopped. */
+  /** Returns whether an attempt of the job is running and is not being stopped. */
   boolean isRunning(String job) {
     return attempts.values().stream()
         .anyMatch(
@@ -114,7 +116,10 @@
                     && attempt.firstStopMs < 0);
   }
 
-  /** Whether it is being stopped, and not all tasks have their stop command yet. */
+  /**
+   * Returns whether an attempt is being stopped: not all tasks have a stop command, or none has
+   * saved.
+   */
   boolean isSaving(String job) {
     return attempts.values().stream()
         .anyMatch(
@@ -129,7 +134,7 @@
     return completedGangs.contains(job);
   }
 
-  /** The task has its image. */
+  /** Handles a task that has fetched its image. */
   void onImageFetched(TaskModel task) {
     if (completedGangs.contains(task.job)) {
       task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.EXITED, "done");
@@ -162,24 +167,25 @@
     resumed += attempt.resumedFromMs > 0 ? 1 : 0;
     startedAfterCancelConfirmed +=
         simulation.checker.cancelConfirmedMs(attempt.job) == null ? 0 : 1;
-    simulation.log("gang", attempt.job + " begins");
-    List<TaskModel> all = new ArrayList<>(attempt.members.values());
-    all.forEach(task -> task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.RUNNING, null));
-    all.forEach(
+    simulation.log("gang", attempt.job + " starts");
+    List<TaskModel> tasks = new ArrayList<>(attempt.members.values());
+    tasks.forEach(
+        task -> task.worker.tasks().transitionTo(task, Heartbeat.TaskPhase.RUNNING, null));
+    tasks.forEach(
         task -> task.worker.tasks().scheduleFailureIfFaulty(task, WorkerTasks.FAILURE_DELAY_MS));
-    all.stream()
+    tasks.stream()
         .map(task -> task.worker)
         .filter(WorkerModel::isPaused)
         .forEach(this::onMachinePaused);
     Long runMs = simulation.users.runMsOf(attempt.job, 0);
     if (runMs != null) {
-      long leftMs = Math.max(0, runMs - attempt.resumedFromMs);
-      simulation.users.onTaskStarted(attempt.job, leftMs);
-      simulation.after(leftMs, () -> finish(attempt));
+      long remainingMs = Math.max(0, runMs - attempt.resumedFromMs);
+      simulation.users.onTaskStarted(attempt.job, remainingMs);
+      simulation.after(remainingMs, () -> finish(attempt));
     }
   }
 
-  /** The slowest machine sets the speed: while one pauses, nothing goes on. */
+  /** Completes the attempt once none of its machines is paused: the slowest one sets the pace. */
   private void finish(Attempt attempt) {
     if (attempt.ended || attempt.firstStopMs >= 0) {
       return;
@@ -190,7 +196,7 @@
     }
     attempt.ended = true;
     completedGangs.add(attempt.job);
-    simulation.log("gang", attempt.job + " is complete");
+    simulation.log("gang", attempt.job + " completes");
     for (int i = 0; i < attempt.spec.tasks(); i++) {
       simulation.users.onTaskCompleted(attempt.job, i);
       simulation.checker.onTaskCompleted(attempt.job + "/" + i);
@@ -200,7 +206,7 @@
     }
   }
 
-  /** A machine pauses: the peers of its tasks notice it if that lasts. */
+  /** Handles a pause of a machine: the peers of its tasks notice it if it lasts. */
   void onMachinePaused(WorkerModel worker) {
     for (TaskModel task : worker.tasks().all()) {
       Attempt attempt = attempts.get(task.job + "@" + task.attempt);
@@ -222,7 +228,7 @@
     }
   }
 
-  /** The task is no longer there, for whatever reason; {@code stored}: it left in order. */
+  /** Handles a task that is no longer on its machine, for whatever reason. */
   void onTaskGone(TaskModel task) {
     Attempt attempt = attempts.get(task.job + "@" + task.attempt);
     if (attempt == null || !attempt.members.remove(task.index, task)) {
@@ -236,7 +242,7 @@
     }
   }
 
-  /** A task of a running attempt is gone: the others notice, and what was not saved is lost. */
+  /** Handles the loss of a running task: the others notice it, and unsaved progress is lost. */
   private void onTaskLost(Attempt attempt) {
     if (attempt.ended) {
       return;
@@ -244,11 +250,12 @@
     attempt.ended = true;
     lostWhileRunning++;
     saveFailed += attempt.firstStopMs >= 0 ? 1 : 0;
-    long everyMs = Math.round(attempt.spec.checkpointIntervalS() * 1000);
-    if (everyMs > 0) {
-      progressMs.put(attempt.job, attemptProgressMs(attempt) / everyMs * everyMs);
+    long checkpointIntervalMs = Math.round(attempt.spec.checkpointIntervalS() * 1000);
+    if (checkpointIntervalMs > 0) {
+      progressMs.put(
+          attempt.job, attemptProgressMs(attempt) / checkpointIntervalMs * checkpointIntervalMs);
     }
-    simulation.log("gang", attempt.job + " has lost a task");
+    simulation.log("gang", attempt.job + " loses a task");
     for (TaskModel task : attempt.members.values()) {
       simulation.after(
           simulation.random.nextLong(PEER_TIMEOUT_MS),
@@ -270,7 +277,7 @@
         - attempt.startedMs;
   }
 
-  /** A task that runs or saves gets a stop command. */
+  /** Handles a stop of a running or saving task; {@code inTime}: there is enough time to save. */
   void stop(TaskModel task, boolean inTime) {
     Attempt attempt = attemptOf(task);
     if (task.phase == Heartbeat.TaskPhase.SAVING && inTime) {
@@ -301,7 +308,7 @@
     exitSavedTasks(attempt);
   }
 
-  /** Those that have saved exit once all have their stop command. */
+  /** Lets tasks that have saved exit once all tasks have their stop command. */
   private void exitSavedTasks(Attempt attempt) {
     if (!attempt.allStopRequested() || attempt.saved.isEmpty()) {
       return;
@@ -310,7 +317,7 @@
       attempt.ended = true;
       stoppedInOrder++;
       progressMs.put(attempt.job, attemptProgressMs(attempt));
-      simulation.log("gang", attempt.job + " has saved");
+      simulation.log("gang", attempt.job + " has saved and stops");
     }
     for (TaskModel task : List.copyOf(attempt.members.values())) {
       if (task.phase == Heartbeat.TaskPhase.SAVING && attempt.saved.contains(task.index)) {
--- a/src/test/java/org/astershift/simulation/HeartbeatSchedule.java
+++ b/src/test/java/org/astershift/simulation/HeartbeatSchedule.java
@@ -1,8 +1,8 @@
 package org.astershift.simulation;
 
-/** When a worker sends its next heartbeat. */
+/** Decides when a worker sends its next heartbeat. */
 final class HeartbeatSchedule {
-  /** Between two heartbeats, however much changes. */
+  /** Shortest time between two heartbeats, in milliseconds, however often the tasks change. */
   private static final long MIN_INTERVAL_MS = 500;
 
   private final Simulation simulation;
@@ -10,13 +10,16 @@
   private final Runnable send;
   private long sentMs;
 
-  /** No controller has accepted the last heartbeat yet. */
+  /** Whether no controller has accepted the last heartbeat yet. */
   private boolean awaitingAcceptance;
 
-  /** The tasks have changed since the last heartbeat was sent. */
+  /** Whether the tasks have changed since the last heartbeat was sent. */
   private boolean tasksChanged;
 
-  /** Counts those scheduled: one that was put forward replaces the one before. */
+  /**
+   * Number of the last scheduled heartbeat; a heartbeat that is rescheduled replaces the one
+   * before.
+   */
   private int scheduleNumber;
 
   HeartbeatSchedule(Simulation simulation, PausableProcess process, Runnable send) {
@@ -25,14 +28,17 @@
     this.send = send;
   }
 
-  /** A heartbeat is sent now. */
+  /** Records that a heartbeat is sent now. */
   void onSent() {
     sentMs = simulation.now();
     awaitingAcceptance = true;
     tasksChanged = false;
   }
 
-  /** A controller has accepted it: the next one follows after so long, or with a change. */
+  /**
+   * Records that a controller has accepted the heartbeat: the next one follows after this delay, or
+   * earlier if the tasks change.
+   */
   void onAccepted(long nextAfterMs) {
     awaitingAcceptance = false;
     sendAfter(nextAfterMs);
@@ -53,7 +59,7 @@
         });
   }
 
-  /** The tasks have changed, which the next heartbeat shows as soon as it may be sent. */
+  /** Records that the tasks have changed, and schedules a heartbeat as soon as one may be sent. */
   void onTasksChanged() {
     tasksChanged = true;
     if (simulation.messageQueueing.heartbeatsOnChange && !awaitingAcceptance) {
--- a/src/test/java/org/astershift/simulation/InvariantChecker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -12,72 +12,79 @@
 import org.astershift.scheduler.Scheduler;
 import org.astershift.scheduler.Team;
 
-/** Invariants and user-visible failures, checked over the whole history of a simulation. */
+/** Checks invariants and user-visible failures over the whole history of a simulation. */
 final class InvariantChecker {
   private static final long CONNECTIVITY_SETTLED_MS = 1500;
   private static final double TOLERANCE = 1e-6;
 
-  /** So long after all faults are healed a job without an answer counts as forgotten. */
+  /** Time without an answer after which a job counts as forgotten once all faults are healed. */
   private static final long NO_ANSWER_MS = 75_000;
 
   /**
-   * So long after the cancellation of a job is confirmed no task of it may be left, nor start: less
-   * than the operators ask for, and as much as a lease and the heartbeats around it take.
+   * Time, in milliseconds, after the confirmation of a job's cancellation by which no task of the
+   * job may be left on a machine, nor start. It is shorter than the operators require, and covers a
+   * worker lease and the heartbeats around it.
    */
   static final long CANCEL_DEADLINE_MS = 20_000;
 
-  private final Map<String, Long> onCancelRequested = new HashMap<>();
+  private final Map<String, Long> cancelRequestTimesMs = new HashMap<>();
 
   /** How long each user waited for the confirmation of a cancellation, in milliseconds. */
   final List<Long> cancelLatencyMs = new ArrayList<>();
 
   private final Map<String, Long> cancelConfirmedMs = new HashMap<>();
 
-  /** By job, the end that a user was told first. */
+  /** First end state that a user was told, by job. */
   private final Map<String, String> reportedEnd = new HashMap<>();
 
   private final Map<String, String> lastState = new HashMap<>();
 
   private final Map<String, Long> lastAnswerMs = new HashMap<>();
 
-  /** Questions and answers in the order in which users send and get them. */
+  /** Counts the questions that users send and the answers that they get, to order them. */
   private long userMessageOrder;
 
-  /** By job, the moment at which a user was first told that it is over. */
+  /**
+   * Position, in the order of questions and answers, at which a user was first told that the job is
+   * over; by job.
+   */
   private final Map<String, Long> endReportedOrder = new HashMap<>();
 
   private final Simulation simulation;
   private final Map<String, String> machineByTask = new HashMap<>();
 
-  /** The same where a task is on two machines at once, for what a team uses. */
+  /**
+   * Tasks with their machines ("task on machine"). A task may be on two machines at once, and both
+   * count towards its team's usage.
+   */
   private final Set<String> placements = new HashSet<>();
 
-  /** Tasks that have completed, by name. */
+  /** Names of the tasks that have completed. */
   private final Set<String> completedTasks = new HashSet<>();
 
-  /** By job, when a task of it was started last. */
+  /** When a task of the job was last started, by job. */
   private final Map<String, Long> lastStartTimesMs = new HashMap<>();
 
   private final Set<String> releaseDecided = new HashSet<>();
   private final Set<String> endedJobs = new HashSet<>();
   final List<String> violations = new ArrayList<>();
 
-  /** Machines released though they were alive and some controller reached them. */
+  /** Machines that were released although they were alive and reachable from some controller. */
   final List<String> healthyReleased = new ArrayList<>();
 
   final List<String> releasedAsSilent = new ArrayList<>();
   final List<String> termLeaders = new ArrayList<>();
   int killedOnLeaseExpiry;
 
-  /** Tasks that started, or got their image, after their cancellation was confirmed. */
+  /** Tasks that started, or fetched their image, after their job's cancellation was confirmed. */
   int startedAfterConfirmation;
 
-  /** Tasks that were on machines when their cancellation was confirmed. */
+  /** Tasks that were still on machines when their job's cancellation was confirmed. */
   int leftAtConfirmation;
 
   int started;
 
-  /** Stops of tasks that had not ended. */
+  /** Stop commands executed for tasks that had not exited. */
   int stopped;
 
   private long latestToken;
@@ -86,126 +93,152 @@
     this.simulation = simulation;
   }
 
-  /** Rules ran_twice, wrong_place and quota. */
+  /** Checks the rules ran_twice, wrong_place and quota when a task starts. */
   void onTaskStarted(String task, String machine, long attempt) {
     started++;
     simulation.digest.started(simulation.now(), task, machine, attempt);
     String job = task.substring(0, task.indexOf('/'));
-    Long confirmed = cancelConfirmedMs.get(job);
-    if (confirmed != null && simulation.now() > confirmed + CANCEL_DEADLINE_MS) {
-      violations.add("ran_cancelled: " + task + " starts, cancelled as told at " + confirmed);
+    Long confirmedMs = cancelConfirmedMs.get(job);
+    if (confirmedMs != null && simulation.now() > confirmedMs + CANCEL_DEADLINE_MS) {
+      violations.add("ran_cancelled: " + task + " starts, cancellation confirmedMs=" + confirmedMs);
     }
     checkNotCancelled(task, machine);
     checkPlacement(job, task, machine);
     placements.add(task + " on " + machine);
-    String at = machineByTask.putIfAbsent(task, machine);
-    if (at != null) {
+    String otherMachine = machineByTask.putIfAbsent(task, machine);
+    if (otherMachine != null) {
       violations.add(
-          "ran_twice: " + task + " starts on " + machine + " while on " + at + " @" + attempt);
+          "ran_twice: "
+              + task
+              + " starts on "
+              + machine
+              + " while on "
+              + otherMachine
+              + ", attempt="
+              + attempt);
     }
     lastStartTimesMs.put(job, simulation.now());
     checkQuota(simulation.users.spec(job).team(), task);
   }
 
-  /** Rule quota: all that is on machines counts, whether it saves, pauses or cannot be reached. */
-  private void checkQuota(String name, String task) {
-    Team team = simulation.teams().get(name);
+  /**
+   * Checks the rule quota. All tasks on machines count, including those that are saving, on a
+   * paused machine, or unreachable.
+   */
+  private void checkQuota(String teamName, String task) {
+    Team team = simulation.teams().get(teamName);
     if (!team.isLimited()) {
       return;
     }
-    double[] use = usage(name);
-    boolean over =
-        (team.maxCpus() > 0 && use[0] > team.maxCpus() + TOLERANCE)
-            || (team.maxGpus() > 0 && use[1] > team.maxGpus() + TOLERANCE);
-    if (over) {
-      violations.add("quota: " + use[0] + ", " + use[1] + " of " + team + " with " + task);
+    double[] teamUsage = usage(teamName);
+    boolean exceeded =
+        (team.maxCpus() > 0 && teamUsage[0] > team.maxCpus() + TOLERANCE)
+            || (team.maxGpus() > 0 && teamUsage[1] > team.maxGpus() + TOLERANCE);
+    if (exceeded) {
+      violations.add(
+          "quota: cpus="
+              + teamUsage[0]
+              + ", gpus="
+              + teamUsage[1]
+              + " exceed "
+              + team
+              + " with "
+              + task);
     }
   }
 
-  /** Processors and accelerators that the team's tasks take on machines. */
+  /** Returns the processors and accelerators, in this order, that the team uses on machines. */
   double[] usage(String team) {
-    double[] use = new double[2];
-    for (String other : placements) {
-      JobSpec spec = simulation.users.spec(other.substring(0, other.indexOf('/')));
+    double[] usage = new double[2];
+    for (String placement : placements) {
+      JobSpec spec = simulation.users.spec(placement.substring(0, placement.indexOf('/')));
       if (spec.team().equals(team)) {
-        use[0] += spec.cpus();
-        use[1] += spec.gpus();
+        usage[0] += spec.cpus();
+        usage[1] += spec.gpus();
       }
     }
-    return use;
+    return usage;
   }
 
-  /** Calls this with each task that is on a machine, and that. */
+  /** Calls the consumer with each task on a machine and the machine's name. */
   void forEachPlacement(BiConsumer<String, String> body) {
-    for (String on : placements) {
-      int at = on.indexOf(" on ");
-      body.accept(on.substring(0, at), on.substring(at + 4));
+    for (String placement : placements) {
+      int separator = placement.indexOf(" on ");
+      body.accept(placement.substring(0, separator), placement.substring(separator + 4));
     }
   }
 
   /**
-   * Tasks of a job that is neither over nor cancelled which are on no machine and have not
-   * completed.
+   * Returns the indexes of the job's tasks that are on no machine and have not completed; empty if
+   * the job is over or its cancellation was requested.
    */
   List<Integer> waitingTasks(JobSpec spec) {
-    List<Integer> out = new ArrayList<>();
-    if (isEnded(spec.id()) || onCancelRequested.containsKey(spec.id())) {
-      return out;
+    List<Integer> waiting = new ArrayList<>();
+    if (isEnded(spec.id()) || cancelRequestTimesMs.containsKey(spec.id())) {
+      return waiting;
     }
     for (int i = 0; i < spec.tasks(); i++) {
       String task = spec.id() + "/" + i;
       if (!machineByTask.containsKey(task) && !completedTasks.contains(task)) {
-        out.add(i);
+        waiting.add(i);
       }
     }
-    return out;
+    return waiting;
   }
 
-  /** When a task of the job was started last; none yet: long ago. */
+  /** Returns when a task of the job was last started; {@code Long.MIN_VALUE} if none was. */
   long lastStartMs(String job) {
     return lastStartTimesMs.getOrDefault(job, Long.MIN_VALUE);
   }
 
-  /** The task has completed somewhere. */
+  /** Records that the task has completed on some machine. */
   void onTaskCompleted(String task) {
     completedTasks.add(task);
     simulation.digest.completed(simulation.now(), task);
   }
 
-  /** A task has its image. */
+  /** Records that a task has fetched its image. */
   void onImageFetched(String task, String machine) {
     simulation.digest.begins(simulation.now(), task, machine);
     checkNotCancelled(task, machine);
   }
 
-  /** The protocol: from a confirmation on no task of the job may be started. */
+  /**
+   * Checks that no task of a job starts after its cancellation is confirmed, as in the protocol.
+   */
   private void checkNotCancelled(String task, String machine) {
-    Long confirmed = cancelConfirmedMs.get(task.substring(0, task.indexOf('/')));
-    if (confirmed != null) {
+    Long confirmedMs = cancelConfirmedMs.get(task.substring(0, task.indexOf('/')));
+    if (confirmedMs != null) {
       startedAfterConfirmation++;
-      violations.add("started_cancelled: " + task + " on " + machine + ", told at " + confirmed);
+      violations.add(
+          "started_cancelled: " + task + " on " + machine + ", confirmedMs=" + confirmedMs);
     }
   }
 
-  /** Rule wrong_place: type and kind, and the zone: the job's own, one for all, half in one. */
+  /**
+   * Checks the rule wrong_place: the machine's type, whether it is a spot machine, and its zone
+   * (the zone that the job names, one zone for all tasks, or at most the spread limit, half of the
+   * tasks, in one zone).
+   */
   private void checkPlacement(String job, String task, String machine) {
     JobSpec spec = simulation.users.spec(job);
     String zone = simulation.workers.get(machine).zone;
-    int here = 1;
-    boolean elsewhere = false;
-    for (String other : placements) {
-      if (other.startsWith(job + "/") && !other.startsWith(task + " ")) {
-        String at = simulation.workers.get(other.substring(other.lastIndexOf(' ') + 1)).zone;
-        here += at.equals(zone) ? 1 : 0;
-        elsewhere |= !at.equals(zone);
+    int tasksInZone = 1;
+    boolean inOtherZones = false;
+    for (String placement : placements) {
+      if (placement.startsWith(job + "/") && !placement.startsWith(task + " ")) {
+        String otherZone =
+            simulation.workers.get(placement.substring(placement.lastIndexOf(' ') + 1)).zone;
+        tasksInZone += otherZone.equals(zone) ? 1 : 0;
+        inOtherZones |= !otherZone.equals(zone);
       }
     }
     CloudModel.Kind kind = simulation.workers.get(machine).kind;
     if ((spec.machineTypes() != null && !spec.machineTypes().contains(kind.type()))
         || (kind.spot() && !spec.spotAllowed())
         || (spec.zone() != null && !spec.zone().equals(zone))
-        || (spec.oneZone() && elsewhere)
-        || (spec.spread() && here > spec.spreadLimit())) {
+        || (spec.oneZone() && inOtherZones)
+        || (spec.spread() && tasksInZone > spec.spreadLimit())) {
       violations.add("wrong_place: " + task + " starts on " + machine + ", " + kind);
     }
   }
@@ -217,29 +250,32 @@
   }
 
   /**
-   * A controller releases machines as silent. A failure if one of them is alive and this
-   * controller, or another that it could have asked, reaches it.
+   * Checks machines that a controller releases as silent. It is a failure if one of them is alive
+   * and reachable from this controller or from another one that it could have asked.
    */
   void onSilentRelease(ControllerModel leader, List<String> machines) {
     for (String machine : machines) {
       if (!releaseDecided.add(machine)) {
-        continue; // a return without an answer may be executed any time, so it is repeated
+        continue; // a release without an answer is repeated, as it may be executed at any time
       }
       WorkerModel worker = simulation.workers.get(machine);
       for (ControllerModel controller : simulation.controllers) {
-        // Nor one that the leader cannot make listen while everything opened before waits for it.
-        boolean holdsUp =
+        // After that time a leader also releases a machine that it cannot fence although another
+        // controller reaches it, because all inherited jobs wait for the machine.
+        boolean blocksInheritedJobs =
             leader.isReconciling() && leader.leadingForMs() > Scheduler.UNFENCED_RELEASE_MS;
-        boolean mayAsk =
-            controller == leader || (!holdsUp && simulation.reaches(leader.name, controller.name));
-        // Not just after a path came back: nobody can know yet that it reaches them again.
-        boolean settled =
+        boolean canAsk =
+            controller == leader
+                || (!blocksInheritedJobs && simulation.reaches(leader.name, controller.name));
+        // Shortly after a link or process has recovered, no controller can know yet that it reaches
+        // the machines again.
+        boolean connectivitySettled =
             simulation.now() - simulation.connectivityChangedMs() >= CONNECTIVITY_SETTLED_MS;
-        if (settled
+        if (connectivitySettled
             && worker.isAlive()
             && !worker.isPaused()
             && controller.isUp()
-            && mayAsk
+            && canAsk
             && simulation.reaches(controller.name, machine)) {
           healthyReleased.add(machine + " by " + leader.name + ", reached by " + controller.name);
           simulation.log(
@@ -251,7 +287,9 @@
     }
   }
 
-  /** Rule not_done: a job is over only when each of its tasks has completed somewhere. */
+  /**
+   * Checks the rule not_done: a job is done only once each of its tasks completed on some machine.
+   */
   void onJobEnded(String job, StoreModel.EndRow end) {
     if (!endedJobs.add(job)) {
       violations.add("a job ended twice: " + job);
@@ -259,73 +297,87 @@
     String id = job.substring(job.indexOf('/') + 1);
     simulation.digest.jobOver(simulation.now(), id, end.cancelled(), end.done());
     int tasks = simulation.users.spec(id).tasks();
-    long all = IntStream.range(0, tasks).filter(i -> completedTasks.contains(id + "/" + i)).count();
-    if (!end.cancelled() && (end.done() < tasks || all < tasks)) {
+    long completedCount =
+        IntStream.range(0, tasks).filter(i -> completedTasks.contains(id + "/" + i)).count();
+    if (!end.cancelled() && (end.done() < tasks || completedCount < tasks)) {
       violations.add(
-          "not_done: " + job + " with " + end.done() + " of " + tasks + ", " + all + " completed");
+          "not_done: "
+              + job
+              + " ended with "
+              + end.done()
+              + " of "
+              + tasks
+              + " tasks done, "
+              + completedCount
+              + " completed");
     }
   }
 
-  /** A user asks something now: the moment of it. */
+  /** Records a user's question and returns its position in the order of questions and answers. */
   long onQuestion() {
     return ++userMessageOrder;
   }
 
   /**
-   * Rules went_back and forgotten: what a controller answered about an accepted job; null: nothing.
-   * {@code askedOrder}: the moment of the question; an answer to one that was sent after another
-   * had been told that the job is over must not be older than that. Says whether it is news that
-   * the job is over.
+   * Checks the rules went_back and forgotten on a controller's answer about a job; null if there
+   * was no answer. {@code askedOrder} is the position of the question: if a user had been told
+   * before it that the job is over, the answer must not say otherwise. Returns whether this is the
+   * first answer that says that the job is over.
    */
   boolean onAnswer(String job, String controller, String state, long askedOrder) {
     if (state == null || state.equals("503")) {
       return false;
     }
     userMessageOrder++;
-    boolean news = false;
+    boolean isFirstEnd = false;
     lastAnswerMs.put(job + " at " + controller, simulation.now());
     lastState.put(job + " at " + controller, state);
-    boolean end = state.equals("done") || state.equals("withdrawn");
+    boolean isEnd = state.equals("done") || state.equals("withdrawn");
     if (state.equals("404")) {
       if (simulation.users.accepted().contains(job)) {
         violations.add("forgotten: " + controller + " does not know " + job);
       }
     } else if (simulation.users.spec(job) == null) {
-      violations.add("invented: " + controller + " says that " + job + " is " + state);
-    } else if (end) {
+      violations.add("invented: " + controller + " reports unknown " + job + " as " + state);
+    } else if (isEnd) {
       endReportedOrder.putIfAbsent(job, userMessageOrder);
-      String first = reportedEnd.putIfAbsent(job, state);
-      news = first == null;
-      if (first != null && !first.equals(state)) {
+      String firstEnd = reportedEnd.putIfAbsent(job, state);
+      isFirstEnd = firstEnd == null;
+      if (firstEnd != null && !firstEnd.equals(state)) {
         violations.add(
-            "went_back: " + controller + " says that " + job + " is " + state + ", not " + first);
+            "went_back: " + controller + " reports " + job + " as " + state + ", not " + firstEnd);
       }
     } else if (endReportedOrder.getOrDefault(job, Long.MAX_VALUE) < askedOrder) {
-      violations.add("went_back: " + controller + " says that " + job + " is " + state);
+      violations.add("went_back: " + controller + " reports ended " + job + " as " + state);
     }
     if (state.equals("withdrawn")) {
       onCancelConfirmed(job, controller);
     }
-    simulation.digest.told(simulation.now(), job, controller, end, news);
-    return news;
+    simulation.digest.told(simulation.now(), job, controller, isEnd, isFirstEnd);
+    return isFirstEnd;
   }
 
-  /** A user wants the job to be cancelled. */
+  /** Records that a user wants the job to be cancelled. */
   void onCancelRequested(String job) {
-    onCancelRequested.put(job, simulation.now());
+    cancelRequestTimesMs.put(job, simulation.now());
   }
 
-  /** Invariant ran_cancelled, from the first confirmation on. */
+  /** Checks the rule ran_cancelled from the first confirmation of the job's cancellation. */
   private void onCancelConfirmed(String job, String controller) {
-    if (!onCancelRequested.containsKey(job)) {
+    if (!cancelRequestTimesMs.containsKey(job)) {
       violations.add(
-          "went_back: " + controller + " calls " + job + " cancelled, and its user did not");
+          "went_back: "
+              + controller
+              + " reports "
+              + job
+              + " as withdrawn, but its user did not cancel it");
     }
     if (cancelConfirmedMs.putIfAbsent(job, simulation.now()) == null) {
-      cancelLatencyMs.add(simulation.now() - onCancelRequested.getOrDefault(job, simulation.now()));
+      cancelLatencyMs.add(
+          simulation.now() - cancelRequestTimesMs.getOrDefault(job, simulation.now()));
       leftAtConfirmation += placementsOf(job).size();
       simulation.log(
-          controller, "confirms that " + job + " is cancelled; tasks left: " + placementsOf(job));
+          controller, "confirms the cancellation of " + job + " tasks_left=" + placementsOf(job));
       simulation.after(
           CANCEL_DEADLINE_MS,
           () -> {
@@ -333,7 +385,7 @@
               violations.add(
                   "ran_cancelled: "
                       + placementsOf(job)
-                      + ", told at "
+                      + ", confirmedMs="
                       + cancelConfirmedMs.get(job));
             }
           });
@@ -344,7 +396,7 @@
     return placements.stream().filter(task -> task.startsWith(job + "/")).toList();
   }
 
-  /** Tasks of the job that are on machines. */
+  /** Returns how many tasks of the job are on machines. */
   int tasksOnMachines(String job) {
     return placementsOf(job).size();
   }
@@ -353,44 +405,47 @@
     return !cancelConfirmedMs.isEmpty();
   }
 
-  /** Jobs whose cancellation was confirmed. */
+  /** Returns how many jobs have had their cancellation confirmed. */
   int cancelsConfirmed() {
     return cancelConfirmedMs.size();
   }
 
-  /** What the controller said of the job last; null: nothing. */
+  /** Returns the controller's last answer about the job; null if it gave none. */
   String lastState(String job, String controller) {
     return lastState.get(job + " at " + controller);
   }
 
-  /** Whether its end is on record. */
+  /** Returns whether the job's end is durable. */
   boolean isEnded(String job) {
     return endedJobs.contains("d/" + job);
   }
 
-  /** When the cancellation was first confirmed; null: not yet. */
+  /** Returns when the job's cancellation was first confirmed; null if it was not. */
   Long cancelConfirmedMs(String job) {
     return cancelConfirmedMs.get(job);
   }
 
-  /** All faults were over at {@code healedMs}: no job may be without an answer for 75 s. */
+  /**
+   * Checks that no controller has gone 75 s without an answer about an accepted job; the time
+   * counts from {@code healedMs}, when all faults were healed, at the earliest.
+   */
   void checkAllAnswered(long healedMs) {
     for (String job : simulation.users.accepted()) {
       for (ControllerModel controller : simulation.controllers) {
-        long last = lastAnswerMs.getOrDefault(job + " at " + controller.name, 0L);
-        if (simulation.now() - Math.max(last, healedMs) >= NO_ANSWER_MS) {
-          violations.add("forgotten: " + controller.name + " answers nothing about " + job);
+        long answeredMs = lastAnswerMs.getOrDefault(job + " at " + controller.name, 0L);
+        if (simulation.now() - Math.max(answeredMs, healedMs) >= NO_ANSWER_MS) {
+          violations.add("forgotten: " + controller.name + " does not answer about " + job);
         }
       }
     }
   }
 
-  /** Jobs that are over. */
+  /** Returns how many jobs are over. */
   int jobsEnded() {
     return endedJobs.size();
   }
 
-  /** Whether the task is on this machine. */
+  /** Returns whether the task is on this machine. */
   boolean isOn(String task, String machine) {
     return placements.contains(task + " on " + machine);
   }
--- a/src/test/java/org/astershift/simulation/JobServiceModel.java
+++ b/src/test/java/org/astershift/simulation/JobServiceModel.java
@@ -14,7 +14,7 @@
 import org.astershift.simulation.StoreModel.Row;
 import org.astershift.simulation.StoreModel.Write;
 
-/** What a controller answers users: submissions, cancellations and questions about jobs. */
+/** Models a controller's answers to users: submissions, cancellations and questions about jobs. */
 final class JobServiceModel {
   private static final String UNAVAILABLE = "503";
   private static final String UNKNOWN = "404";
@@ -32,7 +32,7 @@
     this.storeRequests = new RequestCoalescerModel(controller, this::readState);
   }
 
-  /** The job is on record before its user gets an answer. */
+  /** Makes the job durable before its user gets an answer. */
   void submit(JobSpec spec, Consumer<String> answer) {
     controller.runIn(controller.incarnation(), () -> submitNow(spec, answer));
   }
@@ -60,7 +60,7 @@
             answer.accept(QUEUED);
           });
     } else {
-      // It is on record already, or may be.
+      // The job is already durable, or may be.
       jobState(
           job.spec().id(),
           true,
@@ -185,9 +185,9 @@
   }
 
   /**
-   * The state of a job, found in the program's order: the leader answers from memory while its
-   * lease is certain, others ask the leader, and all else is a read of the store, the live record
-   * first. 503 where none of these gives an answer.
+   * Finds the state of a job in the program's order: the leader answers from memory while its lease
+   * is certain, followers ask the leader, and all other answers are read from the store, the live
+   * record first. Answers 503 if none of these gives an answer.
    */
   void jobState(String job, boolean forward, Consumer<String> answer) {
     if (!controller.isCrashed()) {
@@ -218,7 +218,10 @@
     }
   }
 
-  /** What this process may say of a live job without asking anybody; null: nothing. */
+  /**
+   * Returns the state of a live job as far as this process may tell it from memory; null if it may
+   * not.
+   */
   private String stateFromMemory(LeaderTermModel term, String job) {
     boolean mayAnswer =
         term != null
@@ -260,7 +263,10 @@
     }
   }
 
-  /** Where threads stall, what one has read takes effect late. */
+  /**
+   * Runs the body after the thread's stall, if threads stall, so that what was read takes effect
+   * late.
+   */
   private void afterThreadStall(Runnable body) {
     long stallMs =
         simulation.threadStallMs == 0 ? 0 : simulation.random.nextLong(simulation.threadStallMs);
@@ -308,7 +314,10 @@
         });
   }
 
-  /** {@code done} gets the row, which may be missing, or null without an answer. */
+  /**
+   * Reads a key; {@code done} gets the row in an array, where it is null if the key does not exist,
+   * or null if there is no answer.
+   */
   private void read(String key, Consumer<Row[]> done) {
     controller.storeRequest(() -> new Row[] {simulation.store.get(controller.name, key)}, done);
   }
--- a/src/test/java/org/astershift/simulation/LeaderTermModel.java
+++ b/src/test/java/org/astershift/simulation/LeaderTermModel.java
@@ -17,16 +17,20 @@
 import org.astershift.simulation.StoreModel.MachineRow;
 
 /**
- * One term of a leader: the program's {@link Scheduler}, run in passes, and its decisions carried
- * out. What is under way when the term ends finds that it {@linkplain #isCurrent is not current}.
+ * Models one term of a leader: runs the program's {@link Scheduler} in passes and carries out its
+ * decisions. Requests still in flight when the term ends find that the term {@linkplain #isCurrent
+ * is not current}.
  */
 final class LeaderTermModel {
   private static final double MS_PER_S = 1000;
 
-  /** How far the cloud's list of machines may lag. */
+  /** Bound on the lag of the cloud's machine list, in seconds. */
   private static final double LIST_LAG_S = 3;
 
-  /** No machine is idle for so long, so that each release is for silence. */
+  /**
+   * Idle time, in seconds, after which a machine would be released: longer than any simulation, so
+   * that each release is of a silent machine.
+   */
   private static final double IDLE_RELEASE_S = 1e6;
 
   private final ControllerModel controller;
@@ -45,7 +49,7 @@
 
   private boolean passRequested;
 
-  /** It has decided something beyond probes. */
+  /** Whether the term has made a decision other than to probe through peers. */
   private boolean hasDecided;
 
   private long nextPassDueMs = Long.MAX_VALUE;
@@ -79,7 +83,7 @@
     return new SchedulingPolicy(2500, 0.9, 64, 5, IDLE_RELEASE_S);
   }
 
-  /** The term begins with what the watch cache shows. */
+  /** Begins the term with the rows of the watch cache. */
   void begin() {
     scheduler.updateMachineTypes(simulation.cloud.types());
     if (!controller.hasMutation(Mutation.NO_INHERITED_MACHINES)) {
@@ -138,7 +142,7 @@
     }
   }
 
-  /** Takes a live job in, unless it is known or the read is older than its end. */
+  /** Adopts a live job, unless the term has it already or the read is older than the job's end. */
   void adoptJob(JobRow job, long revision) {
     String id = job.spec().id();
     if (jobs.adopt(id, revision)) {
@@ -157,7 +161,7 @@
     controller.runLater(LoopTiming.PASS_INTERVAL_MS, this::runPasses);
   }
 
-  /** Any pass may be the first after the process paused. */
+  /** Runs one pass, which may be the first one after a pause of the process. */
   private void runPass() {
     if (controller.clock() - nextPassDueMs > LoopTiming.PROCESS_PAUSE_MS) {
       scheduler.onProcessResumed(controller.clock());
@@ -171,7 +175,7 @@
     decisions.forEach(this::execute);
   }
 
-  /** A user's request does not wait for the next regular pass. */
+  /** Requests a pass soon, because a user's request does not wait for the next regular pass. */
   void requestPass() {
     if (!passRequested) {
       passRequested = true;
@@ -212,15 +216,15 @@
   }
 
   private void openJob(String job) {
-    boolean early = controller.hasMutation(Mutation.START_BEFORE_JOB_OPENED);
-    if (early) {
+    boolean opensEarly = controller.hasMutation(Mutation.START_BEFORE_JOB_OPENED);
+    if (opensEarly) {
       scheduler.onJobOpened(job);
     }
     recordWriter.persist(
         "o/" + job,
         true,
         () -> {
-          if (!early && jobs.manages(job)) {
+          if (!opensEarly && jobs.manages(job)) {
             scheduler.onJobOpened(job);
           }
         });
@@ -236,7 +240,7 @@
         "m/" + machine, new MachineRow(registration), () -> scheduler.onMachineRegistered(machine));
   }
 
-  /** Marks a machine as registered by this leader; false if it was already. */
+  /** Marks a machine as registered by this leader; returns false if it already was. */
   boolean markRegistered(String machine) {
     return registeredMachines.add(machine);
   }
@@ -267,7 +271,7 @@
     controller.runLater(LoopTiming.PROGRESS_SAVE_INTERVAL_MS, this::saveProgress);
   }
 
-  /** Whether the process still leads in this term. */
+  /** Returns whether the process still leads in this term. */
   boolean isCurrent() {
     return controller.term() == this;
   }
@@ -276,7 +280,7 @@
     return token;
   }
 
-  /** When it began, by the controller's clock. */
+  /** Returns when the term began, by the controller's clock. */
   long beganMs() {
     return beganMs;
   }
@@ -297,23 +301,23 @@
     return completionWriter;
   }
 
-  /** Whether no other controller can lead now. */
+  /** Returns whether no other controller can lead now. */
   boolean isLeaseCertain() {
     return controller.election().isLeaseCertain(token);
   }
 
-  /** The scheduler, which knows until when no other controller can lead. */
+  /** Returns the scheduler after telling it until when no other controller can lead. */
   Scheduler schedulerWithLease() {
-    boolean unproven = controller.hasMutation(Mutation.TRUST_UNPROVEN_INCARNATIONS);
+    boolean trustsUnproven = controller.hasMutation(Mutation.TRUST_UNPROVEN_INCARNATIONS);
     scheduler.extendLeaseCertainty(
-        unproven ? Long.MAX_VALUE : controller.election().leaseCertainUntilMs());
+        trustsUnproven ? Long.MAX_VALUE : controller.election().leaseCertainUntilMs());
     return scheduler;
   }
 
-  /** The term ends if the machine has shown a higher fencing token. */
+  /** Ends the term if the scheduler has seen a higher fencing token, reported by this machine. */
   void stepDownIfDeposed(String machine) {
     if (scheduler.isDeposed()) {
-      stepDown(machine + " has seen a higher token");
+      stepDown(machine + " reported a higher fencing token");
     }
   }
 
@@ -321,13 +325,13 @@
     controller.election().stepDown(this, reason);
   }
 
-  /** What a heartbeat is answered with; {@code wanted} null: it is not accepted. */
+  /** Returns the answer to a heartbeat; null {@code wanted} means that it is not accepted. */
   WorkerModel.HeartbeatAnswer heartbeatAnswer(List<Command> wanted) {
     List<Command> permitted = wanted == null ? null : commandSender.permitted(wanted);
     return new WorkerModel.HeartbeatAnswer(wanted != null, token, permitted, null);
   }
 
-  /** Conditions that hold only while this leader's key exists. */
+  /** Returns conditions that hold only while this leader's key exists. */
   Map<String, Long> leaderCondition() {
     Map<String, Long> conditions = new HashMap<>();
     if (!controller.hasMutation(Mutation.UNFENCED_WRITES)) {
--- a/src/test/java/org/astershift/simulation/MessageQueueing.java
+++ b/src/test/java/org/astershift/simulation/MessageQueueing.java
@@ -5,21 +5,21 @@
 import org.astershift.scheduler.Heartbeat;
 
 /**
- * Messages of workers wait in the leader's process before they are handled, each for itself: so
- * those of one machine are handled in another order than they were written, and a heartbeat maybe
- * after its worker gave it up.
+ * Delays messages of workers in the leader's process before they are handled. Each message waits
+ * independently, so the messages of one machine may be handled in another order than they were
+ * sent, and a heartbeat possibly after its worker's timeout.
  */
 final class MessageQueueing {
-  /** A message that waits is handled up to so much later than it arrives. */
+  /** Longest time that a message waits between its arrival and its handling, in milliseconds. */
   long maxWaitMs;
 
   /** Share of the heartbeats, and of the answers to direct commands, that wait. */
   double queuedShare;
 
-  /** Workers send a heartbeat as soon as their tasks change, as the protocol has it. */
+  /** Whether workers send a heartbeat as soon as their tasks change, as in the protocol. */
   boolean heartbeatsOnChange;
 
-  /** Answers that were handled after a newer message of their machine's epoch. */
+  /** Answers that were handled after a newer message from the same epoch of their machine. */
   int answersOvertaken;
 
   private final Simulation simulation;
@@ -29,7 +29,7 @@
     this.simulation = simulation;
   }
 
-  /** Handles a message in this process when its turn has come. */
+  /** Handles a message in this process, at once or after a random wait. */
   void handleInTurn(ProcessModel process, Runnable handling) {
     if (queuedShare == 0 || simulation.random.nextDouble() >= queuedShare) {
       handling.run();
@@ -38,7 +38,10 @@
     }
   }
 
-  /** The answer as a leader would read it that takes any answer for the machine's newest status. */
+  /**
+   * Returns the answer as it is read by a leader that takes every answer for the machine's newest
+   * status.
+   */
   Heartbeat asNewest(String leader, Heartbeat answer) {
     Heartbeat newest = newestHandled.get(leader + " " + answer.machineName());
     if (newest == null || !newest.isNewerThan(answer.epoch(), answer.sequence())) {
@@ -48,14 +51,14 @@
         answer, newest.epoch(), newest.sequence() + 1, answer.fencingToken());
   }
 
-  /** A leader handles a message now. */
+  /** Records that a leader handles a message now. */
   void onHandled(String leader, Heartbeat message, boolean answer) {
-    String machine = leader + " " + message.machineName();
-    Heartbeat newest = newestHandled.get(machine);
+    String key = leader + " " + message.machineName();
+    Heartbeat newest = newestHandled.get(key);
     if (newest != null && newest.isNewerThan(message.epoch(), message.sequence())) {
       answersOvertaken += answer && newest.epoch() == message.epoch() ? 1 : 0;
     } else {
-      newestHandled.put(machine, message);
+      newestHandled.put(key, message);
     }
   }
 }
--- a/src/test/java/org/astershift/simulation/PausableProcess.java
+++ b/src/test/java/org/astershift/simulation/PausableProcess.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Incarnations of a worker's process. One may pause: what is sent to it waits for it to resume, and
- * its tasks' run time stops, while its steady clock runs on.
+ * Models the incarnations of a worker's process. While the process is paused, what is sent to it is
+ * deferred and its tasks' run time stops, while its monotonic clock continues.
  */
 final class PausableProcess {
   private final Simulation simulation;
@@ -15,21 +15,21 @@
   private boolean isAlive;
   private int incarnation;
 
-  /** -1: it does not pause. */
+  /** When the current pause began; -1 if the process is not paused. */
   private long pausedSinceMs = -1;
 
   private long pausedUntilMs;
 
-  /** For how long this incarnation paused before. */
+  /** Total duration of this incarnation's past pauses, in milliseconds. */
   private long totalPausedMs;
 
   private long resumedMs = -1;
   private int pauses;
 
-  /** What waits for it to resume. */
+  /** What has been deferred until the process resumes. */
   private final List<Runnable> deferred = new ArrayList<>();
 
-  /** {@code onResumed} runs before anything that was deferred. */
+  /** Creates a process not started yet; {@code onResumed} runs before anything deferred. */
   PausableProcess(Simulation simulation, String name, Runnable onPaused, Runnable onResumed) {
     this.simulation = simulation;
     this.name = name;
@@ -41,7 +41,7 @@
     isAlive = true;
   }
 
-  /** It ends, with all that was under way in it. */
+  /** Ends the process, and with it everything in progress in this incarnation. */
   void end() {
     isAlive = false;
     pausedSinceMs = -1;
@@ -51,19 +51,19 @@
     incarnation++;
   }
 
-  void pause(long forMs) {
+  void pause(long durationMs) {
     if (!isAlive) {
       return;
     }
-    simulation.log(name, "pauses for " + forMs + " ms");
-    pausedUntilMs = Math.max(pausedUntilMs, simulation.now() + forMs);
+    simulation.log(name, "pauses for " + durationMs + " ms");
+    pausedUntilMs = Math.max(pausedUntilMs, simulation.now() + durationMs);
     if (!isPaused()) {
       pausedSinceMs = simulation.now();
       pauses++;
       onPaused.run();
     }
     int startedIn = incarnation;
-    simulation.after(forMs, () -> resume(startedIn));
+    simulation.after(durationMs, () -> resume(startedIn));
   }
 
   private void resume(int startedIn) {
@@ -93,17 +93,17 @@
     return pausedSinceMs >= 0;
   }
 
-  /** How often it has paused. */
+  /** Returns how often the process has paused. */
   int pauses() {
     return pauses;
   }
 
-  /** Whether it has resumed in this very millisecond. */
+  /** Returns whether the process has resumed in this very millisecond. */
   boolean hasResumedNow() {
     return resumedMs == simulation.now();
   }
 
-  /** Runs this at once, when it resumes, or never if that incarnation has ended. */
+  /** Runs the body at once, on resuming if paused, or never if the incarnation has ended. */
   void runIn(int startedIn, Runnable body) {
     if (isAlive && incarnation == startedIn) {
       if (isPaused()) {
@@ -114,18 +114,18 @@
     }
   }
 
-  /** Runs this after so much time, or when it resumes after that. */
+  /** Runs the body after this time, or on resuming if the process is paused then. */
   void after(long ms, Runnable body) {
     int startedIn = incarnation;
     simulation.after(ms, () -> runIn(startedIn, body));
   }
 
-  /** For how long this incarnation has not paused: what run time is counted by. */
+  /** Returns the time without this incarnation's pauses, by which run time is measured. */
   private long runTimeMs() {
     return simulation.now() - totalPausedMs - (isPaused() ? simulation.now() - pausedSinceMs : 0);
   }
 
-  /** Runs this after so much run time. */
+  /** Runs the body after this much run time. */
   void afterRunTime(long ms, Runnable body) {
     whenRunTimeReaches(incarnation, runTimeMs() + ms, body);
   }
@@ -138,7 +138,7 @@
                 startedIn,
                 () -> {
                   if (runTimeMs() < atMs) {
-                    whenRunTimeReaches(startedIn, atMs, body); // it paused meanwhile
+                    whenRunTimeReaches(startedIn, atMs, body); // the process was paused meanwhile
                   } else {
                     body.run();
                   }
--- a/src/test/java/org/astershift/simulation/PeerModel.java
+++ b/src/test/java/org/astershift/simulation/PeerModel.java
@@ -16,16 +16,14 @@
 import org.astershift.simulation.StoreModel.MachineRow;
 import org.astershift.simulation.StoreModel.Row;
 
-/**
- * Which workers a controller reaches, what it asks the other controllers, and what it answers them.
- */
+/** Models which workers a controller reaches, what it asks its peers and what it answers them. */
 final class PeerModel {
   private final ControllerModel controller;
   private final Simulation simulation;
   private final Candidacy candidacy = new Candidacy();
   private final WorkerReachability reachability = new WorkerReachability();
 
-  /** Who leads by what peers say while the store does not answer; null: unknown. */
+  /** The leader according to the peers while the store does not answer; null if unknown. */
   private String reportedLeader;
 
   PeerModel(ControllerModel controller) {
@@ -46,7 +44,7 @@
     return reportedLeader;
   }
 
-  /** What share of the workers it reaches, as of now. */
+  /** Returns the share of the workers that this controller reaches at present. */
   WorkerReachability.Measurement reachability() {
     return reachability.measurement(controller.clock());
   }
@@ -70,7 +68,7 @@
     }
   }
 
-  /** Probes of several workers at once, counted as they end. */
+  /** A sample of concurrent worker probes, which counts their results as they complete. */
   private final class Sample {
     private final int probed;
     private final long atMs;
@@ -101,16 +99,16 @@
             worker.serve(() -> answer.accept(true));
           }
         },
-        (Boolean yes) -> done.accept(yes != null));
+        (Boolean answered) -> done.accept(answered != null));
   }
 
-  /** Asks all other controllers; {@code done} gets the answers of those that gave one, by name. */
+  /** Asks all other controllers; {@code done} gets the answers received, by controller name. */
   private <A> void askPeers(
       BiConsumer<ControllerModel, Consumer<A>> question,
       long timeoutMs,
       Consumer<Map<String, A>> done) {
     Map<String, A> answers = new LinkedHashMap<>();
-    int[] left = {simulation.controllers.size() - 1};
+    int[] pending = {simulation.controllers.size() - 1};
     for (ControllerModel peer : simulation.controllers) {
       if (peer != controller) {
         controller.request(
@@ -125,14 +123,14 @@
               if (answer != null) {
                 answers.put(peer.name, answer);
               }
-              left[0]--;
-              if (left[0] == 0) {
+              pending[0]--;
+              if (pending[0] == 0) {
                 done.accept(answers);
               }
             });
       }
     }
-    if (left[0] == 0) {
+    if (pending[0] == 0) {
       done.accept(answers);
     }
   }
@@ -180,8 +178,11 @@
     }
   }
 
-  /** A leader that reaches workers goes on until the other one is known to reach them, too. */
-  private void askReportedLeader(Row row, WorkerReachability.Measurement own) {
+  /**
+   * Asks the reported leader which share of the workers it reaches. A leader that reaches enough
+   * workers itself continues as long as the reported leader reaches few.
+   */
+  private void askReportedLeader(Row row, WorkerReachability.Measurement ownReachability) {
     askPeers(
         (ControllerModel peer, Consumer<WorkerReachability.Measurement> answer) -> {
           if (peer.name.equals(row.value())) {
@@ -192,7 +193,7 @@
         (Map<String, WorkerReachability.Measurement> answers) -> {
           boolean reachesFew =
               answers.values().stream().anyMatch(WorkerReachability.Measurement::reachesFew);
-          if (controller.term() == null || !own.reachesEnough() || !reachesFew) {
+          if (controller.term() == null || !ownReachability.reachesEnough() || !reachesFew) {
             controller.election().onLeaderObserved(row.revision());
           }
         });
@@ -220,10 +221,13 @@
           answer.accept(true);
         },
         LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
-        answers -> controller.election().resign(term, "hands over to " + transfer.successor()));
+        answers ->
+            controller
+                .election()
+                .resign(term, "transfers leadership successor=" + transfer.successor()));
   }
 
-  /** Asks all peers to probe machines; {@code done} gets their results. */
+  /** Asks all peers to probe machines; {@code done} gets the results received. */
   void probeThroughPeers(
       Decision.ProbeThroughPeers probe,
       long timeoutMs,
@@ -248,9 +252,9 @@
           Scheduler.PEER_PROBE_TIMEOUT_MS,
           answered -> {
             boolean control = probe.controls().contains(machine);
-            boolean counted =
+            boolean countsAsReached =
                 controller.hasMutation(Mutation.PEER_PROBES_ALWAYS_FAIL) ? control : answered;
-            (counted ? reached : unreached).add(machine.machineName());
+            (countsAsReached ? reached : unreached).add(machine.machineName());
             if (reached.size() + unreached.size() == machines.size()) {
               answer.accept(new Decision.PeerProbeResult(reached, unreached));
             }
--- a/src/test/java/org/astershift/simulation/ProcessModel.java
+++ b/src/test/java/org/astershift/simulation/ProcessModel.java
@@ -6,8 +6,9 @@
 import org.astershift.store.StoreClient;
 
 /**
- * A process of a controller: its clock, what it does later, and its requests to other hosts. It may
- * pause while its clock runs on, or crash and restart, without what it was about to do.
+ * Models a controller's process: its clock, its scheduled actions, and its requests to other hosts.
+ * It may pause while its clock continues, or crash and restart, which discards its scheduled
+ * actions.
  */
 abstract class ProcessModel {
   static final long STORE_TIMEOUT_MS = 1500;
@@ -19,7 +20,7 @@
   private boolean isCrashed;
   private long pausedUntilMs;
 
-  /** When the store last answered, by this clock. */
+  /** When the store last answered, by this process's clock. */
   private long storeAnsweredMs;
 
   ProcessModel(Simulation simulation, String name) {
@@ -28,14 +29,14 @@
     this.driftShare = (simulation.random.nextDouble() - 0.5) * ClockBounds.CLOCK_DRIFT_SHARE;
   }
 
-  /** A process begins, with nothing of what an earlier one was about to do. */
+  /** Begins a new incarnation of the process, without the scheduled actions of the previous one. */
   final void beginIncarnation() {
     isCrashed = false;
     incarnation++;
     storeAnsweredMs = clock();
   }
 
-  /** Which process of this controller it is, for {@link #here}. */
+  /** Returns the current incarnation of this process, for {@link #runIn}. */
   final int incarnation() {
     return incarnation;
   }
@@ -46,10 +47,10 @@
     incarnation++;
   }
 
-  void pause(long forMs) {
-    simulation.log(name, "pauses for " + forMs + " ms");
-    pausedUntilMs = simulation.now() + forMs;
-    simulation.after(forMs, simulation::markConnectivityChanged);
+  void pause(long durationMs) {
+    simulation.log(name, "pauses for " + durationMs + " ms");
+    pausedUntilMs = simulation.now() + durationMs;
+    simulation.after(durationMs, simulation::markConnectivityChanged);
   }
 
   boolean isCrashed() {
@@ -60,12 +61,15 @@
     return !isCrashed && simulation.now() >= pausedUntilMs;
   }
 
-  /** Its steady clock. */
+  /** Returns the time of this process's monotonic clock, in milliseconds. */
   long clock() {
     return (long) (simulation.now() * (1 + driftShare));
   }
 
-  /** Runs this in the process: not after its end, and later if it pauses. */
+  /**
+   * Runs the body in this incarnation of the process: later if the process is paused, never if the
+   * incarnation has ended.
+   */
   void runIn(int startedIn, Runnable body) {
     if (incarnation != startedIn) {
       return;
@@ -82,22 +86,26 @@
     simulation.after(delayMs, () -> runIn(startedIn, body));
   }
 
-  void runEvery(long ms, Runnable body) {
+  void runEvery(long intervalMs, Runnable body) {
     runLater(
-        ms + simulation.random.nextLong(20),
+        intervalMs + simulation.random.nextLong(20),
         () -> {
           body.run();
-          runEvery(ms, body);
+          runEvery(intervalMs, body);
         });
   }
 
-  /** A request of this process to another host. */
+  /** Sends a request from this process to another host. */
   <A> void request(String to, long timeoutMs, Simulation.Service<A> service, Consumer<A> done) {
     int startedIn = incarnation;
-    simulation.call(name, to, timeoutMs, service, a -> runIn(startedIn, () -> done.accept(a)));
+    simulation.call(
+        name, to, timeoutMs, service, answer -> runIn(startedIn, () -> done.accept(answer)));
   }
 
-  /** A request to the store; {@code done} gets null without an answer, or with a 503. */
+  /**
+   * Sends a request to the store; {@code done} gets null if there is no answer or the store answers
+   * 503.
+   */
   <A> void storeRequest(Supplier<A> request, Consumer<A> done) {
     storeRequest(STORE_TIMEOUT_MS, request, done);
   }
@@ -110,36 +118,36 @@
           if (simulation.store.refuses(name)) {
             answer.accept(null);
           } else if (!simulation.store.isUnavailable()) {
-            A a = request.get();
-            simulation.after(drawStoreDelayMs(), () -> answer.accept(a));
+            A value = request.get();
+            simulation.after(drawStoreDelayMs(), () -> answer.accept(value));
           }
         },
-        (A a) -> {
-          if (a != null) {
+        (A value) -> {
+          if (value != null) {
             onStoreAnswered();
           }
-          done.accept(a);
+          done.accept(value);
         });
   }
 
-  /** By how much the answer of a slow store is delayed. */
+  /** Draws the delay of a slow store's answer, in milliseconds. */
   long drawStoreDelayMs() {
     return simulation.store.answerDelayMs == 0
         ? 0
         : simulation.random.nextLong(simulation.store.answerDelayMs);
   }
 
-  /** The store has answered. */
+  /** Records that the store has answered. */
   void onStoreAnswered() {
     storeAnsweredMs = clock();
   }
 
-  /** When it last did. */
+  /** Returns when the store last answered, by this process's clock. */
   long storeAnsweredMs() {
     return storeAnsweredMs;
   }
 
-  /** Whether the store has not answered for too long. */
+  /** Returns whether the store has not answered for too long. */
   boolean isStoreLost() {
     return clock() - storeAnsweredMs > StoreClient.STORE_UNAVAILABLE_AFTER_MS;
   }
--- a/src/test/java/org/astershift/simulation/RandomSetup.java
+++ b/src/test/java/org/astershift/simulation/RandomSetup.java
@@ -5,16 +5,16 @@
 import org.astershift.simulation.Simulation.Setup;
 
 /**
- * What kinds of faults and work occur in a randomized scenario. Drawn apart from the simulation's
- * own random numbers, so that either may change alone.
+ * The kinds of faults and work in a randomized scenario. They are drawn from random numbers of
+ * their own, so that this class and the simulation can change independently.
  */
 final class RandomSetup {
   final Setup setup;
 
-  /** A bit for each kind of fault: {@link FaultInjector}. */
+  /** A bit for each kind of fault of {@link FaultInjector}. */
   final int faultKinds;
 
-  /** A bit for each kind of fault around users: {@link UserFaultInjector}. */
+  /** A bit for each kind of fault of {@link UserFaultInjector}. */
   final int userFaultKinds;
 
   final boolean withTeamLimit;
@@ -22,31 +22,33 @@
   /** Share of the heartbeats of which a duplicate is kept for the next leader. */
   final double duplicateKeepShare;
 
-  /** Share of the heartbeats that are held back until a new leader has acted. */
+  /** Share of the heartbeats that are held back until a new leader has made its first decision. */
   final double heartbeatHoldShare;
 
-  /** Several teams at their limits, with sizes, accelerators and priorities. */
+  /**
+   * Whether there are several teams at their limits, with task sizes, accelerators and priorities.
+   */
   final boolean withTeams;
 
-  /** A third of the jobs are gangs. */
+  /** Whether a third of the jobs are gangs. */
   final boolean withGangs;
 
-  /** There are spot machines, which are preempted, and jobs that may use them. */
+  /** Whether there are spot machines, which are preempted, and jobs that may use them. */
   final boolean withSpot;
 
-  /** Tasks fail on some machines, so that these are drained and released. */
+  /** Whether tasks fail on some machines, so that these are drained and released. */
   final boolean withFaultyMachines;
 
-  /** Messages wait in the leader's process, and once all controllers fall together. */
+  /** Whether messages wait in the leader's process, and all controllers crash together once. */
   final boolean withMessageQueueing;
 
-  /** The longest such wait. */
+  /** Longest wait of a message in the leader's process, in milliseconds. */
   final long maxMessageWaitMs;
 
-  /** When all controllers fall, as a share of the time of faults. */
+  /** When all controllers crash, as a share of the time in which faults occur. */
   final double crashAtShare;
 
-  /** The order of the draws is part of each seed's scenario. */
+  /** Draws the setup. The order of the draws is part of each seed's scenario. */
   RandomSetup(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     int controllers = random.nextBoolean() ? 3 : 5;
@@ -55,7 +57,7 @@
     faultKinds = 1 + random.nextInt((1 << FaultInjector.KINDS) - 1);
     withTeamLimit = random.nextInt(3) == 0;
     int likelyKinds = random.nextInt(1 << UserFaultInjector.KINDS);
-    // Each kind in a quarter of the seeds.
+    // Each kind occurs in a quarter of the seeds.
     userFaultKinds = likelyKinds & random.nextInt(1 << UserFaultInjector.KINDS);
     duplicateKeepShare = random.nextInt(3) == 0 ? 0.2 : 0;
     heartbeatHoldShare = random.nextInt(3) == 0 ? 0.02 + 0.2 * random.nextDouble() : 0;
--- a/src/test/java/org/astershift/simulation/RandomizedScenario.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenario.java
@@ -5,20 +5,20 @@
 import org.astershift.scheduler.JobSpec;
 
 /**
- * A simulation with faults drawn from its seed: first which kinds occur, then when and where. All
- * is healed at {@link #HEALED_S}, and then everything has to be served again.
+ * Simulates faults drawn from a seed: first which kinds occur, then when and where. All faults are
+ * healed at {@link #HEALED_S}, and from then on everything has to be served again.
  */
 final class RandomizedScenario {
   private static final int FAULTS_FROM_S = 20;
   private static final int HEALED_S = 100;
   private static final int END_S = 195;
 
-  /** From the middle of the faults on; earlier would only cost time. */
+  /** Time of the first polls, in seconds: halfway through the faults, to save simulation time. */
   private static final int POLLED_FROM_S = 60;
 
   private static final long FAULTS_MS = (HEALED_S - FAULTS_FROM_S) * 1000L;
 
-  /** The longest that tasks run and save, and their end is written. */
+  /** Longest time in which tasks run and save and their job's end is written, in milliseconds. */
   private static final long MAX_WORK_MS = 40_000;
 
   private static final long PREEMPTION_NOTICE_MS = 20_000;
@@ -38,9 +38,7 @@
     userFaults = new UserFaultInjector(simulation, faults, HEALED_S * 1000L);
   }
 
-  /**
-   * Plays a seed to its end; what went wrong is in the checker and in {@link #describeUnserved}.
-   */
+  /** Plays a seed to its end; the checker and {@link #describeUnserved} tell what went wrong. */
   static RandomizedScenario play(long seed, Mutation... mutations) {
     RandomizedScenario scenario = new RandomizedScenario(seed);
     scenario.simulation.mutations.addAll(List.of(mutations));
@@ -74,7 +72,8 @@
       long atMs = simulation.random.nextLong(FAULTS_MS);
       simulation.after(atMs, faults::injectAnywhere);
       if (simulation.random.nextBoolean()) {
-        // Invariants break where two faults meet: another one follows soon, at the leader.
+        // Invariants are violated where two faults overlap, so a second fault often follows soon,
+        // at the leader.
         long soonMs = Math.min(atMs + simulation.random.nextLong(4000), FAULTS_MS);
         simulation.after(soonMs, faults::injectAtLeader);
       }
@@ -90,7 +89,7 @@
     }
   }
 
-  /** All that is announced has happened when the faults are healed. */
+  /** Schedules preemptions so that all announced ones have happened when the faults are healed. */
   private void schedulePreemptions() {
     long lastMs = FAULTS_MS - 3 * PREEMPTION_NOTICE_MS / 2 - 2000;
     for (int i = 0; randomSetup.withSpot && i < 1 + simulation.random.nextInt(4); i++) {
@@ -98,7 +97,7 @@
     }
   }
 
-  /** Messages wait at the leader, and all controllers fall once and are back within seconds. */
+  /** Delays messages at the leader, and crashes all controllers once, for seconds. */
   private void delayMessagesAndCrashAll() {
     simulation.messageQueueing.heartbeatsOnChange = true;
     simulation.messageQueueing.maxWaitMs = randomSetup.maxMessageWaitMs;
@@ -114,26 +113,26 @@
     }
   }
 
-  /** The cloud preempts some or all spot machines of a zone, with a notice or without. */
+  /** Preempts some or all spot machines of a zone or of all zones, with a notice or without. */
   private void preemptSpotMachines() {
     List<String> zones = simulation.setup.zones();
     String zone = zones.get(simulation.random.nextInt(zones.size()));
-    boolean all = simulation.random.nextBoolean();
+    boolean allZones = simulation.random.nextBoolean();
     for (WorkerModel machine : List.copyOf(simulation.workers.values())) {
       boolean affected =
-          machine.isAlive() && machine.kind.spot() && (all || machine.zone.equals(zone));
+          machine.isAlive() && machine.kind.spot() && (allZones || machine.zone.equals(zone));
       if (affected && simulation.random.nextInt(3) > 0) {
         boolean announced = simulation.random.nextInt(4) > 0;
-        long inMs = simulation.random.nextLong(2000);
-        double times = 0.5 + simulation.random.nextDouble();
-        simulation.after(inMs, () -> preempt(machine.name, announced, times));
+        long delayMs = simulation.random.nextLong(2000);
+        double noticeFactor = 0.5 + simulation.random.nextDouble();
+        simulation.after(delayMs, () -> preempt(machine.name, announced, noticeFactor));
       }
     }
   }
 
-  private void preempt(String machine, boolean announced, double times) {
+  private void preempt(String machine, boolean announced, double noticeFactor) {
     if (announced) {
-      simulation.cloud.announcePreemption(machine, PREEMPTION_NOTICE_MS, times);
+      simulation.cloud.announcePreemption(machine, PREEMPTION_NOTICE_MS, noticeFactor);
     } else {
       simulation.cloud.preempt(machine);
     }
@@ -165,44 +164,49 @@
     simulation.starvationCheck.onFaultsHealed();
   }
 
-  /** Whether an invariant was violated, a healthy machine released, or something is not served. */
+  /** Returns whether an invariant was violated, a healthy machine released, or work not served. */
   boolean hasFailed() {
     return !simulation.checker.violations.isEmpty()
         || !simulation.checker.healthyReleased.isEmpty()
         || !describeUnserved().isEmpty();
   }
 
-  /** What is not served though all is healed; empty if everything is. */
+  /** Describes what is not served although all faults are healed; empty if everything is served. */
   String describeUnserved() {
     int leaders = simulation.leaders().size();
     int running = simulation.workers.values().stream().mapToInt(WorkerModel::runningTasks).sum();
-    String out = leaders == 1 ? "" : leaders + " lead; ";
-    out += running >= workload.serviceReplicas() ? "" : running + " replicas run; ";
+    String description = leaders == 1 ? "" : leaders + " leaders; ";
+    description += running >= workload.serviceReplicas() ? "" : running + " replicas running; ";
     int ended = simulation.checker.jobsEnded();
     int jobs = RandomizedWorkload.JOBS + userFaults.streamedJobs();
-    int late = jobs - ended - jobsAtTeamLimit();
-    return out
-        + (late == 0 ? "" : ended + " of " + jobs + " arrays are done; " + describeUnfinished());
+    int unserved = jobs - ended - jobsAtTeamLimit();
+    return description
+        + (unserved == 0
+            ? ""
+            : ended + " of " + jobs + " jobs have ended; " + describeUnfinished());
   }
 
-  /** Where the tasks of each unfinished job are. */
+  /** Describes where the tasks of each unfinished job are. */
   private String describeUnfinished() {
-    StringBuilder out = new StringBuilder();
+    StringBuilder description = new StringBuilder();
     for (String job : simulation.users.accepted()) {
       JobSpec spec = simulation.users.spec(job);
       if (spec.kind() != JobKind.SERVICE && !simulation.checker.isEnded(job)) {
-        out.append(spec)
-            .append(" waiting ")
+        description
+            .append(spec)
+            .append(" waiting: ")
             .append(simulation.checker.waitingTasks(spec))
-            .append(", on machines ")
+            .append(", on machines: ")
             .append(simulation.checker.tasksOnMachines(job))
             .append("; ");
       }
     }
-    return out.toString();
+    return description.toString();
   }
 
-  /** Jobs of teams with limits that are at work, or wait since their team is at its limit. */
+  /**
+   * Counts unfinished jobs of teams with limits that run, or wait because of their team's limit.
+   */
   private int jobsAtTeamLimit() {
     if (!randomSetup.withTeams && simulation.teamCpuLimit <= 0) {
       return 0;
@@ -222,10 +226,10 @@
       return simulation.now() - simulation.checker.lastStartMs(spec.id()) < MAX_WORK_MS;
     }
     double[] usage = simulation.checker.usage(spec.team());
-    int atOnce = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
+    int startingTasks = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
     return !simulation
         .teams()
         .get(spec.team())
-        .allows(usage[0] + atOnce * spec.cpus(), usage[1] + atOnce * spec.gpus());
+        .allows(usage[0] + startingTasks * spec.cpus(), usage[1] + startingTasks * spec.gpus());
   }
 }
--- a/src/test/java/org/astershift/simulation/RandomizedWorkload.java
+++ b/src/test/java/org/astershift/simulation/RandomizedWorkload.java
@@ -10,7 +10,7 @@
 
 /** The machines, teams and jobs of a randomized scenario. */
 final class RandomizedWorkload {
-  /** Jobs beside the services and streams. */
+  /** Number of jobs, apart from the services and the streams of jobs. */
   static final int JOBS = 40;
 
   private static final String SPOT_TYPE = "brief";
@@ -32,7 +32,10 @@
     }
   }
 
-  /** Beside the services' team there are three that come to their limits, and urgent work. */
+  /**
+   * Adds three teams that reach their limits to the services' team, and an objective for urgent
+   * work.
+   */
   private void addTeams() {
     List<String> zones = simulation.setup.zones();
     simulation.cloud.addType(new MachineType("accel", 4, 2, 16, 50, 0.5, 3, 1, 10, zones));
@@ -54,12 +57,12 @@
     }
   }
 
-  /** Replicas of all services. */
+  /** Returns the number of replicas of all services. */
   int serviceReplicas() {
     return 2 * randomSetup.setup.machines() + (randomSetup.withSpot ? SPOT_MACHINES : 0);
   }
 
-  /** The services are submitted now, the other jobs in the course of the scenario. */
+  /** Submits the services now, and the other jobs in the course of the scenario. */
   void submit() {
     int replicas = 2 * randomSetup.setup.machines();
     simulation.submit(JobDraft.job("wk-0", JobKind.SERVICE, replicas), null);
@@ -73,7 +76,7 @@
     }
   }
 
-  /** Every other job is on record at once; the others come through their users. */
+  /** Submits a job. Every other job is durable at once; the others are submitted by users. */
   private void submitJob(int id) {
     long runMs = simulation.random.nextBoolean() ? 5_000L : 25_000L;
     JobSpec spec = drawJob(id);
@@ -96,19 +99,19 @@
       draft = draft.zone(zones.get(simulation.random.nextInt(zones.size())));
     }
     draft = randomSetup.withSpot && id % 2 == 0 ? draft.spot() : draft;
-    boolean gang = randomSetup.withGangs && id % 3 == 0;
-    if (gang) {
+    boolean isGang = randomSetup.withGangs && id % 3 == 0;
+    if (isGang) {
       draft = draft.kind(JobKind.GANG).saves(id % 2 == 0 ? 1.5 : 0);
       draft = id % 4 == 0 && placement != 2 ? draft.oneZone() : draft;
     }
-    return (randomSetup.withTeams ? withTeam(draft, id, gang) : draft).spec();
+    return (randomSetup.withTeams ? withTeam(draft, id, isGang) : draft).spec();
   }
 
-  private static JobDraft withTeam(JobDraft job, int id, boolean gang) {
+  private static JobDraft withTeam(JobDraft job, int id, boolean isGang) {
     JobDraft draft = job.forTeam("t" + id % 3).takes(1 + id % 2, 0);
-    draft = gang ? draft : draft.saves(id % 5 == 0 ? 2 : 0);
-    // A gang of four such tasks would be beyond its team's limit.
-    draft = id % 7 == 0 && !gang ? draft.takes(1, 1) : draft;
+    draft = isGang ? draft : draft.saves(id % 5 == 0 ? 2 : 0);
+    // A gang of four such tasks would exceed its team's limit.
+    draft = id % 7 == 0 && !isGang ? draft.takes(1, 1) : draft;
     return id % 4 == 0 ? draft.classAndPriority("u", Priority.HIGH) : draft;
   }
 }
--- a/src/test/java/org/astershift/simulation/RecordWriterModel.java
+++ b/src/test/java/org/astershift/simulation/RecordWriterModel.java
@@ -9,9 +9,9 @@
 import org.astershift.simulation.StoreModel.Write;
 
 /**
- * What a leader persists for its successor, key by key. Each write is conditional on the leader's
- * key and on the revision known here, so that an earlier attempt which is applied late does not
- * undo a newer one.
+ * Writes the records that a leader leaves for its successor, one key at a time. Each write is
+ * conditional on the leader key and on the record's last known revision, so that an earlier attempt
+ * that is applied late does not undo a newer one.
  */
 final class RecordWriterModel {
   private final ControllerModel controller;
@@ -25,7 +25,7 @@
     this.term = term;
   }
 
-  /** What one key should hold, and what is known of it. */
+  /** The value that a key should hold, and what is known of its record. */
   private static final class Entry {
     final String key;
     Object value;
@@ -39,10 +39,10 @@
     }
   }
 
-  /** One write of an entry: what it holds if it is applied, and what waits for that. */
+  /** One write of an entry: the value, and the action that waits for the write to be applied. */
   private record Attempt(Entry entry, Object value, Runnable onPersisted) {}
 
-  /** The key holds this as the term begins. */
+  /** Loads the record that the key holds as the term begins. */
   void load(String key, Row row) {
     Entry entry = new Entry(key);
     entry.value = row.value();
@@ -50,7 +50,10 @@
     records.put(key, entry);
   }
 
-  /** The key should hold this, or nothing if null; {@code onPersisted}: what waits for that. */
+  /**
+   * Persists the value that the key should hold, or removes the key if {@code value} is null;
+   * {@code onPersisted} runs once that is durable.
+   */
   void persist(String key, Object value, Runnable onPersisted) {
     Entry entry = records.computeIfAbsent(key, Entry::new);
     entry.value = value;
@@ -93,14 +96,17 @@
       attempt.onPersisted().run();
       write(entry);
     } else if (outcome != null && outcome.failed().contains(StoreModel.LEADER_KEY)) {
-      term.stepDown("a write found another leader");
+      term.stepDown("a write was rejected because the leader key has changed");
     } else {
       entry.isDirty = true;
       controller.runLater(Threads.RETRY_BACKOFF_MS, () -> retry(entry, outcome));
     }
   }
 
-  /** Where an earlier attempt without an answer was applied, its revision is read first. */
+  /**
+   * Retries the write. If an earlier attempt without an answer was applied, the key's revision is
+   * read first.
+   */
   private void retry(Entry entry, Outcome outcome) {
     if (outcome == null || !outcome.failed().contains(entry.key)) {
       write(entry);
--- a/src/test/java/org/astershift/simulation/RequestCoalescerModel.java
+++ b/src/test/java/org/astershift/simulation/RequestCoalescerModel.java
@@ -8,28 +8,29 @@
 import java.util.function.Consumer;
 
 /**
- * Users who ask about the same job share an answer, as in the program. A question that comes while
- * an answer is being found waits for the next one: the first may be older than the question.
+ * Shares one answer among users who ask about the same job, as in the program. A question that
+ * arrives while an answer is being fetched waits for the next one, because that answer may be older
+ * than the question.
  */
 final class RequestCoalescerModel {
   private final ControllerModel controller;
   private final BiConsumer<String, Consumer<String>> fetch;
   private final Map<String, Batch> batches = new HashMap<>();
 
-  /** {@code fetch}: finds the answer for a job. */
-  RequestCoalescerModel(ControllerModel controller, BiConsumer<String, Consumer<String>> find) {
+  /** Creates a coalescer; {@code fetch} fetches the answer for a job. */
+  RequestCoalescerModel(ControllerModel controller, BiConsumer<String, Consumer<String>> fetch) {
     this.controller = controller;
-    this.fetch = find;
+    this.fetch = fetch;
   }
 
-  /** Who waits for the answer that is being found, and for the one after it. */
+  /** The questions that wait for the answer in flight, and those that wait for the one after it. */
   private static final class Batch {
     final List<Consumer<String>> inFlight = new ArrayList<>();
     final List<Consumer<String>> next = new ArrayList<>();
   }
 
   void ask(String job, Consumer<String> answer) {
-    Batch batch = batches.computeIfAbsent(job, j -> new Batch());
+    Batch batch = batches.computeIfAbsent(job, key -> new Batch());
     boolean joins =
         controller.hasMutation(Mutation.JOIN_REQUEST_IN_FLIGHT) && !batch.inFlight.isEmpty();
     (joins ? batch.inFlight : batch.next).add(answer);
--- a/src/test/java/org/astershift/simulation/SeedRunner.java
+++ b/src/test/java/org/astershift/simulation/SeedRunner.java
@@ -9,8 +9,9 @@
 
 /**
  * Plays many seeds of the randomized scenario on all processors, for a longer search than the
- * tests: {@code SeedRunner FIRST LAST [story] [MUTANT...]}. It prints each seed that fails and what
- * failed, with the log of all hosts where {@code story} is asked for; exit 1 if any did.
+ * tests: {@code SeedRunner FIRST LAST [story] [MUTATION...]}. It prints each failing seed with its
+ * failures, and with the log of all hosts if {@code story} is given; the exit code is 1 if any seed
+ * failed.
  */
 public final class SeedRunner {
   private static final String PRINT_LOG_OPTION = "story";
@@ -24,41 +25,44 @@
     return options;
   }
 
-  /** Plays the seeds and prints which fail. */
+  /** Plays the seeds and prints those that fail. */
   public static void main(String[] args) {
     SeedArguments arguments = SeedArguments.parseOrExit(args, options());
     long first = arguments.first();
     long last = arguments.last();
-    boolean story = arguments.options().contains(PRINT_LOG_OPTION);
+    boolean printsLog = arguments.options().contains(PRINT_LOG_OPTION);
     Mutation[] mutations =
         arguments.options().stream()
-            .filter(a -> !a.equals(PRINT_LOG_OPTION))
+            .filter(option -> !option.equals(PRINT_LOG_OPTION))
             .map(Mutation::valueOf)
             .toArray(Mutation[]::new);
     TreeMap<Long, String> failed =
         LongStream.rangeClosed(first, last)
             .parallel()
             .boxed()
-            .map(seed -> new Object[] {seed, play(seed, story, mutations)})
-            .filter(r -> r[1] != null)
+            .map(seed -> new Object[] {seed, play(seed, printsLog, mutations)})
+            .filter(result -> result[1] != null)
             .collect(
                 Collectors.toMap(
-                    r -> (Long) r[0], r -> (String) r[1], (a, b) -> a, () -> new TreeMap<>()));
-    failed.forEach((seed, what) -> System.out.println(seed + ": " + what));
+                    result -> (Long) result[0],
+                    result -> (String) result[1],
+                    (kept, duplicate) -> kept,
+                    () -> new TreeMap<>()));
+    failed.forEach((seed, failure) -> System.out.println(seed + ": " + failure));
     System.out.println((last - first + 1) + " seeds, " + failed.size() + " failed");
     System.exit(failed.isEmpty() ? 0 : 1);
   }
 
-  private static String play(long seed, boolean story, Mutation... mutations) {
+  private static String play(long seed, boolean printsLog, Mutation... mutations) {
     RandomizedScenario scenario = RandomizedScenario.play(seed, mutations);
     if (!scenario.hasFailed()) {
       return null;
     }
-    String what =
+    String failure =
         Set.copyOf(scenario.simulation.checker.violations)
             + " "
             + scenario.simulation.checker.healthyReleased
             + scenario.describeUnserved();
-    return what + (story ? "\n" + scenario.simulation.fullLog() : "");
+    return failure + (printsLog ? "\n" + scenario.simulation.fullLog() : "");
   }
 }
--- a/src/test/java/org/astershift/simulation/Simulation.java
+++ b/src/test/java/org/astershift/simulation/Simulation.java
@@ -20,10 +20,10 @@
 import org.astershift.scheduler.Team;
 
 /**
- * Controllers, store, cloud and workers in one process, in virtual time, under one seed. The
- * controllers decide with the program's own code; the rest are models of the published protocol.
- * Links between hosts are a matrix of directions, each of which may be cut. Events at the same
- * millisecond come in an order drawn from the seed.
+ * Runs controllers, store, cloud and workers in one process and in virtual time, under one seed.
+ * The controllers decide with the program's own code; the other hosts are models of the published
+ * protocol. Each direction of each link between two hosts can be cut separately. The order of
+ * events within one millisecond is drawn from the seed.
  */
 final class Simulation {
   final long seed;
@@ -42,29 +42,30 @@
   final Map<String, WorkerModel> workers = new LinkedHashMap<>();
   final List<ControllerModel> controllers = new ArrayList<>();
 
-  /** Processors that the tasks of the only team may take at once; 0: no limit. */
+  /** Processors that the default team's tasks may use at once; 0 means no limit. */
   double teamCpuLimit;
 
-  /** Teams with their guarantees and limits; none: the only one, with {@link #teamCpuLimit}. */
+  /** Teams with their guarantees and limits; if empty, one team with {@link #teamCpuLimit}. */
   final Map<String, Team> teams = new LinkedHashMap<>();
 
   /** The operators' service-level objectives. */
   final List<ServiceLevelObjective> objectives = new ArrayList<>();
 
-  /** Share of the heartbeats of which a duplicate comes later. */
+  /** Share of the heartbeats of which a duplicate arrives later. */
   double duplicateShare;
 
   /**
-   * Commands go over connections, as over TCP: they reach the incarnation of the machine that
-   * accepted the connection, or none, and are decided once it is open. Otherwise a message on its
-   * way may reach any incarnation, which is worse than a network without proxies.
+   * Whether commands are sent over connections, as with TCP: they reach only the incarnation of the
+   * machine that accepted the connection, and the sender decides what to send once the connection
+   * is open. If false, a message in flight may reach any incarnation, which is worse than a network
+   * without proxies.
    */
   boolean connectionOriented;
 
-  /** Threads that have read something for a user continue up to so many milliseconds later. */
+  /** Longest stall, in milliseconds, of a thread that has read something for a user. */
   long threadStallMs;
 
-  /** The thread that writes records handles the answer to a write so long after it came. */
+  /** Delay before the thread that writes records handles a write's answer, in milliseconds. */
   long recordAnswerDelayMs;
 
   private final PriorityQueue<Event> eventQueue = new PriorityQueue<>();
@@ -76,10 +77,10 @@
   private long connectivityChangedMs;
   private long eventsRun;
 
-  /** What a simulation starts with; times in milliseconds. */
+  /** Initial configuration of a simulation; times are in milliseconds. */
   record Setup(int controllers, int machines, List<String> zones, long heartbeatMs, long leaseMs) {
-    static Setup of(int nodes, int machines) {
-      return new Setup(nodes, machines, List.of("a", "b", "c"), 2000, 14_000);
+    static Setup of(int controllers, int machines) {
+      return new Setup(controllers, machines, List.of("a", "b", "c"), 2000, 14_000);
     }
   }
 
@@ -120,7 +121,8 @@
   }
 
   void after(long delayMs, Runnable body) {
-    // The order of what falls into one millisecond is drawn, so that seeds try each.
+    // The order of events within one millisecond is random, so that different seeds try different
+    // orders.
     eventQueue.add(new Event(nowMs + Math.max(0, delayMs), random.nextLong(), body));
   }
 
@@ -128,29 +130,34 @@
     runToMs(Math.round(seconds * 1000));
   }
 
-  private void runToMs(long until) {
-    while (!eventQueue.isEmpty() && eventQueue.peek().atMs() <= until) {
+  private void runToMs(long untilMs) {
+    while (!eventQueue.isEmpty() && eventQueue.peek().atMs() <= untilMs) {
       Event event = eventQueue.poll();
       nowMs = event.atMs();
       eventsRun++;
       event.body().run();
     }
-    nowMs = until;
+    nowMs = untilMs;
   }
 
-  /** Runs until the condition holds, looked at every millisecond; false if it did not in time. */
-  boolean runUntil(java.util.function.BooleanSupplier holds, double untilSeconds) {
-    while (!holds.getAsBoolean() && nowMs < untilSeconds * 1000) {
+  /**
+   * Runs until the condition holds, checked every millisecond; returns false if it did not in time.
+   */
+  boolean runUntil(java.util.function.BooleanSupplier condition, double untilSeconds) {
+    while (!condition.getAsBoolean() && nowMs < untilSeconds * 1000) {
       runToMs(nowMs + 1);
     }
-    return holds.getAsBoolean();
+    return condition.getAsBoolean();
   }
 
   long eventsRun() {
     return eventsRun;
   }
 
-  /** Hosts are "n0", "n1", ..., "state", "cloud", and machines by name. */
+  /**
+   * Returns whether messages pass in this direction. Hosts are "n0", "n1", ..., "state", "cloud",
+   * and machines by name.
+   */
   private boolean isLinkUp(String from, String to) {
     return !cutLinks.contains(new Link(from, to))
         && !cutLinks.contains(new Link(hostGroup(from), to))
@@ -170,9 +177,9 @@
     return worker == null ? host : "zone " + worker.zone;
   }
 
-  /** Cuts one direction. What is sent meanwhile is held, and delivered when the cut is over. */
+  /** Cuts the link in one direction; messages are held and delivered once it is healed. */
   void cut(String from, String to) {
-    log(from, "stops reaching " + to);
+    log(from, "link is cut to=" + to);
     cutLinks.add(new Link(from, to));
   }
 
@@ -182,12 +189,12 @@
   }
 
   void heal(String from, String to) {
-    log(from, "reaches " + to + " again");
+    log(from, "link is healed to=" + to);
     cutLinks.remove(new Link(from, to));
     markConnectivityChanged();
     for (Link link : new ArrayList<>(heldMessages.keySet())) {
       if (isLinkUp(link.from(), link.to())) {
-        heldMessages.remove(link).forEach(r -> after(drawBaseDelayMs(), r));
+        heldMessages.remove(link).forEach(message -> after(drawBaseDelayMs(), message));
       }
     }
   }
@@ -197,12 +204,12 @@
     heal(b, a);
   }
 
-  /** Messages that wait for a cut to be over. */
+  /** Returns how many messages are held because their link is cut. */
   int heldMessageCount() {
     return heldMessages.values().stream().mapToInt(List::size).sum();
   }
 
-  /** A path is back, or a process that paused. */
+  /** Records that a link was healed or a paused process resumed. */
   void markConnectivityChanged() {
     connectivityChangedMs = nowMs;
   }
@@ -211,25 +218,25 @@
     return connectivityChangedMs;
   }
 
-  /** Ends all cuts. */
+  /** Heals all cut links. */
   void healAll() {
     for (Link link : new ArrayList<>(cutLinks)) {
       heal(link.from(), link.to());
     }
   }
 
-  /** Controllers that lead, as far as they know. */
+  /** Returns the running controllers that consider themselves the leader. */
   List<ControllerModel> leaders() {
     return controllers.stream()
         .filter(controller -> controller.isUp() && controller.leads())
         .toList();
   }
 
-  /** The only leader; that there is exactly one is asserted. */
+  /** Returns the only leader; fails the test if there is not exactly one. */
   ControllerModel onlyLeader() {
-    List<ControllerModel> all = leaders();
-    assertEquals(1, all.size(), recentLog());
-    return all.get(0);
+    List<ControllerModel> current = leaders();
+    assertEquals(1, current.size(), recentLog());
+    return current.get(0);
   }
 
   boolean reaches(String a, String b) {
@@ -240,19 +247,25 @@
     return 1 + random.nextLong(4);
   }
 
-  /** From now on what is sent that way takes up to so much longer; 0: no more. */
-  void delayLink(String from, String to, long ms) {
-    log(from, "needs up to " + ms + " ms more to " + to);
-    addedDelayMs.put(new Link(from, to), ms);
+  /**
+   * Delays messages sent from now on in this direction by up to {@code maxDelayMs} more
+   * milliseconds; 0 ends the delay.
+   */
+  void delayLink(String from, String to, long maxDelayMs) {
+    log(from, "messages are delayed by up to " + maxDelayMs + " ms to=" + to);
+    addedDelayMs.put(new Link(from, to), maxDelayMs);
   }
 
-  /** What a message takes; one sent later may arrive before it, over another connection. */
+  /**
+   * Draws the delay of a message in milliseconds. A message sent later may arrive earlier, over
+   * another connection.
+   */
   private long drawDelayMs(String from, String to) {
-    long most =
+    long maxAddedMs =
         addedDelayMs.isEmpty()
             ? 0
             : Math.max(addedDelayMs(from, to), addedDelayMs(hostGroup(from), hostGroup(to)));
-    return drawBaseDelayMs() + (most == 0 ? 0 : random.nextLong(most));
+    return drawBaseDelayMs() + (maxAddedMs == 0 ? 0 : random.nextLong(maxAddedMs));
   }
 
   private long addedDelayMs(String from, String to) {
@@ -267,65 +280,65 @@
     }
   }
 
-  /** Serves a request at its receiver; the answer may be given later. */
+  /** Handles a request at its receiver; the answer may be given later. */
   interface Service<A> {
     void serve(Consumer<A> answer);
   }
 
   /**
-   * A request and its answer. {@code done} gets the answer, or null after the deadline; what was
-   * sent may be executed later all the same.
+   * Sends a request. {@code done} gets the answer, or null after the timeout; the receiver may
+   * still execute the request after that.
    */
   <A> void call(String from, String to, long timeoutMs, Service<A> service, Consumer<A> done) {
-    boolean[] over = new boolean[1];
+    boolean[] isOver = new boolean[1];
     Consumer<A> once =
-        a -> {
-          if (!over[0]) {
-            over[0] = true;
-            done.accept(a);
+        value -> {
+          if (!isOver[0]) {
+            isOver[0] = true;
+            done.accept(value);
           }
         };
-    send(from, to, () -> service.serve(a -> send(to, from, () -> once.accept(a))));
+    send(from, to, () -> service.serve(answer -> send(to, from, () -> once.accept(answer))));
     after(timeoutMs, () -> once.accept(null));
   }
 
-  /** A job is accepted; {@code ms}: how long its tasks run, null for a service. */
-  void submit(org.astershift.scheduler.JobSpec spec, Long ms) {
-    users.acceptDirectly(spec, ms);
+  /** Submits a job, accepted at once; {@code runMs}: its tasks' run time, null for a service. */
+  void submit(org.astershift.scheduler.JobSpec spec, Long runMs) {
+    users.acceptDirectly(spec, runMs);
   }
 
-  /** A user submits the job until it is accepted; {@code then}: what follows that. */
-  void submitAsUser(org.astershift.scheduler.JobSpec spec, Long ms, Runnable then) {
-    users.submit(spec, ms, then);
+  /** Has a user submit the job until it is accepted, and then runs {@code then}. */
+  void submitAsUser(org.astershift.scheduler.JobSpec spec, Long runMs, Runnable then) {
+    users.submit(spec, runMs, then);
   }
 
-  /** Its user cancels it, and asks at any controller until that is answered. */
+  /** Has the job's user cancel it, retrying at any controller until one answers. */
   void cancelAsUser(String job) {
     users.cancel(job);
   }
 
-  /** From now on users ask each controller about each accepted job every five seconds. */
+  /** Makes users ask each controller about each accepted job every five seconds from now on. */
   void pollAllJobs() {
     users.pollAll();
   }
 
-  /** The fencing token of the newest term; 0: there was none. */
+  /** Returns the fencing token of the newest term; 0 if there was none. */
   long latestToken() {
     return checker.latestToken();
   }
 
-  void log(String host, String what) {
-    logLines.add(String.format(Locale.ROOT, "%9.3f %-6s %s", nowMs / 1000.0, host, what));
+  void log(String host, String message) {
+    logLines.add(String.format(Locale.ROOT, "%9.3f %-6s %s", nowMs / 1000.0, host, message));
   }
 
-  /** The log of all hosts, from the beginning. */
+  /** Returns the whole log of all hosts. */
   String fullLog() {
     return String.join("\n", logLines);
   }
 
-  /** For the message of a failure: the seed and set-up to replay it, and the end of the log. */
+  /** Returns the seed and the setup to replay a failure, and the end of the log. */
   String recentLog() {
-    List<String> last = logLines.subList(Math.max(0, logLines.size() - 60), logLines.size());
-    return "seed " + seed + ", " + setup + "\n" + String.join("\n", last);
+    List<String> lastLines = logLines.subList(Math.max(0, logLines.size() - 60), logLines.size());
+    return "seed " + seed + ", " + setup + "\n" + String.join("\n", lastLines);
   }
 }
--- a/src/test/java/org/astershift/simulation/StoreModel.java
+++ b/src/test/java/org/astershift/simulation/StoreModel.java
@@ -13,9 +13,9 @@
 import org.astershift.scheduler.JobSpec;
 
 /**
- * The consensus-backed key-value store: keys with revisions, leases that end late by up to 100 ms
- * and have their full time after an outage, transactions that may be applied long after they were
- * sent.
+ * Models the consensus-backed key-value store: keys with revisions, leases that expire up to 100 ms
+ * late and get their full duration again after an outage, and transactions that may be applied long
+ * after they were sent.
  */
 final class StoreModel {
   static final String LEADER_KEY = "leader";
@@ -25,42 +25,42 @@
   private final Map<Long, Long> leaseExpiryMs = new HashMap<>();
   private long revision;
   private long lastLease;
-  private boolean setUnavailable;
+  private boolean inOutage;
   private final Map<Long, Long> leaseTtlMs = new HashMap<>();
 
   /** Controllers that get 503 while the others are served. */
   private final Set<String> refusedControllers = new HashSet<>();
 
-  /** Share of the transactions that get no answer and are carried out 2 to 12 s later. */
+  /** Share of the transactions that get no answer and are applied 2 to 12 s later. */
   double lateShare;
 
-  /** Share of the transactions that are carried out at once and get no answer. */
+  /** Share of the transactions that are applied at once and get no answer. */
   double unansweredShare;
 
-  /** By key, which controller wrote it last and got no answer. */
+  /** Controller that last wrote the key and got no answer, by key. */
   private final Map<String, String> unansweredWriter = new HashMap<>();
 
-  /** Such writes by the prefix of their keys, and how many of them another controller has read. */
+  /** Writes without an answer, and those of them that another controller read, by key prefix. */
   final Map<String, Integer> unansweredWrites = new TreeMap<>();
 
   final Map<String, Integer> unansweredWritesRead = new TreeMap<>();
 
-  /** Answers take up to so long. */
+  /** Longest delay of an answer, in milliseconds. */
   long answerDelayMs;
 
-  /** Transactions that were carried out late, after a newer one of the same controller. */
+  /** Delayed transactions that were applied after a newer one of the same controller. */
   int appliedAfterNewer;
 
-  /** By controller, how many of its transactions were carried out. */
+  /** Number of transactions applied, by controller. */
   private final Map<String, Integer> appliedCounts = new HashMap<>();
 
-  /** A key as it was set, or with {@code value} null as it was removed. */
+  /** A key as it was written; {@code value} is null if it was removed. */
   record Row(String key, Object value, long revision, long lease) {}
 
-  /** A live job on record; that it is opened is a record of its own. */
+  /** A durable live job; whether the job is open is a separate record. */
   record JobRow(JobSpec spec, long acceptedMs) {}
 
-  /** A machine on record. */
+  /** A durable machine record. */
   record MachineRow(Decision.RegisterMachine machine) {}
 
   /** How a job ended. */
@@ -69,31 +69,34 @@
   /** One write of a transaction. */
   record Write(String key, Object value, long lease) {}
 
-  /** Applied at a revision; or 0: these keys were not as they should; or -1: no such lease. */
+  /**
+   * The outcome of a transaction. {@code revision} is the revision at which it was applied; 0 if
+   * the conditions on the {@code failed} keys did not hold, or -1 if the lease does not exist.
+   */
   record Outcome(long revision, List<String> failed) {}
 
-  /** 503: not carried out, and never will be. */
+  /** The outcome of a 503: the transaction was not applied and never will be. */
   static final Outcome REFUSED = new Outcome(-2, List.of());
 
   StoreModel(Simulation simulation) {
     this.simulation = simulation;
   }
 
-  void setUnavailable(boolean now) {
-    setUnavailable = now;
-    if (!now) {
-      leaseExpiryMs.replaceAll((lease, until) -> simulation.now() + leaseTtlMs.get(lease));
+  void setUnavailable(boolean unavailable) {
+    inOutage = unavailable;
+    if (!unavailable) {
+      leaseExpiryMs.replaceAll((lease, expiryMs) -> simulation.now() + leaseTtlMs.get(lease));
       leaseExpiryMs.keySet().forEach(this::scheduleLeaseExpiry);
     }
   }
 
   boolean isUnavailable() {
-    return setUnavailable;
+    return inOutage;
   }
 
-  void setRefused(String controller, boolean now) {
-    simulation.log("state", (now ? "refuses " : "serves ") + controller);
-    if (now) {
+  void setRefused(String controller, boolean refused) {
+    simulation.log("state", (refused ? "answers 503 to " : "serves ") + controller);
+    if (refused) {
       refusedControllers.add(controller);
     } else {
       refusedControllers.remove(controller);
@@ -104,34 +107,35 @@
     return refusedControllers.contains(controller);
   }
 
-  /** Applies a transaction of a controller. */
+  /** Applies a controller's transaction. */
   Outcome commit(String controller, Map<String, Long> conditions, List<Write> writes) {
     appliedCounts.merge(controller, 1, Integer::sum);
     return commit(conditions, writes);
   }
 
-  /** Applies it 2 to 12 s later, when its sender has given up. */
+  /** Applies the transaction 2 to 12 s later, after its sender's timeout. */
   void commitLate(String controller, Map<String, Long> conditions, List<Write> writes) {
-    int before = appliedCounts.getOrDefault(controller, 0);
+    int appliedBefore = appliedCounts.getOrDefault(controller, 0);
     simulation.after(
         2000 + simulation.random.nextLong(10_000),
-        () -> applyLate(controller, conditions, writes, before));
+        () -> applyLate(controller, conditions, writes, appliedBefore));
   }
 
   private void applyLate(
-      String controller, Map<String, Long> conditions, List<Write> writes, int before) {
-    if (setUnavailable) {
-      simulation.after(1000, () -> applyLate(controller, conditions, writes, before));
+      String controller, Map<String, Long> conditions, List<Write> writes, int appliedBefore) {
+    if (inOutage) {
+      simulation.after(1000, () -> applyLate(controller, conditions, writes, appliedBefore));
       return;
     }
-    appliedAfterNewer += appliedCounts.getOrDefault(controller, 0) > before ? 1 : 0;
+    appliedAfterNewer += appliedCounts.getOrDefault(controller, 0) > appliedBefore ? 1 : 0;
     Outcome outcome = commit(controller, conditions, writes);
-    simulation.log("state", "applies late for " + controller + ": " + writes + " " + outcome);
+    simulation.log(
+        "state", "applies a delayed transaction of " + controller + ": " + writes + " " + outcome);
   }
 
-  long grantLease(long lifeMs) {
+  long grantLease(long ttlMs) {
     long lease = ++lastLease;
-    leaseTtlMs.put(lease, lifeMs);
+    leaseTtlMs.put(lease, ttlMs);
     extendLease(lease);
     return lease;
   }
@@ -151,11 +155,11 @@
   }
 
   private void scheduleLeaseExpiry(long lease) {
-    Long until = leaseExpiryMs.get(lease);
+    Long expiryMs = leaseExpiryMs.get(lease);
     simulation.after(
-        until - simulation.now(),
+        expiryMs - simulation.now(),
         () -> {
-          if (!setUnavailable
+          if (!inOutage
               && leaseExpiryMs.containsKey(lease)
               && leaseExpiryMs.get(lease) <= simulation.now()) {
             revokeLease(lease);
@@ -184,7 +188,10 @@
     changes.add(row);
   }
 
-  /** {@code conditions}: keys and the revisions they must have, 0 for none. */
+  /**
+   * Applies a transaction. {@code conditions} holds the revision that each key must have, 0 for a
+   * key that must not exist.
+   */
   Outcome commit(Map<String, Long> conditions, List<Write> writes) {
     for (Write write : writes) {
       if (write.lease() != 0 && !leaseExpiryMs.containsKey(write.lease())) {
@@ -192,10 +199,10 @@
       }
     }
     List<String> failed = new ArrayList<>();
-    for (Map.Entry<String, Long> c : conditions.entrySet()) {
-      Row row = rows.get(c.getKey());
-      if ((row == null ? 0 : row.revision()) != c.getValue()) {
-        failed.add(c.getKey());
+    for (Map.Entry<String, Long> condition : conditions.entrySet()) {
+      Row row = rows.get(condition.getKey());
+      if ((row == null ? 0 : row.revision()) != condition.getValue()) {
+        failed.add(condition.getKey());
       }
     }
     if (!failed.isEmpty()) {
@@ -213,7 +220,7 @@
     return new Outcome(revision, List.of());
   }
 
-  /** The transaction was carried out, or not, and its answer is lost. */
+  /** Loses the answer to a transaction, whether or not the transaction was applied. */
   void loseAnswer(String controller, List<Write> writes, Outcome outcome) {
     for (Write write : writes) {
       if (outcome.revision() > 0 && write.value() != null) {
@@ -222,7 +229,8 @@
       }
     }
     simulation.log(
-        "state", "applies without an answer for " + controller + ": " + writes + " " + outcome);
+        "state",
+        "loses the answer to a transaction of " + controller + ": " + writes + " " + outcome);
   }
 
   private void recordRead(String controller, String key) {
@@ -233,7 +241,7 @@
     }
   }
 
-  /** What a controller reads. */
+  /** Returns the key's row for a controller's read; null if there is none. */
   Row get(String controller, String key) {
     if (rows.containsKey(key)) {
       recordRead(controller, key);
@@ -249,40 +257,40 @@
     return revision;
   }
 
-  /** All changes after this revision, as a controller's watch cache reads them. */
-  List<Row> changesAfter(String controller, long after) {
-    List<Row> news = changesAfter(after);
-    for (Row row : news) {
-      if (!row.key().startsWith("d/")) { // which no watch cache holds
+  /** Returns all changes after this revision, as read by a controller's watch cache. */
+  List<Row> changesAfter(String controller, long afterRevision) {
+    List<Row> newChanges = changesAfter(afterRevision);
+    for (Row row : newChanges) {
+      if (!row.key().startsWith("d/")) { // watch caches do not hold ends of jobs
         recordRead(controller, row.key());
       }
     }
-    return news;
+    return newChanges;
   }
 
-  private List<Row> changesAfter(long after) {
-    int from = changes.size();
-    while (from > 0 && changes.get(from - 1).revision() > after) {
-      from--;
+  private List<Row> changesAfter(long afterRevision) {
+    int first = changes.size();
+    while (first > 0 && changes.get(first - 1).revision() > afterRevision) {
+      first--;
     }
-    return new ArrayList<>(changes.subList(from, changes.size()));
+    return new ArrayList<>(changes.subList(first, changes.size()));
   }
 
-  /** A user's job, accepted by whichever controller reaches the service. */
+  /** Stores a user's job, accepted by whichever controller reaches the store. */
   void putJob(JobSpec spec) {
     revision++;
     put("j/" + spec.id(), new JobRow(spec, simulation.now()), 0);
   }
 
-  static Map<String, Object> withPrefix(Map<String, Row> mirror, String prefix) {
-    Map<String, Object> out = new LinkedHashMap<>();
-    mirror.forEach(
+  static Map<String, Object> withPrefix(Map<String, Row> rows, String prefix) {
+    Map<String, Object> values = new LinkedHashMap<>();
+    rows.forEach(
         (key, row) -> {
           if (key.startsWith(prefix)) {
-            out.put(key.substring(prefix.length()), row.value());
+            values.put(key.substring(prefix.length()), row.value());
           }
         });
-    return out;
+    return values;
   }
 
   static BitSet copyBits(Object value) {
--- a/src/test/java/org/astershift/simulation/TaskModel.java
+++ b/src/test/java/org/astershift/simulation/TaskModel.java
@@ -4,7 +4,7 @@
 import org.astershift.scheduler.JobKind;
 import org.astershift.scheduler.JobSpec;
 
-/** An attempt of a task on a worker; exited ones stay until they are forgotten. */
+/** One attempt of a task on a worker; it stays after its exit until it is forgotten. */
 final class TaskModel {
   final WorkerModel worker;
   final String job;
@@ -12,7 +12,7 @@
   final long attempt;
   Heartbeat.TaskPhase phase = Heartbeat.TaskPhase.FETCHING;
 
-  /** Why it exited; null before. */
+  /** Why the attempt exited; null before that. */
   String exitReason;
 
   TaskModel(WorkerModel worker, String job, int index, long attempt) {
--- a/src/test/java/org/astershift/simulation/UserFaultInjector.java
+++ b/src/test/java/org/astershift/simulation/UserFaultInjector.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Bursts of user requests, and faults that meet them. The place of a kind in the list is its bit in
- * the seed's set of kinds.
+ * Injects bursts of user requests, and faults that coincide with them. The position of a kind in
+ * the list is its bit in the seed's set of kinds.
  */
 final class UserFaultInjector {
-  /** Kinds there are. */
+  /** Number of kinds of faults. */
   static final int KINDS = 7;
 
-  /** Jobs of a stream: a quarter of a minute of it. */
+  /** Number of jobs in a stream, which lasts a quarter of a minute. */
   private static final int STREAM_JOBS = 60;
 
   private static final int FIRST_STREAM_JOB = 100;
@@ -23,15 +23,15 @@
   private int streamedJobs;
   private final List<Fault> faultsByKind =
       List.of(
-          (leader, forMs) -> queryClosely(forMs),
-          (leader, forMs) -> loseWriteAnswers(forMs),
-          (leader, forMs) -> cancelNow(),
-          (leader, forMs) -> cancelAtEnd(forMs),
-          (leader, forMs) -> streamJobs(),
-          (leader, forMs) -> cancelAndRefuse(leader),
-          (leader, forMs) -> changeLeaders(forMs));
-
-  /** {@code healedMs}: faults that would come later do not come at all. */
+          (leader, durationMs) -> queryClosely(durationMs),
+          (leader, durationMs) -> loseWriteAnswers(durationMs),
+          (leader, durationMs) -> cancelNow(),
+          (leader, durationMs) -> cancelAtEnd(durationMs),
+          (leader, durationMs) -> streamJobs(),
+          (leader, durationMs) -> cancelAndRefuse(leader),
+          (leader, durationMs) -> changeLeaders(durationMs));
+
+  /** Creates an injector; faults that would begin at {@code healedMs} or later are left out. */
   UserFaultInjector(Simulation simulation, FaultInjector faults, long healedMs) {
     this.simulation = simulation;
     this.faults = faults;
@@ -39,46 +39,46 @@
   }
 
   private interface Fault {
-    void inject(ControllerModel leader, long forMs);
+    void inject(ControllerModel leader, long durationMs);
   }
 
   /** Injects a fault of this kind. */
   void inject(int kind) {
-    long forMs = 5000 + simulation.random.nextLong(45_000);
+    long durationMs = 5000 + simulation.random.nextLong(45_000);
     ControllerModel leader =
         simulation.leaders().stream().findFirst().orElse(simulation.controllers.get(0));
-    faultsByKind.get(kind).inject(leader, forMs);
+    faultsByKind.get(kind).inject(leader, durationMs);
   }
 
-  /** Jobs that streams have added to the others. */
+  /** Returns how many jobs the streams have added to the scenario's other jobs. */
   int streamedJobs() {
     return streamedJobs;
   }
 
-  private void queryClosely(long forMs) {
+  private void queryClosely(long durationMs) {
     UserModel users = simulation.users;
     users.closeQueryShare = 0.2 + 0.8 * simulation.random.nextDouble();
     users.cancelOnAcceptShare = 0.3;
     simulation.after(
-        forMs,
+        durationMs,
         () -> {
           users.closeQueryShare = 0;
           users.cancelOnAcceptShare = 0;
         });
   }
 
-  private void loseWriteAnswers(long forMs) {
+  private void loseWriteAnswers(long durationMs) {
     simulation.store.unansweredShare = 0.05 + 0.4 * simulation.random.nextDouble();
-    simulation.after(forMs, () -> simulation.store.unansweredShare = 0);
+    simulation.after(durationMs, () -> simulation.store.unansweredShare = 0);
   }
 
   private void cancelNow() {
     simulation.users.cancelRunningJobs(2 + simulation.random.nextInt(8));
   }
 
-  private void cancelAtEnd(long forMs) {
+  private void cancelAtEnd(long durationMs) {
     simulation.users.cancelAtEndShare = 0.1 + 0.5 * simulation.random.nextDouble();
-    simulation.after(forMs, () -> simulation.users.cancelAtEndShare = 0);
+    simulation.after(durationMs, () -> simulation.users.cancelAtEndShare = 0);
   }
 
   private void streamJobs() {
@@ -86,18 +86,21 @@
     simulation.users.submitStream(FIRST_STREAM_JOB, STREAM_JOBS, STREAM_TASK_MS);
   }
 
-  /** Jobs are cancelled as the store refuses the leader, and a second later all, for long. */
+  /**
+   * Cancels jobs while the store refuses the leader; a second later the store is unavailable to all
+   * controllers, for longer than the deadline of a cancellation.
+   */
   private void cancelAndRefuse(ControllerModel leader) {
     simulation.users.cancelRunningJobs(2 + simulation.random.nextInt(6));
     beforeHealing(simulation.random.nextLong(100), () -> faults.refuseAtStore(leader, 3000));
     beforeHealing(1000, () -> faults.storeOutage(InvariantChecker.CANCEL_DEADLINE_MS + 2000));
   }
 
-  private void changeLeaders(long forMs) {
+  private void changeLeaders(long durationMs) {
     for (int i = 0; i < LEADER_CHANGES; i++) {
       boolean crashes = simulation.random.nextBoolean();
       beforeHealing(
-          i * forMs / LEADER_CHANGES + simulation.random.nextLong(500),
+          i * durationMs / LEADER_CHANGES + simulation.random.nextLong(500),
           () ->
               simulation
                   .leaders()
--- a/src/test/java/org/astershift/simulation/UserModel.java
+++ b/src/test/java/org/astershift/simulation/UserModel.java
@@ -13,19 +13,22 @@
 import org.astershift.scheduler.JobSpec;
 
 /**
- * The users: they submit, cancel and ask, each time at any controller, until they have an answer.
- * From some moment on they ask each controller about each job again and again; some look closely:
- * as soon as one of them learns that a job is accepted or over, others ask all controllers within
- * milliseconds and repeat the submission.
+ * Models the users, who submit, cancel and query jobs, each time at a random controller, until they
+ * have an answer. From a given time on they also poll each controller about each job. After some
+ * acceptances and ends, close queries follow: as soon as one user learns that a job is accepted or
+ * over, others query all controllers within milliseconds and repeat the submission.
  */
 final class UserModel {
-  /** How long they wait for the answer to a submission or a cancellation, and to a question. */
+  /** Timeout of a submission or cancellation, and of a question, in milliseconds. */
   private static final long REQUEST_TIMEOUT_MS = 5000;
 
   private static final long QUESTION_TIMEOUT_MS = 2000;
   private static final long POLL_INTERVAL_MS = 5000;
 
-  /** Within so long after an acceptance or end all controllers are asked, so many times each. */
+  /**
+   * Time, in milliseconds, after an acceptance or end within which each controller gets its close
+   * queries, and their number per controller.
+   */
   private static final long CLOSE_QUERY_WINDOW_MS = 40;
 
   private static final int CLOSE_QUERIES = 4;
@@ -35,28 +38,30 @@
   private final Map<String, JobSpec> submitted = new LinkedHashMap<>();
   private final Set<String> accepted = new LinkedHashSet<>();
   private final Set<String> cancelled = new HashSet<>();
-  private final Map<String, Set<Integer>> onTaskCompleted = new HashMap<>();
+  private final Map<String, Set<Integer>> completedTasks = new HashMap<>();
   private boolean polling;
 
   /** Share of the acceptances and ends that are followed by close queries. */
   double closeQueryShare;
 
-  /** Share of the jobs that are cancelled within milliseconds of the news of their acceptance. */
+  /**
+   * Share of the jobs that are cancelled within milliseconds after the news of their acceptance.
+   */
   double cancelOnAcceptShare;
 
-  /** Share of the jobs that are cancelled as their last task ends: just before, at or after it. */
+  /** Share of the jobs that are cancelled just before, at or just after their last task's end. */
   double cancelAtEndShare;
 
-  /** Tasks that run longer than the others of their job, by name, in milliseconds. */
+  /** Run time of tasks that run longer than the others of their job, by name, in milliseconds. */
   final Map<String, Long> taskRunMs = new HashMap<>();
 
-  /** Questions and repeated submissions within milliseconds of news, and how many got an answer. */
+  /** Close queries and repeated submissions, and how many of them were answered. */
   int closeQueries;
 
   int closeQueriesAnswered;
   int resubmissionsAnswered;
 
-  /** Cancellations asked for within milliseconds of an acceptance, and around a job's end. */
+  /** Cancellations requested within milliseconds after an acceptance, and around a job's end. */
   int cancelledOnAccept;
 
   int cancelledAtEnd;
@@ -65,7 +70,7 @@
     this.simulation = simulation;
   }
 
-  /** A job is on record; {@code runMs}: how long its tasks run, null for a service. */
+  /** Accepts a durable job; {@code runMs}: its tasks' run time, null for a service. */
   void acceptDirectly(JobSpec spec, Long runMs) {
     remember(spec, runMs);
     simulation.store.putJob(spec);
@@ -80,14 +85,14 @@
   }
 
   private boolean onAccepted(String job) {
-    boolean news = accepted.add(job);
-    if (news && polling) {
+    boolean isNew = accepted.add(job);
+    if (isNew && polling) {
       poll(job);
     }
-    return news;
+    return isNew;
   }
 
-  /** A user submits the job until it is accepted; {@code then}: what follows that. */
+  /** Has a user submit the job until it is accepted, and then runs {@code then}. */
   void submit(JobSpec spec, Long runMs, Runnable then) {
     remember(spec, runMs);
     request(
@@ -106,7 +111,7 @@
         });
   }
 
-  /** Its user wants it cancelled. */
+  /** Has the job's user cancel it. */
   void cancel(String job) {
     if (cancelled.add(job)) {
       simulation.checker.onCancelRequested(job);
@@ -114,37 +119,41 @@
     }
   }
 
-  /** So many jobs whose tasks are on machines are cancelled within a fifth of a second. */
+  /**
+   * Cancels up to {@code count} jobs with tasks on machines within a fifth of a second, and returns
+   * how many.
+   */
   int cancelRunningJobs(int count) {
-    List<String> run =
+    List<String> running =
         accepted.stream()
             .filter(job -> !cancelled.contains(job) && simulation.checker.tasksOnMachines(job) > 0)
             .filter(job -> submitted.get(job).kind() != JobKind.SERVICE)
             .limit(count)
             .toList();
-    run.forEach(job -> simulation.after(simulation.random.nextLong(200), () -> cancel(job)));
-    return run.size();
+    running.forEach(job -> simulation.after(simulation.random.nextLong(200), () -> cancel(job)));
+    return running.size();
   }
 
   /**
-   * One-task jobs, four a second, of which a quarter is cancelled sooner or later; {@code id}: the
-   * number of the first.
+   * Submits jobs of one task, four a second, and cancels a quarter of them after a random time;
+   * {@code firstNumber} is the number of the first job.
    */
-  void submitStream(int id, int jobs, long ms) {
+  void submitStream(int firstNumber, int jobs, long runMs) {
     for (int i = 0; i < jobs; i++) {
-      String job = "wk-" + (id + i);
-      boolean cancels = simulation.random.nextInt(4) == 0;
-      long afterMs = simulation.random.nextLong(2 * ms);
-      Runnable then = () -> simulation.after(afterMs, () -> cancel(job));
+      String job = "wk-" + (firstNumber + i);
+      boolean isCancelled = simulation.random.nextInt(4) == 0;
+      long afterMs = simulation.random.nextLong(2 * runMs);
+      Runnable cancel = () -> simulation.after(afterMs, () -> cancel(job));
       simulation.after(
           i * 250L + simulation.random.nextLong(250),
-          () -> submit(JobDraft.job(job, JobKind.ARRAY, 1), ms, cancels ? then : () -> {}));
+          () ->
+              submit(JobDraft.job(job, JobKind.ARRAY, 1), runMs, isCancelled ? cancel : () -> {}));
     }
   }
 
   /**
-   * A user's request about a job, at some controller, and again at some controller until it is
-   * answered.
+   * Sends a user's request about a job to a random controller, and repeats it at a random one until
+   * it is answered.
    */
   private void request(
       String job, BiConsumer<ControllerModel, Consumer<String>> service, Runnable answered) {
@@ -168,25 +177,25 @@
   private void send(
       String job,
       ControllerModel controller,
-      long waitMs,
+      long timeoutMs,
       BiConsumer<ControllerModel, Consumer<String>> service,
       Consumer<String> done) {
     long askedOrder = simulation.checker.onQuestion();
     simulation.call(
         "user",
         controller.name,
-        waitMs,
+        timeoutMs,
         (Consumer<String> answer) -> service.accept(controller, answer),
         (String state) -> {
-          boolean over = simulation.checker.onAnswer(job, controller.name, state, askedOrder);
+          boolean isFirstEnd = simulation.checker.onAnswer(job, controller.name, state, askedOrder);
           done.accept(state);
-          if (over) {
+          if (isFirstEnd) {
             queryClosely(job);
           }
         });
   }
 
-  /** From now on each controller is asked about each accepted job every five seconds. */
+  /** Makes users ask each controller about each accepted job every five seconds from now on. */
   void pollAll() {
     polling = true;
     accepted.forEach(this::poll);
@@ -204,11 +213,11 @@
         job,
         controller,
         QUESTION_TIMEOUT_MS,
-        (node, answer) -> node.jobState(job, true, answer),
+        (receiver, answer) -> receiver.jobState(job, true, answer),
         state -> simulation.after(POLL_INTERVAL_MS, () -> poll(job, controller)));
   }
 
-  /** A user has just learnt that the job is accepted, or that it is over. */
+  /** Sends close queries, if drawn, after a user has learned that the job is accepted or over. */
   private void queryClosely(String job) {
     if (simulation.random.nextDouble() >= closeQueryShare) {
       return;
@@ -219,7 +228,7 @@
             job,
             controller,
             QUESTION_TIMEOUT_MS,
-            (node, answer) -> node.jobState(job, true, answer),
+            (receiver, answer) -> receiver.jobState(job, true, answer),
             () -> closeQueriesAnswered++);
       }
       JobSpec spec = submitted.get(job);
@@ -227,7 +236,7 @@
           job,
           controller,
           REQUEST_TIMEOUT_MS,
-          (node, answer) -> node.submit(spec, answer),
+          (receiver, answer) -> receiver.submit(spec, answer),
           () -> resubmissionsAnswered++);
     }
   }
@@ -235,7 +244,7 @@
   private void querySoon(
       String job,
       ControllerModel controller,
-      long waitMs,
+      long timeoutMs,
       BiConsumer<ControllerModel, Consumer<String>> service,
       Runnable answered) {
     closeQueries++;
@@ -245,7 +254,7 @@
             send(
                 job,
                 controller,
-                waitMs,
+                timeoutMs,
                 service,
                 state -> {
                   if (state != null && !state.equals("503")) {
@@ -254,17 +263,17 @@
                 }));
   }
 
-  /** A task is being started on a machine, and will end after so long if nothing happens. */
+  /** Handles the start of a task that will end {@code endsMs} from now if nothing intervenes. */
   void onTaskStarted(String job, int index, long endsMs) {
     if (cancelAtEndShare > 0 && simulation.random.nextDouble() < cancelAtEndShare) {
-      // A request takes some milliseconds, and the news of the end some hundred.
+      // A request takes some milliseconds, and the news of the end some hundred milliseconds.
       long aroundMs = simulation.random.nextBoolean() ? 10 : 600;
       long atMs = endsMs + simulation.random.nextLong(2 * aroundMs) - aroundMs;
       simulation.after(atMs, () -> cancelIfLastTask(job, index));
     }
   }
 
-  /** The same for a gang, which completes as a whole. */
+  /** Handles the start of a gang, which completes as a whole. */
   void onTaskStarted(String gang, long endsMs) {
     if (cancelAtEndShare > 0 && simulation.random.nextDouble() < cancelAtEndShare) {
       long aroundMs = simulation.random.nextBoolean() ? 10 : 600;
@@ -281,20 +290,20 @@
   }
 
   private void cancelIfLastTask(String job, int index) {
-    Set<Integer> done = new HashSet<>(onTaskCompleted.getOrDefault(job, Set.of()));
-    done.add(index);
-    if (done.size() == submitted.get(job).tasks() && !cancelled.contains(job)) {
+    Set<Integer> completed = new HashSet<>(completedTasks.getOrDefault(job, Set.of()));
+    completed.add(index);
+    if (completed.size() == submitted.get(job).tasks() && !cancelled.contains(job)) {
       cancelledAtEnd++;
       cancel(job);
     }
   }
 
-  /** A task has completed. */
+  /** Records that a task has completed. */
   void onTaskCompleted(String job, int index) {
-    onTaskCompleted.computeIfAbsent(job, j -> new HashSet<>()).add(index);
+    completedTasks.computeIfAbsent(job, key -> new HashSet<>()).add(index);
   }
 
-  /** How long a task runs; null: until it is stopped. */
+  /** Returns how long a task runs, in milliseconds; null if it runs until it is stopped. */
   Long runMsOf(String job, int index) {
     return taskRunMs.getOrDefault(job + "/" + index, runMs.get(job));
   }
--- a/src/test/java/org/astershift/simulation/WatchCacheModel.java
+++ b/src/test/java/org/astershift/simulation/WatchCacheModel.java
@@ -10,7 +10,7 @@
 import org.astershift.simulation.StoreModel.Row;
 import org.astershift.store.StoreClient;
 
-/** A controller's copy of the store's rows, which lags behind the store. */
+/** Models a controller's copy of the store's rows, which lags behind the store. */
 final class WatchCacheModel {
   static final long POLL_INTERVAL_MS = 60;
 
@@ -18,7 +18,7 @@
   private final Simulation simulation;
   private final Map<String, Row> rows = new TreeMap<>();
 
-  /** Up to which the rows are read; -1: nothing yet. */
+  /** Revision up to which the rows have been read; -1 if nothing has been read yet. */
   private long revision = -1;
 
   WatchCacheModel(ControllerModel controller) {
@@ -28,10 +28,10 @@
 
   private record Changes(List<Row> rows, long revision) {}
 
-  /** Reads what has changed, and goes on doing so. */
+  /** Reads the changes since the last read, repeatedly. */
   void poll() {
-    long from = revision;
-    // A watch that pauses is given up late, and the cache lags that long.
+    long fromRevision = revision;
+    // A stalled watch is abandoned only after its blocking time, and the cache lags that long.
     controller.storeRequest(
         revision < 0
             ? ProcessModel.STORE_TIMEOUT_MS
@@ -39,7 +39,8 @@
                 + simulation.random.nextLong(StoreClient.WATCH_BLOCK_MS),
         () ->
             new Changes(
-                simulation.store.changesAfter(controller.name, from), simulation.store.revision()),
+                simulation.store.changesAfter(controller.name, fromRevision),
+                simulation.store.revision()),
         (Changes changes) -> {
           if (changes != null) {
             apply(changes);
@@ -84,30 +85,30 @@
     return rows.containsKey(key);
   }
 
-  /** The row of the leader's key; null: there is none. */
+  /** Returns the row of the leader key; null if there is none. */
   Row leaderRow() {
     return rows.get(StoreModel.LEADER_KEY);
   }
 
-  /** Who holds the leader's key; null: nobody. */
+  /** Returns the name of the controller that holds the leader key; null if none does. */
   String leader() {
     Row row = leaderRow();
     return row == null ? null : (String) row.value();
   }
 
-  /** The leader's key as the election sees it; null: there is none. */
+  /** Returns the holder of the leader key as the election sees it; null if there is none. */
   Election.Holder leaderHolder() {
     Row row = leaderRow();
     return row == null ? null : new Election.Holder((String) row.value(), row.revision());
   }
 
-  /** The job's tasks that are done on record. */
+  /** Returns the job's tasks that are durably recorded as done. */
   BitSet doneTasks(String job) {
     Row done = rows.get("p/" + job);
     return StoreModel.copyBits(done == null ? null : done.value());
   }
 
-  /** Values by what follows the prefix in their keys. */
+  /** Returns the values of keys with this prefix, by the rest of their keys. */
   Map<String, Object> withPrefix(String prefix) {
     return StoreModel.withPrefix(rows, prefix);
   }
--- a/src/test/java/org/astershift/simulation/WorkerModel.java
+++ b/src/test/java/org/astershift/simulation/WorkerModel.java
@@ -6,18 +6,18 @@
 import org.astershift.scheduler.Heartbeat;
 
 /**
- * A worker: fencing token, epoch, lease and commands as the protocol has them. It sends heartbeats
- * to one controller at a time, and may pause or reach no controller.
+ * Models a worker, with fencing token, epoch, lease and commands as in the protocol. It sends
+ * heartbeats to one controller at a time, may pause, and may be unable to reach any controller.
  *
- * <p>While it pauses, what is sent to it waits: {@link PausableProcess}. As it resumes, it first
- * ends what its lease no longer covers, and an answer to a heartbeat counts only within the
- * heartbeat's timeout. A task counts as on the machine until the lease expires: up to then it may
- * go on, later it cannot.
+ * <p>While the worker is paused, {@link PausableProcess} defers what is sent to it. On resuming,
+ * the worker first kills the tasks that its lease no longer covers, and an answer to a heartbeat
+ * counts only within the heartbeat's timeout. A task counts as being on the machine until the lease
+ * expires, since until then it could continue.
  */
 final class WorkerModel {
   private static final long HEARTBEAT_TIMEOUT_MS = 4000;
 
-  /** Until it tries another controller after one did not help. */
+  /** Delay before the worker tries another controller after a failed heartbeat, in milliseconds. */
   private static final long NEXT_CONTROLLER_DELAY_MS = 1000;
 
   final String name;
@@ -34,46 +34,48 @@
   private long leaseStartMs;
   private int controllerIndex;
 
-  /** It pauses for so long as soon as its next heartbeat is sent; 0: it does not. */
+  /** Length of the pause that begins with the next heartbeat, in milliseconds; 0 for none. */
   private long pauseAfterHeartbeatMs;
 
-  /** Until then it reaches no controller, while commands to it and their answers pass. */
+  /** Until when the worker reaches no controller; commands to it and their answers still pass. */
   private long outboundPartitionedUntilMs;
 
-  /** Its connection keeps the first heartbeat of the partition, and delivers it after that. */
+  /** Whether the connection holds the partition's first heartbeat and delivers it afterwards. */
   private boolean holdsFirstHeartbeat;
 
-  /** When the cloud preempts it by the notice; -1: there was no notice. */
+  /** When the cloud preempts the machine according to its notice; -1 if there was no notice. */
   private long preemptedAtMs = -1;
 
-  /** Whatever starts on it fails. */
+  /** Whether each task that starts on this machine fails. */
   boolean faulty;
 
-  /** When a task was started last. */
+  /** When a task was last started on this machine; -1 if none was. */
   long lastTaskStartMs = -1;
 
-  /** Tasks started while it reached no controller. */
+  /** Tasks started while the worker reached no controller. */
   int startedWhilePartitioned;
 
   /** Heartbeats that reached no controller. */
   int undeliveredHeartbeats;
 
-  /** Commands that waited for it to resume, and were executed then. */
+  /** Commands that were deferred by a pause and executed on resuming. */
   int commandsAfterPause;
 
-  /** Answers to heartbeats that waited for it to resume, and were in time. */
+  /** Answers to heartbeats that were deferred by a pause and still in time. */
   int answersAfterPause;
 
-  /** Tasks that went on after a pause. */
+  /** Tasks that continued after a pause. */
   int tasksResumed;
 
-  /** Those of them whose cancellation had been confirmed meanwhile. */
+  /** Tasks that continued after a pause although their job's cancellation had been confirmed. */
   int cancelledTasksResumed;
 
   /** Tasks started after a preemption notice. */
   int startedAfterPreemptionNotice;
 
-  /** The answer to a heartbeat: 200 with a token, or 421 with the leader's name or null. */
+  /**
+   * The answer to a heartbeat: 200 with a token, or 421 with the leader's name, null if unknown.
+   */
   record HeartbeatAnswer(
       boolean accepted, long fencingToken, List<Command> commands, String leader) {}
 
@@ -94,7 +96,7 @@
     return process.isAlive();
   }
 
-  /** Counts its processes: what was under way in an earlier one ended with it. */
+  /** Returns the process's incarnation; what was in progress in an earlier one ended with it. */
   int incarnation() {
     return process.incarnation();
   }
@@ -123,7 +125,7 @@
     sendHeartbeat();
   }
 
-  /** It ends and is back soon, under its name, with nothing of before: epoch 1, no token. */
+  /** Restarts the process under its name after this delay, without its state: epoch 1, no token. */
   void restart(long afterMs) {
     if (!isAlive()) {
       return;
@@ -133,11 +135,11 @@
     fencingToken = 0;
     epoch = 1;
     sequence = 0;
-    int ended = incarnation();
+    int endedIncarnation = incarnation();
     simulation.after(
         afterMs,
         () -> {
-          if (ended == incarnation()) {
+          if (endedIncarnation == incarnation()) {
             simulation.markConnectivityChanged(); // no controller can know yet
             start();
           }
@@ -151,14 +153,14 @@
     tasks.killAll();
   }
 
-  /** It does nothing for a while, and then continues as if no time had passed. */
-  void pause(long forMs) {
-    process.pause(forMs);
+  /** Pauses the worker, which then continues as if no time had passed. */
+  void pause(long durationMs) {
+    process.pause(durationMs);
   }
 
-  /** It pauses as soon as its next heartbeat is sent, so that the answer waits for it. */
-  void pauseAfterHeartbeat(long forMs) {
-    pauseAfterHeartbeatMs = forMs;
+  /** Pauses the worker as soon as its next heartbeat is sent, so that the answer has to wait. */
+  void pauseAfterHeartbeat(long durationMs) {
+    pauseAfterHeartbeatMs = durationMs;
   }
 
   boolean isPaused() {
@@ -182,30 +184,31 @@
     }
   }
 
-  /** It reaches no controller; a heartbeat of that time may arrive after it. */
-  void partitionOutbound(long forMs) {
-    simulation.log(name, "reaches no controller for " + forMs + " ms");
-    outboundPartitionedUntilMs = Math.max(outboundPartitionedUntilMs, simulation.now() + forMs);
+  /** Stops the worker's messages to all controllers; a heartbeat of that time may arrive later. */
+  void partitionOutbound(long durationMs) {
+    simulation.log(name, "reaches no controller for " + durationMs + " ms");
+    outboundPartitionedUntilMs =
+        Math.max(outboundPartitionedUntilMs, simulation.now() + durationMs);
     holdsFirstHeartbeat = simulation.random.nextBoolean();
-    simulation.after(forMs, simulation::markConnectivityChanged);
+    simulation.after(durationMs, simulation::markConnectivityChanged);
   }
 
   private boolean isOutboundPartitioned() {
     return simulation.now() < outboundPartitionedUntilMs;
   }
 
-  /** It reaches the controllers again. */
+  /** Lets the worker reach the controllers again. */
   void healOutbound() {
     outboundPartitionedUntilMs = 0;
   }
 
-  /** The cloud will preempt it; its next heartbeats say so. */
+  /** Records a preemption notice from the cloud; the next heartbeats show it. */
   void onPreemptionNotice(long inMs) {
     simulation.log(name, "gets a preemption notice of " + inMs + " ms");
     preemptedAtMs = simulation.now() + inMs;
   }
 
-  /** Serves a request at once, when it resumes, or never. */
+  /** Serves a request at once, on resuming from a pause, or never if the process has ended. */
   void serve(Runnable request) {
     process.runIn(incarnation(), request);
   }
@@ -266,7 +269,7 @@
     }
   }
 
-  /** A heartbeat that arrives after newer ones is like a duplicate. */
+  /** Delivers a heartbeat. One that arrives after newer ones is treated like a duplicate. */
   private void deliver(
       ControllerModel receiver, Heartbeat heartbeat, Consumer<HeartbeatAnswer> answer) {
     boolean late = sequence > heartbeat.sequence();
@@ -278,7 +281,7 @@
     }
   }
 
-  /** The connection is refused at once, or the heartbeat times out. */
+  /** Fails to send a heartbeat: the connection is refused at once, or the request times out. */
   private void failToSend(Heartbeat heartbeat, ControllerModel receiver) {
     if (holdsFirstHeartbeat) {
       holdsFirstHeartbeat = false;
@@ -289,12 +292,13 @@
     long sentMs = simulation.now();
     long sentEpoch = epoch;
     undeliveredHeartbeats++;
-    long ms = simulation.random.nextBoolean() ? 1 : HEARTBEAT_TIMEOUT_MS;
-    process.after(ms, () -> onAnswer(null, sentMs, sentEpoch));
+    long failureAfterMs = simulation.random.nextBoolean() ? 1 : HEARTBEAT_TIMEOUT_MS;
+    process.after(failureAfterMs, () -> onAnswer(null, sentMs, sentEpoch));
   }
 
   private void onAnswer(HeartbeatAnswer answer, long sentMs, long sentEpoch) {
-    boolean late = simulation.now() - sentMs > HEARTBEAT_TIMEOUT_MS; // it paused meanwhile
+    boolean late =
+        simulation.now() - sentMs > HEARTBEAT_TIMEOUT_MS; // the worker was paused meanwhile
     if (answer == null || late || (!answer.accepted() && answer.leader() == null)) {
       tryNextController();
     } else if (!answer.accepted()) {
@@ -338,14 +342,14 @@
     return simulation.now() - leaseStartMs > simulation.setup.leaseMs();
   }
 
-  /** If its lease has expired, it kills and forgets all of its tasks and begins a new epoch. */
+  /** If the lease has expired, kills and forgets all tasks and begins a new epoch. */
   void expireLease() {
     if (!hasLeaseExpired()) {
       return;
     }
     tasks.killOnLeaseExpiry();
     if (isPaused()) {
-      return; // none of them can go on; the rest it does itself as it resumes
+      return; // its tasks cannot continue; the rest follows when the worker resumes
     }
     tasks.forget();
     epoch++;
@@ -364,7 +368,7 @@
         });
   }
 
-  /** Commands sent directly, maybe minutes ago, under this token to this epoch. */
+  /** Handles commands sent directly, possibly minutes ago, under this token to this epoch. */
   CommandAnswer onCommands(long senderToken, long senderEpoch, List<Command> commands) {
     expireLease();
     if (senderToken < fencingToken || senderEpoch != epoch) {
@@ -376,7 +380,7 @@
     return new CommandAnswer(true, heartbeat());
   }
 
-  /** Tasks on it that have not exited, as "job/index". */
+  /** Returns the tasks on the machine that have not exited, as "job/index". */
   List<String> liveTasks() {
     return tasks.liveTasks();
   }
--- a/src/test/java/org/astershift/simulation/WorkerTasks.java
+++ b/src/test/java/org/astershift/simulation/WorkerTasks.java
@@ -8,9 +8,12 @@
 import org.astershift.scheduler.Heartbeat;
 import org.astershift.scheduler.JobSpec;
 
-/** The tasks on a worker: they fetch their image, run, save, exit, and are forgotten. */
+/**
+ * Models the tasks on a worker: they fetch their image, run, save, exit, and are forgotten on
+ * command.
+ */
 final class WorkerTasks {
-  /** How long after its start a task on a faulty machine fails. */
+  /** Run time, in milliseconds, after which a task on a faulty machine fails once it runs. */
   static final long FAILURE_DELAY_MS = 300;
 
   private static final long IMAGE_FETCH_MS = 800;
@@ -45,7 +48,7 @@
           tasks.remove(key);
         }
       }
-      default -> throw new IllegalArgumentException(command.toString());
+      default -> throw new IllegalArgumentException("unsupported command: " + command);
     }
     worker.onTasksChanged();
   }
@@ -79,33 +82,36 @@
     }
   }
 
-  /** On a faulty machine the task fails so long from now. */
-  void scheduleFailureIfFaulty(TaskModel task, long ms) {
+  /** Makes the task fail after this much run time if the machine is faulty. */
+  void scheduleFailureIfFaulty(TaskModel task, long afterMs) {
     if (worker.faulty) {
-      worker.afterRunTime(ms, () -> transitionTo(task, Heartbeat.TaskPhase.EXITED, "error"));
+      worker.afterRunTime(afterMs, () -> transitionTo(task, Heartbeat.TaskPhase.EXITED, "error"));
     }
   }
 
-  /** A task that can save does so first, if it is given the time for it. */
+  /**
+   * Stops a task. A task that can save a checkpoint does so first if the grace period is long
+   * enough.
+   */
   private void stop(TaskModel task, double graceS) {
     JobSpec spec = simulation.users.spec(task.job);
-    boolean saves =
+    boolean canSave =
         spec != null && spec.checkpointIntervalS() > 0 && graceS >= spec.checkpointSaveS();
     if (task.isGang(simulation)
         && (task.phase == Heartbeat.TaskPhase.RUNNING
             || task.phase == Heartbeat.TaskPhase.SAVING)) {
-      simulation.gangs.stop(task, saves);
-    } else if (saves && task.phase == Heartbeat.TaskPhase.RUNNING) {
+      simulation.gangs.stop(task, canSave);
+    } else if (canSave && task.phase == Heartbeat.TaskPhase.RUNNING) {
       task.phase = Heartbeat.TaskPhase.SAVING;
-      long ms = Math.round(spec.checkpointSaveS() * 1000);
-      worker.afterRunTime(ms, () -> transitionTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
-    } else if (!saves || task.phase != Heartbeat.TaskPhase.SAVING) {
+      long saveMs = Math.round(spec.checkpointSaveS() * 1000);
+      worker.afterRunTime(saveMs, () -> transitionTo(task, Heartbeat.TaskPhase.EXITED, "halted"));
+    } else if (!canSave || task.phase != Heartbeat.TaskPhase.SAVING) {
       transitionTo(task, Heartbeat.TaskPhase.EXITED, "halted");
     }
   }
 
-  /** The task moves on, unless it has exited or the worker's lease has expired. */
-  void transitionTo(TaskModel task, Heartbeat.TaskPhase phase, String cause) {
+  /** Changes the task's phase, unless it has exited or the worker's lease has expired. */
+  void transitionTo(TaskModel task, Heartbeat.TaskPhase phase, String exitReason) {
     if (!worker.isAlive() || !tasks.containsValue(task) || task.isExited()) {
       return;
     }
@@ -114,13 +120,13 @@
       return;
     }
     task.phase = phase;
-    task.exitReason = cause;
-    simulation.digest.phase(simulation.now(), task.name(), worker.name, phase, cause);
-    Heartbeat.TaskPhase first =
+    task.exitReason = exitReason;
+    simulation.digest.phase(simulation.now(), task.name(), worker.name, phase, exitReason);
+    Heartbeat.TaskPhase imageFetchedPhase =
         task.isGang(simulation) ? Heartbeat.TaskPhase.WAITING : Heartbeat.TaskPhase.RUNNING;
-    if (phase == first) {
+    if (phase == imageFetchedPhase) {
       simulation.checker.onImageFetched(task.name(), worker.name);
-    } else if ("done".equals(cause)) {
+    } else if ("done".equals(exitReason)) {
       simulation.users.onTaskCompleted(task.job, task.index);
     }
     if (phase == Heartbeat.TaskPhase.EXITED) {
@@ -137,7 +143,7 @@
     }
   }
 
-  /** Runs this as soon as the worker does not pause, if the task is still there. */
+  /** Runs the body as soon as the worker is not paused, if the task still exists then. */
   void whenWorkerRuns(TaskModel task, Runnable body) {
     worker.serve(
         () -> {
@@ -147,23 +153,23 @@
         });
   }
 
-  /** The lease has expired: none of them goes on. */
+  /** Kills all tasks since the lease has expired. */
   void killOnLeaseExpiry() {
     for (TaskModel task : all()) {
       if (!task.isExited()) {
         simulation.checker.killedOnLeaseExpiry++;
-        simulation.log(worker.name, "kills a task by lease expiry task=" + task.name());
+        simulation.log(worker.name, "lease has expired, kills task=" + task.name());
         onGone(task);
       }
     }
   }
 
-  /** Nothing of them is known any more. */
+  /** Discards the records of all tasks. */
   void forget() {
     tasks.clear();
   }
 
-  /** The worker's process ends, and they with it. */
+  /** Kills and forgets all tasks since the worker's process ends. */
   void killAll() {
     List<TaskModel> killed = all();
     tasks.clear();
@@ -191,7 +197,7 @@
     return statuses;
   }
 
-  /** Tasks that have not exited, as "job/index". */
+  /** Returns the tasks that have not exited, as "job/index". */
   List<String> liveTasks() {
     return tasks.values().stream().filter(task -> !task.isExited()).map(TaskModel::name).toList();
   }
