--- a/src/test/java/org/astershift/ClassListTest.java
+++ b/src/test/java/org/astershift/ClassListTest.java
@@ -18,13 +18,13 @@
 class ClassListTest {
   private static final Path LIST = Path.of("src/main/cds/classes.lst");
   private static final Path CLASSES = Path.of("target/classes");
-  private static final String OWN = "org/astershift/";
+  private static final String PACKAGE_PREFIX = "org/astershift/";
 
   /** With {@code -Dtraces.write=true} the list's own part is written anew. */
   @Test
   void listsOwnClasses() throws IOException {
     TreeSet<String> compiled = new TreeSet<>();
-    try (Stream<Path> files = Files.walk(CLASSES.resolve(OWN))) {
+    try (Stream<Path> files = Files.walk(CLASSES.resolve(PACKAGE_PREFIX))) {
       files
           .map(f -> CLASSES.relativize(f).toString().replace('\\', '/'))
           .filter(f -> f.endsWith(".class") && !f.endsWith("package-info.class"))
@@ -33,13 +33,13 @@
     List<String> lines = Files.readAllLines(LIST);
     TreeSet<String> listed = new TreeSet<>();
     for (String line : lines) {
-      if (line.startsWith(OWN)) {
+      if (line.startsWith(PACKAGE_PREFIX)) {
         listed.add(line.trim());
       }
     }
     if (Boolean.getBoolean("traces.write") && !listed.equals(compiled)) {
       List<String> out = new ArrayList<>(lines);
-      out.removeIf(line -> line.startsWith(OWN) && !compiled.contains(line.trim()));
+      out.removeIf(line -> line.startsWith(PACKAGE_PREFIX) && !compiled.contains(line.trim()));
       compiled.stream().filter(c -> !listed.contains(c)).forEach(out::add);
       Files.write(LIST, out);
       return;
--- a/src/test/java/org/astershift/ConcurrentUsers.java
+++ b/src/test/java/org/astershift/ConcurrentUsers.java
@@ -27,21 +27,21 @@
  */
 final class ConcurrentUsers implements AutoCloseable {
   /** A request counts as a close look if it is sent within this time of another node's answer. */
-  private static final long CLOSE_NS = 30_000_000;
+  private static final long FOLLOW_UP_NS = 30_000_000;
 
-  private static final long PATIENCE_NS = 100_000_000_000L;
+  private static final long JOIN_TIMEOUT_NS = 100_000_000_000L;
   private static final int TIMEOUT_MS = 5000;
   private static final int USERS = 12;
-  private static final int KEPT = 16;
+  private static final int POOLED_CONNECTIONS = 16;
 
   /** What users know of a job, from the oldest to the newest state. */
-  enum Known {
+  enum KnownState {
     NOTHING,
     ACCEPTED,
     DONE,
     CANCELLED;
 
-    boolean over() {
+    boolean isOver() {
       return this == DONE || this == CANCELLED;
     }
   }
@@ -49,33 +49,33 @@
   /** One job and the latest state known to its user. */
   static final class Job {
     final String id;
-    final boolean cancels;
-    private Known known = Known.NOTHING;
-    private long knownNs;
-    private long confirmedNs = Long.MAX_VALUE;
-    private int source = -1;
+    final boolean toBeCancelled;
+    private KnownState knownState = KnownState.NOTHING;
+    private long knownSinceNs;
+    private long cancelConfirmedNs = Long.MAX_VALUE;
+    private int sourceNode = -1;
 
     Job(String id, boolean cancels) {
       this.id = id;
-      this.cancels = cancels;
+      this.toBeCancelled = cancels;
     }
 
-    synchronized Known known() {
-      return known;
+    synchronized KnownState knownState() {
+      return knownState;
     }
 
     /** When the cancellation was confirmed. */
-    synchronized long confirmedNs() {
-      return confirmedNs;
+    synchronized long cancelConfirmedNs() {
+      return cancelConfirmedNs;
     }
   }
 
   private final int tasks;
-  private final Queue<Job> waiting = new ConcurrentLinkedQueue<>();
+  private final Queue<Job> unstartedJobs = new ConcurrentLinkedQueue<>();
   private final Queue<String> violations = new ConcurrentLinkedQueue<>();
   private final List<Job> jobs = new ArrayList<>();
-  private final AtomicInteger over = new AtomicInteger();
-  private final Map<Known, AtomicInteger> looks = new EnumMap<>(Known.class);
+  private final AtomicInteger endedJobs = new AtomicInteger();
+  private final Map<KnownState, AtomicInteger> followUps = new EnumMap<>(KnownState.class);
 
   /** One permit for each further job that may be started. */
   private final Semaphore permits = new Semaphore(0);
@@ -92,12 +92,12 @@
     for (int i = 0; i < jobs; i++) {
       this.jobs.add(new Job(String.format("wk-%06d", first + i), i % 4 == 3));
     }
-    waiting.addAll(this.jobs);
+    unstartedJobs.addAll(this.jobs);
     for (int i = 0; i < ControllerProcesses.NODES; i++) {
-      clients.add(new HttpClient("127.0.0.1", nodes.port(i), KEPT));
+      clients.add(new HttpClient("127.0.0.1", nodes.port(i), POOLED_CONNECTIONS));
     }
-    for (Known state : Known.values()) {
-      looks.put(state, new AtomicInteger());
+    for (KnownState state : KnownState.values()) {
+      followUps.put(state, new AtomicInteger());
     }
   }
 
@@ -106,13 +106,13 @@
   }
 
   /** Number of jobs that all nodes have answered to be over. */
-  int over() {
-    return over.get();
+  int endedJobs() {
+    return endedJobs.get();
   }
 
   /** Number of answers to close looks after this state was known. */
-  int looks(Known known) {
-    return looks.get(known).get();
+  int followUps(KnownState known) {
+    return followUps.get(known).get();
   }
 
   /** All violations, each with the job and both answers. */
@@ -122,23 +122,23 @@
 
   /** Starts the users with {@code count} of the jobs. */
   void start(int count) {
-    more(count);
+    permitStarts(count);
     for (int i = 0; i < USERS; i++) {
       int number = i;
-      users.add(threads.submit(() -> serve(number)));
+      users.add(threads.submit(() -> runUser(number)));
     }
   }
 
   /** Lets {@code count} further jobs start, so that a fault can come before them. */
-  void more(int count) {
+  void permitStarts(int count) {
     permits.release(count);
   }
 
   /** Waits until all jobs are over; fails if a user did. */
   void join() throws Exception {
-    more(USERS); // users who find no job end
+    permitStarts(USERS); // users who find no job end
     for (Future<?> user : users) {
-      user.get(2 * PATIENCE_NS, TimeUnit.NANOSECONDS);
+      user.get(2 * JOIN_TIMEOUT_NS, TimeUnit.NANOSECONDS);
     }
   }
 
@@ -148,17 +148,17 @@
     clients.forEach(HttpClient::close);
   }
 
-  private Void serve(int number) throws Exception {
+  private Void runUser(int number) throws Exception {
     int node = number;
     while (true) {
       permits.acquire();
-      Job job = waiting.poll();
+      Job job = unstartedJobs.poll();
       if (job == null) {
         return null;
       }
       node++;
       runJob(job, node % ControllerProcesses.NODES);
-      over.incrementAndGet();
+      endedJobs.incrementAndGet();
     }
   }
 
@@ -170,29 +170,29 @@
         job.id + " to be accepted",
         () -> {
           int at = next.getAndIncrement() % ControllerProcesses.NODES;
-          return ask(job, at, Request.SUBMIT) != Known.NOTHING;
+          return send(job, at, Request.SUBMIT) != KnownState.NOTHING;
         });
-    List<Callable<Known>> requests = everywhere(job, Request.ASK);
-    requests.addAll(everywhere(job, Request.SUBMIT));
-    if (job.cancels) {
+    List<Callable<KnownState>> requests = requestsToAllNodes(job, Request.POLL);
+    requests.addAll(requestsToAllNodes(job, Request.SUBMIT));
+    if (job.toBeCancelled) {
       int other = (node + 1) % ControllerProcesses.NODES;
-      requests.add(() -> ask(job, other, Request.CANCEL));
+      requests.add(() -> send(job, other, Request.CANCEL));
     }
-    invokeAll(requests);
+    sendConcurrently(requests);
     Await.until(
         job.id + " to be over",
         () -> {
-          List<Callable<Known>> again = everywhere(job, Request.ASK);
-          if (job.cancels) {
-            again.add(() -> ask(job, node, Request.CANCEL));
+          List<Callable<KnownState>> again = requestsToAllNodes(job, Request.POLL);
+          if (job.toBeCancelled) {
+            again.add(() -> send(job, node, Request.CANCEL));
           }
-          invokeAll(again);
-          return job.known().over();
+          sendConcurrently(again);
+          return job.knownState().isOver();
         });
-    List<Callable<Known>> after = everywhere(job, Request.ASK);
-    after.addAll(everywhere(job, Request.SUBMIT));
-    after.addAll(everywhere(job, Request.CANCEL));
-    invokeAll(after);
+    List<Callable<KnownState>> after = requestsToAllNodes(job, Request.POLL);
+    after.addAll(requestsToAllNodes(job, Request.SUBMIT));
+    after.addAll(requestsToAllNodes(job, Request.CANCEL));
+    sendConcurrently(after);
     for (int i = 0; i < ControllerProcesses.NODES; i++) {
       int each = i;
       Await.until("node " + i + " to say how " + job.id + " ended", () -> reportsEnd(job, each));
@@ -200,40 +200,40 @@
   }
 
   private boolean reportsEnd(Job job, int node) throws IOException {
-    return ask(job, node, Request.ASK).over();
+    return send(job, node, Request.POLL).isOver();
   }
 
-  private List<Callable<Known>> everywhere(Job job, Request request) {
-    List<Callable<Known>> requests = new ArrayList<>();
+  private List<Callable<KnownState>> requestsToAllNodes(Job job, Request request) {
+    List<Callable<KnownState>> requests = new ArrayList<>();
     for (int i = 0; i < ControllerProcesses.NODES; i++) {
       int node = i;
-      requests.add(() -> ask(job, node, request));
+      requests.add(() -> send(job, node, request));
     }
     return requests;
   }
 
   /** Sends all requests at the same time and waits for the last. */
-  private void invokeAll(List<Callable<Known>> requests) throws Exception {
-    for (Future<Known> future : threads.invokeAll(requests)) {
+  private void sendConcurrently(List<Callable<KnownState>> requests) throws Exception {
+    for (Future<KnownState> future : threads.invokeAll(requests)) {
       future.get();
     }
   }
 
   private enum Request {
     SUBMIT,
-    ASK,
+    POLL,
     CANCEL
   }
 
   /** The state in the answer; NOTHING without one. */
-  private Known ask(Job job, int node, Request request) throws IOException {
-    Known before;
+  private KnownState send(Job job, int node, Request request) throws IOException {
+    KnownState before;
     long beforeNs;
     int source;
     synchronized (job) {
-      before = job.known;
-      beforeNs = job.knownNs;
-      source = job.source;
+      before = job.knownState;
+      beforeNs = job.knownSinceNs;
+      source = job.sourceNode;
     }
     long sentNs = System.nanoTime();
     HttpClient.Response response;
@@ -241,27 +241,28 @@
       HttpClient client = clients.get(node);
       String path = "/v2/runs/" + job.id;
       byte[] body =
-          ControllerProcesses.job(job.id, "sweep", tasks).getBytes(StandardCharsets.UTF_8);
+          ControllerProcesses.jobJson(job.id, "sweep", tasks).getBytes(StandardCharsets.UTF_8);
       response =
           switch (request) {
             case SUBMIT -> client.call("POST", "/v2/runs", body, TIMEOUT_MS);
-            case ASK -> client.call("GET", path, null, TIMEOUT_MS);
+            case POLL -> client.call("GET", path, null, TIMEOUT_MS);
             case CANCEL -> client.call("POST", path + "/withdraw", null, TIMEOUT_MS);
           };
     } catch (IOException e) {
-      return Known.NOTHING; // killed, or starting: tried again
+      return KnownState.NOTHING; // killed, or starting: tried again
     }
-    String description = request + " at " + node + ": " + response.status() + " " + text(response);
+    String description =
+        request + " at " + node + ": " + response.status() + " " + bodyText(response);
     if (response.status() == 503) {
-      return Known.NOTHING;
+      return KnownState.NOTHING;
     }
-    Known now = known(response);
-    if (before != Known.NOTHING && sentNs - beforeNs < CLOSE_NS && node != source) {
-      looks.get(before).incrementAndGet();
+    KnownState now = parseState(response);
+    if (before != KnownState.NOTHING && sentNs - beforeNs < FOLLOW_UP_NS && node != source) {
+      followUps.get(before).incrementAndGet();
     }
-    boolean older = before.over() ? now != before : now.compareTo(before) < 0;
-    boolean twice = before != Known.NOTHING && response.status() == 201;
-    boolean ignored = request == Request.CANCEL && now == Known.ACCEPTED;
+    boolean older = before.isOver() ? now != before : now.compareTo(before) < 0;
+    boolean twice = before != KnownState.NOTHING && response.status() == 201;
+    boolean ignored = request == Request.CANCEL && now == KnownState.ACCEPTED;
     boolean odd =
         response.status() >= 400 && (response.status() != 404 || request == Request.SUBMIT);
     if (older || twice || ignored || odd) {
@@ -271,37 +272,37 @@
     return now;
   }
 
-  private void recordAnswer(Job job, int node, Known now, String description) {
+  private void recordAnswer(Job job, int node, KnownState now, String description) {
     synchronized (job) {
-      if (now == Known.CANCELLED && job.confirmedNs == Long.MAX_VALUE) {
-        job.confirmedNs = System.nanoTime();
+      if (now == KnownState.CANCELLED && job.cancelConfirmedNs == Long.MAX_VALUE) {
+        job.cancelConfirmedNs = System.nanoTime();
       }
-      if (job.known.over() && now.over() && now != job.known) {
-        violations.add(job.id + " ended as " + job.known + ", and then " + description);
-      } else if (now.compareTo(job.known) > 0) {
-        job.known = now;
-        job.knownNs = System.nanoTime();
-        job.source = node;
+      if (job.knownState.isOver() && now.isOver() && now != job.knownState) {
+        violations.add(job.id + " ended as " + job.knownState + ", and then " + description);
+      } else if (now.compareTo(job.knownState) > 0) {
+        job.knownState = now;
+        job.knownSinceNs = System.nanoTime();
+        job.sourceNode = node;
       }
     }
   }
 
-  private static Known known(HttpClient.Response response) throws IOException {
+  private static KnownState parseState(HttpClient.Response response) throws IOException {
     if (response.status() >= 400) {
-      return Known.NOTHING;
+      return KnownState.NOTHING;
     }
     try {
       return switch (Json.string(Json.object(response.body()), "phase")) {
-        case "done" -> Known.DONE;
-        case "withdrawn" -> Known.CANCELLED;
-        default -> Known.ACCEPTED;
+        case "done" -> KnownState.DONE;
+        case "withdrawn" -> KnownState.CANCELLED;
+        default -> KnownState.ACCEPTED;
       };
     } catch (JsonFormatException e) {
-      throw new IOException("invalid answer: " + text(response), e);
+      throw new IOException("invalid answer: " + bodyText(response), e);
     }
   }
 
-  private static String text(HttpClient.Response response) {
+  private static String bodyText(HttpClient.Response response) {
     return new String(response.body(), StandardCharsets.UTF_8);
   }
 }
--- a/src/test/java/org/astershift/ConsistentAnswersTest.java
+++ b/src/test/java/org/astershift/ConsistentAnswersTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import org.astershift.ConcurrentUsers.Known;
+import org.astershift.ConcurrentUsers.KnownState;
 import org.astershift.emulator.Await;
 import org.astershift.emulator.WorkerEmulator;
 import org.junit.jupiter.api.AfterEach;
@@ -56,7 +56,7 @@
     try (ConcurrentUsers users = new ConcurrentUsers(nodes, 1, 150, 1)) {
       users.start(users.jobs().size());
       users.join();
-      check(users);
+      checkConsistency(users);
     }
   }
 
@@ -68,48 +68,58 @@
   @Test
   void responsesAreLostAndLeadersChange() throws Exception {
     try (ConcurrentUsers users = new ConcurrentUsers(nodes, 1001, 150, 2)) {
-      nodes.store.loseAnswers(0.33);
+      nodes.store.loseResponses(0.33);
       // A part of the jobs is left for each fault, however fast the users are.
       int part = users.jobs().size() / 3;
       users.start(part);
-      Await.until("the first jobs to be over", () -> users.over() >= 20);
+      Await.until("the first jobs to be over", () -> users.endedJobs() >= 20);
       int first = nodes.leader();
       nodes.kill(first);
       Await.until("another leader after a crash", () -> nodes.leader() != first);
       nodes.start(first);
-      users.more(part);
-      int half = users.over() + 20;
-      Await.until("jobs to be over under the next leader", () -> users.over() >= half);
+      users.permitStarts(part);
+      int half = users.endedJobs() + 20;
+      Await.until("jobs to be over under the next leader", () -> users.endedJobs() >= half);
       int second = nodes.leader();
-      nodes.storeAddresses.get(second).refuse(true);
+      nodes.storeAddresses.get(second).rejectRequests(true);
       Await.until("another leader after a partition", () -> nodes.leader() != second);
-      users.more(users.jobs().size() - 2 * part);
-      int late = users.over() + 20;
+      users.permitStarts(users.jobs().size() - 2 * part);
+      int late = users.endedJobs() + 20;
       Await.until(
-          "jobs to be over beside a leader with an uncertain lease", () -> users.over() >= late);
-      nodes.storeAddresses.get(second).refuse(false);
+          "jobs to be over beside a leader with an uncertain lease",
+          () -> users.endedJobs() >= late);
+      nodes.storeAddresses.get(second).rejectRequests(false);
       users.join();
       assertNotEquals(second, nodes.leader(), "leaders changed during the test");
-      assertTrue(nodes.store.lost("l/j/") > 20, nodes.store.lost("l/j/") + " acceptances");
-      assertTrue(nodes.store.lost("d/") > 10, nodes.store.lost("d/") + " ends");
-      assertTrue(nodes.store.readMeanwhile() > 10, nodes.store.readMeanwhile() + " read");
-      check(users);
+      assertTrue(
+          nodes.store.lostResponses("l/j/") > 20,
+          nodes.store.lostResponses("l/j/") + " acceptances");
+      assertTrue(nodes.store.lostResponses("d/") > 10, nodes.store.lostResponses("d/") + " ends");
+      assertTrue(
+          nodes.store.readsOfUnansweredKeys() > 10, nodes.store.readsOfUnansweredKeys() + " read");
+      checkConsistency(users);
     }
   }
 
-  private void check(ConcurrentUsers users) {
+  private void checkConsistency(ConcurrentUsers users) {
     assertEquals(List.of(), users.violations());
-    Map<Known, Long> ends =
+    Map<KnownState, Long> ends =
         users.jobs().stream()
-            .collect(Collectors.groupingBy(job -> job.known(), Collectors.counting()));
-    assertEquals(users.jobs().size(), ends.get(Known.DONE) + ends.get(Known.CANCELLED));
-    assertTrue(users.looks(Known.ACCEPTED) > users.jobs().size(), "close looks after acceptances");
-    assertTrue(users.looks(Known.DONE) > ends.get(Known.DONE), "close looks after ends");
-    assertTrue(users.looks(Known.CANCELLED) > ends.get(Known.CANCELLED), "after confirmations");
+            .collect(Collectors.groupingBy(job -> job.knownState(), Collectors.counting()));
+    assertEquals(users.jobs().size(), ends.get(KnownState.DONE) + ends.get(KnownState.CANCELLED));
+    assertTrue(
+        users.followUps(KnownState.ACCEPTED) > users.jobs().size(),
+        "close looks after acceptances");
+    assertTrue(
+        users.followUps(KnownState.DONE) > ends.get(KnownState.DONE), "close looks after ends");
+    assertTrue(
+        users.followUps(KnownState.CANCELLED) > ends.get(KnownState.CANCELLED),
+        "after confirmations");
     List<String> started = new ArrayList<>();
     Map<String, Long> confirmed =
-        users.jobs().stream().collect(Collectors.toMap(job -> job.id, job -> job.confirmedNs()));
-    for (WorkerEmulator worker : nodes.cloud.everRented()) {
+        users.jobs().stream()
+            .collect(Collectors.toMap(job -> job.id, job -> job.cancelConfirmedNs()));
+    for (WorkerEmulator worker : nodes.cloud.workersEverProvisioned()) {
       for (WorkerEmulator.Start start : worker.starts()) {
         started.add(start.task());
         long lateMs = (start.atNs() - confirmed.get(start.task().split("/")[0])) / 1_000_000;
@@ -120,12 +130,14 @@
     assertEquals(new HashSet<>(started).size(), started.size(), "started twice: " + started);
     for (ConcurrentUsers.Job job : users.jobs()) {
       boolean all =
-          started.stream().filter(start -> start.startsWith(job.id + "/")).count() == tasks(job);
-      assertTrue(job.known() != Known.DONE || all, job.id + " is done and was not started");
+          started.stream().filter(start -> start.startsWith(job.id + "/")).count()
+              == taskCount(job);
+      assertTrue(
+          job.knownState() != KnownState.DONE || all, job.id + " is done and was not started");
     }
   }
 
-  private static int tasks(ConcurrentUsers.Job job) {
+  private static int taskCount(ConcurrentUsers.Job job) {
     return job.id.compareTo("wk-001000") < 0 ? 1 : 2;
   }
 }
--- a/src/test/java/org/astershift/ControllerProcesses.java
+++ b/src/test/java/org/astershift/ControllerProcesses.java
@@ -23,36 +23,36 @@
 final class ControllerProcesses implements AutoCloseable {
   static final int NODES = 3;
 
-  private static final Pattern LEADS = Pattern.compile(" leads with token ([0-9]+)");
+  private static final Pattern LEADER_LINE = Pattern.compile(" leads with token ([0-9]+)");
 
   private final Path dir;
-  private final PortBlock block;
+  private final PortBlock portBlock;
   private final List<Integer> ports;
   private final List<Process> nodes = new ArrayList<>();
   final List<StoreEmulator.StoreAddress> storeAddresses = new ArrayList<>();
   final StoreEmulator store;
   final CloudEmulator cloud;
-  private final UnaryOperator<String> settings;
-  private int starts;
+  private final UnaryOperator<String> settingsChange;
+  private int startCount;
 
   /** The number of the start of each node's present process, which names its log. */
-  private final Map<Integer, Integer> logs = new HashMap<>();
+  private final Map<Integer, Integer> startNumbers = new HashMap<>();
 
   /** Starts the processes, which may not be ready yet; {@code dir} is for settings and logs. */
   ControllerProcesses(Path dir, long taskMs) throws Exception {
     this(dir, taskMs, s -> s);
   }
 
-  /** {@code settings} changes the text of the default settings. */
+  /** {@code settingsChange} changes the text of the default settings. */
   ControllerProcesses(Path dir, long taskMs, UnaryOperator<String> settings) throws Exception {
     this.dir = dir;
-    this.settings = settings;
-    block = PortBlock.take();
-    ports = block.ports(2 * NODES);
+    this.settingsChange = settings;
+    portBlock = PortBlock.acquire();
+    ports = portBlock.ports(2 * NODES);
     store = new StoreEmulator(0);
     cloud = new CloudEmulator(0, ports.subList(0, NODES), taskMs);
     for (int node = 0; node < NODES; node++) {
-      storeAddresses.add(store.door());
+      storeAddresses.add(store.openAddress());
       nodes.add(null);
     }
     for (int node = 0; node < NODES; node++) {
@@ -83,7 +83,7 @@
       }
     }
     String text =
-        settings
+        settingsChange
             .apply(Files.readString(Path.of("src/test/resources/first-job.toml")))
             .replace("member = \"one\"", "member = \"n" + node + "\"")
             .replace("127.0.0.1:18080", "127.0.0.1:" + ports.get(node))
@@ -92,7 +92,7 @@
             .replace("127.0.0.1:18379", "127.0.0.1:" + storeAddresses.get(node).port())
             .replace("[external]", others + "[external]");
     Path file = Files.writeString(dir.resolve("n" + node + ".toml"), text);
-    logs.put(node, ++starts);
+    startNumbers.put(node, ++startCount);
     nodes.set(
         node,
         new ProcessBuilder(
@@ -102,7 +102,7 @@
                 "org.astershift.Main",
                 "--config",
                 file.toString())
-            .redirectError(dir.resolve(log(node)).toFile())
+            .redirectError(dir.resolve(logFileName(node)).toFile())
             .start());
   }
 
@@ -116,7 +116,7 @@
       door.close();
     }
     store.close();
-    block.close();
+    portBlock.close();
   }
 
   HttpClient.Response call(int node, String method, String path, String body) throws IOException {
@@ -144,7 +144,7 @@
             } catch (IOException e) {
               last[0] = e.toString(); // not up, or killed: tried again
             }
-            assertTrue(nodes.get(node).isAlive(), "node " + node + " has ended: " + tail(node));
+            assertTrue(nodes.get(node).isAlive(), "node " + node + " has ended: " + logTail(node));
             return false;
           });
     } catch (AssertionError e) {
@@ -165,22 +165,22 @@
   }
 
   /** The log file of a node's present process. */
-  private String log(int node) {
-    return "n" + node + "-" + logs.get(node) + ".log";
+  private String logFileName(int node) {
+    return "n" + node + "-" + startNumbers.get(node) + ".log";
   }
 
   String logText(int node) throws IOException {
-    return Files.readString(dir.resolve(log(node)));
+    return Files.readString(dir.resolve(logFileName(node)));
   }
 
-  private String tail(int node) throws IOException {
+  private String logTail(int node) throws IOException {
     String text = logText(node);
     return text.substring(Math.max(0, text.length() - 1000));
   }
 
   /** Whether the present process has been leader. */
   boolean hasLed(int node) throws IOException {
-    return LEADS.matcher(logText(node)).find();
+    return LEADER_LINE.matcher(logText(node)).find();
   }
 
   /** The node with the highest fencing token so far. */
@@ -188,7 +188,7 @@
     int found = 0;
     long most = 0;
     for (int node = 0; node < NODES; node++) {
-      Matcher matcher = LEADS.matcher(logText(node));
+      Matcher matcher = LEADER_LINE.matcher(logText(node));
       while (matcher.find()) {
         if (Long.parseLong(matcher.group(1)) > most) {
           most = Long.parseLong(matcher.group(1));
@@ -199,7 +199,7 @@
     return found;
   }
 
-  static String job(String id, String shape, int tasks) {
+  static String jobJson(String id, String shape, int tasks) {
     return "{\"id\":\""
         + id
         + "\",\"berth_class\":\"c\",\"crew\":\"demo\",\"shape\":\""
--- a/src/test/java/org/astershift/EndToEndTest.java
+++ b/src/test/java/org/astershift/EndToEndTest.java
@@ -51,18 +51,18 @@
     nodes.await(node, method, path, body, word);
   }
 
-  private List<String> started() {
+  private List<String> startedTasks() {
     List<String> names = new ArrayList<>();
     for (WorkerEmulator worker : nodes.cloud.workers()) {
-      names.addAll(worker.started());
+      names.addAll(worker.startedTasks());
     }
     return names;
   }
 
   @Test
-  void jobsSurviveAStoreOutageAndControllerCrashes() throws Exception {
-    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000001", "sweep", 6), "wk-000001");
-    await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000001", "sweep", 6), "wk-000001");
+  void jobsSurviveStoreOutageAndControllerCrashes() throws Exception {
+    await(0, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000001", "sweep", 6), "wk-000001");
+    await(1, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000001", "sweep", 6), "wk-000001");
     await(2, "GET", "/v2/runs/wk-000001", null, "\"done\",");
     assertEquals(404, call(1, "GET", "/v2/runs/wk-999999", null).status());
     assertEquals(400, call(1, "POST", "/v2/runs", "{\"id\":7}").status());
@@ -72,23 +72,24 @@
                 1,
                 "POST",
                 "/v2/runs",
-                ControllerProcesses.job("wk-000009", "sweep", 1)
+                ControllerProcesses.jobJson("wk-000009", "sweep", 1)
                     .replace("\"vcpus\":1", "\"vcpus\":99"))
             .status());
     assertEquals(405, call(1, "DELETE", "/v2/runs", null).status());
 
     // Jobs accepted before an outage continue in it; their end is visible once it is written.
-    await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000002", "sweep", 8), "wk-000002");
+    await(1, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000002", "sweep", 8), "wk-000002");
     await(1, "GET", "/v2/runs/wk-000002", null, "running\":");
     nodes.store.down(true);
     assertEquals(
         503,
-        call(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000003", "sweep", 1)).status());
+        call(0, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000003", "sweep", 1)).status());
     nodes.store.down(false);
     await(0, "GET", "/v2/runs/wk-000002", null, "\"done\",");
 
     // Each controller in turn is killed and restarted.
-    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000004", "sweep", 20), "wk-000004");
+    await(
+        0, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000004", "sweep", 20), "wk-000004");
     for (int i = 0; i < 3; i++) {
       nodes.kill(i);
       nodes.start(i);
@@ -98,7 +99,7 @@
     await(2, "GET", "/v2/runs/wk-000001", null, "\"done\",");
 
     await(2, "POST", "/v2/runs/wk-000001/withdraw", null, "\"done\",");
-    List<String> starts = started();
+    List<String> starts = startedTasks();
     Set<String> once = new HashSet<>(starts);
     assertEquals(once.size(), starts.size(), "a task was started twice: " + starts);
     assertTrue(once.contains("wk-000004/19"), starts.toString());
@@ -108,8 +109,9 @@
   }
 
   @Test
-  void cancelledOnAnyNodeIsGoneAndStaysCancelled() throws Exception {
-    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000005", "sweep", 40), "wk-000005");
+  void jobCancelledOnAnyNodeStaysCancelled() throws Exception {
+    await(
+        0, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000005", "sweep", 40), "wk-000005");
     await(1, "GET", "/v2/runs/wk-000005", null, "\"running\",");
     await(2, "POST", "/v2/runs/wk-000005/withdraw", null, "withdrawn");
     for (int i = 0; i < 3; i++) {
@@ -119,14 +121,15 @@
       nodes.start(i);
     }
     await(0, "GET", "/v2/runs/wk-000005", null, "withdrawn");
-    await(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000006", "sweep", 1), "wk-000006");
+    await(1, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000006", "sweep", 1), "wk-000006");
     await(1, "GET", "/v2/runs/wk-000006", null, "\"done\",");
     for (WorkerEmulator worker : nodes.cloud.workers()) {
-      assertEquals(List.of(), worker.running());
+      assertEquals(List.of(), worker.runningTasks());
     }
     assertEquals(
         200,
-        call(1, "POST", "/v2/runs", ControllerProcesses.job("wk-000005", "sweep", 40)).status());
+        call(1, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000005", "sweep", 40))
+            .status());
   }
 
   /**
@@ -134,17 +137,17 @@
    * answer with it, so the leader must not answer with an older state.
    */
   @Test
-  void noNodeAnswersOlderThanAWrittenCompletion() throws Exception {
-    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000008", "sweep", 3), "wk-000008");
-    nodes.storeAddresses.forEach(address -> address.holdEnds(true));
-    Await.until("the completion in the store", () -> nodes.store.has("d/wk-000008"));
+  void noNodeAnswersOlderThanWrittenCompletion() throws Exception {
+    await(0, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000008", "sweep", 3), "wk-000008");
+    nodes.storeAddresses.forEach(address -> address.holdCompletions(true));
+    Await.until("the completion in the store", () -> nodes.store.containsKey("d/wk-000008"));
     for (int i = 0; i < 3; i++) {
       HttpClient.Response response = call(i, "GET", "/v2/runs/wk-000008", null);
       String text = new String(response.body(), StandardCharsets.UTF_8);
       assertTrue(
           response.status() == 503 || text.contains("\"done\","), response.status() + " " + text);
     }
-    nodes.storeAddresses.forEach(address -> address.holdEnds(false));
+    nodes.storeAddresses.forEach(address -> address.holdCompletions(false));
     await(1, "GET", "/v2/runs/wk-000008", null, "\"done\",");
   }
 
@@ -153,8 +156,9 @@
    * while its predecessor still runs waits for its addresses.
    */
   @Test
-  void processesRestartAtOnce() throws Exception {
-    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000007", "sweep", 60), "wk-000007");
+  void processesSurviveImmediateRestarts() throws Exception {
+    await(
+        0, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000007", "sweep", 60), "wk-000007");
     await(1, "GET", "/v2/runs/wk-000007", null, "\"running\",");
     for (int round = 0; round < 5; round++) {
       for (int i = 0; i < 3; i++) {
@@ -176,7 +180,7 @@
         });
     old.destroyForcibly().waitFor();
     await(2, "GET", "/v2/runs/wk-000007", null, "\"done\",");
-    List<String> started = started();
+    List<String> started = startedTasks();
     assertEquals(new HashSet<>(started).size(), started.size(), "started twice: " + started);
   }
 
@@ -186,10 +190,11 @@
    */
   @Test
   void heartbeatsAreReplayedAndWorkersRestartedAndPartitioned() throws Exception {
-    await(0, "POST", "/v2/runs", ControllerProcesses.job("wk-000030", "sweep", 60), "wk-000030");
+    await(
+        0, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000030", "sweep", 60), "wk-000030");
     await(1, "GET", "/v2/runs/wk-000030", null, "\"running\",");
     List<String> lost = nodes.cloud.workers().get(0).restart();
-    replay();
+    replayHeartbeats();
     WorkerEmulator partitioned = nodes.cloud.workers().get(nodes.cloud.workers().size() - 1);
     partitioned.inboundPartitioned(true);
     for (int i = 0; i < 3; i++) {
@@ -199,19 +204,19 @@
         await(i, "GET", "/ready", null, "ready");
       }
     }
-    replay();
+    replayHeartbeats();
     partitioned.inboundPartitioned(false);
-    replay();
+    replayHeartbeats();
     await(2, "GET", "/v2/runs/wk-000030", null, "\"done\",");
-    List<String> starts = started();
+    List<String> starts = startedTasks();
     lost.forEach(starts::remove);
     assertEquals(new HashSet<>(starts).size(), starts.size(), "started twice: " + starts);
   }
 
   /** Replays a part of all heartbeats so far to each node. */
-  private void replay() throws Exception {
+  private void replayHeartbeats() throws Exception {
     for (WorkerEmulator worker : nodes.cloud.workers()) {
-      List<String> heartbeats = worker.said();
+      List<String> heartbeats = worker.sentHeartbeats();
       for (int i = 0; i < heartbeats.size(); i += 1 + heartbeats.size() / 4) {
         for (int node = 0; node < 3; node++) {
           int status = call(node, "POST", "/agent/beat", heartbeats.get(i)).status();
@@ -231,20 +236,21 @@
       int other = (i + 1) % 3;
       String before = "wk-00001" + i;
       String during = "wk-00002" + i;
-      await(i, "POST", "/v2/runs", ControllerProcesses.job(before, "sweep", 3), before);
-      nodes.storeAddresses.get(i).refuse(true);
+      await(i, "POST", "/v2/runs", ControllerProcesses.jobJson(before, "sweep", 3), before);
+      nodes.storeAddresses.get(i).rejectRequests(true);
       nodes.awaitStatus(i, "/ready", 503);
       assertEquals(
-          503, call(i, "POST", "/v2/runs", ControllerProcesses.job(during, "sweep", 3)).status());
+          503,
+          call(i, "POST", "/v2/runs", ControllerProcesses.jobJson(during, "sweep", 3)).status());
       assertEquals(200, call(other, "GET", "/ready", null).status());
-      await(other, "POST", "/v2/runs", ControllerProcesses.job(during, "sweep", 3), during);
+      await(other, "POST", "/v2/runs", ControllerProcesses.jobJson(during, "sweep", 3), during);
       await(other, "GET", "/v2/runs/" + during, null, "\"done\",");
       await(i, "GET", "/v2/runs/" + during, null, "\"done\",");
       await(i, "GET", "/v2/runs/" + before, null, "\"done\",");
-      nodes.storeAddresses.get(i).refuse(false);
+      nodes.storeAddresses.get(i).rejectRequests(false);
       nodes.awaitStatus(i, "/ready", 200);
     }
-    List<String> starts = started();
+    List<String> starts = startedTasks();
     assertEquals(new HashSet<>(starts).size(), starts.size(), "started twice: " + starts);
   }
 
@@ -256,12 +262,12 @@
   @Test
   void cancellationConfirmedByAnotherNodeBeforeAnOutage() throws Exception {
     for (int i = 0; i < 3; i++) {
-      await(i, "POST", "/v2/runs", endless("wk-90000" + i), "wk-90000" + i);
+      await(i, "POST", "/v2/runs", endlessJobJson("wk-90000" + i), "wk-90000" + i);
       await(i, "GET", "/v2/runs/wk-90000" + i, null, "\"running\",");
     }
     int old = nodes.leader();
-    nodes.cloud.workers().forEach(WorkerEmulator::answeredBy);
-    nodes.storeAddresses.get(old).refuse(true);
+    nodes.cloud.workers().forEach(WorkerEmulator::respondingPorts);
+    nodes.storeAddresses.get(old).rejectRequests(true);
     int other = (old + 1) % 3;
     long askedNs = System.nanoTime();
     await(other, "POST", "/v2/runs/wk-900000/withdraw", null, "withdrawn");
@@ -270,11 +276,11 @@
     assertNotEquals(old, nodes.leader(), "another one leads");
     assertTrue(
         nodes.cloud.workers().stream()
-            .anyMatch(worker -> worker.answeredBy().contains(nodes.port(old))),
+            .anyMatch(worker -> worker.respondingPorts().contains(nodes.port(old))),
         "workers kept sending heartbeats to the old leader");
     HttpClient.Response refused = call(old, "POST", "/v2/runs/wk-900001/withdraw", null);
     assertEquals(503, refused.status());
-    while (nodes.cloud.workers().stream().anyMatch(worker -> runs(worker, "wk-900000"))) {
+    while (nodes.cloud.workers().stream().anyMatch(worker -> isRunning(worker, "wk-900000"))) {
       long seconds = (System.nanoTime() - confirmedNs) / 1_000_000_000;
       assertTrue(
           seconds < CANCEL_S,
@@ -284,11 +290,11 @@
       }
     }
     nodes.store.down(false);
-    nodes.storeAddresses.get(old).refuse(false);
+    nodes.storeAddresses.get(old).rejectRequests(false);
     for (int i = 0; i < 3; i++) {
       await(i, "POST", "/v2/runs/wk-900001/withdraw", null, "withdrawn");
       await(i, "GET", "/v2/runs/wk-900000", null, "withdrawn");
-      await(i, "POST", "/v2/runs", endless("wk-900000"), "withdrawn");
+      await(i, "POST", "/v2/runs", endlessJobJson("wk-900000"), "withdrawn");
       // An unknown job: 503 while the node cannot decide yet, then 404.
       int node = i;
       Await.until(
@@ -302,11 +308,12 @@
   }
 
   /** A job whose tasks run until they are stopped. */
-  private static String endless(String id) {
-    return ControllerProcesses.job(id, "sweep", 2).replace("\"expect_s\":1", "\"expect_s\":600");
+  private static String endlessJobJson(String id) {
+    return ControllerProcesses.jobJson(id, "sweep", 2)
+        .replace("\"expect_s\":1", "\"expect_s\":600");
   }
 
-  private static boolean runs(WorkerEmulator worker, String job) {
-    return worker.running().stream().anyMatch(task -> task.startsWith(job + "/"));
+  private static boolean isRunning(WorkerEmulator worker, String job) {
+    return worker.runningTasks().stream().anyMatch(task -> task.startsWith(job + "/"));
   }
 }
--- a/src/test/java/org/astershift/EventDigest.java
+++ b/src/test/java/org/astershift/EventDigest.java
@@ -22,15 +22,15 @@
   private static final int PASS = 1;
   private static final int DECISION = 2;
   private static final int COMMAND = 3;
-  private static final int START = 4;
-  private static final int BEGIN = 5;
-  private static final int LEAVE = 6;
+  private static final int TASK_ACCEPTED = 4;
+  private static final int IMAGE_FETCHED = 5;
+  private static final int TASK_REMOVED = 6;
   private static final int COMPLETE = 7;
   private static final int PHASE = 8;
-  private static final int JOB_OVER = 9;
+  private static final int JOB_ENDED = 9;
   private static final int TERM = 10;
-  private static final int TOLD = 11;
-  private static final int END_OF_PLAY = 12;
+  private static final int JOB_STATE_REPORTED = 11;
+  private static final int END_OF_RUN = 12;
 
   private static final int BUFFER_BYTES = 4096;
 
@@ -52,7 +52,7 @@
   // ---- controllers ----
 
   /** A controller begins to lead. */
-  public void term(long atMs, String controller, long token) {
+  public void termStarted(long atMs, String controller, long token) {
     event(TERM, atMs).text(controller).number(token);
   }
 
@@ -60,21 +60,22 @@
   public void pass(long atMs, String controller, List<Decision> decisions) {
     event(PASS, atMs).text(controller).number(decisions.size());
     for (Decision decision : decisions) {
-      event(DECISION, atMs).decision(decision);
+      event(DECISION, atMs).addDecision(decision);
     }
   }
 
   /** The end of a job is on record. */
-  public void jobOver(long atMs, String job, boolean cancelled, int done) {
-    event(JOB_OVER, atMs).text(job).flag(cancelled).number(done);
+  public void jobEnded(long atMs, String job, boolean cancelled, int done) {
+    event(JOB_ENDED, atMs).text(job).flag(cancelled).number(done);
   }
 
   /** A user was told whether the job is over. */
-  public void told(long atMs, String job, String controller, boolean over, boolean news) {
-    event(TOLD, atMs).text(job).text(controller).flag(over).flag(news);
+  public void jobStateReported(
+      long atMs, String job, String controller, boolean over, boolean news) {
+    event(JOB_STATE_REPORTED, atMs).text(job).text(controller).flag(over).flag(news);
   }
 
-  private void decision(Decision decision) {
+  private void addDecision(Decision decision) {
     if (decision instanceof Decision.OpenJob d) {
       number(1).text(d.jobId()).texts(d.replicaMachineNames());
     } else if (decision instanceof Decision.PersistPlacement d) {
@@ -82,7 +83,7 @@
     } else if (decision instanceof Decision.SendCommands d) {
       number(3).text(d.machineName()).text(d.address()).number(d.epoch()).number(d.timeoutMs());
       number(d.commands().size());
-      d.commands().forEach(this::order);
+      d.commands().forEach(this::addCommand);
     } else if (decision instanceof Decision.FinishJob d) {
       number(4).text(d.jobId());
     } else if (decision instanceof Decision.ProvisionMachines d) {
@@ -95,13 +96,13 @@
     } else if (decision instanceof Decision.DeregisterMachine d) {
       number(8).text(d.machineName()).text(d.address());
     } else if (decision instanceof Decision.ProbeThroughPeers d) {
-      number(9).number(d.probedMs()).named(d.suspects()).named(d.controls());
+      number(9).number(d.probedMs()).addMachines(d.suspects()).addMachines(d.controls());
     } else {
       throw new IllegalArgumentException("a decision without a code: " + decision);
     }
   }
 
-  private EventDigest named(List<Decision.MachineAddress> machines) {
+  private EventDigest addMachines(List<Decision.MachineAddress> machines) {
     number(machines.size());
     machines.forEach(machine -> text(machine.machineName()).text(machine.address()));
     return this;
@@ -111,36 +112,36 @@
 
   /** A worker carries out a command. */
   public void command(long atMs, String machine, Command order) {
-    event(COMMAND, atMs).text(machine).order(order);
+    event(COMMAND, atMs).text(machine).addCommand(order);
   }
 
   /** A task is taken in by a machine. */
-  public void started(long atMs, String task, String machine, long attempt) {
-    event(START, atMs).text(task).text(machine).number(attempt);
+  public void taskAccepted(long atMs, String task, String machine, long attempt) {
+    event(TASK_ACCEPTED, atMs).text(task).text(machine).number(attempt);
   }
 
   /** A task has its image. */
-  public void begins(long atMs, String task, String machine) {
-    event(BEGIN, atMs).text(task).text(machine);
+  public void imageFetched(long atMs, String task, String machine) {
+    event(IMAGE_FETCHED, atMs).text(task).text(machine);
   }
 
   /** A task is no longer on the machine, for whatever reason. */
-  public void leaves(long atMs, String task, String machine) {
-    event(LEAVE, atMs).text(task).text(machine);
+  public void taskRemoved(long atMs, String task, String machine) {
+    event(TASK_REMOVED, atMs).text(task).text(machine);
   }
 
   /** A task has completed. */
-  public void completed(long atMs, String task) {
+  public void taskCompleted(long atMs, String task) {
     event(COMPLETE, atMs).text(task);
   }
 
   /** A task on a machine moves on; {@code cause}: of its exit, otherwise null. */
-  public void phase(
+  public void taskPhase(
       long atMs, String task, String machine, Heartbeat.TaskPhase phase, String cause) {
     event(PHASE, atMs).text(task).text(machine).number(code(phase)).number(causeCode(cause));
   }
 
-  private void order(Command order) {
+  private void addCommand(Command order) {
     number(code(order.kind()))
         .text(order.jobId())
         .number(order.index())
@@ -184,8 +185,8 @@
   // ---- the hash ----
 
   /** The play is over: how many events it had, and whether it went well. */
-  public void endOfPlay(long atMs, long events, boolean well) {
-    event(END_OF_PLAY, atMs).number(events).flag(well);
+  public void endOfRun(long atMs, long events, boolean well) {
+    event(END_OF_RUN, atMs).number(events).flag(well);
   }
 
   /** The first 16 hexadecimal digits of the hash; nothing can be recorded after this. */
--- a/src/test/java/org/astershift/KeptDigests.java
+++ b/src/test/java/org/astershift/KeptDigests.java
@@ -42,7 +42,7 @@
       return differences(1, LAST_SEED_IN_BUILD);
     }
     Map<Long, String> before = Files.exists(file) ? read() : Map.of();
-    SortedMap<Long, String> played = play(1, LAST_SEED);
+    SortedMap<Long, String> played = computeDigests(1, LAST_SEED);
     List<String> lines = new ArrayList<>();
     played.forEach((seed, digest) -> lines.add(seed + "\t" + digest));
     Files.createDirectories(DIRECTORY);
@@ -52,10 +52,10 @@
 
   /** Plays the seeds; a line for each whose digest is not the one kept, or that none is kept of. */
   public List<String> differences(long first, long last) throws IOException {
-    return compare(read(), play(first, last));
+    return compare(read(), computeDigests(first, last));
   }
 
-  private SortedMap<Long, String> play(long first, long last) {
+  private SortedMap<Long, String> computeDigests(long first, long last) {
     SortedMap<Long, String> played = new ConcurrentSkipListMap<>();
     LongStream.rangeClosed(first, last)
         .parallel()
--- a/src/test/java/org/astershift/SeedArgumentsTest.java
+++ b/src/test/java/org/astershift/SeedArgumentsTest.java
@@ -15,7 +15,7 @@
   private static final Set<String> KNOWN = Set.of("story");
 
   @Test
-  void badArgumentsAreRefusedWithOneLine() {
+  void invalidArgumentsAreRejectedWithOneLine() {
     String[][] bad = {{}, {"1"}, {"1", "x"}, {"", "2"}, {"3", "2"}, {"1", "2", "tale"}};
     for (String[] args : bad) {
       IllegalArgumentException e =
@@ -28,13 +28,13 @@
   }
 
   @Test
-  void goodArgumentsAreRead() {
+  void validArgumentsAreParsed() {
     SeedArguments expected = new SeedArguments(1, 20, List.of("story"));
     assertEquals(expected, SeedArguments.parse(new String[] {"1", "20", "story"}, KNOWN));
   }
 
   @Test
-  void theProgramsEndWithExitCodeTwo() throws Exception {
+  void programsExitWithCodeTwo() throws Exception {
     for (String program :
         List.of(
             "org.astershift.simulation.SeedRunner", "org.astershift.scheduler.SchedulerFuzzer")) {
--- a/src/test/java/org/astershift/api/ConcurrencyGateTest.java
+++ b/src/test/java/org/astershift/api/ConcurrencyGateTest.java
@@ -10,7 +10,7 @@
 @Timeout(60)
 class ConcurrencyGateTest {
   @Test
-  void waitingTooLongIsRejected() throws Exception {
+  void requestThatWaitedTooLongIsRejected() throws Exception {
     ConcurrencyGate gate = new ConcurrencyGate(2, 1);
     assertTrue(gate.tryEnter());
     assertTrue(gate.tryEnter());
--- a/src/test/java/org/astershift/api/JobCodecTest.java
+++ b/src/test/java/org/astershift/api/JobCodecTest.java
@@ -21,13 +21,13 @@
           + "\"one_zone\":true,\"apart\":false,\"ebbtide\":true,\"expect_s\":240.0,"
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
-  private static JobSpec read(String text) throws JsonFormatException {
+  private static JobSpec decode(String text) throws JsonFormatException {
     return JobCodec.decodeSpec(text.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void decodesTheExampleOfTheProtocol() throws JsonFormatException {
-    JobSpec spec = read(VALID);
+  void decodesProtocolExample() throws JsonFormatException {
+    JobSpec spec = decode(VALID);
     assertEquals(JobKind.GANG, spec.kind());
     assertEquals(16, spec.tasks());
     assertEquals(900.0, spec.deadlineS());
@@ -51,9 +51,9 @@
         "\"due_s\":900.0 | \"due_s\":-1 | due_s is out of range",
         "\"one_zone\":true | \"one_zone\":1 | one_zone is missing or not true or false"
       })
-  void namesTheInvalidField(String original, String replacement, String message) {
+  void errorNamesInvalidField(String original, String replacement, String message) {
     JsonFormatException error =
-        assertThrows(JsonFormatException.class, () -> read(VALID.replace(original, replacement)));
+        assertThrows(JsonFormatException.class, () -> decode(VALID.replace(original, replacement)));
     assertEquals(message, error.getMessage());
   }
 
@@ -61,8 +61,8 @@
   @CsvSource(
       delimiter = '|',
       value = {"[1] | not an object", "{\"a\": | not JSON", "'' | not JSON"})
-  void rejectsWhatIsNoObject(String text, String message) {
-    JsonFormatException error = assertThrows(JsonFormatException.class, () -> read(text));
+  void rejectsBodiesThatAreNotObjects(String text, String message) {
+    JsonFormatException error = assertThrows(JsonFormatException.class, () -> decode(text));
     assertEquals(message, error.getMessage());
   }
 }
--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -66,19 +66,19 @@
     VALID.put("due_s", "9.0");
   }
 
-  private static final List<String> TEXTS = List.of("berth_class", "crew", "payload");
-  private static final List<String> WORDS = List.of("shape", "rank");
-  private static final List<String> AMOUNTS =
+  private static final List<String> STRING_FIELDS = List.of("berth_class", "crew", "payload");
+  private static final List<String> ENUM_FIELDS = List.of("shape", "rank");
+  private static final List<String> NUMBER_FIELDS =
       List.of("vcpus", "gpus", "mem_gb", "image_gb", "expect_s", "anchor_s", "stow_s");
-  private static final List<String> FLAGS = List.of("one_zone", "apart", "ebbtide");
-  private static final List<String> MAY_BE_NULL = List.of("hulls", "harbor", "due_s");
+  private static final List<String> BOOLEAN_FIELDS = List.of("one_zone", "apart", "ebbtide");
+  private static final List<String> NULLABLE_FIELDS = List.of("hulls", "harbor", "due_s");
 
   @TempDir Path dir;
   private final List<Integer> ports = new ArrayList<>();
   private StoreEmulator store;
   private CloudEmulator cloud;
   private InProcessControllers nodes;
-  private int ids;
+  private int lastIdNumber;
 
   @BeforeEach
   void start() throws Exception {
@@ -99,17 +99,17 @@
 
   /** Waits until a node knows the machine types, before which it decides nothing new. */
   private void awaitMachineTypes(int node) throws Exception {
-    nodes.await(node, "POST", JOBS, text(with("vcpus", "99")), 422, "");
+    nodes.await(node, "POST", JOBS, json(with("vcpus", "99")), 422, "");
   }
 
-  private String id() {
-    return String.format("wk-%06d", ++ids);
+  private String nextId() {
+    return String.format("wk-%06d", ++lastIdNumber);
   }
 
   /** A valid submission with a new id and these changes, name then text; null removes a field. */
   private Map<String, String> with(String... changes) {
     Map<String, String> fields = new LinkedHashMap<>(VALID);
-    fields.put("id", "\"" + id() + "\"");
+    fields.put("id", "\"" + nextId() + "\"");
     for (int i = 0; i < changes.length; i += 2) {
       if (changes[i + 1] == null) {
         fields.remove(changes[i]);
@@ -120,15 +120,15 @@
     return fields;
   }
 
-  private static String text(Map<String, String> fields) {
+  private static String json(Map<String, String> fields) {
     List<String> result = new ArrayList<>();
     fields.forEach((name, value) -> result.add("\"" + name + "\":" + value));
     return "{" + String.join(",", result) + "}";
   }
 
-  private Set<String> stored() {
-    Set<String> result = new TreeSet<>(store.below(RecordCodec.LIVE_JOB_PREFIX));
-    result.addAll(store.below(RecordCodec.ENDED_JOB_PREFIX));
+  private Set<String> storedJobKeys() {
+    Set<String> result = new TreeSet<>(store.keysWithPrefix(RecordCodec.LIVE_JOB_PREFIX));
+    result.addAll(store.keysWithPrefix(RecordCodec.ENDED_JOB_PREFIX));
     return result;
   }
 
@@ -150,13 +150,13 @@
     List<String> noText = List.of("7", "true", "[\"a\"]", "{}");
     for (String field : VALID.keySet()) {
       List<String> values = new ArrayList<>();
-      if (!MAY_BE_NULL.contains(field)) {
+      if (!NULLABLE_FIELDS.contains(field)) {
         values.add(null);
         values.add("null");
       }
       result.put(field, values);
     }
-    for (List<String> texts : List.of(List.of("id"), TEXTS, WORDS)) {
+    for (List<String> texts : List.of(List.of("id"), STRING_FIELDS, ENUM_FIELDS)) {
       for (String field : texts) {
         result.get(field).addAll(noText);
         result.get(field).add("\"\"");
@@ -165,16 +165,16 @@
     result
         .get("id")
         .addAll(List.of("\"wk-\"", "\"job 1\"", "\"WK-1\"", "\"wk-1/0\"", "\"wk-1\\n\""));
-    WORDS.forEach(field -> result.get(field).add("\"heap\""));
-    for (String field : FLAGS) {
+    ENUM_FIELDS.forEach(field -> result.get(field).add("\"heap\""));
+    for (String field : BOOLEAN_FIELDS) {
       result.get(field).addAll(List.of("0", "1", "\"true\"", "\"\"", "[]", "{}"));
     }
     List<String> noNumber =
         List.of("\"1\"", "true", "[1]", "{}", "NaN", "Infinity", "1e400", "-1e400", "-1", "-0.5");
-    for (List<String> numbers : List.of(AMOUNTS, List.of("shards", "due_s"))) {
+    for (List<String> numbers : List.of(NUMBER_FIELDS, List.of("shards", "due_s"))) {
       numbers.forEach(field -> result.get(field).addAll(noNumber));
     }
-    AMOUNTS.forEach(field -> result.get(field).add("1e10"));
+    NUMBER_FIELDS.forEach(field -> result.get(field).add("1e10"));
     result
         .get("shards")
         .addAll(
@@ -193,18 +193,18 @@
   }
 
   @Test
-  void malformedIsRejectedAndNotStored() throws Exception {
+  void malformedSubmissionIsRejectedAndNotStored() throws Exception {
     nodes(1, cloud.port());
     awaitMachineTypes(0);
     int cases = 0;
     for (Map.Entry<String, List<String>> entry : invalidValues().entrySet()) {
       for (String value : entry.getValue()) {
-        assertRejected(400, text(with(entry.getKey(), value)));
+        assertRejected(400, json(with(entry.getKey(), value)));
         cases++;
       }
     }
     assertTrue(cases > 200, "cases: " + cases);
-    String good = text(with());
+    String good = json(with());
     List<String> noObjects =
         Arrays.asList("", "no", "null", "7", "\"x\"", "[" + good + "]", "{" + good, good + "}");
     for (String body : noObjects) {
@@ -217,11 +217,11 @@
         400, good.replace("}", ",\"x\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
     assertRejected(400, good.replace("}", ",\"shards\":0}")); // the last of two equal names counts
     assertRejected(413, good.replace("}", ",\"x\":\"" + "y".repeat(65_536) + "\"}"));
-    assertEquals(Set.of(), stored());
+    assertEquals(Set.of(), storedJobKeys());
 
     // Valid bodies are accepted: the rejections above were due to the changed field.
     List<Map<String, String>> fine = new ArrayList<>(List.of(with(), with("new", "{\"f\":[1]}")));
-    for (String field : MAY_BE_NULL) {
+    for (String field : NULLABLE_FIELDS) {
       fine.add(with(field, null));
       fine.add(with(field, "null"));
     }
@@ -230,17 +230,17 @@
     fine.add(with("shards", "100000", "vcpus", "0.001"));
     Set<String> ids = new TreeSet<>();
     for (Map<String, String> fields : fine) {
-      HttpClient.Response response = submit(text(fields));
-      assertEquals(201, response.status(), text(fields));
+      HttpClient.Response response = submit(json(fields));
+      assertEquals(201, response.status(), json(fields));
       ids.add((String) Json.object(response.body()).get("id"));
     }
     Set<String> seen = new TreeSet<>();
-    stored().forEach(key -> seen.add(key.substring(key.lastIndexOf('/') + 1)));
+    storedJobKeys().forEach(key -> seen.add(key.substring(key.lastIndexOf('/') + 1)));
     assertEquals(ids, seen);
   }
 
   @Test
-  void impossibleIsRejectedAndNotStored() throws Exception {
+  void impossibleSubmissionIsRejectedAndNotStored() throws Exception {
     nodes(1, cloud.port());
     awaitMachineTypes(0);
     for (Map<String, String> fields :
@@ -257,16 +257,16 @@
             with("crew", "\"limited\"", "shape", "\"service\"", "shards", "7"),
             with("shape", "\"gang\"", "harbor", null, "apart", "true"),
             with("shape", "\"service\"", "one_zone", "false", "apart", "true"))) {
-      assertRejected(422, text(fields));
+      assertRejected(422, json(fields));
     }
-    assertEquals(Set.of(), stored());
+    assertEquals(Set.of(), storedJobKeys());
     for (Map<String, String> fields :
         List.of(
             with("crew", "\"limited\"", "shape", "\"gang\"", "shards", "6"),
             with("crew", "\"limited\"", "shards", "7"),
             with("apart", "true"),
             with("shape", "\"gang\"", "harbor", null, "one_zone", "false", "apart", "true"))) {
-      assertEquals(201, submit(text(fields)).status(), text(fields));
+      assertEquals(201, submit(json(fields)).status(), json(fields));
     }
   }
 
@@ -297,44 +297,44 @@
     String quoted = "\"" + id + "\"";
     for (String body :
         List.of(
-            text(with("id", quoted)),
-            text(with("id", quoted)) + "}",
-            text(with("id", quoted, "one_zone", null)),
-            text(with("id", quoted, "apart", "null", "ebbtide", null)),
-            text(with("id", quoted, "vcpus", "99")),
-            text(with("id", quoted, "crew", "\"nobody\"")),
-            text(with("id", quoted, "vcpus", "99", "one_zone", null, "hulls", "[]")) + " x")) {
+            json(with("id", quoted)),
+            json(with("id", quoted)) + "}",
+            json(with("id", quoted, "one_zone", null)),
+            json(with("id", quoted, "apart", "null", "ebbtide", null)),
+            json(with("id", quoted, "vcpus", "99")),
+            json(with("id", quoted, "crew", "\"nobody\"")),
+            json(with("id", quoted, "vcpus", "99", "one_zone", null, "hulls", "[]")) + " x")) {
       for (int node = 0; node < count; node++) {
-        expect(node, "POST", JOBS, body, 200, "\"id\":\"" + id + "\",\"phase\":\"" + phase);
+        assertAnswer(node, "POST", JOBS, body, 200, "\"id\":\"" + id + "\",\"phase\":\"" + phase);
       }
     }
   }
 
   /** Even if its machine type no longer exists, or only an earlier version accepted its body. */
   @Test
-  void acceptedIsNotRejectedLater() throws Exception {
+  void acceptedJobIsNotRejectedLater() throws Exception {
     writeJob("wk-old1", 99);
     nodes(2, cloud.port());
     awaitMachineTypes(0);
     awaitMachineTypes(1);
     assertKnown(2, "wk-old1", "queued");
-    assertEquals(Set.of(RecordCodec.LIVE_JOB_PREFIX + "wk-old1"), stored());
+    assertEquals(Set.of(RecordCodec.LIVE_JOB_PREFIX + "wk-old1"), storedJobKeys());
     for (int node = 0; node < 2; node++) {
       nodes.await(node, "POST", JOBS + "/wk-old1/withdraw", null, 200, "withdrawn");
     }
     assertKnown(2, "wk-old1", "withdrawn");
-    assertEquals(Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-old1"), stored());
+    assertEquals(Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-old1"), storedJobKeys());
 
     // While the store is down, only bodies that no version accepted are rejected as invalid.
     store.down(true);
-    assertRejected(503, text(with("one_zone", null)));
-    assertRejected(503, text(with("vcpus", "99")));
-    assertRejected(400, text(with("one_zone", "1")));
-    assertRejected(400, text(with("shards", null)));
-    assertRejected(400, text(with("id", null)));
+    assertRejected(503, json(with("one_zone", null)));
+    assertRejected(503, json(with("vcpus", "99")));
+    assertRejected(400, json(with("one_zone", "1")));
+    assertRejected(400, json(with("shards", null)));
+    assertRejected(400, json(with("id", null)));
     store.down(false);
-    nodes.await(0, "POST", JOBS, text(with("one_zone", null)), 400, "one_zone");
-    assertEquals(Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-old1"), stored());
+    nodes.await(0, "POST", JOBS, json(with("one_zone", null)), 400, "one_zone");
+    assertEquals(Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-old1"), storedJobKeys());
   }
 
   /** Without the cloud new jobs have to wait, and known ones are answered. */
@@ -345,12 +345,12 @@
       result.start();
       writeJob("wk-old1", 1);
       nodes(1, result.port());
-      assertRejected(503, text(with()));
-      assertRejected(503, text(with("vcpus", "99")));
-      assertRejected(400, text(with("apart", null)));
-      assertRejected(400, text(with("vcpus", null)));
+      assertRejected(503, json(with()));
+      assertRejected(503, json(with("vcpus", "99")));
+      assertRejected(400, json(with("apart", null)));
+      assertRejected(400, json(with("vcpus", null)));
       assertKnown(1, "wk-old1", "queued");
-      assertEquals(Set.of(RecordCodec.LIVE_JOB_PREFIX + "wk-old1"), stored());
+      assertEquals(Set.of(RecordCodec.LIVE_JOB_PREFIX + "wk-old1"), storedJobKeys());
     }
   }
 
@@ -362,34 +362,35 @@
       awaitMachineTypes(node);
     }
     Map<String, String> lasting = with("id", "\"wk-9\"", "shape", "\"service\"", "shards", "1");
-    nodes.await(0, "POST", JOBS, text(lasting), 201, "queued");
+    nodes.await(0, "POST", JOBS, json(lasting), 201, "queued");
     Map<String, String> ending = with();
-    String id = "wk-" + String.format("%06d", ids);
-    nodes.await(1, "POST", JOBS, text(ending), 201, "queued");
+    String id = "wk-" + String.format("%06d", lastIdNumber);
+    nodes.await(1, "POST", JOBS, json(ending), 201, "queued");
     nodes.await(2, "GET", JOBS + "/wk-9", null, 200, "running\",");
     nodes.await(2, "GET", JOBS + "/" + id, null, 200, "\"done\",");
     for (int round = 0; round < 2; round++) {
       for (int node = 0; node < 3; node++) {
-        expect(node, "POST", JOBS, text(lasting), 200, "\"running\",");
-        expect(node, "POST", JOBS, text(ending), 200, "\"done\",");
-        expect(node, "POST", JOBS + "/" + id + "/withdraw", null, 200, "\"done\",");
-        expect(node, "GET", JOBS + "/" + id, null, 200, "\"done\",");
-        expect(node, "POST", JOBS + "/wk-nobodys/withdraw", null, 404, "error");
-        expect(node, "GET", JOBS + "/wk-nobodys", null, 404, "error");
+        assertAnswer(node, "POST", JOBS, json(lasting), 200, "\"running\",");
+        assertAnswer(node, "POST", JOBS, json(ending), 200, "\"done\",");
+        assertAnswer(node, "POST", JOBS + "/" + id + "/withdraw", null, 200, "\"done\",");
+        assertAnswer(node, "GET", JOBS + "/" + id, null, 200, "\"done\",");
+        assertAnswer(node, "POST", JOBS + "/wk-nobodys/withdraw", null, 404, "error");
+        assertAnswer(node, "GET", JOBS + "/wk-nobodys", null, 404, "error");
       }
     }
     nodes.await(1, "POST", JOBS + "/wk-9/withdraw", null, 200, "withdrawn");
     for (int node = 0; node < 3; node++) {
-      expect(node, "POST", JOBS, text(lasting), 200, "\"withdrawn\",");
-      expect(node, "POST", JOBS + "/wk-9/withdraw", null, 200, "\"withdrawn\",");
-      expect(node, "GET", JOBS + "/wk-9", null, 200, "\"withdrawn\",");
+      assertAnswer(node, "POST", JOBS, json(lasting), 200, "\"withdrawn\",");
+      assertAnswer(node, "POST", JOBS + "/wk-9/withdraw", null, 200, "\"withdrawn\",");
+      assertAnswer(node, "GET", JOBS + "/wk-9", null, 200, "\"withdrawn\",");
     }
     assertEquals(
-        Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-9", RecordCodec.ENDED_JOB_PREFIX + id), stored());
+        Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-9", RecordCodec.ENDED_JOB_PREFIX + id),
+        storedJobKeys());
   }
 
-  private void expect(int node, String method, String path, String body, int status, String word)
-      throws Exception {
+  private void assertAnswer(
+      int node, String method, String path, String body, int status, String word) throws Exception {
     HttpClient.Response response = nodes.call(node, method, path, body);
     String text = new String(response.body(), StandardCharsets.UTF_8);
     assertEquals(status, response.status(), text + ": " + method + " " + path + " at " + node);
--- a/src/test/java/org/astershift/config/SizingTest.java
+++ b/src/test/java/org/astershift/config/SizingTest.java
@@ -18,7 +18,7 @@
   private static final String UNIT = ".*_(MS|S|NS|STATUS)|STACK_BYTES|serialVersionUID";
 
   @Test
-  void eachCountHasALineInTheOperatorsPage() throws Exception {
+  void everyCountIsDocumentedForOperators() throws Exception {
     String page = Files.readString(Path.of("docs/operations.md"));
     List<String> missing = new ArrayList<>();
     int counts = 0;
--- a/src/test/java/org/astershift/controller/CompletionQueueTest.java
+++ b/src/test/java/org/astershift/controller/CompletionQueueTest.java
@@ -8,7 +8,7 @@
 /** Which ends go out together. */
 class CompletionQueueTest {
   @Test
-  void endsGatherInTheOrderOfWaiting() throws Exception {
+  void completionsAreTakenInArrivalOrder() throws Exception {
     CompletionQueue ends = new CompletionQueue();
     for (String job : List.of("a", "b", "c", "d", "e")) {
       ends.add(job);
--- a/src/test/java/org/astershift/controller/FailoverFencingTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -21,7 +21,7 @@
 /** Fences of a term's beginning, and of what it has to note before it acts. */
 @Timeout(200)
 class FailoverFencingTest extends FencingTestCase {
-  private static final String VM = "vm-000007";
+  private static final String MACHINE_NAME = "vm-000007";
 
   private static Object machine(String name, boolean fresh) {
     return RecordCodec.encodeMachine(
@@ -30,20 +30,21 @@
 
   /** Opened jobs, machines that may hold their tasks, and done tasks come from the notes. */
   @Test
-  void aTermTakesInWhatAnEarlierOneNoted() throws Exception {
+  void termLoadsRecordsOfEarlierTerm() throws Exception {
     BitSet done = new BitSet();
     done.set(0);
     // Of two tasks one is left: of a job that is complete nothing is told from memory any more.
-    StoreClient.Transaction records = new StoreClient.Transaction().put(LIVE, record(job(2)));
+    StoreClient.Transaction records = new StoreClient.Transaction().put(JOB_KEY, jobRecord(job(2)));
     records.put(
         RecordCodec.LEADER_PAGE_PREFIX + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of())));
-    records.put(RecordCodec.LEADER_PAGE_PREFIX + "m0", Map.of(VM, machine(VM, false)));
+    records.put(
+        RecordCodec.LEADER_PAGE_PREFIX + "m0", Map.of(MACHINE_NAME, machine(MACHINE_NAME, false)));
     records.put(
         RecordCodec.LEADER_PAGE_PREFIX + "p0",
         Map.of(RecordCodec.progressKey(ID, 0), RecordCodec.encodeSegment(done, 0)));
     write(records);
-    node.start();
-    LeaderTerm term = node.leads();
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
     assertEquals(1, term.progressIfCurrent(ID).doneTasks());
     boolean confirmable = term.scheduler.call(scheduler -> scheduler.canConfirmCancellation(ID));
     assertFalse(confirmable, "a machine that may hold it is unheard");
@@ -51,176 +52,184 @@
 
   /** A job comes after the jobs were read, and before news is told to the new term. */
   @Test
-  void aJobThatComesWhileATermBeginsIsTakenIn() throws Exception {
+  void jobRecordedWhileTermLoadsIsAdopted() throws Exception {
     AtomicBoolean once = new AtomicBoolean();
-    node.loaded =
+    controller.afterPrefixRead =
         prefix -> {
           if (prefix.equals(RecordCodec.LIVE_JOB_PREFIX) && once.compareAndSet(false, true)) {
             try {
-              write(new StoreClient.Transaction().put(LIVE, record()));
-              Await.until("the job", () -> node.watchCache.get(LIVE) != null);
+              write(new StoreClient.Transaction().put(JOB_KEY, jobRecord()));
+              Await.until("the job", () -> controller.watchCache.get(JOB_KEY) != null);
               // The next news is applied after the listeners were told of this.
               write(new StoreClient.Transaction().put(RecordCodec.LIVE_PREFIX + "x", Map.of()));
               Await.until(
                   "the next news",
-                  () -> node.watchCache.get(RecordCodec.LIVE_PREFIX + "x") != null);
+                  () -> controller.watchCache.get(RecordCodec.LIVE_PREFIX + "x") != null);
             } catch (Exception e) {
               throw new IllegalStateException(e);
             }
           }
         };
-    node.start();
-    LeaderTerm term = node.leads();
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
     assertTrue(once.get());
     Await.until("the job to be kept", () -> term.manages(ID));
   }
 
   /** It is told of a later leader while it still takes in what there is. */
   @Test
-  void aTermThatIsOverBeforeItBeganDoesNotBegin() throws Exception {
-    service.leasesEndLate(0);
+  void termEndedBeforeItsStartDoesNotStart() throws Exception {
+    storeEmulator.delayLeaseExpiry(0);
     AtomicLong overToken = new AtomicLong();
-    node.loaded =
+    controller.afterPrefixRead =
         prefix -> {
           if (prefix.equals(RecordCodec.LIVE_JOB_PREFIX) && overToken.get() == 0) {
-            overToken.set(node.watchCache.get(RecordCodec.LEADER_KEY).revision());
-            node.runtime.onLeaderObserved(Long.MAX_VALUE);
+            overToken.set(controller.watchCache.get(RecordCodec.LEADER_KEY).revision());
+            controller.runtime.onLeaderObserved(Long.MAX_VALUE);
           }
         };
-    node.start();
-    Await.until("a term", () -> node.runtime.currentTerm() != null);
+    controller.start();
+    Await.until("a term", () -> controller.runtime.currentTerm() != null);
     assertNotEquals(0, overToken.get());
-    assertTrue(node.runtime.currentTerm().token > overToken.get(), "the one that was over leads");
+    assertTrue(
+        controller.runtime.currentTerm().token > overToken.get(), "the one that was over leads");
   }
 
   /** Its own key, left by the process before it, is removed; one that is not the same stays. */
   @Test
-  void onlyThePredecessorsKeyIsRemoved() throws Exception {
+  void onlyOwnStaleLeaderKeyIsRemoved() throws Exception {
     write(
         new StoreClient.Transaction().put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("one")));
     AtomicBoolean once = new AtomicBoolean();
     AtomicBoolean answered = new AtomicBoolean();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          boolean removal = says(r, "\"remove\":\"" + RecordCodec.LEADER_KEY);
+          boolean removal = requestContains(r, "\"remove\":\"" + RecordCodec.LEADER_KEY);
           if (!done && removal && once.compareAndSet(false, true)) {
-            anotherLeads();
+            recordOtherLeader();
           } else if (done && removal) {
             answered.set(true);
           }
         });
-    node.start();
+    controller.start();
     Await.until("the removal to be answered", answered::get);
-    Await.until("the leader to be known", () -> "another".equals(node.runtime.otherLeader()));
+    Await.until("the leader to be known", () -> "another".equals(controller.runtime.otherLeader()));
     assertEquals("another", read(RecordCodec.LEADER_KEY).data().get("node"));
-    assertEquals(0, node.runtime.token());
+    assertEquals(0, controller.runtime.token());
   }
 
   /** A claim without an answer was carried out: its key stands, so it leads with that. */
   @Test
-  void aClaimWithoutAnAnswerThatStandsLeads() throws Exception {
+  void unansweredClaimWhoseKeyExistsLeads() throws Exception {
     AtomicInteger claims = new AtomicInteger();
     AtomicInteger revoked = new AtomicInteger();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && says(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
-            service.loseAnswers(claims.incrementAndGet() == 1 ? 1 : 0);
+          if (!done && requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+            storeEmulator.loseResponses(claims.incrementAndGet() == 1 ? 1 : 0);
           }
           revoked.addAndGet(!done && r.method().equals("DELETE") ? 1 : 0);
         });
-    node.start();
-    LeaderTerm term = node.leads();
-    service.loseAnswers(0);
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
+    storeEmulator.loseResponses(0);
     assertEquals(read(RecordCodec.LEADER_KEY).revision(), term.token);
     assertEquals("1 claims, 0 ended", claims + " claims, " + revoked + " ended");
   }
 
   /** It was not, or its key is gone: the lease is ended, so that it stands for nobody later. */
   @Test
-  void aClaimWithoutAnAnswerThatDoesNotStandIsTakenBack() throws Exception {
+  void unansweredClaimWhoseKeyIsMissingIsRevoked() throws Exception {
     AtomicInteger claims = new AtomicInteger();
     AtomicInteger revoked = new AtomicInteger();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (says(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+          if (requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
             if (!done) {
-              service.loseAnswers(claims.incrementAndGet() == 1 ? 1 : 0);
+              storeEmulator.loseResponses(claims.incrementAndGet() == 1 ? 1 : 0);
             } else if (claims.get() == 1) {
-              service.loseAnswers(0);
+              storeEmulator.loseResponses(0);
               write(new StoreClient.Transaction().delete(RecordCodec.LEADER_KEY));
             }
           }
           revoked.addAndGet(!done && r.method().equals("DELETE") ? 1 : 0);
         });
-    node.start();
+    controller.start();
     Await.until("the lease of the lost claim to be ended", () -> revoked.get() > 0);
-    node.leads();
+    controller.awaitLeadership();
   }
 
   /** The key is recorded while this node's mirror hangs: it does not lead before it has read it. */
   @Test
-  void whoWinsReadsUpToItsTokenFirst() throws Exception {
+  void winnerCatchesUpToItsTokenBeforeLeading() throws Exception {
     AtomicBoolean hangs = new AtomicBoolean();
     AtomicLong won = new AtomicLong();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && won.get() == 0 && says(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+          if (!done
+              && won.get() == 0
+              && requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
             hangs.set(true);
-            write(new StoreClient.Transaction().put(LIVE, record()));
-          } else if (done && won.get() == 0 && says(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+            write(new StoreClient.Transaction().put(JOB_KEY, jobRecord()));
+          } else if (done
+              && won.get() == 0
+              && requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
             won.set(read(RecordCodec.LEADER_KEY).revision());
           }
           if (done && r.path().equals("/watch")) {
             Await.until("the mirror to go on", () -> !hangs.get());
           }
         });
-    node.start();
+    controller.start();
     Await.until("the key", () -> won.get() > 0);
     LeaderTerm[] early = new LeaderTerm[1];
     Await.until(
         "it to give up or to lead",
         () -> {
-          early[0] = node.runtime.currentTerm();
+          early[0] = controller.runtime.currentTerm();
           return early[0] != null || read(RecordCodec.LEADER_KEY).data() == null;
         });
     assertEquals(null, early[0], "it leads and has not read the jobs");
     hangs.set(false);
-    assertTrue(node.leads().token > won.get());
-    assertTrue(node.runtime.currentTerm().manages(ID));
+    assertTrue(controller.awaitLeadership().token > won.get());
+    assertTrue(controller.runtime.currentTerm().manages(ID));
   }
 
   /** Only what is on record is rented, so that a successor asks for it under the same name. */
   @Test
-  void nothingIsRentedBeforeItIsNoted() throws Exception {
+  void nothingIsProvisionedBeforeItsRecordIsDurable() throws Exception {
     AtomicInteger tries = new AtomicInteger();
     AtomicBoolean refuses = new AtomicBoolean(true);
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && says(r, "\"" + RecordCodec.LEADER_PAGE_PREFIX + "i") && refuses.get()) {
+          if (!done
+              && requestContains(r, "\"" + RecordCodec.LEADER_PAGE_PREFIX + "i")
+              && refuses.get()) {
             tries.incrementAndGet();
             throw new IllegalStateException("refused");
           }
         });
-    node.start();
-    node.leads();
-    accept();
+    controller.start();
+    controller.awaitLeadership();
+    submitJob();
     Await.until("the note of a rental to be refused", () -> tries.get() >= 5);
-    assertEquals(List.of(), cloud.everRented());
+    assertEquals(List.of(), cloud.workersEverProvisioned());
     refuses.set(false);
-    Await.until("a machine", () -> !cloud.everRented().isEmpty());
+    Await.until("a machine", () -> !cloud.workersEverProvisioned().isEmpty());
   }
 
   /** A machine is on record with tasks before the answer to its rental comes. */
   @Test
-  void aMachineThatWasNotedBeforeItsRentalWasAnsweredIsNotFresh() throws Exception {
-    node.start();
-    LeaderTerm term = node.leads();
-    cloud.rented(m -> term.records.put(LeaderRecords.RecordKind.MACHINE, m, machine(m, false), 0));
-    accept();
+  void machineRecordedBeforeProvisioningResponseIsNotNew() throws Exception {
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
+    cloud.setProvisionListener(
+        m -> term.records.put(LeaderRecords.RecordKind.MACHINE, m, machine(m, false), 0));
+    submitJob();
     Await.until(
         "the rental to be settled",
         () -> {
-          boolean rented = !cloud.everRented().isEmpty();
+          boolean rented = !cloud.workersEverProvisioned().isEmpty();
           return rented && term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty();
         });
     Map<String, Object> machines = term.records.entries(LeaderRecords.RecordKind.MACHINE);
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -37,64 +37,65 @@
 @Timeout(200)
 class FencingTest extends FencingTestCase {
   /** So long a case looks whether something older is told. */
-  private static final long LOOK_NS = 300_000_000;
+  private static final long OBSERVATION_NS = 300_000_000;
 
   /**
    * A leader cut off from the state service alone leads on in doubt. Another one may have ended the
    * job and said so, so it tells nothing from memory: neither what is live nor a cancellation.
    */
   @Test
-  void aLeaderInDoubtAnswersNothingFromMemory() throws Exception {
-    node.start();
-    LeaderTerm term = node.leads();
-    accept();
+  void leaderWithUncertainLeaseDoesNotAnswerFromMemory() throws Exception {
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
+    submitJob();
     assertNotNull(term.progressIfCurrent(ID));
-    assertEquals("queued", node.jobService.poll(ID, false).phase());
-    door.refuse(true);
-    service.leasesEndLate(0);
-    Await.until("the lease to be over", () -> !node.runtime.isLeaseCertain(term));
+    assertEquals("queued", controller.jobService.poll(ID, false).phase());
+    storeAddress.rejectRequests(true);
+    storeEmulator.delayLeaseExpiry(0);
+    Await.until("the lease to be over", () -> !controller.runtime.isLeaseCertain(term));
     Await.until("its key to be gone", () -> read(RecordCodec.LEADER_KEY).data() == null);
-    anotherLeads();
-    endElsewhere(true);
-    assertSame(term, node.runtime.currentTerm(), "it still leads, as far as it knows");
+    recordOtherLeader();
+    endJobElsewhere(true);
+    assertSame(term, controller.runtime.currentTerm(), "it still leads, as far as it knows");
     assertNotNull(term.progressIfCurrent(ID), "and has the job in memory");
-    assertEquals(503, node.jobService.poll(ID, true).status());
+    assertEquals(503, controller.jobService.poll(ID, true).status());
     AtomicInteger promises = new AtomicInteger();
-    door.watched((r, done) -> promises.addAndGet(says(r, OVER) ? 1 : 0));
-    assertEquals(503, node.jobService.cancel(ID, true).status());
+    storeAddress.setObserver((r, done) -> promises.addAndGet(requestContains(r, END_KEY) ? 1 : 0));
+    assertEquals(503, controller.jobService.cancel(ID, true).status());
     assertEquals(0, promises.get(), "it does not try to write what it may not promise");
-    door.refuse(false);
-    Await.until("an answer", () -> node.jobService.poll(ID, true).status() == 200);
-    assertEquals("withdrawn", node.jobService.poll(ID, true).phase());
+    storeAddress.rejectRequests(false);
+    Await.until("an answer", () -> controller.jobService.poll(ID, true).status() == 200);
+    assertEquals("withdrawn", controller.jobService.poll(ID, true).phase());
   }
 
   /** The job ends between the two reads of an answer: it was accepted, so it is not unknown. */
   @Test
-  void aJobThatEndsBetweenTwoReadsIsNotUnknown() throws Exception {
-    write(new StoreClient.Transaction().put(LIVE, record()));
+  void jobEndingBetweenTwoReadsIsNotUnknown() throws Exception {
+    write(new StoreClient.Transaction().put(JOB_KEY, jobRecord()));
     AtomicInteger reads = new AtomicInteger();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (done && says(r, "/store/") && reads.incrementAndGet() == 1) {
-            endElsewhere(false);
+          if (done && requestContains(r, "/store/") && reads.incrementAndGet() == 1) {
+            endJobElsewhere(false);
           }
         });
-    assertEquals("queued", node.jobService.poll(ID, true).phase(), "as it was after the question");
-    assertEquals("done", node.jobService.poll(ID, true).phase());
+    assertEquals(
+        "queued", controller.jobService.poll(ID, true).phase(), "as it was after the question");
+    assertEquals("done", controller.jobService.poll(ID, true).phase());
   }
 
   /** A repeated submission, at a node that knows nothing of the job, changes nothing on record. */
   @Test
-  void aRepeatedSubmissionWritesNothing() throws Exception {
+  void repeatedSubmissionWritesNothing() throws Exception {
     Outcome.Committed accepted =
-        (Outcome.Committed) write(new StoreClient.Transaction().put(LIVE, record()));
-    assertEquals(200, node.jobService.submit(job()).status());
-    assertEquals(200, node.jobService.poll(ID, true).status(), "asked for before a refusal");
-    assertEquals(accepted.revision(), read(LIVE).revision());
-    endElsewhere(true);
-    JobService.SubmissionResult again = node.jobService.submit(job());
+        (Outcome.Committed) write(new StoreClient.Transaction().put(JOB_KEY, jobRecord()));
+    assertEquals(200, controller.jobService.submit(job()).status());
+    assertEquals(200, controller.jobService.poll(ID, true).status(), "asked for before a refusal");
+    assertEquals(accepted.revision(), read(JOB_KEY).revision());
+    endJobElsewhere(true);
+    JobService.SubmissionResult again = controller.jobService.submit(job());
     assertEquals("200 withdrawn", again.status() + " " + again.known().phase());
-    assertNull(read(LIVE).data(), "what is over is not accepted once more");
+    assertNull(read(JOB_KEY).data(), "what is over is not accepted once more");
   }
 
   /**
@@ -102,56 +103,58 @@
    * the job.
    */
   @Test
-  void anAnswerIsLostAndTheJobIsCancelledMeanwhile() throws Exception {
-    service.loseAnswers(1);
-    door.watched(
+  void submissionWithLostResponseReportsLaterCancellation() throws Exception {
+    storeEmulator.loseResponses(1);
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && r.method().equals("GET") && says(r, LIVE)) {
-            service.loseAnswers(0);
-            endElsewhere(true);
+          if (!done && r.method().equals("GET") && requestContains(r, JOB_KEY)) {
+            storeEmulator.loseResponses(0);
+            endJobElsewhere(true);
           }
         });
-    JobService.SubmissionResult s = node.jobService.submit(job());
+    JobService.SubmissionResult s = controller.jobService.submit(job());
     assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
-    assertTrue(service.lost(RecordCodec.LIVE_JOB_PREFIX) == 1, "the answer was lost");
+    assertTrue(
+        storeEmulator.lostResponses(RecordCodec.LIVE_JOB_PREFIX) == 1, "the answer was lost");
   }
 
   /** Another node leads by the time a write arrives: it is not applied, and the term is over. */
   @Test
-  void writesOfALeaderThatIsNoneAreNotApplied() throws Exception {
-    node.start();
-    final LeaderTerm term = node.leads();
-    accept();
-    door.watched(
+  void writesOfDeposedLeaderAreNotApplied() throws Exception {
+    controller.start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && says(r, "\"set\":\"" + OVER)) {
-            door.watched((again, over) -> {});
-            anotherLeads();
+          if (!done && requestContains(r, "\"set\":\"" + END_KEY)) {
+            storeAddress.setObserver((again, over) -> {});
+            recordOtherLeader();
           }
         });
-    assertEquals(503, node.jobService.cancel(ID, true).status());
-    assertNull(read(OVER).data());
-    assertNotNull(read(LIVE).data());
-    Await.until("the term to be over", () -> term.hasEnded() && node.runtime.currentTerm() == null);
+    assertEquals(503, controller.jobService.cancel(ID, true).status());
+    assertNull(read(END_KEY).data());
+    assertNotNull(read(JOB_KEY).data());
+    Await.until(
+        "the term to be over", () -> term.hasEnded() && controller.runtime.currentTerm() == null);
   }
 
   /** The same for notes: those of an earlier leader do not replace a later one's. */
   @Test
-  void notesOfALeaderThatIsNoneAreNotApplied() throws Exception {
-    node.start();
-    final LeaderTerm term = node.leads();
+  void recordsOfDeposedLeaderAreNotApplied() throws Exception {
+    controller.start();
+    final LeaderTerm term = controller.awaitLeadership();
     AtomicInteger late = new AtomicInteger();
     AtomicInteger answered = new AtomicInteger();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && says(r, "late-note") && late.incrementAndGet() == 1) {
-            anotherLeads();
+          if (!done && requestContains(r, "late-note") && late.incrementAndGet() == 1) {
+            recordOtherLeader();
           }
-          answered.addAndGet(done && says(r, "late-note") ? 1 : 0);
+          answered.addAndGet(done && requestContains(r, "late-note") ? 1 : 0);
         });
     term.records.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
     Await.until("the late note to be decided on", () -> answered.get() > 0);
-    assertFalse(service.has(RecordCodec.LEADER_PAGE_PREFIX + "o0"));
+    assertFalse(storeEmulator.containsKey(RecordCodec.LEADER_PAGE_PREFIX + "o0"));
     Await.until("the term to be over", term::hasEnded);
   }
 
@@ -160,111 +163,113 @@
    * earlier one applied late would fail by the page's revision.
    */
   @Test
-  void aPageOfNotesIsWrittenFromTheRevisionThatItHas() throws Exception {
-    node.start();
-    LeaderTerm term = node.leads();
+  void recordPageIsWrittenOnItsLatestRevision() throws Exception {
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
     String page = RecordCodec.LEADER_PAGE_PREFIX + "o0";
-    service.loseAnswers(1);
+    storeEmulator.loseResponses(1);
     term.records.put(LeaderRecords.RecordKind.OPENED, "first", true, 0);
-    Await.until("a note without an answer", () -> service.lost(RecordCodec.LEADER_PAGE_PREFIX) > 0);
-    service.loseAnswers(0);
+    Await.until(
+        "a note without an answer",
+        () -> storeEmulator.lostResponses(RecordCodec.LEADER_PAGE_PREFIX) > 0);
+    storeEmulator.loseResponses(0);
     term.records.put(LeaderRecords.RecordKind.OPENED, "second", true, 0);
-    Await.until("both notes", () -> notes(page) == 2);
+    Await.until("both notes", () -> entryCount(page) == 2);
     long revision = read(page).revision();
     List<String> conditions = new ArrayList<>();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && says(r, "third")) {
+          if (!done && requestContains(r, "third")) {
             conditions.add(new String(r.body(), StandardCharsets.UTF_8));
           }
         });
     term.records.put(LeaderRecords.RecordKind.OPENED, "third", true, 0);
-    Await.until("the third note", () -> notes(page) == 3);
+    Await.until("the third note", () -> entryCount(page) == 3);
     assertTrue(conditions.get(0).contains("{\"k\":\"" + page + "\",\"stamp\":" + revision + "}"));
   }
 
-  private int notes(String page) throws Exception {
+  private int entryCount(String page) throws Exception {
     StoreClient.Entry row = read(page);
     return row.data() == null ? 0 : row.data().size();
   }
 
   /** What threads of an earlier or a later term say does not touch this one. */
   @Test
-  void otherTermsDoNotTouchThisOne() throws Exception {
-    node.start();
-    LeaderTerm term = node.leads();
-    node.runtime.onTermEnd(term.token - 1, "told late");
-    assertSame(term, node.runtime.currentTerm());
+  void eventsOfOtherTermsAreIgnored() throws Exception {
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
+    controller.runtime.onTermEnd(term.token - 1, "told late");
+    assertSame(term, controller.runtime.currentTerm());
     assertFalse(term.hasEnded());
-    node.runtime.onTermBegin(term.token + 1);
-    assertSame(term, node.runtime.currentTerm(), "a term that is not won does not begin");
+    controller.runtime.onTermBegin(term.token + 1);
+    assertSame(term, controller.runtime.currentTerm(), "a term that is not won does not begin");
     Heartbeat report =
         new Heartbeat("vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, 0, null, List.of());
-    assertNotNull(node.runtime.onHeartbeat(report, term.token, LeaderTerm.nowMs()));
+    assertNotNull(controller.runtime.onHeartbeat(report, term.token, LeaderTerm.nowMs()));
     assertNull(
-        node.runtime.onHeartbeat(report, term.token - 1, LeaderTerm.nowMs()),
+        controller.runtime.onHeartbeat(report, term.token - 1, LeaderTerm.nowMs()),
         "its answer would show that token");
-    node.runtime.transferLeadership(term, "a test");
+    controller.runtime.transferLeadership(term, "a test");
     Await.until("the term to be over", term::hasEnded);
-    assertNull(node.runtime.onHeartbeat(report, term.token, LeaderTerm.nowMs()));
-    node.runtime.onTermBegin(term.token);
-    LeaderTerm next = node.runtime.currentTerm();
+    assertNull(controller.runtime.onHeartbeat(report, term.token, LeaderTerm.nowMs()));
+    controller.runtime.onTermBegin(term.token);
+    LeaderTerm next = controller.runtime.currentTerm();
     assertTrue(next == null || next.token > term.token, "a term that is over does not begin again");
   }
 
   /** Somebody else is recorded between the lease's grant and the claim on it. */
   @Test
-  void theKeyOfAnotherIsNotTaken() throws Exception {
+  void claimDoesNotOverwriteKeyOfAnotherLeader() throws Exception {
     AtomicInteger claims = new AtomicInteger();
     AtomicInteger answered = new AtomicInteger();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          boolean claim = says(r, "\"set\":\"" + RecordCodec.LEADER_KEY);
+          boolean claim = requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY);
           if (!done && claim && claims.incrementAndGet() == 1) {
-            anotherLeads();
+            recordOtherLeader();
           }
           answered.addAndGet(done && claim ? 1 : 0);
         });
-    node.start();
+    controller.start();
     Await.until("a claim that came too late to be answered", () -> answered.get() > 0);
     assertEquals("another", read(RecordCodec.LEADER_KEY).data().get("node"));
-    Await.until("the leader to be known", () -> "another".equals(node.runtime.otherLeader()));
-    assertNull(node.runtime.currentTerm());
-    assertEquals(0, node.runtime.token());
+    Await.until("the leader to be known", () -> "another".equals(controller.runtime.otherLeader()));
+    assertNull(controller.runtime.currentTerm());
+    assertEquals(0, controller.runtime.token());
   }
 
   /** A worker that has seen a higher token than this leader's proves that there is a later one. */
   @Test
-  void aWorkerThatHasSeenALaterLeaderEndsTheTerm() throws Exception {
-    node.start();
-    LeaderTerm term = node.leads();
+  void heartbeatWithLaterTokenEndsTerm() throws Exception {
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
     Heartbeat later =
         new Heartbeat(
             "vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, term.token + 5, null, List.of());
-    assertNull(node.runtime.onHeartbeat(later, term.token, LeaderTerm.nowMs()));
+    assertNull(controller.runtime.onHeartbeat(later, term.token, LeaderTerm.nowMs()));
     assertTrue(term.hasEnded());
   }
 
   /** A cancellation is refused and repeated: its user waits from the first time on. */
   @Test
-  void aCancellationIsTimedFromItsFirstArrival() throws Exception {
-    node.start();
-    final LeaderTerm term = node.leads();
-    accept();
-    door.watched(
+  void cancellationIsTimedFromItsFirstRequest() throws Exception {
+    controller.start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && says(r, "\"set\":\"" + OVER)) {
+          if (!done && requestContains(r, "\"set\":\"" + END_KEY)) {
             throw new IllegalStateException("refused");
           }
         });
     final long beganMs = LeaderTerm.nowMs();
-    assertEquals(503, node.jobService.cancel(ID, true).status());
+    assertEquals(503, controller.jobService.cancel(ID, true).status());
     assertTrue(term.cancellationSummary().contains(" 0 confirmed; 1 wait, the longest for "));
-    door.watched((r, done) -> {});
+    storeAddress.setObserver((r, done) -> {});
     String line =
         term.scheduler.call( // or its own summary might tell it first
             scheduler -> {
-              assertEquals("withdrawn", node.jobService.cancel(ID, true).phase());
+              assertEquals("withdrawn", controller.jobService.cancel(ID, true).phase());
               return term.cancellationSummary();
             });
     final long tookMs = LeaderTerm.nowMs() - beganMs;
@@ -276,18 +281,18 @@
 
   /** Nothing of a job whose end is on its way in a cancellation is told from memory. */
   @Test
-  void whileACancellationIsWrittenNothingOlderIsTold() throws Exception {
-    node.start();
-    final LeaderTerm term = node.leads();
-    accept();
+  void noOlderStateIsReportedWhileCancellationIsWritten() throws Exception {
+    controller.start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
     String[] told = new String[1];
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (done && says(r, "\"set\":\"" + OVER)) {
-            told[0] = String.valueOf(node.jobService.poll(ID, true).phase());
+          if (done && requestContains(r, "\"set\":\"" + END_KEY)) {
+            told[0] = String.valueOf(controller.jobService.poll(ID, true).phase());
           }
         });
-    assertEquals("withdrawn", node.jobService.cancel(ID, true).phase());
+    assertEquals("withdrawn", controller.jobService.cancel(ID, true).phase());
     assertEquals("withdrawn", told[0], "on record, and its writer has no answer yet");
     assertFalse(term.manages(ID));
   }
@@ -299,83 +304,85 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void whenTheAnswerToAnEndIsLostNothingOlderIsTold(boolean cancelled) throws Exception {
-    node.start();
-    final LeaderTerm term = node.leads();
-    accept();
+  void noOlderStateIsReportedAfterResponseToEndIsLost(boolean cancelled) throws Exception {
+    controller.start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
     AtomicBoolean over = new AtomicBoolean();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          boolean end = says(r, "\"set\":\"" + OVER);
+          boolean end = requestContains(r, "\"set\":\"" + END_KEY);
           if (end && over.get()) {
             throw new IllegalStateException("refused: no second try comes through");
           }
           over.compareAndSet(false, end && done);
-          service.loseAnswers(end && !done ? 1 : 0);
+          storeEmulator.loseResponses(end && !done ? 1 : 0);
         });
     if (cancelled) {
-      assertEquals(503, node.jobService.cancel(ID, true).status());
+      assertEquals(503, controller.jobService.cancel(ID, true).status());
     } else {
       term.completions.add(ID); // as for a job whose tasks are all done
       Await.until("the end on record", over::get);
     }
-    long untilNs = System.nanoTime() + LOOK_NS;
+    long untilNs = System.nanoTime() + OBSERVATION_NS;
     do {
       assertNull(term.progressIfCurrent(ID), "it is over on record");
     } while (System.nanoTime() < untilNs);
     assertTrue(term.manages(ID), "the leader does not know it");
-    assertEquals(cancelled ? "withdrawn" : "done", node.jobService.poll(ID, true).phase());
+    assertEquals(cancelled ? "withdrawn" : "done", controller.jobService.poll(ID, true).phase());
     assertFalse(term.manages(ID), "what is over on record is laid down");
     assertNull(term.scheduler.progress(ID));
   }
 
   /** A job that its node learns of by accepting it late, after it was cancelled by that leader. */
   @Test
-  void anAcceptanceToldLateBringsNothingBack() throws Exception {
-    node.start();
-    final LeaderTerm term = node.leads();
-    accept();
-    StoreClient.Entry live = read(LIVE);
-    assertEquals("withdrawn", node.jobService.cancel(ID, true).phase());
-    node.runtime.onJobRecord(live);
-    node.runtime.onJobAccepted(new RecordCodec.JobRecord(job(), 0), live.revision());
+  void lateAcceptanceDoesNotReviveCancelledJob() throws Exception {
+    controller.start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    StoreClient.Entry live = read(JOB_KEY);
+    assertEquals("withdrawn", controller.jobService.cancel(ID, true).phase());
+    controller.runtime.onJobRecord(live);
+    controller.runtime.onJobAccepted(new RecordCodec.JobRecord(job(), 0), live.revision());
     assertFalse(term.manages(ID));
-    assertEquals("withdrawn", node.jobService.poll(ID, true).phase());
+    assertEquals("withdrawn", controller.jobService.poll(ID, true).phase());
   }
 
   /** The job is done and told, with the record of that written just before the cancellation's. */
   @Test
-  void whatIsDoneOnRecordIsNotReplaced() throws Exception {
-    node.start();
-    node.leads();
-    accept();
-    door.watched(
+  void cancellationDoesNotReplaceRecordedCompletion() throws Exception {
+    controller.start();
+    controller.awaitLeadership();
+    submitJob();
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && says(r, "\"set\":\"" + OVER) && !service.has(OVER)) {
-            endElsewhere(false);
+          if (!done
+              && requestContains(r, "\"set\":\"" + END_KEY)
+              && !storeEmulator.containsKey(END_KEY)) {
+            endJobElsewhere(false);
           }
         });
-    assertEquals("done", node.jobService.cancel(ID, true).phase());
-    assertFalse(RecordCodec.decodeJobEnd(read(OVER).data()).cancelled());
+    assertEquals("done", controller.jobService.cancel(ID, true).phase());
+    assertFalse(RecordCodec.decodeJobEnd(read(END_KEY).data()).cancelled());
   }
 
   /** The same by the answer to a direct order: the machine has seen a later leader. */
   @Test
-  void aMachineThatRefusesItsOrdersEndsTheTerm() throws Exception {
-    node.listens(ports.ports(1).get(0)).start();
-    LeaderTerm term = node.leads();
-    accept();
-    Await.until("the job to run", () -> started().contains(ID + "/0"));
-    cloud.everRented().forEach(w -> w.seenUnsaid(term.token + 1000));
-    node.jobService.cancel(ID, true); // its stop goes out directly
+  void commandRejectedForLaterTokenEndsTerm() throws Exception {
+    controller.listen(portBlock.ports(1).get(0)).start();
+    LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
+    cloud.workersEverProvisioned().forEach(w -> w.recordLaterToken(term.token + 1000));
+    controller.jobService.cancel(ID, true); // its stop goes out directly
     Await.until("the term to be over", term::hasEnded);
   }
 
   /** While the end of a cancelled job is being written, and machines come, it is not started. */
   @Test
-  void nothingStartsOfAJobThatIsBeingCancelled() throws Exception {
+  void nothingStartsOfJobBeingCancelled() throws Exception {
     CountDownLatch mayRent = new CountDownLatch(1);
-    cloud.rented(
+    cloud.setProvisionListener(
         m -> {
           try {
             mayRent.await();
@@ -385,27 +392,27 @@
         });
     write(
         new StoreClient.Transaction()
-            .put(LIVE, record())
+            .put(JOB_KEY, jobRecord())
             .put(
                 RecordCodec.LEADER_PAGE_PREFIX + "o0",
                 Map.of(ID, RecordCodec.encodePlacement(List.of()))));
-    node.listens(ports.ports(1).get(0)).start();
-    final LeaderTerm term = node.leads();
+    controller.listen(portBlock.ports(1).get(0)).start();
+    final LeaderTerm term = controller.awaitLeadership();
     assertTrue(term.manages(ID));
     AtomicInteger ends = new AtomicInteger();
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (!done && says(r, "\"set\":\"" + OVER) && ends.incrementAndGet() == 1) {
+          if (!done && requestContains(r, "\"set\":\"" + END_KEY) && ends.incrementAndGet() == 1) {
             write(
                 new StoreClient.Transaction()
-                    .put(RecordCodec.LIVE_JOB_PREFIX + "wk-000002", record()));
+                    .put(RecordCodec.LIVE_JOB_PREFIX + "wk-000002", jobRecord()));
             mayRent.countDown();
-            Await.until("the next job to start", () -> started().contains("wk-000002/0"));
+            Await.until("the next job to start", () -> startedTasks().contains("wk-000002/0"));
           }
         });
-    node.jobService.cancel(ID, true);
-    Await.until("the next job to start", () -> started().contains("wk-000002/0"));
-    assertEquals(List.of("wk-000002/0"), started());
+    controller.jobService.cancel(ID, true);
+    Await.until("the next job to start", () -> startedTasks().contains("wk-000002/0"));
+    assertEquals(List.of("wk-000002/0"), startedTasks());
   }
 
   /**
@@ -413,19 +420,20 @@
    * and that is told.
    */
   @Test
-  void aStartThatWaitedWhileItsJobWasCancelledIsNotSent() throws Exception {
-    node.listens(ports.ports(1).get(0)).start();
-    final LeaderTerm term = node.leads();
-    accept();
-    Await.until("the job to run", () -> started().contains(ID + "/0"));
-    Await.until("it to be cancelled", () -> node.jobService.cancel(ID, true).status() == 200);
-    WorkerEmulator worker = cloud.everRented().get(0);
+  void delayedStartOfCancelledJobIsNotSent() throws Exception {
+    controller.listen(portBlock.ports(1).get(0)).start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
+    Await.until("it to be cancelled", () -> controller.jobService.cancel(ID, true).status() == 200);
+    WorkerEmulator worker = cloud.workersEverProvisioned().get(0);
     Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
-    String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
-    node.runtime
+    String addr = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
+    controller
+        .runtime
         .commands()
         .send(term, new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000));
-    assertEquals(List.of(ID + "/0"), started());
+    assertEquals(List.of(ID + "/0"), startedTasks());
   }
 
   /**
@@ -434,26 +442,26 @@
    * answers.
    */
   @Test
-  void aStartThatWaitedUntilAnotherMayLeadIsNotSent() throws Exception {
-    node.listens(ports.ports(1).get(0)).start();
-    final LeaderTerm term = node.leads();
-    accept();
-    Await.until("the job to run", () -> started().contains(ID + "/0"));
-    WorkerEmulator worker = cloud.everRented().get(0);
+  void delayedStartIsNotSentUnderUncertainLease() throws Exception {
+    controller.listen(portBlock.ports(1).get(0)).start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
+    WorkerEmulator worker = cloud.workersEverProvisioned().get(0);
     Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
-    String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
+    String addr = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
     Decision.SendCommands direct =
         new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000);
-    door.refuse(true);
-    Await.until("the lease to be over", () -> !node.runtime.isLeaseCertain(term));
-    node.runtime.commands().send(term, direct);
+    storeAddress.rejectRequests(true);
+    Await.until("the lease to be over", () -> !controller.runtime.isLeaseCertain(term));
+    controller.runtime.commands().send(term, direct);
     assertTrue(term.manages(ID), "the job is wanted");
-    assertSame(term, node.runtime.currentTerm(), "and this node leads on, in doubt");
-    assertEquals(List.of(ID + "/0"), started());
-    door.refuse(false);
-    Await.until("the lease to be its own again", () -> node.runtime.isLeaseCertain(term));
-    node.runtime.commands().send(term, direct);
-    assertEquals(List.of(ID + "/0", ID + "/0"), started());
+    assertSame(term, controller.runtime.currentTerm(), "and this node leads on, in doubt");
+    assertEquals(List.of(ID + "/0"), startedTasks());
+    storeAddress.rejectRequests(false);
+    Await.until("the lease to be its own again", () -> controller.runtime.isLeaseCertain(term));
+    controller.runtime.commands().send(term, direct);
+    assertEquals(List.of(ID + "/0", ID + "/0"), startedTasks());
   }
 
   /**
@@ -461,20 +469,21 @@
    * told: who hears of the submission last hears nothing older.
    */
   @Test
-  void anAcceptanceAnsweredAfterTheEndTellsTheEnd() throws Exception {
-    node.start();
-    node.leads();
+  void submissionAnsweredAfterJobEndReportsEnd() throws Exception {
+    controller.start();
+    controller.awaitLeadership();
     String[] told = new String[1];
-    door.watched(
+    storeAddress.setObserver(
         (r, done) -> {
-          if (done && told[0] == null && says(r, "\"set\":\"" + LIVE)) {
+          if (done && told[0] == null && requestContains(r, "\"set\":\"" + JOB_KEY)) {
             told[0] = "not told";
             Await.until(
-                "the job to be cancelled", () -> node.jobService.cancel(ID, true).status() == 200);
-            told[0] = node.jobService.poll(ID, true).phase();
+                "the job to be cancelled",
+                () -> controller.jobService.cancel(ID, true).status() == 200);
+            told[0] = controller.jobService.poll(ID, true).phase();
           }
         });
-    JobService.SubmissionResult s = node.jobService.submit(job());
+    JobService.SubmissionResult s = controller.jobService.submit(job());
     assertEquals("withdrawn", told[0]);
     assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
   }
@@ -484,21 +493,21 @@
    * all the same: taken for under way, its start could not be cancelled any more.
    */
   @Test
-  void anOrderThatFailsIsNotUnderWayForEver() throws Exception {
-    node.start();
-    final LeaderTerm term = node.leads();
-    accept();
-    Await.until("a machine", () -> !cloud.everRented().isEmpty());
+  void failedCommandDoesNotStayInFlight() throws Exception {
+    controller.start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    Await.until("a machine", () -> !cloud.workersEverProvisioned().isEmpty());
     long[] tick = {2};
-    reported(term, 1);
-    reported(
+    sendEmptyHeartbeat(term, 1);
+    sendEmptyHeartbeat(
         term, 2); // with the token; the start follows directly, once what it needs is on record
     Await.until(
         "what the start needs to be on record",
         () ->
-            notes(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 1
-                && !fresh(RecordCodec.LEADER_PAGE_PREFIX + "m0"));
-    long untilNs = System.nanoTime() + LOOK_NS;
+            entryCount(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 1
+                && !allNewlyProvisioned(RecordCodec.LEADER_PAGE_PREFIX + "m0"));
+    long untilNs = System.nanoTime() + OBSERVATION_NS;
     boolean underWay;
     do {
       underWay = term.scheduler.call(scheduler -> scheduler.mayStart(ID));
@@ -506,12 +515,12 @@
     Await.until(
         "the cancellation to be confirmed",
         () -> {
-          reported(term, ++tick[0]);
-          return node.jobService.cancel(ID, true).status() == 200;
+          sendEmptyHeartbeat(term, ++tick[0]);
+          return controller.jobService.cancel(ID, true).status() == 200;
         });
   }
 
-  private boolean fresh(String page) throws Exception {
+  private boolean allNewlyProvisioned(String page) throws Exception {
     StoreClient.Entry row = read(page);
     for (Map.Entry<String, Object> e : row.data().entrySet()) {
       if (!RecordCodec.decodeMachine(e.getKey(), e.getValue()).newlyProvisioned()) {
@@ -522,11 +531,11 @@
   }
 
   /** A report of the machine, empty, under an address that is none. */
-  private void reported(LeaderTerm term, long tick) {
-    String machine = cloud.everRented().get(0).name();
+  private void sendEmptyHeartbeat(LeaderTerm term, long tick) {
+    String machine = cloud.workersEverProvisioned().get(0).name();
     String addr = "127.0.0.1:70000";
     long token = tick > 1 ? term.token : 0;
-    node.runtime.onHeartbeat(
+    controller.runtime.onHeartbeat(
         new Heartbeat(machine, addr, "small", "a", false, 1, tick, token, null, List.of()),
         term.token,
         LeaderTerm.nowMs());
@@ -536,7 +545,7 @@
    * What a note that is on record brings about fails: the notes after it are written all the same.
    */
   @Test
-  void notesAreWrittenWhateverOneOfThemBringsAbout() throws Exception {
+  void recordsAreWrittenAfterFailureOfCallback() throws Exception {
     StoreClient.Transaction key =
         new StoreClient.Transaction().put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("one"));
     long token = ((Outcome.Committed) write(key)).revision();
@@ -544,7 +553,7 @@
     LeaderRecords records =
         new LeaderRecords(
             token,
-            node.store,
+            controller.store,
             new Settings.StoreLimits(100, 100, 8, 8),
             (kind, name, value) -> {
               if (name.equals("bad")) {
@@ -556,7 +565,7 @@
     records.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
     Thread loop = new Thread(Threads.logFailures("notes", () -> records.writeLoop(null)));
     loop.start();
-    Await.until("the first page", () -> notes(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 2);
+    Await.until("the first page", () -> entryCount(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 2);
     records.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
     Await.until("the later note", () -> durable.contains("later"));
     assertEquals(List.of("beside it", "later"), List.copyOf(durable));
@@ -569,13 +578,13 @@
    * for; without the stop it is not sent, nor once the user was told.
    */
   @Test
-  void aStartOfACancelledJobIsSentOnlyWithItsStopAndBeforeThatIsTold() throws Exception {
-    node.listens(ports.ports(1).get(0)).start();
-    final LeaderTerm term = node.leads();
-    accept();
-    Await.until("the job to run", () -> started().contains(ID + "/0"));
-    WorkerEmulator worker = cloud.everRented().get(0);
-    String addr = worker.said().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
+  void startOfCancelledJobIsSentOnlyWithStopAndBeforeConfirmation() throws Exception {
+    controller.listen(portBlock.ports(1).get(0)).start();
+    final LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
+    WorkerEmulator worker = cloud.workersEverProvisioned().get(0);
+    String addr = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
     term.scheduler.call(
         scheduler -> {
           scheduler.requestCancellation(ID);
@@ -592,16 +601,16 @@
         new Decision.SendCommands(worker.name(), addr, 1, List.of(start), 5000);
     Decision.SendCommands both =
         new Decision.SendCommands(worker.name(), addr, 1, List.of(start, stop), 5000);
-    node.runtime.commands().send(term, alone);
-    assertEquals(List.of(ID + "/0"), started());
-    node.runtime.commands().send(term, both);
-    assertEquals(List.of(ID + "/0", ID + "/0"), started());
-    Await.until("it to be cancelled", () -> node.jobService.cancel(ID, true).status() == 200);
-    node.runtime.commands().send(term, again);
-    assertEquals(List.of(ID + "/0", ID + "/0"), started());
+    controller.runtime.commands().send(term, alone);
+    assertEquals(List.of(ID + "/0"), startedTasks());
+    controller.runtime.commands().send(term, both);
+    assertEquals(List.of(ID + "/0", ID + "/0"), startedTasks());
+    Await.until("it to be cancelled", () -> controller.jobService.cancel(ID, true).status() == 200);
+    controller.runtime.commands().send(term, again);
+    assertEquals(List.of(ID + "/0", ID + "/0"), startedTasks());
   }
 
-  private List<String> started() {
-    return cloud.everRented().stream().flatMap(w -> w.started().stream()).toList();
+  private List<String> startedTasks() {
+    return cloud.workersEverProvisioned().stream().flatMap(w -> w.startedTasks().stream()).toList();
   }
 }
--- a/src/test/java/org/astershift/controller/FencingTestCase.java
+++ b/src/test/java/org/astershift/controller/FencingTestCase.java
@@ -30,37 +30,38 @@
  */
 abstract class FencingTestCase {
   static final String ID = "wk-000001";
-  static final String LIVE = RecordCodec.LIVE_JOB_PREFIX + ID;
-  static final String OVER = RecordCodec.ENDED_JOB_PREFIX + ID;
+  static final String JOB_KEY = RecordCodec.LIVE_JOB_PREFIX + ID;
+  static final String END_KEY = RecordCodec.ENDED_JOB_PREFIX + ID;
   @TempDir Path dir;
-  StoreEmulator service;
-  StoreEmulator.StoreAddress door;
-  StoreEmulator.StoreAddress otherDoor;
+  StoreEmulator storeEmulator;
+  StoreEmulator.StoreAddress storeAddress;
+  StoreEmulator.StoreAddress otherStoreAddress;
   CloudEmulator cloud;
-  PortBlock ports;
-  SingleController node;
-  StoreClient other;
+  PortBlock portBlock;
+  SingleController controller;
+  StoreClient otherClient;
 
   @BeforeEach
   void start() throws Exception {
-    service = new StoreEmulator(0);
-    service.leasesEndLate(60_000);
-    door = service.door();
-    otherDoor = service.door();
-    ports = PortBlock.take();
-    cloud = new CloudEmulator(0, ports.ports(1), 0); // where nobody listens unless a test says so
-    node = new SingleController(dir, door, cloud);
-    other = new StoreClient(Emulators.settings(dir, otherDoor.port(), cloud.port()));
+    storeEmulator = new StoreEmulator(0);
+    storeEmulator.delayLeaseExpiry(60_000);
+    storeAddress = storeEmulator.openAddress();
+    otherStoreAddress = storeEmulator.openAddress();
+    portBlock = PortBlock.acquire();
+    cloud =
+        new CloudEmulator(0, portBlock.ports(1), 0); // where nobody listens unless a test says so
+    controller = new SingleController(dir, storeAddress, cloud);
+    otherClient = new StoreClient(Emulators.settings(dir, otherStoreAddress.port(), cloud.port()));
   }
 
   @AfterEach
   void stop() throws Exception {
-    node.close();
+    controller.close();
     cloud.close();
-    door.close();
-    otherDoor.close();
-    service.close();
-    ports.close();
+    storeAddress.close();
+    otherStoreAddress.close();
+    storeEmulator.close();
+    portBlock.close();
   }
 
   static JobSpec job() {
@@ -79,11 +80,11 @@
         .spec();
   }
 
-  static Map<String, Object> record() {
-    return record(job());
+  static Map<String, Object> jobRecord() {
+    return jobRecord(job());
   }
 
-  static Map<String, Object> record(JobSpec job) {
+  static Map<String, Object> jobRecord(JobSpec job) {
     return RecordCodec.encodeJob(new RecordCodec.JobRecord(job, System.currentTimeMillis()));
   }
 
@@ -94,7 +95,7 @@
         "a read of " + key,
         () -> {
           try {
-            row[0] = other.get(key);
+            row[0] = otherClient.get(key);
           } catch (IOException e) {
             return false;
           }
@@ -104,29 +105,29 @@
   }
 
   Outcome write(StoreClient.Transaction txn) throws InterruptedException {
-    return other.commit(txn, RateLimiter.Urgency.INTERACTIVE, 10_000);
+    return otherClient.commit(txn, RateLimiter.Urgency.INTERACTIVE, 10_000);
   }
 
-  void accept() throws Exception {
-    assertEquals(201, node.jobService.submit(job()).status());
+  void submitJob() throws Exception {
+    assertEquals(201, controller.jobService.submit(job()).status());
   }
 
-  void endElsewhere(boolean cancelled) throws InterruptedException {
+  void endJobElsewhere(boolean cancelled) throws InterruptedException {
     RecordCodec.JobEnd end = new RecordCodec.JobEnd(cancelled, 1);
     StoreClient.Transaction txn =
-        new StoreClient.Transaction().delete(LIVE).put(OVER, RecordCodec.encodeJobEnd(end));
+        new StoreClient.Transaction().delete(JOB_KEY).put(END_KEY, RecordCodec.encodeJobEnd(end));
     assertTrue(write(txn) instanceof Outcome.Committed);
   }
 
   /** Another node is recorded as leader, as it may be as soon as the lease is over. */
-  void anotherLeads() throws InterruptedException {
+  void recordOtherLeader() throws InterruptedException {
     StoreClient.Transaction txn = new StoreClient.Transaction();
     txn.delete(RecordCodec.LEADER_KEY)
         .put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("another"));
     assertTrue(write(txn) instanceof Outcome.Committed);
   }
 
-  static boolean says(HttpServer.Request r, String part) {
+  static boolean requestContains(HttpServer.Request r, String part) {
     return (r.path() + new String(r.body(), StandardCharsets.UTF_8)).contains(part);
   }
 }
--- a/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
+++ b/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
@@ -49,7 +49,7 @@
   }
 
   /** The transaction in which a leader notes an entry, or removes it. */
-  private String written(Entry e, boolean removed) throws Exception {
+  private String recordTransaction(Entry e, boolean removed) throws Exception {
     try (Recorder recorder = new Recorder()) {
       Settings settings = recorder.settings(dir);
       StoreClient store = new StoreClient(settings);
@@ -64,9 +64,9 @@
       } else {
         records[0].put(e.kind(), e.key(), e.value(), 0);
       }
-      recorder.answer(200, "{\"epoch\":50}");
+      recorder.enqueueResponse(200, "{\"epoch\":50}");
       records[0].writeLoop(null); // the term is asked only if another leads
-      return recorder.taken();
+      return recorder.takeRequests();
     }
   }
 
@@ -74,13 +74,13 @@
   void pages() throws Exception {
     Golden g = new Golden("notes-pages");
     for (Map.Entry<String, Entry> e : entries().entrySet()) {
-      g.add(e.getKey() + ", noted", written(e.getValue(), false));
-      g.add(e.getKey() + ", removed", written(e.getValue(), true));
+      g.add(e.getKey() + ", noted", recordTransaction(e.getValue(), false));
+      g.add(e.getKey() + ", removed", recordTransaction(e.getValue(), true));
     }
     g.check();
     for (Map.Entry<String, Entry> e : entries().entrySet()) {
       Entry entry = e.getValue();
-      String kept = g.kept(e.getKey() + ", noted");
+      String kept = g.expected(e.getKey() + ", noted");
       byte[] body = kept.substring(kept.indexOf('{')).getBytes(StandardCharsets.UTF_8);
       Map<String, Object> set =
           Json.object(Json.list(Json.object(body), "writes").get(0), "a change");
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -22,7 +22,7 @@
 /** Rules ran_cancelled and went_back: news of a job from before its end does not bring it back. */
 class LeaderTermTest {
   /** Of a term that nothing ends. */
-  private static final class NoHost implements TermHost {
+  private static final class NoOpTermHost implements TermHost {
     @Override
     public long leaseCertainUntilMs() {
       return 0;
@@ -45,15 +45,15 @@
     Settings.StoreLimits limits = new Settings.StoreLimits(100, 100, 8, 8);
     LeaderRecords records = new LeaderRecords(5, null, limits, (kind, key, value) -> {});
     return new LeaderTerm(
-        5, new Scheduler(facts, OperatorSettings.defaults(), 5), records, new NoHost());
+        5, new Scheduler(facts, OperatorSettings.defaults(), 5), records, new NoOpTermHost());
   }
 
-  private static RecordCodec.JobRecord job() {
-    return job(0);
+  private static RecordCodec.JobRecord jobRecord() {
+    return jobRecord(0);
   }
 
   /** {@code aheadMs}: by how much the clock of the node that accepted it is ahead of this one's. */
-  private static RecordCodec.JobRecord job(long aheadMs) {
+  private static RecordCodec.JobRecord jobRecord(long aheadMs) {
     JobSpec spec =
         JobDraft.array("wk-1", 1)
             .forTeam("t")
@@ -68,9 +68,9 @@
    * on a played day of an overloaded node, done and then queued.
    */
   @Test
-  void nothingIsToldFromMemoryWhileAnEndIsOnItsWay() {
+  void progressIsWithheldWhileEndWriteIsUnconfirmed() {
     LeaderTerm term = term();
-    term.addJob(job(), 6);
+    term.addJob(jobRecord(), 6);
     assertNotNull(term.progressIfCurrent("wk-1"));
     term.termJobs()
         .onEndWriteStarted("wk-1"); // a try that gets no answer: it may be applied at any time
@@ -86,9 +86,9 @@
   }
 
   @Test
-  void lateNewsOfAnEndedJobIsIgnored() {
+  void lateRecordOfEndedJobIsIgnored() {
     LeaderTerm term = term();
-    RecordCodec.JobRecord record = job();
+    RecordCodec.JobRecord record = jobRecord();
     term.addJob(record, 6);
     assertNotNull(term.scheduler.progress("wk-1"));
     term.onJobEnded("wk-1", true);
@@ -103,9 +103,9 @@
    * would have been placed as one that never began, though its user was told that it is cancelled.
    */
   @Test
-  void newsOfAJobFromBeforeTheTokenIsIgnored() {
+  void jobRecordFromBeforeTokenIsIgnored() {
     LeaderTerm term = term();
-    RecordCodec.JobRecord record = job();
+    RecordCodec.JobRecord record = jobRecord();
     Map<String, Object> data = RecordCodec.encodeJob(record);
     term.load(new WatchCache(null));
     term.addJob(record, 4);
@@ -121,13 +121,13 @@
    * queue, and no rule rests on it. A job of the future is one of now.
    */
   @Test
-  void clocksOfTheDayMayBeOff() {
+  void wallClockOffsetsAreTolerated() {
     for (long aheadMs : new long[] {-10_000, -1000, 0, 1000, 10_000}) {
       LeaderTerm term = term();
-      RecordCodec.JobRecord record = job(aheadMs);
+      RecordCodec.JobRecord record = jobRecord(aheadMs);
       term.addJob(record, 6);
       assertFalse(term.progressIfCurrent("wk-1").running());
-      term.addJob(job(-aheadMs), 6); // read again, as another node saw it
+      term.addJob(jobRecord(-aheadMs), 6); // read again, as another node saw it
       term.onJobEnded("wk-1", false);
       term.addJob(record, 6);
       assertNull(term.progressIfCurrent("wk-1"));
--- a/src/test/java/org/astershift/controller/OvertakenAnswerTest.java
+++ b/src/test/java/org/astershift/controller/OvertakenAnswerTest.java
@@ -15,34 +15,34 @@
 @Timeout(200)
 class OvertakenAnswerTest extends FencingTestCase {
   /** The leader gives a direct request up after a second, which a busy machine may need alone. */
-  private static final int TRIES = 20;
+  private static final int MAX_ATTEMPTS = 20;
 
-  private static final long LOOK_NS = 500_000_000;
+  private static final long OBSERVATION_NS = 500_000_000;
 
   @Test
-  void anAnswerOvertakenByAHeartbeatDropsNoTask() throws Exception {
-    node.listens(ports.ports(1).get(0)).start();
-    LeaderTerm term = node.leads();
-    accept();
+  void answerOvertakenByHeartbeatDropsNoTask() throws Exception {
+    controller.listen(portBlock.ports(1).get(0)).start();
+    LeaderTerm term = controller.awaitLeadership();
+    submitJob();
     Await.until("a task to run", () -> runningTasks(term, ID) == 1);
     cancel(ID);
-    WorkerEmulator worker = cloud.everRented().get(0);
-    for (int i = 0; i < TRIES && answersOvertaken(term) == 0; i++) {
+    WorkerEmulator worker = cloud.workersEverProvisioned().get(0);
+    for (int i = 0; i < MAX_ATTEMPTS && overtakenAnswerCount(term) == 0; i++) {
       Await.until("the machine to be empty", () -> isEmpty(worker));
-      bringAboutOvertakenAnswer(term, worker, "wk-10000" + i);
+      causeOvertakenAnswer(term, worker, "wk-10000" + i);
     }
-    assertEquals(1, answersOvertaken(term));
+    assertEquals(1, overtakenAnswerCount(term));
   }
 
-  private void bringAboutOvertakenAnswer(LeaderTerm term, WorkerEmulator worker, String job)
+  private void causeOvertakenAnswer(LeaderTerm term, WorkerEmulator worker, String job)
       throws Exception {
-    worker.holdNextAnswer();
+    worker.holdNextResponse();
     // An answer to an earlier request may settle the first suspicion.
     Await.until("the machine to be asked", () -> suspectRestart(term, worker));
-    assertEquals(201, node.jobService.submit(job(job, 1)).status());
+    assertEquals(201, controller.jobService.submit(job(job, 1)).status());
     Await.until("a heartbeat to show the task", () -> runningTasks(term, job) == 1);
-    worker.releaseAnswer();
-    long untilNs = System.nanoTime() + LOOK_NS;
+    worker.releaseResponse();
+    long untilNs = System.nanoTime() + OBSERVATION_NS;
     do {
       assertEquals(1, runningTasks(term, job), "the task runs all the time");
     } while (System.nanoTime() < untilNs);
@@ -57,17 +57,18 @@
     Heartbeat other =
         new Heartbeat(
             worker.name(), "127.0.0.1:1", "small", "a", false, 1, 1000, 0, null, List.of());
-    node.runtime.onHeartbeat(other, term.token, LeaderTerm.nowMs());
-    return worker.answerHeld();
+    controller.runtime.onHeartbeat(other, term.token, LeaderTerm.nowMs());
+    return worker.isResponseHeld();
   }
 
   private static boolean isEmpty(WorkerEmulator worker) {
-    List<String> said = worker.said();
+    List<String> said = worker.sentHeartbeats();
     return said.get(said.size() - 1).contains("\"shards\":[]");
   }
 
   private void cancel(String job) throws Exception {
-    Await.until("the job to be cancelled", () -> node.jobService.cancel(job, true).status() == 200);
+    Await.until(
+        "the job to be cancelled", () -> controller.jobService.cancel(job, true).status() == 200);
   }
 
   private static int runningTasks(LeaderTerm term, String job) {
@@ -75,7 +76,7 @@
     return progress == null ? 0 : progress.runningTasks();
   }
 
-  private static int answersOvertaken(LeaderTerm term) {
+  private static int overtakenAnswerCount(LeaderTerm term) {
     String summary = term.scheduler.call(Scheduler::reconciliationSummary);
     assertNotNull(summary);
     return Integer.parseInt(summary.replaceAll(".*answers_overtaken=([0-9]+).*", "$1"));
--- a/src/test/java/org/astershift/controller/PagePackingTest.java
+++ b/src/test/java/org/astershift/controller/PagePackingTest.java
@@ -13,7 +13,7 @@
   private static final int PROTOCOL_BYTES = 64 * 1024;
 
   @Test
-  void noTransactionIsLargerThanTheStateServiceTakes() {
+  void noTransactionExceedsStoreLimit() {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 10_000; i++) {
       int[] bytes =
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void fullPagesOfALargeFleetNeedSeveralOfThem() {
+  void fullPagesOfLargeFleetNeedSeveralTransactions() {
     int[] full = new int[48];
     Arrays.fill(full, RecordCodec.MAX_PAGE_BYTES);
     assertEquals(11, PagePacking.pagesPerTransaction(full, 48));
@@ -40,7 +40,7 @@
 
   /** One that is larger than all goes alone, and is refused alone. */
   @Test
-  void onePageAlwaysGoes() {
+  void oversizedPageIsWrittenAlone() {
     assertEquals(1, PagePacking.pagesPerTransaction(new int[] {10 * PROTOCOL_BYTES, 10}, 8));
   }
 }
--- a/src/test/java/org/astershift/controller/ProgressRecordsTest.java
+++ b/src/test/java/org/astershift/controller/ProgressRecordsTest.java
@@ -23,26 +23,26 @@
  */
 @Timeout(60)
 class ProgressRecordsTest {
-  private static final double CHANGES_A_SECOND = 40;
+  private static final double WRITES_PER_SECOND = 40;
   private static final int WRITERS = 80;
   private static final String JOB = "wk-000001";
 
   @TempDir Path dir;
 
   @Test
-  void progressIsRecordedWhereTheLimitOfChangesIsUsedUp() throws Exception {
+  void progressIsRecordedWhileWriteLimitIsExhausted() throws Exception {
     try (StoreEmulator service = new StoreEmulator(0)) {
-      Settings settings = Emulators.settings(dir, service.port(), 1, CHANGES_A_SECOND);
+      Settings settings = Emulators.settings(dir, service.port(), 1, WRITES_PER_SECOND);
       StoreClient store = new StoreClient(settings);
-      long token = lead(store);
+      long token = recordLeader(store);
       AtomicBoolean over = new AtomicBoolean();
-      List<Thread> writers = writers(store, over);
+      List<Thread> writers = startWriters(store, over);
       try {
         AtomicBoolean durable = new AtomicBoolean();
         LeaderRecords records =
             new LeaderRecords(
                 token, store, settings.storeLimits(), (kind, key, value) -> durable.set(true));
-        Thread loop = new Thread(() -> run(records));
+        Thread loop = new Thread(() -> runWriteLoop(records));
         loop.start();
         BitSet done = new BitSet();
         done.set(0);
@@ -63,7 +63,7 @@
     }
   }
 
-  private static long lead(StoreClient store) throws Exception {
+  private static long recordLeader(StoreClient store) throws Exception {
     StoreClient.Transaction txn =
         new StoreClient.Transaction().put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("n"));
     StoreClient.Outcome o = store.commit(txn, RateLimiter.Urgency.LEASE, 10_000);
@@ -71,18 +71,18 @@
   }
 
   /** Each waits for its turn all the time, so that what can wait never finds the line empty. */
-  private static List<Thread> writers(StoreClient store, AtomicBoolean over) {
+  private static List<Thread> startWriters(StoreClient store, AtomicBoolean over) {
     List<Thread> writers = new ArrayList<>();
     for (int i = 0; i < WRITERS; i++) {
       String key = "x/" + i;
-      Thread t = new Thread(() -> write(store, key, over));
+      Thread t = new Thread(() -> writeRepeatedly(store, key, over));
       writers.add(t);
       t.start();
     }
     return writers;
   }
 
-  private static void write(StoreClient store, String key, AtomicBoolean over) {
+  private static void writeRepeatedly(StoreClient store, String key, AtomicBoolean over) {
     try {
       while (!over.get()) {
         store.commit(
@@ -95,7 +95,7 @@
     }
   }
 
-  private static void run(LeaderRecords records) {
+  private static void runWriteLoop(LeaderRecords records) {
     try {
       records.writeLoop(null);
     } catch (InterruptedException e) {
--- a/src/test/java/org/astershift/controller/RentalRejectedTest.java
+++ b/src/test/java/org/astershift/controller/RentalRejectedTest.java
@@ -11,15 +11,15 @@
 class RentalRejectedTest extends FencingTestCase {
   /** Asked on for ever, two such rentals held both threads that rent, and nothing was rented. */
   @Test
-  void aRentalThatIsMalformedForTheCloudIsGivenUp() throws Exception {
-    cloud.refuseRentals(400);
-    node.start();
-    LeaderTerm term = node.leads();
-    accept();
-    Await.until("more rentals than there are threads", () -> cloud.rentalsRefused().size() > 2);
-    assertTrue(cloud.everRented().isEmpty());
-    cloud.refuseRentals(0);
-    Await.until("a machine", () -> !cloud.everRented().isEmpty());
+  void malformedProvisioningRequestIsAbandoned() throws Exception {
+    cloud.rejectProvisioning(400);
+    controller.start();
+    LeaderTerm term = controller.awaitLeadership();
+    submitJob();
+    Await.until("more rentals than there are threads", () -> cloud.rejectedRequestIds().size() > 2);
+    assertTrue(cloud.workersEverProvisioned().isEmpty());
+    cloud.rejectProvisioning(0);
+    Await.until("a machine", () -> !cloud.workersEverProvisioned().isEmpty());
     Await.until(
         "no rental to be open",
         () -> term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty());
--- a/src/test/java/org/astershift/controller/RequestCoalescerTest.java
+++ b/src/test/java/org/astershift/controller/RequestCoalescerTest.java
@@ -15,21 +15,21 @@
 @Timeout(60)
 class RequestCoalescerTest {
   /** The store as it changes, and what is asked of it. */
-  private final Semaphore mayRead = new Semaphore(0);
+  private final Semaphore readPermits = new Semaphore(0);
 
-  private final CountDownLatch firstBegan = new CountDownLatch(1);
+  private final CountDownLatch firstReadStarted = new CountDownLatch(1);
   private final ConcurrentLinkedQueue<String> reads = new ConcurrentLinkedQueue<>();
   private volatile String state = "queued";
 
   private String read(String job) throws InterruptedException {
     String seen = state;
     reads.add(job + " " + seen);
-    firstBegan.countDown();
-    mayRead.acquire();
+    firstReadStarted.countDown();
+    readPermits.acquire();
     return seen;
   }
 
-  private static FutureTask<String> ask(RequestCoalescer<String> shared, String job) {
+  private static FutureTask<String> startRequest(RequestCoalescer<String> shared, String job) {
     FutureTask<String> task = new FutureTask<>(() -> shared.get(job));
     Thread t = new Thread(task);
     t.setDaemon(true);
@@ -45,17 +45,17 @@
    * answer in work is older than that and must not be his.
    */
   @Test
-  void nobodySharesAnAnswerBegunBeforeHeAsked() throws Exception {
+  void noRequestSharesReadStartedBeforeIt() throws Exception {
     RequestCoalescer<String> shared = new RequestCoalescer<>(this::read);
-    FutureTask<String> first = ask(shared, "job");
-    firstBegan.await();
+    FutureTask<String> first = startRequest(shared, "job");
+    firstReadStarted.await();
     state = "done";
     List<FutureTask<String>> later = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      later.add(ask(shared, "job"));
+      later.add(startRequest(shared, "job"));
     }
-    FutureTask<String> other = ask(shared, "other job");
-    mayRead.release(100);
+    FutureTask<String> other = startRequest(shared, "other job");
+    readPermits.release(100);
     assertEquals("queued", first.get());
     for (FutureTask<String> f : later) {
       assertEquals("done", f.get());
@@ -66,7 +66,7 @@
 
   /** A failure is its own asker's; those who shared it are told that there is no answer. */
   @Test
-  void failuresLeaveNobodyWaiting() throws Exception {
+  void failureReleasesAllWaiters() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
     RequestCoalescer<String> shared =
         new RequestCoalescer<>(
@@ -74,16 +74,16 @@
               go.await();
               throw new IllegalStateException("broken");
             });
-    FutureTask<String> first = ask(shared, "job");
-    FutureTask<String> second = ask(shared, "job");
-    FutureTask<String> third = ask(shared, "job");
+    FutureTask<String> first = startRequest(shared, "job");
+    FutureTask<String> second = startRequest(shared, "job");
+    FutureTask<String> third = startRequest(shared, "job");
     go.countDown();
-    assertEquals(IllegalStateException.class, failure(first));
-    assertEquals(IllegalStateException.class, failure(second));
+    assertEquals(IllegalStateException.class, causeOfFailure(first));
+    assertEquals(IllegalStateException.class, causeOfFailure(second));
     assertEquals(null, third.get());
   }
 
-  private static Class<?> failure(FutureTask<String> task) throws InterruptedException {
+  private static Class<?> causeOfFailure(FutureTask<String> task) throws InterruptedException {
     try {
       task.get();
       return null;
--- a/src/test/java/org/astershift/controller/SingleController.java
+++ b/src/test/java/org/astershift/controller/SingleController.java
@@ -29,7 +29,7 @@
   private HttpServer http;
 
   /** What happens after its term has read the rows below a prefix; the prefix is told. */
-  volatile Consumer<String> loaded = prefix -> {};
+  volatile Consumer<String> afterPrefixRead = prefix -> {};
 
   SingleController(Path dir, StoreEmulator.StoreAddress door, CloudEmulator cloud)
       throws Exception {
@@ -40,7 +40,7 @@
           @Override
           public List<StoreClient.Entry> entriesWithPrefix(String prefix) {
             List<StoreClient.Entry> rows = super.entriesWithPrefix(prefix);
-            loaded.accept(prefix);
+            afterPrefixRead.accept(prefix);
             return rows;
           }
         };
@@ -58,14 +58,14 @@
   }
 
   /** Workers and users reach it here. */
-  SingleController listens(int port) throws Exception {
+  SingleController listen(int port) throws Exception {
     http = new HttpServer("127.0.0.1", port, 50, new PublicApi(runtime, jobService, Map.of()));
     http.start();
     return this;
   }
 
   /** Its term, once it certainly leads. */
-  LeaderTerm leads() throws Exception {
+  LeaderTerm awaitLeadership() throws Exception {
     Await.until(
         "the node to lead",
         () -> runtime.currentTerm() != null && runtime.isLeaseCertain(runtime.currentTerm()));
--- a/src/test/java/org/astershift/coordination/CandidacyTest.java
+++ b/src/test/java/org/astershift/coordination/CandidacyTest.java
@@ -19,12 +19,12 @@
   private static final Measurement NONE = new Measurement(12, 0);
   private static final long LATER = 1000 + Candidacy.TRANSFER_MIN_TERM_MS;
 
-  private static PeerStatus told(Measurement seen) {
+  private static PeerStatus peerReporting(Measurement seen) {
     return new PeerStatus(seen.equals(ALL) ? "whole" : "less", true, seen);
   }
 
   @Test
-  void whoReachesFewWorkersLetsTheOthersStandFirst() {
+  void nodeReachingFewWorkersDelaysItsCandidacy() {
     Candidacy c = new Candidacy();
     assertFalse(c.shouldBecomeCandidate(NONE, 1000));
     assertFalse(c.shouldBecomeCandidate(NONE, 1000 + Candidacy.CANDIDACY_DELAY_MS - 1));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void whoWasNotChosenLetsTheChosenOneStand() {
+  void nodeDefersToChosenSuccessor() {
     Candidacy c = new Candidacy();
     c.deferToSuccessor(1000);
     assertFalse(c.shouldBecomeCandidate(ALL, 1500));
@@ -47,39 +47,47 @@
   }
 
   @Test
-  void aDeafLeaderHandsOverToOneThatReachesMore() {
+  void isolatedLeaderHandsOverToPeerReachingMostWorkers() {
     Candidacy c = new Candidacy();
     assertNull(
-        c.decideTransfer(0.1, List.of(told(NONE), told(ALL)), 2, 1000, LATER - 1), "too soon");
+        c.decideTransfer(0.1, List.of(peerReporting(NONE), peerReporting(ALL)), 2, 1000, LATER - 1),
+        "too soon");
     assertEquals(
         new LeadershipTransfer("whole"),
-        c.decideTransfer(0.1, List.of(told(HALF), told(ALL)), 2, 1000, LATER),
+        c.decideTransfer(0.1, List.of(peerReporting(HALF), peerReporting(ALL)), 2, 1000, LATER),
         "the one that reaches most");
     assertNotNull(
-        c.decideTransfer(0.1, List.of(told(ALL)), 4, 1000, LATER), "the others do not answer");
+        c.decideTransfer(0.1, List.of(peerReporting(ALL)), 4, 1000, LATER),
+        "the others do not answer");
     // Found on the apart day: a zone was cut off for all, and the new leader resigned.
-    assertNull(c.decideTransfer(0.4, List.of(told(HALF), told(HALF)), 2, 1000, LATER));
+    assertNull(
+        c.decideTransfer(0.4, List.of(peerReporting(HALF), peerReporting(HALF)), 2, 1000, LATER));
   }
 
   @Test
-  void whereNobodyReachesTheWorkersOneLeaderStays() {
+  void leaderStaysWhenNoPeerReachesWorkers() {
     Candidacy c = new Candidacy();
     for (long now = LATER; now < LATER + 600_000; now += 500) {
       c.onHolderObserved("me", now);
-      assertNull(c.decideTransfer(0, List.of(told(NONE), told(NONE)), 2, 1000, now));
+      assertNull(
+          c.decideTransfer(0, List.of(peerReporting(NONE), peerReporting(NONE)), 2, 1000, now));
     }
   }
 
   @Test
-  void oneThatTheStateServiceDoesNotAnswerCannotTakeOver() {
+  void peerPartitionedFromStoreCannotTakeOver() {
     assertNull(
         new Candidacy()
             .decideTransfer(
-                0, List.of(new PeerStatus("apart", false, ALL), told(NONE)), 2, 1000, LATER));
+                0,
+                List.of(new PeerStatus("apart", false, ALL), peerReporting(NONE)),
+                2,
+                1000,
+                LATER));
   }
 
   @Test
-  void whereNoOtherAnswersEachHasOneTurn() {
+  void eachNodeLeadsOnceWhenNoPeerAnswers() {
     Candidacy c = new Candidacy();
     c.onHolderObserved("a", LATER);
     assertNotNull(c.decideTransfer(0, List.of(), 2, 1000, LATER));
@@ -92,7 +100,7 @@
   }
 
   @Test
-  void onlyTheLastSamplesCountAndNotForLong() {
+  void onlyRecentSamplesCount() {
     WorkerReachability reach = new WorkerReachability();
     assertFalse(reach.measurement(0).isKnown());
     reach.onSample(6, 6, 0);
--- a/src/test/java/org/astershift/coordination/CoalescerStateTest.java
+++ b/src/test/java/org/astershift/coordination/CoalescerStateTest.java
@@ -17,31 +17,31 @@
 /** Who may share an answer with whom, without threads; their waits are tried in SharedTest. */
 class CoalescerStateTest {
   private static final List<String> JOBS = List.of("a", "b");
-  private final CoalescerState<Integer> rounds = new CoalescerState<>();
+  private final CoalescerState<Integer> state = new CoalescerState<>();
 
   /** One who asked, and when. */
-  private record Caller(Ticket<Integer> place, int at) {}
+  private record Caller(Ticket<Integer> ticket, int joinedAt) {}
 
   @Test
-  void whoComesWhileAnAnswerIsWorkedOutSharesTheNext() {
-    Ticket<Integer> first = rounds.join("a");
-    Ticket<Integer> second = rounds.join("a");
+  void callersDuringComputationShareNextResult() {
+    Ticket<Integer> first = state.join("a");
+    Ticket<Integer> second = state.join("a");
     assertEquals(Role.COMPUTE, first.role());
     assertEquals(Role.QUEUED, second.role());
-    assertEquals(new Ticket<>(second.round(), Role.SHARE), rounds.join("a"));
-    assertEquals(Role.COMPUTE, rounds.join("b").role(), "another job is another matter");
-    rounds.complete("a", 1);
+    assertEquals(new Ticket<>(second.round(), Role.SHARE), state.join("a"));
+    assertEquals(Role.COMPUTE, state.join("b").role(), "another job is another matter");
+    state.complete("a", 1);
     assertEquals(1, first.round().answer());
     assertFalse(second.round().completed());
-    rounds.beginQueued("a");
-    Ticket<Integer> late = rounds.join("a");
+    state.beginQueued("a");
+    Ticket<Integer> late = state.join("a");
     assertEquals(Role.QUEUED, late.role(), "its answer began before this one asked");
-    rounds.complete("a", 2);
+    state.complete("a", 2);
     assertEquals(2, second.round().answer());
-    rounds.abandonQueued("a");
+    state.abandonQueued("a");
     assertTrue(late.round().completed());
     assertNull(late.round().answer(), "nobody waits for who gave up");
-    assertEquals(Role.COMPUTE, rounds.join("a").role());
+    assertEquals(Role.COMPUTE, state.join("a").role());
   }
 
   /**
@@ -50,7 +50,7 @@
    * nobody waits.
    */
   @Test
-  void nobodyGetsAnAnswerThatWasBegunBefore() {
+  void noCallerGetsResultStartedBeforeItJoined() {
     int shared = 0;
     for (int seed = 1; seed <= 300; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
@@ -62,7 +62,7 @@
         boolean ending = now > 380;
         int draw = ending ? 5 + random.nextInt(3) : random.nextInt(8);
         if (draw < 5) {
-          Ticket<Integer> place = rounds.join(job);
+          Ticket<Integer> place = state.join(job);
           callers.add(new Caller(place, now));
           assertEquals(place.role() == Role.COMPUTE, !began.containsKey(job), "one in work");
           switch (place.role()) {
@@ -72,14 +72,14 @@
           }
         } else if (began.containsKey(job)) {
           // The answer is the moment at which its work began.
-          rounds.complete(job, random.nextInt(9) == 0 ? null : began.get(job));
+          state.complete(job, random.nextInt(9) == 0 ? null : began.get(job));
           began.remove(job);
-          assertFalse(rounds.isComputing(job));
+          assertFalse(state.isComputing(job));
           if (follows.remove(job) != null) {
             if (random.nextInt(9) == 0) {
-              rounds.abandonQueued(job);
+              state.abandonQueued(job);
             } else {
-              rounds.beginQueued(job);
+              state.beginQueued(job);
               began.put(job, now);
             }
           }
@@ -87,17 +87,17 @@
       }
       for (String job : JOBS) {
         while (began.remove(job) != null) {
-          rounds.complete(job, 400);
+          state.complete(job, 400);
           if (follows.remove(job) != null) {
-            rounds.beginQueued(job);
+            state.beginQueued(job);
             began.put(job, 400);
           }
         }
       }
       for (Caller a : callers) {
-        assertTrue(a.place().round().completed(), "seed " + seed + ": nobody waits for ever");
-        Integer answer = a.place().round().answer();
-        assertTrue(answer == null || answer >= a.at(), "seed " + seed + ": an older answer");
+        assertTrue(a.ticket().round().completed(), "seed " + seed + ": nobody waits for ever");
+        Integer answer = a.ticket().round().answer();
+        assertTrue(answer == null || answer >= a.joinedAt(), "seed " + seed + ": an older answer");
       }
     }
     assertTrue(shared > 1000, "shared answers: " + shared);
--- a/src/test/java/org/astershift/coordination/ElectionTest.java
+++ b/src/test/java/org/astershift/coordination/ElectionTest.java
@@ -15,7 +15,7 @@
   private long nowMs = 100_000;
 
   /** Stands and creates the key, which gets this revision. */
-  private void wins(long lease, long revision) {
+  private void winKey(long lease, long revision) {
     nowMs += 100;
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
     assertInstanceOf(Action.GrantLease.class, election.next(free));
@@ -26,7 +26,7 @@
   }
 
   /** Stands, and has no answer to its claim. */
-  private View doubts(long lease) {
+  private View claimWithoutAnswer(long lease) {
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
     assertInstanceOf(Action.GrantLease.class, election.next(free));
     election.onLeaseGranted(lease);
@@ -39,8 +39,8 @@
 
   /** A claim without an answer holds if the key stands on its lease, from its renewal on. */
   @Test
-  void aClaimWithoutAnAnswerHoldsIfItsKeyStands() {
-    View v = doubts(1);
+  void unansweredClaimHoldsIfItsKeyExists() {
+    View v = claimWithoutAnswer(1);
     assertEquals(0, election.token());
     election.onKeyVerified(61);
     assertEquals(new Action.CatchUp(61), election.next(v));
@@ -51,8 +51,8 @@
 
   /** If it does not stand it may be carried out yet, and must not then. */
   @Test
-  void aClaimWithoutAnAnswerIsTakenBackIfItsKeyDoesNotStand() {
-    View v = doubts(1);
+  void unansweredClaimIsRevokedIfItsKeyIsMissing() {
+    View v = claimWithoutAnswer(1);
     election.onKeyVerified(0);
     assertEquals(new Action.RevokeLease(1), election.next(v));
     assertEquals(0, election.token());
@@ -62,12 +62,12 @@
 
   /** The mirror was too slow for one key, and a second was won before that is told once more. */
   @Test
-  void aTermBeginsOnlyOnAMirrorThatHasReachedItsOwnKey() {
+  void termBeginsOnlyOnceCacheHasReachedItsKey() {
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
-    wins(1, 61);
+    winKey(1, 61);
     election.onCaughtUp(61, false);
     assertEquals(new Action.RevokeLease(1), election.next(free));
-    wins(2, 65);
+    winKey(2, 65);
     election.onCaughtUp(61, true);
     assertEquals(0, election.token());
     assertEquals(new Action.CatchUp(65), election.next(free));
--- a/src/test/java/org/astershift/coordination/JobQueryTest.java
+++ b/src/test/java/org/astershift/coordination/JobQueryTest.java
@@ -29,14 +29,14 @@
     "leads, STORE, STORE",
     "follows, REMOTE_LEADER, STORE",
   })
-  void comesFrom(String known, Source ofUser, Source ofNode) {
+  void sourceDependsOnKnownState(String known, Source ofUser, Source ofNode) {
     assertEquals(ofUser, JobQuery.source(view(known, true)));
     assertEquals(ofNode, JobQuery.source(view(known, false)), "asked by another controller");
   }
 
   /** From memory only where nobody else can have ended the job, whatever else is known. */
   @Test
-  void onlyWhoIsCertainlyTheOnlyLeaderTellsFromMemory() {
+  void onlyLeaderWithCertainLeaseAnswersFromMemory() {
     for (int bits = 0; bits < 32; bits++) {
       boolean[] b = new boolean[5];
       for (int i = 0; i < b.length; i++) {
--- a/src/test/java/org/astershift/coordination/TermJobsTest.java
+++ b/src/test/java/org/astershift/coordination/TermJobsTest.java
@@ -8,7 +8,7 @@
 
 /** How old the news of a job may be that a thread brings after the job's end. */
 class TermJobsTest {
-  private static final int CHANGES_AN_END = 2;
+  private static final int WRITES_PER_JOB_END = 2;
 
   /**
    * Ended jobs are remembered up to a number. At four ends a second it lasts for 40 minutes, and at
@@ -16,9 +16,9 @@
    * request lives a tenth of that, nor did any thread in the cluster simulation (8 s).
    */
   @Test
-  void newsOfEndedJobsIsRefusedForLongerThanARequestLives() {
+  void endedJobsAreRememberedLongerThanAnyRequestLives() {
     for (double endsPerS :
-        new double[] {4, 180 * StoreClient.LEADER_STORE_SHARE / CHANGES_AN_END}) {
+        new double[] {4, 180 * StoreClient.LEADER_STORE_SHARE / WRITES_PER_JOB_END}) {
       TermJobs ledger = new TermJobs(5);
       ledger.onLoaded();
       double oldestS = TermJobs.ENDED_IN_TERM_JOBS / endsPerS;
--- a/src/test/java/org/astershift/emulator/CloudEmulator.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulator.java
@@ -18,7 +18,7 @@
 /** A cloud with one machine type whose machines boot at once, each as a {@link WorkerEmulator}. */
 public final class CloudEmulator implements AutoCloseable {
   private final List<Integer> controllers;
-  private final Map<String, List<String>> provisioned = new HashMap<>();
+  private final Map<String, List<String>> machinesByRequest = new HashMap<>();
   private final TreeMap<String, WorkerEmulator> machines = new TreeMap<>();
   private final List<WorkerEmulator> allWorkers = new ArrayList<>();
   private final long taskMs;
@@ -26,7 +26,7 @@
   private int rejectionStatus;
   private boolean closed;
   private final Set<String> rejectedRequests = new HashSet<>();
-  private Consumer<String> beforeAnswer = name -> {};
+  private Consumer<String> provisionListener = name -> {};
   private final HttpServer http;
 
   /** Workers send heartbeats to these ports; their tasks take {@code taskMs}, 0 for ever. */
@@ -47,31 +47,31 @@
   }
 
   /** Sets a listener that gets the name of each new machine before the response is sent. */
-  public synchronized void rented(Consumer<String> listener) {
-    beforeAnswer = listener;
+  public synchronized void setProvisionListener(Consumer<String> listener) {
+    provisionListener = listener;
   }
 
   /** Workers of the present machines and of those released. */
-  public synchronized List<WorkerEmulator> everRented() {
+  public synchronized List<WorkerEmulator> workersEverProvisioned() {
     return new ArrayList<>(allWorkers);
   }
 
   /** Ends it with all workers that it ever had; none sends anything afterwards. */
   @Override
   public void close() throws IOException {
-    List<WorkerEmulator> workers = closeToRequests();
+    List<WorkerEmulator> workers = stopServing();
     for (WorkerEmulator worker : workers) {
       worker.close();
     }
     for (WorkerEmulator worker : workers) {
-      worker.awaitEnd();
+      worker.awaitTermination();
     }
   }
 
-  private synchronized List<WorkerEmulator> closeToRequests() throws IOException {
+  private synchronized List<WorkerEmulator> stopServing() throws IOException {
     closed = true;
     http.close();
-    return everRented();
+    return workersEverProvisioned();
   }
 
   private synchronized Response handle(Request request) throws Exception {
@@ -112,12 +112,12 @@
   }
 
   /** From now on rejects provisioning with this status; 0 for accepting it. */
-  public synchronized void refuseRentals(int status) {
+  public synchronized void rejectProvisioning(int status) {
     rejectionStatus = status;
   }
 
   /** Ids of the requests that were rejected so. */
-  public synchronized Set<String> rentalsRefused() {
+  public synchronized Set<String> rejectedRequestIds() {
     return new HashSet<>(rejectedRequests);
   }
 
@@ -127,7 +127,7 @@
       rejectedRequests.add(requestId);
       return Response.error(rejectionStatus, "malformed");
     }
-    List<String> names = provisioned.get(requestId);
+    List<String> names = machinesByRequest.get(requestId);
     if (names == null) {
       names = new ArrayList<>();
       for (long i = Json.integer(fields, "number"); i > 0; i--) {
@@ -136,10 +136,10 @@
             new WorkerEmulator(name, Json.string(fields, "harbor"), controllers, taskMs);
         machines.put(name, worker);
         allWorkers.add(worker);
-        beforeAnswer.accept(name);
+        provisionListener.accept(name);
         names.add(name);
       }
-      provisioned.put(requestId, names);
+      machinesByRequest.put(requestId, names);
     }
     return Response.of(200, Map.of("vessels", names));
   }
@@ -149,7 +149,7 @@
     for (WorkerEmulator worker : machines.values()) {
       Map<String, Object> fields = new LinkedHashMap<>();
       fields.put("id", worker.name());
-      fields.put("addr", worker.addr());
+      fields.put("addr", worker.address());
       fields.put("hull", "small");
       fields.put("harbor", worker.zone());
       fields.put("ebbtide", false);
--- a/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
@@ -17,7 +17,7 @@
 
   /** A provisioning request in flight when a test ends makes no worker. */
   @Test
-  void requestInFlightAtCloseMakesNoMachine() throws Exception {
+  void requestInFlightAtCloseProvisionsNoMachine() throws Exception {
     CloudEmulator cloud = new CloudEmulator(0, List.of(1), 0);
     int port = cloud.port();
     Thread requester = new Thread(() -> provision(port));
@@ -29,7 +29,7 @@
     requester.join();
     Await.until("the request to end", () -> !isRequestWaiting());
     synchronized (cloud) {
-      assertEquals(List.of(), cloud.everRented());
+      assertEquals(List.of(), cloud.workersEverProvisioned());
     }
   }
 
@@ -46,10 +46,10 @@
   private static boolean isRequestWaiting() {
     return Thread.getAllStackTraces().values().stream()
         .flatMap(Arrays::stream)
-        .anyMatch(CloudEmulatorTest::isHandler);
+        .anyMatch(CloudEmulatorTest::isHandlerFrame);
   }
 
-  private static boolean isHandler(StackTraceElement frame) {
+  private static boolean isHandlerFrame(StackTraceElement frame) {
     return frame.getClassName().equals(CloudEmulator.class.getName())
         && frame.getMethodName().equals("handle");
   }
--- a/src/test/java/org/astershift/emulator/InProcessControllers.java
+++ b/src/test/java/org/astershift/emulator/InProcessControllers.java
@@ -87,7 +87,8 @@
     StoreClient store = new StoreClient(settings);
     Map<String, JobService.PeerChannel> peerChannels = new HashMap<>();
     for (Settings.Peer peer : settings.peers()) {
-      peerChannels.put(peer.nodeName(), (op, job, timeoutMs) -> asked(peer.nodeName(), op, job));
+      peerChannels.put(
+          peer.nodeName(), (op, job, timeoutMs) -> answerPeer(peer.nodeName(), op, job));
     }
     ControllerRuntime controller =
         new ControllerRuntime(
@@ -103,7 +104,8 @@
     http.start();
   }
 
-  private PeerResponse asked(String node, PeerOperation operation, String job) throws IOException {
+  private PeerResponse answerPeer(String node, PeerOperation operation, String job)
+      throws IOException {
     JobService jobService;
     synchronized (jobServices) {
       jobService = jobServices.get(node);
--- a/src/test/java/org/astershift/emulator/PortBlock.java
+++ b/src/test/java/org/astershift/emulator/PortBlock.java
@@ -20,22 +20,22 @@
   private static final int SIZE = 10;
 
   /** Where the search goes on: blocks are not reused soon, so leftovers reach nothing. */
-  private static int next = FIRST;
+  private static int nextFirstPort = FIRST;
 
-  private final ServerSocket held;
+  private final ServerSocket reservation;
 
   private PortBlock(ServerSocket held) {
-    this.held = held;
+    this.reservation = held;
   }
 
   /** The next block whose ports are all free, in turn. */
-  public static synchronized PortBlock take() throws IOException {
+  public static synchronized PortBlock acquire() throws IOException {
     for (int tries = (PAST_LAST - FIRST) / SIZE; tries > 0; tries--) {
-      int first = next;
-      next = first + SIZE < PAST_LAST ? first + SIZE : FIRST;
-      ServerSocket held = bound(first);
+      int first = nextFirstPort;
+      nextFirstPort = first + SIZE < PAST_LAST ? first + SIZE : FIRST;
+      ServerSocket held = tryBind(first);
       if (held != null) {
-        if (othersFree(first)) {
+        if (areRemainingPortsFree(first)) {
           return new PortBlock(held);
         }
         held.close();
@@ -44,9 +44,9 @@
     throw new IOException("no block of ports is free from " + FIRST + " to " + PAST_LAST);
   }
 
-  private static boolean othersFree(int first) throws IOException {
+  private static boolean areRemainingPortsFree(int first) throws IOException {
     for (int port = first + 1; port < first + SIZE; port++) {
-      ServerSocket socket = bound(port);
+      ServerSocket socket = tryBind(port);
       if (socket == null) {
         return false;
       }
@@ -56,7 +56,7 @@
   }
 
   /** A socket bound to the port; null if it is in use on any address. */
-  private static ServerSocket bound(int port) throws IOException {
+  private static ServerSocket tryBind(int port) throws IOException {
     ServerSocket socket = new ServerSocket();
     try {
       socket.setReuseAddress(true);
@@ -75,13 +75,13 @@
     }
     List<Integer> result = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
-      result.add(held.getLocalPort() + i);
+      result.add(reservation.getLocalPort() + i);
     }
     return result;
   }
 
   @Override
   public void close() throws IOException {
-    held.close();
+    reservation.close();
   }
 }
--- a/src/test/java/org/astershift/emulator/StoreEmulator.java
+++ b/src/test/java/org/astershift/emulator/StoreEmulator.java
@@ -40,13 +40,13 @@
     }
   }
 
-  private record Event(long revision, Map<String, Object> news, String key) {}
+  private record Event(long revision, Map<String, Object> change, String key) {}
 
   /** Delay of lease expiry. */
-  private long lateMs;
+  private long leaseExpiryDelayMs;
 
   /** Changes up to this revision are compacted. */
-  private long forgotten = -1;
+  private long compactedRevision = -1;
 
   private final TreeMap<String, Value> rows = new TreeMap<>();
   private final List<Event> events = new ArrayList<>();
@@ -57,15 +57,15 @@
   private final HttpServer http;
 
   /** Share of the committed transactions whose responses are lost. */
-  private double lostShare;
+  private double lostResponseShare;
 
   private final SplittableRandom random = new SplittableRandom(7);
-  private final Map<String, Integer> lost = new HashMap<>();
+  private final Map<String, Integer> lostResponses = new HashMap<>();
 
   /** Keys written by transactions whose senders wait in vain for a response. */
-  private final Set<String> unanswered = new HashSet<>();
+  private final Set<String> unansweredKeys = new HashSet<>();
 
-  private int readMeanwhile;
+  private int readsOfUnansweredKeys;
 
   public StoreEmulator(int port) throws IOException {
     http = new HttpServer("127.0.0.1", port, 200, this::handle);
@@ -77,17 +77,17 @@
   }
 
   /** Called before a request is executed or rejected, and before its response is sent. */
-  public interface Watcher {
+  public interface RequestObserver {
     /** An exception rejects the request. */
-    void sees(Request request, boolean carriedOut) throws Exception;
+    void onRequest(Request request, boolean carriedOut) throws Exception;
   }
 
   /** An address for one node, whose requests can be rejected while others are served. */
   public final class StoreAddress implements AutoCloseable {
     private final HttpServer server;
-    private volatile boolean refused;
-    private volatile Watcher watcher = (request, carriedOut) -> {};
-    private boolean held;
+    private volatile boolean rejectsRequests;
+    private volatile RequestObserver observer = (request, carriedOut) -> {};
+    private boolean holdsCompletions;
 
     private StoreAddress() throws IOException {
       server = new HttpServer("127.0.0.1", 0, 200, this::answer);
@@ -95,15 +95,15 @@
     }
 
     private Response answer(Request request) throws Exception {
-      watcher.sees(request, false);
-      if (refused) {
+      observer.onRequest(request, false);
+      if (rejectsRequests) {
         return Response.error(503, "trouble");
       }
       Response response = handle(request);
-      watcher.sees(request, true);
+      observer.onRequest(request, true);
       boolean end = new String(request.body(), StandardCharsets.UTF_8).contains("\"set\":\"d/");
       synchronized (this) {
-        while (held && end) {
+        while (holdsCompletions && end) {
           wait();
         }
       }
@@ -111,13 +111,13 @@
     }
 
     /** Shows all requests to this address to a watcher. */
-    public void watched(Watcher newWatcher) {
-      watcher = newWatcher;
+    public void setObserver(RequestObserver newWatcher) {
+      observer = newWatcher;
     }
 
     /** While set, writes of job completions are committed but not answered. */
-    public synchronized void holdEnds(boolean active) {
-      held = active;
+    public synchronized void holdCompletions(boolean active) {
+      holdsCompletions = active;
       notifyAll();
     }
 
@@ -125,8 +125,8 @@
       return server.port();
     }
 
-    public void refuse(boolean active) {
-      refused = active;
+    public void rejectRequests(boolean active) {
+      rejectsRequests = active;
     }
 
     @Override
@@ -136,27 +136,27 @@
   }
 
   /** A new address, for one node. */
-  public StoreAddress door() throws IOException {
+  public StoreAddress openAddress() throws IOException {
     return new StoreAddress();
   }
 
   /** Delays lease expiry, so that no lease expires while a test is paused. */
-  public synchronized void leasesEndLate(long delayMs) {
-    lateMs = delayMs;
+  public synchronized void delayLeaseExpiry(long delayMs) {
+    leaseExpiryDelayMs = delayMs;
   }
 
   /** Compacts all changes so far: no watch can resume from them. */
-  public synchronized void forgetChanges() {
-    forgotten = revision;
+  public synchronized void compact() {
+    compactedRevision = revision;
     notifyAll();
   }
 
-  public synchronized boolean has(String key) {
+  public synchronized boolean containsKey(String key) {
     return rows.containsKey(key);
   }
 
   /** All keys with a prefix. */
-  public synchronized Set<String> below(String prefix) {
+  public synchronized Set<String> keysWithPrefix(String prefix) {
     return new TreeSet<>(rows.subMap(prefix, prefix + Character.MAX_VALUE).keySet());
   }
 
@@ -164,19 +164,19 @@
    * From now on this share of transactions is committed and its responses are lost: one in eight of
    * them is never sent, and the others are cut short, so that the sender notices at once.
    */
-  public synchronized void loseAnswers(double share) {
-    lostShare = share;
+  public synchronized void loseResponses(double share) {
+    lostResponseShare = share;
     notifyAll();
   }
 
   /** Number of transactions that set a key with this prefix and lost their responses. */
-  public synchronized int lost(String prefix) {
-    return lost.getOrDefault(prefix, 0);
+  public synchronized int lostResponses(String prefix) {
+    return lostResponses.getOrDefault(prefix, 0);
   }
 
   /** Number of reads of a key whose writer waited in vain for its response. */
-  public synchronized int readMeanwhile() {
-    return readMeanwhile;
+  public synchronized int readsOfUnansweredKeys() {
+    return readsOfUnansweredKeys;
   }
 
   /** While down every request gets 503; afterwards each lease has its full duration again. */
@@ -233,7 +233,7 @@
 
   private Response read(String key) {
     Value value = rows.get(key);
-    readMeanwhile += unanswered.contains(key) ? 1 : 0;
+    readsOfUnansweredKeys += unansweredKeys.contains(key) ? 1 : 0;
     return value == null
         ? Response.of(404, Map.of("epoch", revision))
         : Response.of(200, row(key, value));
@@ -267,7 +267,7 @@
       return;
     }
     for (long id : new ArrayList<>(leases.keySet())) {
-      if (leases.get(id).expiresAtMs + lateMs <= now()) {
+      if (leases.get(id).expiresAtMs + leaseExpiryDelayMs <= now()) {
         leases.remove(id);
         for (String key : new ArrayList<>(rows.keySet())) {
           if (rows.get(key).lease() == id) {
@@ -334,7 +334,7 @@
     }
     notifyAll();
     Response response = Response.of(200, Map.of("epoch", revision));
-    return random.nextDouble() < lostShare ? lost(changes, response) : response;
+    return random.nextDouble() < lostResponseShare ? lostResponses(changes, response) : response;
   }
 
   private List<Object> failedConditions(List<?> conditions) throws JsonFormatException {
@@ -365,24 +365,24 @@
   }
 
   /** Withholds the response of a committed transaction from its sender. */
-  private Response lost(List<?> changes, Response response) throws Exception {
+  private Response lostResponses(List<?> changes, Response response) throws Exception {
     List<String> keys = new ArrayList<>();
     for (Object item : changes) {
       String key = Json.stringOrNull(Json.object(item, "change"), "set");
       if (key != null) {
         keys.add(key);
-        lost.merge(key.substring(0, key.lastIndexOf('/') + 1), 1, Integer::sum);
+        lostResponses.merge(key.substring(0, key.lastIndexOf('/') + 1), 1, Integer::sum);
       }
     }
     if (random.nextInt(8) > 0) {
       return new Response(200, new byte[0], 0);
     }
-    unanswered.addAll(keys);
+    unansweredKeys.addAll(keys);
     long untilMs = now() + 2 * StoreClient.STORE_TIMEOUT_MS;
-    while (now() < untilMs && lostShare > 0) {
+    while (now() < untilMs && lostResponseShare > 0) {
       wait(Math.max(1, untilMs - now()));
     }
-    unanswered.removeAll(keys);
+    unansweredKeys.removeAll(keys);
     return response; // the sender has given up
   }
 
@@ -391,13 +391,13 @@
     long deadlineMs = now() + Long.parseLong(query.getOrDefault("block_ms", "0"));
     while (true) {
       expire();
-      if (from < forgotten) {
+      if (from < compactedRevision) {
         return Response.error(410, "too old");
       }
       List<Object> news = new ArrayList<>();
       for (Event entry : events) {
         if (entry.revision() > from && entry.key().startsWith(query.get("starts"))) {
-          news.add(entry.news());
+          news.add(entry.change());
         }
       }
       if (!down && (!news.isEmpty() || now() >= deadlineMs)) {
--- a/src/test/java/org/astershift/emulator/WorkerEmulator.java
+++ b/src/test/java/org/astershift/emulator/WorkerEmulator.java
@@ -31,13 +31,13 @@
   private final Thread heartbeatThread;
   private int controllerIndex;
 
-  private final List<Integer> answeredBy = new ArrayList<>();
+  private final List<Integer> respondingPorts = new ArrayList<>();
 
   /** A start of a task, and its time by {@link System#nanoTime}. */
   public record Start(String task, long atNs) {}
 
   /** The heartbeats sent so far, for replay. */
-  private final List<String> said = new ArrayList<>();
+  private final List<String> sentHeartbeats = new ArrayList<>();
 
   /** Inbound partition: requests to it are delayed until it ends. */
   private boolean inboundPartitioned;
@@ -46,9 +46,9 @@
   private boolean silent;
 
   /** The answer to the next direct request is written and held back; then it is held. */
-  private boolean holdNextAnswer;
+  private boolean holdNextResponse;
 
-  private boolean answerHeld;
+  private boolean isResponseHeld;
 
   WorkerEmulator(String name, String zone, List<Integer> controllers, long taskMs)
       throws IOException {
@@ -58,7 +58,7 @@
     this.taskMs = taskMs;
     this.http = new HttpServer("127.0.0.1", 0, 20, this::handle);
     http.start();
-    heartbeatThread = new Thread(this::loop, "worker " + name);
+    heartbeatThread = new Thread(this::sendHeartbeats, "worker " + name);
     heartbeatThread.setDaemon(true);
     heartbeatThread.start();
   }
@@ -71,12 +71,12 @@
     return zone;
   }
 
-  String addr() {
+  String address() {
     return "127.0.0.1:" + http.port();
   }
 
   /** The names of all tasks started so far, once a start. */
-  public List<String> started() {
+  public List<String> startedTasks() {
     return starts().stream().map(Start::task).collect(Collectors.toCollection(ArrayList::new));
   }
 
@@ -86,8 +86,8 @@
   }
 
   /** All heartbeats so far, as sent. */
-  public synchronized List<String> said() {
-    return new ArrayList<>(said);
+  public synchronized List<String> sentHeartbeats() {
+    return new ArrayList<>(sentHeartbeats);
   }
 
   /** Inbound partition: heartbeats arrive, their responses are lost, and commands are delayed. */
@@ -97,24 +97,24 @@
   }
 
   /** Holds the answer to the next direct request back, with its status as of then. */
-  public synchronized void holdNextAnswer() {
-    holdNextAnswer = true;
+  public synchronized void holdNextResponse() {
+    holdNextResponse = true;
   }
 
   /** Whether an answer is held back. */
-  public synchronized boolean answerHeld() {
-    return answerHeld;
+  public synchronized boolean isResponseHeld() {
+    return isResponseHeld;
   }
 
   /** Sends the answer that is held back. */
-  public synchronized void releaseAnswer() {
-    holdNextAnswer = false;
-    answerHeld = false;
+  public synchronized void releaseResponse() {
+    holdNextResponse = false;
+    isResponseHeld = false;
     notifyAll();
   }
 
   /** Records a later fencing token, and sends no more heartbeats. */
-  public synchronized void seenUnsaid(long laterToken) {
+  public synchronized void recordLaterToken(long laterToken) {
     token = Math.max(token, laterToken);
     silent = true;
   }
@@ -131,14 +131,14 @@
   }
 
   /** Ports of the controllers whose responses it accepted since the last call. */
-  public synchronized List<Integer> answeredBy() {
-    List<Integer> result = new ArrayList<>(answeredBy);
-    answeredBy.clear();
+  public synchronized List<Integer> respondingPorts() {
+    List<Integer> result = new ArrayList<>(respondingPorts);
+    respondingPorts.clear();
     return result;
   }
 
   /** Names of the running tasks. */
-  public synchronized List<String> running() {
+  public synchronized List<String> runningTasks() {
     List<String> result = new ArrayList<>();
     tasks.forEach(
         (key, task) -> {
@@ -153,12 +153,12 @@
   public void close() throws IOException {
     closed = true;
     inboundPartitioned(false);
-    releaseAnswer();
+    releaseResponse();
     http.close();
   }
 
   /** Waits, once it is closed, for a heartbeat that may be in flight. */
-  void awaitEnd() {
+  void awaitTermination() {
     try {
       heartbeatThread.join();
     } catch (InterruptedException e) {
@@ -181,7 +181,7 @@
         });
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("vessel", name);
-    fields.put("addr", addr());
+    fields.put("addr", address());
     fields.put("hull", "small");
     fields.put("harbor", zone);
     fields.put("ebbtide", false);
@@ -205,19 +205,19 @@
     if (Json.integer(fields, "helm") < token || Json.integer(fields, "watch") != 1) {
       return Response.of(409, heartbeat());
     }
-    execute(fields);
+    executeCommands(fields);
     Response answer = Response.of(200, heartbeat());
-    if (holdNextAnswer) {
-      holdNextAnswer = false;
-      answerHeld = true;
+    if (holdNextResponse) {
+      holdNextResponse = false;
+      isResponseHeld = true;
     }
-    while (answerHeld && !closed) {
+    while (isResponseHeld && !closed) {
       wait();
     }
     return answer;
   }
 
-  private synchronized void execute(Map<String, Object> fields) throws JsonFormatException {
+  private synchronized void executeCommands(Map<String, Object> fields) throws JsonFormatException {
     if (fields.get("helm") == null || Json.integer(fields, "helm") < token) {
       return;
     }
@@ -259,14 +259,14 @@
 
   private synchronized void onResponse(String heartbeat, HttpClient.Response response)
       throws JsonFormatException {
-    said.add(heartbeat);
+    sentHeartbeats.add(heartbeat);
     if (!inboundPartitioned) {
-      answeredBy.add(controllers.get(controllerIndex % controllers.size()));
-      execute(Json.object(response.body()));
+      respondingPorts.add(controllers.get(controllerIndex % controllers.size()));
+      executeCommands(Json.object(response.body()));
     }
   }
 
-  private void loop() {
+  private void sendHeartbeats() {
     while (!closed) {
       try {
         awaitNextHeartbeat();
--- a/src/test/java/org/astershift/golden/CloudCallsTest.java
+++ b/src/test/java/org/astershift/golden/CloudCallsTest.java
@@ -40,23 +40,29 @@
     String make() throws Exception;
   }
 
-  private void one(Golden g, String label, int status, String answer, Call call) throws Exception {
-    recorder.answer(status, answer);
+  private void addCall(Golden g, String label, int status, String answer, Call call)
+      throws Exception {
+    recorder.enqueueResponse(status, answer);
     String result;
     try {
       result = call.make();
     } catch (CloudRejectedException e) {
       result =
-          "refused: " + e.getMessage() + ", " + why(e.reason()) + ", " + e.reason().isPermanent();
+          "refused: "
+              + e.getMessage()
+              + ", "
+              + describeReason(e.reason())
+              + ", "
+              + e.reason().isPermanent();
     } catch (IOException e) {
       result = "error: " + e.getMessage();
     }
-    g.add(label + ", request", recorder.taken());
+    g.add(label + ", request", recorder.takeRequests());
     g.add(label + ", answer", status + " " + answer);
     g.add(label + ", result", result);
   }
 
-  private static String why(CloudRejectedException.Reason reason) {
+  private static String describeReason(CloudRejectedException.Reason reason) {
     return switch (reason) {
       case NO_CAPACITY -> "none to be had";
       case MALFORMED -> "never";
@@ -64,7 +70,7 @@
     };
   }
 
-  private static String text(MachineType t) {
+  private static String describe(MachineType t) {
     StringJoiner out = new StringJoiner(" ");
     out.add(t.name());
     double[] numbers = {
@@ -83,19 +89,19 @@
     return out.add("in " + String.join(" ", t.zones())).toString();
   }
 
-  private static String text(ListedMachine l) {
+  private static String describe(ListedMachine l) {
     return String.join(" ", l.name(), l.address(), l.typeName(), l.zone(), l.state())
         + (l.spot() ? " spot " : " no spot ")
         + l.ageS();
   }
 
   @Test
-  void types() throws Exception {
+  void listingTypes() throws Exception {
     Golden g = new Golden("cloud-types");
     Call types =
         () -> {
           StringJoiner out = new StringJoiner("; ");
-          cloud.listMachineTypes().forEach((name, t) -> out.add(name + ": " + text(t)));
+          cloud.listMachineTypes().forEach((name, t) -> out.add(name + ": " + describe(t)));
           return out.toString();
         };
     String small =
@@ -103,81 +109,81 @@
             + "\"pull_gb_per_s\":0.5,\"hourly\":0.2,\"low_price\":0.05,\"ready_s\":30,"
             + "\"harbors\":[\"b\",\"a\"],\"new\":{}}";
     String plain = small.replace("\"gpus\":1.5,", "").replace("\"small\"", "\"plain\"");
-    one(g, "two", 200, "{\"hulls\":[" + small + "," + plain + "]}", types);
-    one(g, "none", 200, EMPTY, types);
-    one(g, "nonsense", 200, "no", types);
-    one(g, "no object", 200, "{\"hulls\":[7]}", types);
+    addCall(g, "two", 200, "{\"hulls\":[" + small + "," + plain + "]}", types);
+    addCall(g, "none", 200, EMPTY, types);
+    addCall(g, "nonsense", 200, "no", types);
+    addCall(g, "no object", 200, "{\"hulls\":[7]}", types);
     for (String field :
         new String[] {
           "name", "vcpus", "mem_gb", "local_gb", "pull_gb_per_s", "hourly", "low_price", "ready_s"
         }) {
       String without = small.replace("\"" + field + "\"", "\"x\"");
-      one(g, "without " + field, 200, "{\"hulls\":[" + without + "]}", types);
+      addCall(g, "without " + field, 200, "{\"hulls\":[" + without + "]}", types);
     }
-    one(g, "refused", 503, EMPTY, types);
+    addCall(g, "refused", 503, EMPTY, types);
     g.check();
   }
 
   @Test
-  void renting() throws Exception {
+  void provisioning() throws Exception {
     Golden g = new Golden("cloud-rentals");
     Decision.ProvisionMachines spot = new Decision.ProvisionMachines("g8", "z1", true, 3);
     Decision.ProvisionMachines other = new Decision.ProvisionMachines("c4", "z2", false, 1);
     Call rent = () -> String.join(" ", cloud.provisionMachines("as-7-1", spot));
-    one(g, "spot", 200, "{\"vessels\":[\"m-1\",\"m-2\",\"m-3\"]}", rent);
-    one(
+    addCall(g, "spot", 200, "{\"vessels\":[\"m-1\",\"m-2\",\"m-3\"]}", rent);
+    addCall(
         g,
         "no spot",
         200,
         "{\"vessels\":[]}",
         () -> String.join(" ", cloud.provisionMachines("as-7-2", other)));
-    one(g, "nonsense", 200, "no", rent);
-    one(g, "no list", 200, "{\"vessels\":7}", rent);
-    one(g, "no capacity", 503, "{\"error\":\"no capacity\"}", rent);
-    one(g, "other error", 503, "{\"error\":\"starting\"}", rent);
-    one(g, "error without text", 503, "", rent);
-    one(g, "capacity by another status", 500, "{\"error\":\"no capacity\"}", rent);
-    one(g, "malformed", 400, "{\"error\":\"no capacity\"}", rent);
-    one(g, "over the limit", 429, EMPTY, rent);
+    addCall(g, "nonsense", 200, "no", rent);
+    addCall(g, "no list", 200, "{\"vessels\":7}", rent);
+    addCall(g, "no capacity", 503, "{\"error\":\"no capacity\"}", rent);
+    addCall(g, "other error", 503, "{\"error\":\"starting\"}", rent);
+    addCall(g, "error without text", 503, "", rent);
+    addCall(g, "capacity by another status", 500, "{\"error\":\"no capacity\"}", rent);
+    addCall(g, "malformed", 400, "{\"error\":\"no capacity\"}", rent);
+    addCall(g, "over the limit", 429, EMPTY, rent);
     g.check();
   }
 
   @Test
-  void givingBack() throws Exception {
+  void releasing() throws Exception {
     Golden g = new Golden("cloud-returns");
     Call back =
         () -> {
           cloud.releaseMachines(List.of("m-1", "m-2"));
           return "done";
         };
-    one(g, "two", 200, EMPTY, back);
-    one(g, "malformed", 400, EMPTY, back);
-    one(g, "trouble", 503, EMPTY, back);
+    addCall(g, "two", 200, EMPTY, back);
+    addCall(g, "malformed", 400, EMPTY, back);
+    addCall(g, "trouble", 503, EMPTY, back);
     g.check();
   }
 
   @Test
-  void listing() throws Exception {
+  void listingMachines() throws Exception {
     Golden g = new Golden("cloud-lists");
     Call list =
         () -> {
           StringJoiner out = new StringJoiner("; ");
-          cloud.listMachines().forEach(l -> out.add(text(l)));
+          cloud.listMachines().forEach(l -> out.add(describe(l)));
           return out.toString();
         };
     String full =
         "{\"id\":\"m-1\",\"addr\":\"10.0.0.1:7000\",\"hull\":\"g8\",\"harbor\":\"z1\","
             + "\"ebbtide\":true,\"phase\":\"ready\",\"held_s\":12.5,\"new\":1}";
     String least = "{\"id\":\"m-2\",\"hull\":\"c4\",\"harbor\":\"z2\",\"phase\":\"booting\"}";
-    recorder.answer(200, "{\"vessels\":[" + full + "],\"more\":true}");
-    one(g, "second of two pages", 200, "{\"vessels\":[" + least + "],\"more\":false}", list);
-    one(g, "empty page", 200, "{\"vessels\":[],\"more\":true}", list);
-    one(g, "no list", 200, EMPTY, list);
+    recorder.enqueueResponse(200, "{\"vessels\":[" + full + "],\"more\":true}");
+    addCall(g, "second of two pages", 200, "{\"vessels\":[" + least + "],\"more\":false}", list);
+    addCall(g, "empty page", 200, "{\"vessels\":[],\"more\":true}", list);
+    addCall(g, "no list", 200, EMPTY, list);
     for (String field : new String[] {"id", "hull", "harbor", "phase"}) {
       String without = full.replace("\"" + field + "\"", "\"x\"");
-      one(g, "without " + field, 200, "{\"vessels\":[" + without + "]}", list);
+      addCall(g, "without " + field, 200, "{\"vessels\":[" + without + "]}", list);
     }
-    one(g, "trouble", 500, EMPTY, list);
+    addCall(g, "trouble", 500, EMPTY, list);
     g.check();
   }
 }
--- a/src/test/java/org/astershift/golden/CommandCallsTest.java
+++ b/src/test/java/org/astershift/golden/CommandCallsTest.java
@@ -14,24 +14,24 @@
 /** What workers are asked directly, and what their answers are taken for. */
 @Timeout(60)
 class CommandCallsTest {
-  private static final String REPORT =
+  private static final String HEARTBEAT =
       "{\"vessel\":\"m-1\",\"addr\":\"a:1\",\"hull\":\"g8\",\"harbor\":\"z1\",\"watch\":5,\"tick\":9}";
 
   @TempDir Path dir;
   private final CommandSender sender = new CommandSender();
   private Recorder recorder;
-  private String addr;
+  private String address;
 
   @BeforeEach
   void start() throws Exception {
     recorder = new Recorder();
     Settings.Endpoint here = recorder.settings(dir).cloud();
-    addr = here.host() + ":" + here.port();
+    address = here.host() + ":" + here.port();
   }
 
   @AfterEach
   void stop() throws Exception {
-    sender.disconnect(addr);
+    sender.disconnect(address);
     recorder.close();
   }
 
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void directOrders() throws Exception {
+  void directCommands() throws Exception {
     List<Command> orders =
         List.of(
             new Command(Command.Kind.START, "wk-1", 0, 1, 0),
@@ -50,18 +50,18 @@
             new Command(Command.Kind.FORGET, "wk-2", 3, 4, 0));
     Golden g = new Golden("worker-calls");
     for (int status : new int[] {200, 409, 400, 404, 421, 500, 503}) {
-      recorder.answer(status, REPORT);
-      String result = send(addr, orders);
-      g.add(status + ", request", recorder.taken());
+      recorder.enqueueResponse(status, HEARTBEAT);
+      String result = send(address, orders);
+      g.add(status + ", request", recorder.takeRequests());
       g.add(status + ", result", result);
     }
-    recorder.answer(200, "{}");
-    g.add("no report, result", send(addr, List.of()));
-    g.add("no report, request", recorder.taken());
+    recorder.enqueueResponse(200, "{}");
+    g.add("no report, result", send(address, List.of()));
+    g.add("no report, request", recorder.takeRequests());
     for (int status : new int[] {200, 404, 503}) {
-      recorder.answer(status, REPORT);
-      g.add("question " + status + ", result", String.valueOf(sender.isReachable(addr, 5000)));
-      g.add("question " + status + ", request", recorder.taken());
+      recorder.enqueueResponse(status, HEARTBEAT);
+      g.add("question " + status + ", result", String.valueOf(sender.isReachable(address, 5000)));
+      g.add("question " + status + ", request", recorder.takeRequests());
     }
     for (String no : new String[] {"", "host", ":7", "host:", "host:x", "host:65536"}) {
       g.add("address <" + no + ">", send(no, orders) + ", " + sender.isReachable(no, 5000));
--- a/src/test/java/org/astershift/golden/Golden.java
+++ b/src/test/java/org/astershift/golden/Golden.java
@@ -53,7 +53,7 @@
   }
 
   /** The kept text of a case, for reading it back. */
-  public String kept(String label) throws IOException {
+  public String expected(String label) throws IOException {
     String start = label + SEPARATOR;
     String found = null;
     for (String line : Files.readString(file).split("\n")) {
--- a/src/test/java/org/astershift/golden/OperatorFormsTest.java
+++ b/src/test/java/org/astershift/golden/OperatorFormsTest.java
@@ -20,11 +20,11 @@
 
   @TempDir Path dir;
 
-  private Path file(String text) throws Exception {
+  private Path writeFile(String text) throws Exception {
     return Files.writeString(dir.resolve("operator.ini"), text);
   }
 
-  private static String text(SchedulingPolicy p) {
+  private static String describe(SchedulingPolicy p) {
     return p.windowTasks()
         + " "
         + p.utilizationThreshold()
@@ -39,19 +39,24 @@
   @Test
   void values() throws Exception {
     new Golden("operator-values")
-        .add("defaults", text(OperatorSettings.defaults()))
-        .add("empty", text(OperatorSettings.load(file(""))))
-        .add("empty sections", text(OperatorSettings.load(file("[placement]\n[fleet]\n"))))
-        .add("one key", text(OperatorSettings.load(file("[fleet]\nidle_release_s = 0\n"))))
-        .add("full", text(OperatorSettings.load(file(FULL))))
-        .add("fractions", text(OperatorSettings.load(file("[placement]\nwindow=9.9\nbatch=1.5\n"))))
-        .add("twice", text(OperatorSettings.load(file("[placement]\nwindow = 1\nwindow = 2\n"))))
+        .add("defaults", describe(OperatorSettings.defaults()))
+        .add("empty", describe(OperatorSettings.load(writeFile(""))))
+        .add("empty sections", describe(OperatorSettings.load(writeFile("[placement]\n[fleet]\n"))))
+        .add("one key", describe(OperatorSettings.load(writeFile("[fleet]\nidle_release_s = 0\n"))))
+        .add("full", describe(OperatorSettings.load(writeFile(FULL))))
         .add(
-            "bounds", text(OperatorSettings.load(file("[placement]\nwindow=1e6\nutilization=1\n"))))
+            "fractions",
+            describe(OperatorSettings.load(writeFile("[placement]\nwindow=9.9\nbatch=1.5\n"))))
+        .add(
+            "twice",
+            describe(OperatorSettings.load(writeFile("[placement]\nwindow = 1\nwindow = 2\n"))))
+        .add(
+            "bounds",
+            describe(OperatorSettings.load(writeFile("[placement]\nwindow=1e6\nutilization=1\n"))))
         .check();
   }
 
-  private static Map<String, String> bad() {
+  private static Map<String, String> invalidFiles() {
     Map<String, String> out = new LinkedHashMap<>();
     String[] lines = {"window = 77", "utilization=0.5", "batch = 12", "waiting_age_s = 3.5"};
     for (String line : lines) {
@@ -74,8 +79,8 @@
   @Test
   void errors() throws Exception {
     Golden g = new Golden("operator-errors");
-    for (Map.Entry<String, String> e : bad().entrySet()) {
-      Path file = file(e.getValue());
+    for (Map.Entry<String, String> e : invalidFiles().entrySet()) {
+      Path file = writeFile(e.getValue());
       String said =
           assertThrows(ConfigurationException.class, () -> OperatorSettings.load(file), e.getKey())
               .getMessage();
--- a/src/test/java/org/astershift/golden/PeerRequestsTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -43,7 +43,7 @@
   private final ThreadGroup threads = new ThreadGroup("controller");
 
   /** Users' questions that the node passed on to the leader. */
-  private final Set<String> passedOn = new ConcurrentSkipListSet<>();
+  private final Set<String> forwardedRequests = new ConcurrentSkipListSet<>();
 
   private StoreEmulator store;
   private HttpServer worker;
@@ -72,15 +72,15 @@
       assertEquals(200, client.call("POST", "/multi", body, 5000).status());
     }
     Settings settings = Emulators.settings(dir, store.port(), 1);
-    Thread starter = new Thread(threads, () -> begin(settings));
+    Thread starter = new Thread(threads, () -> startController(settings));
     starter.start();
     starter.join();
   }
 
-  private void begin(Settings settings) {
+  private void startController(Settings settings) {
     StoreClient client = new StoreClient(settings);
     Map<String, JobService.PeerChannel> peers =
-        Map.of("n2", (op, job, timeoutMs) -> asked(op, job));
+        Map.of("n2", (op, job, timeoutMs) -> answerAsLeader(op, job));
     ControllerRuntime director =
         new ControllerRuntime(
             settings, OperatorSettings.defaults(), client, new WatchCache(client), peers);
@@ -88,11 +88,11 @@
     director.start();
   }
 
-  private PeerResponse asked(PeerOperation op, String job) {
+  private PeerResponse answerAsLeader(PeerOperation op, String job) {
     if (!job.equals(JOB)) {
       return new PeerResponse(200, "", 0, 0); // what nodes ask each other of themselves
     }
-    passedOn.add(op.wireName() + " " + job);
+    forwardedRequests.add(op.wireName() + " " + job);
     return op == PeerOperation.CANCEL_JOB ? CANCELLED : RUNNING;
   }
 
@@ -103,16 +103,16 @@
     store.close();
   }
 
-  private static String text(PeerResponse a) {
+  private static String describe(PeerResponse a) {
     return a.status() + " <" + a.phase() + "> " + a.doneTasks() + " " + a.runningTasks();
   }
 
-  private void add(Golden g, String label, String op, String job) throws Exception {
-    g.add(label, text(jobService.answerPeer(PeerOperation.fromWireName(op), job)));
+  private void addRequest(Golden g, String label, String op, String job) throws Exception {
+    g.add(label, describe(jobService.answerPeer(PeerOperation.fromWireName(op), job)));
   }
 
   /** Asks until the node has read what is on record. */
-  private void ready() throws Exception {
+  private void awaitReady() throws Exception {
     while (jobService.poll(JOB, true).status() != 200
         || jobService.answerPeer(PeerOperation.STORE_STATUS, "").phase().isEmpty()) {
       Thread.sleep(20);
@@ -120,19 +120,19 @@
   }
 
   @Test
-  void questions() throws Exception {
-    ready();
+  void peerRequests() throws Exception {
+    awaitReady();
     Golden g = new Golden("peer-words");
-    g.add("user asks", text(jobService.poll(JOB, true)));
-    g.add("user cancels", text(jobService.cancel(JOB, true)));
-    g.add("passed on", String.join(", ", new TreeSet<>(passedOn)));
-    add(g, "poll", "poll", "wk-2");
-    add(g, "state", "state", "");
-    add(g, "reach", "reach", "");
-    add(g, "yield", "yield", "n3");
+    g.add("user asks", describe(jobService.poll(JOB, true)));
+    g.add("user cancels", describe(jobService.cancel(JOB, true)));
+    g.add("passed on", String.join(", ", new TreeSet<>(forwardedRequests)));
+    addRequest(g, "poll", "poll", "wk-2");
+    addRequest(g, "state", "state", "");
+    addRequest(g, "reach", "reach", "");
+    addRequest(g, "yield", "yield", "n3");
     String alive = "127.0.0.1:" + worker.port();
-    add(g, "witness", "witness", alive + " 127.0.0.1:70000 " + alive);
-    add(g, "another word", "rest", "");
+    addRequest(g, "witness", "witness", alive + " 127.0.0.1:70000 " + alive);
+    addRequest(g, "another word", "rest", "");
     g.check();
   }
 }
--- a/src/test/java/org/astershift/golden/Recorder.java
+++ b/src/test/java/org/astershift/golden/Recorder.java
@@ -16,8 +16,8 @@
 /** A server that notes what it is asked and gives the answers that it was told to give. */
 public final class Recorder implements AutoCloseable {
   private final HttpServer server;
-  private final Deque<Response> answers = new ArrayDeque<>();
-  private final List<String> asked = new ArrayList<>();
+  private final Deque<Response> queuedResponses = new ArrayDeque<>();
+  private final List<String> requests = new ArrayList<>();
 
   public Recorder() throws IOException {
     this.server = new HttpServer("127.0.0.1", 0, 10, this::handle);
@@ -30,22 +30,22 @@
   }
 
   /** The next request without an answer of its own gets this one. */
-  public synchronized void answer(int status, String body) {
-    answers.add(new Response(status, body.getBytes(StandardCharsets.UTF_8), 0));
+  public synchronized void enqueueResponse(int status, String body) {
+    queuedResponses.add(new Response(status, body.getBytes(StandardCharsets.UTF_8), 0));
   }
 
   private synchronized Response handle(Request r) {
     String query = r.query().isEmpty() ? "" : "?" + r.query();
     String body = new String(r.body(), StandardCharsets.UTF_8);
-    asked.add((r.method() + " " + r.path() + query + " " + body).trim());
-    Response next = answers.poll();
+    requests.add((r.method() + " " + r.path() + query + " " + body).trim());
+    Response next = queuedResponses.poll();
     return next == null ? Response.error(500, "no answer was recorded") : next;
   }
 
   /** What was asked since the last call. */
-  public synchronized String taken() {
-    String all = String.join(" & ", asked);
-    asked.clear();
+  public synchronized String takeRequests() {
+    String all = String.join(" & ", requests);
+    requests.clear();
     return all;
   }
 
