--- a/src/test/java/org/astershift/golden/ServiceCallsTest.java
+++ b/src/test/java/org/astershift/golden/ServiceCallsTest.java
@@ -21,7 +21,7 @@
 /** What the state service is asked, and what its answers are taken for. */
 @Timeout(60)
 class ServiceCallsTest {
-  private static final int[] TROUBLE = {400, 404, 409, 410, 429, 500, 503};
+  private static final int[] ERROR_STATUSES = {400, 404, 409, 410, 429, 500, 503};
 
   @TempDir Path dir;
   private Recorder recorder;
@@ -44,39 +44,40 @@
   }
 
   /** Notes the request, the answer to it, and what the client made of that. */
-  private void one(Golden g, String label, int status, String answer, Call call) throws Exception {
-    recorder.answer(status, answer);
+  private void addCall(Golden g, String label, int status, String answer, Call call)
+      throws Exception {
+    recorder.enqueueResponse(status, answer);
     String result;
     try {
       result = call.make();
     } catch (IOException e) {
       result = "error: " + e.getMessage();
     }
-    g.add(label + ", request", recorder.taken());
+    g.add(label + ", request", recorder.takeRequests());
     g.add(label + ", answer", status + " " + answer);
     g.add(label + ", result", result);
   }
 
-  private static String text(StoreClient.Entry row) {
+  private static String describe(StoreClient.Entry row) {
     String data = row.data() == null ? "nothing" : new String(Json.encode(row.data()));
     return row.key() + " " + data + " " + row.revision();
   }
 
-  private static String text(List<StoreClient.Entry> rows) {
+  private static String describe(List<StoreClient.Entry> rows) {
     StringJoiner out = new StringJoiner("; ", "[", "]");
-    rows.forEach(row -> out.add(text(row)));
+    rows.forEach(row -> out.add(describe(row)));
     return out.toString();
   }
 
-  private static String text(StoreClient.Page page) {
-    return text(page.entries()) + " more " + page.hasMore() + " at " + page.revision();
+  private static String describe(StoreClient.Page page) {
+    return describe(page.entries()) + " more " + page.hasMore() + " at " + page.revision();
   }
 
-  private static String text(StoreClient.WatchResponse c) {
-    return text(c.entries()) + " at " + c.revision() + " too old " + c.compacted();
+  private static String describe(StoreClient.WatchResponse c) {
+    return describe(c.entries()) + " at " + c.revision() + " too old " + c.compacted();
   }
 
-  private static String text(Outcome o) {
+  private static String describe(Outcome o) {
     if (o instanceof Outcome.Committed a) {
       return "applied at " + a.revision();
     }
@@ -90,20 +91,20 @@
   void reading() throws Exception {
     Golden g = new Golden("store-reads");
     String row = "{\"data\":{\"node\":\"n1\"},\"stamp\":7,\"mooring\":12,\"new\":[]}";
-    Call get = () -> text(store.get("l/leader"));
-    one(g, "get", 200, row, get);
-    one(g, "get without data", 200, "{\"stamp\":7}", get);
-    one(g, "get without revision", 200, "{\"data\":{}}", get);
-    one(g, "get nonsense", 200, "no", get);
-    for (int status : TROUBLE) {
-      one(g, "get " + status, status, "{\"error\":\"x\"}", get);
+    Call get = () -> describe(store.get("l/leader"));
+    addCall(g, "get", 200, row, get);
+    addCall(g, "get without data", 200, "{\"stamp\":7}", get);
+    addCall(g, "get without revision", 200, "{\"data\":{}}", get);
+    addCall(g, "get nonsense", 200, "no", get);
+    for (int status : ERROR_STATUSES) {
+      addCall(g, "get " + status, status, "{\"error\":\"x\"}", get);
     }
     Call on = () -> String.valueOf(store.revisionIfAttached(12, "l/leader"));
-    one(g, "on its lease", 200, row, on);
-    one(g, "on another lease", 200, row.replace("12", "13"), on);
-    one(g, "on no lease", 200, "{\"data\":{},\"stamp\":7}", on);
-    one(g, "on a lease, absent", 404, "{}", on);
-    one(g, "on a lease, trouble", 503, "{}", on);
+    addCall(g, "on its lease", 200, row, on);
+    addCall(g, "on another lease", 200, row.replace("12", "13"), on);
+    addCall(g, "on no lease", 200, "{\"data\":{},\"stamp\":7}", on);
+    addCall(g, "on a lease, absent", 404, "{}", on);
+    addCall(g, "on a lease, trouble", 503, "{}", on);
     g.check();
   }
 
@@ -113,15 +114,15 @@
     String rows =
         "{\"rows\":[{\"k\":\"l/j/wk-1\",\"data\":{\"c\":\"a\",\"n\":1.5},\"stamp\":3},"
             + "{\"k\":\"l/j/wk-2\",\"data\":{},\"stamp\":4}],\"more\":true,\"epoch\":9}";
-    one(g, "first page", 200, rows, () -> text(store.list("l/", null)));
-    Call next = () -> text(store.list("l/", "l/j/wk-2"));
-    one(g, "next page", 200, "{\"rows\":[],\"more\":false,\"epoch\":10}", next);
-    one(g, "no rows", 200, "{\"epoch\":18446744073709551615}", next);
-    one(g, "row without key", 200, rows.replace("\"k\"", "\"x\""), next);
-    one(g, "no epoch", 200, "{\"rows\":[]}", next);
-    one(g, "more is no flag", 200, "{\"more\":1,\"epoch\":1}", next);
-    for (int status : TROUBLE) {
-      one(g, "list " + status, status, "{}", next);
+    addCall(g, "first page", 200, rows, () -> describe(store.list("l/", null)));
+    Call next = () -> describe(store.list("l/", "l/j/wk-2"));
+    addCall(g, "next page", 200, "{\"rows\":[],\"more\":false,\"epoch\":10}", next);
+    addCall(g, "no rows", 200, "{\"epoch\":18446744073709551615}", next);
+    addCall(g, "row without key", 200, rows.replace("\"k\"", "\"x\""), next);
+    addCall(g, "no epoch", 200, "{\"rows\":[]}", next);
+    addCall(g, "more is no flag", 200, "{\"more\":1,\"epoch\":1}", next);
+    for (int status : ERROR_STATUSES) {
+      addCall(g, "list " + status, status, "{}", next);
     }
     g.check();
   }
@@ -129,16 +130,16 @@
   @Test
   void watching() throws Exception {
     Golden g = new Golden("store-watches");
-    Call watch = () -> text(store.watch("l/", 41));
+    Call watch = () -> describe(store.watch("l/", 41));
     String news =
         "{\"news\":[{\"set\":\"l/types\",\"data\":{\"types\":[]},\"stamp\":42},"
             + "{\"remove\":\"l/j/wk-1\",\"stamp\":43}],\"epoch\":44}";
-    one(g, "changes", 200, news, watch);
-    one(g, "none", 200, "{\"news\":[],\"epoch\":41}", watch);
-    one(g, "neither set nor removed", 200, "{\"news\":[{\"stamp\":1}],\"epoch\":41}", watch);
-    one(g, "no data", 200, "{\"news\":[{\"set\":\"a\",\"stamp\":1}],\"epoch\":41}", watch);
-    for (int status : TROUBLE) {
-      one(g, "watch " + status, status, "{}", watch);
+    addCall(g, "changes", 200, news, watch);
+    addCall(g, "none", 200, "{\"news\":[],\"epoch\":41}", watch);
+    addCall(g, "neither set nor removed", 200, "{\"news\":[{\"stamp\":1}],\"epoch\":41}", watch);
+    addCall(g, "no data", 200, "{\"news\":[{\"set\":\"a\",\"stamp\":1}],\"epoch\":41}", watch);
+    for (int status : ERROR_STATUSES) {
+      addCall(g, "watch " + status, status, "{}", watch);
     }
     g.check();
   }
@@ -158,22 +159,23 @@
   @Test
   void committing() throws Exception {
     Golden g = new Golden("store-commits");
-    Call commit = () -> text(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
-    one(g, "applied", 200, "{\"epoch\":99}", commit);
-    one(g, "conflict", 409, "{\"failed\":[\"l/n/o0\",\"l/leader\"]}", commit);
-    one(g, "conflict of none", 409, "{}", commit);
-    one(g, "applied without revision", 200, "{}", commit);
-    one(g, "conflict nonsense", 409, "no", commit);
+    Call commit =
+        () -> describe(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
+    addCall(g, "applied", 200, "{\"epoch\":99}", commit);
+    addCall(g, "conflict", 409, "{\"failed\":[\"l/n/o0\",\"l/leader\"]}", commit);
+    addCall(g, "conflict of none", 409, "{}", commit);
+    addCall(g, "applied without revision", 200, "{}", commit);
+    addCall(g, "conflict nonsense", 409, "no", commit);
     for (int status : new int[] {400, 404, 413, 500, 503}) {
-      one(g, "commit " + status, status, "{}", commit);
+      addCall(g, "commit " + status, status, "{}", commit);
     }
     StoreClient.Transaction empty = new StoreClient.Transaction();
-    one(
+    addCall(
         g,
         "empty",
         200,
         "{\"epoch\":100}",
-        () -> text(store.commit(empty, RateLimiter.Urgency.BACKGROUND, 5000)));
+        () -> describe(store.commit(empty, RateLimiter.Urgency.BACKGROUND, 5000)));
     g.add("malformed", StoreClient.MALFORMED_REASON);
     g.add("changes of one", String.valueOf(transaction().size()));
     g.check();
@@ -183,9 +185,10 @@
   @Test
   void committingOverTheLimit() throws Exception {
     Golden g = new Golden("store-commits-again");
-    recorder.answer(429, "{}");
-    Call commit = () -> text(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
-    one(g, "second", 200, "{\"epoch\":99}", commit);
+    recorder.enqueueResponse(429, "{}");
+    Call commit =
+        () -> describe(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
+    addCall(g, "second", 200, "{\"epoch\":99}", commit);
     g.check();
   }
 
@@ -193,29 +196,29 @@
   void leases() throws Exception {
     Golden g = new Golden("store-leases");
     Call grant = () -> String.valueOf(store.grantLease(2000));
-    one(g, "grant", 200, "{\"mooring\":12}", grant);
-    one(g, "grant without lease", 200, "{}", grant);
-    one(g, "grant refused", 503, "{}", grant);
+    addCall(g, "grant", 200, "{\"mooring\":12}", grant);
+    addCall(g, "grant without lease", 200, "{}", grant);
+    addCall(g, "grant refused", 503, "{}", grant);
     Call renew = () -> String.valueOf(store.renewLease(12));
-    one(g, "renew", 200, "{}", renew);
-    one(g, "renew, over", 404, "{}", renew);
-    one(g, "renew, trouble", 503, "{}", renew);
+    addCall(g, "renew", 200, "{}", renew);
+    addCall(g, "renew, over", 404, "{}", renew);
+    addCall(g, "renew, trouble", 503, "{}", renew);
     Call revoke =
         () -> {
           store.revokeLease(12);
           return "done";
         };
-    one(g, "revoke", 200, "", revoke);
-    one(g, "revoke, over", 404, "{}", revoke);
+    addCall(g, "revoke", 200, "", revoke);
+    addCall(g, "revoke, over", 404, "{}", revoke);
     g.check();
   }
 
   /** What is said when nobody listens: nothing was sent. */
   @Test
-  void nobodyListens() throws Exception {
+  void unreachableStore() throws Exception {
     recorder.close();
     assertThrows(IOException.class, () -> store.get("l/leader"));
-    String said = text(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
+    String said = describe(store.commit(transaction(), RateLimiter.Urgency.INTERACTIVE, 5000));
     new Golden("store-nobody").add("commit", said.split(":")[0]).check();
   }
 }
--- a/src/test/java/org/astershift/golden/SettingsFormsTest.java
+++ b/src/test/java/org/astershift/golden/SettingsFormsTest.java
@@ -87,11 +87,11 @@
 
   @TempDir Path dir;
 
-  private Path file(String text) throws Exception {
+  private Path writeFile(String text) throws Exception {
     return Files.writeString(dir.resolve("node.toml"), text);
   }
 
-  private static String text(Object... values) {
+  private static String joinValues(Object... values) {
     StringJoiner out = new StringJoiner(" ");
     for (Object v : values) {
       out.add(String.valueOf(v));
@@ -99,56 +99,58 @@
     return out.toString();
   }
 
-  private static String text(Settings.Endpoint e) {
-    return text(e.host(), e.port(), e);
+  private static String joinValues(Settings.Endpoint e) {
+    return joinValues(e.host(), e.port(), e);
   }
 
-  private static void add(Golden g, String label, Settings s) {
-    g.add(label + ", node", text(s.nodeName(), s.zone()));
-    g.add(label + ", listens", text(s.listen()));
-    g.add(label + ", for others", text(s.peerListen()));
+  private static void addSettings(Golden g, String label, Settings s) {
+    g.add(label + ", node", joinValues(s.nodeName(), s.zone()));
+    g.add(label + ", listens", joinValues(s.listen()));
+    g.add(label + ", for others", joinValues(s.peerListen()));
     g.add(label + ", others", String.valueOf(s.peers().size()));
     for (Settings.Peer p : s.peers()) {
-      g.add(label + ", other " + p.nodeName(), text(p.nodeName(), p.zone(), text(p.endpoint())));
+      g.add(
+          label + ", other " + p.nodeName(),
+          joinValues(p.nodeName(), p.zone(), joinValues(p.endpoint())));
     }
-    g.add(label + ", cloud", text(s.cloud()));
-    g.add(label + ", state", text(s.store()));
+    g.add(label + ", cloud", joinValues(s.cloud()));
+    g.add(label + ", state", joinValues(s.store()));
     Settings.StoreLimits l = s.storeLimits();
-    g.add(label + ", state's limits", text(l.rps(), l.writeRps(), l.valueKb(), l.txnOps()));
-    g.add(label + ", cloud's limit", text(s.cloudRps()));
-    g.add(label + ", sockets", text(s.maxSockets()));
+    g.add(label + ", state's limits", joinValues(l.rps(), l.writeRps(), l.valueKb(), l.txnOps()));
+    g.add(label + ", cloud's limit", joinValues(s.cloudRps()));
+    g.add(label + ", sockets", joinValues(s.maxSockets()));
     DeploymentLimits f = s.limits();
     g.add(
         label + ", workers",
-        text(f.heartbeatIntervalS(), f.leaseS(), f.gangWaitS(), f.gangPeerS()));
-    g.add(label + ", times", text(f.cancellationS(), f.listLagS()));
+        joinValues(f.heartbeatIntervalS(), f.leaseS(), f.gangWaitS(), f.gangPeerS()));
+    g.add(label + ", times", joinValues(f.cancellationS(), f.listLagS()));
     g.add(label + ", teams", String.join(" ", f.teams().keySet()));
     for (Team t : f.teams().values()) {
-      String amounts = text(t.guaranteedCpus(), t.maxCpus(), t.guaranteedGpus(), t.maxGpus());
+      String amounts = joinValues(t.guaranteedCpus(), t.maxCpus(), t.guaranteedGpus(), t.maxGpus());
       g.add(label + ", team " + t.name(), amounts);
     }
     g.add(label + ", objectives", String.valueOf(f.objectives().size()));
     for (ServiceLevelObjective o : f.objectives()) {
-      String rest = text(o.withinS(), o.share(), o.deadlineMultiple());
-      g.add(label + ", objective " + o.kind(), text("<" + o.jobClass() + ">", rest));
+      String rest = joinValues(o.withinS(), o.share(), o.deadlineMultiple());
+      g.add(label + ", objective " + o.kind(), joinValues("<" + o.jobClass() + ">", rest));
     }
   }
 
   @Test
   void values() throws Exception {
     Golden g = new Golden("settings-values");
-    add(g, "minimal", Settings.load(file(MINIMAL)));
-    add(g, "full", Settings.load(file(FULL)));
+    addSettings(g, "minimal", Settings.load(writeFile(MINIMAL)));
+    addSettings(g, "full", Settings.load(writeFile(FULL)));
     g.check();
   }
 
   /** Any text is a good name. */
-  private static List<String> wrong(String name) {
+  private static List<String> invalidValues(String name) {
     List<String> all = List.of("true", "-1", "1e12", "\"\"", "\"x\"", "\"x:0\"");
     return name.equals("member") || name.equals("domain") ? all.subList(0, 4) : all;
   }
 
-  private static Map<String, String> bad() {
+  private static Map<String, String> invalidFiles() {
     Map<String, String> out = new LinkedHashMap<>();
     for (String line : MINIMAL.split("\n")) {
       String name = line.replaceAll(" = .*", "");
@@ -156,7 +158,7 @@
       if (line.contains(" = ")) {
         String before = name.equals("rps") ? line : "\n" + line;
         out.put(label + " missing", ("\n" + FULL).replace(before + "\n", "\n"));
-        for (String wrong : wrong(name)) {
+        for (String wrong : invalidValues(name)) {
           out.put(label + " is " + wrong, FULL.replace(line, name + " = " + wrong));
         }
       }
@@ -184,8 +186,8 @@
   @Test
   void errors() throws Exception {
     Golden g = new Golden("settings-errors");
-    for (Map.Entry<String, String> e : bad().entrySet()) {
-      Path file = file(e.getValue());
+    for (Map.Entry<String, String> e : invalidFiles().entrySet()) {
+      Path file = writeFile(e.getValue());
       String said =
           assertThrows(ConfigurationException.class, () -> Settings.load(file), e.getKey())
               .getMessage();
--- a/src/test/java/org/astershift/golden/StoredRecordsTest.java
+++ b/src/test/java/org/astershift/golden/StoredRecordsTest.java
@@ -24,16 +24,16 @@
 class StoredRecordsTest {
   private static final String ID = "wk-000412";
 
-  private static Map<String, Object> object(String text) throws JsonFormatException {
+  private static Map<String, Object> parseObject(String text) throws JsonFormatException {
     return Json.object(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static Object value(String text) throws JsonFormatException {
-    return object("{\"v\":" + text + "}").get("v");
+  private static Object parseValue(String text) throws JsonFormatException {
+    return parseObject("{\"v\":" + text + "}").get("v");
   }
 
   /** An object whose fields have no order, with its fields in the order of their names. */
-  private static byte[] sorted(Map<String, Object> m) {
+  private static byte[] sortedJson(Map<String, Object> m) {
     return Json.encode(new TreeMap<>(m));
   }
 
@@ -100,7 +100,8 @@
     g.check();
     for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
       RecordCodec.JobRecord back =
-          RecordCodec.decodeJob(RecordCodec.LIVE_JOB_PREFIX + ID, object(g.kept(e.getKey())));
+          RecordCodec.decodeJob(
+              RecordCodec.LIVE_JOB_PREFIX + ID, parseObject(g.expected(e.getKey())));
       assertEquals(new RecordCodec.JobRecord(e.getValue(), 1700000000123L), back, e.getKey());
     }
   }
@@ -129,10 +130,10 @@
     ended.put("done", new RecordCodec.JobEnd(false, 100_000));
     ended.put("cancelled", new RecordCodec.JobEnd(true, 0));
     ended.put("cancelled in part", new RecordCodec.JobEnd(true, 7));
-    ended.forEach((label, e) -> g.add(label, sorted(RecordCodec.encodeJobEnd(e))));
+    ended.forEach((label, e) -> g.add(label, sortedJson(RecordCodec.encodeJobEnd(e))));
     g.check();
     for (Map.Entry<String, RecordCodec.JobEnd> e : ended.entrySet()) {
-      assertEquals(e.getValue(), RecordCodec.decodeJobEnd(object(g.kept(e.getKey()))));
+      assertEquals(e.getValue(), RecordCodec.decodeJobEnd(parseObject(g.expected(e.getKey()))));
     }
   }
 
@@ -156,10 +157,12 @@
     g.check();
     for (Map.Entry<String, Decision.RegisterMachine> m : machines.entrySet()) {
       assertEquals(
-          m.getValue(), RecordCodec.decodeMachine("m-1", value(g.kept(m.getKey()))), m.getKey());
+          m.getValue(),
+          RecordCodec.decodeMachine("m-1", parseValue(g.expected(m.getKey()))),
+          m.getKey());
     }
-    assertEquals(spot, RecordCodec.decodeProvisionRequest(value(g.kept("rental spot"))));
-    assertEquals(many, RecordCodec.decodeProvisionRequest(value(g.kept("rental many"))));
+    assertEquals(spot, RecordCodec.decodeProvisionRequest(parseValue(g.expected("rental spot"))));
+    assertEquals(many, RecordCodec.decodeProvisionRequest(parseValue(g.expected("rental many"))));
   }
 
   @Test
@@ -172,23 +175,24 @@
     g.add("two types", Json.encode(RecordCodec.encodeMachineTypes(types)));
     g.add("none", Json.encode(RecordCodec.encodeMachineTypes(Map.of())));
     g.check();
-    Map<String, MachineType> back = RecordCodec.decodeMachineTypes(object(g.kept("two types")));
+    Map<String, MachineType> back =
+        RecordCodec.decodeMachineTypes(parseObject(g.expected("two types")));
     assertEquals(new ArrayList<>(types.values()), new ArrayList<>(back.values()));
     assertEquals(new ArrayList<>(types.keySet()), new ArrayList<>(back.keySet()));
-    assertEquals(Map.of(), RecordCodec.decodeMachineTypes(object(g.kept("none"))));
+    assertEquals(Map.of(), RecordCodec.decodeMachineTypes(parseObject(g.expected("none"))));
   }
 
   @Test
-  void opened() throws Exception {
+  void placements() throws Exception {
     Golden g = new Golden("records-opened");
     List<String> places = List.of("m-1", "m-2");
     g.add("no place", Json.encode(RecordCodec.encodePlacement(List.of())));
     g.add("one place", Json.encode(RecordCodec.encodePlacement(List.of("m-1"))));
     g.add("two places", Json.encode(RecordCodec.encodePlacement(places)));
     g.check();
-    assertEquals(List.of(), RecordCodec.decodePlacement(value(g.kept("no place"))));
-    assertEquals(List.of("m-1"), RecordCodec.decodePlacement(value(g.kept("one place"))));
-    assertEquals(places, RecordCodec.decodePlacement(value(g.kept("two places"))));
+    assertEquals(List.of(), RecordCodec.decodePlacement(parseValue(g.expected("no place"))));
+    assertEquals(List.of("m-1"), RecordCodec.decodePlacement(parseValue(g.expected("one place"))));
+    assertEquals(places, RecordCodec.decodePlacement(parseValue(g.expected("two places"))));
     assertEquals(List.of(), RecordCodec.decodePlacement(null));
   }
 
@@ -210,40 +214,43 @@
     BitSet back = new BitSet();
     for (int segment = 0; segment < 4; segment++) {
       String key = ID + "/" + segment;
-      assertEquals(ID, RecordCodec.mergeSegment(back, key, value(g.kept(key))));
+      assertEquals(ID, RecordCodec.mergeSegment(back, key, parseValue(g.expected(key))));
     }
     assertEquals(done, back);
   }
 
   /** A call that must find its input bad. */
-  private interface Reading {
-    void read() throws JsonFormatException;
+  private interface Decoding {
+    void decode() throws JsonFormatException;
   }
 
-  private static void bad(Golden g, String label, Reading reading) {
-    g.add(label, assertThrows(JsonFormatException.class, reading::read, label).getMessage());
+  private static void addError(Golden g, String label, Decoding reading) {
+    g.add(label, assertThrows(JsonFormatException.class, reading::decode, label).getMessage());
   }
 
   @Test
-  void whatIsNoRecord() throws Exception {
+  void malformedRecords() throws Exception {
     Golden g = new Golden("records-errors");
-    bad(g, "machine 1", () -> RecordCodec.decodeMachine("m", 1));
-    bad(g, "machine short", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", true)));
-    bad(g, "machine flag", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", 1, true)));
-    bad(g, "rental text", () -> RecordCodec.decodeProvisionRequest("x"));
-    bad(
+    addError(g, "machine 1", () -> RecordCodec.decodeMachine("m", 1));
+    addError(g, "machine short", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", true)));
+    addError(g, "machine flag", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", 1, true)));
+    addError(g, "rental text", () -> RecordCodec.decodeProvisionRequest("x"));
+    addError(
         g,
         "rental count",
         () -> RecordCodec.decodeProvisionRequest(List.of("g8", "z1", true, "2")));
-    bad(g, "progress text", () -> RecordCodec.mergeSegment(new BitSet(), ID + "/0", "?"));
-    bad(g, "progress key", () -> RecordCodec.mergeSegment(new BitSet(), ID, "AQ=="));
-    bad(g, "ended", () -> RecordCodec.decodeJobEnd(Map.of("cancelled", true)));
-    bad(g, "job", () -> RecordCodec.decodeJob(RecordCodec.LIVE_JOB_PREFIX + ID, Map.of()));
-    bad(
+    addError(g, "progress text", () -> RecordCodec.mergeSegment(new BitSet(), ID + "/0", "?"));
+    addError(g, "progress key", () -> RecordCodec.mergeSegment(new BitSet(), ID, "AQ=="));
+    addError(g, "ended", () -> RecordCodec.decodeJobEnd(Map.of("cancelled", true)));
+    addError(g, "job", () -> RecordCodec.decodeJob(RecordCodec.LIVE_JOB_PREFIX + ID, Map.of()));
+    addError(
         g,
         "types",
-        () -> RecordCodec.decodeMachineTypes(object("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
-    bad(g, "types text", () -> RecordCodec.decodeMachineTypes(object("{\"types\":[\"a\"]}")));
+        () ->
+            RecordCodec.decodeMachineTypes(
+                parseObject("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
+    addError(
+        g, "types text", () -> RecordCodec.decodeMachineTypes(parseObject("{\"types\":[\"a\"]}")));
     g.check();
   }
 }
--- a/src/test/java/org/astershift/golden/SubmissionFormsTest.java
+++ b/src/test/java/org/astershift/golden/SubmissionFormsTest.java
@@ -11,19 +11,19 @@
 
 /** The users' words for jobs: what each is read as, without controllers. */
 class SubmissionFormsTest {
-  static final String GOOD =
+  static final String VALID =
       "{\"id\":\"wk-000412\",\"berth_class\":\"train\",\"crew\":\"vision\",\"shape\":\"gang\","
           + "\"rank\":\"urgent\",\"shards\":16,\"vcpus\":8.5,\"gpus\":1,\"mem_gb\":64.0,"
           + "\"payload\":\"img-07\",\"image_gb\":6.2,\"hulls\":[\"g8\",\"c4\"],\"harbor\":\"z1\","
           + "\"one_zone\":true,\"apart\":false,\"ebbtide\":true,\"expect_s\":240.0,"
           + "\"anchor_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"new\":{\"field\":[1]}}";
 
-  private static JobSpec read(String text) throws JsonFormatException {
+  private static JobSpec decode(String text) throws JsonFormatException {
     return JobCodec.decodeSpec(text.getBytes(StandardCharsets.UTF_8));
   }
 
   /** Its values in a fixed order; kinds and priorities as the numbers that records hold. */
-  private static String text(JobSpec s) {
+  private static String describe(JobSpec s) {
     Object[] values = {
       s.id(),
       s.jobClass(),
@@ -54,23 +54,23 @@
   }
 
   @Test
-  void whatIsRead() throws Exception {
+  void decodedSubmissions() throws Exception {
     Map<String, String> cases = new LinkedHashMap<>();
-    cases.put("every field", GOOD);
+    cases.put("every field", VALID);
     for (String shape : new String[] {"sweep", "gang", "service"}) {
-      cases.put("shape " + shape, GOOD.replace("\"gang\"", "\"" + shape + "\""));
+      cases.put("shape " + shape, VALID.replace("\"gang\"", "\"" + shape + "\""));
     }
     for (String rank : new String[] {"critical", "urgent", "standard", "idle"}) {
-      cases.put("rank " + rank, GOOD.replace("\"urgent\"", "\"" + rank + "\""));
+      cases.put("rank " + rank, VALID.replace("\"urgent\"", "\"" + rank + "\""));
     }
     cases.put(
-        "flags turned", GOOD.replace("true", "@").replace("false", "true").replace("@", "false"));
-    cases.put("null", GOOD.replace("[\"g8\",\"c4\"]", "null").replace("\"z1\"", "null"));
-    cases.put("no deadline", GOOD.replace("\"due_s\":900.0,", ""));
-    cases.put("no types", GOOD.replace("[\"g8\",\"c4\"]", "[]"));
+        "flags turned", VALID.replace("true", "@").replace("false", "true").replace("@", "false"));
+    cases.put("null", VALID.replace("[\"g8\",\"c4\"]", "null").replace("\"z1\"", "null"));
+    cases.put("no deadline", VALID.replace("\"due_s\":900.0,", ""));
+    cases.put("no types", VALID.replace("[\"g8\",\"c4\"]", "[]"));
     Golden g = new Golden("submission-values");
     for (Map.Entry<String, String> e : cases.entrySet()) {
-      g.add(e.getKey(), text(read(e.getValue())));
+      g.add(e.getKey(), describe(decode(e.getValue())));
     }
     g.check();
   }
@@ -90,12 +90,12 @@
   @Test
   void acceptedByEarlierVersions() throws Exception {
     Map<String, String> cases = new LinkedHashMap<>();
-    cases.put("good", GOOD);
-    cases.put("flags missing", GOOD.replace("\"one_zone\":true,\"apart\":false,", ""));
-    cases.put("flag null", GOOD.replace("\"ebbtide\":true", "\"ebbtide\":null"));
-    cases.put("flag wrong", GOOD.replace("\"ebbtide\":true", "\"ebbtide\":1"));
-    cases.put("more after it", GOOD + " x");
-    cases.put("no rank", GOOD.replace("rank", "x"));
+    cases.put("good", VALID);
+    cases.put("flags missing", VALID.replace("\"one_zone\":true,\"apart\":false,", ""));
+    cases.put("flag null", VALID.replace("\"ebbtide\":true", "\"ebbtide\":null"));
+    cases.put("flag wrong", VALID.replace("\"ebbtide\":true", "\"ebbtide\":1"));
+    cases.put("more after it", VALID + " x");
+    cases.put("no rank", VALID.replace("rank", "x"));
     cases.put("no JSON", "no");
     Golden g = new Golden("submission-accepted-before");
     for (Map.Entry<String, String> e : cases.entrySet()) {
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void states() throws Exception {
+  void encodedStates() throws Exception {
     Golden g = new Golden("submission-states");
     for (String phase : new String[] {"queued", "running", "done", "withdrawn", null}) {
       PeerResponse a = new PeerResponse(200, phase, 100_000, 37);
--- a/src/test/java/org/astershift/golden/UserAnswersTest.java
+++ b/src/test/java/org/astershift/golden/UserAnswersTest.java
@@ -24,12 +24,12 @@
   private static final String LIMITED =
       "[[facts.teams]]\nname = \"limited\"\ncpus_max = 6.0\ngpus_max = 0.0\n";
   private static final String JOBS = "/v2/runs";
-  private static final String BEAT =
+  private static final String HEARTBEAT =
       "{\"vessel\":\"vm-x\",\"addr\":\"127.0.0.1:1\",\"hull\":\"small\",\"harbor\":\"a\","
           + "\"ebbtide\":false,\"watch\":1,\"tick\":1,\"shards\":[]}";
 
   /** Can run on the stand-in's machines. */
-  private static final String GOOD =
+  private static final String VALID =
       "{\"id\":\"wk-1\",\"berth_class\":\"c\",\"crew\":\"demo\",\"shape\":\"sweep\","
           + "\"rank\":\"standard\",\"shards\":2,\"vcpus\":1.0,\"gpus\":0.0,\"mem_gb\":1.0,"
           + "\"payload\":\"i\",\"image_gb\":1.0,\"hulls\":[\"small\"],\"harbor\":\"a\","
@@ -60,46 +60,47 @@
   }
 
   /** Waits until a node knows the machine types: until then nothing new is taken or refused. */
-  private void typesKnown() throws Exception {
-    nodes.await(0, "POST", JOBS, with("vcpus", "99"), 422, "");
+  private void awaitMachineTypes() throws Exception {
+    nodes.await(0, "POST", JOBS, validExcept("vcpus", "99"), 422, "");
   }
 
   /** The good submission with another text for one field; none leaves the field out. */
-  private static String with(String field, String text) {
+  private static String validExcept(String field, String text) {
     String value = "(\\[[^]]*\\]|[^,}]*)";
     return text == null
-        ? GOOD.replaceFirst("\"" + field + "\":" + value + ",?", "").replace(",}", "}")
-        : GOOD.replaceFirst("(\"" + field + "\":)" + value, "$1" + text.replace("\\", "\\\\"));
+        ? VALID.replaceFirst("\"" + field + "\":" + value + ",?", "").replace(",}", "}")
+        : VALID.replaceFirst("(\"" + field + "\":)" + value, "$1" + text.replace("\\", "\\\\"));
   }
 
-  private void add(Golden g, String label, String method, String path, String body)
+  private void addCall(Golden g, String label, String method, String path, String body)
       throws Exception {
     HttpClient.Response a = nodes.call(0, method, path, body);
     g.add(label, a.status() + " " + new String(a.body(), StandardCharsets.UTF_8));
   }
 
   @Test
-  void statesOfJobs() throws Exception {
+  void jobStates() throws Exception {
     nodes(1, cloud.port());
-    typesKnown();
+    awaitMachineTypes();
     Golden g = new Golden("users-states");
-    String service = with("id", "\"wk-9\"").replace("sweep", "service").replace(":2,", ":1,");
-    add(g, "ready", "GET", "/ready", null);
-    add(g, "submitted", "POST", JOBS, service);
+    String service =
+        validExcept("id", "\"wk-9\"").replace("sweep", "service").replace(":2,", ":1,");
+    addCall(g, "ready", "GET", "/ready", null);
+    addCall(g, "submitted", "POST", JOBS, service);
     nodes.await(0, "GET", JOBS + "/wk-9", null, 200, "\"running\",");
-    add(g, "running", "GET", JOBS + "/wk-9", null);
-    add(g, "submitted again", "POST", JOBS, service);
-    nodes.await(0, "POST", JOBS, GOOD, 201, "queued");
+    addCall(g, "running", "GET", JOBS + "/wk-9", null);
+    addCall(g, "submitted again", "POST", JOBS, service);
+    nodes.await(0, "POST", JOBS, VALID, 201, "queued");
     nodes.await(0, "GET", JOBS + "/wk-1", null, 200, "\"done\",");
-    add(g, "done", "GET", JOBS + "/wk-1", null);
-    add(g, "done, cancelled", "POST", JOBS + "/wk-1/withdraw", null);
-    add(g, "done, submitted again", "POST", JOBS, GOOD);
+    addCall(g, "done", "GET", JOBS + "/wk-1", null);
+    addCall(g, "done, cancelled", "POST", JOBS + "/wk-1/withdraw", null);
+    addCall(g, "done, submitted again", "POST", JOBS, VALID);
     nodes.await(0, "POST", JOBS + "/wk-9/withdraw", null, 200, "withdrawn");
-    add(g, "cancelled", "GET", JOBS + "/wk-9", null);
-    add(g, "cancelled again", "POST", JOBS + "/wk-9/withdraw", "{}");
-    add(g, "cancelled, submitted again", "POST", JOBS, service);
-    add(g, "unknown", "GET", JOBS + "/wk-nobodys", null);
-    add(g, "unknown, cancelled", "POST", JOBS + "/wk-nobodys/withdraw", null);
+    addCall(g, "cancelled", "GET", JOBS + "/wk-9", null);
+    addCall(g, "cancelled again", "POST", JOBS + "/wk-9/withdraw", "{}");
+    addCall(g, "cancelled, submitted again", "POST", JOBS, service);
+    addCall(g, "unknown", "GET", JOBS + "/wk-nobodys", null);
+    addCall(g, "unknown, cancelled", "POST", JOBS + "/wk-nobodys/withdraw", null);
     g.check();
   }
 
@@ -130,14 +131,19 @@
     };
     for (String request : requests) {
       String[] parts = request.split(" ");
-      add(g, request, parts[0], parts[1], null);
+      addCall(g, request, parts[0], parts[1], null);
     }
-    add(g, "bad report", "POST", "/agent/beat", BEAT.replace("\"watch\":1", "\"watch\":\"1\""));
+    addCall(
+        g,
+        "bad report",
+        "POST",
+        "/agent/beat",
+        HEARTBEAT.replace("\"watch\":1", "\"watch\":\"1\""));
     g.check();
   }
 
   /** What is malformed for each field. */
-  private static Map<String, List<String>> malformed() {
+  private static Map<String, List<String>> malformedValues() {
     Map<String, List<String>> out = new LinkedHashMap<>();
     out.put("id", List.of("7", "\"\"", "\"wk-\"", "\"job 1\"", "\"WK-1\"", "\"wk-1/0\""));
     for (String f : List.of("berth_class", "crew", "payload")) {
@@ -159,88 +165,93 @@
   @Test
   void malformedSubmissions() throws Exception {
     nodes(1, cloud.port());
-    typesKnown();
+    awaitMachineTypes();
     Golden g = new Golden("users-malformed");
-    for (Map.Entry<String, List<String>> e : malformed().entrySet()) {
-      add(g, e.getKey() + " missing", "POST", JOBS, with(e.getKey(), null));
-      add(g, e.getKey() + " is null", "POST", JOBS, with(e.getKey(), "null"));
+    for (Map.Entry<String, List<String>> e : malformedValues().entrySet()) {
+      addCall(g, e.getKey() + " missing", "POST", JOBS, validExcept(e.getKey(), null));
+      addCall(g, e.getKey() + " is null", "POST", JOBS, validExcept(e.getKey(), "null"));
       for (String value : e.getValue()) {
-        add(g, e.getKey() + " is " + value, "POST", JOBS, with(e.getKey(), value));
+        addCall(g, e.getKey() + " is " + value, "POST", JOBS, validExcept(e.getKey(), value));
       }
     }
     for (String value : List.of("\"small\"", "7", "{}", "[7]", "[null]")) {
-      add(g, "hulls is " + value, "POST", JOBS, with("hulls", value));
+      addCall(g, "hulls is " + value, "POST", JOBS, validExcept("hulls", value));
     }
     for (String value : List.of("7", "[\"a\"]")) {
-      add(g, "harbor is " + value, "POST", JOBS, with("harbor", value));
+      addCall(g, "harbor is " + value, "POST", JOBS, validExcept("harbor", value));
     }
     for (String value : List.of("\"1\"", "-1", "true")) {
-      add(g, "due_s is " + value, "POST", JOBS, with("due_s", value));
+      addCall(g, "due_s is " + value, "POST", JOBS, validExcept("due_s", value));
     }
     for (String body : List.of("", "no", "null", "7", "[]", "{}", "{", "{}}")) {
-      add(g, "<" + body + ">", "POST", JOBS, body);
+      addCall(g, "<" + body + ">", "POST", JOBS, body);
     }
-    add(g, "more after it", "POST", JOBS, GOOD + "x");
-    add(g, "deep", "POST", JOBS, "[".repeat(60_000));
-    add(g, "large", "POST", JOBS, GOOD.replace("}", ",\"x\":\"" + "y".repeat(65_536) + "\"}"));
+    addCall(g, "more after it", "POST", JOBS, VALID + "x");
+    addCall(g, "deep", "POST", JOBS, "[".repeat(60_000));
+    addCall(g, "large", "POST", JOBS, VALID.replace("}", ",\"x\":\"" + "y".repeat(65_536) + "\"}"));
     g.check();
   }
 
   @Test
-  void whatCanNeverRun() throws Exception {
+  void jobsThatCanNeverRun() throws Exception {
     nodes(1, cloud.port());
-    typesKnown();
+    awaitMachineTypes();
     Golden g = new Golden("users-never");
-    String limited = with("crew", "\"limited\"").replace(":2,", ":7,");
-    add(g, "team", "POST", JOBS, with("crew", "\"nobody\""));
-    add(g, "cpus", "POST", JOBS, with("vcpus", "4.5"));
-    add(g, "gpus", "POST", JOBS, with("gpus", "1"));
-    add(g, "memory", "POST", JOBS, with("mem_gb", "16.1"));
-    add(g, "no type", "POST", JOBS, with("hulls", "[]"));
-    add(g, "unknown type", "POST", JOBS, with("hulls", "[\"large\"]"));
-    add(g, "zone", "POST", JOBS, with("harbor", "\"c\""));
-    add(g, "gang over limit", "POST", JOBS, limited.replace("sweep", "gang"));
-    add(g, "service over limit", "POST", JOBS, limited.replace("sweep", "service"));
-    add(g, "apart", "POST", JOBS, with("shape", "\"gang\"").replace("false,\"e", "true,\"e"));
+    String limited = validExcept("crew", "\"limited\"").replace(":2,", ":7,");
+    addCall(g, "team", "POST", JOBS, validExcept("crew", "\"nobody\""));
+    addCall(g, "cpus", "POST", JOBS, validExcept("vcpus", "4.5"));
+    addCall(g, "gpus", "POST", JOBS, validExcept("gpus", "1"));
+    addCall(g, "memory", "POST", JOBS, validExcept("mem_gb", "16.1"));
+    addCall(g, "no type", "POST", JOBS, validExcept("hulls", "[]"));
+    addCall(g, "unknown type", "POST", JOBS, validExcept("hulls", "[\"large\"]"));
+    addCall(g, "zone", "POST", JOBS, validExcept("harbor", "\"c\""));
+    addCall(g, "gang over limit", "POST", JOBS, limited.replace("sweep", "gang"));
+    addCall(g, "service over limit", "POST", JOBS, limited.replace("sweep", "service"));
+    addCall(
+        g,
+        "apart",
+        "POST",
+        JOBS,
+        validExcept("shape", "\"gang\"").replace("false,\"e", "true,\"e"));
     g.check();
   }
 
   @Test
-  void whileNothingCanBeDecided() throws Exception {
+  void answersDuringStoreOutage() throws Exception {
     nodes(1, cloud.port());
-    typesKnown();
+    awaitMachineTypes();
     Golden g = new Golden("users-undecided");
     store.down(true);
-    add(g, "poll", "GET", JOBS + "/wk-1", null);
-    add(g, "cancel", "POST", JOBS + "/wk-1/withdraw", null);
-    add(g, "submit", "POST", JOBS, GOOD);
-    add(g, "can never run", "POST", JOBS, with("vcpus", "99"));
-    add(g, "malformed", "POST", JOBS, with("vcpus", "null"));
-    add(g, "accepted before", "POST", JOBS, with("one_zone", "null"));
+    addCall(g, "poll", "GET", JOBS + "/wk-1", null);
+    addCall(g, "cancel", "POST", JOBS + "/wk-1/withdraw", null);
+    addCall(g, "submit", "POST", JOBS, VALID);
+    addCall(g, "can never run", "POST", JOBS, validExcept("vcpus", "99"));
+    addCall(g, "malformed", "POST", JOBS, validExcept("vcpus", "null"));
+    addCall(g, "accepted before", "POST", JOBS, validExcept("one_zone", "null"));
     g.check();
   }
 
   @Test
-  void whileMachineTypesAreUnknown() throws Exception {
+  void answersWithoutMachineTypes() throws Exception {
     try (HttpServer out = new HttpServer("127.0.0.1", 0, 50, r -> Response.error(503, "trouble"))) {
       out.start();
       nodes(1, out.port());
       Golden g = new Golden("users-no-types");
-      add(g, "submit", "POST", JOBS, GOOD);
-      add(g, "malformed", "POST", JOBS, with("vcpus", null));
+      addCall(g, "submit", "POST", JOBS, VALID);
+      addCall(g, "malformed", "POST", JOBS, validExcept("vcpus", null));
       g.check();
     }
   }
 
   /** Reports go to the leader: another node names it. */
   @Test
-  void reportsToAnotherNode() throws Exception {
+  void heartbeatsToFollower() throws Exception {
     nodes(2, cloud.port());
     String said = null;
     long deadline = System.nanoTime() + 60_000_000_000L;
     while (said == null && System.nanoTime() < deadline) {
       for (int node = 0; node < 2; node++) {
-        HttpClient.Response a = nodes.call(node, "POST", "/agent/beat", BEAT);
+        HttpClient.Response a = nodes.call(node, "POST", "/agent/beat", HEARTBEAT);
         String body = new String(a.body(), StandardCharsets.UTF_8);
         if (a.status() == 421 && body.length() > 2) {
           said = a.status() + " " + body.replace("n" + (1 - node), "OTHER");
--- a/src/test/java/org/astershift/golden/WorkerFormsTest.java
+++ b/src/test/java/org/astershift/golden/WorkerFormsTest.java
@@ -21,42 +21,44 @@
   private static final String POSITION = "\"watch\":5,\"tick\":17";
   private static final String TASK = "\"shard\":\"wk-1/0\",\"launch\":4,\"phase\":\"running\"";
 
-  private static Heartbeat read(String text) throws JsonFormatException {
+  private static Heartbeat decode(String text) throws JsonFormatException {
     return WorkerCodec.readHeartbeat(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static String with(String more) {
+  private static String heartbeatWith(String more) {
     return "{" + HEAD + "," + POSITION + more + "}";
   }
 
-  private static String withTask(String fields) {
-    return with(",\"shards\":[{" + fields + "}]");
+  private static String heartbeatWithTask(String fields) {
+    return heartbeatWith(",\"shards\":[{" + fields + "}]");
   }
 
-  private static Map<String, String> reports() {
+  private static Map<String, String> heartbeatCases() {
     Map<String, String> out = new LinkedHashMap<>();
-    out.put("least", with(""));
+    out.put("least", heartbeatWith(""));
     out.put(
         "every field",
-        with(
+        heartbeatWith(
             ",\"ebbtide\":true,\"helm\":9007199254740993,\"recall_s\":29.5,\"shards\":["
                 + "{\"shard\":\"wk-1/0\",\"launch\":1,\"phase\":\"fetching\",\"cause\":null},"
                 + "{\"shard\":\"wk-1/99999\",\"launch\":2,\"phase\":\"gathering\"},"
                 + "{\"shard\":\"wk-2/3\",\"launch\":3,\"phase\":\"running\"},"
                 + "{\"shard\":\"wk-2/4\",\"launch\":4,\"phase\":\"saving\"},"
                 + "{\"shard\":\"wk-3/1\",\"launch\":5,\"phase\":\"exited\",\"cause\":\"done\"}]"));
-    out.put("nulls", with(",\"ebbtide\":null,\"helm\":null,\"recall_s\":null,\"shards\":null"));
-    out.put("unknown fields", with(",\"new\":{\"a\":[1,{\"b\":2}]},\"shards\":[]"));
-    out.put("whole notice", with(",\"recall_s\":30,\"ebbtide\":false"));
+    out.put(
+        "nulls",
+        heartbeatWith(",\"ebbtide\":null,\"helm\":null,\"recall_s\":null,\"shards\":null"));
+    out.put("unknown fields", heartbeatWith(",\"new\":{\"a\":[1,{\"b\":2}]},\"shards\":[]"));
+    out.put("whole notice", heartbeatWith(",\"recall_s\":30,\"ebbtide\":false"));
     for (String cause : List.of("done", "halted", "peers", "incomplete", "crash", "stopped")) {
       String task = TASK.replace("running", "exited");
-      out.put("cause " + cause, withTask(task + ",\"cause\":\"" + cause + "\",\"x\":[]"));
+      out.put("cause " + cause, heartbeatWithTask(task + ",\"cause\":\"" + cause + "\",\"x\":[]"));
     }
     return out;
   }
 
   /** The values of a report in a fixed order; phases by their place among all. */
-  private static String values(Heartbeat r) {
+  private static String describe(Heartbeat r) {
     StringBuilder out = new StringBuilder();
     out.append(r.machineName())
         .append(' ')
@@ -72,13 +74,13 @@
         .append(r.preemptionNoticeS());
     for (Heartbeat.TaskStatus i : r.tasks()) {
       out.append(" [").append(i.jobId()).append(' ').append(i.index()).append(' ');
-      out.append(i.attemptNumber()).append(' ').append(phase(i.phase())).append(' ');
+      out.append(i.attemptNumber()).append(' ').append(describePhase(i.phase())).append(' ');
       out.append(i.exitReason()).append(']');
     }
     return out.toString();
   }
 
-  private static String phase(Heartbeat.TaskPhase p) {
+  private static String describePhase(Heartbeat.TaskPhase p) {
     return switch (p) {
       case FETCHING -> "fetches";
       case WAITING -> "waits";
@@ -91,13 +93,13 @@
   @Test
   void heartbeats() throws Exception {
     Golden g = new Golden("worker-reports");
-    for (Map.Entry<String, String> e : reports().entrySet()) {
+    for (Map.Entry<String, String> e : heartbeatCases().entrySet()) {
       g.add(e.getKey() + ", sent", e.getValue());
-      g.add(e.getKey() + ", read", values(read(e.getValue())));
+      g.add(e.getKey() + ", read", describe(decode(e.getValue())));
     }
     g.check();
-    for (String label : reports().keySet()) {
-      assertEquals(g.kept(label + ", read"), values(read(g.kept(label + ", sent"))));
+    for (String label : heartbeatCases().keySet()) {
+      assertEquals(g.expected(label + ", read"), describe(decode(g.expected(label + ", sent"))));
     }
   }
 
@@ -107,8 +109,8 @@
         "no",
         "[]",
         "{",
-        with("") + "x",
-        with("") + "{}",
+        heartbeatWith("") + "x",
+        heartbeatWith("") + "{}",
         "{}",
         "{" + HEAD + "}",
         "{" + POSITION + "}",
@@ -118,45 +120,45 @@
         "{" + HEAD + ",\"watch\":\"1\",\"tick\":1}",
         "{" + HEAD + ",\"watch\":1,\"tick\":null}",
         "{" + HEAD + ",\"watch\":18446744073709551616,\"tick\":1}",
-        with(",\"vessel\":7"),
-        with(",\"addr\":null"),
-        with(",\"hull\":[]"),
-        with(",\"harbor\":{}"),
-        with(",\"ebbtide\":1"),
-        with(",\"helm\":\"1\""),
-        with(",\"recall_s\":\"1\""));
+        heartbeatWith(",\"vessel\":7"),
+        heartbeatWith(",\"addr\":null"),
+        heartbeatWith(",\"hull\":[]"),
+        heartbeatWith(",\"harbor\":{}"),
+        heartbeatWith(",\"ebbtide\":1"),
+        heartbeatWith(",\"helm\":\"1\""),
+        heartbeatWith(",\"recall_s\":\"1\""));
   }
 
   private static List<String> malformedTasks() {
     return List.of(
-        with(",\"shards\":{}"),
-        with(",\"shards\":[1]"),
-        with(",\"shards\":[null]"),
-        withTask(""),
-        withTask("\"launch\":4,\"phase\":\"running\""),
-        withTask("\"shard\":\"wk-1/0\",\"phase\":\"running\""),
-        withTask("\"shard\":\"wk-1/0\",\"launch\":4"),
-        withTask(TASK.replace("4", "-4")),
-        withTask(TASK.replace("4", "4.5")),
-        withTask(TASK.replace("running", "napping")),
-        withTask(TASK.replace("\"running\"", "null")),
-        withTask(TASK.replace("wk-1/0", "wk-1")),
-        withTask(TASK.replace("wk-1/0", "/0")),
-        withTask(TASK.replace("wk-1/0", "wk-1/")),
-        withTask(TASK.replace("wk-1/0", "wk-1/x")),
-        withTask(TASK.replace("wk-1/0", "wk-1/-1")),
-        withTask(TASK.replace("wk-1/0", "wk-1/1234567890")),
-        withTask(TASK.replace("\"wk-1/0\"", "0")),
-        withTask(TASK + ",\"cause\":7"));
+        heartbeatWith(",\"shards\":{}"),
+        heartbeatWith(",\"shards\":[1]"),
+        heartbeatWith(",\"shards\":[null]"),
+        heartbeatWithTask(""),
+        heartbeatWithTask("\"launch\":4,\"phase\":\"running\""),
+        heartbeatWithTask("\"shard\":\"wk-1/0\",\"phase\":\"running\""),
+        heartbeatWithTask("\"shard\":\"wk-1/0\",\"launch\":4"),
+        heartbeatWithTask(TASK.replace("4", "-4")),
+        heartbeatWithTask(TASK.replace("4", "4.5")),
+        heartbeatWithTask(TASK.replace("running", "napping")),
+        heartbeatWithTask(TASK.replace("\"running\"", "null")),
+        heartbeatWithTask(TASK.replace("wk-1/0", "wk-1")),
+        heartbeatWithTask(TASK.replace("wk-1/0", "/0")),
+        heartbeatWithTask(TASK.replace("wk-1/0", "wk-1/")),
+        heartbeatWithTask(TASK.replace("wk-1/0", "wk-1/x")),
+        heartbeatWithTask(TASK.replace("wk-1/0", "wk-1/-1")),
+        heartbeatWithTask(TASK.replace("wk-1/0", "wk-1/1234567890")),
+        heartbeatWithTask(TASK.replace("\"wk-1/0\"", "0")),
+        heartbeatWithTask(TASK + ",\"cause\":7"));
   }
 
   @Test
-  void errorsOfMalformedReports() throws Exception {
+  void errorsOfMalformedHeartbeats() throws Exception {
     Golden g = new Golden("worker-errors");
     List<String> all = new ArrayList<>(malformedHeads());
     all.addAll(malformedTasks());
     for (String text : all) {
-      String said = assertThrows(JsonFormatException.class, () -> read(text), text).getMessage();
+      String said = assertThrows(JsonFormatException.class, () -> decode(text), text).getMessage();
       g.add("<" + text + ">", said);
     }
     g.check();
--- a/src/test/java/org/astershift/http/ConnectionSlotsTest.java
+++ b/src/test/java/org/astershift/http/ConnectionSlotsTest.java
@@ -15,14 +15,14 @@
 class ConnectionSlotsTest {
   private long now;
 
-  private Connection come(ConnectionSlots slots, List<Connection> closed) {
+  private Connection connect(ConnectionSlots slots, List<Connection> closed) {
     Connection connection = new Connection(++now);
     closed.addAll(slots.admit(connection));
     return connection;
   }
 
-  private Connection come(ConnectionSlots slots, boolean worker, List<Connection> closed) {
-    Connection connection = come(slots, closed);
+  private Connection connect(ConnectionSlots slots, boolean worker, List<Connection> closed) {
+    Connection connection = connect(slots, closed);
     connection.onRequestStarted(now);
     closed.addAll(slots.onRequest(connection, worker));
     connection.onIdle(++now);
@@ -36,11 +36,11 @@
     List<Connection> closed = new ArrayList<>();
     List<Connection> workers = new ArrayList<>();
     for (int i = 0; i < 70; i++) {
-      workers.add(come(slots, true, closed));
+      workers.add(connect(slots, true, closed));
     }
     closed.clear();
     for (int i = 0; i < 5000; i++) {
-      come(slots, false, closed);
+      connect(slots, false, closed);
     }
     closed.retainAll(workers);
     assertEquals(List.of(), closed);
@@ -53,11 +53,11 @@
     List<Connection> closed = new ArrayList<>();
     List<Connection> silent = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      silent.add(come(slots, closed));
+      silent.add(connect(slots, closed));
     }
     assertEquals(List.of(), closed);
     for (int i = 0; i < 7; i++) {
-      come(slots, true, closed);
+      connect(slots, true, closed);
     }
     assertEquals(silent.subList(0, 7), closed);
   }
@@ -69,17 +69,17 @@
     List<Connection> closed = new ArrayList<>();
     List<Connection> workers = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      workers.add(come(slots, true, closed));
+      workers.add(connect(slots, true, closed));
     }
     assertEquals(List.of(), closed);
-    come(slots, false, closed);
+    connect(slots, false, closed);
     assertEquals(
         workers.subList(0, 1), closed, "beyond the workers' share the longest idle is evicted");
   }
 
   /** Sends a heartbeat on a connection, or a new one; null if it closes with the response. */
   private Connection heartbeat(ConnectionSlots slots, Connection current, List<Connection> closed) {
-    Connection connection = current == null ? come(slots, closed) : current;
+    Connection connection = current == null ? connect(slots, closed) : current;
     connection.onRequestStarted(++now);
     closed.addAll(slots.onRequest(connection, true));
     boolean stays = slots.mayKeepAlive(connection);
@@ -106,7 +106,7 @@
       }
     }
     for (int i = 0; i < 20; i++) {
-      come(slots, false, closed);
+      connect(slots, false, closed);
       for (int j = 5 * i; j < 5 * (i + 1); j++) {
         workers[j] = heartbeat(slots, workers[j], closed);
       }
@@ -123,7 +123,7 @@
     List<Connection> closed = new ArrayList<>();
     List<Connection> refused = new ArrayList<>();
     for (int i = 0; i < 170; i++) {
-      Connection connection = come(slots, closed);
+      Connection connection = connect(slots, closed);
       connection.onRequestStarted(++now);
       for (Connection evicted : slots.onRequest(connection, true)) {
         refused.add(evicted);
@@ -132,7 +132,7 @@
     }
     assertTrue(refused.size() <= 170 - 90, refused.size() + " rejected");
     for (int i = 0; i < 5; i++) {
-      come(slots, false, closed).onRequestStarted(++now);
+      connect(slots, false, closed).onRequestStarted(++now);
     }
     assertEquals(List.of(), closed);
   }
@@ -147,7 +147,7 @@
       dead.add(heartbeat(slots, null, closed));
     }
     for (int i = 0; i < 90; i++) {
-      Connection connection = come(slots, closed);
+      Connection connection = connect(slots, closed);
       connection.onRequestStarted(++now);
       closed.addAll(slots.onRequest(connection, true));
     }
@@ -160,9 +160,9 @@
   void busyConnectionsAreNotEvicted() {
     ConnectionSlots slots = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
-    come(slots, false, closed).onRequestStarted(now);
-    come(slots, false, closed).onRequestStarted(now);
-    Connection third = come(slots, closed);
+    connect(slots, false, closed).onRequestStarted(now);
+    connect(slots, false, closed).onRequestStarted(now);
+    Connection third = connect(slots, closed);
     assertEquals(List.of(third), closed);
   }
 
@@ -171,13 +171,13 @@
   void releasingTwiceFreesOneSlot() {
     ConnectionSlots slots = new ConnectionSlots(2, 2);
     List<Connection> closed = new ArrayList<>();
-    Connection first = come(slots, false, closed);
-    come(slots, false, closed);
+    Connection first = connect(slots, false, closed);
+    connect(slots, false, closed);
     slots.release(first);
     slots.release(first);
-    come(slots, false, closed);
+    connect(slots, false, closed);
     assertEquals(List.of(), closed);
-    come(slots, false, closed);
+    connect(slots, false, closed);
     assertEquals(1, closed.size());
   }
 
--- a/src/test/java/org/astershift/http/HostileInputTest.java
+++ b/src/test/java/org/astershift/http/HostileInputTest.java
@@ -33,7 +33,7 @@
         "a body over the limit | POST / HTTP/1.1~Content-Length: 65537~~ | 413",
         "an unknown encoding | POST / HTTP/1.1~Transfer-Encoding: gzip~~ | 501"
       })
-  void answers(String what, String request, int status) throws Exception {
+  void requestGetsExpectedStatus(String what, String request, int status) throws Exception {
     String text = request.replace("~", "\r\n").replace("^", "\n");
     String response = exchange(text);
     assertEquals("HTTP/1.1 " + status, response.substring(0, 12), response);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void endlessHeadersAreRefused() throws Exception {
+  void oversizedHeadersAreRejected() throws Exception {
     String head =
         "GET / HTTP/1.1\r\nA: " + "x".repeat(HttpMessageReader.MAX_HEAD_BYTES) + "\r\n\r\n";
     assertEquals("HTTP/1.1 431", exchange(head).substring(0, 12));
--- a/src/test/java/org/astershift/http/HttpClientTest.java
+++ b/src/test/java/org/astershift/http/HttpClientTest.java
@@ -17,14 +17,14 @@
 /** Pooled connections that the server closes. */
 @Timeout(60)
 class HttpClientTest {
-  private static final int KEPT = 6;
+  private static final int POOLED_CONNECTIONS = 6;
   private static final byte[] OK =
       "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
   /** The first requests are answered once all have arrived, so that each opens a connection. */
-  private final CountDownLatch all = new CountDownLatch(KEPT);
+  private final CountDownLatch firstRequests = new CountDownLatch(POOLED_CONNECTIONS);
 
-  private final List<Socket> open = new ArrayList<>();
+  private final List<Socket> openSockets = new ArrayList<>();
 
   /**
    * The server restarts. One request has to fail, since it may have been executed; the other pooled
@@ -34,10 +34,11 @@
   @Test
   void oneRequestFailsAfterAServerRestart() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        HttpClient client = new HttpClient("127.0.0.1", server.getLocalPort(), KEPT)) {
+        HttpClient client =
+            new HttpClient("127.0.0.1", server.getLocalPort(), POOLED_CONNECTIONS)) {
       new Thread(() -> accept(server)).start();
       List<FutureTask<Integer>> calls = new ArrayList<>();
-      for (int i = 0; i < KEPT; i++) {
+      for (int i = 0; i < POOLED_CONNECTIONS; i++) {
         FutureTask<Integer> call = new FutureTask<>(() -> status(client));
         calls.add(call);
         new Thread(call).start();
@@ -45,9 +46,9 @@
       for (FutureTask<Integer> call : calls) {
         assertEquals(200, call.get());
       }
-      synchronized (open) {
-        assertEquals(KEPT, open.size());
-        for (Socket socket : open) {
+      synchronized (openSockets) {
+        assertEquals(POOLED_CONNECTIONS, openSockets.size());
+        for (Socket socket : openSockets) {
           socket.close();
         }
       }
@@ -63,8 +64,8 @@
     while (!server.isClosed()) {
       try {
         Socket socket = server.accept();
-        synchronized (open) {
-          open.add(socket);
+        synchronized (openSockets) {
+          openSockets.add(socket);
         }
         new Thread(Threads.logFailures("connection", () -> serve(socket))).start();
       } catch (IOException e) {
@@ -78,8 +79,8 @@
       HttpMessageReader reader = new HttpMessageReader(socket);
       while (reader.awaitFirstByte()) {
         reader.readRequest(HttpServer.MAX_REQUEST_BODY_BYTES);
-        all.countDown();
-        all.await();
+        firstRequests.countDown();
+        firstRequests.await();
         socket.getOutputStream().write(OK);
       }
     } catch (IOException e) {
--- a/src/test/java/org/astershift/knownfailures/KnownFailure.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailure.java
@@ -20,7 +20,7 @@
  * @param cause the cause, or "suspected: ..." while no evidence names it
  * @param issue the open issue
  */
-record KnownFailure(String test, String reproduction, String seen, String cause, String issue) {
+record KnownFailure(String test, String reproduction, String observed, String cause, String issue) {
   static final Path FILE = Path.of("KNOWN-RED.txt");
   private static final Path TEST_CLASSES = Path.of("target/test-classes");
   private static final Path TRACES = Path.of("src/test/resources/traces");
@@ -62,7 +62,7 @@
   }
 
   /** Whether the entry names a test method, or a dynamic test's trace file, that exists. */
-  boolean namesATest() {
+  boolean namesExistingTest() {
     int method = test.indexOf(METHOD);
     int dynamic = test.indexOf(DYNAMIC);
     if (method > 0) {
--- a/src/test/java/org/astershift/knownfailures/KnownFailureExtension.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailureExtension.java
@@ -22,7 +22,7 @@
       ReflectiveInvocationContext<Method> invocationContext,
       ExtensionContext context)
       throws Throwable {
-    play(
+    run(
         listed,
         System.out,
         className(context) + "#" + invocationContext.getExecutable().getName(),
@@ -44,7 +44,7 @@
       DynamicTestInvocationContext invocationContext,
       ExtensionContext context)
       throws Throwable {
-    play(listed, System.out, className(context) + "/" + context.getDisplayName(), invocation);
+    run(listed, System.out, className(context) + "/" + context.getDisplayName(), invocation);
   }
 
   /** The context of a dynamic test has no class of its own: that of its factory counts. */
@@ -57,7 +57,7 @@
   }
 
   /** Runs the case; the failure of a listed one is printed, its success is a failure. */
-  static void play(
+  static void run(
       List<KnownFailure> listed, PrintStream out, String test, Invocation<Void> invocation)
       throws Throwable {
     KnownFailure entry =
--- a/src/test/java/org/astershift/knownfailures/KnownFailureTest.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailureTest.java
@@ -20,14 +20,14 @@
   private static final PrintStream OUT = new PrintStream(OutputStream.nullOutputStream());
 
   @Test
-  void eachLineNamesATestThatThereIs() {
+  void everyLineNamesExistingTest() {
     for (KnownFailure entry : KnownFailure.read()) {
-      assertTrue(entry.namesATest(), entry.toString());
+      assertTrue(entry.namesExistingTest(), entry.toString());
     }
   }
 
   @Test
-  void aLineThatLacksAFieldIsRefused() {
+  void lineWithMissingFieldIsRejected() {
     for (String line :
         List.of("", "X#a", "X#a | c | s | c", "X#a | c |  | c | i", "a" + REST + " | x")) {
       assertThrows(IllegalArgumentException.class, () -> KnownFailure.parse(List.of(line)), line);
@@ -35,40 +35,40 @@
   }
 
   @Test
-  void aTestThatIsListedTwiceIsRefused() {
+  void testListedTwiceIsRejected() {
     List<String> twice = List.of("X#a" + REST, "X#a" + REST);
     assertThrows(IllegalArgumentException.class, () -> KnownFailure.parse(twice));
   }
 
   @Test
-  void aLineThatNamesNoTestIsSeen() {
+  void lineWithoutExistingTestIsDetected() {
     List<String> none = List.of("X#a", "KnownFailureTest#b", "TraceTest/no.trace", "TraceTest", "");
     for (String test : none) {
-      assertFalse(new KnownFailure(test, "c", "s", "c", "i").namesATest(), test);
+      assertFalse(new KnownFailure(test, "c", "s", "c", "i").namesExistingTest(), test);
     }
     String own = "KnownFailureTest#aLineThatNamesNoTestIsSeen";
-    assertTrue(new KnownFailure(own, "c", "s", "c", "i").namesATest());
+    assertTrue(new KnownFailure(own, "c", "s", "c", "i").namesExistingTest());
   }
 
   @Test
-  void aListedTestThatFailsIsPassedOver() throws Throwable {
-    KnownFailureExtension.play(LISTED, OUT, "X#a", KnownFailureTest::fails);
+  void failureOfListedTestIsIgnored() throws Throwable {
+    KnownFailureExtension.run(LISTED, OUT, "X#a", KnownFailureTest::fails);
   }
 
   @Test
-  void aListedTestThatPassesFails() {
+  void listedTestThatPassesFails() {
     AssertionError e =
         assertThrows(
-            AssertionError.class, () -> KnownFailureExtension.play(LISTED, OUT, "X#a", () -> null));
+            AssertionError.class, () -> KnownFailureExtension.run(LISTED, OUT, "X#a", () -> null));
     assertTrue(e.getMessage().startsWith("red no more"), e.getMessage());
   }
 
   @Test
-  void aTestThatIsNotListedFails() {
+  void failureOfUnlistedTestIsReported() {
     AssertionError e =
         assertThrows(
             AssertionError.class,
-            () -> KnownFailureExtension.play(LISTED, OUT, "X#b", KnownFailureTest::fails));
+            () -> KnownFailureExtension.run(LISTED, OUT, "X#b", KnownFailureTest::fails));
     assertEquals("it fails", e.getMessage());
   }
 
--- a/src/test/java/org/astershift/peer/GoldenFramesTest.java
+++ b/src/test/java/org/astershift/peer/GoldenFramesTest.java
@@ -16,14 +16,14 @@
 
 /** Frames between controllers, which may be of different versions for a while. */
 class GoldenFramesTest {
-  private static final HexFormat HEX = HexFormat.of();
+  private static final HexFormat HEX_FORMAT = HexFormat.of();
 
-  private static DataInputStream in(String hex) {
-    return new DataInputStream(new ByteArrayInputStream(HEX.parseHex(hex)));
+  private static DataInputStream inputOf(String hex) {
+    return new DataInputStream(new ByteArrayInputStream(HEX_FORMAT.parseHex(hex)));
   }
 
   @Test
-  void questions() throws Exception {
+  void requestFrames() throws Exception {
     Map<String, PeerCodec.PeerRequest> asks = new LinkedHashMap<>();
     asks.put("poll", new PeerCodec.PeerRequest("poll", "wk-000412"));
     asks.put("cancel", new PeerCodec.PeerRequest("cancel", "wk-" + "z".repeat(40)));
@@ -34,16 +34,16 @@
     for (Map.Entry<String, PeerCodec.PeerRequest> e : asks.entrySet()) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       PeerCodec.write(new DataOutputStream(out), e.getValue());
-      g.add(e.getKey(), HEX.formatHex(out.toByteArray()));
+      g.add(e.getKey(), HEX_FORMAT.formatHex(out.toByteArray()));
     }
     g.check();
     for (Map.Entry<String, PeerCodec.PeerRequest> e : asks.entrySet()) {
-      assertEquals(e.getValue(), PeerCodec.readRequest(in(g.kept(e.getKey()))));
+      assertEquals(e.getValue(), PeerCodec.readRequest(inputOf(g.expected(e.getKey()))));
     }
   }
 
   @Test
-  void answers() throws Exception {
+  void answerFrames() throws Exception {
     Map<String, PeerResponse> answers = new LinkedHashMap<>();
     answers.put("known", new PeerResponse(200, "running", 100_000, 130));
     answers.put("queued", new PeerResponse(200, "queued", 0, 0));
@@ -55,31 +55,33 @@
     for (Map.Entry<String, PeerResponse> e : answers.entrySet()) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       PeerCodec.write(new DataOutputStream(out), e.getValue());
-      g.add(e.getKey(), HEX.formatHex(out.toByteArray()));
+      g.add(e.getKey(), HEX_FORMAT.formatHex(out.toByteArray()));
     }
     g.check();
     for (Map.Entry<String, PeerResponse> e : answers.entrySet()) {
-      assertEquals(e.getValue(), PeerCodec.readResponse(in(g.kept(e.getKey()))));
+      assertEquals(e.getValue(), PeerCodec.readResponse(inputOf(g.expected(e.getKey()))));
     }
   }
 
   /** A later version may say more: what it says besides is passed over. */
   @Test
-  void longerFramesAreReadAndOthersRefused() throws Exception {
+  void longerFramesAreReadAndOthersRejected() throws Exception {
     assertEquals(
-        new PeerCodec.PeerRequest("a", "b"), PeerCodec.readRequest(in("0000000793a161a162a163")));
+        new PeerCodec.PeerRequest("a", "b"),
+        PeerCodec.readRequest(inputOf("0000000793a161a162a163")));
     assertEquals(
-        new PeerResponse(200, null, 1, 2), PeerCodec.readResponse(in("0000000895ccc8c00102a178")));
+        new PeerResponse(200, null, 1, 2),
+        PeerCodec.readResponse(inputOf("0000000895ccc8c00102a178")));
     Golden g = new Golden("peer-errors");
     for (String hex : new String[] {"00000000", "ffffffff", "00010001", "0000000391a161"}) {
       String said =
-          assertThrows(IOException.class, () -> PeerCodec.readRequest(in(hex))).getMessage();
+          assertThrows(IOException.class, () -> PeerCodec.readRequest(inputOf(hex))).getMessage();
       g.add("question " + hex, said);
     }
     String shortAnswer = "0000000593ccc8c001";
     g.add(
         "answer " + shortAnswer,
-        assertThrows(IOException.class, () -> PeerCodec.readResponse(in(shortAnswer)))
+        assertThrows(IOException.class, () -> PeerCodec.readResponse(inputOf(shortAnswer)))
             .getMessage());
     g.check();
   }
--- a/src/test/java/org/astershift/scheduler/FuzzController.java
+++ b/src/test/java/org/astershift/scheduler/FuzzController.java
@@ -236,7 +236,7 @@
         () -> {
           if (sim.store.endedJobs.putIfAbsent(job, cancelled) == null) {
             sim.store.liveJobRevisions.remove(job);
-            sim.digest.jobOver(sim.nowMs, job, cancelled, sim.specs.get(job).tasks());
+            sim.digest.jobEnded(sim.nowMs, job, cancelled, sim.specs.get(job).tasks());
             sim.rules.onJobEnded(
                 job, cancelled, sim.cancellationRequested.contains(job), sim.nowMs);
             sim.logEvent(job + " has ended, cancelled=" + cancelled);
--- a/src/test/java/org/astershift/scheduler/FuzzGang.java
+++ b/src/test/java/org/astershift/scheduler/FuzzGang.java
@@ -35,7 +35,7 @@
     broken = true;
     Map<FuzzTask, FuzzWorker> completed = new LinkedHashMap<>(members);
     completed.keySet().forEach(task -> sim.rules.onTaskCompleted(task.job, task.index));
-    completed.keySet().forEach(task -> sim.digest.completed(sim.nowMs, task.taskName()));
+    completed.keySet().forEach(task -> sim.digest.taskCompleted(sim.nowMs, task.taskName()));
     completed.forEach((task, worker) -> worker.exit(task, "done"));
   }
 }
--- a/src/test/java/org/astershift/scheduler/FuzzWorker.java
+++ b/src/test/java/org/astershift/scheduler/FuzzWorker.java
@@ -94,7 +94,7 @@
     if (task.isOnMachine) {
       task.isOnMachine = false;
       sim.rules.ended(task.job, task.index, name);
-      sim.digest.leaves(sim.nowMs, task.taskName(), name);
+      sim.digest.taskRemoved(sim.nowMs, task.taskName(), name);
     }
     FuzzGang gang = sim.gangs.get(task.job + "@" + task.attempt);
     if (gang != null && gang.members.remove(task) != null && gang.running && !gang.broken) {
@@ -261,7 +261,7 @@
   private void start(String key, FuzzTask task) {
     JobSpec spec = sim.specs.get(task.job);
     sim.logEvent(name + " fetches the image of " + key);
-    sim.digest.started(sim.nowMs, task.taskName(), name, task.attempt);
+    sim.digest.taskAccepted(sim.nowMs, task.taskName(), name, task.attempt);
     tasks.put(key, task);
     double freeCpus = sim.types.get(type).cpus();
     double freeGpus = sim.types.get(type).gpus();
@@ -299,7 +299,7 @@
     JobSpec spec = sim.specs.get(task.job);
     task.isOnMachine = true;
     statusChanged = true;
-    sim.digest.begins(sim.nowMs, task.taskName(), name);
+    sim.digest.imageFetched(sim.nowMs, task.taskName(), name);
     sim.logEvent(name + " begins to run " + task.job + "/" + task.index + "@" + task.attempt);
     sim.rules.onTaskBegun(
         task.job, task.index, new ReferenceRules.MachineView(name, type, zone, spot), sim.nowMs);
@@ -346,7 +346,7 @@
   private void complete(FuzzTask task) {
     if (task.phase == Heartbeat.TaskPhase.RUNNING && !task.stopped && tasks.containsValue(task)) {
       sim.rules.onTaskCompleted(task.job, task.index);
-      sim.digest.completed(sim.nowMs, task.taskName());
+      sim.digest.taskCompleted(sim.nowMs, task.taskName());
       exit(task, "done");
     }
   }
@@ -373,7 +373,7 @@
     }
     sim.logEvent(
         name + " ends " + task.job + "/" + task.index + "@" + task.attempt + ", cause=" + cause);
-    sim.digest.phase(sim.nowMs, task.taskName(), name, Heartbeat.TaskPhase.EXITED, cause);
+    sim.digest.taskPhase(sim.nowMs, task.taskName(), name, Heartbeat.TaskPhase.EXITED, cause);
     task.phase = Heartbeat.TaskPhase.EXITED;
     task.cause = cause;
     statusChanged = true;
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -45,7 +45,7 @@
 
   /** Returns the digest of all events of the seed; to be called after {@link #play}. */
   String digest() {
-    sim.digest.endOfPlay(
+    sim.digest.endOfRun(
         sim.nowMs, sim.lastEventNumber, rules.violations.isEmpty() && unfinished.isEmpty());
     return sim.digest.hex();
   }
@@ -147,7 +147,7 @@
     sim.store.leaseEndsMs = sim.nowMs + FuzzSimulation.LEADER_LEASE_MS;
     sim.controllers.add(controller);
     sim.count("leaders");
-    sim.digest.term(sim.nowMs, Long.toString(controller.token), controller.token);
+    sim.digest.termStarted(sim.nowMs, Long.toString(controller.token), controller.token);
     controller.handle(controller::load);
     for (Heartbeat heartbeat : sim.heartbeatsForNextLeader) {
       sim.after(
--- a/src/test/java/org/astershift/simulation/InvariantChecker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -96,7 +96,7 @@
   /** Checks the rules ran_twice, wrong_place and quota when a task starts. */
   void onTaskStarted(String task, String machine, long attempt) {
     started++;
-    simulation.digest.started(simulation.now(), task, machine, attempt);
+    simulation.digest.taskAccepted(simulation.now(), task, machine, attempt);
     String job = task.substring(0, task.indexOf('/'));
     Long confirmedMs = cancelConfirmedMs.get(job);
     if (confirmedMs != null && simulation.now() > confirmedMs + CANCEL_DEADLINE_MS) {
@@ -194,12 +194,12 @@
   /** Records that the task has completed on some machine. */
   void onTaskCompleted(String task) {
     completedTasks.add(task);
-    simulation.digest.completed(simulation.now(), task);
+    simulation.digest.taskCompleted(simulation.now(), task);
   }
 
   /** Records that a task has fetched its image. */
   void onImageFetched(String task, String machine) {
-    simulation.digest.begins(simulation.now(), task, machine);
+    simulation.digest.imageFetched(simulation.now(), task, machine);
     checkNotCancelled(task, machine);
   }
 
@@ -244,7 +244,7 @@
   }
 
   void onTaskGone(String task, String machine) {
-    simulation.digest.leaves(simulation.now(), task, machine);
+    simulation.digest.taskRemoved(simulation.now(), task, machine);
     machineByTask.remove(task, machine);
     placements.remove(task + " on " + machine);
   }
@@ -295,7 +295,7 @@
       violations.add("a job ended twice: " + job);
     }
     String id = job.substring(job.indexOf('/') + 1);
-    simulation.digest.jobOver(simulation.now(), id, end.cancelled(), end.done());
+    simulation.digest.jobEnded(simulation.now(), id, end.cancelled(), end.done());
     int tasks = simulation.users.spec(id).tasks();
     long completedCount =
         IntStream.range(0, tasks).filter(i -> completedTasks.contains(id + "/" + i)).count();
@@ -353,7 +353,7 @@
     if (state.equals("withdrawn")) {
       onCancelConfirmed(job, controller);
     }
-    simulation.digest.told(simulation.now(), job, controller, isEnd, isFirstEnd);
+    simulation.digest.jobStateReported(simulation.now(), job, controller, isEnd, isFirstEnd);
     return isFirstEnd;
   }
 
@@ -455,7 +455,7 @@
   }
 
   void onTermBegun(String controller, long token) {
-    simulation.digest.term(simulation.now(), controller, token);
+    simulation.digest.termStarted(simulation.now(), controller, token);
     latestToken = Math.max(latestToken, token);
     termLeaders.add(controller);
     simulation.log(controller, "begins a term token=" + token);
--- a/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
+++ b/src/test/java/org/astershift/simulation/RandomizedScenarioDigests.java
@@ -16,7 +16,7 @@
     RandomizedScenario scenario = RandomizedScenario.play(seed);
     Simulation simulation = scenario.simulation;
     EventDigest digest = simulation.digest;
-    digest.endOfPlay(simulation.now(), simulation.eventsRun(), !scenario.hasFailed());
+    digest.endOfRun(simulation.now(), simulation.eventsRun(), !scenario.hasFailed());
     return digest.hex();
   }
 }
--- a/src/test/java/org/astershift/simulation/WorkerTasks.java
+++ b/src/test/java/org/astershift/simulation/WorkerTasks.java
@@ -121,7 +121,7 @@
     }
     task.phase = phase;
     task.exitReason = exitReason;
-    simulation.digest.phase(simulation.now(), task.name(), worker.name, phase, exitReason);
+    simulation.digest.taskPhase(simulation.now(), task.name(), worker.name, phase, exitReason);
     Heartbeat.TaskPhase imageFetchedPhase =
         task.isGang(simulation) ? Heartbeat.TaskPhase.WAITING : Heartbeat.TaskPhase.RUNNING;
     if (phase == imageFetchedPhase) {
--- a/src/test/java/org/astershift/store/EnumCodesTest.java
+++ b/src/test/java/org/astershift/store/EnumCodesTest.java
@@ -10,7 +10,7 @@
 /** Each kind and priority is read back from its own number, and other numbers are refused. */
 class EnumCodesTest {
   @Test
-  void kindsComeBack() {
+  void kindsRoundTrip() {
     for (JobKind kind : JobKind.values()) {
       assertEquals(kind, EnumCodes.jobKind(EnumCodes.codeOf(kind)));
     }
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void prioritiesComeBack() {
+  void prioritiesRoundTrip() {
     for (Priority priority : Priority.values()) {
       assertEquals(priority, EnumCodes.priority(EnumCodes.codeOf(priority)));
     }
--- a/src/test/java/org/astershift/store/RecordCodecTest.java
+++ b/src/test/java/org/astershift/store/RecordCodecTest.java
@@ -9,7 +9,7 @@
 /** Progress of the largest job fits pages of notes, whatever the pattern. */
 class RecordCodecTest {
   @Test
-  void hundredThousandTasksFitAndComeBack() throws Exception {
+  void progressOfHundredThousandTasksFitsAndRoundTrips() throws Exception {
     BitSet done = new BitSet();
     for (int i = 1; i < 100_000; i += 2) {
       done.set(i);
--- a/src/test/java/org/astershift/store/StoreClientTest.java
+++ b/src/test/java/org/astershift/store/StoreClientTest.java
@@ -29,31 +29,31 @@
 @Timeout(200)
 class StoreClientTest {
   private final ThreadGroup threads = new ThreadGroup("mirror");
-  private final ConcurrentLinkedQueue<String> told = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<String> notifications = new ConcurrentLinkedQueue<>();
   @TempDir Path dir;
-  private StoreEmulator service;
-  private StoreEmulator.StoreAddress door;
-  private StoreEmulator.StoreAddress otherDoor;
+  private StoreEmulator storeEmulator;
+  private StoreEmulator.StoreAddress address;
+  private StoreEmulator.StoreAddress otherAddress;
   private StoreClient store;
-  private StoreClient other;
-  private WatchCache mirror;
+  private StoreClient otherClient;
+  private WatchCache watchCache;
 
   @BeforeEach
   void start() throws Exception {
-    service = new StoreEmulator(0);
-    door = service.door();
-    otherDoor = service.door();
-    store = new StoreClient(Emulators.settings(dir, door.port(), 1));
-    other = new StoreClient(Emulators.settings(dir, otherDoor.port(), 1));
-    mirror = new WatchCache(store);
+    storeEmulator = new StoreEmulator(0);
+    address = storeEmulator.openAddress();
+    otherAddress = storeEmulator.openAddress();
+    store = new StoreClient(Emulators.settings(dir, address.port(), 1));
+    otherClient = new StoreClient(Emulators.settings(dir, otherAddress.port(), 1));
+    watchCache = new WatchCache(store);
   }
 
   @AfterEach
   void stop() throws Exception {
     threads.interrupt();
-    door.close();
-    otherDoor.close();
-    service.close();
+    address.close();
+    otherAddress.close();
+    storeEmulator.close();
   }
 
   private static String key(int i) {
@@ -66,91 +66,97 @@
     return assertInstanceOf(Outcome.Committed.class, o).revision();
   }
 
-  private void startMirror() throws InterruptedException {
+  private void startWatchCache() throws InterruptedException {
     Thread t =
         new Thread(
             threads,
             () ->
-                mirror.start(
-                    rows -> rows.forEach(r -> told.add(r.key() + (r.data() == null ? "-" : "+")))));
+                watchCache.start(
+                    rows ->
+                        rows.forEach(
+                            r -> notifications.add(r.key() + (r.data() == null ? "-" : "+")))));
     t.start();
     t.join();
   }
 
   /** Only what certainly is not applied may be taken for that. */
   @Test
-  void whatIsUnknownIsNotTakenForRefused() throws Exception {
+  void unknownOutcomeIsNotReportedAsRejected() throws Exception {
     StoreClient.Transaction txn = new StoreClient.Transaction().put(key(1), Map.of());
-    service.loseAnswers(1);
+    storeEmulator.loseResponses(1);
     Outcome lost = store.commit(txn, RateLimiter.Urgency.INTERACTIVE, 1000);
-    service.loseAnswers(0);
+    storeEmulator.loseResponses(0);
     assertInstanceOf(Outcome.Unknown.class, lost);
-    assertTrue(service.has(key(1)), "and it is applied");
-    door.refuse(true);
+    assertTrue(storeEmulator.containsKey(key(1)), "and it is applied");
+    address.rejectRequests(true);
     assertInstanceOf(
         Outcome.Rejected.class, store.commit(txn, RateLimiter.Urgency.INTERACTIVE, 1000));
     long before = store.silenceMs();
     assertThrows(IOException.class, () -> store.get(key(1)));
     assertTrue(store.silenceMs() >= before, "a refusal is no service");
     Await.until("the service to count as lost", store::isUnavailable);
-    door.refuse(false);
+    address.rejectRequests(false);
     assertNotNull(store.get(key(1)).data());
     assertTrue(!store.isUnavailable());
   }
 
   /** Records come and go between the first page that is read and the last. */
   @Test
-  void pagesOfDifferentMomentsBecomeOne() throws Exception {
+  void pagesReadAtDifferentRevisionsAreMerged() throws Exception {
     int rows = StoreClient.MAX_LIST_ROWS * 3 / 2;
     for (int i = 0; i < rows; i += 100) {
       StoreClient.Transaction some = new StoreClient.Transaction();
       for (int j = i; j < i + 100; j++) {
         some.put(key(j), Map.of());
       }
-      write(other, some);
+      write(otherClient, some);
     }
     AtomicBoolean once = new AtomicBoolean();
-    door.watched(
+    address.setObserver(
         (r, done) -> {
           if (done && r.path().equals("/store") && once.compareAndSet(false, true)) {
             write(
-                other,
+                otherClient,
                 new StoreClient.Transaction().delete(key(3)).put(key(rows - 1), Map.of("n", 2)));
-            write(other, new StoreClient.Transaction().put(key(4), Map.of("n", 2)));
+            write(otherClient, new StoreClient.Transaction().put(key(4), Map.of("n", 2)));
           }
         });
-    startMirror();
-    Await.until("the pages", mirror::isLoaded);
-    long last = write(other, new StoreClient.Transaction().put(key(rows), Map.of()));
-    assertTrue(mirror.awaitRevision(last, 60_000));
+    startWatchCache();
+    Await.until("the pages", watchCache::isLoaded);
+    long last = write(otherClient, new StoreClient.Transaction().put(key(rows), Map.of()));
+    assertTrue(watchCache.awaitRevision(last, 60_000));
     assertTrue(once.get());
-    assertNull(mirror.get(key(3)), "gone after its page was read");
-    assertEquals("2", String.valueOf(mirror.get(key(rows - 1)).data().get("n")));
-    assertEquals("2", String.valueOf(mirror.get(key(4)).data().get("n")));
-    assertEquals(rows, mirror.entriesWithPrefix(RecordCodec.LIVE_PREFIX).size());
+    assertNull(watchCache.get(key(3)), "gone after its page was read");
+    assertEquals("2", String.valueOf(watchCache.get(key(rows - 1)).data().get("n")));
+    assertEquals("2", String.valueOf(watchCache.get(key(4)).data().get("n")));
+    assertEquals(rows, watchCache.entriesWithPrefix(RecordCodec.LIVE_PREFIX).size());
   }
 
   /** A node that was cut off for so long that its watch cannot go on. */
   @Test
-  void whatChangedBeyondTheWatchIsToldAllTheSame() throws Exception {
-    write(other, new StoreClient.Transaction().put(key(1), Map.of()).put(key(2), Map.of()));
-    startMirror();
-    Await.until("the first reading", mirror::isLoaded);
-    door.refuse(true);
-    write(other, new StoreClient.Transaction().put(key(9), Map.of())); // ends the watch that waits
+  void changesMissedByWatchAreReported() throws Exception {
+    write(otherClient, new StoreClient.Transaction().put(key(1), Map.of()).put(key(2), Map.of()));
+    startWatchCache();
+    Await.until("the first reading", watchCache::isLoaded);
+    address.rejectRequests(true);
+    write(
+        otherClient,
+        new StoreClient.Transaction().put(key(9), Map.of())); // ends the watch that waits
     Await.until("the watch to be refused", store::isUnavailable);
-    write(other, new StoreClient.Transaction().delete(key(1)).put(key(3), Map.of()));
-    service.forgetChanges();
-    told.clear();
-    door.refuse(false);
-    Await.until("the second reading", () -> told.contains(key(3) + "+"));
-    assertTrue(told.contains(key(1) + "-"), "what is gone is told: " + List.copyOf(told));
-    assertNull(mirror.get(key(1)));
-    assertTrue(!told.contains(key(2) + "+"), "what did not change is no news");
+    write(otherClient, new StoreClient.Transaction().delete(key(1)).put(key(3), Map.of()));
+    storeEmulator.compact();
+    notifications.clear();
+    address.rejectRequests(false);
+    Await.until("the second reading", () -> notifications.contains(key(3) + "+"));
+    assertTrue(
+        notifications.contains(key(1) + "-"),
+        "what is gone is told: " + List.copyOf(notifications));
+    assertNull(watchCache.get(key(1)));
+    assertTrue(!notifications.contains(key(2) + "+"), "what did not change is no news");
   }
 
   /** Who was refused comes again a little later, and leaves the processor to the others. */
-  private static void pause() {
+  private static void pauseBeforeRetry() {
     Object pause = new Object();
     synchronized (pause) {
       try {
@@ -166,8 +172,8 @@
    * before their questions are answered: behind them it ran out, and the next leader's did, too.
    */
   @Test
-  void aLeaseIsRenewedHoweverManyQuestionsWait() throws Exception {
-    StoreClient narrow = new StoreClient(Emulators.settings(dir, door.port(), 1, 40));
+  void leaseIsRenewedHoweverManyReadsWait() throws Exception {
+    StoreClient narrow = new StoreClient(Emulators.settings(dir, address.port(), 1, 40));
     long lease = narrow.grantLease(60_000);
     AtomicBoolean over = new AtomicBoolean();
     AtomicInteger refused = new AtomicInteger();
@@ -182,7 +188,7 @@
                     narrow.get(key(1));
                   } catch (IOException e) {
                     refused.incrementAndGet();
-                    pause();
+                    pauseBeforeRetry();
                   }
                 }
               });
--- a/src/test/java/org/astershift/store/StoreLimitsTest.java
+++ b/src/test/java/org/astershift/store/StoreLimitsTest.java
@@ -27,11 +27,11 @@
 
   @TempDir Path dir;
 
-  private interface Body {
+  private interface TestBody {
     void run(StoreClient store) throws Exception;
   }
 
-  private void serving(HttpServer.Handler service, Body body) throws Exception {
+  private void withStore(HttpServer.Handler service, TestBody body) throws Exception {
     HttpServer server = new HttpServer("127.0.0.1", 0, 50, service);
     server.start();
     try {
@@ -50,8 +50,8 @@
    * little, as its next write does: otherwise all go on at the rate that was too much.
    */
   @Test
-  void aReadOverTheLimitMakesItsNodeStandBack() throws Exception {
-    serving(
+  void readOverLimitMakesNodeBackOff() throws Exception {
+    withStore(
         StoreLimitsTest::overLimit,
         store -> {
           long beganNs = System.nanoTime();
@@ -69,10 +69,10 @@
    * into the lease, long before a read is.
    */
   @Test
-  void aRenewalWithoutAnAnswerLeavesTimeForAnother() throws Exception {
+  void unansweredRenewalLeavesTimeForRetry() throws Exception {
     CountDownLatch over = new CountDownLatch(1);
     AtomicInteger renewals = new AtomicInteger();
-    serving(
+    withStore(
         r -> {
           if (r.path().contains("renew") && renewals.incrementAndGet() > 1) {
             return Response.of(200, Map.of());
@@ -94,7 +94,7 @@
 
   /** A try without an answer, and another one that follows at once, fit into the lease. */
   @Test
-  void twoTriesToRenewFitIntoTheLease() {
+  void twoRenewalAttemptsFitIntoLease() {
     long secondSentMs =
         LoopTiming.LEADER_LEASE_RENEW_INTERVAL_MS + StoreClient.LEADER_LEASE_RENEW_TIMEOUT_MS;
     long lastsMs = Election.LEADER_LEASE_MS - ClockBounds.CLOCK_MARGIN_MS;
--- a/src/test/java/org/astershift/worker/CommandSenderTest.java
+++ b/src/test/java/org/astershift/worker/CommandSenderTest.java
@@ -20,36 +20,37 @@
       "{\"vessel\":\"vm-1\",\"addr\":\"127.0.0.1:1\",\"hull\":\"small\",\"harbor\":\"a\","
           + "\"ebbtide\":false,\"watch\":1,\"tick\":7,\"helm\":5,\"shards\":[]}";
 
-  private static String sent(String address) {
+  private static String sendTo(String address) {
     CommandSender.Result result = new CommandSender().send(address, 5, 1, List::of, 2000);
     return (result.outcomeUnknown() ? "unknown" : "known")
         + (result.heartbeat() == null ? "" : " with a heartbeat");
   }
 
-  private static String answered(int status, String body) throws Exception {
+  private static String sendToWorkerAnswering(int status, String body) throws Exception {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     try (HttpServer worker =
         new HttpServer("127.0.0.1", 0, 5, result -> new Response(status, bytes, 0))) {
       worker.start();
-      return sent("127.0.0.1:" + worker.port());
+      return sendTo("127.0.0.1:" + worker.port());
     }
   }
 
   @Test
   void outcomeIsKnownOnlyIfNothingCanHaveHappened() throws Exception {
-    assertEquals("known with a heartbeat", answered(200, HEARTBEAT));
-    assertEquals("known with a heartbeat", answered(409, HEARTBEAT));
-    assertEquals("known", answered(400, "{}"), "rejected as malformed: nothing is executed");
+    assertEquals("known with a heartbeat", sendToWorkerAnswering(200, HEARTBEAT));
+    assertEquals("known with a heartbeat", sendToWorkerAnswering(409, HEARTBEAT));
+    assertEquals(
+        "known", sendToWorkerAnswering(400, "{}"), "rejected as malformed: nothing is executed");
     assertEquals(
         "unknown",
-        answered(200, HEARTBEAT.substring(0, 60)),
+        sendToWorkerAnswering(200, HEARTBEAT.substring(0, 60)),
         "it may have been executed before the response broke off");
     HttpServer closedServer = new HttpServer("127.0.0.1", 0, 5, result -> Response.of(200, null));
     String address = "127.0.0.1:" + closedServer.port();
     closedServer.close();
-    assertEquals("known", sent(address), "no connection: nothing was sent");
-    assertEquals("known", sent("nowhere"));
-    assertEquals("known", sent("127.0.0.1:70000"), "not a port");
+    assertEquals("known", sendTo(address), "no connection: nothing was sent");
+    assertEquals("known", sendTo("nowhere"));
+    assertEquals("known", sendTo("127.0.0.1:70000"), "not a port");
     assertFalse(new CommandSender().isReachable("127.0.0.1:70000", 2000));
   }
 
@@ -57,7 +58,7 @@
   @ParameterizedTest
   @ValueSource(ints = {404, 500, 503})
   void outcomeIsUnknownAfterAnError(int status) throws Exception {
-    assertEquals("unknown", answered(status, "{}"));
+    assertEquals("unknown", sendToWorkerAnswering(status, "{}"));
   }
 
   /**
@@ -65,7 +66,7 @@
    * or the agent restart.
    */
   @Test
-  void commandsAreMadeOnceConnected() throws Exception {
+  void commandsAreCreatedOnceConnected() throws Exception {
     AtomicInteger calls = new AtomicInteger();
     Supplier<List<Command>> commands =
         () -> {
