--- a/src/test/java/org/astershift/ClassListTest.java
+++ b/src/test/java/org/astershift/ClassListTest.java
@@ -12,23 +12,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The class archive that shortens a start holds what the kept list names: a class missing there is
- * read from the jar at each start, and starts are charged. The list lacked 48 classes once.
+ * The class list names all classes of the program. The class archive that shortens startup is made
+ * from it: a class missing there is read from the jar at each start, and startup time is charged.
+ * The list once lacked 48 classes.
  */
 class ClassListTest {
   private static final Path LIST = Path.of("src/main/cds/classes.lst");
   private static final Path CLASSES = Path.of("target/classes");
   private static final String PACKAGE_PREFIX = "org/astershift/";
 
-  /** With {@code -Dtraces.write=true} the list's own part is written anew. */
+  /**
+   * Compares the list with the compiled classes. With {@code -Dtraces.write=true} the part of the
+   * list that names classes of this program is rewritten instead.
+   */
   @Test
   void listsOwnClasses() throws IOException {
     TreeSet<String> compiled = new TreeSet<>();
     try (Stream<Path> files = Files.walk(CLASSES.resolve(PACKAGE_PREFIX))) {
       files
-          .map(f -> CLASSES.relativize(f).toString().replace('\\', '/'))
-          .filter(f -> f.endsWith(".class") && !f.endsWith("package-info.class"))
-          .forEach(f -> compiled.add(f.substring(0, f.length() - ".class".length())));
+          .map(file -> CLASSES.relativize(file).toString().replace('\\', '/'))
+          .filter(file -> file.endsWith(".class") && !file.endsWith("package-info.class"))
+          .forEach(file -> compiled.add(file.substring(0, file.length() - ".class".length())));
     }
     List<String> lines = Files.readAllLines(LIST);
     TreeSet<String> listed = new TreeSet<>();
@@ -38,10 +42,10 @@
       }
     }
     if (Boolean.getBoolean("traces.write") && !listed.equals(compiled)) {
-      List<String> out = new ArrayList<>(lines);
-      out.removeIf(line -> line.startsWith(PACKAGE_PREFIX) && !compiled.contains(line.trim()));
-      compiled.stream().filter(c -> !listed.contains(c)).forEach(out::add);
-      Files.write(LIST, out);
+      List<String> updated = new ArrayList<>(lines);
+      updated.removeIf(line -> line.startsWith(PACKAGE_PREFIX) && !compiled.contains(line.trim()));
+      compiled.stream().filter(name -> !listed.contains(name)).forEach(updated::add);
+      Files.write(LIST, updated);
       return;
     }
     assertEquals(String.join("\n", compiled), String.join("\n", listed));
--- a/src/test/java/org/astershift/ConcurrentUsers.java
+++ b/src/test/java/org/astershift/ConcurrentUsers.java
@@ -21,12 +21,12 @@
 import org.astershift.http.JsonFormatException;
 
 /**
- * Users who poll all nodes as soon as one has answered, repeat their submissions, and cancel a
- * quarter of their jobs. The state known before a request is sent bounds its answer from below: a
- * newer state may come at any time, an older one never.
+ * Simulated users who poll all nodes as soon as one has answered, repeat their submissions, and
+ * cancel a quarter of their jobs. No answer may be older than the state known before its request
+ * was sent; it may be newer.
  */
 final class ConcurrentUsers implements AutoCloseable {
-  /** A request counts as a close look if it is sent within this time of another node's answer. */
+  /** A request counts as a follow-up if it is sent within this time after another node's answer. */
   private static final long FOLLOW_UP_NS = 30_000_000;
 
   private static final long JOIN_TIMEOUT_NS = 100_000_000_000L;
@@ -34,7 +34,7 @@
   private static final int USERS = 12;
   private static final int POOLED_CONNECTIONS = 16;
 
-  /** What users know of a job, from the oldest to the newest state. */
+  /** The states of a job as known to its user, from the oldest to the newest. */
   enum KnownState {
     NOTHING,
     ACCEPTED,
@@ -55,16 +55,19 @@
     private long cancelConfirmedNs = Long.MAX_VALUE;
     private int sourceNode = -1;
 
-    Job(String id, boolean cancels) {
+    Job(String id, boolean toBeCancelled) {
       this.id = id;
-      this.toBeCancelled = cancels;
+      this.toBeCancelled = toBeCancelled;
     }
 
     synchronized KnownState knownState() {
       return knownState;
     }
 
-    /** When the cancellation was confirmed. */
+    /**
+     * Returns the time at which the cancellation was confirmed, by {@link System#nanoTime}; {@code
+     * Long.MAX_VALUE} if it was not.
+     */
     synchronized long cancelConfirmedNs() {
       return cancelConfirmedNs;
     }
@@ -85,7 +88,8 @@
   private final List<HttpClient> clients = new ArrayList<>();
 
   /**
-   * {@code jobs} jobs of {@code tasks} tasks from number {@code first}; each fourth is cancelled.
+   * Prepares {@code jobs} jobs of {@code tasks} tasks, numbered from {@code first}; each fourth is
+   * cancelled.
    */
   ConcurrentUsers(ControllerProcesses nodes, int first, int jobs, int tasks) {
     this.tasks = tasks;
@@ -105,22 +109,22 @@
     return jobs;
   }
 
-  /** Number of jobs that all nodes have answered to be over. */
+  /** Returns the number of jobs that all nodes have reported as ended. */
   int endedJobs() {
     return endedJobs.get();
   }
 
-  /** Number of answers to close looks after this state was known. */
+  /** Returns the number of answered follow-ups that were sent when this state was known. */
   int followUps(KnownState known) {
     return followUps.get(known).get();
   }
 
-  /** All violations, each with the job and both answers. */
+  /** Returns all violations, each with the job and both answers. */
   List<String> violations() {
     return new ArrayList<>(violations);
   }
 
-  /** Starts the users with {@code count} of the jobs. */
+  /** Starts the users and permits them to start {@code count} of the jobs. */
   void start(int count) {
     permitStarts(count);
     for (int i = 0; i < USERS; i++) {
@@ -129,14 +133,14 @@
     }
   }
 
-  /** Lets {@code count} further jobs start, so that a fault can come before them. */
+  /** Permits {@code count} further jobs to start, so that a fault can be injected before them. */
   void permitStarts(int count) {
     permits.release(count);
   }
 
-  /** Waits until all jobs are over; fails if a user did. */
+  /** Waits until all jobs have ended; throws if a user failed. */
   void join() throws Exception {
-    permitStarts(USERS); // users who find no job end
+    permitStarts(USERS); // users who find no unstarted job return
     for (Future<?> user : users) {
       user.get(2 * JOIN_TIMEOUT_NS, TimeUnit.NANOSECONDS);
     }
@@ -148,8 +152,8 @@
     clients.forEach(HttpClient::close);
   }
 
-  private Void runUser(int number) throws Exception {
-    int node = number;
+  private Void runUser(int userNumber) throws Exception {
+    int node = userNumber;
     while (true) {
       permits.acquire();
       Job job = unstartedJobs.poll();
@@ -180,22 +184,22 @@
     }
     sendConcurrently(requests);
     Await.until(
-        job.id + " to be over",
+        job.id + " to end",
         () -> {
-          List<Callable<KnownState>> again = requestsToAllNodes(job, Request.POLL);
+          List<Callable<KnownState>> polls = requestsToAllNodes(job, Request.POLL);
           if (job.toBeCancelled) {
-            again.add(() -> send(job, node, Request.CANCEL));
+            polls.add(() -> send(job, node, Request.CANCEL));
           }
-          sendConcurrently(again);
+          sendConcurrently(polls);
           return job.knownState().isOver();
         });
-    List<Callable<KnownState>> after = requestsToAllNodes(job, Request.POLL);
-    after.addAll(requestsToAllNodes(job, Request.SUBMIT));
-    after.addAll(requestsToAllNodes(job, Request.CANCEL));
-    sendConcurrently(after);
+    List<Callable<KnownState>> finalRequests = requestsToAllNodes(job, Request.POLL);
+    finalRequests.addAll(requestsToAllNodes(job, Request.SUBMIT));
+    finalRequests.addAll(requestsToAllNodes(job, Request.CANCEL));
+    sendConcurrently(finalRequests);
     for (int i = 0; i < ControllerProcesses.NODES; i++) {
       int each = i;
-      Await.until("node " + i + " to say how " + job.id + " ended", () -> reportsEnd(job, each));
+      Await.until("node " + i + " to report the end of " + job.id, () -> reportsEnd(job, each));
     }
   }
 
@@ -225,7 +229,10 @@
     CANCEL
   }
 
-  /** The state in the answer; NOTHING without one. */
+  /**
+   * Sends a request and checks the answer against the state known before. Returns the state in the
+   * answer, or NOTHING without an answer.
+   */
   private KnownState send(Job job, int node, Request request) throws IOException {
     KnownState before;
     long beforeNs;
@@ -249,10 +256,10 @@
             case CANCEL -> client.call("POST", path + "/withdraw", null, TIMEOUT_MS);
           };
     } catch (IOException e) {
-      return KnownState.NOTHING; // killed, or starting: tried again
+      return KnownState.NOTHING; // the node is killed or starting: the request is repeated
     }
     String description =
-        request + " at " + node + ": " + response.status() + " " + bodyText(response);
+        request + " at node " + node + ": " + response.status() + " " + bodyText(response);
     if (response.status() == 503) {
       return KnownState.NOTHING;
     }
@@ -260,13 +267,13 @@
     if (before != KnownState.NOTHING && sentNs - beforeNs < FOLLOW_UP_NS && node != source) {
       followUps.get(before).incrementAndGet();
     }
-    boolean older = before.isOver() ? now != before : now.compareTo(before) < 0;
-    boolean twice = before != KnownState.NOTHING && response.status() == 201;
-    boolean ignored = request == Request.CANCEL && now == KnownState.ACCEPTED;
-    boolean odd =
+    boolean isOlder = before.isOver() ? now != before : now.compareTo(before) < 0;
+    boolean acceptedTwice = before != KnownState.NOTHING && response.status() == 201;
+    boolean cancellationIgnored = request == Request.CANCEL && now == KnownState.ACCEPTED;
+    boolean unexpectedStatus =
         response.status() >= 400 && (response.status() != 404 || request == Request.SUBMIT);
-    if (older || twice || ignored || odd) {
-      violations.add(job.id + " was " + before + " by " + source + ", then " + description);
+    if (isOlder || acceptedTwice || cancellationIgnored || unexpectedStatus) {
+      violations.add(job.id + " was " + before + " at node " + source + ", then " + description);
     }
     recordAnswer(job, node, now, description);
     return now;
@@ -278,7 +285,7 @@
         job.cancelConfirmedNs = System.nanoTime();
       }
       if (job.knownState.isOver() && now.isOver() && now != job.knownState) {
-        violations.add(job.id + " ended as " + job.knownState + ", and then " + description);
+        violations.add(job.id + " had ended as " + job.knownState + ", and then " + description);
       } else if (now.compareTo(job.knownState) > 0) {
         job.knownState = now;
         job.knownSinceNs = System.nanoTime();
--- a/src/test/java/org/astershift/ConsistentAnswersTest.java
+++ b/src/test/java/org/astershift/ConsistentAnswersTest.java
@@ -21,7 +21,7 @@
 
 /**
  * Monotonic reads over three real controllers: within milliseconds after a job was accepted, ended
- * or cancelled, no node answers with an older state than another has.
+ * or cancelled, no node answers with a state older than one that another node has reported.
  */
 @Timeout(240)
 class ConsistentAnswersTest {
@@ -31,7 +31,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    // Users poll far more often here than the limits of the default settings allow for.
+    // Users poll far more often here than the limits of the default settings allow.
     nodes =
         new ControllerProcesses(
             dir,
@@ -69,34 +69,38 @@
   void responsesAreLostAndLeadersChange() throws Exception {
     try (ConcurrentUsers users = new ConcurrentUsers(nodes, 1001, 150, 2)) {
       nodes.store.loseResponses(0.33);
-      // A part of the jobs is left for each fault, however fast the users are.
-      int part = users.jobs().size() / 3;
-      users.start(part);
-      Await.until("the first jobs to be over", () -> users.endedJobs() >= 20);
-      int first = nodes.leader();
-      nodes.kill(first);
-      Await.until("another leader after a crash", () -> nodes.leader() != first);
-      nodes.start(first);
-      users.permitStarts(part);
-      int half = users.endedJobs() + 20;
-      Await.until("jobs to be over under the next leader", () -> users.endedJobs() >= half);
-      int second = nodes.leader();
-      nodes.storeAddresses.get(second).rejectRequests(true);
-      Await.until("another leader after a partition", () -> nodes.leader() != second);
-      users.permitStarts(users.jobs().size() - 2 * part);
-      int late = users.endedJobs() + 20;
+      // Some jobs are left for each fault, however fast the users are.
+      int jobsPerFault = users.jobs().size() / 3;
+      users.start(jobsPerFault);
+      Await.until("the first jobs to end", () -> users.endedJobs() >= 20);
+      int firstLeader = nodes.leader();
+      nodes.kill(firstLeader);
+      Await.until("another leader after a crash", () -> nodes.leader() != firstLeader);
+      nodes.start(firstLeader);
+      users.permitStarts(jobsPerFault);
+      int endedUnderNextLeader = users.endedJobs() + 20;
       Await.until(
-          "jobs to be over beside a leader with an uncertain lease",
-          () -> users.endedJobs() >= late);
-      nodes.storeAddresses.get(second).rejectRequests(false);
+          "jobs to end under the next leader", () -> users.endedJobs() >= endedUnderNextLeader);
+      int secondLeader = nodes.leader();
+      nodes.storeAddresses.get(secondLeader).rejectRequests(true);
+      Await.until("another leader after a partition", () -> nodes.leader() != secondLeader);
+      users.permitStarts(users.jobs().size() - 2 * jobsPerFault);
+      int endedBesideOldLeader = users.endedJobs() + 20;
+      Await.until(
+          "jobs to end while another leader has an uncertain lease",
+          () -> users.endedJobs() >= endedBesideOldLeader);
+      nodes.storeAddresses.get(secondLeader).rejectRequests(false);
       users.join();
-      assertNotEquals(second, nodes.leader(), "leaders changed during the test");
+      assertNotEquals(secondLeader, nodes.leader(), "leaders changed during the test");
       assertTrue(
           nodes.store.lostResponses("l/j/") > 20,
-          nodes.store.lostResponses("l/j/") + " acceptances");
-      assertTrue(nodes.store.lostResponses("d/") > 10, nodes.store.lostResponses("d/") + " ends");
+          nodes.store.lostResponses("l/j/") + " responses to acceptances lost");
+      assertTrue(
+          nodes.store.lostResponses("d/") > 10,
+          nodes.store.lostResponses("d/") + " responses to ends lost");
       assertTrue(
-          nodes.store.readsOfUnansweredKeys() > 10, nodes.store.readsOfUnansweredKeys() + " read");
+          nodes.store.readsOfUnansweredKeys() > 10,
+          nodes.store.readsOfUnansweredKeys() + " reads of keys whose writers wait");
       checkConsistency(users);
     }
   }
@@ -108,13 +112,12 @@
             .collect(Collectors.groupingBy(job -> job.knownState(), Collectors.counting()));
     assertEquals(users.jobs().size(), ends.get(KnownState.DONE) + ends.get(KnownState.CANCELLED));
     assertTrue(
-        users.followUps(KnownState.ACCEPTED) > users.jobs().size(),
-        "close looks after acceptances");
+        users.followUps(KnownState.ACCEPTED) > users.jobs().size(), "follow-ups after acceptances");
     assertTrue(
-        users.followUps(KnownState.DONE) > ends.get(KnownState.DONE), "close looks after ends");
+        users.followUps(KnownState.DONE) > ends.get(KnownState.DONE), "follow-ups after ends");
     assertTrue(
         users.followUps(KnownState.CANCELLED) > ends.get(KnownState.CANCELLED),
-        "after confirmations");
+        "follow-ups after confirmed cancellations");
     List<String> started = new ArrayList<>();
     Map<String, Long> confirmed =
         users.jobs().stream()
@@ -129,11 +132,12 @@
     }
     assertEquals(new HashSet<>(started).size(), started.size(), "started twice: " + started);
     for (ConcurrentUsers.Job job : users.jobs()) {
-      boolean all =
+      boolean allStarted =
           started.stream().filter(start -> start.startsWith(job.id + "/")).count()
               == taskCount(job);
       assertTrue(
-          job.knownState() != KnownState.DONE || all, job.id + " is done and was not started");
+          job.knownState() != KnownState.DONE || allStarted,
+          job.id + " is done and not all of its tasks were started");
     }
   }
 
--- a/src/test/java/org/astershift/ControllerProcesses.java
+++ b/src/test/java/org/astershift/ControllerProcesses.java
@@ -19,7 +19,7 @@
 import org.astershift.emulator.StoreEmulator;
 import org.astershift.http.HttpClient;
 
-/** Three real controllers, a process each, on loopback against emulators. */
+/** Three real controllers, each a process on loopback, connected to emulators. */
 final class ControllerProcesses implements AutoCloseable {
   static final int NODES = 3;
 
@@ -35,15 +35,20 @@
   private final UnaryOperator<String> settingsChange;
   private int startCount;
 
-  /** The number of the start of each node's present process, which names its log. */
+  /** The start number of each node's current process, which names its log. */
   private final Map<Integer, Integer> startNumbers = new HashMap<>();
 
-  /** Starts the processes, which may not be ready yet; {@code dir} is for settings and logs. */
+  /**
+   * Starts the processes, without waiting until they are ready; settings and logs are written to
+   * {@code dir}.
+   */
   ControllerProcesses(Path dir, long taskMs) throws Exception {
     this(dir, taskMs, s -> s);
   }
 
-  /** {@code settingsChange} changes the text of the default settings. */
+  /**
+   * Starts the processes as above, with the default settings as changed by {@code settingsChange}.
+   */
   ControllerProcesses(Path dir, long taskMs, UnaryOperator<String> settings) throws Exception {
     this.dir = dir;
     this.settingsChange = settings;
@@ -60,7 +65,7 @@
     }
   }
 
-  /** The port for users and workers. */
+  /** Returns the port for users and workers. */
   int port(int node) {
     return ports.get(node);
   }
@@ -112,8 +117,8 @@
       process.destroyForcibly().onExit().join();
     }
     cloud.close();
-    for (StoreEmulator.StoreAddress door : storeAddresses) {
-      door.close();
+    for (StoreEmulator.StoreAddress address : storeAddresses) {
+      address.close();
     }
     store.close();
     portBlock.close();
@@ -128,27 +133,27 @@
 
   /** Repeats a request until it succeeds and the response contains the word. */
   void await(int node, String method, String path, String body, String word) throws Exception {
-    String[] last = {"no answer"};
-    String what = method + " " + path + " at node " + node + " to be answered with " + word;
+    String[] lastAnswer = {"no response"};
+    String description = method + " " + path + " at node " + node + " to be answered with " + word;
     try {
       Await.until(
-          what,
+          description,
           () -> {
             try {
               HttpClient.Response response = call(node, method, path, body);
-              last[0] =
+              lastAnswer[0] =
                   response.status() + " " + new String(response.body(), StandardCharsets.UTF_8);
-              if (response.status() < 400 && last[0].contains(word)) {
+              if (response.status() < 400 && lastAnswer[0].contains(word)) {
                 return true;
               }
             } catch (IOException e) {
-              last[0] = e.toString(); // not up, or killed: tried again
+              lastAnswer[0] = e.toString(); // killed or starting: retried
             }
             assertTrue(nodes.get(node).isAlive(), "node " + node + " has ended: " + logTail(node));
             return false;
           });
     } catch (AssertionError e) {
-      throw new AssertionError(e.getMessage() + "; the last answer was " + last[0], e);
+      throw new AssertionError(e.getMessage() + "; the last answer was " + lastAnswer[0], e);
     }
   }
 
@@ -164,7 +169,7 @@
     }
   }
 
-  /** The log file of a node's present process. */
+  /** Returns the name of the log file of a node's current process. */
   private String logFileName(int node) {
     return "n" + node + "-" + startNumbers.get(node) + ".log";
   }
@@ -178,25 +183,25 @@
     return text.substring(Math.max(0, text.length() - 1000));
   }
 
-  /** Whether the present process has been leader. */
+  /** Returns whether the node's current process has been leader. */
   boolean hasLed(int node) throws IOException {
     return LEADER_LINE.matcher(logText(node)).find();
   }
 
-  /** The node with the highest fencing token so far. */
+  /** Returns the node whose log has the highest fencing token. */
   int leader() throws IOException {
-    int found = 0;
-    long most = 0;
+    int leader = 0;
+    long highestToken = 0;
     for (int node = 0; node < NODES; node++) {
       Matcher matcher = LEADER_LINE.matcher(logText(node));
       while (matcher.find()) {
-        if (Long.parseLong(matcher.group(1)) > most) {
-          most = Long.parseLong(matcher.group(1));
-          found = node;
+        if (Long.parseLong(matcher.group(1)) > highestToken) {
+          highestToken = Long.parseLong(matcher.group(1));
+          leader = node;
         }
       }
     }
-    return found;
+    return leader;
   }
 
   static String jobJson(String id, String shape, int tasks) {
--- a/src/test/java/org/astershift/DigestRun.java
+++ b/src/test/java/org/astershift/DigestRun.java
@@ -8,11 +8,12 @@
 import org.astershift.simulation.RandomizedScenarioDigests;
 
 /**
- * Plays seeds of the swarm and of the adversary on all processors, and compares their digests with
- * those kept: {@code DigestRun FIRST LAST [swarm|adversary]...}, both where neither is named. A
- * build plays only the first {@link KeptDigests#LAST_SEED_IN_BUILD} of each, since all {@link
- * KeptDigests#LAST_SEED} would make it a minute longer or more. To be run from the root of the
- * project; exit 1 if any digest differs.
+ * Runs seeds of the randomized scenario ({@code swarm}) and of the scheduler fuzzer ({@code
+ * adversary}) on all processors, and compares their digests with those kept: {@code DigestRun FIRST
+ * LAST [swarm|adversary]...}, both where neither is named. A build runs only the first {@link
+ * KeptDigests#LAST_SEED_IN_BUILD} of each, since all {@link KeptDigests#LAST_SEED} would make it a
+ * minute longer or more. To be run from the root of the project; exits with 1 if any digest
+ * differs.
  */
 public final class DigestRun {
   private static final String SWARM = "swarm";
@@ -20,7 +21,7 @@
 
   private DigestRun() {}
 
-  /** Plays the seeds and says which differ. */
+  /** Runs the seeds and prints those whose digests differ. */
   public static void main(String[] args) throws IOException {
     SeedArguments arguments = SeedArguments.parseOrExit(args, Set.of(SWARM, ADVERSARY));
     List<String> options = arguments.options();
@@ -34,15 +35,15 @@
     System.exit(different.isEmpty() ? 0 : 1);
   }
 
-  private static List<String> run(String what, KeptDigests kept, SeedArguments arguments)
+  private static List<String> run(String name, KeptDigests kept, SeedArguments arguments)
       throws IOException {
-    long from = System.nanoTime();
+    long startNs = System.nanoTime();
     List<String> different = kept.differences(arguments.first(), arguments.last());
-    long ms = (System.nanoTime() - from) / 1_000_000;
+    long durationMs = (System.nanoTime() - startNs) / 1_000_000;
     different.forEach(System.out::println);
     long seeds = arguments.last() - arguments.first() + 1;
     System.out.println(
-        what + ": " + seeds + " seeds, " + different.size() + " differ, " + ms + " ms");
+        name + ": " + seeds + " seeds, " + different.size() + " differ, " + durationMs + " ms");
     return different;
   }
 }
--- a/src/test/java/org/astershift/DocumentedNamesTest.java
+++ b/src/test/java/org/astershift/DocumentedNamesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The classes that the pages for newcomers name as {@code package.Class} exist under that name. */
+/** The classes that the documentation names as {@code package.Class} exist under that name. */
 class DocumentedNamesTest {
   private static final Path PROGRAM = Path.of("src/main/java/org/astershift");
   private static final Pattern CLASS_NAME = Pattern.compile("`([a-z]+)\\.([A-Z][A-Za-z]+)[^`]*`");
--- a/src/test/java/org/astershift/EndToEndTest.java
+++ b/src/test/java/org/astershift/EndToEndTest.java
@@ -77,7 +77,7 @@
             .status());
     assertEquals(405, call(1, "DELETE", "/v2/runs", null).status());
 
-    // Jobs accepted before an outage continue in it; their end is visible once it is written.
+    // Jobs accepted before an outage continue during it; their end is visible once it is written.
     await(1, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000002", "sweep", 8), "wk-000002");
     await(1, "GET", "/v2/runs/wk-000002", null, "running\":");
     nodes.store.down(true);
@@ -99,10 +99,10 @@
     await(2, "GET", "/v2/runs/wk-000001", null, "\"done\",");
 
     await(2, "POST", "/v2/runs/wk-000001/withdraw", null, "\"done\",");
-    List<String> starts = startedTasks();
-    Set<String> once = new HashSet<>(starts);
-    assertEquals(once.size(), starts.size(), "a task was started twice: " + starts);
-    assertTrue(once.contains("wk-000004/19"), starts.toString());
+    List<String> startedTasks = startedTasks();
+    Set<String> distinct = new HashSet<>(startedTasks);
+    assertEquals(distinct.size(), startedTasks.size(), "a task was started twice: " + startedTasks);
+    assertTrue(distinct.contains("wk-000004/19"), startedTasks.toString());
     for (int i = 0; i < 3; i++) {
       assertTrue(nodes.process(i).isAlive());
     }
@@ -152,8 +152,8 @@
   }
 
   /**
-   * Processes restart at once, the leader five times in a row and then all; a process that starts
-   * while its predecessor still runs waits for its addresses.
+   * Processes are restarted immediately, the leader five times in a row and then all; a process
+   * that starts while its predecessor still runs waits for its addresses.
    */
   @Test
   void processesSurviveImmediateRestarts() throws Exception {
@@ -169,7 +169,7 @@
       }
     }
     nodes.awaitReady();
-    Process old = nodes.process(2);
+    Process oldProcess = nodes.process(2);
     nodes.start(2);
     Await.until(
         "a process that waits for its address",
@@ -178,10 +178,11 @@
               nodes.process(2).isAlive(), "a process has ended because its address is in use");
           return nodes.logText(2).contains("waiting for address");
         });
-    old.destroyForcibly().waitFor();
+    oldProcess.destroyForcibly().waitFor();
     await(2, "GET", "/v2/runs/wk-000007", null, "\"done\",");
-    List<String> started = startedTasks();
-    assertEquals(new HashSet<>(started).size(), started.size(), "started twice: " + started);
+    List<String> startedTasks = startedTasks();
+    assertEquals(
+        new HashSet<>(startedTasks).size(), startedTasks.size(), "started twice: " + startedTasks);
   }
 
   /**
@@ -193,7 +194,7 @@
     await(
         0, "POST", "/v2/runs", ControllerProcesses.jobJson("wk-000030", "sweep", 60), "wk-000030");
     await(1, "GET", "/v2/runs/wk-000030", null, "\"running\",");
-    List<String> lost = nodes.cloud.workers().get(0).restart();
+    List<String> lostTasks = nodes.cloud.workers().get(0).restart();
     replayHeartbeats();
     WorkerEmulator partitioned = nodes.cloud.workers().get(nodes.cloud.workers().size() - 1);
     partitioned.inboundPartitioned(true);
@@ -208,12 +209,13 @@
     partitioned.inboundPartitioned(false);
     replayHeartbeats();
     await(2, "GET", "/v2/runs/wk-000030", null, "\"done\",");
-    List<String> starts = startedTasks();
-    lost.forEach(starts::remove);
-    assertEquals(new HashSet<>(starts).size(), starts.size(), "started twice: " + starts);
+    List<String> startedTasks = startedTasks();
+    lostTasks.forEach(startedTasks::remove);
+    assertEquals(
+        new HashSet<>(startedTasks).size(), startedTasks.size(), "started twice: " + startedTasks);
   }
 
-  /** Replays a part of all heartbeats so far to each node. */
+  /** Replays some of the heartbeats so far to each node. */
   private void replayHeartbeats() throws Exception {
     for (WorkerEmulator worker : nodes.cloud.workers()) {
       List<String> heartbeats = worker.sentHeartbeats();
@@ -234,24 +236,26 @@
   void nodePartitionedFromTheStoreIsNotReady() throws Exception {
     for (int i = 0; i < 3; i++) {
       int other = (i + 1) % 3;
-      String before = "wk-00001" + i;
-      String during = "wk-00002" + i;
-      await(i, "POST", "/v2/runs", ControllerProcesses.jobJson(before, "sweep", 3), before);
+      String jobBefore = "wk-00001" + i;
+      String jobDuring = "wk-00002" + i;
+      await(i, "POST", "/v2/runs", ControllerProcesses.jobJson(jobBefore, "sweep", 3), jobBefore);
       nodes.storeAddresses.get(i).rejectRequests(true);
       nodes.awaitStatus(i, "/ready", 503);
       assertEquals(
           503,
-          call(i, "POST", "/v2/runs", ControllerProcesses.jobJson(during, "sweep", 3)).status());
+          call(i, "POST", "/v2/runs", ControllerProcesses.jobJson(jobDuring, "sweep", 3)).status());
       assertEquals(200, call(other, "GET", "/ready", null).status());
-      await(other, "POST", "/v2/runs", ControllerProcesses.jobJson(during, "sweep", 3), during);
-      await(other, "GET", "/v2/runs/" + during, null, "\"done\",");
-      await(i, "GET", "/v2/runs/" + during, null, "\"done\",");
-      await(i, "GET", "/v2/runs/" + before, null, "\"done\",");
+      await(
+          other, "POST", "/v2/runs", ControllerProcesses.jobJson(jobDuring, "sweep", 3), jobDuring);
+      await(other, "GET", "/v2/runs/" + jobDuring, null, "\"done\",");
+      await(i, "GET", "/v2/runs/" + jobDuring, null, "\"done\",");
+      await(i, "GET", "/v2/runs/" + jobBefore, null, "\"done\",");
       nodes.storeAddresses.get(i).rejectRequests(false);
       nodes.awaitStatus(i, "/ready", 200);
     }
-    List<String> starts = startedTasks();
-    assertEquals(new HashSet<>(starts).size(), starts.size(), "started twice: " + starts);
+    List<String> startedTasks = startedTasks();
+    assertEquals(
+        new HashSet<>(startedTasks).size(), startedTasks.size(), "started twice: " + startedTasks);
   }
 
   /**
@@ -265,32 +269,35 @@
       await(i, "POST", "/v2/runs", endlessJobJson("wk-90000" + i), "wk-90000" + i);
       await(i, "GET", "/v2/runs/wk-90000" + i, null, "\"running\",");
     }
-    int old = nodes.leader();
+    int oldLeader = nodes.leader();
     nodes.cloud.workers().forEach(WorkerEmulator::respondingPorts);
-    nodes.storeAddresses.get(old).rejectRequests(true);
-    int other = (old + 1) % 3;
-    long askedNs = System.nanoTime();
+    nodes.storeAddresses.get(oldLeader).rejectRequests(true);
+    int other = (oldLeader + 1) % 3;
+    long requestedNs = System.nanoTime();
     await(other, "POST", "/v2/runs/wk-900000/withdraw", null, "withdrawn");
     long confirmedNs = System.nanoTime();
     nodes.store.down(true);
-    assertNotEquals(old, nodes.leader(), "another one leads");
+    assertNotEquals(oldLeader, nodes.leader(), "another node leads");
     assertTrue(
         nodes.cloud.workers().stream()
-            .anyMatch(worker -> worker.respondingPorts().contains(nodes.port(old))),
+            .anyMatch(worker -> worker.respondingPorts().contains(nodes.port(oldLeader))),
         "workers kept sending heartbeats to the old leader");
-    HttpClient.Response refused = call(old, "POST", "/v2/runs/wk-900001/withdraw", null);
-    assertEquals(503, refused.status());
+    HttpClient.Response rejected = call(oldLeader, "POST", "/v2/runs/wk-900001/withdraw", null);
+    assertEquals(503, rejected.status());
     while (nodes.cloud.workers().stream().anyMatch(worker -> isRunning(worker, "wk-900000"))) {
       long seconds = (System.nanoTime() - confirmedNs) / 1_000_000_000;
       assertTrue(
           seconds < CANCEL_S,
-          "left " + seconds + " s after " + (confirmedNs - askedNs) / 1_000_000);
+          "tasks run "
+              + seconds
+              + " s after confirmation; ms to confirm: "
+              + (confirmedNs - requestedNs) / 1_000_000);
       synchronized (this) {
         wait(50);
       }
     }
     nodes.store.down(false);
-    nodes.storeAddresses.get(old).rejectRequests(false);
+    nodes.storeAddresses.get(oldLeader).rejectRequests(false);
     for (int i = 0; i < 3; i++) {
       await(i, "POST", "/v2/runs/wk-900001/withdraw", null, "withdrawn");
       await(i, "GET", "/v2/runs/wk-900000", null, "withdrawn");
@@ -298,16 +305,16 @@
       // An unknown job: 503 while the node cannot decide yet, then 404.
       int node = i;
       Await.until(
-          "node " + i + " to know nothing of wk-999999",
+          "node " + i + " to answer that wk-999999 is unknown",
           () -> {
             int status = call(node, "POST", "/v2/runs/wk-999999/withdraw", null).status();
-            assertTrue(status == 404 || status == 503, "node " + node + " says " + status);
+            assertTrue(status == 404 || status == 503, "node " + node + " answered " + status);
             return status == 404;
           });
     }
   }
 
-  /** A job whose tasks run until they are stopped. */
+  /** Returns a job whose tasks run until they are stopped. */
   private static String endlessJobJson(String id) {
     return ControllerProcesses.jobJson(id, "sweep", 2)
         .replace("\"expect_s\":1", "\"expect_s\":600");
--- a/src/test/java/org/astershift/EventDigest.java
+++ b/src/test/java/org/astershift/EventDigest.java
@@ -11,12 +11,13 @@
 import org.astershift.scheduler.Heartbeat;
 
 /**
- * A hash over what happens in one played seed, in order: virtual times, codes, numbers, and names
+ * A hash of what happens in one simulated seed, in order: virtual times, codes, numbers, and names
  * that the models made (jobs, machines, zones). Each kind of event, decision, command and state has
  * a code in the tables here, so the digest stays the same when classes, constants or log lines are
  * renamed, and changes when a decision does. A code is never given a new meaning.
  *
- * <p>Recording draws no random numbers and tells nobody anything, so it does not change the play.
+ * <p>Recording draws no random numbers and has no effect on the models, so it does not change the
+ * run.
  */
 public final class EventDigest {
   private static final int PASS = 1;
@@ -34,13 +35,13 @@
 
   private static final int BUFFER_BYTES = 4096;
 
-  /** 16 hexadecimal digits. */
+  /** Length of the digest in bytes: 16 hexadecimal digits. */
   private static final int DIGEST_BYTES = 8;
 
   private final MessageDigest hash;
   private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
 
-  /** A digest of nothing so far. */
+  /** Creates a digest of no events. */
   public EventDigest() {
     try {
       hash = MessageDigest.getInstance("SHA-256");
@@ -51,12 +52,12 @@
 
   // ---- controllers ----
 
-  /** A controller begins to lead. */
+  /** Records that a controller begins to lead. */
   public void termStarted(long atMs, String controller, long token) {
     event(TERM, atMs).text(controller).number(token);
   }
 
-  /** What one pass of a controller's scheduler decided, in order; maybe nothing. */
+  /** Records the decisions of one pass of a controller's scheduler, in order; there may be none. */
   public void pass(long atMs, String controller, List<Decision> decisions) {
     event(PASS, atMs).text(controller).number(decisions.size());
     for (Decision decision : decisions) {
@@ -64,15 +65,18 @@
     }
   }
 
-  /** The end of a job is on record. */
+  /** Records that the end of a job is durable. */
   public void jobEnded(long atMs, String job, boolean cancelled, int done) {
     event(JOB_ENDED, atMs).text(job).flag(cancelled).number(done);
   }
 
-  /** A user was told whether the job is over. */
+  /**
+   * Records that a user was told whether the job has ended; {@code first}: whether this is the
+   * first report of the end.
+   */
   public void jobStateReported(
-      long atMs, String job, String controller, boolean over, boolean news) {
-    event(JOB_STATE_REPORTED, atMs).text(job).text(controller).flag(over).flag(news);
+      long atMs, String job, String controller, boolean ended, boolean first) {
+    event(JOB_STATE_REPORTED, atMs).text(job).text(controller).flag(ended).flag(first);
   }
 
   private void addDecision(Decision decision) {
@@ -98,7 +102,7 @@
     } else if (decision instanceof Decision.ProbeThroughPeers d) {
       number(9).number(d.probedMs()).addMachines(d.suspects()).addMachines(d.controls());
     } else {
-      throw new IllegalArgumentException("a decision without a code: " + decision);
+      throw new IllegalArgumentException("no code for the decision: " + decision);
     }
   }
 
@@ -110,47 +114,50 @@
 
   // ---- machines ----
 
-  /** A worker carries out a command. */
-  public void command(long atMs, String machine, Command order) {
-    event(COMMAND, atMs).text(machine).addCommand(order);
+  /** Records that a worker executes a command. */
+  public void command(long atMs, String machine, Command command) {
+    event(COMMAND, atMs).text(machine).addCommand(command);
   }
 
-  /** A task is taken in by a machine. */
+  /** Records that a machine accepts a task. */
   public void taskAccepted(long atMs, String task, String machine, long attempt) {
     event(TASK_ACCEPTED, atMs).text(task).text(machine).number(attempt);
   }
 
-  /** A task has its image. */
+  /** Records that a machine has fetched the image of a task. */
   public void imageFetched(long atMs, String task, String machine) {
     event(IMAGE_FETCHED, atMs).text(task).text(machine);
   }
 
-  /** A task is no longer on the machine, for whatever reason. */
+  /** Records that a task is no longer on the machine, for whatever reason. */
   public void taskRemoved(long atMs, String task, String machine) {
     event(TASK_REMOVED, atMs).text(task).text(machine);
   }
 
-  /** A task has completed. */
+  /** Records that a task has completed. */
   public void taskCompleted(long atMs, String task) {
     event(COMPLETE, atMs).text(task);
   }
 
-  /** A task on a machine moves on; {@code cause}: of its exit, otherwise null. */
+  /**
+   * Records the new phase of a task on a machine; {@code cause} is that of its exit, null in other
+   * phases.
+   */
   public void taskPhase(
       long atMs, String task, String machine, Heartbeat.TaskPhase phase, String cause) {
     event(PHASE, atMs).text(task).text(machine).number(code(phase)).number(causeCode(cause));
   }
 
-  private void addCommand(Command order) {
-    number(code(order.kind()))
-        .text(order.jobId())
-        .number(order.index())
-        .number(order.attemptNumber());
-    number(Double.doubleToLongBits(order.gracePeriodS()));
+  private void addCommand(Command command) {
+    number(code(command.kind()))
+        .text(command.jobId())
+        .number(command.index())
+        .number(command.attemptNumber());
+    number(Double.doubleToLongBits(command.gracePeriodS()));
   }
 
-  private static int code(Command.Kind op) {
-    return switch (op) {
+  private static int code(Command.Kind kind) {
+    return switch (kind) {
       case START -> 1;
       case STOP -> 2;
       case FORGET -> 3;
@@ -178,18 +185,18 @@
           case "incomplete" -> 5;
           case "in_use" -> 6;
           case "no_room" -> 7;
-          default -> throw new IllegalArgumentException("a cause without a code: " + cause);
+          default -> throw new IllegalArgumentException("no code for the exit cause: " + cause);
         };
   }
 
   // ---- the hash ----
 
-  /** The play is over: how many events it had, and whether it went well. */
-  public void endOfRun(long atMs, long events, boolean well) {
-    event(END_OF_RUN, atMs).number(events).flag(well);
+  /** Records the end of the run: the number of its events, and whether it succeeded. */
+  public void endOfRun(long atMs, long events, boolean succeeded) {
+    event(END_OF_RUN, atMs).number(events).flag(succeeded);
   }
 
-  /** The first 16 hexadecimal digits of the hash; nothing can be recorded after this. */
+  /** Returns the first 16 hexadecimal digits of the hash; nothing can be recorded afterwards. */
   public String hex() {
     flush();
     return HexFormat.of().formatHex(hash.digest(), 0, DIGEST_BYTES);
@@ -211,7 +218,7 @@
     return number(flag ? 1 : 0);
   }
 
-  /** With its length first, so that no two sequences of names are the same bytes. */
+  /** Adds a text with its length first, so that no two sequences of names yield the same bytes. */
   private EventDigest text(String text) {
     if (text == null) {
       return number(-1);
--- a/src/test/java/org/astershift/KeptDigests.java
+++ b/src/test/java/org/astershift/KeptDigests.java
@@ -13,54 +13,57 @@
 import java.util.stream.LongStream;
 
 /**
- * The digests of many seeds as they were when they were written, one {@code seed TAB digest} a line
- * in a file below {@code src/test/resources/digests}.
+ * The digests of many seeds as they were when they were recorded, one {@code seed TAB digest} per
+ * line in a file below {@code src/test/resources/digests}.
  *
- * @param digestOf plays a seed and gives its digest; called on several threads at once
+ * @param digestOf runs a seed and returns its digest; called on several threads at once
  */
 public record KeptDigests(Path file, LongFunction<String> digestOf) {
-  /** Seeds 1 to this are kept. */
+  /** Digests are kept for seeds 1 to this one. */
   public static final long LAST_SEED = 200;
 
-  /** Seeds 1 to this are played by each build; {@link DigestRun} plays the others too. */
+  /** Each build runs seeds 1 to this one; {@link DigestRun} runs the others too. */
   public static final long LAST_SEED_IN_BUILD = 60;
 
   private static final Path DIRECTORY = Path.of("src/test/resources/digests");
 
-  /** Those in the file of this name. */
+  /** Returns the digests in the file of this name. */
   public static KeptDigests in(String file, LongFunction<String> digestOf) {
     return new KeptDigests(DIRECTORY.resolve(file), digestOf);
   }
 
   /**
-   * For the tests of a build: the seeds that differ, as lines. With {@code -Ddigests.write=true}
-   * all seeds are played and written anew, and compared with what the file held before, so that
-   * such a run fails where anything has changed.
+   * Runs the seeds of a build and returns a line for each whose digest differs. With {@code
+   * -Ddigests.write=true} runs all seeds, rewrites the file and compares the new digests with those
+   * that it held before, so that such a run fails where anything has changed.
    */
   public List<String> differencesInBuild() throws IOException {
     if (!Boolean.getBoolean("digests.write")) {
       return differences(1, LAST_SEED_IN_BUILD);
     }
     Map<Long, String> before = Files.exists(file) ? read() : Map.of();
-    SortedMap<Long, String> played = computeDigests(1, LAST_SEED);
+    SortedMap<Long, String> computed = computeDigests(1, LAST_SEED);
     List<String> lines = new ArrayList<>();
-    played.forEach((seed, digest) -> lines.add(seed + "\t" + digest));
+    computed.forEach((seed, digest) -> lines.add(seed + "\t" + digest));
     Files.createDirectories(DIRECTORY);
     Files.write(file, lines);
-    return compare(before, played);
+    return compare(before, computed);
   }
 
-  /** Plays the seeds; a line for each whose digest is not the one kept, or that none is kept of. */
+  /**
+   * Runs the seeds; returns a line for each whose digest differs from the one kept, or of which
+   * none is kept.
+   */
   public List<String> differences(long first, long last) throws IOException {
     return compare(read(), computeDigests(first, last));
   }
 
   private SortedMap<Long, String> computeDigests(long first, long last) {
-    SortedMap<Long, String> played = new ConcurrentSkipListMap<>();
+    SortedMap<Long, String> computed = new ConcurrentSkipListMap<>();
     LongStream.rangeClosed(first, last)
         .parallel()
-        .forEach(seed -> played.put(seed, digestOf.apply(seed)));
-    return played;
+        .forEach(seed -> computed.put(seed, digestOf.apply(seed)));
+    return computed;
   }
 
   private Map<Long, String> read() throws IOException {
@@ -72,9 +75,9 @@
     return kept;
   }
 
-  private List<String> compare(Map<Long, String> kept, SortedMap<Long, String> played) {
+  private List<String> compare(Map<Long, String> kept, SortedMap<Long, String> computed) {
     List<String> different = new ArrayList<>();
-    played.forEach(
+    computed.forEach(
         (seed, digest) -> {
           if (!digest.equals(kept.get(seed))) {
             different.add(
--- a/src/test/java/org/astershift/MainTest.java
+++ b/src/test/java/org/astershift/MainTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Bad usage and bad settings: one line that says what is wrong, and exit code 2. */
+/** Invalid usage and invalid settings are reported in one line, with exit code 2. */
 class MainTest {
   private static final Path VALID = Path.of("src/test/resources/first-job.toml");
   @TempDir Path dir;
@@ -69,12 +69,18 @@
                 .replace("name = \"demo\"", "name = \"demo\"\nlater = true")
             + "\n[[facts.objectives]]\nkind = \"of-later\"\nclass = \"nobodys\"\n";
     expect(0, "settings are fine", "--check", "--config", file("odd.toml", unusual));
-    String below = valid.replace("cpus_max = 0.0", "cpus_max = -1.0");
-    expect(2, "cpus_max is out of range: -1.0", "--check", "--config", file("below.toml", below));
-    String small = valid.replaceAll("value_kb = [0-9.]+", "value_kb = 0.0");
-    expect(2, "value_kb is out of range: 0.0", "--check", "--config", file("small.toml", small));
-    String none = valid.replaceAll("txn_ops = [0-9]+", "txn_ops = 0");
-    expect(2, "txn_ops is out of range: 0", "--check", "--config", file("none.toml", none));
+    String negativeLimit = valid.replace("cpus_max = 0.0", "cpus_max = -1.0");
+    expect(
+        2,
+        "cpus_max is out of range: -1.0",
+        "--check",
+        "--config",
+        file("below.toml", negativeLimit));
+    String noValueSize = valid.replaceAll("value_kb = [0-9.]+", "value_kb = 0.0");
+    expect(
+        2, "value_kb is out of range: 0.0", "--check", "--config", file("small.toml", noValueSize));
+    String noOperations = valid.replaceAll("txn_ops = [0-9]+", "txn_ops = 0");
+    expect(2, "txn_ops is out of range: 0", "--check", "--config", file("none.toml", noOperations));
   }
 
   @Test
--- a/src/test/java/org/astershift/SeedArguments.java
+++ b/src/test/java/org/astershift/SeedArguments.java
@@ -5,14 +5,17 @@
 import java.util.Set;
 
 /**
- * The command line of the programs that play seeds: the first seed, the last, and options.
+ * The command line of programs that run seeds: the first seed, the last, and options.
  *
- * @param options what follows the two seeds
+ * @param options the arguments after the two seeds
  */
 public record SeedArguments(long first, long last, List<String> options) {
   private static final int BAD_USAGE = 2;
 
-  /** Reads the arguments; bad ones are refused with one line that says what is wrong. */
+  /**
+   * Parses the arguments. Throws an IllegalArgumentException with a one-line message for invalid
+   * ones.
+   */
   public static SeedArguments parse(String[] args, Set<String> known) {
     if (args.length < 2) {
       throw new IllegalArgumentException("usage: FIRST LAST [" + String.join("|", known) + "]...");
@@ -31,7 +34,10 @@
     return new SeedArguments(first, last, options);
   }
 
-  /** The same for a program's main method: bad arguments end it with exit code 2 and one line. */
+  /**
+   * Parses the arguments of a program's main method: invalid ones end the process with exit code 2
+   * and one line.
+   */
   public static SeedArguments parseOrExit(String[] args, Set<String> known) {
     try {
       return parse(args, known);
--- a/src/test/java/org/astershift/SeedArgumentsTest.java
+++ b/src/test/java/org/astershift/SeedArgumentsTest.java
@@ -9,21 +9,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What the programs that play seeds do with a command line that they cannot read. */
+/** How the programs that run seeds treat an invalid command line. */
 @Timeout(60)
 class SeedArgumentsTest {
   private static final Set<String> KNOWN = Set.of("story");
 
   @Test
   void invalidArgumentsAreRejectedWithOneLine() {
-    String[][] bad = {{}, {"1"}, {"1", "x"}, {"", "2"}, {"3", "2"}, {"1", "2", "tale"}};
-    for (String[] args : bad) {
-      IllegalArgumentException e =
+    String[][] invalid = {{}, {"1"}, {"1", "x"}, {"", "2"}, {"3", "2"}, {"1", "2", "tale"}};
+    for (String[] args : invalid) {
+      IllegalArgumentException error =
           assertThrows(
               IllegalArgumentException.class,
               () -> SeedArguments.parse(args, KNOWN),
               String.join(" ", args));
-      assertEquals(1, e.getMessage().lines().count(), e.getMessage());
+      assertEquals(1, error.getMessage().lines().count(), error.getMessage());
     }
   }
 
@@ -39,15 +39,15 @@
         List.of(
             "org.astershift.simulation.SeedRunner", "org.astershift.scheduler.SchedulerFuzzer")) {
       String java = System.getProperty("java.home") + "/bin/java";
-      String path = System.getProperty("java.class.path");
-      Process p =
-          new ProcessBuilder(java, "-cp", path, program, "one", "2")
+      String classPath = System.getProperty("java.class.path");
+      Process process =
+          new ProcessBuilder(java, "-cp", classPath, program, "one", "2")
               .redirectErrorStream(true)
               .start();
-      String said = new String(p.getInputStream().readAllBytes());
-      p.waitFor(50, TimeUnit.SECONDS);
-      assertEquals(2, p.exitValue(), program + ": " + said);
-      assertEquals(List.of("not a seed: one"), said.lines().toList(), program);
+      String output = new String(process.getInputStream().readAllBytes());
+      process.waitFor(50, TimeUnit.SECONDS);
+      assertEquals(2, process.exitValue(), program + ": " + output);
+      assertEquals(List.of("not a seed: one"), output.lines().toList(), program);
     }
   }
 }
--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -40,7 +40,7 @@
       "[[facts.teams]]\nname = \"limited\"\ncpus_max = 6.0\ngpus_max = 0.0\n";
   private static final String JOBS = "/v2/runs";
 
-  /** Fields of a submission as JSON text; it can run on the emulated machines. */
+  /** Fields of a valid submission as JSON text; the job can run on the emulated machines. */
   private static final Map<String, String> VALID = new LinkedHashMap<>();
 
   static {
@@ -97,7 +97,7 @@
     nodes = new InProcessControllers(count, store.port(), cloudPort, ports, LIMITED, dir);
   }
 
-  /** Waits until a node knows the machine types, before which it decides nothing new. */
+  /** Waits until a node knows the machine types; before that it accepts or rejects no new job. */
   private void awaitMachineTypes(int node) throws Exception {
     nodes.await(node, "POST", JOBS, json(with("vcpus", "99")), 422, "");
   }
@@ -106,7 +106,7 @@
     return String.format("wk-%06d", ++lastIdNumber);
   }
 
-  /** A valid submission with a new id and these changes, name then text; null removes a field. */
+  /** Returns a new valid submission with these changes, name then text; null removes the field. */
   private Map<String, String> with(String... changes) {
     Map<String, String> fields = new LinkedHashMap<>(VALID);
     fields.put("id", "\"" + nextId() + "\"");
@@ -139,15 +139,15 @@
   private void assertRejected(int status, String body) throws Exception {
     HttpClient.Response response = submit(body);
     String text = new String(response.body(), StandardCharsets.UTF_8);
-    String shown = body.length() > 600 ? body.substring(0, 600) + "..." : body;
-    assertEquals(status, response.status(), text + " to " + shown);
+    String shownBody = body.length() > 600 ? body.substring(0, 600) + "..." : body;
+    assertEquals(status, response.status(), text + " to " + shownBody);
     assertTrue(Json.object(response.body()).containsKey("error"), text);
   }
 
-  /** Invalid values of each field, whatever the other fields are. */
+  /** Returns values of each field that are invalid whatever the other fields are. */
   private static Map<String, List<String>> invalidValues() {
     Map<String, List<String>> result = new LinkedHashMap<>();
-    List<String> noText = List.of("7", "true", "[\"a\"]", "{}");
+    List<String> nonStrings = List.of("7", "true", "[\"a\"]", "{}");
     for (String field : VALID.keySet()) {
       List<String> values = new ArrayList<>();
       if (!NULLABLE_FIELDS.contains(field)) {
@@ -158,7 +158,7 @@
     }
     for (List<String> texts : List.of(List.of("id"), STRING_FIELDS, ENUM_FIELDS)) {
       for (String field : texts) {
-        result.get(field).addAll(noText);
+        result.get(field).addAll(nonStrings);
         result.get(field).add("\"\"");
       }
     }
@@ -169,10 +169,10 @@
     for (String field : BOOLEAN_FIELDS) {
       result.get(field).addAll(List.of("0", "1", "\"true\"", "\"\"", "[]", "{}"));
     }
-    List<String> noNumber =
+    List<String> nonNumbers =
         List.of("\"1\"", "true", "[1]", "{}", "NaN", "Infinity", "1e400", "-1e400", "-1", "-0.5");
     for (List<String> numbers : List.of(NUMBER_FIELDS, List.of("shards", "due_s"))) {
-      numbers.forEach(field -> result.get(field).addAll(noNumber));
+      numbers.forEach(field -> result.get(field).addAll(nonNumbers));
     }
     NUMBER_FIELDS.forEach(field -> result.get(field).add("1e10"));
     result
@@ -204,39 +204,39 @@
       }
     }
     assertTrue(cases > 200, "cases: " + cases);
-    String good = json(with());
-    List<String> noObjects =
-        Arrays.asList("", "no", "null", "7", "\"x\"", "[" + good + "]", "{" + good, good + "}");
-    for (String body : noObjects) {
+    String valid = json(with());
+    List<String> nonObjects =
+        Arrays.asList("", "no", "null", "7", "\"x\"", "[" + valid + "]", "{" + valid, valid + "}");
+    for (String body : nonObjects) {
       assertRejected(400, body);
     }
-    assertRejected(400, good.substring(0, good.length() - 1));
-    assertRejected(400, good + good);
+    assertRejected(400, valid.substring(0, valid.length() - 1));
+    assertRejected(400, valid + valid);
     assertRejected(400, "[".repeat(60_000));
     assertRejected(
-        400, good.replace("}", ",\"x\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
-    assertRejected(400, good.replace("}", ",\"shards\":0}")); // the last of two equal names counts
-    assertRejected(413, good.replace("}", ",\"x\":\"" + "y".repeat(65_536) + "\"}"));
+        400, valid.replace("}", ",\"x\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
+    assertRejected(400, valid.replace("}", ",\"shards\":0}")); // the last of two equal names counts
+    assertRejected(413, valid.replace("}", ",\"x\":\"" + "y".repeat(65_536) + "\"}"));
     assertEquals(Set.of(), storedJobKeys());
 
     // Valid bodies are accepted: the rejections above were due to the changed field.
-    List<Map<String, String>> fine = new ArrayList<>(List.of(with(), with("new", "{\"f\":[1]}")));
+    List<Map<String, String>> good = new ArrayList<>(List.of(with(), with("new", "{\"f\":[1]}")));
     for (String field : NULLABLE_FIELDS) {
-      fine.add(with(field, null));
-      fine.add(with(field, "null"));
+      good.add(with(field, null));
+      good.add(with(field, "null"));
     }
-    fine.add(with("vcpus", "0", "gpus", "0", "mem_gb", "0"));
-    fine.add(with("vcpus", "0.0", "expect_s", "0", "image_gb", "0", "due_s", "0"));
-    fine.add(with("shards", "100000", "vcpus", "0.001"));
+    good.add(with("vcpus", "0", "gpus", "0", "mem_gb", "0"));
+    good.add(with("vcpus", "0.0", "expect_s", "0", "image_gb", "0", "due_s", "0"));
+    good.add(with("shards", "100000", "vcpus", "0.001"));
     Set<String> ids = new TreeSet<>();
-    for (Map<String, String> fields : fine) {
+    for (Map<String, String> fields : good) {
       HttpClient.Response response = submit(json(fields));
       assertEquals(201, response.status(), json(fields));
       ids.add((String) Json.object(response.body()).get("id"));
     }
-    Set<String> seen = new TreeSet<>();
-    storedJobKeys().forEach(key -> seen.add(key.substring(key.lastIndexOf('/') + 1)));
-    assertEquals(ids, seen);
+    Set<String> storedIds = new TreeSet<>();
+    storedJobKeys().forEach(key -> storedIds.add(key.substring(key.lastIndexOf('/') + 1)));
+    assertEquals(ids, storedIds);
   }
 
   @Test
@@ -270,7 +270,7 @@
     }
   }
 
-  /** Writes a job into the store, as a controller does that accepts it. */
+  /** Writes a job to the store, as the controller that accepts it does. */
   private void writeJob(String id, int cpus) throws Exception {
     JobSpec spec =
         JobDraft.array(id, 1)
@@ -292,7 +292,9 @@
     }
   }
 
-  /** A repeated submission gets the state of its job at all nodes, however invalid it is now. */
+  /**
+   * Asserts that all nodes answer repeated submissions, even invalid ones, with the job's state.
+   */
   private void assertKnown(int count, String id, String phase) throws Exception {
     String quoted = "\"" + id + "\"";
     for (String body :
@@ -310,7 +312,7 @@
     }
   }
 
-  /** Even if its machine type no longer exists, or only an earlier version accepted its body. */
+  /** Holds even if the machine type is gone or only an earlier version accepted the body. */
   @Test
   void acceptedJobIsNotRejectedLater() throws Exception {
     writeJob("wk-old1", 99);
@@ -337,14 +339,14 @@
     assertEquals(Set.of(RecordCodec.ENDED_JOB_PREFIX + "wk-old1"), storedJobKeys());
   }
 
-  /** Without the cloud new jobs have to wait, and known ones are answered. */
+  /** Without the cloud new jobs have to wait, and requests for known jobs are answered. */
   @Test
   void withoutMachineTypesOnlyKnownJobsAreAnswered() throws Exception {
-    try (HttpServer result =
-        new HttpServer("127.0.0.1", 0, 50, request -> Response.error(503, "trouble"))) {
-      result.start();
+    try (HttpServer cloudServer =
+        new HttpServer("127.0.0.1", 0, 50, request -> Response.error(503, "unavailable"))) {
+      cloudServer.start();
       writeJob("wk-old1", 1);
-      nodes(1, result.port());
+      nodes(1, cloudServer.port());
       assertRejected(503, json(with()));
       assertRejected(503, json(with("vcpus", "99")));
       assertRejected(400, json(with("apart", null)));
--- a/src/test/java/org/astershift/config/SizingTest.java
+++ b/src/test/java/org/astershift/config/SizingTest.java
@@ -12,9 +12,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Whoever adds a constant that is a count says at how many machines it binds. */
+/**
+ * Each constant that is a count is listed for operators with the number of machines at which it
+ * becomes the limit.
+ */
 class SizingTest {
-  /** Constants with one of these units in their name are no counts. */
+  /** Constants with one of these units in their name are not counts. */
   private static final String UNIT = ".*_(MS|S|NS|STATUS)|STACK_BYTES|serialVersionUID";
 
   @Test
@@ -33,7 +36,7 @@
       }
     }
     assertEquals(List.of(), missing, "docs/operations.md, What binds where");
-    assertTrue(counts > 30, "it looks at " + counts);
+    assertTrue(counts > 30, "counts found: " + counts);
   }
 
   private static boolean isCount(Field field) {
@@ -43,7 +46,7 @@
     return constant && whole && !field.isSynthetic() && !field.getName().matches(UNIT);
   }
 
-  /** All classes of the program, loaded without running their initializers. */
+  /** Returns all classes of the program, loaded without running their initializers. */
   private static List<Class<?>> programClasses() throws Exception {
     Path root = Path.of(Settings.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     List<Class<?>> classes = new ArrayList<>();
--- a/src/test/java/org/astershift/controller/CompletionQueueTest.java
+++ b/src/test/java/org/astershift/controller/CompletionQueueTest.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which ends go out together. */
+/** The order and the batches in which job completions are taken. */
 class CompletionQueueTest {
   @Test
   void completionsAreTakenInArrivalOrder() throws Exception {
-    CompletionQueue ends = new CompletionQueue();
+    CompletionQueue queue = new CompletionQueue();
     for (String job : List.of("a", "b", "c", "d", "e")) {
-      ends.add(job);
+      queue.add(job);
     }
-    assertEquals(List.of("a", "b", "c", "d"), ends.takeBatch(4));
-    assertEquals(List.of("e"), ends.takeBatch(4));
-    ends.add("f");
-    ends.close();
-    assertEquals(List.of(), ends.takeBatch(4), "a term that is over ends nothing");
+    assertEquals(List.of("a", "b", "c", "d"), queue.takeBatch(4));
+    assertEquals(List.of("e"), queue.takeBatch(4));
+    queue.add("f");
+    queue.close();
+    assertEquals(List.of(), queue.takeBatch(4), "a closed queue yields nothing");
   }
 }
--- a/src/test/java/org/astershift/controller/FailoverFencingTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Fences of a term's beginning, and of what it has to note before it acts. */
+/** Fencing at the start of a term, and of actions that need a durable record first. */
 @Timeout(200)
 class FailoverFencingTest extends FencingTestCase {
   private static final String MACHINE_NAME = "vm-000007";
@@ -28,12 +28,15 @@
         new Decision.RegisterMachine(name, "127.0.0.1:1", "small", "a", false, fresh));
   }
 
-  /** Opened jobs, machines that may hold their tasks, and done tasks come from the notes. */
+  /**
+   * A new term loads opened jobs, machines that may hold their tasks, and completed tasks from the
+   * records of earlier terms.
+   */
   @Test
   void termLoadsRecordsOfEarlierTerm() throws Exception {
     BitSet done = new BitSet();
     done.set(0);
-    // Of two tasks one is left: of a job that is complete nothing is told from memory any more.
+    // One of two tasks is left: progress of a job that is complete is not reported from memory.
     StoreClient.Transaction records = new StoreClient.Transaction().put(JOB_KEY, jobRecord(job(2)));
     records.put(
         RecordCodec.LEADER_PAGE_PREFIX + "o0", Map.of(ID, RecordCodec.encodePlacement(List.of())));
@@ -47,10 +50,12 @@
     LeaderTerm term = controller.awaitLeadership();
     assertEquals(1, term.progressIfCurrent(ID).doneTasks());
     boolean confirmable = term.scheduler.call(scheduler -> scheduler.canConfirmCancellation(ID));
-    assertFalse(confirmable, "a machine that may hold it is unheard");
+    assertFalse(confirmable, "a machine that may hold its tasks has sent no heartbeat");
   }
 
-  /** A job comes after the jobs were read, and before news is told to the new term. */
+  /**
+   * A job is recorded after the term has read the jobs and before changes are reported to the term.
+   */
   @Test
   void jobRecordedWhileTermLoadsIsAdopted() throws Exception {
     AtomicBoolean once = new AtomicBoolean();
@@ -59,11 +64,12 @@
           if (prefix.equals(RecordCodec.LIVE_JOB_PREFIX) && once.compareAndSet(false, true)) {
             try {
               write(new StoreClient.Transaction().put(JOB_KEY, jobRecord()));
-              Await.until("the job", () -> controller.watchCache.get(JOB_KEY) != null);
-              // The next news is applied after the listeners were told of this.
+              Await.until(
+                  "the job in the watch cache", () -> controller.watchCache.get(JOB_KEY) != null);
+              // The next change is applied only after the listeners were notified of the job.
               write(new StoreClient.Transaction().put(RecordCodec.LIVE_PREFIX + "x", Map.of()));
               Await.until(
-                  "the next news",
+                  "the next change in the watch cache",
                   () -> controller.watchCache.get(RecordCodec.LIVE_PREFIX + "x") != null);
             } catch (Exception e) {
               throw new IllegalStateException(e);
@@ -73,10 +79,10 @@
     controller.start();
     LeaderTerm term = controller.awaitLeadership();
     assertTrue(once.get());
-    Await.until("the job to be kept", () -> term.manages(ID));
+    Await.until("the job to be managed by the term", () -> term.manages(ID));
   }
 
-  /** It is told of a later leader while it still takes in what there is. */
+  /** The node learns of a later leader while its term is still loading records. */
   @Test
   void termEndedBeforeItsStartDoesNotStart() throws Exception {
     storeEmulator.delayLeaseExpiry(0);
@@ -92,10 +98,14 @@
     Await.until("a term", () -> controller.runtime.currentTerm() != null);
     assertNotEquals(0, overToken.get());
     assertTrue(
-        controller.runtime.currentTerm().token > overToken.get(), "the one that was over leads");
+        controller.runtime.currentTerm().token > overToken.get(),
+        "the node leads with a term that had ended");
   }
 
-  /** Its own key, left by the process before it, is removed; one that is not the same stays. */
+  /**
+   * A node removes the leader key that its previous process left, but not a key that was replaced
+   * meanwhile.
+   */
   @Test
   void onlyOwnStaleLeaderKeyIsRemoved() throws Exception {
     write(
@@ -103,11 +113,11 @@
     AtomicBoolean once = new AtomicBoolean();
     AtomicBoolean answered = new AtomicBoolean();
     storeAddress.setObserver(
-        (r, done) -> {
-          boolean removal = requestContains(r, "\"remove\":\"" + RecordCodec.LEADER_KEY);
-          if (!done && removal && once.compareAndSet(false, true)) {
+        (request, executed) -> {
+          boolean removal = requestContains(request, "\"remove\":\"" + RecordCodec.LEADER_KEY);
+          if (!executed && removal && once.compareAndSet(false, true)) {
             recordOtherLeader();
-          } else if (done && removal) {
+          } else if (executed && removal) {
             answered.set(true);
           }
         });
@@ -118,17 +128,19 @@
     assertEquals(0, controller.runtime.token());
   }
 
-  /** A claim without an answer was carried out: its key stands, so it leads with that. */
+  /**
+   * A claim that got no response was executed: its key exists, so the node leads with its token.
+   */
   @Test
   void unansweredClaimWhoseKeyExistsLeads() throws Exception {
     AtomicInteger claims = new AtomicInteger();
     AtomicInteger revoked = new AtomicInteger();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done && requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+        (request, executed) -> {
+          if (!executed && requestContains(request, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
             storeEmulator.loseResponses(claims.incrementAndGet() == 1 ? 1 : 0);
           }
-          revoked.addAndGet(!done && r.method().equals("DELETE") ? 1 : 0);
+          revoked.addAndGet(!executed && request.method().equals("DELETE") ? 1 : 0);
         });
     controller.start();
     LeaderTerm term = controller.awaitLeadership();
@@ -137,106 +149,116 @@
     assertEquals("1 claims, 0 ended", claims + " claims, " + revoked + " ended");
   }
 
-  /** It was not, or its key is gone: the lease is ended, so that it stands for nobody later. */
+  /**
+   * A claim that got no response was not executed, or its key is gone: the node revokes the lease,
+   * so that the claim cannot make anybody leader later.
+   */
   @Test
   void unansweredClaimWhoseKeyIsMissingIsRevoked() throws Exception {
     AtomicInteger claims = new AtomicInteger();
     AtomicInteger revoked = new AtomicInteger();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
-            if (!done) {
+        (request, executed) -> {
+          if (requestContains(request, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+            if (!executed) {
               storeEmulator.loseResponses(claims.incrementAndGet() == 1 ? 1 : 0);
             } else if (claims.get() == 1) {
               storeEmulator.loseResponses(0);
               write(new StoreClient.Transaction().delete(RecordCodec.LEADER_KEY));
             }
           }
-          revoked.addAndGet(!done && r.method().equals("DELETE") ? 1 : 0);
+          revoked.addAndGet(!executed && request.method().equals("DELETE") ? 1 : 0);
         });
     controller.start();
-    Await.until("the lease of the lost claim to be ended", () -> revoked.get() > 0);
+    Await.until("the lease of the unanswered claim to be revoked", () -> revoked.get() > 0);
     controller.awaitLeadership();
   }
 
-  /** The key is recorded while this node's mirror hangs: it does not lead before it has read it. */
+  /**
+   * The leader key is recorded while the watch cache of the node hangs: the node does not lead
+   * before the cache has reached the key.
+   */
   @Test
   void winnerCatchesUpToItsTokenBeforeLeading() throws Exception {
-    AtomicBoolean hangs = new AtomicBoolean();
-    AtomicLong won = new AtomicLong();
+    AtomicBoolean watchHangs = new AtomicBoolean();
+    AtomicLong keyRevision = new AtomicLong();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done
-              && won.get() == 0
-              && requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
-            hangs.set(true);
+        (request, executed) -> {
+          if (!executed
+              && keyRevision.get() == 0
+              && requestContains(request, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+            watchHangs.set(true);
             write(new StoreClient.Transaction().put(JOB_KEY, jobRecord()));
-          } else if (done
-              && won.get() == 0
-              && requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
-            won.set(read(RecordCodec.LEADER_KEY).revision());
+          } else if (executed
+              && keyRevision.get() == 0
+              && requestContains(request, "\"set\":\"" + RecordCodec.LEADER_KEY)) {
+            keyRevision.set(read(RecordCodec.LEADER_KEY).revision());
           }
-          if (done && r.path().equals("/watch")) {
-            Await.until("the mirror to go on", () -> !hangs.get());
+          if (executed && request.path().equals("/watch")) {
+            Await.until("the watch to be answered again", () -> !watchHangs.get());
           }
         });
     controller.start();
-    Await.until("the key", () -> won.get() > 0);
-    LeaderTerm[] early = new LeaderTerm[1];
+    Await.until("the leader key to be recorded", () -> keyRevision.get() > 0);
+    LeaderTerm[] currentTerm = new LeaderTerm[1];
     Await.until(
-        "it to give up or to lead",
+        "the node to give up the claim or to lead",
         () -> {
-          early[0] = controller.runtime.currentTerm();
-          return early[0] != null || read(RecordCodec.LEADER_KEY).data() == null;
+          currentTerm[0] = controller.runtime.currentTerm();
+          return currentTerm[0] != null || read(RecordCodec.LEADER_KEY).data() == null;
         });
-    assertEquals(null, early[0], "it leads and has not read the jobs");
-    hangs.set(false);
-    assertTrue(controller.awaitLeadership().token > won.get());
+    assertEquals(null, currentTerm[0], "the node leads without having read the jobs");
+    watchHangs.set(false);
+    assertTrue(controller.awaitLeadership().token > keyRevision.get());
     assertTrue(controller.runtime.currentTerm().manages(ID));
   }
 
-  /** Only what is on record is rented, so that a successor asks for it under the same name. */
+  /**
+   * A machine is provisioned only once the request is durable, so that a successor repeats it under
+   * the same id.
+   */
   @Test
   void nothingIsProvisionedBeforeItsRecordIsDurable() throws Exception {
     AtomicInteger tries = new AtomicInteger();
-    AtomicBoolean refuses = new AtomicBoolean(true);
+    AtomicBoolean rejecting = new AtomicBoolean(true);
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done
-              && requestContains(r, "\"" + RecordCodec.LEADER_PAGE_PREFIX + "i")
-              && refuses.get()) {
+        (request, executed) -> {
+          if (!executed
+              && requestContains(request, "\"" + RecordCodec.LEADER_PAGE_PREFIX + "i")
+              && rejecting.get()) {
             tries.incrementAndGet();
-            throw new IllegalStateException("refused");
+            throw new IllegalStateException("rejected by the test");
           }
         });
     controller.start();
     controller.awaitLeadership();
     submitJob();
-    Await.until("the note of a rental to be refused", () -> tries.get() >= 5);
+    Await.until("writes of the provisioning record to be rejected", () -> tries.get() >= 5);
     assertEquals(List.of(), cloud.workersEverProvisioned());
-    refuses.set(false);
-    Await.until("a machine", () -> !cloud.workersEverProvisioned().isEmpty());
+    rejecting.set(false);
+    Await.until("a machine to be provisioned", () -> !cloud.workersEverProvisioned().isEmpty());
   }
 
-  /** A machine is on record with tasks before the answer to its rental comes. */
+  /** A machine is recorded with tasks before the response to its provisioning request arrives. */
   @Test
   void machineRecordedBeforeProvisioningResponseIsNotNew() throws Exception {
     controller.start();
     LeaderTerm term = controller.awaitLeadership();
     cloud.setProvisionListener(
-        m -> term.records.put(LeaderRecords.RecordKind.MACHINE, m, machine(m, false), 0));
+        name -> term.records.put(LeaderRecords.RecordKind.MACHINE, name, machine(name, false), 0));
     submitJob();
     Await.until(
-        "the rental to be settled",
+        "the provisioning request to be completed",
         () -> {
-          boolean rented = !cloud.workersEverProvisioned().isEmpty();
-          return rented && term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty();
+          boolean provisioned = !cloud.workersEverProvisioned().isEmpty();
+          return provisioned && term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty();
         });
     Map<String, Object> machines = term.records.entries(LeaderRecords.RecordKind.MACHINE);
     assertFalse(machines.isEmpty());
-    for (Map.Entry<String, Object> m : machines.entrySet()) {
+    for (Map.Entry<String, Object> machine : machines.entrySet()) {
       assertFalse(
-          RecordCodec.decodeMachine(m.getKey(), m.getValue()).newlyProvisioned(), m.getKey());
+          RecordCodec.decodeMachine(machine.getKey(), machine.getValue()).newlyProvisioned(),
+          machine.getKey());
     }
   }
 }
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -31,17 +31,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Each fence that stands in a thread of a leader and not in a decision: what happens between two of
- * its steps is done here by the state service's other client, at that very moment.
+ * Fencing in the threads of a leader, as opposed to fencing in its scheduling decisions. A second
+ * client of the store acts at the very moment between two steps of such a thread.
  */
 @Timeout(200)
 class FencingTest extends FencingTestCase {
-  /** So long a case looks whether something older is told. */
+  /** Time for which a test checks that no outdated state is reported. */
   private static final long OBSERVATION_NS = 300_000_000;
 
   /**
-   * A leader cut off from the state service alone leads on in doubt. Another one may have ended the
-   * job and said so, so it tells nothing from memory: neither what is live nor a cancellation.
+   * A leader that alone is partitioned from the store continues with an uncertain lease. Another
+   * leader may have ended the job and reported that, so this one answers nothing from memory:
+   * neither that a job is live nor that it is cancelled.
    */
   @Test
   void leaderWithUncertainLeaseDoesNotAnswerFromMemory() throws Exception {
@@ -52,82 +53,95 @@
     assertEquals("queued", controller.jobService.poll(ID, false).phase());
     storeAddress.rejectRequests(true);
     storeEmulator.delayLeaseExpiry(0);
-    Await.until("the lease to be over", () -> !controller.runtime.isLeaseCertain(term));
-    Await.until("its key to be gone", () -> read(RecordCodec.LEADER_KEY).data() == null);
+    Await.until("the lease to become uncertain", () -> !controller.runtime.isLeaseCertain(term));
+    Await.until("the leader key to expire", () -> read(RecordCodec.LEADER_KEY).data() == null);
     recordOtherLeader();
     endJobElsewhere(true);
-    assertSame(term, controller.runtime.currentTerm(), "it still leads, as far as it knows");
-    assertNotNull(term.progressIfCurrent(ID), "and has the job in memory");
+    assertSame(term, controller.runtime.currentTerm(), "the node still considers itself leader");
+    assertNotNull(term.progressIfCurrent(ID), "the job is in memory");
     assertEquals(503, controller.jobService.poll(ID, true).status());
-    AtomicInteger promises = new AtomicInteger();
-    storeAddress.setObserver((r, done) -> promises.addAndGet(requestContains(r, END_KEY) ? 1 : 0));
+    AtomicInteger endWrites = new AtomicInteger();
+    storeAddress.setObserver(
+        (request, executed) -> endWrites.addAndGet(requestContains(request, END_KEY) ? 1 : 0));
     assertEquals(503, controller.jobService.cancel(ID, true).status());
-    assertEquals(0, promises.get(), "it does not try to write what it may not promise");
+    assertEquals(0, endWrites.get(), "no write of the end is tried under an uncertain lease");
     storeAddress.rejectRequests(false);
-    Await.until("an answer", () -> controller.jobService.poll(ID, true).status() == 200);
+    Await.until(
+        "the job to be answered from the store",
+        () -> controller.jobService.poll(ID, true).status() == 200);
     assertEquals("withdrawn", controller.jobService.poll(ID, true).phase());
   }
 
-  /** The job ends between the two reads of an answer: it was accepted, so it is not unknown. */
+  /**
+   * The job ends between the two reads that an answer needs. It was accepted, so it must not be
+   * reported as unknown.
+   */
   @Test
   void jobEndingBetweenTwoReadsIsNotUnknown() throws Exception {
     write(new StoreClient.Transaction().put(JOB_KEY, jobRecord()));
     AtomicInteger reads = new AtomicInteger();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (done && requestContains(r, "/store/") && reads.incrementAndGet() == 1) {
+        (request, executed) -> {
+          if (executed && requestContains(request, "/store/") && reads.incrementAndGet() == 1) {
             endJobElsewhere(false);
           }
         });
     assertEquals(
-        "queued", controller.jobService.poll(ID, true).phase(), "as it was after the question");
+        "queued",
+        controller.jobService.poll(ID, true).phase(),
+        "the state after the request was sent");
     assertEquals("done", controller.jobService.poll(ID, true).phase());
   }
 
-  /** A repeated submission, at a node that knows nothing of the job, changes nothing on record. */
+  /** A repeated submission to a node that does not know the job changes no record. */
   @Test
   void repeatedSubmissionWritesNothing() throws Exception {
     Outcome.Committed accepted =
         (Outcome.Committed) write(new StoreClient.Transaction().put(JOB_KEY, jobRecord()));
     assertEquals(200, controller.jobService.submit(job()).status());
-    assertEquals(200, controller.jobService.poll(ID, true).status(), "asked for before a refusal");
+    assertEquals(
+        200,
+        controller.jobService.poll(ID, true).status(),
+        "the job is found by the query that precedes a rejection");
     assertEquals(accepted.revision(), read(JOB_KEY).revision());
     endJobElsewhere(true);
     JobService.SubmissionResult again = controller.jobService.submit(job());
     assertEquals("200 withdrawn", again.status() + " " + again.known().phase());
-    assertNull(read(JOB_KEY).data(), "what is over is not accepted once more");
+    assertNull(read(JOB_KEY).data(), "an ended job is not accepted again");
   }
 
   /**
-   * A submission is carried out and its answer lost; before its node looks, another has cancelled
-   * the job.
+   * A submission is committed and its response lost; another node cancels the job before the
+   * submitting node reads the record.
    */
   @Test
   void submissionWithLostResponseReportsLaterCancellation() throws Exception {
     storeEmulator.loseResponses(1);
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done && r.method().equals("GET") && requestContains(r, JOB_KEY)) {
+        (request, executed) -> {
+          if (!executed && request.method().equals("GET") && requestContains(request, JOB_KEY)) {
             storeEmulator.loseResponses(0);
             endJobElsewhere(true);
           }
         });
-    JobService.SubmissionResult s = controller.jobService.submit(job());
-    assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
+    JobService.SubmissionResult result = controller.jobService.submit(job());
+    assertEquals("200 withdrawn", result.status() + " " + result.known().phase());
     assertTrue(
-        storeEmulator.lostResponses(RecordCodec.LIVE_JOB_PREFIX) == 1, "the answer was lost");
+        storeEmulator.lostResponses(RecordCodec.LIVE_JOB_PREFIX) == 1, "the response was lost");
   }
 
-  /** Another node leads by the time a write arrives: it is not applied, and the term is over. */
+  /**
+   * Another node leads by the time a write arrives: the write is not applied, and the term ends.
+   */
   @Test
   void writesOfDeposedLeaderAreNotApplied() throws Exception {
     controller.start();
     final LeaderTerm term = controller.awaitLeadership();
     submitJob();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done && requestContains(r, "\"set\":\"" + END_KEY)) {
-            storeAddress.setObserver((again, over) -> {});
+        (request, executed) -> {
+          if (!executed && requestContains(request, "\"set\":\"" + END_KEY)) {
+            storeAddress.setObserver((anyRequest, anyExecuted) -> {});
             recordOtherLeader();
           }
         });
@@ -135,10 +149,10 @@
     assertNull(read(END_KEY).data());
     assertNotNull(read(JOB_KEY).data());
     Await.until(
-        "the term to be over", () -> term.hasEnded() && controller.runtime.currentTerm() == null);
+        "the term to end", () -> term.hasEnded() && controller.runtime.currentTerm() == null);
   }
 
-  /** The same for notes: those of an earlier leader do not replace a later one's. */
+  /** Records of an earlier leader do not replace those of a later one. */
   @Test
   void recordsOfDeposedLeaderAreNotApplied() throws Exception {
     controller.start();
@@ -146,21 +160,22 @@
     AtomicInteger late = new AtomicInteger();
     AtomicInteger answered = new AtomicInteger();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done && requestContains(r, "late-note") && late.incrementAndGet() == 1) {
+        (request, executed) -> {
+          if (!executed && requestContains(request, "late-note") && late.incrementAndGet() == 1) {
             recordOtherLeader();
           }
-          answered.addAndGet(done && requestContains(r, "late-note") ? 1 : 0);
+          answered.addAndGet(executed && requestContains(request, "late-note") ? 1 : 0);
         });
     term.records.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
-    Await.until("the late note to be decided on", () -> answered.get() > 0);
+    Await.until("the late write to be answered", () -> answered.get() > 0);
     assertFalse(storeEmulator.containsKey(RecordCodec.LEADER_PAGE_PREFIX + "o0"));
-    Await.until("the term to be over", term::hasEnded);
+    Await.until("the term to end", term::hasEnded);
   }
 
   /**
-   * A note's write is carried out, and only its answer lost; the next one starts from there, and an
-   * earlier one applied late would fail by the page's revision.
+   * The write of a record is committed and only its response lost: the next write is conditional on
+   * the revision that it left. An earlier write that is applied late fails because of the revision
+   * of the page.
    */
   @Test
   void recordPageIsWrittenOnItsLatestRevision() throws Exception {
@@ -170,21 +185,21 @@
     storeEmulator.loseResponses(1);
     term.records.put(LeaderRecords.RecordKind.OPENED, "first", true, 0);
     Await.until(
-        "a note without an answer",
+        "the response to a record write to be lost",
         () -> storeEmulator.lostResponses(RecordCodec.LEADER_PAGE_PREFIX) > 0);
     storeEmulator.loseResponses(0);
     term.records.put(LeaderRecords.RecordKind.OPENED, "second", true, 0);
-    Await.until("both notes", () -> entryCount(page) == 2);
+    Await.until("both entries on the page", () -> entryCount(page) == 2);
     long revision = read(page).revision();
     List<String> conditions = new ArrayList<>();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done && requestContains(r, "third")) {
-            conditions.add(new String(r.body(), StandardCharsets.UTF_8));
+        (request, executed) -> {
+          if (!executed && requestContains(request, "third")) {
+            conditions.add(new String(request.body(), StandardCharsets.UTF_8));
           }
         });
     term.records.put(LeaderRecords.RecordKind.OPENED, "third", true, 0);
-    Await.until("the third note", () -> entryCount(page) == 3);
+    Await.until("the third entry on the page", () -> entryCount(page) == 3);
     assertTrue(conditions.get(0).contains("{\"k\":\"" + page + "\",\"stamp\":" + revision + "}"));
   }
 
@@ -193,52 +208,53 @@
     return row.data() == null ? 0 : row.data().size();
   }
 
-  /** What threads of an earlier or a later term say does not touch this one. */
+  /** Calls from threads of an earlier or a later term do not affect the current term. */
   @Test
   void eventsOfOtherTermsAreIgnored() throws Exception {
     controller.start();
     LeaderTerm term = controller.awaitLeadership();
-    controller.runtime.onTermEnd(term.token - 1, "told late");
+    controller.runtime.onTermEnd(term.token - 1, "late notification");
     assertSame(term, controller.runtime.currentTerm());
     assertFalse(term.hasEnded());
     controller.runtime.onTermBegin(term.token + 1);
-    assertSame(term, controller.runtime.currentTerm(), "a term that is not won does not begin");
-    Heartbeat report =
+    assertSame(term, controller.runtime.currentTerm(), "a term that was not won does not start");
+    Heartbeat heartbeat =
         new Heartbeat("vm-1", "127.0.0.1:1", "small", "a", false, 1, 1, 0, null, List.of());
-    assertNotNull(controller.runtime.onHeartbeat(report, term.token, LeaderTerm.nowMs()));
+    assertNotNull(controller.runtime.onHeartbeat(heartbeat, term.token, LeaderTerm.nowMs()));
     assertNull(
-        controller.runtime.onHeartbeat(report, term.token - 1, LeaderTerm.nowMs()),
-        "its answer would show that token");
+        controller.runtime.onHeartbeat(heartbeat, term.token - 1, LeaderTerm.nowMs()),
+        "the response would contain the earlier token");
     controller.runtime.transferLeadership(term, "a test");
-    Await.until("the term to be over", term::hasEnded);
-    assertNull(controller.runtime.onHeartbeat(report, term.token, LeaderTerm.nowMs()));
+    Await.until("the term to end", term::hasEnded);
+    assertNull(controller.runtime.onHeartbeat(heartbeat, term.token, LeaderTerm.nowMs()));
     controller.runtime.onTermBegin(term.token);
     LeaderTerm next = controller.runtime.currentTerm();
-    assertTrue(next == null || next.token > term.token, "a term that is over does not begin again");
+    assertTrue(
+        next == null || next.token > term.token, "a term that has ended does not start again");
   }
 
-  /** Somebody else is recorded between the lease's grant and the claim on it. */
+  /** Another leader is recorded between the grant of the lease and the claim that uses it. */
   @Test
   void claimDoesNotOverwriteKeyOfAnotherLeader() throws Exception {
     AtomicInteger claims = new AtomicInteger();
     AtomicInteger answered = new AtomicInteger();
     storeAddress.setObserver(
-        (r, done) -> {
-          boolean claim = requestContains(r, "\"set\":\"" + RecordCodec.LEADER_KEY);
-          if (!done && claim && claims.incrementAndGet() == 1) {
+        (request, executed) -> {
+          boolean claim = requestContains(request, "\"set\":\"" + RecordCodec.LEADER_KEY);
+          if (!executed && claim && claims.incrementAndGet() == 1) {
             recordOtherLeader();
           }
-          answered.addAndGet(done && claim ? 1 : 0);
+          answered.addAndGet(executed && claim ? 1 : 0);
         });
     controller.start();
-    Await.until("a claim that came too late to be answered", () -> answered.get() > 0);
+    Await.until("the late claim to be answered", () -> answered.get() > 0);
     assertEquals("another", read(RecordCodec.LEADER_KEY).data().get("node"));
     Await.until("the leader to be known", () -> "another".equals(controller.runtime.otherLeader()));
     assertNull(controller.runtime.currentTerm());
     assertEquals(0, controller.runtime.token());
   }
 
-  /** A worker that has seen a higher token than this leader's proves that there is a later one. */
+  /** A heartbeat with a higher token than this leader's proves that there is a later leader. */
   @Test
   void heartbeatWithLaterTokenEndsTerm() throws Exception {
     controller.start();
@@ -250,57 +266,61 @@
     assertTrue(term.hasEnded());
   }
 
-  /** A cancellation is refused and repeated: its user waits from the first time on. */
+  /** A cancellation is rejected and repeated: its user waits from the first request on. */
   @Test
   void cancellationIsTimedFromItsFirstRequest() throws Exception {
     controller.start();
     final LeaderTerm term = controller.awaitLeadership();
     submitJob();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done && requestContains(r, "\"set\":\"" + END_KEY)) {
-            throw new IllegalStateException("refused");
+        (request, executed) -> {
+          if (!executed && requestContains(request, "\"set\":\"" + END_KEY)) {
+            throw new IllegalStateException("rejected by the test");
           }
         });
-    final long beganMs = LeaderTerm.nowMs();
+    final long startedMs = LeaderTerm.nowMs();
     assertEquals(503, controller.jobService.cancel(ID, true).status());
     assertTrue(term.cancellationSummary().contains(" 0 confirmed; 1 wait, the longest for "));
-    storeAddress.setObserver((r, done) -> {});
+    storeAddress.setObserver((request, executed) -> {});
     String line =
-        term.scheduler.call( // or its own summary might tell it first
+        term.scheduler.call( // otherwise the term's own summary might report it first
             scheduler -> {
               assertEquals("withdrawn", controller.jobService.cancel(ID, true).phase());
               return term.cancellationSummary();
             });
-    final long tookMs = LeaderTerm.nowMs() - beganMs;
-    long saidMs = Long.parseLong(line.replaceAll(".* worst ([0-9]+) ms", "$1"));
-    assertTrue(line.contains(" 1 confirmed, median " + saidMs + " ms"), line);
-    assertTrue(saidMs >= LoopTiming.CANCEL_WAIT_MS && saidMs <= tookMs, line);
+    final long tookMs = LeaderTerm.nowMs() - startedMs;
+    long reportedMs = Long.parseLong(line.replaceAll(".* worst ([0-9]+) ms", "$1"));
+    assertTrue(line.contains(" 1 confirmed, median " + reportedMs + " ms"), line);
+    assertTrue(reportedMs >= LoopTiming.CANCEL_WAIT_MS && reportedMs <= tookMs, line);
     assertNull(term.cancellationSummary());
   }
 
-  /** Nothing of a job whose end is on its way in a cancellation is told from memory. */
+  /**
+   * While the end of a cancelled job is being written, no state of the job is reported from memory.
+   */
   @Test
   void noOlderStateIsReportedWhileCancellationIsWritten() throws Exception {
     controller.start();
     final LeaderTerm term = controller.awaitLeadership();
     submitJob();
-    String[] told = new String[1];
+    String[] reportedPhase = new String[1];
     storeAddress.setObserver(
-        (r, done) -> {
-          if (done && requestContains(r, "\"set\":\"" + END_KEY)) {
-            told[0] = String.valueOf(controller.jobService.poll(ID, true).phase());
+        (request, executed) -> {
+          if (executed && requestContains(request, "\"set\":\"" + END_KEY)) {
+            reportedPhase[0] = String.valueOf(controller.jobService.poll(ID, true).phase());
           }
         });
     assertEquals("withdrawn", controller.jobService.cancel(ID, true).phase());
-    assertEquals("withdrawn", told[0], "on record, and its writer has no answer yet");
+    assertEquals(
+        "withdrawn", reportedPhase[0], "the end is durable and its writer has no response yet");
     assertFalse(term.manages(ID));
   }
 
   /**
-   * The end is on record and its answer lost, that of a cancellation and that of a job whose tasks
-   * are done: the leader tells nothing of it from memory, though it tries no more. Whoever then
-   * reads the record has the term lay the job down, which kept it for ever before.
+   * The end of a job is durable and the response to its write lost, both for a cancellation and for
+   * a job whose tasks are done. The leader reports no state of the job from memory, although it
+   * does not retry the write. A request that reads the record makes the term drop the job; formerly
+   * the term kept the job indefinitely.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -308,33 +328,35 @@
     controller.start();
     final LeaderTerm term = controller.awaitLeadership();
     submitJob();
-    AtomicBoolean over = new AtomicBoolean();
+    AtomicBoolean endDurable = new AtomicBoolean();
     storeAddress.setObserver(
-        (r, done) -> {
-          boolean end = requestContains(r, "\"set\":\"" + END_KEY);
-          if (end && over.get()) {
-            throw new IllegalStateException("refused: no second try comes through");
+        (request, executed) -> {
+          boolean end = requestContains(request, "\"set\":\"" + END_KEY);
+          if (end && endDurable.get()) {
+            throw new IllegalStateException("rejected by the test: no retry succeeds");
           }
-          over.compareAndSet(false, end && done);
-          storeEmulator.loseResponses(end && !done ? 1 : 0);
+          endDurable.compareAndSet(false, end && executed);
+          storeEmulator.loseResponses(end && !executed ? 1 : 0);
         });
     if (cancelled) {
       assertEquals(503, controller.jobService.cancel(ID, true).status());
     } else {
       term.completions.add(ID); // as for a job whose tasks are all done
-      Await.until("the end on record", over::get);
+      Await.until("the end to be durable", endDurable::get);
     }
     long untilNs = System.nanoTime() + OBSERVATION_NS;
     do {
-      assertNull(term.progressIfCurrent(ID), "it is over on record");
+      assertNull(term.progressIfCurrent(ID), "the end of the job is durable");
     } while (System.nanoTime() < untilNs);
-    assertTrue(term.manages(ID), "the leader does not know it");
+    assertTrue(term.manages(ID), "the leader does not know of the end");
     assertEquals(cancelled ? "withdrawn" : "done", controller.jobService.poll(ID, true).phase());
-    assertFalse(term.manages(ID), "what is over on record is laid down");
+    assertFalse(term.manages(ID), "the term drops a job whose end is durable");
     assertNull(term.scheduler.progress(ID));
   }
 
-  /** A job that its node learns of by accepting it late, after it was cancelled by that leader. */
+  /**
+   * A node is notified of the acceptance of a job late, after it has cancelled the job as leader.
+   */
   @Test
   void lateAcceptanceDoesNotReviveCancelledJob() throws Exception {
     controller.start();
@@ -348,16 +370,16 @@
     assertEquals("withdrawn", controller.jobService.poll(ID, true).phase());
   }
 
-  /** The job is done and told, with the record of that written just before the cancellation's. */
+  /** The completion of the job is recorded and reported just before its cancellation is written. */
   @Test
   void cancellationDoesNotReplaceRecordedCompletion() throws Exception {
     controller.start();
     controller.awaitLeadership();
     submitJob();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done
-              && requestContains(r, "\"set\":\"" + END_KEY)
+        (request, executed) -> {
+          if (!executed
+              && requestContains(request, "\"set\":\"" + END_KEY)
               && !storeEmulator.containsKey(END_KEY)) {
             endJobElsewhere(false);
           }
@@ -366,26 +388,29 @@
     assertFalse(RecordCodec.decodeJobEnd(read(END_KEY).data()).cancelled());
   }
 
-  /** The same by the answer to a direct order: the machine has seen a later leader. */
+  /** A machine that has seen a later leader rejects a direct command, which ends the term. */
   @Test
   void commandRejectedForLaterTokenEndsTerm() throws Exception {
     controller.listen(portBlock.ports(1).get(0)).start();
     LeaderTerm term = controller.awaitLeadership();
     submitJob();
     Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
-    cloud.workersEverProvisioned().forEach(w -> w.recordLaterToken(term.token + 1000));
-    controller.jobService.cancel(ID, true); // its stop goes out directly
-    Await.until("the term to be over", term::hasEnded);
+    cloud.workersEverProvisioned().forEach(worker -> worker.recordLaterToken(term.token + 1000));
+    controller.jobService.cancel(ID, true); // sends the stop directly
+    Await.until("the term to end", term::hasEnded);
   }
 
-  /** While the end of a cancelled job is being written, and machines come, it is not started. */
+  /**
+   * Machines that become available while the end of a cancelled job is being written start none of
+   * its tasks.
+   */
   @Test
   void nothingStartsOfJobBeingCancelled() throws Exception {
-    CountDownLatch mayRent = new CountDownLatch(1);
+    CountDownLatch provisioningAllowed = new CountDownLatch(1);
     cloud.setProvisionListener(
-        m -> {
+        machine -> {
           try {
-            mayRent.await();
+            provisioningAllowed.await();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -401,12 +426,14 @@
     assertTrue(term.manages(ID));
     AtomicInteger ends = new AtomicInteger();
     storeAddress.setObserver(
-        (r, done) -> {
-          if (!done && requestContains(r, "\"set\":\"" + END_KEY) && ends.incrementAndGet() == 1) {
+        (request, executed) -> {
+          if (!executed
+              && requestContains(request, "\"set\":\"" + END_KEY)
+              && ends.incrementAndGet() == 1) {
             write(
                 new StoreClient.Transaction()
                     .put(RecordCodec.LIVE_JOB_PREFIX + "wk-000002", jobRecord()));
-            mayRent.countDown();
+            provisioningAllowed.countDown();
             Await.until("the next job to start", () -> startedTasks().contains("wk-000002/0"));
           }
         });
@@ -416,8 +443,8 @@
   }
 
   /**
-   * A start waits for its turn behind machines that do not answer; meanwhile its job is cancelled,
-   * and that is told.
+   * A start is delayed behind commands to machines that do not answer; meanwhile its job is
+   * cancelled, and the user is told so.
    */
   @Test
   void delayedStartOfCancelledJobIsNotSent() throws Exception {
@@ -425,21 +452,22 @@
     final LeaderTerm term = controller.awaitLeadership();
     submitJob();
     Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
-    Await.until("it to be cancelled", () -> controller.jobService.cancel(ID, true).status() == 200);
+    Await.until(
+        "the job to be cancelled", () -> controller.jobService.cancel(ID, true).status() == 200);
     WorkerEmulator worker = cloud.workersEverProvisioned().get(0);
     Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
-    String addr = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
+    String address = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
     controller
         .runtime
         .commands()
-        .send(term, new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000));
+        .send(term, new Decision.SendCommands(worker.name(), address, 1, List.of(late), 5000));
     assertEquals(List.of(ID + "/0"), startedTasks());
   }
 
   /**
-   * A start waits for its turn or its connection, or its leader stands still, until another may
-   * lead: the machine may have listened to that one and begun anew, without a token. It goes with
-   * answers.
+   * A start is delayed by other commands, by its connection or by a pause of the leader until
+   * another node may lead. The machine may have obeyed that node and restarted without a token, so
+   * the start is not sent directly; it is sent in responses to heartbeats.
    */
   @Test
   void delayedStartIsNotSentUnderUncertainLease() throws Exception {
@@ -449,101 +477,101 @@
     Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
     WorkerEmulator worker = cloud.workersEverProvisioned().get(0);
     Command late = new Command(Command.Kind.START, ID, 0, 77, 0);
-    String addr = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
+    String address = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
     Decision.SendCommands direct =
-        new Decision.SendCommands(worker.name(), addr, 1, List.of(late), 5000);
+        new Decision.SendCommands(worker.name(), address, 1, List.of(late), 5000);
     storeAddress.rejectRequests(true);
-    Await.until("the lease to be over", () -> !controller.runtime.isLeaseCertain(term));
+    Await.until("the lease to become uncertain", () -> !controller.runtime.isLeaseCertain(term));
     controller.runtime.commands().send(term, direct);
-    assertTrue(term.manages(ID), "the job is wanted");
-    assertSame(term, controller.runtime.currentTerm(), "and this node leads on, in doubt");
+    assertTrue(term.manages(ID), "the job is still managed");
+    assertSame(
+        term, controller.runtime.currentTerm(), "the node continues with an uncertain lease");
     assertEquals(List.of(ID + "/0"), startedTasks());
     storeAddress.rejectRequests(false);
-    Await.until("the lease to be its own again", () -> controller.runtime.isLeaseCertain(term));
+    Await.until("the lease to be certain again", () -> controller.runtime.isLeaseCertain(term));
     controller.runtime.commands().send(term, direct);
     assertEquals(List.of(ID + "/0", ID + "/0"), startedTasks());
   }
 
   /**
-   * A submission is on record, and before its node has the answer the job is cancelled and that is
-   * told: who hears of the submission last hears nothing older.
+   * A submission is durable, and before its node has the response the job is cancelled and the user
+   * told so. The response to the submission, which arrives last, must not report an older state.
    */
   @Test
   void submissionAnsweredAfterJobEndReportsEnd() throws Exception {
     controller.start();
     controller.awaitLeadership();
-    String[] told = new String[1];
+    String[] reportedPhase = new String[1];
     storeAddress.setObserver(
-        (r, done) -> {
-          if (done && told[0] == null && requestContains(r, "\"set\":\"" + JOB_KEY)) {
-            told[0] = "not told";
+        (request, executed) -> {
+          if (executed
+              && reportedPhase[0] == null
+              && requestContains(request, "\"set\":\"" + JOB_KEY)) {
+            reportedPhase[0] = "not reported";
             Await.until(
                 "the job to be cancelled",
                 () -> controller.jobService.cancel(ID, true).status() == 200);
-            told[0] = controller.jobService.poll(ID, true).phase();
+            reportedPhase[0] = controller.jobService.poll(ID, true).phase();
           }
         });
-    JobService.SubmissionResult s = controller.jobService.submit(job());
-    assertEquals("withdrawn", told[0]);
-    assertEquals("200 withdrawn", s.status() + " " + s.known().phase());
+    JobService.SubmissionResult result = controller.jobService.submit(job());
+    assertEquals("withdrawn", reportedPhase[0]);
+    assertEquals("200 withdrawn", result.status() + " " + result.known().phase());
   }
 
   /**
-   * A machine's address makes no sense, so an order to it fails before it is sent. It is settled
-   * all the same: taken for under way, its start could not be cancelled any more.
+   * A command to a machine with an invalid address fails before it is sent. The command must be
+   * settled all the same: if it counted as in flight, the start could not be cancelled any more.
    */
   @Test
   void failedCommandDoesNotStayInFlight() throws Exception {
     controller.start();
     final LeaderTerm term = controller.awaitLeadership();
     submitJob();
-    Await.until("a machine", () -> !cloud.workersEverProvisioned().isEmpty());
-    long[] tick = {2};
+    Await.until("a machine to be provisioned", () -> !cloud.workersEverProvisioned().isEmpty());
+    long[] sequence = {2};
     sendEmptyHeartbeat(term, 1);
-    sendEmptyHeartbeat(
-        term, 2); // with the token; the start follows directly, once what it needs is on record
+    sendEmptyHeartbeat(term, 2); // with the token; the start follows once its records are durable
     Await.until(
-        "what the start needs to be on record",
+        "the records that the start needs to be durable",
         () ->
             entryCount(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 1
                 && !allNewlyProvisioned(RecordCodec.LEADER_PAGE_PREFIX + "m0"));
     long untilNs = System.nanoTime() + OBSERVATION_NS;
-    boolean underWay;
+    boolean inFlight;
     do {
-      underWay = term.scheduler.call(scheduler -> scheduler.mayStart(ID));
-    } while (!underWay && System.nanoTime() < untilNs); // it is settled as soon as it has failed
+      inFlight = term.scheduler.call(scheduler -> scheduler.mayStart(ID));
+    } while (!inFlight && System.nanoTime() < untilNs); // settled as soon as it has failed
     Await.until(
         "the cancellation to be confirmed",
         () -> {
-          sendEmptyHeartbeat(term, ++tick[0]);
+          sendEmptyHeartbeat(term, ++sequence[0]);
           return controller.jobService.cancel(ID, true).status() == 200;
         });
   }
 
   private boolean allNewlyProvisioned(String page) throws Exception {
     StoreClient.Entry row = read(page);
-    for (Map.Entry<String, Object> e : row.data().entrySet()) {
-      if (!RecordCodec.decodeMachine(e.getKey(), e.getValue()).newlyProvisioned()) {
+    for (Map.Entry<String, Object> entry : row.data().entrySet()) {
+      if (!RecordCodec.decodeMachine(entry.getKey(), entry.getValue()).newlyProvisioned()) {
         return false;
       }
     }
     return true;
   }
 
-  /** A report of the machine, empty, under an address that is none. */
-  private void sendEmptyHeartbeat(LeaderTerm term, long tick) {
+  /** Delivers a heartbeat of the machine that lists no tasks and has an invalid address. */
+  private void sendEmptyHeartbeat(LeaderTerm term, long sequence) {
     String machine = cloud.workersEverProvisioned().get(0).name();
-    String addr = "127.0.0.1:70000";
-    long token = tick > 1 ? term.token : 0;
+    String address = "127.0.0.1:70000";
+    long token = sequence > 1 ? term.token : 0;
     controller.runtime.onHeartbeat(
-        new Heartbeat(machine, addr, "small", "a", false, 1, tick, token, null, List.of()),
+        new Heartbeat(machine, address, "small", "a", false, 1, sequence, token, null, List.of()),
         term.token,
         LeaderTerm.nowMs());
   }
 
-  /**
-   * What a note that is on record brings about fails: the notes after it are written all the same.
-   */
+  /** The callback for a durable record fails: the records after it are written all the same. */
   @Test
   void recordsAreWrittenAfterFailureOfCallback() throws Exception {
     StoreClient.Transaction key =
@@ -557,25 +585,26 @@
             new Settings.StoreLimits(100, 100, 8, 8),
             (kind, name, value) -> {
               if (name.equals("bad")) {
-                throw new IllegalStateException("a fault in what follows this note");
+                throw new IllegalStateException("failure of the callback for this record");
               }
               durable.add(name);
             });
     records.put(LeaderRecords.RecordKind.OPENED, "bad", 1, 0);
     records.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
-    Thread loop = new Thread(Threads.logFailures("notes", () -> records.writeLoop(null)));
+    Thread loop = new Thread(Threads.logFailures("records", () -> records.writeLoop(null)));
     loop.start();
     Await.until("the first page", () -> entryCount(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 2);
     records.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
-    Await.until("the later note", () -> durable.contains("later"));
+    Await.until("the later record to be durable", () -> durable.contains("later"));
     assertEquals(List.of("beside it", "later"), List.copyOf(durable));
     records.close();
     loop.join();
   }
 
   /**
-   * A start goes with its stop so that a machine remembers the attempt, which a cancellation waits
-   * for; without the stop it is not sent, nor once the user was told.
+   * A start of a cancelled job is sent together with its stop, so that the machine remembers the
+   * attempt, which the cancellation waits for. The start is not sent without the stop, nor after
+   * the user was told that the job is cancelled.
    */
   @Test
   void startOfCancelledJobIsSentOnlyWithStopAndBeforeConfirmation() throws Exception {
@@ -584,7 +613,7 @@
     submitJob();
     Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
     WorkerEmulator worker = cloud.workersEverProvisioned().get(0);
-    String addr = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
+    String address = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
     term.scheduler.call(
         scheduler -> {
           scheduler.requestCancellation(ID);
@@ -596,21 +625,24 @@
         List.of(
             new Command(Command.Kind.START, ID, 0, 78, 0),
             new Command(Command.Kind.STOP, ID, 0, 78, 0));
-    Decision.SendCommands again = new Decision.SendCommands(worker.name(), addr, 1, later, 5000);
+    Decision.SendCommands again = new Decision.SendCommands(worker.name(), address, 1, later, 5000);
     Decision.SendCommands alone =
-        new Decision.SendCommands(worker.name(), addr, 1, List.of(start), 5000);
+        new Decision.SendCommands(worker.name(), address, 1, List.of(start), 5000);
     Decision.SendCommands both =
-        new Decision.SendCommands(worker.name(), addr, 1, List.of(start, stop), 5000);
+        new Decision.SendCommands(worker.name(), address, 1, List.of(start, stop), 5000);
     controller.runtime.commands().send(term, alone);
     assertEquals(List.of(ID + "/0"), startedTasks());
     controller.runtime.commands().send(term, both);
     assertEquals(List.of(ID + "/0", ID + "/0"), startedTasks());
-    Await.until("it to be cancelled", () -> controller.jobService.cancel(ID, true).status() == 200);
+    Await.until(
+        "the job to be cancelled", () -> controller.jobService.cancel(ID, true).status() == 200);
     controller.runtime.commands().send(term, again);
     assertEquals(List.of(ID + "/0", ID + "/0"), startedTasks());
   }
 
   private List<String> startedTasks() {
-    return cloud.workersEverProvisioned().stream().flatMap(w -> w.startedTasks().stream()).toList();
+    return cloud.workersEverProvisioned().stream()
+        .flatMap(worker -> worker.startedTasks().stream())
+        .toList();
   }
 }
--- a/src/test/java/org/astershift/controller/FencingTestCase.java
+++ b/src/test/java/org/astershift/controller/FencingTestCase.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * One node in this process, and another client of the state service that acts in its place between
- * two of its steps.
+ * Base class of tests with one controller in this process and a second client of the store, which
+ * acts as another node between two steps of the controller.
  */
 abstract class FencingTestCase {
   static final String ID = "wk-000001";
@@ -48,8 +48,7 @@
     storeAddress = storeEmulator.openAddress();
     otherStoreAddress = storeEmulator.openAddress();
     portBlock = PortBlock.acquire();
-    cloud =
-        new CloudEmulator(0, portBlock.ports(1), 0); // where nobody listens unless a test says so
+    cloud = new CloudEmulator(0, portBlock.ports(1), 0); // nobody listens there unless a test does
     controller = new SingleController(dir, storeAddress, cloud);
     otherClient = new StoreClient(Emulators.settings(dir, otherStoreAddress.port(), cloud.port()));
   }
@@ -88,7 +87,7 @@
     return RecordCodec.encodeJob(new RecordCodec.JobRecord(job, System.currentTimeMillis()));
   }
 
-  /** A row as it is on record, however busy the machine. */
+  /** Reads a row from the store; retries until a read succeeds, however busy the machine is. */
   StoreClient.Entry read(String key) throws Exception {
     StoreClient.Entry[] row = new StoreClient.Entry[1];
     Await.until(
@@ -104,8 +103,8 @@
     return row[0];
   }
 
-  Outcome write(StoreClient.Transaction txn) throws InterruptedException {
-    return otherClient.commit(txn, RateLimiter.Urgency.INTERACTIVE, 10_000);
+  Outcome write(StoreClient.Transaction transaction) throws InterruptedException {
+    return otherClient.commit(transaction, RateLimiter.Urgency.INTERACTIVE, 10_000);
   }
 
   void submitJob() throws Exception {
@@ -114,20 +113,21 @@
 
   void endJobElsewhere(boolean cancelled) throws InterruptedException {
     RecordCodec.JobEnd end = new RecordCodec.JobEnd(cancelled, 1);
-    StoreClient.Transaction txn =
+    StoreClient.Transaction transaction =
         new StoreClient.Transaction().delete(JOB_KEY).put(END_KEY, RecordCodec.encodeJobEnd(end));
-    assertTrue(write(txn) instanceof Outcome.Committed);
+    assertTrue(write(transaction) instanceof Outcome.Committed);
   }
 
-  /** Another node is recorded as leader, as it may be as soon as the lease is over. */
+  /** Records another node as leader, as is possible once the lease has expired. */
   void recordOtherLeader() throws InterruptedException {
-    StoreClient.Transaction txn = new StoreClient.Transaction();
-    txn.delete(RecordCodec.LEADER_KEY)
+    StoreClient.Transaction transaction = new StoreClient.Transaction();
+    transaction
+        .delete(RecordCodec.LEADER_KEY)
         .put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("another"));
-    assertTrue(write(txn) instanceof Outcome.Committed);
+    assertTrue(write(transaction) instanceof Outcome.Committed);
   }
 
-  static boolean requestContains(HttpServer.Request r, String part) {
-    return (r.path() + new String(r.body(), StandardCharsets.UTF_8)).contains(part);
+  static boolean requestContains(HttpServer.Request request, String part) {
+    return (request.path() + new String(request.body(), StandardCharsets.UTF_8)).contains(part);
   }
 }
--- a/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
+++ b/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
@@ -18,38 +18,43 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Pages of a leader's notes: keys and forms that a successor, maybe of another version, reads. */
+/**
+ * Pages of a leader's records: keys and formats that a successor reads, possibly of another
+ * version.
+ */
 @Timeout(60)
 class GoldenRecordPagesTest {
   private static final long TOKEN = 41;
   @TempDir Path dir;
 
-  /** An entry of one kind. */
+  /** An entry of a page, and the kind of its record. */
   private record Entry(LeaderRecords.RecordKind kind, String key, Object value) {}
 
   private static Map<String, Entry> entries() {
     Decision.RegisterMachine machine =
         new Decision.RegisterMachine("m-1", "10.0.0.1:7000", "g8", "z1", true, false);
-    Decision.ProvisionMachines rent = new Decision.ProvisionMachines("g8", "z1", true, 3);
-    Map<String, Entry> out = new LinkedHashMap<>();
-    out.put(
+    Decision.ProvisionMachines request = new Decision.ProvisionMachines("g8", "z1", true, 3);
+    Map<String, Entry> entries = new LinkedHashMap<>();
+    entries.put(
         "opened",
         new Entry(LeaderRecords.RecordKind.OPENED, "wk-1", RecordCodec.encodePlacement(List.of())));
-    out.put(
+    entries.put(
         "rental",
         new Entry(
-            LeaderRecords.RecordKind.RENTAL, "as-41-1", RecordCodec.encodeProvisionRequest(rent)));
-    out.put(
+            LeaderRecords.RecordKind.RENTAL,
+            "as-41-1",
+            RecordCodec.encodeProvisionRequest(request)));
+    entries.put(
         "machine",
         new Entry(LeaderRecords.RecordKind.MACHINE, "m-1", RecordCodec.encodeMachine(machine)));
-    out.put(
+    entries.put(
         "progress",
         new Entry(LeaderRecords.RecordKind.PROGRESS, RecordCodec.progressKey("wk-1", 2), "AQ=="));
-    return out;
+    return entries;
   }
 
-  /** The transaction in which a leader notes an entry, or removes it. */
-  private String recordTransaction(Entry e, boolean removed) throws Exception {
+  /** Returns the transaction with which a leader records an entry, or removes it. */
+  private String recordTransaction(Entry entry, boolean removed) throws Exception {
     try (Recorder recorder = new Recorder()) {
       Settings settings = recorder.settings(dir);
       StoreClient store = new StoreClient(settings);
@@ -58,29 +63,30 @@
           new LeaderRecords(
               TOKEN, store, settings.storeLimits(), (kind, key, value) -> records[0].close());
       if (removed) {
-        String page = RecordCodec.LEADER_PAGE_PREFIX + e.kind().letter + "0";
-        records[0].load(List.of(new StoreClient.Entry(page, Map.of(e.key(), e.value()), 17)));
-        records[0].remove(e.kind(), e.key(), 0);
+        String page = RecordCodec.LEADER_PAGE_PREFIX + entry.kind().letter + "0";
+        records[0].load(
+            List.of(new StoreClient.Entry(page, Map.of(entry.key(), entry.value()), 17)));
+        records[0].remove(entry.kind(), entry.key(), 0);
       } else {
-        records[0].put(e.kind(), e.key(), e.value(), 0);
+        records[0].put(entry.kind(), entry.key(), entry.value(), 0);
       }
       recorder.enqueueResponse(200, "{\"epoch\":50}");
-      records[0].writeLoop(null); // the term is asked only if another leads
+      records[0].writeLoop(null); // the term is used only if another node leads
       return recorder.takeRequests();
     }
   }
 
   @Test
   void pages() throws Exception {
-    Golden g = new Golden("notes-pages");
-    for (Map.Entry<String, Entry> e : entries().entrySet()) {
-      g.add(e.getKey() + ", noted", recordTransaction(e.getValue(), false));
-      g.add(e.getKey() + ", removed", recordTransaction(e.getValue(), true));
+    Golden golden = new Golden("notes-pages");
+    for (Map.Entry<String, Entry> named : entries().entrySet()) {
+      golden.add(named.getKey() + ", noted", recordTransaction(named.getValue(), false));
+      golden.add(named.getKey() + ", removed", recordTransaction(named.getValue(), true));
     }
-    g.check();
-    for (Map.Entry<String, Entry> e : entries().entrySet()) {
-      Entry entry = e.getValue();
-      String kept = g.expected(e.getKey() + ", noted");
+    golden.check();
+    for (Map.Entry<String, Entry> named : entries().entrySet()) {
+      Entry entry = named.getValue();
+      String kept = golden.expected(named.getKey() + ", noted");
       byte[] body = kept.substring(kept.indexOf('{')).getBytes(StandardCharsets.UTF_8);
       Map<String, Object> set =
           Json.object(Json.list(Json.object(body), "writes").get(0), "a change");
@@ -89,12 +95,15 @@
         Settings settings = recorder.settings(dir);
         LeaderRecords records =
             new LeaderRecords(
-                TOKEN, new StoreClient(settings), settings.storeLimits(), (k, y, v) -> {});
+                TOKEN,
+                new StoreClient(settings),
+                settings.storeLimits(),
+                (otherKind, otherKey, otherValue) -> {});
         records.load(List.of(new StoreClient.Entry(Json.string(set, "set"), data, 50)));
         for (LeaderRecords.RecordKind kind : LeaderRecords.RecordKind.values()) {
           Map<String, Object> expected =
               kind == entry.kind() ? Map.of(entry.key(), entry.value()) : Map.of();
-          assertEquals(expected, records.entries(kind), e.getKey());
+          assertEquals(expected, records.entries(kind), named.getKey());
         }
       }
     }
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -19,9 +19,11 @@
 import org.astershift.store.WatchCache;
 import org.junit.jupiter.api.Test;
 
-/** Rules ran_cancelled and went_back: news of a job from before its end does not bring it back. */
+/**
+ * Rules ran_cancelled and went_back: a record of a job from before its end does not revive the job.
+ */
 class LeaderTermTest {
-  /** Of a term that nothing ends. */
+  /** The host of a term that nothing ends. */
   private static final class NoOpTermHost implements TermHost {
     @Override
     public long leaseCertainUntilMs() {
@@ -52,7 +54,10 @@
     return jobRecord(0);
   }
 
-  /** {@code aheadMs}: by how much the clock of the node that accepted it is ahead of this one's. */
+  /**
+   * Returns the record of a job; {@code aheadMs} is by how many milliseconds the clock of the node
+   * that accepted the job is ahead of this one's.
+   */
   private static RecordCodec.JobRecord jobRecord(long aheadMs) {
     JobSpec spec =
         JobDraft.array("wk-1", 1)
@@ -64,20 +69,20 @@
   }
 
   /**
-   * Another node may have read the end and told it, before this leader has the answer to its write:
-   * on a played day of an overloaded node, done and then queued.
+   * Another node may have read and reported the end of a job before this leader has the response to
+   * its write: on a simulated day with an overloaded node, a job was reported as done and then as
+   * queued.
    */
   @Test
   void progressIsWithheldWhileEndWriteIsUnconfirmed() {
     LeaderTerm term = term();
     term.addJob(jobRecord(), 6);
     assertNotNull(term.progressIfCurrent("wk-1"));
-    term.termJobs()
-        .onEndWriteStarted("wk-1"); // a try that gets no answer: it may be applied at any time
+    term.termJobs().onEndWriteStarted("wk-1"); // no response: it may be applied at any time
     assertNull(term.progressIfCurrent("wk-1"));
-    term.termJobs().onEndWriteStarted("wk-1"); // the next try, which is refused
+    term.termJobs().onEndWriteStarted("wk-1"); // the next attempt, which is rejected
     term.termJobs().onEndWriteRejected("wk-1");
-    assertNull(term.progressIfCurrent("wk-1"), "the first may still be applied");
+    assertNull(term.progressIfCurrent("wk-1"), "the first attempt may still be applied");
     term.termJobs().onEndWriteRejected("wk-1");
     assertNotNull(term.progressIfCurrent("wk-1"));
     term.termJobs().onEndWriteStarted("wk-1");
@@ -98,9 +103,10 @@
   }
 
   /**
-   * Read or accepted by this node as a follower, told by a thread that stood still until the node
-   * led: the job was live before the token and is not on record at it, so it is over. Taken in, it
-   * would have been placed as one that never began, though its user was told that it is cancelled.
+   * A job was read or accepted by this node as a follower, and the thread that reports it was
+   * paused until the node led. The job was live before the token and has no record at the token, so
+   * it has ended. Adopted, it would be placed as a job that never started, though its user was told
+   * that it is cancelled.
    */
   @Test
   void jobRecordFromBeforeTokenIsIgnored() {
@@ -113,12 +119,14 @@
     assertFalse(term.manages("wk-1"));
     assertNull(term.scheduler.progress("wk-1"));
     term.addJob(new StoreClient.Entry(RecordCodec.LIVE_JOB_PREFIX + "wk-1", data, 6));
-    assertTrue(term.manages("wk-1"), "recorded after the token: live until this term ends it");
+    assertTrue(
+        term.manages("wk-1"), "a job recorded after the token is live until this term ends it");
   }
 
   /**
-   * The time of day is a second off, or ten, and wanders: it says how old a job is and orders the
-   * queue, and no rule rests on it. A job of the future is one of now.
+   * Wall clocks are off by a second, or by ten, and drift. They determine the age of a job and the
+   * order of the queue, and no safety rule depends on them. A job with a time in the future counts
+   * as submitted now.
    */
   @Test
   void wallClockOffsetsAreTolerated() {
@@ -127,7 +135,7 @@
       RecordCodec.JobRecord record = jobRecord(aheadMs);
       term.addJob(record, 6);
       assertFalse(term.progressIfCurrent("wk-1").running());
-      term.addJob(jobRecord(-aheadMs), 6); // read again, as another node saw it
+      term.addJob(jobRecord(-aheadMs), 6); // read again, with the time of another clock
       term.onJobEnded("wk-1", false);
       term.addJob(record, 6);
       assertNull(term.progressIfCurrent("wk-1"));
--- a/src/test/java/org/astershift/controller/OvertakenAnswerTest.java
+++ b/src/test/java/org/astershift/controller/OvertakenAnswerTest.java
@@ -11,10 +11,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Over sockets: an answer to a direct request is held back until a newer heartbeat is handled. */
+/**
+ * A response to a direct request, sent over sockets, is held back until a newer heartbeat has been
+ * handled.
+ */
 @Timeout(200)
 class OvertakenAnswerTest extends FencingTestCase {
-  /** The leader gives a direct request up after a second, which a busy machine may need alone. */
+  /**
+   * Bounds the attempts to produce such a response. The leader abandons a direct request after a
+   * second, which a busy machine may need by itself.
+   */
   private static final int MAX_ATTEMPTS = 20;
 
   private static final long OBSERVATION_NS = 500_000_000;
@@ -37,21 +43,21 @@
   private void causeOvertakenAnswer(LeaderTerm term, WorkerEmulator worker, String job)
       throws Exception {
     worker.holdNextResponse();
-    // An answer to an earlier request may settle the first suspicion.
-    Await.until("the machine to be asked", () -> suspectRestart(term, worker));
+    // A response to an earlier request may resolve the first suspicion of a restart.
+    Await.until("the machine to be queried", () -> suspectRestart(term, worker));
     assertEquals(201, controller.jobService.submit(job(job, 1)).status());
     Await.until("a heartbeat to show the task", () -> runningTasks(term, job) == 1);
     worker.releaseResponse();
     long untilNs = System.nanoTime() + OBSERVATION_NS;
     do {
-      assertEquals(1, runningTasks(term, job), "the task runs all the time");
+      assertEquals(1, runningTasks(term, job), "the task keeps running");
     } while (System.nanoTime() < untilNs);
     cancel(job);
   }
 
   /**
-   * A heartbeat without a token, as of another incarnation, reaches the leader; true once it has
-   * asked the machine.
+   * Delivers a heartbeat without a token, as of another incarnation, to the leader; returns true
+   * once the leader has queried the machine.
    */
   private boolean suspectRestart(LeaderTerm term, WorkerEmulator worker) {
     Heartbeat other =
--- a/src/test/java/org/astershift/controller/PagePackingTest.java
+++ b/src/test/java/org/astershift/controller/PagePackingTest.java
@@ -8,7 +8,7 @@
 import org.astershift.store.RecordCodec;
 import org.junit.jupiter.api.Test;
 
-/** How many pages of notes one transaction takes, whatever limits the settings give. */
+/** The number of record pages in one transaction, for any limits that the settings give. */
 class PagePackingTest {
   private static final int PROTOCOL_BYTES = 64 * 1024;
 
@@ -16,17 +16,20 @@
   void noTransactionExceedsStoreLimit() {
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 10_000; i++) {
-      int[] bytes =
+      int[] pageBytes =
           random.ints(random.nextInt(1, 200), 0, RecordCodec.MAX_PAGE_BYTES + 1).toArray();
-      int most = random.nextInt(2, 1000);
-      int n = PagePacking.pagesPerTransaction(bytes, most);
-      int sum = Arrays.stream(bytes, 0, n).map(b -> b + PagePacking.PAGE_FRAME_BYTES).sum();
-      assertTrue(n >= 1 && n <= most && sum <= PROTOCOL_BYTES, n + " pages, " + sum + " bytes");
-      boolean room = n < Math.min(bytes.length, most);
-      int next = room ? bytes[n] + PagePacking.PAGE_FRAME_BYTES : 0;
+      int maxPages = random.nextInt(2, 1000);
+      int pages = PagePacking.pagesPerTransaction(pageBytes, maxPages);
+      int totalBytes =
+          Arrays.stream(pageBytes, 0, pages).map(page -> page + PagePacking.PAGE_FRAME_BYTES).sum();
       assertTrue(
-          !room || sum + next > PagePacking.MAX_TRANSACTION_BYTES,
-          "no more than needed is left for later");
+          pages >= 1 && pages <= maxPages && totalBytes <= PROTOCOL_BYTES,
+          pages + " pages, " + totalBytes + " bytes");
+      boolean canAddPage = pages < Math.min(pageBytes.length, maxPages);
+      int nextPageBytes = canAddPage ? pageBytes[pages] + PagePacking.PAGE_FRAME_BYTES : 0;
+      assertTrue(
+          !canAddPage || totalBytes + nextPageBytes > PagePacking.MAX_TRANSACTION_BYTES,
+          "a page that fits is not left for a later transaction");
     }
   }
 
@@ -38,7 +41,7 @@
     assertEquals(8, PagePacking.pagesPerTransaction(full, 8));
   }
 
-  /** One that is larger than all goes alone, and is refused alone. */
+  /** A page that exceeds the limit is written alone, so that it alone is rejected. */
   @Test
   void oversizedPageIsWrittenAlone() {
     assertEquals(1, PagePacking.pagesPerTransaction(new int[] {10 * PROTOCOL_BYTES, 10}, 8));
--- a/src/test/java/org/astershift/controller/ProgressRecordsTest.java
+++ b/src/test/java/org/astershift/controller/ProgressRecordsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Progress is put on record though users and starts use up the limit of changes. Until it is, a
- * machine keeps its done tasks in its reports, which name four hundred at most.
+ * Progress is recorded although users and starts use up the limit of writes. Until it is durable, a
+ * machine keeps its completed tasks in its heartbeats, which list at most four hundred.
  */
 @Timeout(60)
 class ProgressRecordsTest {
@@ -31,12 +31,12 @@
 
   @Test
   void progressIsRecordedWhileWriteLimitIsExhausted() throws Exception {
-    try (StoreEmulator service = new StoreEmulator(0)) {
-      Settings settings = Emulators.settings(dir, service.port(), 1, WRITES_PER_SECOND);
+    try (StoreEmulator storeEmulator = new StoreEmulator(0)) {
+      Settings settings = Emulators.settings(dir, storeEmulator.port(), 1, WRITES_PER_SECOND);
       StoreClient store = new StoreClient(settings);
       long token = recordLeader(store);
-      AtomicBoolean over = new AtomicBoolean();
-      List<Thread> writers = startWriters(store, over);
+      AtomicBoolean stopped = new AtomicBoolean();
+      List<Thread> writers = startWriters(store, stopped);
       try {
         AtomicBoolean durable = new AtomicBoolean();
         LeaderRecords records =
@@ -51,40 +51,43 @@
             RecordCodec.progressKey(JOB, 0),
             RecordCodec.encodeSegment(done, 0),
             0);
-        Await.until("the progress to be on record", durable::get);
+        Await.until("the progress to be durable", durable::get);
         records.close();
         loop.join();
       } finally {
-        over.set(true);
+        stopped.set(true);
       }
-      for (Thread t : writers) {
-        t.join();
+      for (Thread writer : writers) {
+        writer.join();
       }
     }
   }
 
   private static long recordLeader(StoreClient store) throws Exception {
-    StoreClient.Transaction txn =
+    StoreClient.Transaction transaction =
         new StoreClient.Transaction().put(RecordCodec.LEADER_KEY, RecordCodec.encodeLeader("n"));
-    StoreClient.Outcome o = store.commit(txn, RateLimiter.Urgency.LEASE, 10_000);
-    return ((StoreClient.Outcome.Committed) o).revision();
+    StoreClient.Outcome outcome = store.commit(transaction, RateLimiter.Urgency.LEASE, 10_000);
+    return ((StoreClient.Outcome.Committed) outcome).revision();
   }
 
-  /** Each waits for its turn all the time, so that what can wait never finds the line empty. */
-  private static List<Thread> startWriters(StoreClient store, AtomicBoolean over) {
+  /**
+   * Starts writers that always have a write waiting, so that deferrable writes never find an empty
+   * queue.
+   */
+  private static List<Thread> startWriters(StoreClient store, AtomicBoolean stopped) {
     List<Thread> writers = new ArrayList<>();
     for (int i = 0; i < WRITERS; i++) {
       String key = "x/" + i;
-      Thread t = new Thread(() -> writeRepeatedly(store, key, over));
-      writers.add(t);
-      t.start();
+      Thread writer = new Thread(() -> writeRepeatedly(store, key, stopped));
+      writers.add(writer);
+      writer.start();
     }
     return writers;
   }
 
-  private static void writeRepeatedly(StoreClient store, String key, AtomicBoolean over) {
+  private static void writeRepeatedly(StoreClient store, String key, AtomicBoolean stopped) {
     try {
-      while (!over.get()) {
+      while (!stopped.get()) {
         store.commit(
             new StoreClient.Transaction().put(key, Map.of()),
             RateLimiter.Urgency.INTERACTIVE,
--- a/src/test/java/org/astershift/controller/RentalRejectedTest.java
+++ b/src/test/java/org/astershift/controller/RentalRejectedTest.java
@@ -6,22 +6,27 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A rental that the cloud will never carry out is given up, and holds no thread. */
+/** A provisioning request that the cloud will never accept is abandoned and occupies no thread. */
 @Timeout(30)
 class RentalRejectedTest extends FencingTestCase {
-  /** Asked on for ever, two such rentals held both threads that rent, and nothing was rented. */
+  /**
+   * When they were repeated indefinitely, two such requests held both provisioning threads, and
+   * nothing was provisioned.
+   */
   @Test
   void malformedProvisioningRequestIsAbandoned() throws Exception {
     cloud.rejectProvisioning(400);
     controller.start();
     LeaderTerm term = controller.awaitLeadership();
     submitJob();
-    Await.until("more rentals than there are threads", () -> cloud.rejectedRequestIds().size() > 2);
+    Await.until(
+        "more rejected requests than provisioning threads",
+        () -> cloud.rejectedRequestIds().size() > 2);
     assertTrue(cloud.workersEverProvisioned().isEmpty());
     cloud.rejectProvisioning(0);
-    Await.until("a machine", () -> !cloud.workersEverProvisioned().isEmpty());
+    Await.until("a machine to be provisioned", () -> !cloud.workersEverProvisioned().isEmpty());
     Await.until(
-        "no rental to be open",
+        "no provisioning request to be pending",
         () -> term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty());
   }
 }
--- a/src/test/java/org/astershift/controller/RequestCoalescerTest.java
+++ b/src/test/java/org/astershift/controller/RequestCoalescerTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Who may share an answer with whom. */
+/** Which requests may share the result of one read. */
 @Timeout(60)
 class RequestCoalescerTest {
-  /** The store as it changes, and what is asked of it. */
+  /** Each permit lets one read of the store return. */
   private final Semaphore readPermits = new Semaphore(0);
 
   private final CountDownLatch firstReadStarted = new CountDownLatch(1);
@@ -29,55 +29,59 @@
     return seen;
   }
 
-  private static FutureTask<String> startRequest(RequestCoalescer<String> shared, String job) {
-    FutureTask<String> task = new FutureTask<>(() -> shared.get(job));
-    Thread t = new Thread(task);
-    t.setDaemon(true);
-    t.start();
-    while (t.getState() != Thread.State.WAITING && t.getState() != Thread.State.TERMINATED) {
-      Thread.onSpinWait(); // until it reads, or waits for the others
+  private static FutureTask<String> startRequest(RequestCoalescer<String> coalescer, String job) {
+    FutureTask<String> task = new FutureTask<>(() -> coalescer.get(job));
+    Thread thread = new Thread(task);
+    thread.setDaemon(true);
+    thread.start();
+    while (thread.getState() != Thread.State.WAITING
+        && thread.getState() != Thread.State.TERMINATED) {
+      Thread.onSpinWait(); // until the thread reads, or waits for another request
     }
     return task;
   }
 
   /**
-   * The job ends while the first question is read; a user hears so elsewhere and asks here. The
-   * answer in work is older than that and must not be his.
+   * The job ends while the first request reads its state; a user learns so elsewhere and sends a
+   * request here. The read in progress is older than that and must not answer the user.
    */
   @Test
   void noRequestSharesReadStartedBeforeIt() throws Exception {
-    RequestCoalescer<String> shared = new RequestCoalescer<>(this::read);
-    FutureTask<String> first = startRequest(shared, "job");
+    RequestCoalescer<String> coalescer = new RequestCoalescer<>(this::read);
+    FutureTask<String> first = startRequest(coalescer, "job");
     firstReadStarted.await();
     state = "done";
     List<FutureTask<String>> later = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      later.add(startRequest(shared, "job"));
+      later.add(startRequest(coalescer, "job"));
     }
-    FutureTask<String> other = startRequest(shared, "other job");
+    FutureTask<String> otherJob = startRequest(coalescer, "other job");
     readPermits.release(100);
     assertEquals("queued", first.get());
-    for (FutureTask<String> f : later) {
-      assertEquals("done", f.get());
+    for (FutureTask<String> request : later) {
+      assertEquals("done", request.get());
     }
-    assertEquals("done", other.get());
-    assertEquals(3, reads.size(), "twenty questions share one read: " + reads);
+    assertEquals("done", otherJob.get());
+    assertEquals(3, reads.size(), "twenty requests share one read: " + reads);
   }
 
-  /** A failure is its own asker's; those who shared it are told that there is no answer. */
+  /**
+   * A failure is reported to the request that computed the result; requests that share it get no
+   * answer.
+   */
   @Test
   void failureReleasesAllWaiters() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
-    RequestCoalescer<String> shared =
+    CountDownLatch readsMayFail = new CountDownLatch(1);
+    RequestCoalescer<String> coalescer =
         new RequestCoalescer<>(
             job -> {
-              go.await();
+              readsMayFail.await();
               throw new IllegalStateException("broken");
             });
-    FutureTask<String> first = startRequest(shared, "job");
-    FutureTask<String> second = startRequest(shared, "job");
-    FutureTask<String> third = startRequest(shared, "job");
-    go.countDown();
+    FutureTask<String> first = startRequest(coalescer, "job");
+    FutureTask<String> second = startRequest(coalescer, "job");
+    FutureTask<String> third = startRequest(coalescer, "job");
+    readsMayFail.countDown();
     assertEquals(IllegalStateException.class, causeOfFailure(first));
     assertEquals(IllegalStateException.class, causeOfFailure(second));
     assertEquals(null, third.get());
--- a/src/test/java/org/astershift/controller/SingleController.java
+++ b/src/test/java/org/astershift/controller/SingleController.java
@@ -17,8 +17,8 @@
 import org.astershift.store.WatchCache;
 
 /**
- * One node of the program in this process, against stand-ins, with its insides in reach. Its
- * threads form a group, and end with it.
+ * One controller in this process, connected to emulators, with its components accessible to tests.
+ * Its threads form a group and are interrupted when it is closed.
  */
 final class SingleController implements AutoCloseable {
   private final ThreadGroup threads = new ThreadGroup("node");
@@ -28,12 +28,12 @@
   final JobService jobService;
   private HttpServer http;
 
-  /** What happens after its term has read the rows below a prefix; the prefix is told. */
+  /** Called with the prefix each time the watch cache has returned the rows below a prefix. */
   volatile Consumer<String> afterPrefixRead = prefix -> {};
 
-  SingleController(Path dir, StoreEmulator.StoreAddress door, CloudEmulator cloud)
+  SingleController(Path dir, StoreEmulator.StoreAddress storeAddress, CloudEmulator cloud)
       throws Exception {
-    Settings settings = Emulators.settings(dir, door.port(), cloud.port());
+    Settings settings = Emulators.settings(dir, storeAddress.port(), cloud.port());
     store = new StoreClient(settings);
     watchCache =
         new WatchCache(store) {
@@ -49,22 +49,22 @@
     jobService = new JobService(runtime, store, Map.of());
   }
 
-  /** Starts it. */
+  /** Starts the controller. */
   SingleController start() throws Exception {
-    Thread t = new Thread(threads, runtime::start);
-    t.start();
-    t.join();
+    Thread starter = new Thread(threads, runtime::start);
+    starter.start();
+    starter.join();
     return this;
   }
 
-  /** Workers and users reach it here. */
+  /** Serves workers and users on this port. */
   SingleController listen(int port) throws Exception {
     http = new HttpServer("127.0.0.1", port, 50, new PublicApi(runtime, jobService, Map.of()));
     http.start();
     return this;
   }
 
-  /** Its term, once it certainly leads. */
+  /** Waits until the controller leads with a certain lease; returns its term. */
   LeaderTerm awaitLeadership() throws Exception {
     Await.until(
         "the node to lead",
--- a/src/test/java/org/astershift/coordination/CancellationLatencyTest.java
+++ b/src/test/java/org/astershift/coordination/CancellationLatencyTest.java
@@ -5,13 +5,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the log says of how long users wait for their cancellations. */
+/** The log summary of how long users wait for the confirmation of their cancellations. */
 class CancellationLatencyTest {
   private final CancellationLatency latency = new CancellationLatency();
 
   @Test
   void summaryShowsMedianPercentileAndMaximum() {
-    assertNull(latency.summary(0), "nothing happened");
+    assertNull(latency.summary(0), "nothing to report");
     for (int i = 1; i <= 200; i++) {
       latency.onCancelRequested("wk-" + i, 1000);
     }
@@ -21,17 +21,17 @@
     assertEquals(
         "cancellations: 200 confirmed, median 100 ms, 99% 198 ms, worst 200 ms",
         latency.summary(2000));
-    assertNull(latency.summary(3000), "told once");
+    assertNull(latency.summary(3000), "reported only once");
   }
 
   @Test
   void latencyCountsFromFirstRequest() {
     latency.onCancelRequested("wk-1", 1000);
-    latency.onCancelRequested("wk-1", 2500); // refused and repeated
+    latency.onCancelRequested("wk-1", 2500); // rejected and repeated
     latency.onCancelRequested("wk-2", 2000);
     latency.onCancelRequested("wk-3", 2900);
-    latency.onJobEnded("wk-3", false, 2950); // done before it was cancelled
-    latency.onJobEnded("wk-4", true, 2950); // of which this leader was not asked
+    latency.onJobEnded("wk-3", false, 2950); // completed before it was cancelled
+    latency.onJobEnded("wk-4", true, 2950); // this leader received no request to cancel it
     assertEquals(
         "cancellations: 0 confirmed; 2 wait, the longest for 2000 ms", latency.summary(3000));
     latency.onJobEnded("wk-1", true, 3100);
--- a/src/test/java/org/astershift/coordination/CoalescerStateTest.java
+++ b/src/test/java/org/astershift/coordination/CoalescerStateTest.java
@@ -14,12 +14,15 @@
 import org.astershift.coordination.CoalescerState.Ticket;
 import org.junit.jupiter.api.Test;
 
-/** Who may share an answer with whom, without threads; their waits are tried in SharedTest. */
+/**
+ * Which callers may share a result, without threads; {@code RequestCoalescerTest} covers the
+ * waiting.
+ */
 class CoalescerStateTest {
   private static final List<String> JOBS = List.of("a", "b");
   private final CoalescerState<Integer> state = new CoalescerState<>();
 
-  /** One who asked, and when. */
+  /** The ticket of a caller, and when the caller joined. */
   private record Caller(Ticket<Integer> ticket, int joinedAt) {}
 
   @Test
@@ -29,77 +32,84 @@
     assertEquals(Role.COMPUTE, first.role());
     assertEquals(Role.QUEUED, second.role());
     assertEquals(new Ticket<>(second.round(), Role.SHARE), state.join("a"));
-    assertEquals(Role.COMPUTE, state.join("b").role(), "another job is another matter");
+    assertEquals(Role.COMPUTE, state.join("b").role(), "each job has its own computation");
     state.complete("a", 1);
     assertEquals(1, first.round().answer());
     assertFalse(second.round().completed());
     state.beginQueued("a");
     Ticket<Integer> late = state.join("a");
-    assertEquals(Role.QUEUED, late.role(), "its answer began before this one asked");
+    assertEquals(
+        Role.QUEUED, late.role(), "the current computation started before this caller joined");
     state.complete("a", 2);
     assertEquals(2, second.round().answer());
     state.abandonQueued("a");
     assertTrue(late.round().completed());
-    assertNull(late.round().answer(), "nobody waits for who gave up");
+    assertNull(late.round().answer(), "no caller waits for an abandoned computation");
     assertEquals(Role.COMPUTE, state.join("a").role());
   }
 
   /**
-   * Whatever order askers, ends of work, failures and those who give up come in: no answer is given
-   * whose work began before its asker came, one at most is in work and one follows, and in the end
-   * nobody waits.
+   * In any order of callers, completions, failures and abandoned computations, no caller gets a
+   * result whose computation started before the caller joined. At most one computation is in
+   * progress per job and one queued, and in the end no caller waits.
    */
   @Test
   void noCallerGetsResultStartedBeforeItJoined() {
     int shared = 0;
     for (int seed = 1; seed <= 300; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      Map<String, Integer> began = new HashMap<>();
-      Map<String, Boolean> follows = new HashMap<>();
+      Map<String, Integer> startedAt = new HashMap<>();
+      Map<String, Boolean> queued = new HashMap<>();
       List<Caller> callers = new ArrayList<>();
       for (int now = 1; now <= 400; now++) {
         String job = JOBS.get(random.nextInt(JOBS.size()));
         boolean ending = now > 380;
         int draw = ending ? 5 + random.nextInt(3) : random.nextInt(8);
         if (draw < 5) {
-          Ticket<Integer> place = state.join(job);
-          callers.add(new Caller(place, now));
-          assertEquals(place.role() == Role.COMPUTE, !began.containsKey(job), "one in work");
-          switch (place.role()) {
-            case COMPUTE -> began.put(job, now);
-            case QUEUED -> assertNull(follows.put(job, true), "one follows");
+          Ticket<Integer> ticket = state.join(job);
+          callers.add(new Caller(ticket, now));
+          assertEquals(
+              ticket.role() == Role.COMPUTE,
+              !startedAt.containsKey(job),
+              "at most one computation in progress");
+          switch (ticket.role()) {
+            case COMPUTE -> startedAt.put(job, now);
+            case QUEUED -> assertNull(queued.put(job, true), "at most one computation queued");
             default -> shared++;
           }
-        } else if (began.containsKey(job)) {
-          // The answer is the moment at which its work began.
-          state.complete(job, random.nextInt(9) == 0 ? null : began.get(job));
-          began.remove(job);
+        } else if (startedAt.containsKey(job)) {
+          // The result is the time at which its computation started.
+          state.complete(job, random.nextInt(9) == 0 ? null : startedAt.get(job));
+          startedAt.remove(job);
           assertFalse(state.isComputing(job));
-          if (follows.remove(job) != null) {
+          if (queued.remove(job) != null) {
             if (random.nextInt(9) == 0) {
               state.abandonQueued(job);
             } else {
               state.beginQueued(job);
-              began.put(job, now);
+              startedAt.put(job, now);
             }
           }
         }
       }
       for (String job : JOBS) {
-        while (began.remove(job) != null) {
+        while (startedAt.remove(job) != null) {
           state.complete(job, 400);
-          if (follows.remove(job) != null) {
+          if (queued.remove(job) != null) {
             state.beginQueued(job);
-            began.put(job, 400);
+            startedAt.put(job, 400);
           }
         }
       }
-      for (Caller a : callers) {
-        assertTrue(a.ticket().round().completed(), "seed " + seed + ": nobody waits for ever");
-        Integer answer = a.ticket().round().answer();
-        assertTrue(answer == null || answer >= a.joinedAt(), "seed " + seed + ": an older answer");
+      for (Caller caller : callers) {
+        assertTrue(
+            caller.ticket().round().completed(), "seed " + seed + ": a caller is still waiting");
+        Integer result = caller.ticket().round().answer();
+        assertTrue(
+            result == null || result >= caller.joinedAt(),
+            "seed " + seed + ": a result started before its caller joined");
       }
     }
-    assertTrue(shared > 1000, "shared answers: " + shared);
+    assertTrue(shared > 1000, "shared results: " + shared);
   }
 }
--- a/src/test/java/org/astershift/coordination/ElectionTest.java
+++ b/src/test/java/org/astershift/coordination/ElectionTest.java
@@ -9,12 +9,12 @@
 import org.astershift.coordination.Election.View;
 import org.junit.jupiter.api.Test;
 
-/** What one controller does to lead, event by event. */
+/** The steps of one controller towards leadership, event by event. */
 class ElectionTest {
   private final Election election = new Election("n1", new Candidacy());
   private long nowMs = 100_000;
 
-  /** Stands and creates the key, which gets this revision. */
+  /** Becomes a candidate and creates the key, which gets this revision. */
   private void winKey(long lease, long revision) {
     nowMs += 100;
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
@@ -25,7 +25,7 @@
     assertEquals(new Action.CatchUp(revision), election.next(free));
   }
 
-  /** Stands, and has no answer to its claim. */
+  /** Becomes a candidate and gets no answer to its claim; returns the view after the timeout. */
   private View claimWithoutAnswer(long lease) {
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
     assertInstanceOf(Action.GrantLease.class, election.next(free));
@@ -37,30 +37,38 @@
     return later;
   }
 
-  /** A claim without an answer holds if the key stands on its lease, from its renewal on. */
+  /**
+   * An unanswered claim holds if the key exists on its lease; the lease counts from its renewal.
+   */
   @Test
   void unansweredClaimHoldsIfItsKeyExists() {
-    View v = claimWithoutAnswer(1);
+    View view = claimWithoutAnswer(1);
     assertEquals(0, election.token());
     election.onKeyVerified(61);
-    assertEquals(new Action.CatchUp(61), election.next(v));
+    assertEquals(new Action.CatchUp(61), election.next(view));
     election.onCaughtUp(61, true);
-    assertEquals(new Action.BeginTerm(61), election.next(v));
+    assertEquals(new Action.BeginTerm(61), election.next(view));
     assertTrue(election.isLeaseCertain(61, nowMs + 1500 + 1500), "counted from the renewal");
   }
 
-  /** If it does not stand it may be carried out yet, and must not then. */
+  /**
+   * If the key does not exist, the claim may still be executed later; revoking its lease prevents
+   * that.
+   */
   @Test
   void unansweredClaimIsRevokedIfItsKeyIsMissing() {
-    View v = claimWithoutAnswer(1);
+    View view = claimWithoutAnswer(1);
     election.onKeyVerified(0);
-    assertEquals(new Action.RevokeLease(1), election.next(v));
+    assertEquals(new Action.RevokeLease(1), election.next(view));
     assertEquals(0, election.token());
-    election.onKeyVerified(61); // told late
-    assertInstanceOf(Action.GrantLease.class, election.next(v));
+    election.onKeyVerified(61); // late notification
+    assertInstanceOf(Action.GrantLease.class, election.next(view));
   }
 
-  /** The mirror was too slow for one key, and a second was won before that is told once more. */
+  /**
+   * The watch cache was too slow for the first key, and a second key was won before the cache
+   * reported the first one.
+   */
   @Test
   void termBeginsOnlyOnceCacheHasReachedItsKey() {
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
--- a/src/test/java/org/astershift/coordination/JobQueryTest.java
+++ b/src/test/java/org/astershift/coordination/JobQueryTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Where an answer about a job may come from. */
+/** The source from which the state of a job may be answered. */
 class JobQueryTest {
-  private static View view(String says, boolean forward) {
+  private static View view(String known, boolean forward) {
     return new View(
-        says.contains("over"),
-        says.contains("leads"),
-        says.contains("live"),
-        says.contains("certain"),
+        known.contains("over"),
+        known.contains("leads"),
+        known.contains("live"),
+        known.contains("certain"),
         forward);
   }
 
@@ -34,18 +34,22 @@
     assertEquals(ofNode, JobQuery.source(view(known, false)), "asked by another controller");
   }
 
-  /** From memory only where nobody else can have ended the job, whatever else is known. */
+  /**
+   * The state is answered from memory only if no other leader can have ended the job, whatever else
+   * is known.
+   */
   @Test
   void onlyLeaderWithCertainLeaseAnswersFromMemory() {
     for (int bits = 0; bits < 32; bits++) {
-      boolean[] b = new boolean[5];
-      for (int i = 0; i < b.length; i++) {
-        b[i] = (bits >> i & 1) == 1;
+      boolean[] flags = new boolean[5];
+      for (int i = 0; i < flags.length; i++) {
+        flags[i] = (bits >> i & 1) == 1;
       }
-      Source source = JobQuery.source(new View(b[0], b[1], b[2], b[3], b[4]));
-      assertEquals(!b[0] && b[1] && b[2] && b[3], source == Source.LEADER_MEMORY, "" + bits);
-      assertEquals(b[0], source == Source.KNOWN_END, "" + bits);
-      assertEquals(!b[0] && !b[1] && b[4], source == Source.REMOTE_LEADER, "" + bits);
+      Source source = JobQuery.source(new View(flags[0], flags[1], flags[2], flags[3], flags[4]));
+      assertEquals(
+          !flags[0] && flags[1] && flags[2] && flags[3], source == Source.LEADER_MEMORY, "" + bits);
+      assertEquals(flags[0], source == Source.KNOWN_END, "" + bits);
+      assertEquals(!flags[0] && !flags[1] && flags[4], source == Source.REMOTE_LEADER, "" + bits);
     }
   }
 }
--- a/src/test/java/org/astershift/coordination/StoreReachabilityTest.java
+++ b/src/test/java/org/astershift/coordination/StoreReachabilityTest.java
@@ -5,7 +5,7 @@
 import org.astershift.coordination.StoreReachability.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** What a node takes the state service's silence for. */
+/** What a node concludes from missing responses of the store. */
 class StoreReachabilityTest {
   private final StoreReachability reachability = new StoreReachability();
 
@@ -25,7 +25,7 @@
     assertEquals(
         Verdict.ISOLATED,
         reachability.onPeersQueried(4, 0, false, 1000 + StoreReachability.ISOLATED_AFTER_MS));
-    // One that answers ends it, and so does the state service: the time counts anew.
+    // An answer of a peer or of the store ends the isolation, and the delay starts again from zero.
     assertEquals(Verdict.OUTAGE, reachability.onPeersQueried(4, 1, false, 20_000));
     assertEquals(Verdict.OUTAGE, reachability.onPeersQueried(4, 0, false, 20_500));
     assertEquals(Verdict.ISOLATED, reachability.onPeersQueried(4, 0, false, 30_000));
--- a/src/test/java/org/astershift/emulator/Await.java
+++ b/src/test/java/org/astershift/emulator/Await.java
@@ -1,8 +1,11 @@
 package org.astershift.emulator;
 
-/** Waits for a condition, with a timeout that only a failure reaches. */
+/** Waits for conditions, with a timeout that only a failing test reaches. */
 public final class Await {
-  /** Long enough for a machine shared by several test runs, short enough for a verdict. */
+  /**
+   * Timeout in seconds: long enough for a machine shared by several test runs, short enough that a
+   * failing test still reports its failure.
+   */
   private static final long TIMEOUT_S = 100;
 
   private static final long POLL_INTERVAL_MS = 20;
@@ -14,7 +17,10 @@
     boolean holds() throws Exception;
   }
 
-  /** Polls until the condition holds; {@code what} names it in the failure. */
+  /**
+   * Polls until the condition holds. After the timeout throws an AssertionError that names {@code
+   * what}.
+   */
   public static void until(String what, Condition condition) throws Exception {
     long startNs = System.nanoTime();
     Object pause = new Object();
--- a/src/test/java/org/astershift/emulator/CloudEmulator.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulator.java
@@ -15,7 +15,10 @@
 import org.astershift.http.HttpServer.Response;
 import org.astershift.http.Json;
 
-/** A cloud with one machine type whose machines boot at once, each as a {@link WorkerEmulator}. */
+/**
+ * An in-memory cloud with one machine type. Its machines boot at once, each as a {@link
+ * WorkerEmulator}.
+ */
 public final class CloudEmulator implements AutoCloseable {
   private final List<Integer> controllers;
   private final Map<String, List<String>> machinesByRequest = new HashMap<>();
@@ -29,7 +32,10 @@
   private Consumer<String> provisionListener = name -> {};
   private final HttpServer http;
 
-  /** Workers send heartbeats to these ports; their tasks take {@code taskMs}, 0 for ever. */
+  /**
+   * Serves requests on {@code port}. Workers send heartbeats to the ports of {@code controllers};
+   * their tasks take {@code taskMs} milliseconds, or run indefinitely if it is 0.
+   */
   public CloudEmulator(int port, List<Integer> controllers, long taskMs) throws IOException {
     this.controllers = controllers;
     this.taskMs = taskMs;
@@ -41,22 +47,22 @@
     return http.port();
   }
 
-  /** Workers of the present machines. */
+  /** Returns the workers of the machines that are provisioned now. */
   public synchronized List<WorkerEmulator> workers() {
     return new ArrayList<>(machines.values());
   }
 
-  /** Sets a listener that gets the name of each new machine before the response is sent. */
+  /** Sets the listener that gets the name of each new machine before the response is sent. */
   public synchronized void setProvisionListener(Consumer<String> listener) {
     provisionListener = listener;
   }
 
-  /** Workers of the present machines and of those released. */
+  /** Returns the workers of all machines provisioned so far, including those released. */
   public synchronized List<WorkerEmulator> workersEverProvisioned() {
     return new ArrayList<>(allWorkers);
   }
 
-  /** Ends it with all workers that it ever had; none sends anything afterwards. */
+  /** Closes the cloud and all workers that it ever had; none of them sends anything afterwards. */
   @Override
   public void close() throws IOException {
     List<WorkerEmulator> workers = stopServing();
@@ -111,12 +117,12 @@
     }
   }
 
-  /** From now on rejects provisioning with this status; 0 for accepting it. */
+  /** Sets the status with which provisioning requests are rejected; 0 accepts them. */
   public synchronized void rejectProvisioning(int status) {
     rejectionStatus = status;
   }
 
-  /** Ids of the requests that were rejected so. */
+  /** Returns the ids of the provisioning requests that were rejected with this status. */
   public synchronized Set<String> rejectedRequestIds() {
     return new HashSet<>(rejectedRequests);
   }
--- a/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
+++ b/src/test/java/org/astershift/emulator/CloudEmulatorTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Nothing of one test may take part in the next. */
+/** A cloud emulator must not affect the next test after it is closed. */
 @Timeout(200)
 class CloudEmulatorTest {
 
-  /** A provisioning request in flight when a test ends makes no worker. */
+  /** A provisioning request in flight when a test ends must not create a worker. */
   @Test
   void requestInFlightAtCloseProvisionsNoMachine() throws Exception {
     CloudEmulator cloud = new CloudEmulator(0, List.of(1), 0);
@@ -23,7 +23,8 @@
     Thread requester = new Thread(() -> provision(port));
     synchronized (cloud) {
       requester.start();
-      Await.until("the request to wait for the cloud", CloudEmulatorTest::isRequestWaiting);
+      Await.until(
+          "the request to reach the handler of the cloud", CloudEmulatorTest::isRequestWaiting);
       cloud.close();
     }
     requester.join();
@@ -38,11 +39,11 @@
     try (HttpClient client = new HttpClient("127.0.0.1", port, 1)) {
       client.call("POST", "/hosts", body, 10_000);
     } catch (IOException e) {
-      // the connection is closed with the cloud; only the effect on the cloud matters
+      // closing the cloud closes the connection; only the effect on the cloud matters
     }
   }
 
-  /** Whether a thread is in the cloud's handler of requests. */
+  /** Returns whether a thread is in the cloud's request handler. */
   private static boolean isRequestWaiting() {
     return Thread.getAllStackTraces().values().stream()
         .flatMap(Arrays::stream)
--- a/src/test/java/org/astershift/emulator/Emulators.java
+++ b/src/test/java/org/astershift/emulator/Emulators.java
@@ -5,19 +5,22 @@
 import java.util.List;
 import org.astershift.config.Settings;
 
-/** The emulators on fixed ports, for the first job in the README. */
+/** Runs the store and cloud emulators on fixed ports, for the first job in the README. */
 public final class Emulators {
   private Emulators() {}
 
   /**
-   * Settings of a single node against emulators on these ports, written to this directory, with
-   * store limits that no test reaches.
+   * Returns the settings of a single node that uses emulators on these ports, written to the
+   * directory {@code dir}, with store limits that no test reaches.
    */
   public static Settings settings(Path dir, int store, int cloud) throws Exception {
     return settings(dir, store, cloud, 20_000);
   }
 
-  /** As above, with store limits of {@code rps} requests and as many writes a second. */
+  /**
+   * Returns the same settings with store limits of {@code rps} requests and as many writes per
+   * second.
+   */
   public static Settings settings(Path dir, int store, int cloud, double rps) throws Exception {
     String text =
         Files.readString(Path.of("src/test/resources/first-job.toml"))
@@ -28,12 +31,12 @@
     return Settings.load(Files.writeString(dir.resolve("node.toml"), text));
   }
 
-  /** Runs until it is killed. */
+  /** Runs the emulators until the process is killed. */
   public static void main(String[] args) throws Exception {
     StoreEmulator store = new StoreEmulator(18_379);
     CloudEmulator cloud = new CloudEmulator(18_443, List.of(18_080), 2000);
     System.out.println(
-        "stand-ins are ready: state service on " + store.port() + ", cloud on " + cloud.port());
+        "emulators are ready: key-value store on " + store.port() + ", cloud on " + cloud.port());
     Thread.currentThread().join();
   }
 }
--- a/src/test/java/org/astershift/emulator/InProcessControllers.java
+++ b/src/test/java/org/astershift/emulator/InProcessControllers.java
@@ -23,8 +23,8 @@
 import org.astershift.store.WatchCache;
 
 /**
- * Real controllers in this process, on ports that the system chooses. Users, workers, store and
- * cloud are reached through sockets, the other controllers by plain calls.
+ * Real controllers in this process, on ports chosen by the operating system. They reach users,
+ * workers, store and cloud through sockets, and each other by method calls.
  */
 public final class InProcessControllers implements AutoCloseable {
   private static final long TIMEOUT_MS = 60_000;
@@ -35,7 +35,10 @@
   private final List<HttpServer> servers = new ArrayList<>();
   private final Map<String, JobService> jobServices = new HashMap<>();
 
-  /** Adds their ports to {@code ports}; {@code extraTables} go into the settings. */
+  /**
+   * Starts the controllers, waits until they are ready and adds their ports to {@code ports};
+   * {@code extraTables} is inserted into the settings.
+   */
   public InProcessControllers(
       int count, int storePort, int cloudPort, List<Integer> ports, String extraTables, Path dir)
       throws Exception {
@@ -111,13 +114,13 @@
       jobService = jobServices.get(node);
     }
     if (jobService == null) {
-      throw new IOException("not up yet");
+      throw new IOException("the controller is not started yet");
     }
     try {
       return jobService.answerPeer(operation, job);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("ends");
+      throw new IOException("interrupted while answering a peer");
     }
   }
 
@@ -130,11 +133,14 @@
     }
   }
 
-  /** Repeats a request until the response has this status and contains the word. */
+  /**
+   * Repeats a request until the response has this status and contains the word; returns its body.
+   * Throws an AssertionError after the timeout.
+   */
   public Map<String, Object> await(
       int node, String method, String path, String body, int status, String word) throws Exception {
     long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000;
-    String last = "nothing";
+    String last = "no response";
     while (System.nanoTime() < deadline) {
       HttpClient.Response response = call(node, method, path, body);
       last = response.status() + " " + new String(response.body(), StandardCharsets.UTF_8);
@@ -146,7 +152,17 @@
       }
     }
     throw new AssertionError(
-        method + " " + path + " at " + node + ": waited for " + status + word + ", got " + last);
+        method
+            + " "
+            + path
+            + " at "
+            + node
+            + ": expected "
+            + status
+            + " "
+            + word
+            + ", got "
+            + last);
   }
 
   @Override
--- a/src/test/java/org/astershift/emulator/PortBlock.java
+++ b/src/test/java/org/astershift/emulator/PortBlock.java
@@ -9,17 +9,20 @@
 import java.util.List;
 
 /**
- * Ports for processes that are killed and restarted on the same ones. The first port of a block is
- * kept open while the block is in use, so that parallel test runs never share a block. All blocks
- * lie below the ephemeral range (32768 and up), so no outgoing connection or other server takes a
- * port between two processes.
+ * A block of loopback ports for processes that are killed and restarted on the same ports. The
+ * first port of a block stays bound while the block is in use, so that parallel test runs never
+ * share a block. All blocks lie below the ephemeral range (32768 and up), so no outgoing connection
+ * or other server takes a port between two processes.
  */
 public final class PortBlock implements AutoCloseable {
   private static final int FIRST = 22_000;
   private static final int PAST_LAST = 32_000;
   private static final int SIZE = 10;
 
-  /** Where the search goes on: blocks are not reused soon, so leftovers reach nothing. */
+  /**
+   * First port of the block that is tried next. Blocks are taken in turn and not reused soon, so
+   * that leftover connections from an earlier block reach no process.
+   */
   private static int nextFirstPort = FIRST;
 
   private final ServerSocket reservation;
@@ -28,7 +31,7 @@
     this.reservation = held;
   }
 
-  /** The next block whose ports are all free, in turn. */
+  /** Acquires the next block whose ports are all free. Throws an IOException if there is none. */
   public static synchronized PortBlock acquire() throws IOException {
     for (int tries = (PAST_LAST - FIRST) / SIZE; tries > 0; tries--) {
       int first = nextFirstPort;
@@ -41,7 +44,7 @@
         held.close();
       }
     }
-    throw new IOException("no block of ports is free from " + FIRST + " to " + PAST_LAST);
+    throw new IOException("no free block of ports between " + FIRST + " and " + PAST_LAST);
   }
 
   private static boolean areRemainingPortsFree(int first) throws IOException {
@@ -55,7 +58,7 @@
     return true;
   }
 
-  /** A socket bound to the port; null if it is in use on any address. */
+  /** Returns a socket bound to the port, or null if the port is in use on any address. */
   private static ServerSocket tryBind(int port) throws IOException {
     ServerSocket socket = new ServerSocket();
     try {
@@ -68,10 +71,11 @@
     }
   }
 
-  /** The block's first {@code count} ports, valid until it is closed. */
+  /** Returns the first {@code count} ports of the block, valid until the block is closed. */
   public List<Integer> ports(int count) {
     if (count >= SIZE) {
-      throw new IllegalArgumentException("a block has " + (SIZE - 1) + " ports: " + count);
+      throw new IllegalArgumentException(
+          "a block has " + (SIZE - 1) + " ports; requested: " + count);
     }
     List<Integer> result = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
--- a/src/test/java/org/astershift/emulator/StoreEmulator.java
+++ b/src/test/java/org/astershift/emulator/StoreEmulator.java
@@ -20,8 +20,8 @@
 import org.astershift.store.StoreClient;
 
 /**
- * An in-memory key-value store that speaks the published protocol. It can be unavailable, and it
- * can commit transactions and lose the responses.
+ * An in-memory key-value store that speaks the published protocol. It can be made unavailable, and
+ * it can commit transactions and lose their responses.
  */
 public final class StoreEmulator implements AutoCloseable {
   private record Value(Object data, long revision, long lease) {}
@@ -42,10 +42,10 @@
 
   private record Event(long revision, Map<String, Object> change, String key) {}
 
-  /** Delay of lease expiry. */
+  /** Delay of the expiry of leases beyond their duration, milliseconds. */
   private long leaseExpiryDelayMs;
 
-  /** Changes up to this revision are compacted. */
+  /** Changes up to this revision are compacted; -1 while none are. */
   private long compactedRevision = -1;
 
   private final TreeMap<String, Value> rows = new TreeMap<>();
@@ -62,7 +62,7 @@
   private final SplittableRandom random = new SplittableRandom(7);
   private final Map<String, Integer> lostResponses = new HashMap<>();
 
-  /** Keys written by transactions whose senders wait in vain for a response. */
+  /** Keys written by committed transactions whose senders are waiting for a withheld response. */
   private final Set<String> unansweredKeys = new HashSet<>();
 
   private int readsOfUnansweredKeys;
@@ -76,17 +76,26 @@
     return http.port();
   }
 
-  /** Called before a request is executed or rejected, and before its response is sent. */
+  /**
+   * Observes requests: called before a request is executed or rejected, and again before its
+   * response is sent.
+   */
   public interface RequestObserver {
-    /** An exception rejects the request. */
-    void onRequest(Request request, boolean carriedOut) throws Exception;
+    /**
+     * Observes a request; {@code executed} is false in the first call and true in the second. An
+     * exception rejects the request.
+     */
+    void onRequest(Request request, boolean executed) throws Exception;
   }
 
-  /** An address for one node, whose requests can be rejected while others are served. */
+  /**
+   * An address of the store for one node, whose requests can be rejected while those of others are
+   * served.
+   */
   public final class StoreAddress implements AutoCloseable {
     private final HttpServer server;
     private volatile boolean rejectsRequests;
-    private volatile RequestObserver observer = (request, carriedOut) -> {};
+    private volatile RequestObserver observer = (request, executed) -> {};
     private boolean holdsCompletions;
 
     private StoreAddress() throws IOException {
@@ -97,25 +106,26 @@
     private Response answer(Request request) throws Exception {
       observer.onRequest(request, false);
       if (rejectsRequests) {
-        return Response.error(503, "trouble");
+        return Response.error(503, "unavailable");
       }
       Response response = handle(request);
       observer.onRequest(request, true);
-      boolean end = new String(request.body(), StandardCharsets.UTF_8).contains("\"set\":\"d/");
+      boolean isCompletion =
+          new String(request.body(), StandardCharsets.UTF_8).contains("\"set\":\"d/");
       synchronized (this) {
-        while (holdsCompletions && end) {
+        while (holdsCompletions && isCompletion) {
           wait();
         }
       }
       return response;
     }
 
-    /** Shows all requests to this address to a watcher. */
+    /** Sets the observer of all requests to this address. */
     public void setObserver(RequestObserver newWatcher) {
       observer = newWatcher;
     }
 
-    /** While set, writes of job completions are committed but not answered. */
+    /** Sets whether responses to writes of job completions are held back after the commit. */
     public synchronized void holdCompletions(boolean active) {
       holdsCompletions = active;
       notifyAll();
@@ -135,17 +145,17 @@
     }
   }
 
-  /** A new address, for one node. */
+  /** Opens a new address, for one node. */
   public StoreAddress openAddress() throws IOException {
     return new StoreAddress();
   }
 
-  /** Delays lease expiry, so that no lease expires while a test is paused. */
+  /** Delays lease expiry by {@code delayMs}, so that no lease expires while a test is paused. */
   public synchronized void delayLeaseExpiry(long delayMs) {
     leaseExpiryDelayMs = delayMs;
   }
 
-  /** Compacts all changes so far: no watch can resume from them. */
+  /** Compacts all changes so far: no watch can resume from an earlier revision. */
   public synchronized void compact() {
     compactedRevision = revision;
     notifyAll();
@@ -155,31 +165,38 @@
     return rows.containsKey(key);
   }
 
-  /** All keys with a prefix. */
+  /** Returns all keys with the prefix. */
   public synchronized Set<String> keysWithPrefix(String prefix) {
     return new TreeSet<>(rows.subMap(prefix, prefix + Character.MAX_VALUE).keySet());
   }
 
   /**
-   * From now on this share of transactions is committed and its responses are lost: one in eight of
-   * them is never sent, and the others are cut short, so that the sender notices at once.
+   * Sets the share of transactions that are committed and whose responses are lost. One in eight of
+   * these responses is withheld until the sender has timed out; the others are cut short, so that
+   * the sender notices at once.
    */
   public synchronized void loseResponses(double share) {
     lostResponseShare = share;
     notifyAll();
   }
 
-  /** Number of transactions that set a key with this prefix and lost their responses. */
+  /**
+   * Returns the number of keys directly below this prefix that were set by transactions whose
+   * responses were lost.
+   */
   public synchronized int lostResponses(String prefix) {
     return lostResponses.getOrDefault(prefix, 0);
   }
 
-  /** Number of reads of a key whose writer waited in vain for its response. */
+  /** Returns the number of reads of a key while its writer was waiting for a withheld response. */
   public synchronized int readsOfUnansweredKeys() {
     return readsOfUnansweredKeys;
   }
 
-  /** While down every request gets 503; afterwards each lease has its full duration again. */
+  /**
+   * Sets whether the store is down. While it is, every request gets 503; each lease has its full
+   * duration again afterwards.
+   */
   public synchronized void down(boolean active) {
     down = active;
     leases.values().forEach(Lease::renew);
@@ -198,7 +215,7 @@
   private synchronized Response handle(Request request) throws Exception {
     expire();
     if (down) {
-      return Response.error(503, "trouble");
+      return Response.error(503, "unavailable");
     }
     String path = request.path();
     Map<String, String> query = parseQuery(request.query());
@@ -281,10 +298,10 @@
 
   private void remove(String key) {
     rows.remove(key);
-    Map<String, Object> news = new LinkedHashMap<>();
-    news.put("remove", key);
-    news.put("stamp", revision);
-    events.add(new Event(revision, news, key));
+    Map<String, Object> event = new LinkedHashMap<>();
+    event.put("remove", key);
+    event.put("stamp", revision);
+    events.add(new Event(revision, event, key));
     notifyAll();
   }
 
@@ -357,14 +374,17 @@
     }
     long lease = change.get("mooring") == null ? 0 : Json.integer(change, "mooring");
     rows.put(key, new Value(change.get("data"), revision, lease));
-    Map<String, Object> news = new LinkedHashMap<>();
-    news.put("set", key);
-    news.put("data", change.get("data"));
-    news.put("stamp", revision);
-    events.add(new Event(revision, news, key));
+    Map<String, Object> event = new LinkedHashMap<>();
+    event.put("set", key);
+    event.put("data", change.get("data"));
+    event.put("stamp", revision);
+    events.add(new Event(revision, event, key));
   }
 
-  /** Withholds the response of a committed transaction from its sender. */
+  /**
+   * Loses the response of a committed transaction: returns a truncated response, or withholds it
+   * until the sender has timed out.
+   */
   private Response lostResponses(List<?> changes, Response response) throws Exception {
     List<String> keys = new ArrayList<>();
     for (Object item : changes) {
@@ -383,7 +403,7 @@
       wait(Math.max(1, untilMs - now()));
     }
     unansweredKeys.removeAll(keys);
-    return response; // the sender has given up
+    return response; // the sender has timed out
   }
 
   private Response watch(Map<String, String> query) throws InterruptedException {
@@ -394,14 +414,14 @@
       if (from < compactedRevision) {
         return Response.error(410, "too old");
       }
-      List<Object> news = new ArrayList<>();
-      for (Event entry : events) {
-        if (entry.revision() > from && entry.key().startsWith(query.get("starts"))) {
-          news.add(entry.change());
+      List<Object> changes = new ArrayList<>();
+      for (Event event : events) {
+        if (event.revision() > from && event.key().startsWith(query.get("starts"))) {
+          changes.add(event.change());
         }
       }
-      if (!down && (!news.isEmpty() || now() >= deadlineMs)) {
-        return Response.of(200, Map.of("epoch", revision, "news", news));
+      if (!down && (!changes.isEmpty() || now() >= deadlineMs)) {
+        return Response.of(200, Map.of("epoch", revision, "news", changes));
       }
       wait(20);
     }
--- a/src/test/java/org/astershift/emulator/WorkerEmulator.java
+++ b/src/test/java/org/astershift/emulator/WorkerEmulator.java
@@ -14,7 +14,7 @@
 import org.astershift.http.Json;
 import org.astershift.http.JsonFormatException;
 
-/** A worker that speaks the published protocol; its tasks take a fixed time and need no image. */
+/** A worker that speaks the published protocol. Its tasks take a fixed time and fetch no image. */
 public final class WorkerEmulator implements AutoCloseable {
   private static final long HEARTBEAT_INTERVAL_MS = 150;
   private final String name;
@@ -36,16 +36,18 @@
   /** A start of a task, and its time by {@link System#nanoTime}. */
   public record Start(String task, long atNs) {}
 
-  /** The heartbeats sent so far, for replay. */
+  /** Heartbeats that were answered so far, for replay. */
   private final List<String> sentHeartbeats = new ArrayList<>();
 
-  /** Inbound partition: requests to it are delayed until it ends. */
+  /**
+   * Whether the worker is inbound-partitioned: requests to it are delayed until the partition ends.
+   */
   private boolean inboundPartitioned;
 
-  /** It sends no heartbeats. */
+  /** Whether the worker has stopped sending heartbeats. */
   private boolean silent;
 
-  /** The answer to the next direct request is written and held back; then it is held. */
+  /** Whether the response to the next direct request is held back once it has been created. */
   private boolean holdNextResponse;
 
   private boolean isResponseHeld;
@@ -75,51 +77,62 @@
     return "127.0.0.1:" + http.port();
   }
 
-  /** The names of all tasks started so far, once a start. */
+  /** Returns the names of all tasks started so far, one entry per start. */
   public List<String> startedTasks() {
     return starts().stream().map(Start::task).collect(Collectors.toCollection(ArrayList::new));
   }
 
-  /** All starts so far. */
+  /** Returns all starts so far. */
   public synchronized List<Start> starts() {
     return new ArrayList<>(starts);
   }
 
-  /** All heartbeats so far, as sent. */
+  /** Returns all heartbeats that were answered so far, as sent. */
   public synchronized List<String> sentHeartbeats() {
     return new ArrayList<>(sentHeartbeats);
   }
 
-  /** Inbound partition: heartbeats arrive, their responses are lost, and commands are delayed. */
+  /**
+   * Sets whether the worker is inbound-partitioned: its heartbeats arrive, the responses to them
+   * are lost, and commands are delayed.
+   */
   public synchronized void inboundPartitioned(boolean active) {
     inboundPartitioned = active;
     notifyAll();
   }
 
-  /** Holds the answer to the next direct request back, with its status as of then. */
+  /**
+   * Holds back the response to the next direct request, with the state of the worker at that time.
+   */
   public synchronized void holdNextResponse() {
     holdNextResponse = true;
   }
 
-  /** Whether an answer is held back. */
+  /** Returns whether a response is held back. */
   public synchronized boolean isResponseHeld() {
     return isResponseHeld;
   }
 
-  /** Sends the answer that is held back. */
+  /** Sends the response that is held back. */
   public synchronized void releaseResponse() {
     holdNextResponse = false;
     isResponseHeld = false;
     notifyAll();
   }
 
-  /** Records a later fencing token, and sends no more heartbeats. */
+  /**
+   * Records a later fencing token and stops sending heartbeats, so that no heartbeat reports the
+   * token.
+   */
   public synchronized void recordLaterToken(long laterToken) {
     token = Math.max(token, laterToken);
     silent = true;
   }
 
-  /** Restarts without tasks, fencing token and sequence number; returns the lost tasks. */
+  /**
+   * Restarts the worker without tasks, fencing token and sequence number; returns the names of the
+   * lost tasks.
+   */
   public synchronized List<String> restart() {
     List<String> lost = new ArrayList<>();
     tasks.values().forEach(task -> lost.add(String.valueOf(task.get("shard"))));
@@ -130,14 +143,16 @@
     return lost;
   }
 
-  /** Ports of the controllers whose responses it accepted since the last call. */
+  /**
+   * Returns the ports of the controllers whose responses the worker accepted since the last call.
+   */
   public synchronized List<Integer> respondingPorts() {
     List<Integer> result = new ArrayList<>(respondingPorts);
     respondingPorts.clear();
     return result;
   }
 
-  /** Names of the running tasks. */
+  /** Returns the names of the running tasks. */
   public synchronized List<String> runningTasks() {
     List<String> result = new ArrayList<>();
     tasks.forEach(
@@ -157,7 +172,7 @@
     http.close();
   }
 
-  /** Waits, once it is closed, for a heartbeat that may be in flight. */
+  /** Waits for a heartbeat that may be in flight; to be called once the worker is closed. */
   void awaitTermination() {
     try {
       heartbeatThread.join();
@@ -170,7 +185,7 @@
     long nowMs = System.nanoTime() / 1_000_000;
     tasks.forEach(
         (key, task) -> {
-          // Jobs numbered from 900000 run until they are stopped.
+          // Tasks of jobs numbered from 900000 run until they are stopped.
           boolean service = taskMs <= 0 || String.valueOf(task.get("shard")).startsWith("wk-9");
           if (task.get("phase").equals("running")
               && !service
@@ -206,7 +221,7 @@
       return Response.of(409, heartbeat());
     }
     executeCommands(fields);
-    Response answer = Response.of(200, heartbeat());
+    Response response = Response.of(200, heartbeat());
     if (holdNextResponse) {
       holdNextResponse = false;
       isResponseHeld = true;
@@ -214,7 +229,7 @@
     while (isResponseHeld && !closed) {
       wait();
     }
-    return answer;
+    return response;
   }
 
   private synchronized void executeCommands(Map<String, Object> fields) throws JsonFormatException {
@@ -250,7 +265,10 @@
     }
   }
 
-  /** Waits on the object's monitor, so that closing need not wait for it. */
+  /**
+   * Waits for the heartbeat interval, or longer while the worker is silent. Waits on the monitor of
+   * this object, so that closing the worker need not wait for the interval.
+   */
   private synchronized void awaitNextHeartbeat() throws InterruptedException {
     do {
       wait(HEARTBEAT_INTERVAL_MS);
--- a/src/test/java/org/astershift/emulator/package-info.java
+++ b/src/test/java/org/astershift/emulator/package-info.java
@@ -1,2 +1,5 @@
-/** Emulators of store, cloud and workers, and harnesses to run real controllers against them. */
+/**
+ * Emulators of the store, the cloud and the workers, and harnesses that run real controllers
+ * against them.
+ */
 package org.astershift.emulator;
--- a/src/test/java/org/astershift/golden/CommandCallsTest.java
+++ b/src/test/java/org/astershift/golden/CommandCallsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What workers are asked directly, and what their answers are taken for. */
+/** Direct requests to workers, and how their responses are interpreted. */
 @Timeout(60)
 class CommandCallsTest {
   private static final String HEARTBEAT =
@@ -25,8 +25,8 @@
   @BeforeEach
   void start() throws Exception {
     recorder = new Recorder();
-    Settings.Endpoint here = recorder.settings(dir).cloud();
-    address = here.host() + ":" + here.port();
+    Settings.Endpoint endpoint = recorder.settings(dir).cloud();
+    address = endpoint.host() + ":" + endpoint.port();
   }
 
   @AfterEach
@@ -35,37 +35,41 @@
     recorder.close();
   }
 
-  private String send(String to, List<Command> orders) {
-    CommandSender.Result r = sender.send(to, 42, 5, () -> orders, 5000);
-    String told = r.heartbeat() == null ? "no report" : "report " + r.heartbeat().sequence();
-    return (r.outcomeUnknown() ? "maybe executed, " : "known, ") + told;
+  private String send(String to, List<Command> commands) {
+    CommandSender.Result result = sender.send(to, 42, 5, () -> commands, 5000);
+    String heartbeat =
+        result.heartbeat() == null ? "no report" : "report " + result.heartbeat().sequence();
+    return (result.outcomeUnknown() ? "maybe executed, " : "known, ") + heartbeat;
   }
 
   @Test
   void directCommands() throws Exception {
-    List<Command> orders =
+    List<Command> commands =
         List.of(
             new Command(Command.Kind.START, "wk-1", 0, 1, 0),
             new Command(Command.Kind.STOP, "wk-1", 7, 2, 4.5),
             new Command(Command.Kind.FORGET, "wk-2", 3, 4, 0));
-    Golden g = new Golden("worker-calls");
+    Golden golden = new Golden("worker-calls");
     for (int status : new int[] {200, 409, 400, 404, 421, 500, 503}) {
       recorder.enqueueResponse(status, HEARTBEAT);
-      String result = send(address, orders);
-      g.add(status + ", request", recorder.takeRequests());
-      g.add(status + ", result", result);
+      String result = send(address, commands);
+      golden.add(status + ", request", recorder.takeRequests());
+      golden.add(status + ", result", result);
     }
     recorder.enqueueResponse(200, "{}");
-    g.add("no report, result", send(address, List.of()));
-    g.add("no report, request", recorder.takeRequests());
+    golden.add("no report, result", send(address, List.of()));
+    golden.add("no report, request", recorder.takeRequests());
     for (int status : new int[] {200, 404, 503}) {
       recorder.enqueueResponse(status, HEARTBEAT);
-      g.add("question " + status + ", result", String.valueOf(sender.isReachable(address, 5000)));
-      g.add("question " + status + ", request", recorder.takeRequests());
+      golden.add(
+          "question " + status + ", result", String.valueOf(sender.isReachable(address, 5000)));
+      golden.add("question " + status + ", request", recorder.takeRequests());
     }
-    for (String no : new String[] {"", "host", ":7", "host:", "host:x", "host:65536"}) {
-      g.add("address <" + no + ">", send(no, orders) + ", " + sender.isReachable(no, 5000));
+    for (String invalid : new String[] {"", "host", ":7", "host:", "host:x", "host:65536"}) {
+      golden.add(
+          "address <" + invalid + ">",
+          send(invalid, commands) + ", " + sender.isReachable(invalid, 5000));
     }
-    g.check();
+    golden.check();
   }
 }
--- a/src/test/java/org/astershift/golden/Golden.java
+++ b/src/test/java/org/astershift/golden/Golden.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 
 /**
- * A kept text of one line per case, {@code label = text}, which is compared byte for byte. With
- * {@code -Dgolden.write=true} it is written anew; read it before keeping it, as other versions and
- * other parties depend on these forms.
+ * A golden file with one line per case, {@code label = text}, which is compared byte for byte. With
+ * {@code -Dgolden.write=true} the file is rewritten; read the changes before keeping them, as other
+ * versions and other parties depend on these formats.
  */
 public final class Golden {
   private static final Path DIR = Path.of("src/test/resources/golden");
@@ -31,11 +31,11 @@
     if (text.indexOf('\n') >= 0 || label.contains(SEPARATOR)) {
       throw new IllegalArgumentException(label + SEPARATOR + text);
     }
-    assertNull(cases.put(label, text), "two cases of one name: " + label);
+    assertNull(cases.put(label, text), "duplicate case: " + label);
     return this;
   }
 
-  /** The same of bytes that hold text in UTF-8. */
+  /** Adds a case whose text is given as UTF-8 bytes. */
   public Golden add(String label, byte[] text) {
     return add(label, new String(text, StandardCharsets.UTF_8));
   }
@@ -52,7 +52,7 @@
     assertEquals(new String(kept, StandardCharsets.UTF_8), out.toString(), file.toString());
   }
 
-  /** The kept text of a case, for reading it back. */
+  /** Returns the text of a case in the file, for decoding. */
   public String expected(String label) throws IOException {
     String start = label + SEPARATOR;
     String found = null;
--- a/src/test/java/org/astershift/golden/OperatorFormsTest.java
+++ b/src/test/java/org/astershift/golden/OperatorFormsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the operators' file yields, and the one line that is said of a bad one. */
+/** Values read from the operators' file, and the one-line errors for invalid files. */
 class OperatorFormsTest {
   private static final String FULL =
       "; a remark\n# another\n[placement]\nwindow = 77\nutilization=0.5\nbatch = 12\n"
@@ -24,16 +24,16 @@
     return Files.writeString(dir.resolve("operator.ini"), text);
   }
 
-  private static String describe(SchedulingPolicy p) {
-    return p.windowTasks()
+  private static String describe(SchedulingPolicy policy) {
+    return policy.windowTasks()
         + " "
-        + p.utilizationThreshold()
+        + policy.utilizationThreshold()
         + " "
-        + p.machineBatchTasks()
+        + policy.machineBatchTasks()
         + " "
-        + p.waitingAgeS()
+        + policy.waitingAgeS()
         + " "
-        + p.idleReleaseS();
+        + policy.idleReleaseS();
   }
 
   @Test
@@ -57,39 +57,41 @@
   }
 
   private static Map<String, String> invalidFiles() {
-    Map<String, String> out = new LinkedHashMap<>();
+    Map<String, String> files = new LinkedHashMap<>();
     String[] lines = {"window = 77", "utilization=0.5", "batch = 12", "waiting_age_s = 3.5"};
     for (String line : lines) {
       String name = line.replaceAll(" ?=.*", "");
       for (String wrong : new String[] {"", "x", "-1", "1e9", "NaN"}) {
-        out.put(name + " is " + wrong, FULL.replace(line, name + " = " + wrong));
+        files.put(name + " is " + wrong, FULL.replace(line, name + " = " + wrong));
       }
     }
-    out.put("idle_release_s", FULL.replace("99.25", "86400.5"));
-    out.put("unknown key", FULL.replace("window", "widow"));
-    out.put("unknown section", FULL.replace("[fleet]", "[flat]"));
-    out.put("key of another section", FULL + "window = 4\n");
-    out.put("key without section", "window = 4\n");
-    out.put("several", "[placement]\nwindow = x\nbatch = 0\n[fleet]\nidle_release_s = -1\n");
-    out.put("no INI", "[placement\nwindow");
-    out.put("no value", "[placement]\nwindow\n");
-    return out;
+    files.put("idle_release_s", FULL.replace("99.25", "86400.5"));
+    files.put("unknown key", FULL.replace("window", "widow"));
+    files.put("unknown section", FULL.replace("[fleet]", "[flat]"));
+    files.put("key of another section", FULL + "window = 4\n");
+    files.put("key without section", "window = 4\n");
+    files.put("several", "[placement]\nwindow = x\nbatch = 0\n[fleet]\nidle_release_s = -1\n");
+    files.put("no INI", "[placement\nwindow");
+    files.put("no value", "[placement]\nwindow\n");
+    return files;
   }
 
   @Test
   void errors() throws Exception {
-    Golden g = new Golden("operator-errors");
-    for (Map.Entry<String, String> e : invalidFiles().entrySet()) {
-      Path file = writeFile(e.getValue());
-      String said =
-          assertThrows(ConfigurationException.class, () -> OperatorSettings.load(file), e.getKey())
+    Golden golden = new Golden("operator-errors");
+    for (Map.Entry<String, String> entry : invalidFiles().entrySet()) {
+      Path file = writeFile(entry.getValue());
+      String message =
+          assertThrows(
+                  ConfigurationException.class, () -> OperatorSettings.load(file), entry.getKey())
               .getMessage();
-      g.add("<" + e.getKey() + ">", said.replace(file.toString(), "FILE"));
+      golden.add("<" + entry.getKey() + ">", message.replace(file.toString(), "FILE"));
     }
-    Path none = dir.resolve("none.ini");
-    String said =
-        assertThrows(ConfigurationException.class, () -> OperatorSettings.load(none)).getMessage();
-    g.add("no file", said.replace(none.toString(), "FILE"));
-    g.check();
+    Path missing = dir.resolve("none.ini");
+    String message =
+        assertThrows(ConfigurationException.class, () -> OperatorSettings.load(missing))
+            .getMessage();
+    golden.add("no file", message.replace(missing.toString(), "FILE"));
+    golden.check();
   }
 }
