--- a/src/test/java/org/astershift/golden/PeerRequestsTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What controllers ask each other and what is answered, in words that frames carry. */
+/** Requests between controllers and the answers to them, in the words that frames carry. */
 @Timeout(120)
 class PeerRequestsTest {
   private static final String JOB = "wk-1";
@@ -42,18 +42,18 @@
   @TempDir Path dir;
   private final ThreadGroup threads = new ThreadGroup("controller");
 
-  /** Users' questions that the node passed on to the leader. */
+  /** Users' requests that the node forwarded to the leader. */
   private final Set<String> forwardedRequests = new ConcurrentSkipListSet<>();
 
   private StoreEmulator store;
   private HttpServer worker;
   private JobService jobService;
 
-  /** Another node leads, and one job is on record. */
+  /** Starts a follower: another node leads, and one job is recorded. */
   @BeforeEach
   void start() throws Exception {
     store = new StoreEmulator(0);
-    worker = new HttpServer("127.0.0.1", 0, 10, r -> Response.of(200, Map.of()));
+    worker = new HttpServer("127.0.0.1", 0, 10, request -> Response.of(200, Map.of()));
     worker.start();
     Map<String, Object> job =
         RecordCodec.encodeJob(
@@ -80,20 +80,20 @@
   private void startController(Settings settings) {
     StoreClient client = new StoreClient(settings);
     Map<String, JobService.PeerChannel> peers =
-        Map.of("n2", (op, job, timeoutMs) -> answerAsLeader(op, job));
-    ControllerRuntime director =
+        Map.of("n2", (operation, job, timeoutMs) -> answerAsLeader(operation, job));
+    ControllerRuntime controller =
         new ControllerRuntime(
             settings, OperatorSettings.defaults(), client, new WatchCache(client), peers);
-    jobService = new JobService(director, client, peers);
-    director.start();
+    jobService = new JobService(controller, client, peers);
+    controller.start();
   }
 
-  private PeerResponse answerAsLeader(PeerOperation op, String job) {
+  private PeerResponse answerAsLeader(PeerOperation operation, String job) {
     if (!job.equals(JOB)) {
-      return new PeerResponse(200, "", 0, 0); // what nodes ask each other of themselves
+      return new PeerResponse(200, "", 0, 0); // a request about the node itself
     }
-    forwardedRequests.add(op.wireName() + " " + job);
-    return op == PeerOperation.CANCEL_JOB ? CANCELLED : RUNNING;
+    forwardedRequests.add(operation.wireName() + " " + job);
+    return operation == PeerOperation.CANCEL_JOB ? CANCELLED : RUNNING;
   }
 
   @AfterEach
@@ -103,15 +103,22 @@
     store.close();
   }
 
-  private static String describe(PeerResponse a) {
-    return a.status() + " <" + a.phase() + "> " + a.doneTasks() + " " + a.runningTasks();
+  private static String describe(PeerResponse answer) {
+    return answer.status()
+        + " <"
+        + answer.phase()
+        + "> "
+        + answer.doneTasks()
+        + " "
+        + answer.runningTasks();
   }
 
-  private void addRequest(Golden g, String label, String op, String job) throws Exception {
-    g.add(label, describe(jobService.answerPeer(PeerOperation.fromWireName(op), job)));
+  private void addRequest(Golden golden, String label, String operation, String job)
+      throws Exception {
+    golden.add(label, describe(jobService.answerPeer(PeerOperation.fromWireName(operation), job)));
   }
 
-  /** Asks until the node has read what is on record. */
+  /** Polls until the node has read the records in the store. */
   private void awaitReady() throws Exception {
     while (jobService.poll(JOB, true).status() != 200
         || jobService.answerPeer(PeerOperation.STORE_STATUS, "").phase().isEmpty()) {
@@ -122,17 +129,17 @@
   @Test
   void peerRequests() throws Exception {
     awaitReady();
-    Golden g = new Golden("peer-words");
-    g.add("user asks", describe(jobService.poll(JOB, true)));
-    g.add("user cancels", describe(jobService.cancel(JOB, true)));
-    g.add("passed on", String.join(", ", new TreeSet<>(forwardedRequests)));
-    addRequest(g, "poll", "poll", "wk-2");
-    addRequest(g, "state", "state", "");
-    addRequest(g, "reach", "reach", "");
-    addRequest(g, "yield", "yield", "n3");
+    Golden golden = new Golden("peer-words");
+    golden.add("user asks", describe(jobService.poll(JOB, true)));
+    golden.add("user cancels", describe(jobService.cancel(JOB, true)));
+    golden.add("passed on", String.join(", ", new TreeSet<>(forwardedRequests)));
+    addRequest(golden, "poll", "poll", "wk-2");
+    addRequest(golden, "state", "state", "");
+    addRequest(golden, "reach", "reach", "");
+    addRequest(golden, "yield", "yield", "n3");
     String alive = "127.0.0.1:" + worker.port();
-    addRequest(g, "witness", "witness", alive + " 127.0.0.1:70000 " + alive);
-    addRequest(g, "another word", "rest", "");
-    g.check();
+    addRequest(golden, "witness", "witness", alive + " 127.0.0.1:70000 " + alive);
+    addRequest(golden, "another word", "rest", "");
+    golden.check();
   }
 }
--- a/src/test/java/org/astershift/golden/Recorder.java
+++ b/src/test/java/org/astershift/golden/Recorder.java
@@ -13,7 +13,7 @@
 import org.astershift.http.HttpServer.Request;
 import org.astershift.http.HttpServer.Response;
 
-/** A server that notes what it is asked and gives the answers that it was told to give. */
+/** A server that records the requests to it and sends the responses that were queued. */
 public final class Recorder implements AutoCloseable {
   private final HttpServer server;
   private final Deque<Response> queuedResponses = new ArrayDeque<>();
@@ -24,29 +24,29 @@
     server.start();
   }
 
-  /** Settings of a node whose state service and cloud are this server. */
+  /** Returns the settings of a node whose store and cloud are this server. */
   public Settings settings(Path dir) throws Exception {
     return Emulators.settings(dir, server.port(), server.port());
   }
 
-  /** The next request without an answer of its own gets this one. */
+  /** Queues a response; each request takes the next one of the queue. */
   public synchronized void enqueueResponse(int status, String body) {
     queuedResponses.add(new Response(status, body.getBytes(StandardCharsets.UTF_8), 0));
   }
 
-  private synchronized Response handle(Request r) {
-    String query = r.query().isEmpty() ? "" : "?" + r.query();
-    String body = new String(r.body(), StandardCharsets.UTF_8);
-    requests.add((r.method() + " " + r.path() + query + " " + body).trim());
+  private synchronized Response handle(Request request) {
+    String query = request.query().isEmpty() ? "" : "?" + request.query();
+    String body = new String(request.body(), StandardCharsets.UTF_8);
+    requests.add((request.method() + " " + request.path() + query + " " + body).trim());
     Response next = queuedResponses.poll();
-    return next == null ? Response.error(500, "no answer was recorded") : next;
+    return next == null ? Response.error(500, "no response was queued") : next;
   }
 
-  /** What was asked since the last call. */
+  /** Returns the requests since the last call. */
   public synchronized String takeRequests() {
-    String all = String.join(" & ", requests);
+    String text = String.join(" & ", requests);
     requests.clear();
-    return all;
+    return text;
   }
 
   @Override
--- a/src/test/java/org/astershift/golden/SettingsFormsTest.java
+++ b/src/test/java/org/astershift/golden/SettingsFormsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the platform's file yields, and the one line that is said of a bad one. */
+/** Values read from the platform's settings file, and the one-line errors for invalid files. */
 class SettingsFormsTest {
   private static final String MINIMAL =
       """
@@ -92,111 +92,121 @@
   }
 
   private static String joinValues(Object... values) {
-    StringJoiner out = new StringJoiner(" ");
-    for (Object v : values) {
-      out.add(String.valueOf(v));
+    StringJoiner text = new StringJoiner(" ");
+    for (Object value : values) {
+      text.add(String.valueOf(value));
     }
-    return out.toString();
+    return text.toString();
   }
 
-  private static String joinValues(Settings.Endpoint e) {
-    return joinValues(e.host(), e.port(), e);
+  private static String joinValues(Settings.Endpoint endpoint) {
+    return joinValues(endpoint.host(), endpoint.port(), endpoint);
   }
 
-  private static void addSettings(Golden g, String label, Settings s) {
-    g.add(label + ", node", joinValues(s.nodeName(), s.zone()));
-    g.add(label + ", listens", joinValues(s.listen()));
-    g.add(label + ", for others", joinValues(s.peerListen()));
-    g.add(label + ", others", String.valueOf(s.peers().size()));
-    for (Settings.Peer p : s.peers()) {
-      g.add(
-          label + ", other " + p.nodeName(),
-          joinValues(p.nodeName(), p.zone(), joinValues(p.endpoint())));
+  private static void addSettings(Golden golden, String label, Settings settings) {
+    golden.add(label + ", node", joinValues(settings.nodeName(), settings.zone()));
+    golden.add(label + ", listens", joinValues(settings.listen()));
+    golden.add(label + ", for others", joinValues(settings.peerListen()));
+    golden.add(label + ", others", String.valueOf(settings.peers().size()));
+    for (Settings.Peer peer : settings.peers()) {
+      golden.add(
+          label + ", other " + peer.nodeName(),
+          joinValues(peer.nodeName(), peer.zone(), joinValues(peer.endpoint())));
     }
-    g.add(label + ", cloud", joinValues(s.cloud()));
-    g.add(label + ", state", joinValues(s.store()));
-    Settings.StoreLimits l = s.storeLimits();
-    g.add(label + ", state's limits", joinValues(l.rps(), l.writeRps(), l.valueKb(), l.txnOps()));
-    g.add(label + ", cloud's limit", joinValues(s.cloudRps()));
-    g.add(label + ", sockets", joinValues(s.maxSockets()));
-    DeploymentLimits f = s.limits();
-    g.add(
+    golden.add(label + ", cloud", joinValues(settings.cloud()));
+    golden.add(label + ", state", joinValues(settings.store()));
+    Settings.StoreLimits limits = settings.storeLimits();
+    golden.add(
+        label + ", state's limits",
+        joinValues(limits.rps(), limits.writeRps(), limits.valueKb(), limits.txnOps()));
+    golden.add(label + ", cloud's limit", joinValues(settings.cloudRps()));
+    golden.add(label + ", sockets", joinValues(settings.maxSockets()));
+    DeploymentLimits deployment = settings.limits();
+    golden.add(
         label + ", workers",
-        joinValues(f.heartbeatIntervalS(), f.leaseS(), f.gangWaitS(), f.gangPeerS()));
-    g.add(label + ", times", joinValues(f.cancellationS(), f.listLagS()));
-    g.add(label + ", teams", String.join(" ", f.teams().keySet()));
-    for (Team t : f.teams().values()) {
-      String amounts = joinValues(t.guaranteedCpus(), t.maxCpus(), t.guaranteedGpus(), t.maxGpus());
-      g.add(label + ", team " + t.name(), amounts);
+        joinValues(
+            deployment.heartbeatIntervalS(),
+            deployment.leaseS(),
+            deployment.gangWaitS(),
+            deployment.gangPeerS()));
+    golden.add(label + ", times", joinValues(deployment.cancellationS(), deployment.listLagS()));
+    golden.add(label + ", teams", String.join(" ", deployment.teams().keySet()));
+    for (Team team : deployment.teams().values()) {
+      String amounts =
+          joinValues(team.guaranteedCpus(), team.maxCpus(), team.guaranteedGpus(), team.maxGpus());
+      golden.add(label + ", team " + team.name(), amounts);
     }
-    g.add(label + ", objectives", String.valueOf(f.objectives().size()));
-    for (ServiceLevelObjective o : f.objectives()) {
-      String rest = joinValues(o.withinS(), o.share(), o.deadlineMultiple());
-      g.add(label + ", objective " + o.kind(), joinValues("<" + o.jobClass() + ">", rest));
+    golden.add(label + ", objectives", String.valueOf(deployment.objectives().size()));
+    for (ServiceLevelObjective objective : deployment.objectives()) {
+      String rest =
+          joinValues(objective.withinS(), objective.share(), objective.deadlineMultiple());
+      golden.add(
+          label + ", objective " + objective.kind(),
+          joinValues("<" + objective.jobClass() + ">", rest));
     }
   }
 
   @Test
   void values() throws Exception {
-    Golden g = new Golden("settings-values");
-    addSettings(g, "minimal", Settings.load(writeFile(MINIMAL)));
-    addSettings(g, "full", Settings.load(writeFile(FULL)));
-    g.check();
+    Golden golden = new Golden("settings-values");
+    addSettings(golden, "minimal", Settings.load(writeFile(MINIMAL)));
+    addSettings(golden, "full", Settings.load(writeFile(FULL)));
+    golden.check();
   }
 
-  /** Any text is a good name. */
+  /** Returns invalid values of a setting. Any text is a valid name, so names have fewer of them. */
   private static List<String> invalidValues(String name) {
     List<String> all = List.of("true", "-1", "1e12", "\"\"", "\"x\"", "\"x:0\"");
     return name.equals("member") || name.equals("domain") ? all.subList(0, 4) : all;
   }
 
   private static Map<String, String> invalidFiles() {
-    Map<String, String> out = new LinkedHashMap<>();
+    Map<String, String> files = new LinkedHashMap<>();
     for (String line : MINIMAL.split("\n")) {
       String name = line.replaceAll(" = .*", "");
       String label = line.replace(" = ", ":");
       if (line.contains(" = ")) {
         String before = name.equals("rps") ? line : "\n" + line;
-        out.put(label + " missing", ("\n" + FULL).replace(before + "\n", "\n"));
+        files.put(label + " missing", ("\n" + FULL).replace(before + "\n", "\n"));
         for (String wrong : invalidValues(name)) {
-          out.put(label + " is " + wrong, FULL.replace(line, name + " = " + wrong));
+          files.put(label + " is " + wrong, FULL.replace(line, name + " = " + wrong));
         }
       }
     }
-    out.put("port", FULL.replace(":65535", ":65536"));
-    out.put("no host", FULL.replace("10.0.0.9:", ":"));
-    out.put("others is a table", MINIMAL + "[others]\nmember = \"n2\"\n");
-    out.put("others is a list of numbers", "others = [1]\n" + MINIMAL);
-    out.put("others lacks all", FULL.replace(OTHERS, "[[others]]\n"));
-    out.put("team without a name", FULL.replace("name = \"least\"", ""));
-    out.put("team's amount", FULL.replace("cpus_max = 2", "cpus_max = -2"));
-    out.put("team's text", FULL.replace("cpus_max = 2", "cpus_max = \"2\""));
-    out.put("teams is a text", MINIMAL + "[facts]\nteams = \"a\"\n");
-    out.put("objective's kind", FULL.replace("kind = \"wait\"", "kind = 7"));
-    out.put("objective's class", FULL.replace("class = \"train\"", "class = 7"));
-    out.put("objective's share", FULL.replace("share = 0.95", "share = \"all\""));
-    out.put("facts is a number", "facts = 1\n");
-    out.put("external is a text", "external = \"x\"\n" + MINIMAL.replace("[external]", "[e]"));
-    out.put("empty", "");
-    out.put("no TOML", "member = \n");
-    out.put("no TOML at all", "{\"member\": 1}");
-    return out;
+    files.put("port", FULL.replace(":65535", ":65536"));
+    files.put("no host", FULL.replace("10.0.0.9:", ":"));
+    files.put("others is a table", MINIMAL + "[others]\nmember = \"n2\"\n");
+    files.put("others is a list of numbers", "others = [1]\n" + MINIMAL);
+    files.put("others lacks all", FULL.replace(OTHERS, "[[others]]\n"));
+    files.put("team without a name", FULL.replace("name = \"least\"", ""));
+    files.put("team's amount", FULL.replace("cpus_max = 2", "cpus_max = -2"));
+    files.put("team's text", FULL.replace("cpus_max = 2", "cpus_max = \"2\""));
+    files.put("teams is a text", MINIMAL + "[facts]\nteams = \"a\"\n");
+    files.put("objective's kind", FULL.replace("kind = \"wait\"", "kind = 7"));
+    files.put("objective's class", FULL.replace("class = \"train\"", "class = 7"));
+    files.put("objective's share", FULL.replace("share = 0.95", "share = \"all\""));
+    files.put("facts is a number", "facts = 1\n");
+    files.put("external is a text", "external = \"x\"\n" + MINIMAL.replace("[external]", "[e]"));
+    files.put("empty", "");
+    files.put("no TOML", "member = \n");
+    files.put("no TOML at all", "{\"member\": 1}");
+    return files;
   }
 
   @Test
   void errors() throws Exception {
-    Golden g = new Golden("settings-errors");
-    for (Map.Entry<String, String> e : invalidFiles().entrySet()) {
-      Path file = writeFile(e.getValue());
-      String said =
-          assertThrows(ConfigurationException.class, () -> Settings.load(file), e.getKey())
+    Golden golden = new Golden("settings-errors");
+    for (Map.Entry<String, String> entry : invalidFiles().entrySet()) {
+      Path file = writeFile(entry.getValue());
+      String message =
+          assertThrows(ConfigurationException.class, () -> Settings.load(file), entry.getKey())
               .getMessage();
-      g.add("<" + e.getKey() + ">", said.replace(file.toString(), "FILE"));
+      golden.add("<" + entry.getKey() + ">", message.replace(file.toString(), "FILE"));
     }
-    Path none = dir.resolve("none.toml");
-    String said =
-        assertThrows(ConfigurationException.class, () -> Settings.load(none)).getMessage();
-    g.add("no file", said.replace(none.toString(), "FILE"));
-    g.check();
+    Path missing = dir.resolve("none.toml");
+    String message =
+        assertThrows(ConfigurationException.class, () -> Settings.load(missing)).getMessage();
+    golden.add("no file", message.replace(missing.toString(), "FILE"));
+    golden.check();
   }
 }
--- a/src/test/java/org/astershift/golden/StoredRecordsTest.java
+++ b/src/test/java/org/astershift/golden/StoredRecordsTest.java
@@ -20,7 +20,7 @@
 import org.astershift.store.RecordCodec;
 import org.junit.jupiter.api.Test;
 
-/** Keys and values in the state service: later versions read what earlier ones wrote. */
+/** Keys and values in the store: later versions read what earlier versions wrote. */
 class StoredRecordsTest {
   private static final String ID = "wk-000412";
 
@@ -32,9 +32,9 @@
     return parseObject("{\"v\":" + text + "}").get("v");
   }
 
-  /** An object whose fields have no order, with its fields in the order of their names. */
-  private static byte[] sortedJson(Map<String, Object> m) {
-    return Json.encode(new TreeMap<>(m));
+  /** Encodes an object whose fields have no order, with the fields sorted by name. */
+  private static byte[] sortedJson(Map<String, Object> object) {
+    return Json.encode(new TreeMap<>(object));
   }
 
   private static JobSpec spec(
@@ -69,40 +69,41 @@
   }
 
   private static Map<String, JobSpec> jobs() {
-    Map<String, JobSpec> out = new LinkedHashMap<>();
+    Map<String, JobSpec> specs = new LinkedHashMap<>();
     List<String> types = List.of("g8", "c\u00e4\"4");
-    out.put("every field", spec(JobKind.GANG, Priority.HIGH, types, "z1", 900.5));
-    out.put("no optional field", spec(JobKind.GANG, Priority.HIGH, null, null, null));
-    out.put("only types", spec(JobKind.GANG, Priority.HIGH, types, null, null));
-    out.put("types of none", spec(JobKind.GANG, Priority.HIGH, List.of(), null, null));
-    out.put("only a zone", spec(JobKind.GANG, Priority.HIGH, null, "z1", null));
-    out.put("only a deadline", spec(JobKind.GANG, Priority.HIGH, null, null, 0.0));
-    out.put("array", spec(JobKind.ARRAY, Priority.NORMAL, null, null, null));
-    out.put("gang", spec(JobKind.GANG, Priority.NORMAL, null, null, null));
-    out.put("service", spec(JobKind.SERVICE, Priority.NORMAL, null, null, null));
-    out.put("critical", spec(JobKind.ARRAY, Priority.PRODUCTION, null, null, null));
-    out.put("urgent", spec(JobKind.ARRAY, Priority.HIGH, null, null, null));
-    out.put("standard", spec(JobKind.ARRAY, Priority.NORMAL, null, null, null));
-    out.put("idle", spec(JobKind.ARRAY, Priority.LOW, null, null, null));
-    out.put("other flags and amounts", otherFlags());
-    return out;
+    specs.put("every field", spec(JobKind.GANG, Priority.HIGH, types, "z1", 900.5));
+    specs.put("no optional field", spec(JobKind.GANG, Priority.HIGH, null, null, null));
+    specs.put("only types", spec(JobKind.GANG, Priority.HIGH, types, null, null));
+    specs.put("types of none", spec(JobKind.GANG, Priority.HIGH, List.of(), null, null));
+    specs.put("only a zone", spec(JobKind.GANG, Priority.HIGH, null, "z1", null));
+    specs.put("only a deadline", spec(JobKind.GANG, Priority.HIGH, null, null, 0.0));
+    specs.put("array", spec(JobKind.ARRAY, Priority.NORMAL, null, null, null));
+    specs.put("gang", spec(JobKind.GANG, Priority.NORMAL, null, null, null));
+    specs.put("service", spec(JobKind.SERVICE, Priority.NORMAL, null, null, null));
+    specs.put("critical", spec(JobKind.ARRAY, Priority.PRODUCTION, null, null, null));
+    specs.put("urgent", spec(JobKind.ARRAY, Priority.HIGH, null, null, null));
+    specs.put("standard", spec(JobKind.ARRAY, Priority.NORMAL, null, null, null));
+    specs.put("idle", spec(JobKind.ARRAY, Priority.LOW, null, null, null));
+    specs.put("other flags and amounts", otherFlags());
+    return specs;
   }
 
   @Test
   void jobRecords() throws Exception {
-    Golden g = new Golden("records-jobs");
-    for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
-      g.add(
-          e.getKey(),
+    Golden golden = new Golden("records-jobs");
+    for (Map.Entry<String, JobSpec> entry : jobs().entrySet()) {
+      golden.add(
+          entry.getKey(),
           Json.encode(
-              RecordCodec.encodeJob(new RecordCodec.JobRecord(e.getValue(), 1700000000123L))));
+              RecordCodec.encodeJob(new RecordCodec.JobRecord(entry.getValue(), 1700000000123L))));
     }
-    g.check();
-    for (Map.Entry<String, JobSpec> e : jobs().entrySet()) {
-      RecordCodec.JobRecord back =
+    golden.check();
+    for (Map.Entry<String, JobSpec> entry : jobs().entrySet()) {
+      RecordCodec.JobRecord decoded =
           RecordCodec.decodeJob(
-              RecordCodec.LIVE_JOB_PREFIX + ID, parseObject(g.expected(e.getKey())));
-      assertEquals(new RecordCodec.JobRecord(e.getValue(), 1700000000123L), back, e.getKey());
+              RecordCodec.LIVE_JOB_PREFIX + ID, parseObject(golden.expected(entry.getKey())));
+      assertEquals(
+          new RecordCodec.JobRecord(entry.getValue(), 1700000000123L), decoded, entry.getKey());
     }
   }
 
@@ -124,22 +125,23 @@
 
   @Test
   void leaderAndEnded() throws Exception {
-    Golden g = new Golden("records-ended");
-    g.add("leader", Json.encode(RecordCodec.encodeLeader("n1")));
+    Golden golden = new Golden("records-ended");
+    golden.add("leader", Json.encode(RecordCodec.encodeLeader("n1")));
     Map<String, RecordCodec.JobEnd> ended = new LinkedHashMap<>();
     ended.put("done", new RecordCodec.JobEnd(false, 100_000));
     ended.put("cancelled", new RecordCodec.JobEnd(true, 0));
     ended.put("cancelled in part", new RecordCodec.JobEnd(true, 7));
-    ended.forEach((label, e) -> g.add(label, sortedJson(RecordCodec.encodeJobEnd(e))));
-    g.check();
-    for (Map.Entry<String, RecordCodec.JobEnd> e : ended.entrySet()) {
-      assertEquals(e.getValue(), RecordCodec.decodeJobEnd(parseObject(g.expected(e.getKey()))));
+    ended.forEach((label, end) -> golden.add(label, sortedJson(RecordCodec.encodeJobEnd(end))));
+    golden.check();
+    for (Map.Entry<String, RecordCodec.JobEnd> end : ended.entrySet()) {
+      assertEquals(
+          end.getValue(), RecordCodec.decodeJobEnd(parseObject(golden.expected(end.getKey()))));
     }
   }
 
   @Test
   void machinesAndRentals() throws Exception {
-    Golden g = new Golden("records-machines");
+    Golden golden = new Golden("records-machines");
     Map<String, Decision.RegisterMachine> machines = new LinkedHashMap<>();
     for (String addr : new String[] {"10.0.0.1:7000", null}) {
       for (boolean fresh : new boolean[] {true, false}) {
@@ -149,20 +151,23 @@
             label + " other", new Decision.RegisterMachine("m-1", addr, "g8", "z1", !fresh, fresh));
       }
     }
-    machines.forEach((label, m) -> g.add(label, Json.encode(RecordCodec.encodeMachine(m))));
+    machines.forEach(
+        (label, machine) -> golden.add(label, Json.encode(RecordCodec.encodeMachine(machine))));
     Decision.ProvisionMachines spot = new Decision.ProvisionMachines("g8", "z1", true, 1);
     Decision.ProvisionMachines many = new Decision.ProvisionMachines("c4", "z2", false, 500);
-    g.add("rental spot", Json.encode(RecordCodec.encodeProvisionRequest(spot)));
-    g.add("rental many", Json.encode(RecordCodec.encodeProvisionRequest(many)));
-    g.check();
-    for (Map.Entry<String, Decision.RegisterMachine> m : machines.entrySet()) {
+    golden.add("rental spot", Json.encode(RecordCodec.encodeProvisionRequest(spot)));
+    golden.add("rental many", Json.encode(RecordCodec.encodeProvisionRequest(many)));
+    golden.check();
+    for (Map.Entry<String, Decision.RegisterMachine> machine : machines.entrySet()) {
       assertEquals(
-          m.getValue(),
-          RecordCodec.decodeMachine("m-1", parseValue(g.expected(m.getKey()))),
-          m.getKey());
+          machine.getValue(),
+          RecordCodec.decodeMachine("m-1", parseValue(golden.expected(machine.getKey()))),
+          machine.getKey());
     }
-    assertEquals(spot, RecordCodec.decodeProvisionRequest(parseValue(g.expected("rental spot"))));
-    assertEquals(many, RecordCodec.decodeProvisionRequest(parseValue(g.expected("rental many"))));
+    assertEquals(
+        spot, RecordCodec.decodeProvisionRequest(parseValue(golden.expected("rental spot"))));
+    assertEquals(
+        many, RecordCodec.decodeProvisionRequest(parseValue(golden.expected("rental many"))));
   }
 
   @Test
@@ -171,28 +176,30 @@
     types.put(
         "g8", new MachineType("g8", 64, 8, 512.5, 900, 0.25, 12.5, 3.75, 90, List.of("a", "b")));
     types.put("c4", new MachineType("c4", 4, 0, 16, 100, 1, 0.2, 0.05, 30.5, List.of()));
-    Golden g = new Golden("records-types");
-    g.add("two types", Json.encode(RecordCodec.encodeMachineTypes(types)));
-    g.add("none", Json.encode(RecordCodec.encodeMachineTypes(Map.of())));
-    g.check();
-    Map<String, MachineType> back =
-        RecordCodec.decodeMachineTypes(parseObject(g.expected("two types")));
-    assertEquals(new ArrayList<>(types.values()), new ArrayList<>(back.values()));
-    assertEquals(new ArrayList<>(types.keySet()), new ArrayList<>(back.keySet()));
-    assertEquals(Map.of(), RecordCodec.decodeMachineTypes(parseObject(g.expected("none"))));
+    Golden golden = new Golden("records-types");
+    golden.add("two types", Json.encode(RecordCodec.encodeMachineTypes(types)));
+    golden.add("none", Json.encode(RecordCodec.encodeMachineTypes(Map.of())));
+    golden.check();
+    Map<String, MachineType> decoded =
+        RecordCodec.decodeMachineTypes(parseObject(golden.expected("two types")));
+    assertEquals(new ArrayList<>(types.values()), new ArrayList<>(decoded.values()));
+    assertEquals(new ArrayList<>(types.keySet()), new ArrayList<>(decoded.keySet()));
+    assertEquals(Map.of(), RecordCodec.decodeMachineTypes(parseObject(golden.expected("none"))));
   }
 
   @Test
   void placements() throws Exception {
-    Golden g = new Golden("records-opened");
-    List<String> places = List.of("m-1", "m-2");
-    g.add("no place", Json.encode(RecordCodec.encodePlacement(List.of())));
-    g.add("one place", Json.encode(RecordCodec.encodePlacement(List.of("m-1"))));
-    g.add("two places", Json.encode(RecordCodec.encodePlacement(places)));
-    g.check();
-    assertEquals(List.of(), RecordCodec.decodePlacement(parseValue(g.expected("no place"))));
-    assertEquals(List.of("m-1"), RecordCodec.decodePlacement(parseValue(g.expected("one place"))));
-    assertEquals(places, RecordCodec.decodePlacement(parseValue(g.expected("two places"))));
+    Golden golden = new Golden("records-opened");
+    List<String> machineNames = List.of("m-1", "m-2");
+    golden.add("no place", Json.encode(RecordCodec.encodePlacement(List.of())));
+    golden.add("one place", Json.encode(RecordCodec.encodePlacement(List.of("m-1"))));
+    golden.add("two places", Json.encode(RecordCodec.encodePlacement(machineNames)));
+    golden.check();
+    assertEquals(List.of(), RecordCodec.decodePlacement(parseValue(golden.expected("no place"))));
+    assertEquals(
+        List.of("m-1"), RecordCodec.decodePlacement(parseValue(golden.expected("one place"))));
+    assertEquals(
+        machineNames, RecordCodec.decodePlacement(parseValue(golden.expected("two places"))));
     assertEquals(List.of(), RecordCodec.decodePlacement(null));
   }
 
@@ -204,53 +211,59 @@
       done.set(i);
     }
     done.set(2 * RecordCodec.SEGMENT_TASKS + 77);
-    Golden g = new Golden("records-progress");
+    Golden golden = new Golden("records-progress");
     for (int segment = 0; segment < 4; segment++) {
-      g.add(
+      golden.add(
           RecordCodec.progressKey(ID, segment),
           Json.encode(RecordCodec.encodeSegment(done, segment)));
     }
-    g.check();
-    BitSet back = new BitSet();
+    golden.check();
+    BitSet decoded = new BitSet();
     for (int segment = 0; segment < 4; segment++) {
       String key = ID + "/" + segment;
-      assertEquals(ID, RecordCodec.mergeSegment(back, key, parseValue(g.expected(key))));
+      assertEquals(ID, RecordCodec.mergeSegment(decoded, key, parseValue(golden.expected(key))));
     }
-    assertEquals(done, back);
+    assertEquals(done, decoded);
   }
 
-  /** A call that must find its input bad. */
+  /** A decoding that must reject its input. */
   private interface Decoding {
     void decode() throws JsonFormatException;
   }
 
-  private static void addError(Golden g, String label, Decoding reading) {
-    g.add(label, assertThrows(JsonFormatException.class, reading::decode, label).getMessage());
+  private static void addError(Golden golden, String label, Decoding decoding) {
+    golden.add(
+        label, assertThrows(JsonFormatException.class, decoding::decode, label).getMessage());
   }
 
   @Test
   void malformedRecords() throws Exception {
-    Golden g = new Golden("records-errors");
-    addError(g, "machine 1", () -> RecordCodec.decodeMachine("m", 1));
-    addError(g, "machine short", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", true)));
-    addError(g, "machine flag", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", 1, true)));
-    addError(g, "rental text", () -> RecordCodec.decodeProvisionRequest("x"));
+    Golden golden = new Golden("records-errors");
+    addError(golden, "machine 1", () -> RecordCodec.decodeMachine("m", 1));
+    addError(
+        golden, "machine short", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", true)));
     addError(
-        g,
+        golden, "machine flag", () -> RecordCodec.decodeMachine("m", List.of("g8", "z1", 1, true)));
+    addError(golden, "rental text", () -> RecordCodec.decodeProvisionRequest("x"));
+    addError(
+        golden,
         "rental count",
         () -> RecordCodec.decodeProvisionRequest(List.of("g8", "z1", true, "2")));
-    addError(g, "progress text", () -> RecordCodec.mergeSegment(new BitSet(), ID + "/0", "?"));
-    addError(g, "progress key", () -> RecordCodec.mergeSegment(new BitSet(), ID, "AQ=="));
-    addError(g, "ended", () -> RecordCodec.decodeJobEnd(Map.of("cancelled", true)));
-    addError(g, "job", () -> RecordCodec.decodeJob(RecordCodec.LIVE_JOB_PREFIX + ID, Map.of()));
+    addError(golden, "progress text", () -> RecordCodec.mergeSegment(new BitSet(), ID + "/0", "?"));
+    addError(golden, "progress key", () -> RecordCodec.mergeSegment(new BitSet(), ID, "AQ=="));
+    addError(golden, "ended", () -> RecordCodec.decodeJobEnd(Map.of("cancelled", true)));
+    addError(
+        golden, "job", () -> RecordCodec.decodeJob(RecordCodec.LIVE_JOB_PREFIX + ID, Map.of()));
     addError(
-        g,
+        golden,
         "types",
         () ->
             RecordCodec.decodeMachineTypes(
                 parseObject("{\"types\":[{\"name\":\"a\",\"n\":[1]}]}")));
     addError(
-        g, "types text", () -> RecordCodec.decodeMachineTypes(parseObject("{\"types\":[\"a\"]}")));
-    g.check();
+        golden,
+        "types text",
+        () -> RecordCodec.decodeMachineTypes(parseObject("{\"types\":[\"a\"]}")));
+    golden.check();
   }
 }
--- a/src/test/java/org/astershift/golden/SubmissionFormsTest.java
+++ b/src/test/java/org/astershift/golden/SubmissionFormsTest.java
@@ -9,7 +9,9 @@
 import org.astershift.scheduler.JobSpec;
 import org.junit.jupiter.api.Test;
 
-/** The users' words for jobs: what each is read as, without controllers. */
+/**
+ * Submissions in the words of users, and the job that is decoded from each, without controllers.
+ */
 class SubmissionFormsTest {
   static final String VALID =
       "{\"id\":\"wk-000412\",\"berth_class\":\"train\",\"crew\":\"vision\",\"shape\":\"gang\","
@@ -22,35 +24,38 @@
     return JobCodec.decodeSpec(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Its values in a fixed order; kinds and priorities as the numbers that records hold. */
-  private static String describe(JobSpec s) {
+  /**
+   * Returns the values of a specification in a fixed order; kinds and priorities as the numbers
+   * that records hold.
+   */
+  private static String describe(JobSpec spec) {
     Object[] values = {
-      s.id(),
-      s.jobClass(),
-      s.team(),
-      s.kind().ordinal(),
-      s.priority().ordinal(),
-      s.tasks(),
-      s.cpus(),
-      s.gpus(),
-      s.memoryGb(),
-      s.image(),
-      s.imageGb(),
-      s.machineTypes(),
-      s.zone(),
-      s.oneZone(),
-      s.spread(),
-      s.spotAllowed(),
-      s.estimateS(),
-      s.checkpointIntervalS(),
-      s.checkpointSaveS(),
-      s.deadlineS()
+      spec.id(),
+      spec.jobClass(),
+      spec.team(),
+      spec.kind().ordinal(),
+      spec.priority().ordinal(),
+      spec.tasks(),
+      spec.cpus(),
+      spec.gpus(),
+      spec.memoryGb(),
+      spec.image(),
+      spec.imageGb(),
+      spec.machineTypes(),
+      spec.zone(),
+      spec.oneZone(),
+      spec.spread(),
+      spec.spotAllowed(),
+      spec.estimateS(),
+      spec.checkpointIntervalS(),
+      spec.checkpointSaveS(),
+      spec.deadlineS()
     };
-    StringBuilder out = new StringBuilder();
-    for (Object v : values) {
-      out.append(v).append("; ");
+    StringBuilder text = new StringBuilder();
+    for (Object value : values) {
+      text.append(value).append("; ");
     }
-    return out.toString().trim();
+    return text.toString().trim();
   }
 
   @Test
@@ -68,23 +73,23 @@
     cases.put("null", VALID.replace("[\"g8\",\"c4\"]", "null").replace("\"z1\"", "null"));
     cases.put("no deadline", VALID.replace("\"due_s\":900.0,", ""));
     cases.put("no types", VALID.replace("[\"g8\",\"c4\"]", "[]"));
-    Golden g = new Golden("submission-values");
-    for (Map.Entry<String, String> e : cases.entrySet()) {
-      g.add(e.getKey(), describe(decode(e.getValue())));
+    Golden golden = new Golden("submission-values");
+    for (Map.Entry<String, String> entry : cases.entrySet()) {
+      golden.add(entry.getKey(), describe(decode(entry.getValue())));
     }
-    g.check();
+    golden.check();
   }
 
   @Test
   void ids() throws Exception {
-    Golden g = new Golden("submission-ids");
+    Golden golden = new Golden("submission-ids");
     String[] ids = {
       "wk-000412", "wk-z", "wk-" + "9".repeat(40), "wk-" + "9".repeat(41), "wk-", "wk-A", "wk_1", ""
     };
     for (String id : ids) {
-      g.add("<" + id + ">", String.valueOf(JobCodec.isJobId(id)));
+      golden.add("<" + id + ">", String.valueOf(JobCodec.isJobId(id)));
     }
-    g.check();
+    golden.check();
   }
 
   @Test
@@ -97,21 +102,21 @@
     cases.put("more after it", VALID + " x");
     cases.put("no rank", VALID.replace("rank", "x"));
     cases.put("no JSON", "no");
-    Golden g = new Golden("submission-accepted-before");
-    for (Map.Entry<String, String> e : cases.entrySet()) {
-      byte[] text = e.getValue().getBytes(StandardCharsets.UTF_8);
-      g.add(e.getKey(), String.valueOf(JobCodec.idAcceptedByEarlierVersions(text)));
+    Golden golden = new Golden("submission-accepted-before");
+    for (Map.Entry<String, String> entry : cases.entrySet()) {
+      byte[] text = entry.getValue().getBytes(StandardCharsets.UTF_8);
+      golden.add(entry.getKey(), String.valueOf(JobCodec.idAcceptedByEarlierVersions(text)));
     }
-    g.check();
+    golden.check();
   }
 
   @Test
   void encodedStates() throws Exception {
-    Golden g = new Golden("submission-states");
+    Golden golden = new Golden("submission-states");
     for (String phase : new String[] {"queued", "running", "done", "withdrawn", null}) {
-      PeerResponse a = new PeerResponse(200, phase, 100_000, 37);
-      g.add(String.valueOf(phase), JobCodec.encodeState("wk-000412", a));
+      PeerResponse answer = new PeerResponse(200, phase, 100_000, 37);
+      golden.add(String.valueOf(phase), JobCodec.encodeState("wk-000412", answer));
     }
-    g.check();
+    golden.check();
   }
 }
--- a/src/test/java/org/astershift/golden/WorkerFormsTest.java
+++ b/src/test/java/org/astershift/golden/WorkerFormsTest.java
@@ -14,7 +14,7 @@
 import org.astershift.worker.WorkerCodec;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats of workers as they are read, and commands to them as they are written. */
+/** Heartbeats as they are decoded, and commands to workers as they are encoded. */
 class WorkerFormsTest {
   private static final String HEAD =
       "\"vessel\":\"m-1\",\"addr\":\"10.0.0.1:7000\",\"hull\":\"g8\",\"harbor\":\"z1\"";
@@ -34,9 +34,9 @@
   }
 
   private static Map<String, String> heartbeatCases() {
-    Map<String, String> out = new LinkedHashMap<>();
-    out.put("least", heartbeatWith(""));
-    out.put(
+    Map<String, String> cases = new LinkedHashMap<>();
+    cases.put("least", heartbeatWith(""));
+    cases.put(
         "every field",
         heartbeatWith(
             ",\"ebbtide\":true,\"helm\":9007199254740993,\"recall_s\":29.5,\"shards\":["
@@ -45,43 +45,50 @@
                 + "{\"shard\":\"wk-2/3\",\"launch\":3,\"phase\":\"running\"},"
                 + "{\"shard\":\"wk-2/4\",\"launch\":4,\"phase\":\"saving\"},"
                 + "{\"shard\":\"wk-3/1\",\"launch\":5,\"phase\":\"exited\",\"cause\":\"done\"}]"));
-    out.put(
+    cases.put(
         "nulls",
         heartbeatWith(",\"ebbtide\":null,\"helm\":null,\"recall_s\":null,\"shards\":null"));
-    out.put("unknown fields", heartbeatWith(",\"new\":{\"a\":[1,{\"b\":2}]},\"shards\":[]"));
-    out.put("whole notice", heartbeatWith(",\"recall_s\":30,\"ebbtide\":false"));
+    cases.put("unknown fields", heartbeatWith(",\"new\":{\"a\":[1,{\"b\":2}]},\"shards\":[]"));
+    cases.put("whole notice", heartbeatWith(",\"recall_s\":30,\"ebbtide\":false"));
     for (String cause : List.of("done", "halted", "peers", "incomplete", "crash", "stopped")) {
-      String task = TASK.replace("running", "exited");
-      out.put("cause " + cause, heartbeatWithTask(task + ",\"cause\":\"" + cause + "\",\"x\":[]"));
+      String exitedTask = TASK.replace("running", "exited");
+      cases.put(
+          "cause " + cause,
+          heartbeatWithTask(exitedTask + ",\"cause\":\"" + cause + "\",\"x\":[]"));
     }
-    return out;
+    return cases;
   }
 
-  /** The values of a report in a fixed order; phases by their place among all. */
-  private static String describe(Heartbeat r) {
-    StringBuilder out = new StringBuilder();
-    out.append(r.machineName())
+  /** Returns the values of a heartbeat in a fixed order; phases as words. */
+  private static String describe(Heartbeat heartbeat) {
+    StringBuilder text = new StringBuilder();
+    text.append(heartbeat.machineName())
         .append(' ')
-        .append(r.address())
+        .append(heartbeat.address())
         .append(' ')
-        .append(r.typeName())
+        .append(heartbeat.typeName())
         .append(' ');
-    out.append(r.zone()).append(' ').append(r.spot()).append(' ').append(r.epoch()).append(' ');
-    out.append(r.sequence())
+    text.append(heartbeat.zone())
         .append(' ')
-        .append(r.fencingToken())
+        .append(heartbeat.spot())
         .append(' ')
-        .append(r.preemptionNoticeS());
-    for (Heartbeat.TaskStatus i : r.tasks()) {
-      out.append(" [").append(i.jobId()).append(' ').append(i.index()).append(' ');
-      out.append(i.attemptNumber()).append(' ').append(describePhase(i.phase())).append(' ');
-      out.append(i.exitReason()).append(']');
+        .append(heartbeat.epoch())
+        .append(' ');
+    text.append(heartbeat.sequence())
+        .append(' ')
+        .append(heartbeat.fencingToken())
+        .append(' ')
+        .append(heartbeat.preemptionNoticeS());
+    for (Heartbeat.TaskStatus task : heartbeat.tasks()) {
+      text.append(" [").append(task.jobId()).append(' ').append(task.index()).append(' ');
+      text.append(task.attemptNumber()).append(' ').append(describePhase(task.phase())).append(' ');
+      text.append(task.exitReason()).append(']');
     }
-    return out.toString();
+    return text.toString();
   }
 
-  private static String describePhase(Heartbeat.TaskPhase p) {
-    return switch (p) {
+  private static String describePhase(Heartbeat.TaskPhase phase) {
+    return switch (phase) {
       case FETCHING -> "fetches";
       case WAITING -> "waits";
       case RUNNING -> "runs";
@@ -92,14 +99,15 @@
 
   @Test
   void heartbeats() throws Exception {
-    Golden g = new Golden("worker-reports");
-    for (Map.Entry<String, String> e : heartbeatCases().entrySet()) {
-      g.add(e.getKey() + ", sent", e.getValue());
-      g.add(e.getKey() + ", read", describe(decode(e.getValue())));
+    Golden golden = new Golden("worker-reports");
+    for (Map.Entry<String, String> entry : heartbeatCases().entrySet()) {
+      golden.add(entry.getKey() + ", sent", entry.getValue());
+      golden.add(entry.getKey() + ", read", describe(decode(entry.getValue())));
     }
-    g.check();
+    golden.check();
     for (String label : heartbeatCases().keySet()) {
-      assertEquals(g.expected(label + ", read"), describe(decode(g.expected(label + ", sent"))));
+      assertEquals(
+          golden.expected(label + ", read"), describe(decode(golden.expected(label + ", sent"))));
     }
   }
 
@@ -154,14 +162,15 @@
 
   @Test
   void errorsOfMalformedHeartbeats() throws Exception {
-    Golden g = new Golden("worker-errors");
+    Golden golden = new Golden("worker-errors");
     List<String> all = new ArrayList<>(malformedHeads());
     all.addAll(malformedTasks());
     for (String text : all) {
-      String said = assertThrows(JsonFormatException.class, () -> decode(text), text).getMessage();
-      g.add("<" + text + ">", said);
+      String message =
+          assertThrows(JsonFormatException.class, () -> decode(text), text).getMessage();
+      golden.add("<" + text + ">", message);
     }
-    g.check();
+    golden.check();
   }
 
   @Test
@@ -177,14 +186,14 @@
     cases.put("stop at once", List.of(stopNow));
     cases.put("forget", List.of(forget));
     cases.put("all", List.of(start, stop, stopNow, forget));
-    Golden g = new Golden("worker-orders");
+    Golden golden = new Golden("worker-orders");
     cases.forEach(
-        (label, orders) -> {
-          g.add(label + ", answer", WorkerCodec.encodeHeartbeatResponse(42, orders));
-          g.add(label + ", direct", WorkerCodec.encodeCommandRequest(42, 5, orders));
+        (label, commands) -> {
+          golden.add(label + ", answer", WorkerCodec.encodeHeartbeatResponse(42, commands));
+          golden.add(label + ", direct", WorkerCodec.encodeCommandRequest(42, 5, commands));
         });
-    g.add("without a leader, answer", WorkerCodec.encodeHeartbeatResponse(0, List.of()));
-    g.add("first session, direct", WorkerCodec.encodeCommandRequest(42, 0, List.of(start)));
-    g.check();
+    golden.add("without a leader, answer", WorkerCodec.encodeHeartbeatResponse(0, List.of()));
+    golden.add("first session, direct", WorkerCodec.encodeCommandRequest(42, 0, List.of(start)));
+    golden.check();
   }
 }
--- a/src/test/java/org/astershift/http/ConnectionSlotsTest.java
+++ b/src/test/java/org/astershift/http/ConnectionSlotsTest.java
@@ -77,7 +77,10 @@
         workers.subList(0, 1), closed, "beyond the workers' share the longest idle is evicted");
   }
 
-  /** Sends a heartbeat on a connection, or a new one; null if it closes with the response. */
+  /**
+   * Handles a heartbeat on the connection, or on a new one if it is null. Returns the connection,
+   * or null if it closes with the response.
+   */
   private Connection heartbeat(ConnectionSlots slots, Connection current, List<Connection> closed) {
     Connection connection = current == null ? connect(slots, closed) : current;
     connection.onRequestStarted(++now);
@@ -91,7 +94,8 @@
   }
 
   /**
-   * With more workers than slots no idle connection is closed: its worker would try another node.
+   * With more workers than slots no idle connection is closed: its worker would switch to another
+   * node.
    */
   @Test
   void moreWorkersThanSlotsReconnectForHeartbeats() {
--- a/src/test/java/org/astershift/http/HttpClientTest.java
+++ b/src/test/java/org/astershift/http/HttpClientTest.java
@@ -21,15 +21,18 @@
   private static final byte[] OK =
       "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-  /** The first requests are answered once all have arrived, so that each opens a connection. */
+  /**
+   * Counts the first requests, which are answered once all have arrived, so that each opens a
+   * connection.
+   */
   private final CountDownLatch firstRequests = new CountDownLatch(POOLED_CONNECTIONS);
 
   private final List<Socket> openSockets = new ArrayList<>();
 
   /**
    * The server restarts. One request has to fail, since it may have been executed; the other pooled
-   * connections are discarded with its own. If each failed one lease renewal, the lease would
-   * expire.
+   * connections are discarded with the connection of that request. If each failed one lease
+   * renewal, the lease would expire.
    */
   @Test
   void oneRequestFailsAfterAServerRestart() throws Exception {
@@ -88,7 +91,7 @@
     }
   }
 
-  /** The status of a response; 0 without one. */
+  /** Returns the status of the response, or 0 if there is none. */
   private static int status(HttpClient client) {
     try {
       return client.call("GET", "/", null, 5000).status();
--- a/src/test/java/org/astershift/http/HttpServerTest.java
+++ b/src/test/java/org/astershift/http/HttpServerTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** More connections than the server can handle. */
+/** A server with more connections than it can handle. */
 @Timeout(60)
 class HttpServerTest {
   private static HttpServer.Response ok(HttpServer.Request request) {
     return HttpServer.Response.of(200, Map.of("path", request.path()));
   }
 
-  /** A thread that cannot start, as when the process has too many. */
+  /** A thread that cannot be started, as when the process has too many. */
   private static final class Unstartable extends Thread {
     @Override
     public synchronized void start() {
@@ -61,10 +61,10 @@
   void connectionWhoseThreadCannotStartIsClosed() throws Exception {
     AtomicInteger refusals = new AtomicInteger(5);
     ThreadFactory scarceThreads =
-        request ->
+        task ->
             refusals.getAndDecrement() > 0
                 ? new Unstartable()
-                : Threads.connectionThreadFactory().newThread(request);
+                : Threads.connectionThreadFactory().newThread(task);
     try (HttpServer server =
         new HttpServer(
             "127.0.0.1",
@@ -132,10 +132,10 @@
     TaskPool pool =
         new TaskPool(
             2,
-            request ->
+            task ->
                 refusals.getAndDecrement() > 0
                     ? new Unstartable()
-                    : Threads.connectionThreadFactory().newThread(request));
+                    : Threads.connectionThreadFactory().newThread(task));
     CountDownLatch done = new CountDownLatch(1);
     pool.execute("work", done::countDown);
     assertEquals(1, done.getCount());
--- a/src/test/java/org/astershift/knownfailures/KnownFailure.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailure.java
@@ -11,8 +11,8 @@
 import java.util.stream.Stream;
 
 /**
- * One line of KNOWN-RED.txt: a test case that fails because of a fault of the product which is not
- * mended yet.
+ * One line of KNOWN-RED.txt: a test case that fails because of a fault of the product that is not
+ * fixed yet.
  *
  * @param test the case as {@code Class#method}, or {@code Class/display name} for a dynamic test
  * @param reproduction command and seed that show the failure
@@ -28,7 +28,7 @@
   private static final char METHOD = '#';
   private static final char DYNAMIC = '/';
 
-  /** Reads the file; a missing file lists nothing. */
+  /** Reads the file; returns an empty list if there is none. */
   static List<KnownFailure> read() {
     try {
       return Files.exists(FILE) ? parse(Files.readAllLines(FILE)) : List.of();
@@ -37,18 +37,21 @@
     }
   }
 
-  /** Parses the lines; one that lacks a field or repeats a test is refused. */
+  /**
+   * Parses the lines. Throws an IllegalArgumentException for a line that lacks a field or repeats a
+   * test.
+   */
   static List<KnownFailure> parse(List<String> lines) {
-    List<KnownFailure> out = new ArrayList<>();
+    List<KnownFailure> entries = new ArrayList<>();
     Set<String> tests = new HashSet<>();
     for (String line : lines) {
       KnownFailure entry = parse(line);
       if (!tests.add(entry.test)) {
         throw new IllegalArgumentException("KNOWN-RED.txt lists a test twice: " + line);
       }
-      out.add(entry);
+      entries.add(entry);
     }
-    return out;
+    return entries;
   }
 
   private static KnownFailure parse(String line) {
@@ -56,12 +59,16 @@
     boolean blank = Stream.of(fields).anyMatch(String::isBlank);
     if (fields.length != FIELDS || blank) {
       throw new IllegalArgumentException(
-          "KNOWN-RED.txt: not \"test | command and seed | seen | cause | issue\": " + line);
+          "KNOWN-RED.txt: expected \"test | command and seed | seen | cause | issue\", got: "
+              + line);
     }
     return new KnownFailure(fields[0], fields[1], fields[2], fields[3], fields[4]);
   }
 
-  /** Whether the entry names a test method, or a dynamic test's trace file, that exists. */
+  /**
+   * Returns whether the entry names an existing test method, or an existing trace file of a dynamic
+   * test.
+   */
   boolean namesExistingTest() {
     int method = test.indexOf(METHOD);
     int dynamic = test.indexOf(DYNAMIC);
--- a/src/test/java/org/astershift/knownfailures/KnownFailureExtension.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailureExtension.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.extension.ReflectiveInvocationContext;
 
 /**
- * Plays the test cases that KNOWN-RED.txt lists, prints and passes over their failure, and fails
- * them as soon as they pass. Every other case is left as it is. Registered for all tests by
+ * Runs the test cases that KNOWN-RED.txt lists: prints and ignores their failure, and fails them as
+ * soon as they pass. Every other case runs unchanged. Registered for all tests by
  * META-INF/services.
  */
 public final class KnownFailureExtension implements InvocationInterceptor {
@@ -47,16 +47,19 @@
     run(listed, System.out, className(context) + "/" + context.getDisplayName(), invocation);
   }
 
-  /** The context of a dynamic test has no class of its own: that of its factory counts. */
+  /**
+   * Returns the simple name of the test class. The context of a dynamic test has no class of its
+   * own; that of its factory counts.
+   */
   private static String className(ExtensionContext context) {
-    ExtensionContext with = context;
-    while (with.getTestClass().isEmpty()) {
-      with = with.getParent().orElseThrow();
+    ExtensionContext withClass = context;
+    while (withClass.getTestClass().isEmpty()) {
+      withClass = withClass.getParent().orElseThrow();
     }
-    return with.getRequiredTestClass().getSimpleName();
+    return withClass.getRequiredTestClass().getSimpleName();
   }
 
-  /** Runs the case; the failure of a listed one is printed, its success is a failure. */
+  /** Runs a case. The failure of a listed case is printed and ignored; its success is a failure. */
   static void run(
       List<KnownFailure> listed, PrintStream out, String test, Invocation<Void> invocation)
       throws Throwable {
@@ -72,6 +75,6 @@
       out.println("KNOWN RED, passed over: " + entry);
       return;
     }
-    throw new AssertionError("red no more: strike its line from KNOWN-RED.txt: " + entry);
+    throw new AssertionError("listed test passes: remove its line from KNOWN-RED.txt: " + entry);
   }
 }
--- a/src/test/java/org/astershift/knownfailures/KnownFailureTest.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailureTest.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What KNOWN-RED.txt may list, and what the build does with it. */
+/** What KNOWN-RED.txt may list, and how the build treats the listed tests. */
 class KnownFailureTest {
   private static final String REST =
       " | mvn -Dtest=X, no seed | ran_twice | suspected: x | issue 1";
   private static final List<KnownFailure> LISTED = KnownFailure.parse(List.of("X#a" + REST));
 
-  /** What these tests pass over is no known failure of the build. */
+  /** Discards what the extension prints: the failures here are not known failures of the build. */
   private static final PrintStream OUT = new PrintStream(OutputStream.nullOutputStream());
 
   @Test
@@ -42,11 +42,12 @@
 
   @Test
   void lineWithoutExistingTestIsDetected() {
-    List<String> none = List.of("X#a", "KnownFailureTest#b", "TraceTest/no.trace", "TraceTest", "");
-    for (String test : none) {
+    List<String> missing =
+        List.of("X#a", "KnownFailureTest#b", "TraceTest/no.trace", "TraceTest", "");
+    for (String test : missing) {
       assertFalse(new KnownFailure(test, "c", "s", "c", "i").namesExistingTest(), test);
     }
-    String own = "KnownFailureTest#aLineThatNamesNoTestIsSeen";
+    String own = "KnownFailureTest#lineWithoutExistingTestIsDetected";
     assertTrue(new KnownFailure(own, "c", "s", "c", "i").namesExistingTest());
   }
 
@@ -57,19 +58,19 @@
 
   @Test
   void listedTestThatPassesFails() {
-    AssertionError e =
+    AssertionError error =
         assertThrows(
             AssertionError.class, () -> KnownFailureExtension.run(LISTED, OUT, "X#a", () -> null));
-    assertTrue(e.getMessage().startsWith("red no more"), e.getMessage());
+    assertTrue(error.getMessage().startsWith("listed test passes"), error.getMessage());
   }
 
   @Test
   void failureOfUnlistedTestIsReported() {
-    AssertionError e =
+    AssertionError error =
         assertThrows(
             AssertionError.class,
             () -> KnownFailureExtension.run(LISTED, OUT, "X#b", KnownFailureTest::fails));
-    assertEquals("it fails", e.getMessage());
+    assertEquals("it fails", error.getMessage());
   }
 
   private static Void fails() {
--- a/src/test/java/org/astershift/peer/GoldenFramesTest.java
+++ b/src/test/java/org/astershift/peer/GoldenFramesTest.java
@@ -24,21 +24,22 @@
 
   @Test
   void requestFrames() throws Exception {
-    Map<String, PeerCodec.PeerRequest> asks = new LinkedHashMap<>();
-    asks.put("poll", new PeerCodec.PeerRequest("poll", "wk-000412"));
-    asks.put("cancel", new PeerCodec.PeerRequest("cancel", "wk-" + "z".repeat(40)));
-    asks.put("state", new PeerCodec.PeerRequest("state", ""));
-    asks.put("witness", new PeerCodec.PeerRequest("witness", "10.0.0.1:7000 10.0.0.2:7000"));
-    asks.put("empty", new PeerCodec.PeerRequest("", ""));
-    Golden g = new Golden("peer-questions");
-    for (Map.Entry<String, PeerCodec.PeerRequest> e : asks.entrySet()) {
+    Map<String, PeerCodec.PeerRequest> requests = new LinkedHashMap<>();
+    requests.put("poll", new PeerCodec.PeerRequest("poll", "wk-000412"));
+    requests.put("cancel", new PeerCodec.PeerRequest("cancel", "wk-" + "z".repeat(40)));
+    requests.put("state", new PeerCodec.PeerRequest("state", ""));
+    requests.put("witness", new PeerCodec.PeerRequest("witness", "10.0.0.1:7000 10.0.0.2:7000"));
+    requests.put("empty", new PeerCodec.PeerRequest("", ""));
+    Golden golden = new Golden("peer-questions");
+    for (Map.Entry<String, PeerCodec.PeerRequest> entry : requests.entrySet()) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      PeerCodec.write(new DataOutputStream(out), e.getValue());
-      g.add(e.getKey(), HEX_FORMAT.formatHex(out.toByteArray()));
+      PeerCodec.write(new DataOutputStream(out), entry.getValue());
+      golden.add(entry.getKey(), HEX_FORMAT.formatHex(out.toByteArray()));
     }
-    g.check();
-    for (Map.Entry<String, PeerCodec.PeerRequest> e : asks.entrySet()) {
-      assertEquals(e.getValue(), PeerCodec.readRequest(inputOf(g.expected(e.getKey()))));
+    golden.check();
+    for (Map.Entry<String, PeerCodec.PeerRequest> entry : requests.entrySet()) {
+      assertEquals(
+          entry.getValue(), PeerCodec.readRequest(inputOf(golden.expected(entry.getKey()))));
     }
   }
 
@@ -51,19 +52,20 @@
     answers.put("unknown", PeerResponse.NOT_FOUND);
     answers.put("undecided", PeerResponse.UNAVAILABLE);
     answers.put("negative", new PeerResponse(200, "done", -1, -200));
-    Golden g = new Golden("peer-answers");
-    for (Map.Entry<String, PeerResponse> e : answers.entrySet()) {
+    Golden golden = new Golden("peer-answers");
+    for (Map.Entry<String, PeerResponse> entry : answers.entrySet()) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      PeerCodec.write(new DataOutputStream(out), e.getValue());
-      g.add(e.getKey(), HEX_FORMAT.formatHex(out.toByteArray()));
+      PeerCodec.write(new DataOutputStream(out), entry.getValue());
+      golden.add(entry.getKey(), HEX_FORMAT.formatHex(out.toByteArray()));
     }
-    g.check();
-    for (Map.Entry<String, PeerResponse> e : answers.entrySet()) {
-      assertEquals(e.getValue(), PeerCodec.readResponse(inputOf(g.expected(e.getKey()))));
+    golden.check();
+    for (Map.Entry<String, PeerResponse> entry : answers.entrySet()) {
+      assertEquals(
+          entry.getValue(), PeerCodec.readResponse(inputOf(golden.expected(entry.getKey()))));
     }
   }
 
-  /** A later version may say more: what it says besides is passed over. */
+  /** A later version may send more fields; they are ignored. */
   @Test
   void longerFramesAreReadAndOthersRejected() throws Exception {
     assertEquals(
@@ -72,17 +74,17 @@
     assertEquals(
         new PeerResponse(200, null, 1, 2),
         PeerCodec.readResponse(inputOf("0000000895ccc8c00102a178")));
-    Golden g = new Golden("peer-errors");
+    Golden golden = new Golden("peer-errors");
     for (String hex : new String[] {"00000000", "ffffffff", "00010001", "0000000391a161"}) {
-      String said =
+      String message =
           assertThrows(IOException.class, () -> PeerCodec.readRequest(inputOf(hex))).getMessage();
-      g.add("question " + hex, said);
+      golden.add("question " + hex, message);
     }
     String shortAnswer = "0000000593ccc8c001";
-    g.add(
+    golden.add(
         "answer " + shortAnswer,
         assertThrows(IOException.class, () -> PeerCodec.readResponse(inputOf(shortAnswer)))
             .getMessage());
-    g.check();
+    golden.check();
   }
 }
--- a/src/test/java/org/astershift/store/EnumCodesTest.java
+++ b/src/test/java/org/astershift/store/EnumCodesTest.java
@@ -7,7 +7,7 @@
 import org.astershift.scheduler.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Each kind and priority is read back from its own number, and other numbers are refused. */
+/** Each kind and priority is decoded from its own code, and other codes are rejected. */
 class EnumCodesTest {
   @Test
   void kindsRoundTrip() {
--- a/src/test/java/org/astershift/store/RecordCodecTest.java
+++ b/src/test/java/org/astershift/store/RecordCodecTest.java
@@ -6,7 +6,7 @@
 import java.util.BitSet;
 import org.junit.jupiter.api.Test;
 
-/** Progress of the largest job fits pages of notes, whatever the pattern. */
+/** The progress of the largest job fits into record pages, whatever its pattern. */
 class RecordCodecTest {
   @Test
   void progressOfHundredThousandTasksFitsAndRoundTrips() throws Exception {
@@ -14,13 +14,14 @@
     for (int i = 1; i < 100_000; i += 2) {
       done.set(i);
     }
-    BitSet back = new BitSet();
+    BitSet decoded = new BitSet();
     for (int segment = 0; segment < RecordCodec.segmentCount(100_000); segment++) {
       String value = RecordCodec.encodeSegment(done, segment);
       assertTrue(value.length() <= RecordCodec.MAX_PAGE_BYTES, "segment of " + value.length());
       assertEquals(
-          "wk-1", RecordCodec.mergeSegment(back, RecordCodec.progressKey("wk-1", segment), value));
+          "wk-1",
+          RecordCodec.mergeSegment(decoded, RecordCodec.progressKey("wk-1", segment), value));
     }
-    assertEquals(done, back);
+    assertEquals(done, decoded);
   }
 }
--- a/src/test/java/org/astershift/store/StoreClientTest.java
+++ b/src/test/java/org/astershift/store/StoreClientTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a node takes the state service's answers, and their absence, for. */
+/** What a node concludes from responses of the store, and from their absence. */
 @Timeout(200)
 class StoreClientTest {
   private final ThreadGroup threads = new ThreadGroup("mirror");
@@ -60,61 +60,62 @@
     return String.format("%sj/wk-%06d", RecordCodec.LIVE_PREFIX, i);
   }
 
-  private static long write(StoreClient by, StoreClient.Transaction txn)
+  private static long write(StoreClient client, StoreClient.Transaction transaction)
       throws InterruptedException {
-    Outcome o = by.commit(txn, RateLimiter.Urgency.INTERACTIVE, 10_000);
-    return assertInstanceOf(Outcome.Committed.class, o).revision();
+    Outcome outcome = client.commit(transaction, RateLimiter.Urgency.INTERACTIVE, 10_000);
+    return assertInstanceOf(Outcome.Committed.class, outcome).revision();
   }
 
   private void startWatchCache() throws InterruptedException {
-    Thread t =
+    Thread starter =
         new Thread(
             threads,
             () ->
                 watchCache.start(
                     rows ->
                         rows.forEach(
-                            r -> notifications.add(r.key() + (r.data() == null ? "-" : "+")))));
-    t.start();
-    t.join();
+                            row ->
+                                notifications.add(row.key() + (row.data() == null ? "-" : "+")))));
+    starter.start();
+    starter.join();
   }
 
-  /** Only what certainly is not applied may be taken for that. */
+  /** A transaction counts as rejected only if it certainly is not applied. */
   @Test
   void unknownOutcomeIsNotReportedAsRejected() throws Exception {
-    StoreClient.Transaction txn = new StoreClient.Transaction().put(key(1), Map.of());
+    StoreClient.Transaction transaction = new StoreClient.Transaction().put(key(1), Map.of());
     storeEmulator.loseResponses(1);
-    Outcome lost = store.commit(txn, RateLimiter.Urgency.INTERACTIVE, 1000);
+    Outcome lost = store.commit(transaction, RateLimiter.Urgency.INTERACTIVE, 1000);
     storeEmulator.loseResponses(0);
     assertInstanceOf(Outcome.Unknown.class, lost);
-    assertTrue(storeEmulator.containsKey(key(1)), "and it is applied");
+    assertTrue(storeEmulator.containsKey(key(1)), "the transaction was committed");
     address.rejectRequests(true);
     assertInstanceOf(
-        Outcome.Rejected.class, store.commit(txn, RateLimiter.Urgency.INTERACTIVE, 1000));
+        Outcome.Rejected.class, store.commit(transaction, RateLimiter.Urgency.INTERACTIVE, 1000));
     long before = store.silenceMs();
     assertThrows(IOException.class, () -> store.get(key(1)));
-    assertTrue(store.silenceMs() >= before, "a refusal is no service");
-    Await.until("the service to count as lost", store::isUnavailable);
+    assertTrue(store.silenceMs() >= before, "a rejection does not count as a response");
+    Await.until("the store to count as unavailable", store::isUnavailable);
     address.rejectRequests(false);
     assertNotNull(store.get(key(1)).data());
     assertTrue(!store.isUnavailable());
   }
 
-  /** Records come and go between the first page that is read and the last. */
+  /** Rows are written and deleted between the read of the first page and that of the last. */
   @Test
   void pagesReadAtDifferentRevisionsAreMerged() throws Exception {
     int rows = StoreClient.MAX_LIST_ROWS * 3 / 2;
     for (int i = 0; i < rows; i += 100) {
-      StoreClient.Transaction some = new StoreClient.Transaction();
+      StoreClient.Transaction transaction = new StoreClient.Transaction();
       for (int j = i; j < i + 100; j++) {
-        some.put(key(j), Map.of());
+        transaction.put(key(j), Map.of());
       }
-      write(otherClient, some);
+      write(otherClient, transaction);
     }
     AtomicBoolean once = new AtomicBoolean();
     address.setObserver(
-        (r, done) -> {
-          if (done && r.path().equals("/store") && once.compareAndSet(false, true)) {
+        (request, executed) -> {
+          if (executed && request.path().equals("/store") && once.compareAndSet(false, true)) {
             write(
                 otherClient,
                 new StoreClient.Transaction().delete(key(3)).put(key(rows - 1), Map.of("n", 2)));
@@ -122,40 +123,39 @@
           }
         });
     startWatchCache();
-    Await.until("the pages", watchCache::isLoaded);
+    Await.until("all pages to be loaded", watchCache::isLoaded);
     long last = write(otherClient, new StoreClient.Transaction().put(key(rows), Map.of()));
     assertTrue(watchCache.awaitRevision(last, 60_000));
     assertTrue(once.get());
-    assertNull(watchCache.get(key(3)), "gone after its page was read");
+    assertNull(watchCache.get(key(3)), "deleted after its page was read");
     assertEquals("2", String.valueOf(watchCache.get(key(rows - 1)).data().get("n")));
     assertEquals("2", String.valueOf(watchCache.get(key(4)).data().get("n")));
     assertEquals(rows, watchCache.entriesWithPrefix(RecordCodec.LIVE_PREFIX).size());
   }
 
-  /** A node that was cut off for so long that its watch cannot go on. */
+  /** A node was partitioned from the store for so long that its watch cannot resume. */
   @Test
   void changesMissedByWatchAreReported() throws Exception {
     write(otherClient, new StoreClient.Transaction().put(key(1), Map.of()).put(key(2), Map.of()));
     startWatchCache();
-    Await.until("the first reading", watchCache::isLoaded);
+    Await.until("the first load", watchCache::isLoaded);
     address.rejectRequests(true);
     write(
-        otherClient,
-        new StoreClient.Transaction().put(key(9), Map.of())); // ends the watch that waits
-    Await.until("the watch to be refused", store::isUnavailable);
+        otherClient, new StoreClient.Transaction().put(key(9), Map.of())); // ends the pending watch
+    Await.until("the watch to be rejected", store::isUnavailable);
     write(otherClient, new StoreClient.Transaction().delete(key(1)).put(key(3), Map.of()));
     storeEmulator.compact();
     notifications.clear();
     address.rejectRequests(false);
-    Await.until("the second reading", () -> notifications.contains(key(3) + "+"));
+    Await.until("the second load", () -> notifications.contains(key(3) + "+"));
     assertTrue(
         notifications.contains(key(1) + "-"),
-        "what is gone is told: " + List.copyOf(notifications));
+        "a deleted row is reported: " + List.copyOf(notifications));
     assertNull(watchCache.get(key(1)));
-    assertTrue(!notifications.contains(key(2) + "+"), "what did not change is no news");
+    assertTrue(!notifications.contains(key(2) + "+"), "an unchanged row is not reported");
   }
 
-  /** Who was refused comes again a little later, and leaves the processor to the others. */
+  /** Pauses before a rejected read is repeated, which leaves the processor to the other threads. */
   private static void pauseBeforeRetry() {
     Object pause = new Object();
     synchronized (pause) {
@@ -168,43 +168,43 @@
   }
 
   /**
-   * Users ask for more than this node may ask of the state service. The leader's lease is renewed
-   * before their questions are answered: behind them it ran out, and the next leader's did, too.
+   * Users cause more reads than this node may send to the store. The lease of the leader is renewed
+   * before their reads: queued behind them it expired, and so did that of the next leader.
    */
   @Test
   void leaseIsRenewedHoweverManyReadsWait() throws Exception {
-    StoreClient narrow = new StoreClient(Emulators.settings(dir, address.port(), 1, 40));
-    long lease = narrow.grantLease(60_000);
-    AtomicBoolean over = new AtomicBoolean();
-    AtomicInteger refused = new AtomicInteger();
+    StoreClient limitedStore = new StoreClient(Emulators.settings(dir, address.port(), 1, 40));
+    long lease = limitedStore.grantLease(60_000);
+    AtomicBoolean stopped = new AtomicBoolean();
+    AtomicInteger rejected = new AtomicInteger();
     List<Thread> users = new ArrayList<>();
     for (int i = 0; i < 150; i++) {
-      Thread t =
+      Thread user =
           new Thread(
               threads,
               () -> {
-                while (!over.get()) {
+                while (!stopped.get()) {
                   try {
-                    narrow.get(key(1));
+                    limitedStore.get(key(1));
                   } catch (IOException e) {
-                    refused.incrementAndGet();
+                    rejected.incrementAndGet();
                     pauseBeforeRetry();
                   }
                 }
               });
-      users.add(t);
-      t.start();
+      users.add(user);
+      user.start();
     }
     try {
-      Await.until("more questions than may be asked", () -> refused.get() > 100);
+      Await.until("more reads than the limit allows", () -> rejected.get() > 100);
       for (int i = 0; i < 5; i++) {
-        assertTrue(narrow.renewLease(lease));
+        assertTrue(limitedStore.renewLease(lease));
       }
     } finally {
-      over.set(true);
+      stopped.set(true);
     }
-    for (Thread t : users) {
-      t.join();
+    for (Thread user : users) {
+      user.join();
     }
   }
 }
--- a/src/test/java/org/astershift/store/StoreLimitsTest.java
+++ b/src/test/java/org/astershift/store/StoreLimitsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a node does where the state service is at its limits, or answers nothing. */
+/** How a node behaves when the store is at its limits or does not answer. */
 @Timeout(100)
 class StoreLimitsTest {
   private static final int READS = 10;
@@ -31,8 +31,8 @@
     void run(StoreClient store) throws Exception;
   }
 
-  private void withStore(HttpServer.Handler service, TestBody body) throws Exception {
-    HttpServer server = new HttpServer("127.0.0.1", 0, 50, service);
+  private void withStore(HttpServer.Handler handler, TestBody body) throws Exception {
+    HttpServer server = new HttpServer("127.0.0.1", 0, 50, handler);
     server.start();
     try {
       body.run(new StoreClient(Emulators.settings(dir, server.port(), 1)));
@@ -41,44 +41,44 @@
     }
   }
 
-  private static Response overLimit(Request r) {
+  private static Response overLimit(Request request) {
     return Response.error(429, "over the limit");
   }
 
   /**
-   * The state service says that its limit of requests is reached. Each node's next read waits a
-   * little, as its next write does: otherwise all go on at the rate that was too much.
+   * The store reports that its limit of requests is reached. The next read of each node is delayed,
+   * as its next write is: otherwise all nodes continue at the rate that was too high.
    */
   @Test
   void readOverLimitMakesNodeBackOff() throws Exception {
     withStore(
         StoreLimitsTest::overLimit,
         store -> {
-          long beganNs = System.nanoTime();
+          long startNs = System.nanoTime();
           for (int i = 0; i < READS; i++) {
             assertThrows(IOException.class, () -> store.get("l/x"));
           }
-          double tookS = (System.nanoTime() - beganNs) / 1e9;
-          double leastS = (READS - 1) * RateLimiter.LIMIT_REACHED_PAUSE_S;
-          assertTrue(tookS >= leastS, READS + " reads over the limit took " + tookS + " s");
+          double tookS = (System.nanoTime() - startNs) / 1e9;
+          double minimumS = (READS - 1) * RateLimiter.LIMIT_REACHED_PAUSE_S;
+          assertTrue(tookS >= minimumS, READS + " reads over the limit took " + tookS + " s");
         });
   }
 
   /**
-   * A renewal of the leader's lease gets no answer. It is given up while another try still fits
-   * into the lease, long before a read is.
+   * A renewal of the leader's lease gets no response. It times out while another attempt still fits
+   * into the lease, long before a read does.
    */
   @Test
   void unansweredRenewalLeavesTimeForRetry() throws Exception {
-    CountDownLatch over = new CountDownLatch(1);
+    CountDownLatch readsMayEnd = new CountDownLatch(1);
     AtomicInteger renewals = new AtomicInteger();
     withStore(
-        r -> {
-          if (r.path().contains("renew") && renewals.incrementAndGet() > 1) {
+        request -> {
+          if (request.path().contains("renew") && renewals.incrementAndGet() > 1) {
             return Response.of(200, Map.of());
           }
-          over.await();
-          return Response.error(503, "trouble");
+          readsMayEnd.await();
+          return Response.error(503, "unavailable");
         },
         store -> {
           Thread reader = new Thread(() -> assertThrows(IOException.class, () -> store.get("l/x")));
@@ -86,18 +86,18 @@
           assertThrows(IOException.class, () -> store.renewLease(7));
           assertTrue(reader.isAlive(), "a read is still waiting");
           assertTrue(store.renewLease(7));
-          over.countDown();
+          readsMayEnd.countDown();
           reader.join();
         });
     assertEquals(2, renewals.get());
   }
 
-  /** A try without an answer, and another one that follows at once, fit into the lease. */
+  /** An unanswered attempt to renew, and another one that follows at once, fit into the lease. */
   @Test
   void twoRenewalAttemptsFitIntoLease() {
-    long secondSentMs =
+    long retrySentMs =
         LoopTiming.LEADER_LEASE_RENEW_INTERVAL_MS + StoreClient.LEADER_LEASE_RENEW_TIMEOUT_MS;
-    long lastsMs = Election.LEADER_LEASE_MS - ClockBounds.CLOCK_MARGIN_MS;
-    assertTrue(secondSentMs < lastsMs * 3 / 4, secondSentMs + " ms of " + lastsMs + " ms");
+    long leaseMs = Election.LEADER_LEASE_MS - ClockBounds.CLOCK_MARGIN_MS;
+    assertTrue(retrySentMs < leaseMs * 3 / 4, retrySentMs + " ms of " + leaseMs + " ms");
   }
 }
--- a/src/test/java/org/astershift/worker/CommandSenderTest.java
+++ b/src/test/java/org/astershift/worker/CommandSenderTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When the outcome of commands is unknown: a start then still occupies its task's place. */
+/**
+ * When the outcome of commands is unknown: an unconfirmed start still occupies the slot of its
+ * task.
+ */
 class CommandSenderTest {
   private static final String HEARTBEAT =
       "{\"vessel\":\"vm-1\",\"addr\":\"127.0.0.1:1\",\"hull\":\"small\",\"harbor\":\"a\","
@@ -29,7 +32,7 @@
   private static String sendToWorkerAnswering(int status, String body) throws Exception {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     try (HttpServer worker =
-        new HttpServer("127.0.0.1", 0, 5, result -> new Response(status, bytes, 0))) {
+        new HttpServer("127.0.0.1", 0, 5, request -> new Response(status, bytes, 0))) {
       worker.start();
       return sendTo("127.0.0.1:" + worker.port());
     }
@@ -45,7 +48,7 @@
         "unknown",
         sendToWorkerAnswering(200, HEARTBEAT.substring(0, 60)),
         "it may have been executed before the response broke off");
-    HttpServer closedServer = new HttpServer("127.0.0.1", 0, 5, result -> Response.of(200, null));
+    HttpServer closedServer = new HttpServer("127.0.0.1", 0, 5, request -> Response.of(200, null));
     String address = "127.0.0.1:" + closedServer.port();
     closedServer.close();
     assertEquals("known", sendTo(address), "no connection: nothing was sent");
@@ -62,8 +65,8 @@
   }
 
   /**
-   * Commands are made once the connection is established: until then the leader's lease may expire
-   * or the agent restart.
+   * Commands are created once the connection is established: until then the leader's lease may
+   * expire or the worker may restart.
    */
   @Test
   void commandsAreCreatedOnceConnected() throws Exception {
@@ -73,14 +76,14 @@
           calls.incrementAndGet();
           return List.of();
         };
-    HttpServer closedServer = new HttpServer("127.0.0.1", 0, 5, result -> Response.of(200, null));
+    HttpServer closedServer = new HttpServer("127.0.0.1", 0, 5, request -> Response.of(200, null));
     String address = "127.0.0.1:" + closedServer.port();
     closedServer.close();
     new CommandSender().send(address, 5, 1, commands, 2000);
     assertEquals(0, calls.get(), "no connection was accepted");
     byte[] heartbeat = HEARTBEAT.getBytes(StandardCharsets.UTF_8);
     try (HttpServer worker =
-        new HttpServer("127.0.0.1", 0, 5, result -> new Response(200, heartbeat, 0))) {
+        new HttpServer("127.0.0.1", 0, 5, request -> new Response(200, heartbeat, 0))) {
       worker.start();
       CommandSender sender = new CommandSender();
       for (int i = 1; i <= 2; i++) {
