--- a/src/main/java/org/astershift/ControllerLauncher.java
+++ b/src/main/java/org/astershift/ControllerLauncher.java
@@ -35,23 +35,23 @@
   /** Starts a controller on its own threads; throws if an address cannot be bound. */
   static void start(Settings settings, SchedulingPolicy policy) throws IOException {
     StoreClient store = new StoreClient(settings);
-    Map<String, JobService.PeerChannel> peerChannels = peerChannels(settings);
+    Map<String, JobService.PeerChannel> peerChannels = createPeerChannels(settings);
     ControllerRuntime controller =
         new ControllerRuntime(settings, policy, store, new WatchCache(store), peerChannels);
     JobService jobService = new JobService(controller, store, peerChannels);
     // Both addresses are bound before anything else starts, which shows that this node's previous
     // process has ended: only then may this process delete a leader key that the previous one left
     // behind.
-    PeerServer peerServer = retryWhileAddressInUse(() -> peerServer(settings, jobService));
+    PeerServer peerServer = retryWhileAddressInUse(() -> openPeerServer(settings, jobService));
     PublicApi api = new PublicApi(controller, jobService, settings.limits().teams());
-    HttpServer http = retryWhileAddressInUse(() -> httpServer(settings, api));
+    HttpServer http = retryWhileAddressInUse(() -> openHttpServer(settings, api));
     peerServer.start();
     controller.start();
     http.start();
     new Thread(null, ControllerLauncher::keepAlive, "keep-alive", Threads.STACK_BYTES).start();
   }
 
-  private static Map<String, JobService.PeerChannel> peerChannels(Settings settings) {
+  private static Map<String, JobService.PeerChannel> createPeerChannels(Settings settings) {
     Map<String, JobService.PeerChannel> channels = new HashMap<>();
     for (Settings.Peer peer : settings.peers()) {
       PeerClient client = new PeerClient(peer.endpoint());
@@ -60,13 +60,13 @@
     return channels;
   }
 
-  private static PeerServer peerServer(Settings settings, JobService jobService)
+  private static PeerServer openPeerServer(Settings settings, JobService jobService)
       throws IOException {
     Settings.Endpoint address = settings.peerListen();
-    return new PeerServer(address.host(), address.port(), jobService::answerPeer);
+    return new PeerServer(address.host(), address.port(), jobService::handlePeerRequest);
   }
 
-  private static HttpServer httpServer(Settings settings, PublicApi api) throws IOException {
+  private static HttpServer openHttpServer(Settings settings, PublicApi api) throws IOException {
     int connections = ThreadBudget.maxConnections(settings.maxSockets());
     int userConnections = (int) (connections * ThreadBudget.USER_CONNECTIONS_SHARE);
     return new HttpServer(
--- a/src/main/java/org/astershift/api/HeartbeatStatistics.java
+++ b/src/main/java/org/astershift/api/HeartbeatStatistics.java
@@ -10,8 +10,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatStatistics.class);
 
   private final LongSupplier oldestWaitMs;
-  private int handled;
-  private int rejected;
+  private int handledCount;
+  private int rejectedCount;
   private long longestWaitMs;
   private long periodStartNs = System.nanoTime();
 
@@ -25,14 +25,14 @@
 
   /** Counts a heartbeat that waited {@code waitMs} to be handled. */
   synchronized void onHandled(long waitMs) {
-    handled++;
+    handledCount++;
     longestWaitMs = Math.max(longestWaitMs, waitMs);
     logIfDue();
   }
 
   /** Counts a heartbeat that was rejected because it had waited too long. */
   synchronized void onRejected() {
-    rejected++;
+    rejectedCount++;
     logIfDue();
   }
 
@@ -43,13 +43,13 @@
     }
     LOG.info(
         "heartbeats: handled={} rejected={} longest_wait_ms={} oldest_waiting_ms={} seconds={}",
-        handled,
-        rejected,
+        handledCount,
+        rejectedCount,
         longestWaitMs,
         oldestWaitMs.getAsLong(),
         (nowNs - periodStartNs) / 1_000_000_000);
-    handled = 0;
-    rejected = 0;
+    handledCount = 0;
+    rejectedCount = 0;
     longestWaitMs = 0;
     periodStartNs = nowNs;
   }
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -75,12 +75,12 @@
           : wrongMethod();
     }
     if (path.startsWith(JOBS_PATH + "/")) {
-      return handleJob(request.method(), path.substring(JOBS_PATH.length() + 1));
+      return handleJobRequest(request.method(), path.substring(JOBS_PATH.length() + 1));
     }
     return noSuchPath();
   }
 
-  private Response handleJob(String method, String jobPath) throws InterruptedException {
+  private Response handleJobRequest(String method, String jobPath) throws InterruptedException {
     boolean cancel = jobPath.endsWith(CANCEL_SUFFIX);
     String id = cancel ? jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length()) : jobPath;
     if (id.contains("/")) {
@@ -135,7 +135,7 @@
       String id = JobCodec.idAcceptedByEarlierVersions(request.body());
       return id == null ? malformed : rejectUnlessAccepted(id, malformed);
     }
-    Map<String, MachineType> types = controller.types();
+    Map<String, MachineType> types = controller.machineTypes();
     if (types.isEmpty()) {
       return rejectUnlessAccepted(
           spec.id(), Response.error(503, "machine types are not known yet"));
@@ -148,7 +148,7 @@
     JobService.SubmissionResult result = jobService.submit(spec);
     return switch (result.status()) {
       case 200, 201 ->
-          new Response(result.status(), JobCodec.encodeState(spec.id(), result.known()), 0);
+          new Response(result.status(), JobCodec.encodeState(spec.id(), result.state()), 0);
       default -> Response.error(503, "cannot be accepted now");
     };
   }
@@ -194,7 +194,7 @@
     long fencingToken = controller.token();
     List<Command> commands = controller.onHeartbeat(heartbeat, fencingToken, receivedMs);
     if (commands == null) {
-      String leader = controller.otherLeader();
+      String leader = controller.remoteLeader();
       return Response.of(421, leader == null ? Map.of() : Map.of("harbormaster", leader));
     }
     return new Response(200, WorkerCodec.encodeHeartbeatResponse(fencingToken, commands), 0);
--- a/src/main/java/org/astershift/api/RequestStatistics.java
+++ b/src/main/java/org/astershift/api/RequestStatistics.java
@@ -17,14 +17,14 @@
     CANCELLATION
   }
 
-  private final Map<Kind, Integer> requests = new EnumMap<>(Kind.class);
-  private int unavailable;
+  private final Map<Kind, Integer> requestCounts = new EnumMap<>(Kind.class);
+  private int unavailableCount;
   private long periodStartNs = System.nanoTime();
 
   /** Counts one request with the status of its response, and logs the totals when they are due. */
   synchronized void record(Kind kind, int status) {
-    requests.put(kind, count(kind) + 1);
-    unavailable += status == 503 ? 1 : 0;
+    requestCounts.put(kind, count(kind) + 1);
+    unavailableCount += status == 503 ? 1 : 0;
     long nowNs = System.nanoTime();
     if (nowNs - periodStartNs >= LogIntervals.SUMMARY_INTERVAL_MS * 1_000_000) {
       LOG.info(
@@ -33,14 +33,14 @@
           count(Kind.STATUS_POLL),
           count(Kind.CANCELLATION),
           (nowNs - periodStartNs) / 1_000_000_000,
-          unavailable);
-      requests.clear();
-      unavailable = 0;
+          unavailableCount);
+      requestCounts.clear();
+      unavailableCount = 0;
       periodStartNs = nowNs;
     }
   }
 
   private int count(Kind kind) {
-    return requests.getOrDefault(kind, 0);
+    return requestCounts.getOrDefault(kind, 0);
   }
 }
--- a/src/main/java/org/astershift/controller/CloudPoller.java
+++ b/src/main/java/org/astershift/controller/CloudPoller.java
@@ -23,7 +23,7 @@
   private final StoreClient store;
   private final WatchCache watchCache;
   private final Runnable requestPass;
-  private volatile Map<String, MachineType> types = Map.of();
+  private volatile Map<String, MachineType> machineTypes = Map.of();
 
   CloudPoller(CloudClient cloud, StoreClient store, WatchCache watchCache, Runnable requestPass) {
     this.cloud = cloud;
@@ -36,8 +36,8 @@
    * Returns the machine types by name; empty until they were read from the cloud or the store.
    * Callable from any thread.
    */
-  Map<String, MachineType> types() {
-    return types;
+  Map<String, MachineType> machineTypes() {
+    return machineTypes;
   }
 
   /**
@@ -46,7 +46,7 @@
    */
   void onTypesRecord(Map<String, Object> value) {
     try {
-      types = RecordCodec.decodeMachineTypes(value);
+      machineTypes = RecordCodec.decodeMachineTypes(value);
     } catch (JsonFormatException e) {
       LOG.error("machine types record cannot be decoded: {}", e.getMessage());
     }
@@ -85,13 +85,13 @@
 
   private void refreshTypes(LeaderTerm term) throws IOException, InterruptedException {
     Map<String, MachineType> fetchedTypes = cloud.listMachineTypes();
-    boolean changed = !fingerprint(fetchedTypes).equals(fingerprint(types));
-    types = fetchedTypes;
+    boolean changed = !fingerprint(fetchedTypes).equals(fingerprint(machineTypes));
+    machineTypes = fetchedTypes;
     term.scheduler.updateMachineTypes(fetchedTypes);
     requestPass.run();
     if (changed || watchCache.get(RecordCodec.MACHINE_TYPES_KEY) == null) {
       StoreClient.Transaction txn =
-          term.transaction()
+          term.newFencedTransaction()
               .put(RecordCodec.MACHINE_TYPES_KEY, RecordCodec.encodeMachineTypes(fetchedTypes));
       term.stepDownIfLeadershipLost(
           store.commit(txn, RateLimiter.Urgency.INTERACTIVE, StoreClient.STORE_RATE_WAIT_MS));
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -37,7 +37,7 @@
   /** Resends the rentals that an earlier leader left without an answer, under their names. */
   void resumeProvisioning(LeaderTerm term) {
     term.records
-        .entries(LeaderRecords.RecordKind.RENTAL)
+        .entries(LeaderRecords.RecordKind.PROVISIONING_REQUEST)
         .forEach((name, value) -> resume(term, name, value));
   }
 
@@ -54,14 +54,17 @@
 
   /** Records a rental under a new name; its request is sent once the record is durable. */
   void provision(LeaderTerm term, Decision.ProvisionMachines request) {
-    String name = term.nextRentalName();
+    String name = term.nextProvisioningRequestName();
     term.scheduler.onProvisioningStarted(name, request);
     term.records.put(
-        LeaderRecords.RecordKind.RENTAL, name, RecordCodec.encodeProvisionRequest(request), 0);
+        LeaderRecords.RecordKind.PROVISIONING_REQUEST,
+        name,
+        RecordCodec.encodeProvisionRequest(request),
+        0);
   }
 
   /** Sends the request of a rental whose record has become durable. */
-  void onRentalPersisted(LeaderTerm term, String name, Object value) throws JsonFormatException {
+  void onRequestPersisted(LeaderTerm term, String name, Object value) throws JsonFormatException {
     submit(term, name, RecordCodec.decodeProvisionRequest(value));
   }
 
@@ -75,7 +78,8 @@
       CloudBackoff.sleep();
     }
     if (CloudBackoff.shouldContinue(term)) {
-      term.records.remove(LeaderRecords.RecordKind.RENTAL, name, LeaderRecords.REMOVAL_DELAY_MS);
+      term.records.remove(
+          LeaderRecords.RecordKind.PROVISIONING_REQUEST, name, LeaderRecords.REMOVAL_DELAY_MS);
     }
   }
 
--- a/src/main/java/org/astershift/controller/CommandDispatcher.java
+++ b/src/main/java/org/astershift/controller/CommandDispatcher.java
@@ -40,7 +40,7 @@
 
   /** Sends a request on the calling thread, unless the scheduler no longer needs it. */
   void send(LeaderTerm term, Decision.SendCommands request) {
-    if (term.hasEnded() || !term.scheduler.directCommandsStillDue(request)) {
+    if (term.hasEnded() || !term.scheduler.isRequestStillDue(request)) {
       return;
     }
     CommandSender.Result result = new CommandSender.Result(true, null);
@@ -50,7 +50,7 @@
               request.address(),
               term.token,
               request.epoch(),
-              () -> term.scheduler.commandsStillWanted(request),
+              () -> term.scheduler.commandsToSend(request),
               request.timeoutMs());
     } finally {
       // Reported after a failure too: a request that stayed in flight indefinitely would block its
--- a/src/main/java/org/astershift/controller/CompletionQueue.java
+++ b/src/main/java/org/astershift/controller/CompletionQueue.java
@@ -11,7 +11,7 @@
  */
 final class CompletionQueue {
   private final ArrayDeque<String> pending = new ArrayDeque<>();
-  private boolean closed;
+  private boolean isClosed;
 
   synchronized void add(String jobId) {
     pending.addLast(jobId);
@@ -23,18 +23,18 @@
    * the queue is closed.
    */
   synchronized List<String> takeBatch(int maxJobs) throws InterruptedException {
-    while (pending.isEmpty() && !closed) {
+    while (pending.isEmpty() && !isClosed) {
       wait();
     }
     List<String> batch = new ArrayList<>();
-    while (!closed && !pending.isEmpty() && batch.size() < maxJobs) {
+    while (!isClosed && !pending.isEmpty() && batch.size() < maxJobs) {
       batch.add(pending.removeFirst());
     }
     return batch;
   }
 
   synchronized void close() {
-    closed = true;
+    isClosed = true;
     notifyAll();
   }
 }
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -60,7 +60,7 @@
 
   private void persistEnds(LeaderTerm term, List<String> jobIds) throws InterruptedException {
     Map<String, RecordCodec.JobEnd> ends = new LinkedHashMap<>();
-    StoreClient.Transaction txn = term.transaction();
+    StoreClient.Transaction txn = term.newFencedTransaction();
     for (String jobId : jobIds) {
       if (term.manages(jobId)) {
         RecordCodec.JobEnd end = buildEnd(term, jobId, false);
@@ -154,7 +154,7 @@
       return endedJobs.get(jobId);
     }
     RecordCodec.JobEnd end = buildEnd(term, jobId, cancelled);
-    StoreClient.Transaction txn = term.transaction();
+    StoreClient.Transaction txn = term.newFencedTransaction();
     addEndRecord(txn, jobId, end);
     term.termJobs().onEndWriteStarted(jobId);
     Outcome outcome = store.commit(txn, RateLimiter.Urgency.INTERACTIVE, timeoutMs);
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -26,8 +26,8 @@
   private final LeadershipTransferCheck transferCheck;
   private final StoreReachability storeReachability = new StoreReachability();
   private volatile ObservedLeader observedLeader;
-  private volatile boolean isolated;
-  private boolean storeWasUnavailable;
+  private volatile boolean isIsolated;
+  private boolean wasStoreUnavailable;
 
   /** The leader as reported by a peer; {@code node} is empty if there is no leader. */
   private record ObservedLeader(String node, long token) {
@@ -43,7 +43,7 @@
    * Results of querying the peers: how many answered, the first one to which the store responds,
    * and the leader that it reports; the latter two are null if the store responds to no peer.
    */
-  private record PeerReports(int answered, String peerWithStore, ObservedLeader leader) {}
+  private record PeerReports(int answeredCount, String peerWithStore, ObservedLeader leader) {}
 
   ConnectivityMonitor(
       StoreClient store,
@@ -66,7 +66,7 @@
    * peer responds to this node.
    */
   boolean isPartitionedFromStore() {
-    return observedLeader != null || isolated;
+    return observedLeader != null || isIsolated;
   }
 
   /**
@@ -79,7 +79,7 @@
   }
 
   /** Answers a peer's query whether the store responds to this node and who leads. */
-  PeerResponse answerStoreStatus() {
+  PeerResponse storeStatusResponse() {
     if (store.isUnavailable()) {
       return PeerResponse.UNAVAILABLE;
     }
@@ -89,8 +89,8 @@
   }
 
   /** Answers a peer's query how much of the fleet this node reaches. */
-  PeerResponse answerWorkerReachability() {
-    return PeerReachability.encode(runtime.prober().measurement(), !store.isUnavailable());
+  PeerResponse workerReachabilityResponse() {
+    return PeerReachability.encodeResponse(runtime.prober().measurement(), !store.isUnavailable());
   }
 
   /**
@@ -98,7 +98,7 @@
    * lets it become a candidate first.
    */
   PeerResponse onTransferAnnounced(String successor) {
-    if (!successor.equals(runtime.node())) {
+    if (!successor.equals(runtime.nodeName())) {
       candidacy.deferToSuccessor(LeaderTerm.nowMs());
     }
     return new PeerResponse(200, "", 0, 0);
@@ -117,12 +117,12 @@
   }
 
   private void onStoreAvailable() {
-    if (storeWasUnavailable) {
-      LOG.info("store responds to this node again, node={}", runtime.node());
+    if (wasStoreUnavailable) {
+      LOG.info("store responds to this node again, node={}", runtime.nodeName());
     }
-    storeWasUnavailable = false;
+    wasStoreUnavailable = false;
     observedLeader = null;
-    isolated = false;
+    isIsolated = false;
     storeReachability.onStoreResponded();
   }
 
@@ -130,16 +130,17 @@
     PeerReports reports = queryPeers();
     ObservedLeader reported = reports.leader();
     logIfChanged(reports);
-    storeWasUnavailable = true;
+    wasStoreUnavailable = true;
     observedLeader = reported;
-    boolean wasIsolated = isolated;
-    isolated =
+    boolean wasIsolated = isIsolated;
+    isIsolated =
         storeReachability.onPeersQueried(
-                peers.size(), reports.answered(), reported != null, LeaderTerm.nowMs())
+                peers.size(), reports.answeredCount(), reported != null, LeaderTerm.nowMs())
             == StoreReachability.Verdict.ISOLATED;
-    if (isolated && !wasIsolated) {
+    if (isIsolated && !wasIsolated) {
       LOG.info(
-          "neither the store nor any peer responds; reporting not ready, node={}", runtime.node());
+          "neither the store nor any peer responds; reporting not ready, node={}",
+          runtime.nodeName());
     }
     if (reported != null && !keepsTermDespite(reported)) {
       runtime.onLeaderObserved(reported.token());
@@ -165,16 +166,17 @@
   }
 
   private void logIfChanged(PeerReports reports) {
-    if (storeWasUnavailable && (reports.leader() == null) == (observedLeader == null)) {
+    if (wasStoreUnavailable && (reports.leader() == null) == (observedLeader == null)) {
       return;
     }
     if (reports.leader() == null) {
       LOG.info(
-          "store responds neither to this node nor to a reachable peer, node={}", runtime.node());
+          "store responds neither to this node nor to a reachable peer, node={}",
+          runtime.nodeName());
     } else {
       LOG.info(
           "store responds to a peer but not to this node; reporting not ready, node={} peer={}",
-          runtime.node(),
+          runtime.nodeName(),
           reports.peerWithStore());
     }
   }
@@ -191,11 +193,11 @@
     if (term == null || laterLeader.token() <= term.token || peer == null) {
       return false;
     }
-    if (!runtime.prober().measurement().reachesEnough()) {
+    if (!runtime.prober().measurement().isReachabilitySufficient()) {
       return false;
     }
     // A peer of a version without this operation answers 0 of 0, which does not count as few.
     Candidacy.PeerStatus status = PeerReachability.query(laterLeader.node(), peer);
-    return status != null && status.workerReachability().reachesFew();
+    return status != null && status.workerReachability().isReachabilityPoor();
   }
 }
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -103,7 +103,7 @@
     elector.onLeaderObserved(token);
   }
 
-  String node() {
+  String nodeName() {
     return settings.nodeName();
   }
 
@@ -125,15 +125,15 @@
   }
 
   /** Returns the leader as this node knows it; null if there is none or it is this node. */
-  public String otherLeader() {
+  public String remoteLeader() {
     String leader =
         connectivity.isPartitionedFromStore() ? connectivity.reportedLeader() : elector.leader();
     return settings.nodeName().equals(leader) ? null : leader;
   }
 
   /** Returns the machine types by name; empty until read from the cloud or the store. */
-  public Map<String, MachineType> types() {
-    return cloudPoller.types();
+  public Map<String, MachineType> machineTypes() {
+    return cloudPoller.machineTypes();
   }
 
   /** Returns the current term; null if this node does not lead. */
@@ -193,7 +193,7 @@
       store.setLeading(true);
     }
     LeaderTerm term = createTerm(token);
-    term.scheduler.updateMachineTypes(cloudPoller.types());
+    term.scheduler.updateMachineTypes(cloudPoller.machineTypes());
     long revision = watchCache.revision();
     term.load(watchCache);
     LOG.info(
@@ -201,7 +201,7 @@
         settings.nodeName(),
         token,
         revision,
-        term.inventory(),
+        term.inventorySummary(),
         LeaderTerm.nowMs() - term.beganMs,
         elector.leaseCertainUntilMs() - LeaderTerm.nowMs());
     synchronized (termLock) {
@@ -227,7 +227,10 @@
             settings.storeLimits(),
             new PersistedRecordHandler(token, this::currentTerm, provisioner));
     return new LeaderTerm(
-        token, new Scheduler(settings.limits(), policy, token), records, new Host(token));
+        token,
+        new Scheduler(settings.limits(), policy, token),
+        records,
+        new ControllerTermContext(token));
   }
 
   /**
@@ -308,10 +311,10 @@
   }
 
   /** This controller as the host of the term with this token. */
-  private final class Host implements TermHost {
+  private final class ControllerTermContext implements TermContext {
     private final long token;
 
-    Host(long token) {
+    ControllerTermContext(long token) {
       this.token = token;
     }
 
--- a/src/main/java/org/astershift/controller/JobCanceller.java
+++ b/src/main/java/org/astershift/controller/JobCanceller.java
@@ -25,7 +25,7 @@
    * outlive it.
    */
   PeerResponse cancel(String jobId, boolean mayForward) throws InterruptedException {
-    return new Request(jobId, mayForward, runtime.currentTerm(), LeaderTerm.nowMs()).answer();
+    return new Request(jobId, mayForward, runtime.currentTerm(), LeaderTerm.nowMs()).process();
   }
 
   /** One cancellation request; runs on the thread that serves its user. */
@@ -36,7 +36,7 @@
     private final long arrivedMs;
     private final long deadlineMs;
     private boolean cancelRequested;
-    private boolean storeRead;
+    private boolean wasStoreRead;
 
     Request(String jobId, boolean mayForward, LeaderTerm term, long arrivedMs) {
       this.jobId = jobId;
@@ -46,9 +46,9 @@
       this.deadlineMs = arrivedMs + LoopTiming.CANCEL_WAIT_MS;
     }
 
-    PeerResponse answer() throws InterruptedException {
+    PeerResponse process() throws InterruptedException {
       while (true) {
-        Cancellation.Action action = Cancellation.next(view());
+        Cancellation.Action action = Cancellation.nextAction(buildView());
         if (action.needsTerm() && !cancelRequested) {
           requestCancel();
         }
@@ -75,31 +75,32 @@
     /** Executes the action; returns null if the user has to keep waiting. */
     private PeerResponse execute(Cancellation.Action action) throws InterruptedException {
       return switch (action) {
-        case REPLY_WITH_END -> answerWith(endedJobs.get(jobId));
-        case FORWARD -> lookup.askLeader(PeerOperation.CANCEL_JOB, jobId);
+        case REPLY_WITH_END -> responseOrNull(endedJobs.get(jobId));
+        case FORWARD -> lookup.forwardToLeader(PeerOperation.CANCEL_JOB, jobId);
         case REJECT -> PeerResponse.UNAVAILABLE;
         case READ_STORE -> readStore();
         case WAIT -> null;
-        case WRITE_CANCELLED -> answerWith(runtime.persistEnd(term, jobId, true, remainingMs()));
-        case WRITE_DONE -> answerWith(runtime.persistEnd(term, jobId, false, remainingMs()));
+        case WRITE_CANCELLED ->
+            responseOrNull(runtime.persistEnd(term, jobId, true, remainingMs()));
+        case WRITE_DONE -> responseOrNull(runtime.persistEnd(term, jobId, false, remainingMs()));
       };
     }
 
     private PeerResponse readStore() {
       PeerResponse answer = lookup.queryStore(jobId);
-      storeRead = true;
+      wasStoreRead = true;
       return answer.isOk() ? null : answer;
     }
 
-    private static PeerResponse answerWith(RecordCodec.JobEnd end) {
-      return end == null ? null : JobLookup.toAnswer(end);
+    private static PeerResponse responseOrNull(RecordCodec.JobEnd end) {
+      return end == null ? null : JobLookup.toResponse(end);
     }
 
     private long remainingMs() {
       return Math.max(1, deadlineMs - LeaderTerm.nowMs());
     }
 
-    private Cancellation.View view() {
+    private Cancellation.View buildView() {
       boolean deadlinePassed = LeaderTerm.nowMs() >= deadlineMs;
       boolean ended = endedJobs.get(jobId) != null;
       boolean managed = term != null && term.manages(jobId);
@@ -113,10 +114,10 @@
           term != null,
           term != null && !term.hasEnded() && runtime.isLeaseCertain(term),
           managed,
-          storeRead,
-          state.fenced(),
-          state.startInFlight(),
-          state.complete(),
+          wasStoreRead,
+          state.isFenced(),
+          state.hasStartInFlight(),
+          state.isComplete(),
           deadlinePassed);
     }
   }
--- a/src/main/java/org/astershift/controller/JobLookup.java
+++ b/src/main/java/org/astershift/controller/JobLookup.java
@@ -32,13 +32,13 @@
     this.peers = peers;
   }
 
-  static PeerResponse toAnswer(RecordCodec.JobEnd end) {
+  static PeerResponse toResponse(RecordCodec.JobEnd end) {
     return PeerResponse.ofEnded(end.cancelled(), end.doneTasks());
   }
 
   /** Returns the leader's answer, or the store's if the leader's is undecided. */
   PeerResponse queryLeaderOrStore(String jobId) {
-    PeerResponse answer = askLeader(PeerOperation.POLL_JOB, jobId);
+    PeerResponse answer = forwardToLeader(PeerOperation.POLL_JOB, jobId);
     return answer.isUnavailable() ? queryStore(jobId) : answer;
   }
 
@@ -63,7 +63,7 @@
       }
       RecordCodec.JobEnd end = RecordCodec.decodeJobEnd(endedEntry.data());
       runtime.onEndRead(jobId, end);
-      return toAnswer(end);
+      return toResponse(end);
     } catch (IOException | JsonFormatException e) {
       LOG.debug("reading job failed, job={}: {}", jobId, e.toString());
       return PeerResponse.UNAVAILABLE;
@@ -71,7 +71,7 @@
   }
 
   /** Returns the leader's answer about a job and caches an end; undecided without an answer. */
-  PeerResponse askLeader(PeerOperation operation, String jobId) {
+  PeerResponse forwardToLeader(PeerOperation operation, String jobId) {
     PeerResponse answer = callLeader(operation, jobId);
     if (answer.hasEnded()) {
       endedJobs.put(jobId, new RecordCodec.JobEnd(answer.isCancelled(), answer.doneTasks()));
@@ -80,7 +80,7 @@
   }
 
   private PeerResponse callLeader(PeerOperation operation, String jobId) {
-    String leader = runtime.otherLeader();
+    String leader = runtime.remoteLeader();
     JobService.PeerChannel peer = leader == null ? null : peers.get(leader);
     if (peer == null) {
       return PeerResponse.UNAVAILABLE;
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -51,18 +51,18 @@
    * The result of a submission: 201 if the job was accepted, 200 with its {@code known} state if it
    * was submitted before, or 503 with null while that is undecided.
    */
-  public record SubmissionResult(int status, PeerResponse known) {
-    private static final SubmissionResult UNDECIDED = new SubmissionResult(503, null);
+  public record SubmissionResult(int status, PeerResponse state) {
+    private static final SubmissionResult UNAVAILABLE = new SubmissionResult(503, null);
   }
 
   /** Accepts a job durably. Submissions are idempotent by job id. */
   public SubmissionResult submit(JobSpec spec) throws InterruptedException {
     RecordCodec.JobEnd end = endedJobs.get(spec.id());
     if (end != null) {
-      return new SubmissionResult(200, JobLookup.toAnswer(end));
+      return new SubmissionResult(200, JobLookup.toResponse(end));
     }
     if (store.isUnavailable()) {
-      return SubmissionResult.UNDECIDED;
+      return SubmissionResult.UNAVAILABLE;
     }
     RecordCodec.JobRecord record = new RecordCodec.JobRecord(spec, System.currentTimeMillis());
     Outcome outcome =
@@ -72,10 +72,10 @@
       return onAccepted(record, committed.revision());
     }
     if (outcome instanceof Outcome.Rejected) {
-      return SubmissionResult.UNDECIDED;
+      return SubmissionResult.UNAVAILABLE;
     }
     PeerResponse known = poll(spec.id(), true);
-    return known.isOk() ? new SubmissionResult(200, known) : SubmissionResult.UNDECIDED;
+    return known.isOk() ? new SubmissionResult(200, known) : SubmissionResult.UNAVAILABLE;
   }
 
   /** Returns a transaction that commits only if the id was never accepted. */
@@ -91,7 +91,7 @@
     runtime.onJobAccepted(record, revision);
     RecordCodec.JobEnd end = endedJobs.get(record.spec().id());
     return end != null // the job was cancelled before the store's response arrived
-        ? new SubmissionResult(200, JobLookup.toAnswer(end))
+        ? new SubmissionResult(200, JobLookup.toResponse(end))
         : new SubmissionResult(201, PeerResponse.ofAccepted());
   }
 
@@ -105,8 +105,8 @@
     JobQuery.View view =
         new JobQuery.View(end != null, term != null, progress != null, leaseCertain, mayForward);
     PeerResponse answer =
-        switch (JobQuery.source(view)) {
-          case KNOWN_END -> JobLookup.toAnswer(end);
+        switch (JobQuery.selectSource(view)) {
+          case KNOWN_END -> JobLookup.toResponse(end);
           case LEADER_MEMORY ->
               PeerResponse.ofLive(
                   progress.running(), progress.doneTasks(), progress.runningTasks());
@@ -122,13 +122,13 @@
   }
 
   /** Answers another controller, without forwarding the request to a third one. */
-  public PeerResponse answerPeer(PeerOperation operation, String argument)
+  public PeerResponse handlePeerRequest(PeerOperation operation, String argument)
       throws InterruptedException {
     return switch (operation) {
       case POLL_JOB -> poll(argument, false);
       case CANCEL_JOB -> cancel(argument, false);
-      case STORE_STATUS -> runtime.connectivity().answerStoreStatus();
-      case WORKER_REACHABILITY -> runtime.connectivity().answerWorkerReachability();
+      case STORE_STATUS -> runtime.connectivity().storeStatusResponse();
+      case WORKER_REACHABILITY -> runtime.connectivity().workerReachabilityResponse();
       case ANNOUNCE_TRANSFER -> runtime.connectivity().onTransferAnnounced(argument);
       case PROBE_MACHINES -> runtime.prober().probeForPeer(argument);
       case UNKNOWN -> PeerResponse.UNAVAILABLE;
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -138,7 +138,7 @@
   private void electionLoop() throws InterruptedException {
     while (true) {
       try {
-        boolean waitBeforeNext = execute(election.next(view()));
+        boolean waitBeforeNext = execute(election.nextAction(buildView()));
         if (waitBeforeNext) {
           synchronized (electionSignal) {
             electionSignal.wait(
@@ -154,7 +154,7 @@
     }
   }
 
-  private Election.View view() {
+  private Election.View buildView() {
     StoreClient.Entry entry = leaderEntry();
     Election.Holder holder =
         entry == null
@@ -189,8 +189,8 @@
     } else if (action instanceof Action.VerifyKey verify) {
       election.onKeyVerified(revisionIfOnLease(verify.lease()));
       return false;
-    } else if (action instanceof Action.CatchUp catchUp) {
-      catchUp(catchUp.revision());
+    } else if (action instanceof Action.AwaitRevision catchUp) {
+      awaitRevision(catchUp.revision());
       return false;
     } else if (action instanceof Action.BeginTerm begin) {
       startTermAsync(begin.token());
@@ -206,8 +206,8 @@
     LOG.info(
         "deferring candidacy, node={} workers_reached={} workers_probed={}",
         node,
-        reachability.answered(),
-        reachability.probed());
+        reachability.answeredCount(),
+        reachability.probedCount());
   }
 
   private void removeStaleKey(long revision) throws InterruptedException {
@@ -219,12 +219,12 @@
         LoopTiming.LEADER_KEY_TIMEOUT_MS);
   }
 
-  private void catchUp(long revision) throws InterruptedException {
+  private void awaitRevision(long revision) throws InterruptedException {
     boolean caughtUp = watchCache.awaitRevision(revision, Election.LEADER_LEASE_MS);
     if (!caughtUp) {
       LOG.info("giving up a won election: cache did not catch up in time, token={}", revision);
     }
-    election.onCaughtUp(revision, caughtUp);
+    election.onRevisionAwaited(revision, caughtUp);
   }
 
   /**
--- a/src/main/java/org/astershift/controller/LeaderRecords.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -46,8 +46,8 @@
    * kind do not rewrite entries of the others.
    */
   enum RecordKind {
-    OPENED('o'),
-    RENTAL('i'),
+    OPENED_JOB('o'),
+    PROVISIONING_REQUEST('i'),
     MACHINE('m'),
     PROGRESS('p');
 
@@ -76,14 +76,14 @@
       new EnumMap<>(RecordKind.class);
 
   /** Most pages in the next transaction; lowered while the store rejects transactions. */
-  private int pageLimit;
+  private int nextMaxPages;
 
-  private boolean closed;
+  private boolean isClosed;
 
   LeaderRecords(long token, StoreClient store, Settings.StoreLimits limits, Listener listener) {
     this.writer = new RecordWriter(token, store, this, listener);
     this.maxPages = limits.txnOps();
-    this.pageLimit = maxPages;
+    this.nextMaxPages = maxPages;
     this.maxPageBytes =
         (int) Math.min(RecordCodec.MAX_PAGE_BYTES, limits.valueKb() * 1024 * PAGE_VALUE_SHARE);
     for (RecordKind kind : RecordKind.values()) {
@@ -148,7 +148,7 @@
   synchronized void put(RecordKind kind, String key, Object value, long delayMs) {
     RecordPage page = pageByKey.get(kind).get(key);
     if (page == null) {
-      page = pageWithRoom(kind, RecordPage.entryBytes(key, value));
+      page = findPageWithRoom(kind, RecordPage.entryBytes(key, value));
     }
     setEntry(page, key, value);
     markChanged(page, key, delayMs);
@@ -160,7 +160,7 @@
    */
   synchronized void replace(RecordKind kind, String key, Object value, long delayMs) {
     RecordPage page = pageByKey.get(kind).get(key);
-    if (page != null && page.bytes + page.growthBytes(key, value) <= maxPageBytes) {
+    if (page != null && page.sizeBytes + page.growthBytes(key, value) <= maxPageBytes) {
       put(kind, key, value, delayMs);
     }
   }
@@ -176,9 +176,9 @@
     }
   }
 
-  private RecordPage pageWithRoom(RecordKind kind, int size) {
+  private RecordPage findPageWithRoom(RecordKind kind, int size) {
     for (RecordPage page : pages.get(kind)) {
-      if (page.bytes + size <= maxPageBytes) {
+      if (page.sizeBytes + size <= maxPageBytes) {
         return page;
       }
     }
@@ -201,7 +201,7 @@
 
   /** Ends the write loop. */
   synchronized void close() {
-    closed = true;
+    isClosed = true;
     notifyAll();
   }
 
@@ -214,7 +214,7 @@
    * Waits for due pages and takes their changes, for the writer; returns an empty list once closed.
    */
   synchronized List<RecordPage.Snapshot> takeDuePages() throws InterruptedException {
-    while (!closed) {
+    while (!isClosed) {
       long nowMs = LeaderTerm.nowMs();
       long earliestDueMs = RecordPage.NEVER_MS;
       List<RecordPage> duePages = new ArrayList<>();
@@ -240,8 +240,8 @@
    */
   private List<RecordPage.Snapshot> takeChanges(List<RecordPage> duePages) {
     duePages.sort(Comparator.comparingLong(p -> p.dueMs));
-    int[] pageSizes = duePages.stream().mapToInt(p -> p.bytes).toArray();
-    int count = PagePacking.pagesPerTransaction(pageSizes, pageLimit);
+    int[] pageSizes = duePages.stream().mapToInt(p -> p.sizeBytes).toArray();
+    int count = PagePacking.pagesPerTransaction(pageSizes, nextMaxPages);
     List<RecordPage.Snapshot> writes = new ArrayList<>();
     for (RecordPage page : duePages.subList(0, count)) {
       writes.add(page.takeChanges());
@@ -260,7 +260,7 @@
 
   /** Handles a transaction that was committed: its pages are durable. */
   synchronized void onCommitted(List<RecordPage.Snapshot> writes) {
-    pageLimit = maxPages;
+    nextMaxPages = maxPages;
     for (RecordPage.Snapshot write : writes) {
       write.page().onCommitted();
     }
@@ -279,11 +279,11 @@
    */
   synchronized void splitAfterRejection(List<RecordPage.Snapshot> writes) {
     if (writes.size() > 1) {
-      pageLimit = Math.max(1, writes.size() / 2);
+      nextMaxPages = Math.max(1, writes.size() / 2);
       return;
     }
     RecordPage page = writes.get(0).page();
-    LOG.error("store rejected a page; will retry later, key={} bytes={}", page.key, page.bytes);
+    LOG.error("store rejected a page; will retry later, key={} bytes={}", page.key, page.sizeBytes);
     page.dueMs = LeaderTerm.nowMs() + PAGE_REJECTED_BACKOFF_MS;
   }
 }
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -32,24 +32,24 @@
   final LockedScheduler scheduler;
   final LeaderRecords records;
   final CompletionQueue completions = new CompletionQueue();
-  private final TermHost host;
+  private final TermContext context;
   private final TermJobs termJobs;
 
   /** Guarded by the scheduler's lock. */
   private final CancellationLatency cancellationLatency = new CancellationLatency();
 
-  private final AtomicLong rentalCount = new AtomicLong();
+  private final AtomicLong provisioningRequestCount = new AtomicLong();
 
-  LeaderTerm(long token, Scheduler scheduler, LeaderRecords records, TermHost host) {
+  LeaderTerm(long token, Scheduler scheduler, LeaderRecords records, TermContext host) {
     this.token = token;
     this.scheduler = new LockedScheduler(scheduler, host);
     this.records = records;
     this.termJobs = new TermJobs(token);
-    this.host = host;
+    this.context = host;
   }
 
   boolean hasEnded() {
-    return scheduler.closed();
+    return scheduler.isClosed();
   }
 
   /** Ends the loops of the term; requests still in flight are fenced by the token. */
@@ -61,7 +61,7 @@
 
   /** Asks the host to end the term; must not be called under the scheduler's lock. */
   void stepDown(String reason) {
-    host.stepDown(reason);
+    context.stepDown(reason);
   }
 
   /** Steps down after a write whose condition on the leader key failed. */
@@ -70,12 +70,12 @@
   }
 
   void requestPass() {
-    host.requestPass();
+    context.requestPass();
   }
 
   /** Returns the monotonic time, in milliseconds, before which no other controller can lead. */
   long leaseCertainUntilMs() {
-    return host.leaseCertainUntilMs();
+    return context.leaseCertainUntilMs();
   }
 
   /** Returns the commands for the response; null if the term may no longer answer workers. */
@@ -84,7 +84,7 @@
   }
 
   /** Returns a transaction that fails if it is applied after another leader took over. */
-  StoreClient.Transaction transaction() {
+  StoreClient.Transaction newFencedTransaction() {
     return new StoreClient.Transaction().requireRevision(RecordCodec.LEADER_KEY, token);
   }
 
@@ -105,11 +105,11 @@
    * Loads what earlier leaders recorded. Machines come first, as they determine what may be placed.
    */
   void load(WatchCache watchCache) {
-    scheduler.call(
+    scheduler.callLocked(
         lockedScheduler -> {
           records.load(watchCache.entriesWithPrefix(RecordCodec.LEADER_PAGE_PREFIX));
           loadMachines(lockedScheduler);
-          Map<String, Object> openedJobs = records.entries(LeaderRecords.RecordKind.OPENED);
+          Map<String, Object> openedJobs = records.entries(LeaderRecords.RecordKind.OPENED_JOB);
           Map<String, BitSet> doneTasks = loadProgress();
           loadJobs(lockedScheduler, watchCache, openedJobs, doneTasks);
           termJobs.onLoaded();
@@ -200,7 +200,7 @@
 
   private void addJob(
       RecordCodec.JobRecord record, long revision, boolean opened, BitSet doneTasks) {
-    scheduler.call(
+    scheduler.callLocked(
         lockedScheduler -> {
           if (termJobs.adopt(record.spec().id(), revision)) {
             long ageMs = Math.max(0, System.currentTimeMillis() - record.submittedMs());
@@ -220,7 +220,7 @@
    * the job, or the job's end may already be recorded.
    */
   Scheduler.JobProgress progressIfCurrent(String jobId) {
-    return scheduler.call(
+    return scheduler.callLocked(
         lockedScheduler -> termJobs.mayHaveEnded(jobId) ? null : lockedScheduler.progress(jobId));
   }
 
@@ -234,7 +234,7 @@
    * job starts.
    */
   void requestCancel(String jobId, long arrivedMs) {
-    scheduler.call(
+    scheduler.callLocked(
         lockedScheduler -> {
           if (termJobs.manages(jobId)) { // the job may just have ended
             cancellationLatency.onCancelRequested(jobId, arrivedMs);
@@ -252,13 +252,13 @@
    * @param startInFlight a start of a task of the job is in flight or unconfirmed
    * @param complete all tasks of the job are done
    */
-  record CancellationState(boolean fenced, boolean startInFlight, boolean complete) {
+  record CancellationState(boolean isFenced, boolean hasStartInFlight, boolean isComplete) {
     static final CancellationState NOT_MANAGED = new CancellationState(false, false, false);
   }
 
   /** Returns a consistent snapshot of the state of the job's cancellation. */
   CancellationState cancellationState(String jobId) {
-    return scheduler.call(
+    return scheduler.callLocked(
         lockedScheduler -> {
           Scheduler.JobProgress progress = lockedScheduler.progress(jobId);
           return new CancellationState(
@@ -270,12 +270,12 @@
 
   /** Returns the latency of cancellations for the log; null if there were none. */
   String cancellationSummary() {
-    return scheduler.call(lockedScheduler -> cancellationLatency.summary(nowMs()));
+    return scheduler.callLocked(lockedScheduler -> cancellationLatency.summary(nowMs()));
   }
 
   /** Removes a job whose end is durable. */
   void onJobEnded(String jobId, boolean cancelled) {
-    scheduler.call(
+    scheduler.callLocked(
         lockedScheduler -> {
           termJobs.onEnded(jobId);
           cancellationLatency.onJobEnded(jobId, cancelled, nowMs());
@@ -286,23 +286,23 @@
   }
 
   private void deleteRecords(String jobId) {
-    records.remove(LeaderRecords.RecordKind.OPENED, jobId, LeaderRecords.REMOVAL_DELAY_MS);
+    records.remove(LeaderRecords.RecordKind.OPENED_JOB, jobId, LeaderRecords.REMOVAL_DELAY_MS);
     for (String key : records.keysWithPrefix(LeaderRecords.RecordKind.PROGRESS, jobId + "/")) {
       records.remove(LeaderRecords.RecordKind.PROGRESS, key, LeaderRecords.REMOVAL_DELAY_MS);
     }
   }
 
   /** Returns a rental name that no other node and no other term uses. */
-  String nextRentalName() {
-    return "as-" + token + "-" + rentalCount.incrementAndGet();
+  String nextProvisioningRequestName() {
+    return "as-" + token + "-" + provisioningRequestCount.incrementAndGet();
   }
 
   /** Returns what the term began with, for the log. */
-  String inventory() {
+  String inventorySummary() {
     return "machines="
         + records.count(LeaderRecords.RecordKind.MACHINE)
         + " opened_jobs="
-        + records.count(LeaderRecords.RecordKind.OPENED)
+        + records.count(LeaderRecords.RecordKind.OPENED_JOB)
         + " jobs="
         + termJobs.count();
   }
--- a/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
+++ b/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
@@ -58,7 +58,7 @@
    * the fault may be on the leader's side.
    */
   private static OptionalDouble shareIfIsolated(LeaderTerm term) {
-    return term.scheduler.call(
+    return term.scheduler.callLocked(
         scheduler ->
             scheduler.isIsolated()
                 ? OptionalDouble.of(scheduler.observedShare())
--- a/src/main/java/org/astershift/controller/LockedScheduler.java
+++ b/src/main/java/org/astershift/controller/LockedScheduler.java
@@ -13,28 +13,28 @@
 
 /**
  * The scheduler of one term behind a lock, which is private to this class and serializes the
- * heartbeats, command results, passes and job operations of all threads. {@link TermHost#stepDown}
- * and {@link TermHost#requestPass} must not be called under the lock; the only lock acquired under
- * it is the election's.
+ * heartbeats, command results, passes and job operations of all threads. {@link
+ * TermContext#stepDown} and {@link TermContext#requestPass} must not be called under the lock; the
+ * only lock acquired under it is the election's.
  */
 final class LockedScheduler {
   private final Object lock = new Object();
   private final Scheduler scheduler;
-  private final TermHost host;
-  private volatile boolean closed;
+  private final TermContext context;
+  private volatile boolean isClosed;
 
-  LockedScheduler(Scheduler scheduler, TermHost host) {
+  LockedScheduler(Scheduler scheduler, TermContext host) {
     this.scheduler = scheduler;
-    this.host = host;
+    this.context = host;
   }
 
   /** Steps that run under one hold of the lock. */
-  interface Work<R, E extends Exception> {
+  interface LockedWork<R, E extends Exception> {
     R apply(Scheduler scheduler) throws E;
   }
 
   /** Runs the work under the lock, which the calling thread may hold already. */
-  <R, E extends Exception> R call(Work<R, E> work) throws E {
+  <R, E extends Exception> R callLocked(LockedWork<R, E> work) throws E {
     synchronized (lock) {
       return work.apply(scheduler);
     }
@@ -45,11 +45,11 @@
    * that a long pass does not delay the end of the term.
    */
   void close() {
-    closed = true;
+    isClosed = true;
   }
 
-  boolean closed() {
-    return closed;
+  boolean isClosed() {
+    return isClosed;
   }
 
   /** Returns the commands for the response; null if the term may no longer answer workers. */
@@ -58,20 +58,20 @@
     boolean deposed;
     boolean passNeeded;
     synchronized (lock) {
-      if (closed) {
+      if (isClosed) {
         return null;
       }
-      scheduler.extendLeaseCertainty(host.leaseCertainUntilMs());
+      scheduler.extendLeaseCertainty(context.leaseCertainUntilMs());
       commands = scheduler.onHeartbeat(heartbeat, receivedMs, LeaderTerm.nowMs());
       deposed = scheduler.isDeposed();
       passNeeded = scheduler.passRequested();
     }
     if (deposed) {
-      host.stepDown("worker " + heartbeat.machineName() + " has seen a higher fencing token");
+      context.stepDown("worker " + heartbeat.machineName() + " has seen a higher fencing token");
       return null;
     }
     if (passNeeded) {
-      host.requestPass();
+      context.requestPass();
     }
     return commands;
   }
@@ -82,21 +82,21 @@
     boolean deposed;
     boolean passNeeded;
     synchronized (lock) {
-      scheduler.extendLeaseCertainty(host.leaseCertainUntilMs());
+      scheduler.extendLeaseCertainty(context.leaseCertainUntilMs());
       scheduler.onCommandResult(
           machineName, outcomeUnknown, heartbeat, receivedMs, LeaderTerm.nowMs());
       deposed = scheduler.isDeposed();
       passNeeded = scheduler.passRequested();
     }
     if (deposed) {
-      host.stepDown("machine " + machineName + " has seen a higher fencing token");
+      context.stepDown("machine " + machineName + " has seen a higher fencing token");
     } else if (passNeeded) {
-      host.requestPass();
+      context.requestPass();
     }
   }
 
   /** Returns whether a queued direct request is still due; if not, it counts as settled. */
-  boolean directCommandsStillDue(Decision.SendCommands request) {
+  boolean isRequestStillDue(Decision.SendCommands request) {
     synchronized (lock) {
       return scheduler.directCommandsStillDue(request, LeaderTerm.nowMs());
     }
@@ -107,9 +107,9 @@
    * only at this point: a start that was decided earlier must not reach a worker that may already
    * answer to the next leader, however long connecting took or this process was paused.
    */
-  List<Command> commandsStillWanted(Decision.SendCommands request) {
+  List<Command> commandsToSend(Decision.SendCommands request) {
     synchronized (lock) {
-      return scheduler.commandsStillWanted(request, host.isLeaseCertain());
+      return scheduler.commandsStillWanted(request, context.isLeaseCertain());
     }
   }
 
--- a/src/main/java/org/astershift/controller/MachineReleaser.java
+++ b/src/main/java/org/astershift/controller/MachineReleaser.java
@@ -24,7 +24,7 @@
 
   /** Queues a release. */
   void release(LeaderTerm term, Decision.ReleaseMachines request) {
-    pool.execute("release", () -> send(term, request));
+    pool.execute("release", () -> releaseNow(term, request));
   }
 
   /** Starts a thread for queued releases if an earlier thread start failed. */
@@ -32,7 +32,7 @@
     pool.startQueuedTasks();
   }
 
-  private void send(LeaderTerm term, Decision.ReleaseMachines request) {
+  private void releaseNow(LeaderTerm term, Decision.ReleaseMachines request) {
     if (term.hasEnded()) {
       return;
     }
--- a/src/main/java/org/astershift/controller/PassLoop.java
+++ b/src/main/java/org/astershift/controller/PassLoop.java
@@ -21,9 +21,9 @@
   private final DecisionExecutor executor;
 
   /** Monotonic time, in milliseconds, after which the next pass is late. */
-  private long dueMs = Long.MAX_VALUE;
+  private long nextPassDueMs = Long.MAX_VALUE;
 
-  private boolean reconciling;
+  private boolean isReconciling;
   private long summaryLoggedMs;
   private long totalPassMs;
   private long longestPassMs;
@@ -47,8 +47,8 @@
     while (!term.hasEnded()) {
       signal.await(LoopTiming.PASS_INTERVAL_MS);
       long beganNs = System.nanoTime();
-      long lateMs = LeaderTerm.nowMs() - dueMs;
-      reconciling = false;
+      long lateMs = LeaderTerm.nowMs() - nextPassDueMs;
+      isReconciling = false;
       try {
         runPass(lateMs);
       } catch (RuntimeException | Error e) {
@@ -60,12 +60,12 @@
   }
 
   private void runPass(long lateMs) {
-    Pass pass = term.scheduler.call(scheduler -> decide(scheduler, lateMs));
+    Pass pass = term.scheduler.callLocked(scheduler -> decide(scheduler, lateMs));
     if (pass.attemptsExhausted()) {
       term.stepDown("its attempt numbers are exhausted");
     }
     if (pass.summary() != null) {
-      log(pass.summary());
+      logSummary(pass.summary());
     }
     for (Decision decision : pass.decisions()) {
       decision.accept(executor);
@@ -82,7 +82,7 @@
     }
     List<Decision> decisions = scheduler.runPass(nowMs, term.leaseCertainUntilMs());
     boolean attemptsExhausted = scheduler.hasExhaustedAttemptNumbers();
-    reconciling = scheduler.isReconciling();
+    isReconciling = scheduler.isReconciling();
     return new Pass(decisions, attemptsExhausted, summaryIfDue(scheduler, nowMs));
   }
 
@@ -98,7 +98,7 @@
         term.cancellationSummary());
   }
 
-  private void log(Summary summary) {
+  private void logSummary(Summary summary) {
     LOG.info(
         "{}; passes took {} ms, the longest {} ms", summary.jobs(), totalPassMs, longestPassMs);
     LOG.info(
@@ -123,10 +123,10 @@
     totalPassMs += passMs;
     longestPassMs = Math.max(longestPassMs, passMs);
     long pauseMs = Math.max(LoopTiming.PASS_MIN_GAP_MS, passMs * LoopTiming.PASS_REST_FACTOR);
-    if (reconciling) {
+    if (isReconciling) {
       pauseMs = Math.min(LoopTiming.PASS_REST_MAX_MS, pauseMs);
     }
-    dueMs = LeaderTerm.nowMs() + pauseMs + LoopTiming.PASS_INTERVAL_MS;
+    nextPassDueMs = LeaderTerm.nowMs() + pauseMs + LoopTiming.PASS_INTERVAL_MS;
     Thread.sleep(pauseMs);
   }
 }
--- a/src/main/java/org/astershift/controller/PeerProbes.java
+++ b/src/main/java/org/astershift/controller/PeerProbes.java
@@ -44,7 +44,7 @@
    * Asks all peers concurrently. {@code onResults} gets the results of the peers that gave one, on
    * the thread that handles the last answer.
    */
-  void request(
+  void probeThroughPeers(
       Decision.ProbeThroughPeers request, Consumer<List<Decision.PeerProbeResult>> onResults) {
     List<Decision.MachineAddress> machines = new ArrayList<>(request.suspects());
     machines.addAll(request.controls());
@@ -92,7 +92,7 @@
   }
 
   /** Encodes the answer to a peer; a null element is a machine whose state is unknown. */
-  static PeerResponse encode(List<Boolean> answered) {
+  static PeerResponse encodeResponse(List<Boolean> answered) {
     StringBuilder codes = new StringBuilder();
     int reached = 0;
     for (Boolean reachable : answered) {
@@ -106,19 +106,19 @@
   private static final class ProbeRound {
     private final Consumer<List<Decision.PeerProbeResult>> onResults;
     private final List<Decision.PeerProbeResult> results = new ArrayList<>();
-    private int remaining;
+    private int remainingPeers;
 
     ProbeRound(Consumer<List<Decision.PeerProbeResult>> onResults, int peerCount) {
       this.onResults = onResults;
-      this.remaining = peerCount;
+      this.remainingPeers = peerCount;
     }
 
     synchronized void add(Decision.PeerProbeResult result) {
       if (result != null) {
         results.add(result);
       }
-      remaining--;
-      if (remaining == 0) {
+      remainingPeers--;
+      if (remainingPeers == 0) {
         onResults.accept(results);
       }
     }
--- a/src/main/java/org/astershift/controller/PeerReachability.java
+++ b/src/main/java/org/astershift/controller/PeerReachability.java
@@ -15,9 +15,10 @@
   private PeerReachability() {}
 
   /** Encodes this node's answer; {@code storeAvailable} if the store responds to this node. */
-  static PeerResponse encode(WorkerReachability.Measurement measurement, boolean storeAvailable) {
+  static PeerResponse encodeResponse(
+      WorkerReachability.Measurement measurement, boolean storeAvailable) {
     return new PeerResponse(
-        200, storeAvailable ? "" : "apart", measurement.answered(), measurement.probed());
+        200, storeAvailable ? "" : "apart", measurement.answeredCount(), measurement.probedCount());
   }
 
   /** Returns a peer's status as it reports it; null if it does not answer. */
--- a/src/main/java/org/astershift/controller/ReachabilityProber.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -143,7 +143,7 @@
   PeerResponse probeForPeer(String addresses) throws InterruptedException {
     List<Boolean> answered =
         probe(probePool, List.of(addresses.split(" ")), Scheduler.PEER_PROBE_TIMEOUT_MS);
-    PeerResponse answer = PeerProbes.encode(answered);
+    PeerResponse answer = PeerProbes.encodeResponse(answered);
     LOG.debug(
         "probed machines for a peer, machines={} reached={}", answered.size(), answer.doneTasks());
     return answer;
--- a/src/main/java/org/astershift/controller/RecordPage.java
+++ b/src/main/java/org/astershift/controller/RecordPage.java
@@ -28,7 +28,7 @@
   long revision;
 
   /** Size of the entries as JSON, in bytes. */
-  int bytes;
+  int sizeBytes;
 
   /** Monotonic time at which the page is due to be written. */
   long dueMs = NEVER_MS;
@@ -50,11 +50,12 @@
 
   void set(String entryKey, Object value) {
     Object previous = entries.put(entryKey, value);
-    bytes += entryBytes(entryKey, value) - (previous == null ? 0 : entryBytes(entryKey, previous));
+    sizeBytes +=
+        entryBytes(entryKey, value) - (previous == null ? 0 : entryBytes(entryKey, previous));
   }
 
   void remove(String entryKey) {
-    bytes -= entryBytes(entryKey, entries.remove(entryKey));
+    sizeBytes -= entryBytes(entryKey, entries.remove(entryKey));
   }
 
   /** Returns by how many bytes the page would grow if the existing entry got this value. */
--- a/src/main/java/org/astershift/controller/RequestCoalescer.java
+++ b/src/main/java/org/astershift/controller/RequestCoalescer.java
@@ -11,15 +11,15 @@
  */
 final class RequestCoalescer<A> {
   /** Computes an answer; a computation begins only after all callers that share it have asked. */
-  interface Work<A> {
+  interface Computation<A> {
     A compute(String key) throws InterruptedException;
   }
 
-  private final Work<A> work;
+  private final Computation<A> computation;
   private final CoalescerState<A> state = new CoalescerState<>();
 
-  RequestCoalescer(Work<A> work) {
-    this.work = work;
+  RequestCoalescer(Computation<A> work) {
+    this.computation = work;
   }
 
   /** Returns the answer; null if another caller computed it and failed. */
@@ -27,7 +27,7 @@
     synchronized (this) {
       Ticket<A> ticket = state.join(key);
       if (ticket.role() == Role.SHARE) {
-        return awaitAnswer(ticket.round());
+        return awaitResult(ticket.round());
       }
       if (ticket.role() == Role.QUEUED) {
         awaitTurn(key);
@@ -35,7 +35,7 @@
     }
     A answer = null;
     try {
-      answer = work.compute(key);
+      answer = computation.compute(key);
       return answer;
     } finally {
       synchronized (this) {
@@ -58,10 +58,10 @@
     state.beginQueued(key);
   }
 
-  private A awaitAnswer(Round<A> round) throws InterruptedException {
-    while (!round.completed()) {
+  private A awaitResult(Round<A> round) throws InterruptedException {
+    while (!round.isCompleted()) {
       wait();
     }
-    return round.answer();
+    return round.result();
   }
 }
--- a/src/main/java/org/astershift/controller/TermHost.java
+++ b/src/main/java/org/astershift/controller/TermContext.java
@@ -1,7 +1,7 @@
 package org.astershift.controller;
 
 /** The controller as seen by one leader term. Callable from any thread. */
-interface TermHost {
+interface TermContext {
   /** Returns the monotonic time, in milliseconds, before which no other controller can lead. */
   long leaseCertainUntilMs();
 
--- a/src/main/java/org/astershift/coordination/Cancellation.java
+++ b/src/main/java/org/astershift/coordination/Cancellation.java
@@ -50,34 +50,34 @@
    * @param deadlinePassed the user's request must be answered now
    */
   public record View(
-      boolean ended,
+      boolean hasEnded,
       boolean mayForward,
-      boolean leading,
-      boolean leaseCertain,
-      boolean managed,
-      boolean storeRead,
-      boolean fenced,
-      boolean startInFlight,
-      boolean complete,
-      boolean deadlinePassed) {}
+      boolean isLeading,
+      boolean isLeaseCertain,
+      boolean isManaged,
+      boolean wasStoreRead,
+      boolean isFenced,
+      boolean hasStartInFlight,
+      boolean isComplete,
+      boolean hasDeadlinePassed) {}
 
   /** Returns the next step in this situation. */
-  public static Action next(View view) {
-    if (view.ended()) {
+  public static Action nextAction(View view) {
+    if (view.hasEnded()) {
       return Action.REPLY_WITH_END;
     }
-    if (!view.leading()) {
+    if (!view.isLeading()) {
       return view.mayForward() ? Action.FORWARD : Action.REJECT;
     }
-    if (!view.leaseCertain() || view.deadlinePassed()) {
+    if (!view.isLeaseCertain() || view.hasDeadlinePassed()) {
       return Action.REJECT;
     }
-    if (!view.managed()) {
-      return view.storeRead() ? Action.REJECT : Action.READ_STORE;
+    if (!view.isManaged()) {
+      return view.wasStoreRead() ? Action.REJECT : Action.READ_STORE;
     }
-    if (view.complete()) {
+    if (view.isComplete()) {
       return Action.WRITE_DONE;
     }
-    return view.fenced() && !view.startInFlight() ? Action.WRITE_CANCELLED : Action.WAIT;
+    return view.isFenced() && !view.hasStartInFlight() ? Action.WRITE_CANCELLED : Action.WAIT;
   }
 }
--- a/src/main/java/org/astershift/coordination/Candidacy.java
+++ b/src/main/java/org/astershift/coordination/Candidacy.java
@@ -34,10 +34,10 @@
 
   private final Map<String, Long> lastLedMs = new HashMap<>();
   private long keyAbsentSinceMs = -1;
-  private long deferredMs = Long.MIN_VALUE / 2;
+  private long lastDeferralMs = Long.MIN_VALUE / 2;
 
   /** A peer's status as it reports it; {@code storeAvailable} if the store responds to it. */
-  public record PeerStatus(String node, boolean storeAvailable, Measurement workerReachability) {}
+  public record PeerStatus(String node, boolean isStoreAvailable, Measurement workerReachability) {}
 
   /** A transfer to {@code successor}, or to any controller if that is null. */
   public record LeadershipTransfer(String successor) {}
@@ -53,13 +53,14 @@
     if (keyAbsentSinceMs < 0) {
       keyAbsentSinceMs = nowMs;
     }
-    boolean deferring = nowMs - deferredMs < CANDIDACY_DELAY_MS;
-    return !deferring && nowMs - keyAbsentSinceMs >= (own.reachesFew() ? CANDIDACY_DELAY_MS : 0);
+    boolean deferring = nowMs - lastDeferralMs < CANDIDACY_DELAY_MS;
+    return !deferring
+        && nowMs - keyAbsentSinceMs >= (own.isReachabilityPoor() ? CANDIDACY_DELAY_MS : 0);
   }
 
   /** Records that the leader announced a transfer to another controller than this one. */
   public synchronized void deferToSuccessor(long nowMs) {
-    deferredMs = nowMs;
+    lastDeferralMs = nowMs;
   }
 
   /**
@@ -84,12 +85,14 @@
     PeerStatus best = null;
     for (PeerStatus status : statuses) {
       boolean better =
-          status.storeAvailable()
-              && status.workerReachability().reachesEnough()
-              && status.workerReachability().share() >= observedShare + TRANSFER_MIN_GAIN_SHARE;
+          status.isStoreAvailable()
+              && status.workerReachability().isReachabilitySufficient()
+              && status.workerReachability().answeredShare()
+                  >= observedShare + TRANSFER_MIN_GAIN_SHARE;
       if (better
           && (best == null
-              || status.workerReachability().share() > best.workerReachability().share())) {
+              || status.workerReachability().answeredShare()
+                  > best.workerReachability().answeredShare())) {
         best = status;
       }
     }
--- a/src/main/java/org/astershift/coordination/CoalescerState.java
+++ b/src/main/java/org/astershift/coordination/CoalescerState.java
@@ -13,17 +13,17 @@
 public final class CoalescerState<A> {
   /** The callers that share one result. */
   public static final class Round<A> {
-    private A answer;
-    private boolean completed;
+    private A result;
+    private boolean isCompleted;
 
     /** Returns whether the computation has ended. */
-    public boolean completed() {
-      return completed;
+    public boolean isCompleted() {
+      return isCompleted;
     }
 
     /** Returns the result; null before completion, and if the computation failed. */
-    public A answer() {
-      return answer;
+    public A result() {
+      return result;
     }
   }
 
@@ -70,13 +70,13 @@
 
   /** Removes a queued caller that gave up; callers that share its round get null. */
   public void abandonQueued(String key) {
-    queued.remove(key).completed = true;
+    queued.remove(key).isCompleted = true;
   }
 
-  /** Ends a computation; {@code answer} is null if it failed. */
+  /** Ends a computation; {@code result} is null if it failed. */
   public void complete(String key, A answer) {
     Round<A> round = computing.remove(key);
-    round.answer = answer;
-    round.completed = true;
+    round.result = answer;
+    round.isCompleted = true;
   }
 }
--- a/src/main/java/org/astershift/coordination/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -52,10 +52,10 @@
   private boolean wasCandidate;
 
   /** Whether another controller has led since this one resigned. */
-  private boolean otherLedSinceResigning;
+  private boolean hasOtherLedSinceResigning;
 
   /** Whether the deferral to other candidates was reported to the caller. */
-  private boolean deferralReported;
+  private boolean isDeferralReported;
 
   /** Progress of this controller towards leadership. */
   private enum Step {
@@ -92,8 +92,8 @@
      */
     record VerifyKey(long lease) implements Action {}
 
-    /** Wait until the cache has reached this revision; report to {@link #onCaughtUp}. */
-    record CatchUp(long revision) implements Action {}
+    /** Wait until the cache has reached this revision; report to {@link #onRevisionAwaited}. */
+    record AwaitRevision(long revision) implements Action {}
 
     /** Begin the term; report a failure to {@link #onTermStartFailed}. */
     record BeginTerm(long token) implements Action {}
@@ -122,7 +122,7 @@
    */
   public record View(
       long nowMs,
-      boolean cacheLoaded,
+      boolean isCacheLoaded,
       Holder holder,
       Measurement workerReachability,
       long storeSilenceMs) {}
@@ -159,7 +159,7 @@
   }
 
   /** Returns the next action. */
-  public synchronized Action next(View view) {
+  public synchronized Action nextAction(View view) {
     if (!pendingActions.isEmpty()) {
       return pendingActions.poll();
     }
@@ -173,7 +173,7 @@
         leaseRequestedMs = view.nowMs();
         yield new Action.VerifyKey(lease);
       }
-      case KEY_CREATED -> new Action.CatchUp(createdRevision);
+      case KEY_CREATED -> new Action.AwaitRevision(createdRevision);
       case LEADER -> nextAsLeader(view);
     };
   }
@@ -182,22 +182,22 @@
     if (view.storeSilenceMs() > STORE_KEEPALIVE_MS) {
       return new Action.ReadKey();
     }
-    if (!view.cacheLoaded() || view.nowMs() < candidacyAllowedMs) {
+    if (!view.isCacheLoaded() || view.nowMs() < candidacyAllowedMs) {
       return new Action.Wait();
     }
     if (view.holder() != null) {
       boolean ownKey = view.holder().node().equals(node);
       candidacy.onHolderObserved(view.holder().node(), view.nowMs());
-      deferralReported = false;
-      otherLedSinceResigning |= !ownKey;
+      isDeferralReported = false;
+      hasOtherLedSinceResigning |= !ownKey;
       // If this node's previous process left the key, it is dead: this process has its addresses.
       return ownKey && !wasCandidate
           ? new Action.RemoveStaleKey(view.holder().revision())
           : new Action.Wait();
     }
     if (!candidacy.shouldBecomeCandidate(view.workerReachability(), view.nowMs())) {
-      boolean alreadyReported = deferralReported;
-      deferralReported = true;
+      boolean alreadyReported = isDeferralReported;
+      isDeferralReported = true;
       return alreadyReported ? new Action.Wait() : new Action.Defer(view.workerReachability());
     }
     // The lease may begin at any time from its request on.
@@ -270,7 +270,7 @@
    * counts: if the cache had only reached that of an earlier key, the term would begin without the
    * records written between the two, and ignore them as older than its token.
    */
-  public synchronized void onCaughtUp(long revision, boolean caughtUp) {
+  public synchronized void onRevisionAwaited(long revision, boolean caughtUp) {
     if (step != Step.KEY_CREATED || revision != createdRevision) {
       return;
     }
@@ -320,12 +320,12 @@
    * workers.
    */
   public synchronized List<Action> resign(long termToken, String reason, long nowMs) {
-    if ((nowMs < resignAllowedMs && !otherLedSinceResigning)
+    if ((nowMs < resignAllowedMs && !hasOtherLedSinceResigning)
         || token != termToken
         || termToken == 0) {
       return List.of();
     }
-    otherLedSinceResigning = false;
+    hasOtherLedSinceResigning = false;
     resignAllowedMs = nowMs + Candidacy.RESIGN_MIN_INTERVAL_MS;
     candidacyAllowedMs = nowMs + RESIGN_BACKOFF_MS;
     return endAndRevoke(termToken, reason);
--- a/src/main/java/org/astershift/coordination/JobQuery.java
+++ b/src/main/java/org/astershift/coordination/JobQuery.java
@@ -31,19 +31,19 @@
    * @param mayForward the leader may be asked
    */
   public record View(
-      boolean ended,
-      boolean leading,
-      boolean answerableFromMemory,
-      boolean leaseCertain,
+      boolean hasEnded,
+      boolean isLeading,
+      boolean isAnswerableFromMemory,
+      boolean isLeaseCertain,
       boolean mayForward) {}
 
   /** Returns the source for a poll in this situation. */
-  public static Source source(View view) {
-    if (view.ended()) {
+  public static Source selectSource(View view) {
+    if (view.hasEnded()) {
       return Source.KNOWN_END;
     }
-    if (view.leading()) {
-      return view.answerableFromMemory() && view.leaseCertain()
+    if (view.isLeading()) {
+      return view.isAnswerableFromMemory() && view.isLeaseCertain()
           ? Source.LEADER_MEMORY
           : Source.STORE;
     }
--- a/src/main/java/org/astershift/coordination/StoreReachability.java
+++ b/src/main/java/org/astershift/coordination/StoreReachability.java
@@ -23,11 +23,11 @@
     ISOLATED
   }
 
-  private long lastResponseMs = -1;
+  private long silentSinceMs = -1;
 
   /** Records that the store responds to this node. */
   public void onStoreResponded() {
-    lastResponseMs = -1;
+    silentSinceMs = -1;
   }
 
   /**
@@ -40,12 +40,12 @@
   public Verdict onPeersQueried(
       int peerCount, int answered, boolean storeRespondsToPeer, long nowMs) {
     if (storeRespondsToPeer) {
-      lastResponseMs = nowMs;
+      silentSinceMs = nowMs;
       return Verdict.PARTITIONED;
     }
-    if (lastResponseMs < 0 || answered > 0 || peerCount == 0) {
-      lastResponseMs = nowMs;
+    if (silentSinceMs < 0 || answered > 0 || peerCount == 0) {
+      silentSinceMs = nowMs;
     }
-    return nowMs - lastResponseMs >= ISOLATED_AFTER_MS ? Verdict.ISOLATED : Verdict.OUTAGE;
+    return nowMs - silentSinceMs >= ISOLATED_AFTER_MS ? Verdict.ISOLATED : Verdict.OUTAGE;
   }
 }
--- a/src/main/java/org/astershift/coordination/TermJobs.java
+++ b/src/main/java/org/astershift/coordination/TermJobs.java
@@ -34,7 +34,7 @@
    */
   private final Map<String, Integer> unconfirmedEnds = new HashMap<>();
 
-  private boolean loaded;
+  private boolean isLoaded;
 
   /** {@code token} is the revision at which the leader key of this term was created. */
   public TermJobs(long token) {
@@ -43,7 +43,7 @@
 
   /** Records that all jobs that were live at the token's revision have been adopted. */
   public synchronized void onLoaded() {
-    loaded = true;
+    isLoaded = true;
   }
 
   /**
@@ -54,7 +54,7 @@
    * were adopted, its tasks would start although its user may have seen it cancelled.
    */
   public synchronized boolean adopt(String jobId, long revision) {
-    if (loaded && revision < token) {
+    if (isLoaded && revision < token) {
       return false;
     }
     return !endedInTerm.contains(jobId) && managed.add(jobId);
--- a/src/main/java/org/astershift/coordination/WorkerReachability.java
+++ b/src/main/java/org/astershift/coordination/WorkerReachability.java
@@ -26,37 +26,37 @@
 
   private final Deque<Sample> samples = new ArrayDeque<>();
 
-  private record Sample(int probed, int answered, long probedMs) {}
+  private record Sample(int probedCount, int answeredCount, long probedMs) {}
 
   /**
    * How many of the recently probed machines answered. {@code probed} is 0 if nothing is known, as
    * after a start or in a fleet without machines.
    */
-  public record Measurement(int probed, int answered) {
+  public record Measurement(int probedCount, int answeredCount) {
     /** The measurement of a node that has probed nothing. */
     public static final Measurement UNKNOWN = new Measurement(0, 0);
 
     /** Returns whether enough machines were probed. */
     public boolean isKnown() {
-      return probed >= REACHABILITY_MIN_RESULTS;
+      return probedCount >= REACHABILITY_MIN_RESULTS;
     }
 
     /** Returns the share of probed machines that answered, between 0 and 1. */
-    public double share() {
-      return probed == 0 ? 0 : (double) answered / probed;
+    public double answeredShare() {
+      return probedCount == 0 ? 0 : (double) answeredCount / probedCount;
     }
 
     /** Returns whether enough machines were probed, and few of them answered. */
-    public boolean reachesFew() {
-      return isKnown() && share() < REACHABILITY_POOR_SHARE;
+    public boolean isReachabilityPoor() {
+      return isKnown() && answeredShare() < REACHABILITY_POOR_SHARE;
     }
 
     /**
      * Returns whether enough machines were probed and answered; a machine that does not answer this
      * node is then probably gone.
      */
-    public boolean reachesEnough() {
-      return isKnown() && !reachesFew();
+    public boolean isReachabilitySufficient() {
+      return isKnown() && !isReachabilityPoor();
     }
   }
 
@@ -73,15 +73,15 @@
   /** Returns the measurement from the samples that still count. */
   public synchronized Measurement measurement(long nowMs) {
     Sample last = samples.peekLast();
-    if (last != null && last.answered == 0 && last.probed >= REACHABILITY_MIN_RESULTS) {
+    if (last != null && last.answeredCount == 0 && last.probedCount >= REACHABILITY_MIN_RESULTS) {
       samples.removeIf(sample -> sample != last); // partitioned since the previous sample
     }
     int probed = 0;
     int answered = 0;
     for (Sample sample : samples) {
       if (nowMs - sample.probedMs <= REACHABILITY_SAMPLE_VALID_MS) {
-        probed += sample.probed;
-        answered += sample.answered;
+        probed += sample.probedCount;
+        answered += sample.answeredCount;
       }
     }
     return new Measurement(probed, answered);
--- a/src/main/java/org/astershift/http/ConnectionSlots.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -47,10 +47,10 @@
   static final class Connection {
     private ConnectionKind kind = ConnectionKind.NEW;
     private volatile long idleSinceNs;
-    private volatile boolean beingServed;
-    private volatile boolean busy;
-    private volatile long readingSinceNs;
-    private volatile boolean reading;
+    private volatile boolean isServed;
+    private volatile boolean hasActiveRequest;
+    private volatile long readingRequestSinceNs;
+    private volatile boolean isReadingRequest;
 
     Connection(long nowNs) {
       this.idleSinceNs = nowNs;
@@ -59,21 +59,21 @@
     /** Records that the connection waits for its next request. */
     void onIdle(long nowNs) {
       idleSinceNs = nowNs;
-      busy = false;
+      hasActiveRequest = false;
     }
 
     /**
      * Records that a request is being read; the connection is not evictable until {@link #onIdle}.
      */
     void onRequestStarted(long nowNs) {
-      readingSinceNs = nowNs;
-      reading = true;
-      busy = true;
+      readingRequestSinceNs = nowNs;
+      isReadingRequest = true;
+      hasActiveRequest = true;
     }
 
     /** Records that the request has arrived completely. */
     void onRequestRead() {
-      reading = false;
+      isReadingRequest = false;
     }
 
     /**
@@ -81,8 +81,8 @@
      * long.
      */
     boolean isOverdue(long nowNs) {
-      return busy
-          ? reading && nowNs - readingSinceNs > REQUEST_TIMEOUT_MS * 1_000_000L
+      return hasActiveRequest
+          ? isReadingRequest && nowNs - readingRequestSinceNs > REQUEST_TIMEOUT_MS * 1_000_000L
           : nowNs - idleSinceNs > CONNECTION_IDLE_TIMEOUT_MS * 1_000_000L;
     }
 
@@ -91,11 +91,11 @@
      * connection must close its socket.
      */
     boolean isBeingServed() {
-      return beingServed;
+      return isServed;
     }
 
     void setBeingServed(boolean active) {
-      beingServed = active;
+      isServed = active;
     }
   }
 
@@ -103,19 +103,19 @@
   private final int unreservedCapacity;
 
   /** Number of slots kept free for new connections. */
-  private final int keptFree;
+  private final int minFreeSlots;
 
   private final Set<Connection> connections = new LinkedHashSet<>();
   private int reservedCount;
   private int unreservedCount;
-  private int peak;
+  private int peakConnections;
   private long evictedCount;
 
   /** Creates {@code capacity} slots in all, of which users may take {@code unreservedCapacity}. */
   public ConnectionSlots(int capacity, int unreservedCapacity) {
     this.capacity = capacity;
     this.unreservedCapacity = unreservedCapacity;
-    this.keptFree = (int) (capacity * KEPT_FREE_SHARE);
+    this.minFreeSlots = (int) (capacity * KEPT_FREE_SHARE);
   }
 
   /**
@@ -129,13 +129,13 @@
       // Evicts users' and new connections first, and a worker's only if workers exceed their
       // share.
       Connection longestIdle =
-          longestIdle(connection, ConnectionKind.UNRESERVED, ConnectionKind.NEW);
+          findLongestIdle(connection, ConnectionKind.UNRESERVED, ConnectionKind.NEW);
       if (longestIdle == null && reservedCount > capacity - unreservedCapacity) {
-        longestIdle = longestIdle(connection, ConnectionKind.RESERVED, ConnectionKind.RESERVED);
+        longestIdle = findLongestIdle(connection, ConnectionKind.RESERVED, ConnectionKind.RESERVED);
       }
       evict(longestIdle == null ? connection : longestIdle, evicted);
     }
-    peak = Math.max(peak, connections.size());
+    peakConnections = Math.max(peakConnections, connections.size());
     return evicted;
   }
 
@@ -156,10 +156,10 @@
       boolean overShare =
           reserved
               ? reservedCount > capacity - unreservedCapacity
-                  && capacity - connections.size() < keptFree / 2
+                  && capacity - connections.size() < minFreeSlots / 2
               : unreservedCount > unreservedCapacity;
       if (overShare) {
-        Connection longestIdle = longestIdle(connection, kind, kind);
+        Connection longestIdle = findLongestIdle(connection, kind, kind);
         evict(longestIdle == null ? connection : longestIdle, evicted);
       }
     }
@@ -173,7 +173,7 @@
    */
   synchronized boolean mayKeepAlive(Connection connection) {
     return connection.kind == ConnectionKind.RESERVED
-        ? capacity - connections.size() >= keptFree
+        ? capacity - connections.size() >= minFreeSlots
         : unreservedCount <= unreservedCapacity - (int) (unreservedCapacity * KEPT_FREE_SHARE);
   }
 
@@ -198,13 +198,13 @@
     unreservedCount += kind == ConnectionKind.UNRESERVED ? delta : 0;
   }
 
-  private Connection longestIdle(
+  private Connection findLongestIdle(
       Connection excluded, ConnectionKind firstKind, ConnectionKind secondKind) {
     Connection longestIdle = null;
     for (Connection connection : connections) {
       boolean evictable =
           connection != excluded
-              && !connection.busy
+              && !connection.hasActiveRequest
               && (connection.kind == firstKind || connection.kind == secondKind);
       if (evictable
           && (longestIdle == null || connection.idleSinceNs - longestIdle.idleSinceNs < 0)) {
@@ -223,7 +223,7 @@
         + " new="
         + (connections.size() - reservedCount - unreservedCount)
         + " peak="
-        + peak
+        + peakConnections
         + " capacity="
         + capacity
         + ", "
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -26,15 +26,15 @@
 
   private final String host;
   private final int port;
-  private final int maxIdle;
-  private final Deque<Connection> idle = new ArrayDeque<>();
-  private boolean closed;
+  private final int maxIdleConnections;
+  private final Deque<Connection> idleConnections = new ArrayDeque<>();
+  private boolean isClosed;
 
-  /** Creates a client that keeps at most {@code maxIdle} idle connections. */
+  /** Creates a client that keeps at most {@code maxIdleConnections} idle connections. */
   public HttpClient(String host, int port, int maxIdle) {
     this.host = host;
     this.port = port;
-    this.maxIdle = maxIdle;
+    this.maxIdleConnections = maxIdle;
   }
 
   /** Status and body of a response. */
@@ -56,7 +56,7 @@
    * request had no effect; after any other {@link IOException} its effect is unknown.
    */
   public Response call(String method, String path, byte[] body, int timeoutMs) throws IOException {
-    return callConnected(method, path, () -> body, timeoutMs);
+    return callWithBodySupplier(method, path, () -> body, timeoutMs);
   }
 
   /**
@@ -65,7 +65,7 @@
    * process that accepted the connection or none: a process restarted at the same address does not
    * receive it.
    */
-  public Response callConnected(
+  public Response callWithBodySupplier(
       String method, String path, Supplier<byte[]> bodySupplier, int timeoutMs) throws IOException {
     long deadlineNs = System.nanoTime() + timeoutMs * 1_000_000L;
     Connection reused = takeIdle();
@@ -73,7 +73,8 @@
     boolean reusable = false;
     try {
       byte[] body = bodySupplier.get();
-      write(connection.socket, requestHead(method, path, body), body == null ? new byte[0] : body);
+      writeMessage(
+          connection.socket, requestHead(method, path, body), body == null ? new byte[0] : body);
       int remainingMs = (int) Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000);
       HttpMessageReader.Message message =
           connection.reader.readResponse(remainingMs, MAX_RESPONSE_BYTES);
@@ -89,7 +90,7 @@
       throw e;
     } finally {
       if (reusable) {
-        release(connection);
+        returnIdle(connection);
       } else {
         connection.socket.close();
       }
@@ -131,8 +132,8 @@
   }
 
   private synchronized Connection takeIdle() {
-    while (!idle.isEmpty()) {
-      Connection connection = idle.pollLast();
+    while (!idleConnections.isEmpty()) {
+      Connection connection = idleConnections.pollLast();
       // The server may have closed a connection that was idle for long; a call that fails on it
       // has an unknown effect.
       if (System.nanoTime() - connection.lastUsedNs < CLIENT_CONNECTION_IDLE_NS) {
@@ -149,7 +150,7 @@
    * too, and each of them would fail one more request.
    */
   private synchronized void closeIdleSince(long unusedSinceNs) {
-    idle.removeIf(
+    idleConnections.removeIf(
         connection -> {
           boolean stale = connection.lastUsedNs - unusedSinceNs <= 0;
           if (stale) {
@@ -159,20 +160,20 @@
         });
   }
 
-  private synchronized void release(Connection connection) {
+  private synchronized void returnIdle(Connection connection) {
     connection.lastUsedNs = System.nanoTime();
-    idle.addLast(connection);
-    if (closed || idle.size() > maxIdle) {
-      closeQuietly(idle.pollFirst());
+    idleConnections.addLast(connection);
+    if (isClosed || idleConnections.size() > maxIdleConnections) {
+      closeQuietly(idleConnections.pollFirst());
     }
   }
 
   /** Closes the idle connections and pools none from now on; calls still work. */
   @Override
   public synchronized void close() {
-    closed = true;
-    while (!idle.isEmpty()) {
-      closeQuietly(idle.pollFirst());
+    isClosed = true;
+    while (!idleConnections.isEmpty()) {
+      closeQuietly(idleConnections.pollFirst());
     }
   }
 
@@ -185,7 +186,7 @@
   }
 
   /** Writes head and body at once: each write costs a packet and a system call. */
-  static void write(Socket socket, String head, byte[] body) throws IOException {
+  static void writeMessage(Socket socket, String head, byte[] body) throws IOException {
     byte[] headBytes = HttpMessageReader.encodeLatin1(head);
     byte[] packet = new byte[headBytes.length + body.length];
     System.arraycopy(headBytes, 0, packet, 0, headBytes.length);
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -68,8 +68,8 @@
   private final Predicate<String> isReservedPath;
   private final ConnectionThreads threads;
   private final Map<Connection, Socket> openSockets = new ConcurrentHashMap<>();
-  private volatile boolean closed;
-  private long lastLoggedNs = System.nanoTime();
+  private volatile boolean isClosed;
+  private long lastSummaryNs = System.nanoTime();
 
   /** Creates a server for up to {@code capacity} connections, without reserved slots. */
   public HttpServer(String host, int port, int capacity, Handler handler) throws IOException {
@@ -136,7 +136,7 @@
   }
 
   private void reapLoop() throws InterruptedException {
-    while (!closed) {
+    while (!isClosed) {
       Thread.sleep(CONNECTION_REAP_INTERVAL_MS);
       long nowNs = System.nanoTime();
       for (Map.Entry<Connection, Socket> entry : openSockets.entrySet()) {
@@ -162,7 +162,7 @@
 
   @Override
   public void close() throws IOException {
-    closed = true;
+    isClosed = true;
     serverSocket.close();
     for (Socket socket : openSockets.values()) {
       socket.close();
@@ -170,7 +170,7 @@
   }
 
   private void acceptLoop() {
-    while (!closed) {
+    while (!isClosed) {
       try {
         Socket socket = serverSocket.accept();
         Connection connection = new Connection(System.nanoTime());
@@ -178,7 +178,7 @@
         admit(connection, socket);
         logConnections();
       } catch (IOException | ThreadUnavailableException e) {
-        if (!closed) {
+        if (!isClosed) {
           LOG.info("accepting a connection failed: {}", e.toString());
           Threads.backOff();
         }
@@ -216,7 +216,7 @@
       shutDownInput(socket);
     } else if (socket != null) {
       try (socket) {
-        send(socket, Response.error(503, "no place for more connections"), true);
+        sendResponse(socket, Response.error(503, "no place for more connections"), true);
       } catch (IOException e) {
         LOG.debug("connection shutdown failed: {}", e.toString());
       }
@@ -225,8 +225,8 @@
 
   private void logConnections() {
     long nowNs = System.nanoTime();
-    if (nowNs - lastLoggedNs >= LogIntervals.SUMMARY_INTERVAL_MS * 1_000_000) {
-      lastLoggedNs = nowNs;
+    if (nowNs - lastSummaryNs >= LogIntervals.SUMMARY_INTERVAL_MS * 1_000_000) {
+      lastSummaryNs = nowNs;
       LOG.info("connections: {} threads={}", slots, Thread.activeCount());
     }
   }
@@ -235,7 +235,7 @@
     try (socket) {
       socket.setTcpNoDelay(true);
       HttpMessageReader reader = new HttpMessageReader(socket);
-      while (!closed) {
+      while (!isClosed) {
         connection.onIdle(System.nanoTime());
         if (!reader.awaitFirstByte()) {
           return;
@@ -262,20 +262,20 @@
       message = reader.readRequest(MAX_REQUEST_BODY_BYTES);
       request = parseRequest(message);
     } catch (HttpException e) {
-      send(socket, Response.error(e.status(), e.getMessage()), true);
+      sendResponse(socket, Response.error(e.status(), e.getMessage()), true);
       return false;
     }
     connection.onRequestRead();
     for (Connection evicted : slots.onRequest(connection, isReservedPath.test(request.path()))) {
       if (evicted == connection) {
-        send(socket, Response.error(503, "no place for more connections"), true);
+        sendResponse(socket, Response.error(503, "no place for more connections"), true);
         return false;
       }
       closeWithoutSlot(evicted);
     }
     Response response = handle(request);
     boolean close = message.closesConnection() || !slots.mayKeepAlive(connection);
-    send(socket, response, close);
+    sendResponse(socket, response, close);
     return !close;
   }
 
@@ -303,7 +303,8 @@
     }
   }
 
-  private static void send(Socket socket, Response response, boolean close) throws IOException {
+  private static void sendResponse(Socket socket, Response response, boolean close)
+      throws IOException {
     StringBuilder head = new StringBuilder(128);
     head.append("HTTP/1.1 ")
         .append(response.status())
@@ -318,7 +319,7 @@
       head.append("\r\nConnection: close");
     }
     head.append("\r\n\r\n");
-    HttpClient.write(socket, head.toString(), response.body());
+    HttpClient.writeMessage(socket, head.toString(), response.body());
   }
 
   private static String reasonPhrase(int status) {
--- a/src/main/java/org/astershift/peer/PeerCodec.java
+++ b/src/main/java/org/astershift/peer/PeerCodec.java
@@ -17,11 +17,11 @@
   private PeerCodec() {}
 
   /** A request between controllers; the meaning of {@code argument} depends on the operation. */
-  record PeerRequest(String operation, String argument) {}
+  record PeerRequest(String operationName, String argument) {}
 
   static void write(DataOutputStream out, PeerRequest request) throws IOException {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packer.packArrayHeader(2).packString(request.operation()).packString(request.argument());
+      packer.packArrayHeader(2).packString(request.operationName()).packString(request.argument());
       writeFrame(out, packer.toByteArray());
     }
   }
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -75,7 +75,8 @@
         PeerCodec.PeerRequest request = PeerCodec.readRequest(in);
         PeerCodec.write(
             out,
-            handler.handle(PeerOperation.fromWireName(request.operation()), request.argument()));
+            handler.handle(
+                PeerOperation.fromWireName(request.operationName()), request.argument()));
       }
     } catch (IOException | RuntimeException e) {
       LOG.debug("peer connection ended: {}", e.toString());
--- a/src/main/java/org/astershift/store/RateLimiter.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -106,7 +106,7 @@
                 ? Math.min(
                     burstPermits,
                     permits + waiters.size() + BACKGROUND_RESERVE_SHARE * burstPermits)
-                : 1 + positionOf(waiter);
+                : 1 + queuePositionOf(waiter);
         if (availablePermits >= required) {
           availablePermits -= permits;
           return true;
@@ -125,7 +125,7 @@
     }
   }
 
-  private int positionOf(Object waiter) {
+  private int queuePositionOf(Object waiter) {
     int position = 0;
     for (Object other : waiters) {
       if (other == waiter) {
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -55,8 +55,8 @@
   private static final String OVER_LIMIT_REASON = "status " + OVER_LIMIT_STATUS;
   private final HttpClient http;
   private final HttpClient watchHttp;
-  private final RateLimiter requests;
-  private final RateLimiter writes;
+  private final RateLimiter requestLimiter;
+  private final RateLimiter writeLimiter;
   private final int peerCount;
   private volatile long lastResponseNs = System.nanoTime();
 
@@ -66,8 +66,8 @@
     int port = settings.store().port();
     this.http = new HttpClient(host, port, 6);
     this.watchHttp = new HttpClient(host, port, 1);
-    this.requests = new RateLimiter(settings.storeLimits().rps());
-    this.writes = new RateLimiter(settings.storeLimits().writeRps());
+    this.requestLimiter = new RateLimiter(settings.storeLimits().rps());
+    this.writeLimiter = new RateLimiter(settings.storeLimits().writeRps());
     this.peerCount = settings.peers().size();
     setLeading(false);
   }
@@ -83,8 +83,8 @@
               ? LEADER_STORE_SHARE
               : Math.min(1, FOLLOWER_OVERCOMMIT_FACTOR * (1 - LEADER_STORE_SHARE) / peerCount);
       double burstS = leading ? 1 : FOLLOWER_BURST_S;
-      requests.setShare(share, burstS);
-      writes.setShare(share, burstS);
+      requestLimiter.setShare(share, burstS);
+      writeLimiter.setShare(share, burstS);
     }
   }
 
@@ -182,7 +182,7 @@
     }
 
     /** Returns the number of changes, each of which counts against the rate limit of writes. */
-    public int size() {
+    public int changeCount() {
       return changes.size();
     }
   }
@@ -248,7 +248,7 @@
    */
   public WatchResponse watch(String prefix, long after) throws IOException {
     String path = "/watch?starts=" + prefix + "&from=" + after + "&block_ms=" + WATCH_BLOCK_MS;
-    acquire(requests, RateLimiter.Urgency.INTERACTIVE);
+    acquire(requestLimiter, RateLimiter.Urgency.INTERACTIVE);
     HttpClient.Response response =
         recordResponse(watchHttp.call("GET", path, null, WATCH_BLOCK_MS + STORE_TIMEOUT_MS));
     backOffIfOverLimit(response);
@@ -285,8 +285,8 @@
     body.put("writes", txn.changes);
     while (true) {
       long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
-      if (!writes.acquire(urgency, txn.size(), remainingMs)
-          || !requests.acquire(urgency, 1, remainingMs)) {
+      if (!writeLimiter.acquire(urgency, txn.changeCount(), remainingMs)
+          || !requestLimiter.acquire(urgency, 1, remainingMs)) {
         return new Outcome.Rejected("rate limit: timed out waiting for this node's share");
       }
       Outcome outcome = sendOnce(body);
@@ -294,7 +294,7 @@
           && rejected.reason().equals(OVER_LIMIT_REASON))) {
         return outcome;
       }
-      writes.drain(); // all nodes together have reached the limit
+      writeLimiter.drain(); // all nodes together have reached the limit
     }
   }
 
@@ -364,7 +364,7 @@
   private HttpClient.Response call(
       RateLimiter.Urgency urgency, String method, String path, byte[] body, int timeoutMs)
       throws IOException {
-    acquire(requests, urgency);
+    acquire(requestLimiter, urgency);
     HttpClient.Response response = recordResponse(http.call(method, path, body, timeoutMs));
     backOffIfOverLimit(response);
     return response;
@@ -373,7 +373,7 @@
   /** Pauses this node's requests if all nodes together have reached the limit. */
   private void backOffIfOverLimit(HttpClient.Response response) {
     if (response.status() == OVER_LIMIT_STATUS) {
-      requests.drain();
+      requestLimiter.drain();
     }
   }
 
--- a/src/main/java/org/astershift/worker/CommandSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -96,7 +96,7 @@
     HttpClient client = client(address, separator);
     try {
       HttpClient.Response response =
-          client.callConnected(
+          client.callWithBodySupplier(
               "POST",
               "/orders",
               () -> WorkerCodec.encodeCommandRequest(fencingToken, epoch, commands.get()),
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -214,17 +214,17 @@
 
   /** Encodes the body of the response to a heartbeat. */
   public static byte[] encodeHeartbeatResponse(long fencingToken, List<Command> commands) {
-    return write(fencingToken, -1, commands);
+    return encodeCommands(fencingToken, -1, commands);
   }
 
   /**
    * Encodes the body of a request with commands, which is valid for one epoch of the agent only.
    */
   public static byte[] encodeCommandRequest(long fencingToken, long epoch, List<Command> commands) {
-    return write(fencingToken, epoch, commands);
+    return encodeCommands(fencingToken, epoch, commands);
   }
 
-  private static byte[] write(long fencingToken, long epoch, List<Command> commands) {
+  private static byte[] encodeCommands(long fencingToken, long epoch, List<Command> commands) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(64 + 96 * commands.size());
     try (JsonGenerator generator = JSON.createGenerator(out)) {
       generator.writeStartObject();
@@ -235,7 +235,7 @@
       generator.writeArrayFieldStart("orders");
       for (Command command : commands) {
         generator.writeStartObject();
-        generator.writeStringField("verb", verb(command.kind()));
+        generator.writeStringField("verb", encodeCommandKind(command.kind()));
         generator.writeStringField("shard", command.jobId() + "/" + command.index());
         generator.writeNumberField("launch", command.attemptNumber());
         if (command.kind() == Command.Kind.STOP) {
@@ -251,7 +251,7 @@
     return out.toByteArray();
   }
 
-  private static String verb(Command.Kind kind) {
+  private static String encodeCommandKind(Command.Kind kind) {
     return switch (kind) {
       case START -> "run";
       case STOP -> "stop";
--- a/src/test/java/org/astershift/controller/FailoverFencingTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -49,7 +49,8 @@
     controller.start();
     LeaderTerm term = controller.awaitLeadership();
     assertEquals(1, term.progressIfCurrent(ID).doneTasks());
-    boolean confirmable = term.scheduler.call(scheduler -> scheduler.canConfirmCancellation(ID));
+    boolean confirmable =
+        term.scheduler.callLocked(scheduler -> scheduler.canConfirmCancellation(ID));
     assertFalse(confirmable, "a machine that may hold its tasks has sent no heartbeat");
   }
 
@@ -123,7 +124,8 @@
         });
     controller.start();
     Await.until("the removal to be answered", answered::get);
-    Await.until("the leader to be known", () -> "another".equals(controller.runtime.otherLeader()));
+    Await.until(
+        "the leader to be known", () -> "another".equals(controller.runtime.remoteLeader()));
     assertEquals("another", read(RecordCodec.LEADER_KEY).data().get("node"));
     assertEquals(0, controller.runtime.token());
   }
@@ -251,7 +253,8 @@
         "the provisioning request to be completed",
         () -> {
           boolean provisioned = !cloud.workersEverProvisioned().isEmpty();
-          return provisioned && term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty();
+          return provisioned
+              && term.records.entries(LeaderRecords.RecordKind.PROVISIONING_REQUEST).isEmpty();
         });
     Map<String, Object> machines = term.records.entries(LeaderRecords.RecordKind.MACHINE);
     assertFalse(machines.isEmpty());
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -106,7 +106,7 @@
     assertEquals(accepted.revision(), read(JOB_KEY).revision());
     endJobElsewhere(true);
     JobService.SubmissionResult again = controller.jobService.submit(job());
-    assertEquals("200 withdrawn", again.status() + " " + again.known().phase());
+    assertEquals("200 withdrawn", again.status() + " " + again.state().phase());
     assertNull(read(JOB_KEY).data(), "an ended job is not accepted again");
   }
 
@@ -125,7 +125,7 @@
           }
         });
     JobService.SubmissionResult result = controller.jobService.submit(job());
-    assertEquals("200 withdrawn", result.status() + " " + result.known().phase());
+    assertEquals("200 withdrawn", result.status() + " " + result.state().phase());
     assertTrue(
         storeEmulator.lostResponses(RecordCodec.LIVE_JOB_PREFIX) == 1, "the response was lost");
   }
@@ -166,7 +166,7 @@
           }
           answered.addAndGet(executed && requestContains(request, "late-note") ? 1 : 0);
         });
-    term.records.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED_JOB, "late-note", true, 0);
     Await.until("the late write to be answered", () -> answered.get() > 0);
     assertFalse(storeEmulator.containsKey(RecordCodec.LEADER_PAGE_PREFIX + "o0"));
     Await.until("the term to end", term::hasEnded);
@@ -183,12 +183,12 @@
     LeaderTerm term = controller.awaitLeadership();
     String page = RecordCodec.LEADER_PAGE_PREFIX + "o0";
     storeEmulator.loseResponses(1);
-    term.records.put(LeaderRecords.RecordKind.OPENED, "first", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED_JOB, "first", true, 0);
     Await.until(
         "the response to a record write to be lost",
         () -> storeEmulator.lostResponses(RecordCodec.LEADER_PAGE_PREFIX) > 0);
     storeEmulator.loseResponses(0);
-    term.records.put(LeaderRecords.RecordKind.OPENED, "second", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED_JOB, "second", true, 0);
     Await.until("both entries on the page", () -> entryCount(page) == 2);
     long revision = read(page).revision();
     List<String> conditions = new ArrayList<>();
@@ -198,7 +198,7 @@
             conditions.add(new String(request.body(), StandardCharsets.UTF_8));
           }
         });
-    term.records.put(LeaderRecords.RecordKind.OPENED, "third", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED_JOB, "third", true, 0);
     Await.until("the third entry on the page", () -> entryCount(page) == 3);
     assertTrue(conditions.get(0).contains("{\"k\":\"" + page + "\",\"stamp\":" + revision + "}"));
   }
@@ -249,7 +249,8 @@
     controller.start();
     Await.until("the late claim to be answered", () -> answered.get() > 0);
     assertEquals("another", read(RecordCodec.LEADER_KEY).data().get("node"));
-    Await.until("the leader to be known", () -> "another".equals(controller.runtime.otherLeader()));
+    Await.until(
+        "the leader to be known", () -> "another".equals(controller.runtime.remoteLeader()));
     assertNull(controller.runtime.currentTerm());
     assertEquals(0, controller.runtime.token());
   }
@@ -283,7 +284,7 @@
     assertTrue(term.cancellationSummary().contains(" 0 confirmed; 1 wait, the longest for "));
     storeAddress.setObserver((request, executed) -> {});
     String line =
-        term.scheduler.call( // otherwise the term's own summary might report it first
+        term.scheduler.callLocked( // otherwise the term's own summary might report it first
             scheduler -> {
               assertEquals("withdrawn", controller.jobService.cancel(ID, true).phase());
               return term.cancellationSummary();
@@ -516,7 +517,7 @@
         });
     JobService.SubmissionResult result = controller.jobService.submit(job());
     assertEquals("withdrawn", reportedPhase[0]);
-    assertEquals("200 withdrawn", result.status() + " " + result.known().phase());
+    assertEquals("200 withdrawn", result.status() + " " + result.state().phase());
   }
 
   /**
@@ -540,7 +541,7 @@
     long untilNs = System.nanoTime() + OBSERVATION_NS;
     boolean inFlight;
     do {
-      inFlight = term.scheduler.call(scheduler -> scheduler.mayStart(ID));
+      inFlight = term.scheduler.callLocked(scheduler -> scheduler.mayStart(ID));
     } while (!inFlight && System.nanoTime() < untilNs); // settled as soon as it has failed
     Await.until(
         "the cancellation to be confirmed",
@@ -589,12 +590,12 @@
               }
               durable.add(name);
             });
-    records.put(LeaderRecords.RecordKind.OPENED, "bad", 1, 0);
-    records.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
+    records.put(LeaderRecords.RecordKind.OPENED_JOB, "bad", 1, 0);
+    records.put(LeaderRecords.RecordKind.OPENED_JOB, "beside it", 1, 0);
     Thread loop = new Thread(Threads.logFailures("records", () -> records.writeLoop(null)));
     loop.start();
     Await.until("the first page", () -> entryCount(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 2);
-    records.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
+    records.put(LeaderRecords.RecordKind.OPENED_JOB, "later", 1, 0);
     Await.until("the later record to be durable", () -> durable.contains("later"));
     assertEquals(List.of("beside it", "later"), List.copyOf(durable));
     records.close();
@@ -614,7 +615,7 @@
     Await.until("the job to run", () -> startedTasks().contains(ID + "/0"));
     WorkerEmulator worker = cloud.workersEverProvisioned().get(0);
     String address = worker.sentHeartbeats().get(0).replaceAll(".*\"addr\":\"([^\"]+)\".*", "$1");
-    term.scheduler.call(
+    term.scheduler.callLocked(
         scheduler -> {
           scheduler.requestCancellation(ID);
           return null;
--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -24,7 +24,7 @@
  */
 class LeaderTermTest {
   /** The host of a term that nothing ends. */
-  private static final class NoOpTermHost implements TermHost {
+  private static final class NoOpTermHost implements TermContext {
     @Override
     public long leaseCertainUntilMs() {
       return 0;
--- a/src/test/java/org/astershift/controller/OvertakenAnswerTest.java
+++ b/src/test/java/org/astershift/controller/OvertakenAnswerTest.java
@@ -83,7 +83,7 @@
   }
 
   private static int overtakenAnswerCount(LeaderTerm term) {
-    String summary = term.scheduler.call(Scheduler::reconciliationSummary);
+    String summary = term.scheduler.callLocked(Scheduler::reconciliationSummary);
     assertNotNull(summary);
     return Integer.parseInt(summary.replaceAll(".*answers_overtaken=([0-9]+).*", "$1"));
   }
--- a/src/test/java/org/astershift/coordination/CandidacyTest.java
+++ b/src/test/java/org/astershift/coordination/CandidacyTest.java
@@ -120,10 +120,10 @@
     assertFalse(reachability.measurement(0).isKnown());
     reachability.onSample(6, 6, 0);
     reachability.onSample(6, 6, 2000);
-    assertTrue(reachability.measurement(2500).reachesEnough());
+    assertTrue(reachability.measurement(2500).isReachabilitySufficient());
     reachability.onSample(6, 1, 4000);
     reachability.onSample(6, 1, 6000);
-    assertTrue(reachability.measurement(6500).reachesFew(), "partitioned two samples ago");
+    assertTrue(reachability.measurement(6500).isReachabilityPoor(), "partitioned two samples ago");
     assertEquals(new Measurement(12, 2), reachability.measurement(6500));
     assertFalse(
         reachability
--- a/src/test/java/org/astershift/coordination/CoalescerStateTest.java
+++ b/src/test/java/org/astershift/coordination/CoalescerStateTest.java
@@ -34,17 +34,17 @@
     assertEquals(new Ticket<>(second.round(), Role.SHARE), state.join("a"));
     assertEquals(Role.COMPUTE, state.join("b").role(), "each job has its own computation");
     state.complete("a", 1);
-    assertEquals(1, first.round().answer());
-    assertFalse(second.round().completed());
+    assertEquals(1, first.round().result());
+    assertFalse(second.round().isCompleted());
     state.beginQueued("a");
     Ticket<Integer> late = state.join("a");
     assertEquals(
         Role.QUEUED, late.role(), "the current computation started before this caller joined");
     state.complete("a", 2);
-    assertEquals(2, second.round().answer());
+    assertEquals(2, second.round().result());
     state.abandonQueued("a");
-    assertTrue(late.round().completed());
-    assertNull(late.round().answer(), "no caller waits for an abandoned computation");
+    assertTrue(late.round().isCompleted());
+    assertNull(late.round().result(), "no caller waits for an abandoned computation");
     assertEquals(Role.COMPUTE, state.join("a").role());
   }
 
@@ -103,8 +103,8 @@
       }
       for (Caller caller : callers) {
         assertTrue(
-            caller.ticket().round().completed(), "seed " + seed + ": a caller is still waiting");
-        Integer result = caller.ticket().round().answer();
+            caller.ticket().round().isCompleted(), "seed " + seed + ": a caller is still waiting");
+        Integer result = caller.ticket().round().result();
         assertTrue(
             result == null || result >= caller.joinedAt(),
             "seed " + seed + ": a result started before its caller joined");
--- a/src/test/java/org/astershift/coordination/ElectionTest.java
+++ b/src/test/java/org/astershift/coordination/ElectionTest.java
@@ -18,22 +18,22 @@
   private void winKey(long lease, long revision) {
     nowMs += 100;
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
-    assertInstanceOf(Action.GrantLease.class, election.next(free));
+    assertInstanceOf(Action.GrantLease.class, election.nextAction(free));
     election.onLeaseGranted(lease);
-    assertEquals(new Action.CreateKey(lease), election.next(free));
+    assertEquals(new Action.CreateKey(lease), election.nextAction(free));
     election.onKeyCreation(KeyCreation.CREATED, revision);
-    assertEquals(new Action.CatchUp(revision), election.next(free));
+    assertEquals(new Action.AwaitRevision(revision), election.nextAction(free));
   }
 
   /** Becomes a candidate and gets no answer to its claim; returns the view after the timeout. */
   private View claimWithoutAnswer(long lease) {
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
-    assertInstanceOf(Action.GrantLease.class, election.next(free));
+    assertInstanceOf(Action.GrantLease.class, election.nextAction(free));
     election.onLeaseGranted(lease);
-    assertEquals(new Action.CreateKey(lease), election.next(free));
+    assertEquals(new Action.CreateKey(lease), election.nextAction(free));
     election.onKeyCreation(KeyCreation.UNKNOWN, 0);
     View later = new View(nowMs + 1500, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
-    assertEquals(new Action.VerifyKey(lease), election.next(later));
+    assertEquals(new Action.VerifyKey(lease), election.nextAction(later));
     return later;
   }
 
@@ -45,9 +45,9 @@
     View view = claimWithoutAnswer(1);
     assertEquals(0, election.token());
     election.onKeyVerified(61);
-    assertEquals(new Action.CatchUp(61), election.next(view));
-    election.onCaughtUp(61, true);
-    assertEquals(new Action.BeginTerm(61), election.next(view));
+    assertEquals(new Action.AwaitRevision(61), election.nextAction(view));
+    election.onRevisionAwaited(61, true);
+    assertEquals(new Action.BeginTerm(61), election.nextAction(view));
     assertTrue(election.isLeaseCertain(61, nowMs + 1500 + 1500), "counted from the renewal");
   }
 
@@ -59,10 +59,10 @@
   void unansweredClaimIsRevokedIfItsKeyIsMissing() {
     View view = claimWithoutAnswer(1);
     election.onKeyVerified(0);
-    assertEquals(new Action.RevokeLease(1), election.next(view));
+    assertEquals(new Action.RevokeLease(1), election.nextAction(view));
     assertEquals(0, election.token());
     election.onKeyVerified(61); // late notification
-    assertInstanceOf(Action.GrantLease.class, election.next(view));
+    assertInstanceOf(Action.GrantLease.class, election.nextAction(view));
   }
 
   /**
@@ -73,14 +73,14 @@
   void termBeginsOnlyOnceCacheHasReachedItsKey() {
     View free = new View(nowMs, true, null, WorkerReachability.Measurement.UNKNOWN, 0);
     winKey(1, 61);
-    election.onCaughtUp(61, false);
-    assertEquals(new Action.RevokeLease(1), election.next(free));
+    election.onRevisionAwaited(61, false);
+    assertEquals(new Action.RevokeLease(1), election.nextAction(free));
     winKey(2, 65);
-    election.onCaughtUp(61, true);
+    election.onRevisionAwaited(61, true);
     assertEquals(0, election.token());
-    assertEquals(new Action.CatchUp(65), election.next(free));
-    election.onCaughtUp(65, true);
+    assertEquals(new Action.AwaitRevision(65), election.nextAction(free));
+    election.onRevisionAwaited(65, true);
     assertEquals(65, election.token());
-    assertEquals(new Action.BeginTerm(65), election.next(free));
+    assertEquals(new Action.BeginTerm(65), election.nextAction(free));
   }
 }
--- a/src/test/java/org/astershift/coordination/JobQueryTest.java
+++ b/src/test/java/org/astershift/coordination/JobQueryTest.java
@@ -30,8 +30,8 @@
     "follows, REMOTE_LEADER, STORE",
   })
   void sourceDependsOnKnownState(String known, Source ofUser, Source ofNode) {
-    assertEquals(ofUser, JobQuery.source(view(known, true)));
-    assertEquals(ofNode, JobQuery.source(view(known, false)), "asked by another controller");
+    assertEquals(ofUser, JobQuery.selectSource(view(known, true)));
+    assertEquals(ofNode, JobQuery.selectSource(view(known, false)), "asked by another controller");
   }
 
   /**
@@ -45,7 +45,8 @@
       for (int i = 0; i < flags.length; i++) {
         flags[i] = (bits >> i & 1) == 1;
       }
-      Source source = JobQuery.source(new View(flags[0], flags[1], flags[2], flags[3], flags[4]));
+      Source source =
+          JobQuery.selectSource(new View(flags[0], flags[1], flags[2], flags[3], flags[4]));
       assertEquals(
           !flags[0] && flags[1] && flags[2] && flags[3], source == Source.LEADER_MEMORY, "" + bits);
       assertEquals(flags[0], source == Source.KNOWN_END, "" + bits);
--- a/src/test/java/org/astershift/emulator/InProcessControllers.java
+++ b/src/test/java/org/astershift/emulator/InProcessControllers.java
@@ -117,7 +117,7 @@
       throw new IOException("the controller is not started yet");
     }
     try {
-      return jobService.answerPeer(operation, job);
+      return jobService.handlePeerRequest(operation, job);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted while answering a peer");
--- a/src/test/java/org/astershift/golden/PeerRequestsTest.java
+++ b/src/test/java/org/astershift/golden/PeerRequestsTest.java
@@ -115,13 +115,14 @@
 
   private void addRequest(Golden golden, String label, String operation, String job)
       throws Exception {
-    golden.add(label, describe(jobService.answerPeer(PeerOperation.fromWireName(operation), job)));
+    golden.add(
+        label, describe(jobService.handlePeerRequest(PeerOperation.fromWireName(operation), job)));
   }
 
   /** Polls until the node has read the records in the store. */
   private void awaitReady() throws Exception {
     while (jobService.poll(JOB, true).status() != 200
-        || jobService.answerPeer(PeerOperation.STORE_STATUS, "").phase().isEmpty()) {
+        || jobService.handlePeerRequest(PeerOperation.STORE_STATUS, "").phase().isEmpty()) {
       Thread.sleep(20);
     }
   }
--- a/src/test/java/org/astershift/golden/ServiceCallsTest.java
+++ b/src/test/java/org/astershift/golden/ServiceCallsTest.java
@@ -184,7 +184,7 @@
         "{\"epoch\":100}",
         () -> describe(store.commit(empty, RateLimiter.Urgency.BACKGROUND, 5000)));
     golden.add("malformed", StoreClient.MALFORMED_REASON);
-    golden.add("changes of one", String.valueOf(transaction().size()));
+    golden.add("changes of one", String.valueOf(transaction().changeCount()));
     golden.check();
   }
 
--- a/src/test/java/org/astershift/scheduler/FuzzUsers.java
+++ b/src/test/java/org/astershift/scheduler/FuzzUsers.java
@@ -128,7 +128,7 @@
           }
           Scheduler.JobProgress progress = scheduler.progress(id);
           Cancellation.Action action =
-              Cancellation.next(
+              Cancellation.nextAction(
                   new Cancellation.View(
                       false,
                       false,
--- a/src/test/java/org/astershift/simulation/ElectionModel.java
+++ b/src/test/java/org/astershift/simulation/ElectionModel.java
@@ -68,7 +68,7 @@
   void runRound() {
     isWaiting = false;
     waitNumber++;
-    Action action = election.next(view());
+    Action action = election.nextAction(view());
     long intervalMs = intervalMs();
     if (action instanceof Action.ReadKey) {
       readKey();
@@ -80,7 +80,7 @@
       createKey(creation);
     } else if (action instanceof Action.VerifyKey verification) {
       verifyKey(verification);
-    } else if (action instanceof Action.CatchUp catchUp) {
+    } else if (action instanceof Action.AwaitRevision catchUp) {
       catchUp(catchUp.revision(), controller.clock() + Election.LEADER_LEASE_MS);
     } else if (action instanceof Action.BeginTerm begin) {
       beginTerm(begin.token());
@@ -175,7 +175,7 @@
         controller.watchCache().revision() >= revision
             || controller.hasMutation(Mutation.NO_CATCH_UP);
     if (caughtUp || controller.clock() > deadlineMs) {
-      election.onCaughtUp(revision, caughtUp);
+      election.onRevisionAwaited(revision, caughtUp);
       runRoundAfter(0);
     } else {
       controller.runLater(
--- a/src/test/java/org/astershift/simulation/JobServiceModel.java
+++ b/src/test/java/org/astershift/simulation/JobServiceModel.java
@@ -113,7 +113,7 @@
   }
 
   private void advanceCancel(CancelRequest request, boolean storeRead) {
-    Cancellation.Action action = Cancellation.next(view(request, storeRead));
+    Cancellation.Action action = Cancellation.nextAction(view(request, storeRead));
     if (action.needsTerm()) {
       request.term().scheduler().requestCancellation(request.job());
       request.term().requestPass();
--- a/src/test/java/org/astershift/simulation/PeerModel.java
+++ b/src/test/java/org/astershift/simulation/PeerModel.java
@@ -192,8 +192,11 @@
         LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS,
         (Map<String, WorkerReachability.Measurement> answers) -> {
           boolean reachesFew =
-              answers.values().stream().anyMatch(WorkerReachability.Measurement::reachesFew);
-          if (controller.term() == null || !ownReachability.reachesEnough() || !reachesFew) {
+              answers.values().stream()
+                  .anyMatch(WorkerReachability.Measurement::isReachabilityPoor);
+          if (controller.term() == null
+              || !ownReachability.isReachabilitySufficient()
+              || !reachesFew) {
             controller.election().onLeaderObserved(row.revision());
           }
         });
