--- a/src/main/java/org/astershift/CommandLineArguments.java
+++ b/src/main/java/org/astershift/CommandLineArguments.java
@@ -13,8 +13,8 @@
 final class CommandLineArguments {
   private final CommandLine commandLine;
 
-  private CommandLineArguments(CommandLine line) {
-    this.commandLine = line;
+  private CommandLineArguments(CommandLine commandLine) {
+    this.commandLine = commandLine;
   }
 
   /**
@@ -38,7 +38,7 @@
     return commandLine.hasOption("check");
   }
 
-  /** Throws unless the settings file is given, and no unexpected argument. */
+  /** Throws if no settings file is given, or if there is an unexpected argument. */
   void requireStartOptions() throws ParseException {
     if (!commandLine.getArgList().isEmpty()) {
       throw new ParseException("unexpected argument: " + commandLine.getArgList().get(0));
--- a/src/main/java/org/astershift/ControllerLauncher.java
+++ b/src/main/java/org/astershift/ControllerLauncher.java
@@ -25,8 +25,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLauncher.class);
 
   /**
-   * Maximum wait for an address that is in use, in milliseconds: this node's previous process may
-   * be about to end, and the platform restarts a process that fails to start only after a delay.
+   * Maximum wait for an address that is in use, in milliseconds: this controller's previous process
+   * may be about to end, and the platform restarts a process that fails to start only after a
+   * delay.
    */
   private static final long LISTEN_TIMEOUT_MS = 20_000;
 
@@ -39,9 +40,9 @@
     ControllerRuntime controller =
         new ControllerRuntime(settings, policy, store, new WatchCache(store), peerChannels);
     JobService jobService = new JobService(controller, store, peerChannels);
-    // Both addresses are bound before anything else starts, which shows that this node's previous
-    // process has ended: only then may this process delete a leader key that the previous one left
-    // behind.
+    // Both addresses are bound before anything else starts, which shows that this controller's
+    // previous process has ended: only then may this process delete a leader key that the previous
+    // one left behind.
     PeerServer peerServer = retryWhileAddressInUse(() -> openPeerServer(settings, jobService));
     PublicApi api = new PublicApi(controller, jobService, settings.limits().teams());
     HttpServer http = retryWhileAddressInUse(() -> openHttpServer(settings, api));
@@ -84,7 +85,7 @@
 
   /**
    * Returns the result of {@code opener}. Retries for up to {@link #LISTEN_TIMEOUT_MS} while the
-   * address is in use, since this node's previous process may still hold it.
+   * address is in use, since this controller's previous process may still hold it.
    */
   static <T> T retryWhileAddressInUse(SocketOpener<T> opener) throws IOException {
     long startNs = System.nanoTime();
--- a/src/main/java/org/astershift/api/JobCodec.java
+++ b/src/main/java/org/astershift/api/JobCodec.java
@@ -19,7 +19,7 @@
 
   private JobCodec() {}
 
-  /** Returns whether {@code decodeId} has the form of a job id. */
+  /** Returns whether {@code id} has the form of a job id. */
   public static boolean isJobId(String id) {
     return id.matches("wk-[0-9a-z]{1,40}");
   }
--- a/src/main/java/org/astershift/api/PublicApi.java
+++ b/src/main/java/org/astershift/api/PublicApi.java
@@ -156,7 +156,7 @@
   /**
    * Returns the state of the job if it was accepted before, otherwise {@code rejection}: a repeated
    * submission is idempotent, even if the machine types or the validation rules have changed since.
-   * Costs a status poll.
+   * The check costs a status poll.
    */
   private Response rejectUnlessAccepted(String id, Response rejection) throws InterruptedException {
     PeerResponse known = jobService.poll(id, true);
@@ -167,7 +167,7 @@
    * Handles a heartbeat when its turn comes. After a failover, hundreds of heartbeats arrive at
    * once; only a few are handled at the same time, so that their threads do not starve the renewal
    * of the leader's lease. A heartbeat that has waited too long is rejected: its worker has given
-   * up, and working off a stale backlog would let all leases expire.
+   * up, and processing a stale backlog would let all leases expire.
    */
   private Response handleHeartbeat(Request request) throws InterruptedException {
     long receivedMs = ControllerRuntime.nowMs();
--- a/src/main/java/org/astershift/config/ClockBounds.java
+++ b/src/main/java/org/astershift/config/ClockBounds.java
@@ -9,8 +9,8 @@
   public static final double CLOCK_DRIFT_SHARE = 0.0005;
 
   /**
-   * Margin for timer granularity that is added to every bound computed from another machine's
-   * clock, in milliseconds.
+   * Margin for timer granularity in every bound that is computed from another machine's clock, in
+   * milliseconds.
    */
   public static final long CLOCK_MARGIN_MS = 300;
 
--- a/src/main/java/org/astershift/config/ThreadBudget.java
+++ b/src/main/java/org/astershift/config/ThreadBudget.java
@@ -16,7 +16,7 @@
    */
   public static final double USED_THREADS_SHARE = 0.85;
 
-  /** Threads of the loops of a node and of two leader terms, one of which is ending. */
+  /** Threads of the loops of a controller and of two leader terms, one of which is ending. */
   public static final int LOOP_THREADS = 24;
 
   /** Threads of the Java runtime itself. */
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Returns the number of incoming connections allowed to a node that may have {@code sockets}
-   * sockets; each connection takes a thread and a socket.
+   * Returns the number of incoming connections allowed to a controller that may have {@code
+   * sockets} sockets; each connection takes a thread and a socket.
    */
   public static int maxConnections(int sockets) {
     return Math.min(connectionThreads(), (int) (sockets * INCOMING_SOCKETS_SHARE));
--- a/src/main/java/org/astershift/controller/CloudPoller.java
+++ b/src/main/java/org/astershift/controller/CloudPoller.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the cloud's machine list and machine types for the leader's scheduler. */
+/** Polls the cloud for its machine list and machine types, for the leader's scheduler. */
 final class CloudPoller {
   private static final Logger LOG = LoggerFactory.getLogger(CloudPoller.class);
 
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Sets the machine types from the leader's record, which serves nodes that start while the cloud
-   * is unavailable.
+   * Sets the machine types from the leader's record, so that a controller that starts while the
+   * cloud is unavailable knows the types.
    */
   void onTypesRecord(Map<String, Object> value) {
     try {
@@ -65,12 +65,12 @@
         refreshMachines(term);
         Thread.sleep(LoopTiming.MACHINE_LIST_INTERVAL_MS);
       } catch (IOException e) {
-        LOG.info("cloud call failed; will retry, token={}: {}", term.token, e.getMessage());
+        LOG.info("cloud call failed; will retry: token={}: {}", term.token, e.getMessage());
         CloudBackoff.sleep();
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
-        LOG.error("cloud poll failed; will retry, token={}", term.token, e);
+        LOG.error("cloud poll failed; will retry: token={}", term.token, e);
         Threads.backOff();
       }
     }
@@ -99,7 +99,7 @@
   }
 
   /**
-   * Returns the attributes whose change is written to the store. Prices are left out, as they
+   * Returns the attributes whose changes are written to the store. Prices are omitted, since they
    * change constantly.
    */
   private static String fingerprint(Map<String, MachineType> types) {
--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -14,10 +14,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Provisions machines on threads of its own. Each provisioning request, called a rental, has a
- * unique name. A rental is recorded in the store before its request is sent, and the request is
- * retried under that name until the cloud has answered. After a failover the next leader sends it
- * again, and the cloud treats requests with the same name as one request.
+ * Provisions machines on threads of its own. Each provisioning request has a unique name. A request
+ * is recorded in the store before it is sent, and it is retried under its name until the cloud has
+ * granted or permanently rejected it. After a failover the next leader sends it again, and the
+ * cloud treats requests with the same name as one request.
  */
 final class CloudProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(CloudProvisioner.class);
@@ -29,12 +29,12 @@
     this.cloud = cloud;
   }
 
-  /** Starts a thread for queued rentals if an earlier thread start failed. */
+  /** Starts a thread for queued requests if an earlier thread start failed. */
   void startQueuedTasks() {
     pool.startQueuedTasks();
   }
 
-  /** Resends the rentals that an earlier leader left without an answer, under their names. */
+  /** Resends, under their names, the requests that an earlier leader left unsettled. */
   void resumeProvisioning(LeaderTerm term) {
     term.records
         .entries(LeaderRecords.RecordKind.PROVISIONING_REQUEST)
@@ -44,15 +44,19 @@
   private void resume(LeaderTerm term, String name, Object value) {
     try {
       Decision.ProvisionMachines request = RecordCodec.decodeProvisionRequest(value);
-      LOG.info("resuming a rental of an earlier leader, rental={} token={}", name, term.token);
+      LOG.info(
+          "resuming a provisioning request of an earlier leader: request={} token={}",
+          name,
+          term.token);
       term.scheduler.onProvisioningStarted(name, request);
       submit(term, name, request);
     } catch (JsonFormatException e) {
-      LOG.error("rental record cannot be decoded, rental={}: {}", name, e.getMessage());
+      LOG.error(
+          "provisioning request record cannot be decoded: request={}: {}", name, e.getMessage());
     }
   }
 
-  /** Records a rental under a new name; its request is sent once the record is durable. */
+  /** Records a request under a new name; it is sent once the record is durable. */
   void provision(LeaderTerm term, Decision.ProvisionMachines request) {
     String name = term.nextProvisioningRequestName();
     term.scheduler.onProvisioningStarted(name, request);
@@ -63,16 +67,16 @@
         0);
   }
 
-  /** Sends the request of a rental whose record has become durable. */
+  /** Sends a request whose record has become durable. */
   void onRequestPersisted(LeaderTerm term, String name, Object value) throws JsonFormatException {
     submit(term, name, RecordCodec.decodeProvisionRequest(value));
   }
 
   private void submit(LeaderTerm term, String name, Decision.ProvisionMachines request) {
-    pool.execute("rental", () -> provisionUntilAnswered(term, name, request));
+    pool.execute("provision", () -> provisionUntilSettled(term, name, request));
   }
 
-  private void provisionUntilAnswered(
+  private void provisionUntilSettled(
       LeaderTerm term, String name, Decision.ProvisionMachines request) {
     while (CloudBackoff.shouldContinue(term) && !tryProvision(term, name, request)) {
       CloudBackoff.sleep();
@@ -96,16 +100,18 @@
       }
     } catch (IOException e) {
       LOG.info(
-          "no usable response to rental request; will retry, rental={}: {}", name, e.toString());
+          "no valid response to provisioning request; will retry: request={}: {}",
+          name,
+          e.toString());
     }
     return false;
   }
 
-  /** Records the machines before they may get tasks, so that the next leader knows of them. */
+  /** Records the machines before they can get tasks, so that the next leader knows of them. */
   private static void onProvisioned(
       LeaderTerm term, String name, Decision.ProvisionMachines request, List<String> machineNames) {
     LOG.info(
-        "rental granted, rental={} count={} type={} zone={} machines={}",
+        "machines provisioned: request={} count={} type={} zone={} machines={}",
         name,
         request.count(),
         request.typeName(),
@@ -125,21 +131,23 @@
       String name, Decision.ProvisionMachines request, CloudRejectedException rejection) {
     if (rejection.reason() == CloudRejectedException.Reason.NO_CAPACITY) {
       LOG.info(
-          "cloud has no capacity; rental abandoned, rental={} type={} zone={} spot={}",
+          "cloud has no capacity; request abandoned: request={} type={} zone={} spot={}",
           name,
           request.typeName(),
           request.zone(),
           request.spot());
     } else if (rejection.reason() == CloudRejectedException.Reason.MALFORMED) {
       LOG.error(
-          "cloud rejected rental as malformed; rental abandoned, rental={} count={} type={}",
+          "cloud rejected malformed request; request abandoned: request={} count={} type={}",
           name,
           request.count(),
           request.typeName());
     }
     if (!rejection.reason().isPermanent()) {
       LOG.info(
-          "rental request not accepted; will retry, rental={}: {}", name, rejection.getMessage());
+          "provisioning request not accepted; will retry: request={}: {}",
+          name,
+          rejection.getMessage());
     }
   }
 }
--- a/src/main/java/org/astershift/controller/CommandDispatcher.java
+++ b/src/main/java/org/astershift/controller/CommandDispatcher.java
@@ -53,8 +53,8 @@
               () -> term.scheduler.commandsToSend(request),
               request.timeoutMs());
     } finally {
-      // Reported after a failure too: a request that stayed in flight indefinitely would block its
-      // task's slot and the job's cancellation.
+      // The result is reported after a failure too: a request that stayed in flight indefinitely
+      // would block its task's slot and the job's cancellation.
       term.scheduler.onCommandResult(
           request.machineName(), result.outcomeUnknown(), result.heartbeat(), LeaderTerm.nowMs());
     }
--- a/src/main/java/org/astershift/controller/CompletionWriter.java
+++ b/src/main/java/org/astershift/controller/CompletionWriter.java
@@ -20,7 +20,7 @@
 final class CompletionWriter {
   private static final Logger LOG = LoggerFactory.getLogger(CompletionWriter.class);
 
-  /** Changes in a transaction for one job end: the end is put, the live record deleted. */
+  /** Changes for one job end in a transaction: its end is written and its live record deleted. */
   private static final int CHANGES_PER_END = 2;
 
   private final Settings.StoreLimits limits;
@@ -52,7 +52,7 @@
       try {
         persistEnds(term, jobIds);
       } catch (RuntimeException | Error e) {
-        LOG.error("writing job ends failed; will retry, token={}", term.token, e);
+        LOG.error("writing job ends failed; will retry: token={}", term.token, e);
         retryLater(term, jobIds);
       }
     }
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Adds the changes that record a job's end. A job is either done or cancelled, also if the
-   * responses of earlier attempts were lost: the first end that is applied stays.
+   * Adds the changes that record a job's end. A job ends either done or cancelled, even if the
+   * responses to earlier attempts were lost: the first end that is applied stays.
    */
   private static void addEndRecord(
       StoreClient.Transaction txn, String jobId, RecordCodec.JobEnd end) {
@@ -129,7 +129,7 @@
   private void onEndPersisted(LeaderTerm term, String jobId, RecordCodec.JobEnd end) {
     endedJobs.put(jobId, end);
     term.onJobEnded(jobId, end.cancelled());
-    LOG.debug("job ended, job={} cancelled={}", jobId, end.cancelled());
+    LOG.debug("job ended: job={} cancelled={}", jobId, end.cancelled());
   }
 
   /**
@@ -147,7 +147,10 @@
     }
   }
 
-  /** Makes a job's end durable and returns the recorded end; null if that is not certain yet. */
+  /**
+   * Makes a job's end durable and returns the recorded end; null if its durability is uncertain.
+   * The write waits for the store's rate limit for at most {@code timeoutMs}.
+   */
   RecordCodec.JobEnd persistEnd(LeaderTerm term, String jobId, boolean cancelled, long timeoutMs)
       throws InterruptedException {
     if (!term.manages(jobId)) {
@@ -179,7 +182,7 @@
       StoreClient.Entry entry = store.get(RecordCodec.ENDED_JOB_PREFIX + jobId);
       return entry.data() == null ? null : RecordCodec.decodeJobEnd(entry.data());
     } catch (IOException | JsonFormatException e) {
-      LOG.debug("reading job end failed, job={}: {}", jobId, e.toString());
+      LOG.debug("reading job end failed: job={}: {}", jobId, e.toString());
       return null;
     }
   }
--- a/src/main/java/org/astershift/controller/ConnectivityMonitor.java
+++ b/src/main/java/org/astershift/controller/ConnectivityMonitor.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Distinguishes a partition of this node from an outage of the store by querying the peers, and
- * learns from them who leads. A partitioned node reports not ready. While the store responds, the
- * same loop runs the {@link LeadershipTransferCheck}.
+ * Distinguishes a partition of this controller from an outage of the store by querying the peers,
+ * and learns from them who leads. A partitioned controller reports not ready. While the store
+ * responds, the same loop runs the {@link LeadershipTransferCheck}.
  */
 final class ConnectivityMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectivityMonitor.class);
@@ -40,8 +40,9 @@
   }
 
   /**
-   * Results of querying the peers: how many answered, the first one to which the store responds,
-   * and the leader that it reports; the latter two are null if the store responds to no peer.
+   * Results of querying the peers: how many answered, the first peer to which the store responds,
+   * and the leader that this peer reports; the latter two are null if the store responds to no
+   * peer.
    */
   private record PeerReports(int answeredCount, String peerWithStore, ObservedLeader leader) {}
 
@@ -62,23 +63,23 @@
   }
 
   /**
-   * Returns whether the store responds to a peer but not to this node, or neither the store nor any
-   * peer responds to this node.
+   * Returns whether the store responds to a peer but not to this controller, or neither the store
+   * nor any peer responds to this controller.
    */
   boolean isPartitionedFromStore() {
     return observedLeader != null || isIsolated;
   }
 
   /**
-   * Returns the leader that a peer reported; null if the store responds to this node, or no leader
-   * was reported.
+   * Returns the leader that a peer reported; null if the store responds to this controller, or no
+   * leader was reported.
    */
   String reportedLeader() {
     ObservedLeader current = observedLeader;
     return current == null || current.node().isEmpty() ? null : current.node();
   }
 
-  /** Answers a peer's query whether the store responds to this node and who leads. */
+  /** Returns the response to a peer that asks whether the store responds here, and who leads. */
   PeerResponse storeStatusResponse() {
     if (store.isUnavailable()) {
       return PeerResponse.UNAVAILABLE;
@@ -88,14 +89,14 @@
         200, entry == null ? "" : entry.data().get("node") + " " + entry.revision(), 0, 0);
   }
 
-  /** Answers a peer's query how much of the fleet this node reaches. */
+  /** Returns the response to a peer that asks how much of the fleet this controller reaches. */
   PeerResponse workerReachabilityResponse() {
     return PeerReachability.encodeResponse(runtime.prober().measurement(), !store.isUnavailable());
   }
 
   /**
-   * Handles the leader's announcement of a transfer. If the successor is another node, this one
-   * lets it become a candidate first.
+   * Handles the leader's announcement of a transfer. If this controller is not the successor, it
+   * lets the successor become a candidate first.
    */
   PeerResponse onTransferAnnounced(String successor) {
     if (!successor.equals(runtime.nodeName())) {
@@ -118,7 +119,7 @@
 
   private void onStoreAvailable() {
     if (wasStoreUnavailable) {
-      LOG.info("store responds to this node again, node={}", runtime.nodeName());
+      LOG.info("store responds to this controller again: node={}", runtime.nodeName());
     }
     wasStoreUnavailable = false;
     observedLeader = null;
@@ -139,7 +140,7 @@
             == StoreReachability.Verdict.ISOLATED;
     if (isIsolated && !wasIsolated) {
       LOG.info(
-          "neither the store nor any peer responds; reporting not ready, node={}",
+          "neither the store nor any peer responds; reporting not ready: node={}",
           runtime.nodeName());
     }
     if (reported != null && !keepsTermDespite(reported)) {
@@ -151,15 +152,15 @@
     int answered = 0;
     for (Map.Entry<String, JobService.PeerChannel> peer : peers.entrySet()) {
       try {
-        PeerResponse answer =
+        PeerResponse response =
             peer.getValue()
                 .call(PeerOperation.STORE_STATUS, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
         answered++;
-        if (answer.isOk()) {
-          return new PeerReports(answered, peer.getKey(), ObservedLeader.parse(answer.phase()));
+        if (response.isOk()) {
+          return new PeerReports(answered, peer.getKey(), ObservedLeader.parse(response.phase()));
         }
       } catch (IOException | RuntimeException e) {
-        LOG.debug("peer did not answer, node={}: {}", peer.getKey(), e.toString());
+        LOG.debug("no valid response from a peer: peer={}: {}", peer.getKey(), e.toString());
       }
     }
     return new PeerReports(answered, null, null);
@@ -171,21 +172,22 @@
     }
     if (reports.leader() == null) {
       LOG.info(
-          "store responds neither to this node nor to a reachable peer, node={}",
+          "store responds neither to this controller nor to a reachable peer: node={}",
           runtime.nodeName());
     } else {
       LOG.info(
-          "store responds to a peer but not to this node; reporting not ready, node={} peer={}",
+          "store responds to a peer but not here; reporting not ready: node={} peer={}",
           runtime.nodeName(),
           reports.peerWithStore());
     }
   }
 
   /**
-   * Returns whether this node keeps its term although a later leader exists, because the later
-   * leader reaches few workers and this node reaches enough. This node then goes on answering
-   * workers with its token, so that their leases are renewed and their tasks keep running. That is
-   * safe, since a worker that has seen the later token ignores messages from this node.
+   * Returns whether this controller keeps its term although a later leader exists, because the
+   * later leader reaches few workers and this controller reaches enough. This controller then goes
+   * on answering workers with its token, so that their leases are renewed and their tasks keep
+   * running. That is safe, since a worker that has seen the later token ignores messages from this
+   * controller.
    */
   private boolean keepsTermDespite(ObservedLeader laterLeader) {
     LeaderTerm term = runtime.currentTerm();
@@ -196,7 +198,7 @@
     if (!runtime.prober().measurement().isReachabilitySufficient()) {
       return false;
     }
-    // A peer of a version without this operation answers 0 of 0, which does not count as few.
+    // A peer whose version lacks this operation reports 0 of 0, which does not count as few.
     Candidacy.PeerStatus status = PeerReachability.query(laterLeader.node(), peer);
     return status != null && status.workerReachability().isReachabilityPoor();
   }
--- a/src/main/java/org/astershift/controller/ControllerRuntime.java
+++ b/src/main/java/org/astershift/controller/ControllerRuntime.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller node: starts its loops, begins and ends leader terms, and routes heartbeats and
- * store changes to the current term. Callable from any thread.
+ * One controller: starts its loops, begins and ends leader terms, and routes heartbeats and store
+ * changes to the current term. Callable from any thread.
  */
 public final class ControllerRuntime implements LeaderElector.TermListener {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerRuntime.class);
@@ -44,7 +44,7 @@
   private final PassSignal passSignal = new PassSignal();
   private volatile LeaderTerm currentTerm;
 
-  /** Held while a term begins or ends, so that an ended term cannot become the current one. */
+  /** Lock held while a term begins or ends, so that an ended term cannot become the current one. */
   private final Object termLock = new Object();
 
   /** {@code peers} holds the channels to the other controllers by node name. */
@@ -76,7 +76,7 @@
         new CompletionWriter(settings.storeLimits(), store, endedJobs, this::requestPass);
   }
 
-  /** Starts the threads of this node, which may become leader from then on. */
+  /** Starts the threads of this controller, which may become leader from then on. */
   public void start() {
     if (!Scheduler.leaseFitsCancellationTime(settings.limits())) {
       LOG.warn(
@@ -88,17 +88,17 @@
     prober.start();
   }
 
-  /** Returns whether users' requests should be sent to this node. */
+  /** Returns whether this controller is ready for users' requests. */
   public boolean isReady() {
     return watchCache.isLoaded() && !connectivity.isPartitionedFromStore();
   }
 
-  /** Returns the leader key as this node knows it, or null. */
+  /** Returns the leader key as this controller has cached it; null if there is none. */
   StoreClient.Entry leaderEntry() {
     return elector.leaderEntry();
   }
 
-  /** Handles the leader's fencing token as another node reports it. */
+  /** Handles the leader's fencing token as another controller reports it. */
   void onLeaderObserved(long token) {
     elector.onLeaderObserved(token);
   }
@@ -119,29 +119,29 @@
     return prober;
   }
 
-  /** Resigns as leader, because another node reaches more of the fleet. */
+  /** Resigns as leader, because another controller reaches more of the fleet. */
   void transferLeadership(LeaderTerm term, String reason) {
     elector.resign(term.token, reason);
   }
 
-  /** Returns the leader as this node knows it; null if there is none or it is this node. */
+  /** Returns the name of the leader; null if none is known or this controller leads. */
   public String remoteLeader() {
     String leader =
         connectivity.isPartitionedFromStore() ? connectivity.reportedLeader() : elector.leader();
     return settings.nodeName().equals(leader) ? null : leader;
   }
 
-  /** Returns the machine types by name; empty until read from the cloud or the store. */
+  /** Returns the machine types by name; empty until they were read from the cloud or the store. */
   public Map<String, MachineType> machineTypes() {
     return cloudPoller.machineTypes();
   }
 
-  /** Returns the current term; null if this node does not lead. */
+  /** Returns the current term; null if this controller does not lead. */
   LeaderTerm currentTerm() {
     return currentTerm;
   }
 
-  /** Returns whether no other node can have become leader since the term began. */
+  /** Returns whether no other controller can have become leader since the term began. */
   boolean isLeaseCertain(LeaderTerm term) {
     return elector.isLeaseCertain(term.token);
   }
@@ -165,7 +165,7 @@
     }
   }
 
-  /** Handles the record of a live job that was read from the store. */
+  /** Adds a live job whose record was read from the store to the current term, if there is one. */
   void onJobRecord(StoreClient.Entry entry) {
     LeaderTerm term = currentTerm;
     if (term != null
@@ -175,7 +175,7 @@
     }
   }
 
-  /** Handles a job that this node accepted and recorded at this revision. */
+  /** Adds a job that this controller accepted and recorded at this revision to the current term. */
   void onJobAccepted(RecordCodec.JobRecord record, long revision) {
     LeaderTerm term = currentTerm;
     if (term != null && endedJobs.get(record.spec().id()) == null) {
@@ -277,8 +277,9 @@
   }
 
   /**
-   * Returns the commands for the response to a heartbeat, which reached this node at {@code
-   * receivedMs}; null if this node must not answer the heartbeat.
+   * Returns the commands for the response to a heartbeat that reached this controller at {@code
+   * receivedMs}; null if this controller does not lead with {@code token}, or its term may no
+   * longer answer workers.
    */
   public List<Command> onHeartbeat(Heartbeat heartbeat, long token, long receivedMs) {
     LeaderTerm term = currentTerm;
@@ -290,7 +291,7 @@
     return LeaderTerm.nowMs();
   }
 
-  /** Returns the fencing token for heartbeat responses; 0 if this node does not lead. */
+  /** Returns the fencing token for heartbeat responses; 0 if this controller does not lead. */
   public long token() {
     LeaderTerm term = currentTerm;
     return term == null ? 0 : term.token;
@@ -302,15 +303,15 @@
   }
 
   /**
-   * Makes a job's end durable before any user sees it and returns the recorded end; null if that is
-   * not certain yet.
+   * Makes a job's end durable before any user sees it and returns the recorded end; null if its
+   * durability is uncertain.
    */
   RecordCodec.JobEnd persistEnd(LeaderTerm term, String jobId, boolean cancelled, long timeoutMs)
       throws InterruptedException {
     return completionWriter.persistEnd(term, jobId, cancelled, timeoutMs);
   }
 
-  /** This controller as the host of the term with this token. */
+  /** What the term with this token needs from this controller. */
   private final class ControllerTermContext implements TermContext {
     private final long token;
 
--- a/src/main/java/org/astershift/controller/DecisionExecutor.java
+++ b/src/main/java/org/astershift/controller/DecisionExecutor.java
@@ -8,7 +8,7 @@
  * queues work for other threads. Called by the pass loop, without the scheduler's lock.
  */
 final class DecisionExecutor implements Decision.Visitor {
-  /** Longest time that a placement hint waits for other changes of its page, milliseconds. */
+  /** Maximum time that a changed placement waits for other changes of its page, in milliseconds. */
   private static final long PLACEMENT_RECORD_DELAY_MS = 3000;
 
   private final LeaderTerm term;
--- a/src/main/java/org/astershift/controller/EndedJobCache.java
+++ b/src/main/java/org/astershift/controller/EndedJobCache.java
@@ -9,7 +9,9 @@
  * any thread.
  */
 final class EndedJobCache {
-  /** Most ends in the cache, which keeps the latest; others are read from the store. */
+  /**
+   * Maximum number of ends in the cache, which keeps the latest; others are read from the store.
+   */
   private static final int ENDED_JOBS_KEPT = 50_000;
 
   private final Map<String, RecordCodec.JobEnd> ends =
--- a/src/main/java/org/astershift/controller/JobCanceller.java
+++ b/src/main/java/org/astershift/controller/JobCanceller.java
@@ -52,9 +52,9 @@
         if (action.needsTerm() && !cancelRequested) {
           requestCancel();
         }
-        PeerResponse answer = execute(action);
-        if (answer != null) {
-          return answer;
+        PeerResponse response = execute(action);
+        if (response != null) {
+          return response;
         }
         if (action.needsTerm()) {
           Thread.sleep(LoopTiming.CANCEL_POLL_INTERVAL_MS);
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Requests the cancellation from the term: from then on no task of the job starts, however long
-     * the write of the job's end takes.
+     * Requests the cancellation from the term; from then on no task of the job starts, however long
+     * writing the job's end takes.
      */
     private void requestCancel() {
       cancelRequested = true;
@@ -72,7 +72,7 @@
       runtime.requestPass();
     }
 
-    /** Executes the action; returns null if the user has to keep waiting. */
+    /** Executes the action; returns the response, or null if another action must follow. */
     private PeerResponse execute(Cancellation.Action action) throws InterruptedException {
       return switch (action) {
         case REPLY_WITH_END -> responseOrNull(endedJobs.get(jobId));
@@ -87,9 +87,9 @@
     }
 
     private PeerResponse readStore() {
-      PeerResponse answer = lookup.queryStore(jobId);
+      PeerResponse response = lookup.queryStore(jobId);
       wasStoreRead = true;
-      return answer.isOk() ? null : answer;
+      return response.isOk() ? null : response;
     }
 
     private static PeerResponse responseOrNull(RecordCodec.JobEnd end) {
--- a/src/main/java/org/astershift/controller/JobLookup.java
+++ b/src/main/java/org/astershift/controller/JobLookup.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Looks up jobs at the leader and in the store. Callable from any thread; calls block until they
- * have an answer.
+ * Looks up jobs in the store and forwards requests on jobs to the leader. Callable from any thread;
+ * calls block until they have a response.
  */
 final class JobLookup {
   private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
@@ -36,20 +36,20 @@
     return PeerResponse.ofEnded(end.cancelled(), end.doneTasks());
   }
 
-  /** Returns the leader's answer, or the store's if the leader's is undecided. */
+  /** Returns the leader's response, or the state in the store if the leader is unavailable. */
   PeerResponse queryLeaderOrStore(String jobId) {
-    PeerResponse answer = forwardToLeader(PeerOperation.POLL_JOB, jobId);
-    return answer.isUnavailable() ? queryStore(jobId) : answer;
+    PeerResponse response = forwardToLeader(PeerOperation.POLL_JOB, jobId);
+    return response.isUnavailable() ? queryStore(jobId) : response;
   }
 
   /**
-   * Returns the state of a job in the store, never older than the call. The live record is read
-   * before the end: one transaction deletes the live record and writes the end, so a job without a
-   * live record has a readable end, or is unknown.
+   * Returns the state of a job in the store at the time of the call or later. The live record is
+   * read before the end: one transaction deletes the live record and writes the end, so a job
+   * without a live record has a readable end, or is unknown.
    */
   PeerResponse queryStore(String jobId) {
     if (store.isUnavailable()) {
-      return PeerResponse.UNAVAILABLE; // at once, so that no user waits until a read times out
+      return PeerResponse.UNAVAILABLE; // fails fast: no user waits until a read times out
     }
     try {
       StoreClient.Entry liveEntry = store.get(RecordCodec.LIVE_JOB_PREFIX + jobId);
@@ -65,18 +65,21 @@
       runtime.onEndRead(jobId, end);
       return toResponse(end);
     } catch (IOException | JsonFormatException e) {
-      LOG.debug("reading job failed, job={}: {}", jobId, e.toString());
+      LOG.debug("reading job failed: job={}: {}", jobId, e.toString());
       return PeerResponse.UNAVAILABLE;
     }
   }
 
-  /** Returns the leader's answer about a job and caches an end; undecided without an answer. */
+  /**
+   * Forwards a request on a job to the leader and returns the response; {@link
+   * PeerResponse#UNAVAILABLE} if none arrives. Caches the job's end if the response reports it.
+   */
   PeerResponse forwardToLeader(PeerOperation operation, String jobId) {
-    PeerResponse answer = callLeader(operation, jobId);
-    if (answer.hasEnded()) {
-      endedJobs.put(jobId, new RecordCodec.JobEnd(answer.isCancelled(), answer.doneTasks()));
+    PeerResponse response = callLeader(operation, jobId);
+    if (response.hasEnded()) {
+      endedJobs.put(jobId, new RecordCodec.JobEnd(response.isCancelled(), response.doneTasks()));
     }
-    return answer;
+    return response;
   }
 
   private PeerResponse callLeader(PeerOperation operation, String jobId) {
@@ -88,7 +91,8 @@
     try {
       return peer.call(operation, jobId, PeerClient.PEER_TIMEOUT_MS);
     } catch (IOException e) {
-      LOG.debug("leader did not answer, node={} job={}: {}", leader, jobId, e.toString());
+      LOG.debug(
+          "no valid response from the leader: leader={} job={}: {}", leader, jobId, e.toString());
       return PeerResponse.UNAVAILABLE;
     }
   }
--- a/src/main/java/org/astershift/controller/JobService.java
+++ b/src/main/java/org/astershift/controller/JobService.java
@@ -18,8 +18,8 @@
  */
 public final class JobService {
   /**
-   * Longest wait of a submission for the store's rate limit, milliseconds; after that it is
-   * answered with 503.
+   * Maximum wait of a submission for the store's rate limit, in milliseconds; a submission that
+   * waits longer is answered with 503.
    */
   private static final long ACCEPT_RATE_WAIT_MS = 1000;
 
@@ -32,7 +32,7 @@
 
   /** A channel to another controller. */
   public interface PeerChannel {
-    /** Sends a request and returns the answer; throws if none arrives within the timeout. */
+    /** Sends a request and returns the response; throws if none arrives within the timeout. */
     PeerResponse call(PeerOperation operation, String argument, int timeoutMs) throws IOException;
   }
 
@@ -48,8 +48,9 @@
   }
 
   /**
-   * The result of a submission: 201 if the job was accepted, 200 with its {@code known} state if it
-   * was submitted before, or 503 with null while that is undecided.
+   * The result of a submission: 201 if the job was accepted now, 200 if it had been accepted
+   * before, each with the job's {@code state}; or 503 with null if the submission cannot be decided
+   * now.
    */
   public record SubmissionResult(int status, PeerResponse state) {
     private static final SubmissionResult UNAVAILABLE = new SubmissionResult(503, null);
@@ -100,11 +101,11 @@
     RecordCodec.JobEnd end = endedJobs.get(jobId);
     LeaderTerm term = end == null ? runtime.currentTerm() : null;
     Scheduler.JobProgress progress = term == null ? null : term.progressIfCurrent(jobId);
-    // Checked after the progress was read, so the lease was certain at the time of the read, too.
+    // The lease is checked after the progress was read: it was then certain during the read, too.
     boolean leaseCertain = progress != null && runtime.isLeaseCertain(term);
     JobQuery.View view =
         new JobQuery.View(end != null, term != null, progress != null, leaseCertain, mayForward);
-    PeerResponse answer =
+    PeerResponse response =
         switch (JobQuery.selectSource(view)) {
           case KNOWN_END -> JobLookup.toResponse(end);
           case LEADER_MEMORY ->
@@ -113,15 +114,18 @@
           case REMOTE_LEADER -> leaderQueries.get(jobId);
           case STORE -> storeQueries.get(jobId);
         };
-    return answer == null ? PeerResponse.UNAVAILABLE : answer;
+    return response == null ? PeerResponse.UNAVAILABLE : response;
   }
 
-  /** Cancels a job; confirmed only once durable and once no task can outlive it. */
+  /**
+   * Cancels a job. The cancellation is confirmed only once it is durable and no task of the job can
+   * outlive it.
+   */
   public PeerResponse cancel(String jobId, boolean mayForward) throws InterruptedException {
     return canceller.cancel(jobId, mayForward);
   }
 
-  /** Answers another controller, without forwarding the request to a third one. */
+  /** Handles a request of another controller, without forwarding it to a third one. */
   public PeerResponse handlePeerRequest(PeerOperation operation, String argument)
       throws InterruptedException {
     return switch (operation) {
--- a/src/main/java/org/astershift/controller/LeaderElector.java
+++ b/src/main/java/org/astershift/controller/LeaderElector.java
@@ -31,7 +31,7 @@
   private final Election election;
   private final Object electionSignal = new Object();
 
-  /** Begins and ends the terms of this node. */
+  /** Begins and ends the terms of this controller. */
   public interface TermListener {
     /**
      * Begins a term, which may have ended already. Called on a thread of its own; a failure ends
@@ -39,11 +39,11 @@
      */
     void onTermBegin(long token);
 
-    /** Ends the term with this token, if it has begun. */
+    /** Ends the term with this token; has no effect if that term has not begun. */
     void onTermEnd(long token, String reason);
   }
 
-  /** {@code workerReachability} supplies how much of the fleet this node reaches. */
+  /** {@code workerReachability} supplies how much of the fleet this controller reaches. */
   public LeaderElector(
       String node,
       StoreClient store,
@@ -64,27 +64,27 @@
     Threads.startLoop("election", this::electionLoop);
   }
 
-  /** Returns the fencing token; 0 if this node does not lead. */
+  /** Returns the fencing token; 0 if this controller does not lead. */
   public long token() {
     return election.token();
   }
 
-  /** Returns whether no other node can have become leader since the term began. */
+  /** Returns whether no other controller can have become leader since the term began. */
   public boolean isLeaseCertain(long termToken) {
     return election.isLeaseCertain(termToken, LeaderTerm.nowMs());
   }
 
-  /** Returns the monotonic time, in milliseconds, before which no other node can lead. */
+  /** Returns the monotonic time, in milliseconds, before which no other controller can lead. */
   long leaseCertainUntilMs() {
     return election.leaseCertainUntilMs();
   }
 
-  /** Returns the leader key as cached on this node, or null. */
+  /** Returns the leader key as this controller has cached it; null if there is none. */
   StoreClient.Entry leaderEntry() {
     return watchCache.get(RecordCodec.LEADER_KEY);
   }
 
-  /** Returns the node that leads according to the cached leader key, or null. */
+  /** Returns the name of the leader according to the cached leader key; null if there is none. */
   public String leader() {
     StoreClient.Entry entry = leaderEntry();
     return entry == null ? null : String.valueOf(entry.data().get("node"));
@@ -97,24 +97,24 @@
     }
   }
 
-  /** Handles the leader's token as another node reports it; a higher one ends this node's term. */
+  /** Handles a leader's token that another controller reports; a higher one ends this term. */
   void onLeaderObserved(long observedToken) {
     executeAll(election.onLeaderObserved(observedToken));
   }
 
-  /** Ends the term with this token: another leader is certain, or the term cannot go on. */
+  /** Ends the term with this token, since another controller leads or the term cannot go on. */
   public void stepDown(long termToken, String reason) {
     executeAll(election.stepDown(termToken, reason));
   }
 
-  /** Resigns as leader, because this node reaches too few workers. */
+  /** Resigns as leader, because this controller reaches too few workers. */
   public void resign(long termToken, String reason) {
     executeAll(election.resign(termToken, reason, LeaderTerm.nowMs()));
   }
 
   /**
-   * Executes actions that may also originate outside the election loop: the end of a term and the
-   * revocation of its lease.
+   * Executes the actions that can also be decided outside the election loop: the end of a term and
+   * the revocation of its lease.
    */
   private void executeAll(List<Action> actions) {
     for (Action action : actions) {
@@ -131,7 +131,7 @@
     try {
       store.revokeLease(lease);
     } catch (IOException e) {
-      LOG.debug("revoking the lease failed; it will expire: {}", e.toString());
+      LOG.debug("revoking the lease failed; it expires on its own: {}", e.toString());
     }
   }
 
@@ -174,7 +174,7 @@
    */
   private boolean execute(Action action) throws IOException, InterruptedException {
     if (action instanceof Action.ReadKey) {
-      store.get(RecordCodec.LEADER_KEY); // shows whether this node is partitioned from the store
+      store.get(RecordCodec.LEADER_KEY); // shows whether the store responds
       return false;
     } else if (action instanceof Action.Defer defer) {
       logDeferral(defer.workerReachability());
@@ -189,8 +189,8 @@
     } else if (action instanceof Action.VerifyKey verify) {
       election.onKeyVerified(revisionIfOnLease(verify.lease()));
       return false;
-    } else if (action instanceof Action.AwaitRevision catchUp) {
-      awaitRevision(catchUp.revision());
+    } else if (action instanceof Action.AwaitRevision awaitRevision) {
+      awaitRevision(awaitRevision.revision());
       return false;
     } else if (action instanceof Action.BeginTerm begin) {
       startTermAsync(begin.token());
@@ -204,7 +204,7 @@
 
   private void logDeferral(WorkerReachability.Measurement reachability) {
     LOG.info(
-        "deferring candidacy, node={} workers_reached={} workers_probed={}",
+        "deferring candidacy: node={} workers_reached={} workers_probed={}",
         node,
         reachability.answeredCount(),
         reachability.probedCount());
@@ -220,16 +220,16 @@
   }
 
   private void awaitRevision(long revision) throws InterruptedException {
-    boolean caughtUp = watchCache.awaitRevision(revision, Election.LEADER_LEASE_MS);
-    if (!caughtUp) {
-      LOG.info("giving up a won election: cache did not catch up in time, token={}", revision);
+    boolean reached = watchCache.awaitRevision(revision, Election.LEADER_LEASE_MS);
+    if (!reached) {
+      LOG.info("cache did not catch up in time; giving up a won election: token={}", revision);
     }
-    election.onRevisionAwaited(revision, caughtUp);
+    election.onRevisionAwaited(revision, reached);
   }
 
   /**
-   * Renews the lease; returns whether the loop waits before the next action, which it does not
-   * after the end of the lease or a timeout.
+   * Renews the lease; returns whether the loop waits before the next action. It does not wait after
+   * the end of the lease or after a timeout.
    */
   private boolean renew(long lease) throws IOException {
     long sentMs = LeaderTerm.nowMs();
@@ -241,7 +241,7 @@
       if (LeaderTerm.nowMs() - sentMs < StoreClient.LEADER_LEASE_RENEW_TIMEOUT_MS) {
         throw e;
       }
-      LOG.debug("lease renewal timed out: {}", e.toString());
+      LOG.debug("lease renewal timed out; will retry: {}", e.toString());
       return false;
     }
   }
@@ -263,14 +263,15 @@
   }
 
   /**
-   * Returns the revision of the leader key if this lease was renewed and the key is attached to it;
-   * otherwise 0.
+   * Renews the lease and returns the revision of the leader key if the key is attached to it;
+   * returns 0 if not, or if either request failed.
    */
   private long revisionIfOnLease(long lease) {
     try {
       return store.renewLease(lease) ? store.revisionIfAttached(lease, RecordCodec.LEADER_KEY) : 0;
     } catch (IOException e) {
-      LOG.debug("verifying the creation of the leader key failed: {}", e.toString());
+      LOG.debug(
+          "verifying the creation of the leader key failed; revoking the lease: {}", e.toString());
       return 0;
     }
   }
@@ -294,7 +295,7 @@
   }
 
   private void abandonTerm(long termToken, Throwable reason) {
-    LOG.error("term could not begin; resigning, node={} token={}", node, termToken, reason);
+    LOG.error("term could not begin; resigning: node={} token={}", node, termToken, reason);
     executeAll(election.onTermStartFailed(termToken, LeaderTerm.nowMs()));
   }
 }
--- a/src/main/java/org/astershift/controller/LeaderRecords.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -15,21 +15,22 @@
 
 /**
  * The records that a leader keeps for its successor: opened jobs, machines that may hold tasks,
- * open rentals and done tasks. Writes are asynchronous and grouped into pages: the store counts
- * each changed key against the rate limit, so many entries share a page, and one write carries all
- * changes of a page since its last write. Callable from any thread; {@link RecordWriter} does the
- * writing.
+ * unsettled provisioning requests and done tasks. Writes are asynchronous and grouped into pages:
+ * the store counts each changed key against the rate limit, so many entries share a page, and one
+ * write carries all changes of a page since its last write. Callable from any thread; {@link
+ * RecordWriter} does the writing.
  */
 final class LeaderRecords {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderRecords.class);
 
   /**
-   * Longest time that progress is deferred in favour of other writes, milliseconds: until it is
-   * durable, workers keep done tasks in their heartbeats, which have room for a limited number.
+   * Maximum time that progress is deferred in favour of other writes, in milliseconds: until it is
+   * durable, workers keep reporting done tasks in their heartbeats, which have room for a limited
+   * number.
    */
   private static final long PROGRESS_WRITE_MAX_DELAY_MS = 10_000;
 
-  /** Backoff of a page that the store rejects when it is sent alone, milliseconds. */
+  /** Backoff of a page that the store rejects when it is sent alone, in milliseconds. */
   private static final long PAGE_REJECTED_BACKOFF_MS = 10_000;
 
   /**
@@ -38,7 +39,7 @@
    */
   private static final double PAGE_VALUE_SHARE = 0.75;
 
-  /** Longest time that a removed entry waits for other changes of its page, milliseconds. */
+  /** Maximum time that a removed entry waits for other changes of its page, in milliseconds. */
   static final long REMOVAL_DELAY_MS = 1000;
 
   /**
@@ -51,7 +52,7 @@
     MACHINE('m'),
     PROGRESS('p');
 
-    /** Precedes the page number in the keys of this kind's pages. */
+    /** Letter before the page number in the keys of this kind's pages. */
     final char letter;
 
     RecordKind(char letter) {
@@ -59,7 +60,7 @@
     }
   }
 
-  /** Notified of each entry that has become durable. */
+  /** Is notified of each entry that has become durable. */
   interface Listener {
     /**
      * Handles a durable entry; {@code value} is the value written, or null if the entry was
@@ -75,7 +76,9 @@
   private final Map<RecordKind, Map<String, RecordPage>> pageByKey =
       new EnumMap<>(RecordKind.class);
 
-  /** Most pages in the next transaction; lowered while the store rejects transactions. */
+  /**
+   * Maximum number of pages in the next transaction; lowered while the store rejects transactions.
+   */
   private int nextMaxPages;
 
   private boolean isClosed;
@@ -155,8 +158,8 @@
   }
 
   /**
-   * Replaces an existing entry if its page has room for the new value; otherwise does nothing: an
-   * optional value must not grow a page beyond what the store accepts.
+   * Replaces an existing entry if its page has room for the new value; otherwise does nothing,
+   * since an optional value must not grow a page beyond what the store accepts.
    */
   synchronized void replace(RecordKind kind, String key, Object value, long delayMs) {
     RecordPage page = pageByKey.get(kind).get(key);
@@ -166,9 +169,9 @@
   }
 
   /**
-   * Sets an entry unless it exists. A machine whose heartbeat arrives before the answer to its
-   * rental may have tasks by the time of the answer; if it were recorded as newly provisioned
-   * again, a successor would assume that it holds none.
+   * Sets an entry unless it exists. A machine whose heartbeat arrives before the response to its
+   * provisioning request may hold tasks when the response arrives; if it were recorded as newly
+   * provisioned again, a successor would assume that it holds none.
    */
   synchronized void putIfAbsent(RecordKind kind, String key, Object value) {
     if (!pageByKey.get(kind).containsKey(key)) {
@@ -211,7 +214,8 @@
   }
 
   /**
-   * Waits for due pages and takes their changes, for the writer; returns an empty list once closed.
+   * Waits until pages are due and takes their changes, for the writer; returns an empty list once
+   * closed.
    */
   synchronized List<RecordPage.Snapshot> takeDuePages() throws InterruptedException {
     while (!isClosed) {
@@ -235,8 +239,8 @@
   }
 
   /**
-   * Takes the changes of the pages that have been due longest, so that a rental is not deleted
-   * before its machines are recorded.
+   * Takes the changes of the pages that have been due longest, so that the record of a provisioning
+   * request is not deleted before its machines are recorded.
    */
   private List<RecordPage.Snapshot> takeChanges(List<RecordPage> duePages) {
     duePages.sort(Comparator.comparingLong(p -> p.dueMs));
@@ -266,7 +270,7 @@
     }
   }
 
-  /** Schedules pages again that are not known to have been written. */
+  /** Makes pages due again whose write failed or got no response. */
   synchronized void reschedule(List<RecordPage.Snapshot> writes) {
     for (RecordPage.Snapshot write : writes) {
       write.page().restoreChanges(write.changedKeys());
@@ -274,8 +278,8 @@
   }
 
   /**
-   * Handles a transaction that the store rejected as malformed. The next transactions are smaller;
-   * a page that was rejected when sent alone backs off, while the others are written.
+   * Handles a transaction that the store rejected as malformed. The next transactions get fewer
+   * pages; a page that was rejected when sent alone backs off, while the others are written.
    */
   synchronized void splitAfterRejection(List<RecordPage.Snapshot> writes) {
     if (writes.size() > 1) {
@@ -283,7 +287,7 @@
       return;
     }
     RecordPage page = writes.get(0).page();
-    LOG.error("store rejected a page; will retry later, key={} bytes={}", page.key, page.sizeBytes);
+    LOG.error("store rejected a page; will retry later: key={} bytes={}", page.key, page.sizeBytes);
     page.dueMs = LeaderTerm.nowMs() + PAGE_REJECTED_BACKOFF_MS;
   }
 }
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -40,12 +40,12 @@
 
   private final AtomicLong provisioningRequestCount = new AtomicLong();
 
-  LeaderTerm(long token, Scheduler scheduler, LeaderRecords records, TermContext host) {
+  LeaderTerm(long token, Scheduler scheduler, LeaderRecords records, TermContext context) {
     this.token = token;
-    this.scheduler = new LockedScheduler(scheduler, host);
+    this.scheduler = new LockedScheduler(scheduler, context);
     this.records = records;
     this.termJobs = new TermJobs(token);
-    this.context = host;
+    this.context = context;
   }
 
   boolean hasEnded() {
@@ -59,7 +59,7 @@
     completions.close();
   }
 
-  /** Asks the host to end the term; must not be called under the scheduler's lock. */
+  /** Ends the leadership of this term; must not be called under the scheduler's lock. */
   void stepDown(String reason) {
     context.stepDown(reason);
   }
@@ -83,14 +83,14 @@
     return scheduler.onHeartbeat(heartbeat, receivedMs);
   }
 
-  /** Returns a transaction that fails if it is applied after another leader took over. */
+  /** Returns a transaction that commits only while the leader key of this term is unchanged. */
   StoreClient.Transaction newFencedTransaction() {
     return new StoreClient.Transaction().requireRevision(RecordCodec.LEADER_KEY, token);
   }
 
   /**
-   * Steps down if the outcome of a write shows that this controller no longer leads; returns
-   * whether it does.
+   * Steps down if the outcome of a write shows that the leader key has changed; returns whether it
+   * did so.
    */
   boolean stepDownIfLeadershipLost(StoreClient.Outcome outcome) {
     if (outcome instanceof StoreClient.Outcome.ConditionFailed conflict
@@ -102,7 +102,8 @@
   }
 
   /**
-   * Loads what earlier leaders recorded. Machines come first, as they determine what may be placed.
+   * Loads the records of earlier leaders. Machines come first, as they determine what may be
+   * placed.
    */
   void load(WatchCache watchCache) {
     scheduler.callLocked(
@@ -113,7 +114,8 @@
           Map<String, BitSet> doneTasks = loadProgress();
           loadJobs(lockedScheduler, watchCache, openedJobs, doneTasks);
           termJobs.onLoaded();
-          // Left by a leader whose term ended between a job's end and the deletion of its records.
+          // Deletes records that a leader left whose term ended between a job's end and their
+          // deletion.
           openedJobs.keySet().forEach(this::deleteRecordsIfUnmanaged);
           doneTasks.keySet().forEach(this::deleteRecordsIfUnmanaged);
           return null;
@@ -140,7 +142,7 @@
             name, machine.address(), machine.typeName(), machine.zone(), machine.spot(), nowMs);
       }
     } catch (JsonFormatException e) {
-      LOG.error("machine record cannot be decoded, machine={}: {}", name, e.getMessage());
+      LOG.error("machine record cannot be decoded: machine={}: {}", name, e.getMessage());
     }
   }
 
@@ -189,11 +191,11 @@
     try {
       addJob(RecordCodec.decodeJob(entry.key(), entry.data()), entry.revision(), opened, doneTasks);
     } catch (JsonFormatException | RuntimeException e) {
-      LOG.error("job record cannot be decoded, key={}: {}", entry.key(), e.getMessage());
+      LOG.error("job record cannot be decoded: key={}: {}", entry.key(), e.getMessage());
     }
   }
 
-  /** Adds a job that this node accepted and recorded at this revision. */
+  /** Adds a job that this controller accepted and recorded at this revision. */
   void addJob(RecordCodec.JobRecord record, long revision) {
     addJob(record, revision, false, new BitSet());
   }
@@ -210,7 +212,7 @@
         });
   }
 
-  /** Returns which jobs this term manages and which of them may have ended. */
+  /** Returns the jobs that this term manages. */
   TermJobs termJobs() {
     return termJobs;
   }
@@ -245,12 +247,12 @@
   }
 
   /**
-   * State that determines whether a job's cancellation can be confirmed.
+   * The state that determines whether a job's cancellation can be confirmed.
    *
-   * @param fenced an older leader cannot renew the lease of any machine that may hold a task of the
-   *     job
-   * @param startInFlight a start of a task of the job is in flight or unconfirmed
-   * @param complete all tasks of the job are done
+   * @param isFenced whether an older leader cannot renew the lease of any machine that may hold a
+   *     task of the job
+   * @param hasStartInFlight whether a start of a task of the job is in flight or unconfirmed
+   * @param isComplete whether all tasks of the job are done
    */
   record CancellationState(boolean isFenced, boolean hasStartInFlight, boolean isComplete) {
     static final CancellationState NOT_MANAGED = new CancellationState(false, false, false);
@@ -268,7 +270,7 @@
         });
   }
 
-  /** Returns the latency of cancellations for the log; null if there were none. */
+  /** Returns a log line on cancellations since the last call; null if there were none. */
   String cancellationSummary() {
     return scheduler.callLocked(lockedScheduler -> cancellationLatency.summary(nowMs()));
   }
@@ -292,12 +294,12 @@
     }
   }
 
-  /** Returns a rental name that no other node and no other term uses. */
+  /** Returns a name for a provisioning request that no other controller and no other term uses. */
   String nextProvisioningRequestName() {
     return "as-" + token + "-" + provisioningRequestCount.incrementAndGet();
   }
 
-  /** Returns what the term began with, for the log. */
+  /** Returns the numbers of machines, opened jobs and jobs of the term, for the log. */
   String inventorySummary() {
     return "machines="
         + records.count(LeaderRecords.RecordKind.MACHINE)
--- a/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
+++ b/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Transfers the leadership away from this node if it leads but observes few of its machines. Used
- * by one thread.
+ * Transfers the leadership away from this controller if it leads but observes few of its machines.
+ * Used by one thread.
  */
 final class LeadershipTransferCheck {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipTransferCheck.class);
@@ -43,7 +43,7 @@
         candidacy.decideTransfer(
             share, queryPeers(), peers.size(), term.beganMs, LeaderTerm.nowMs());
     if (transfer == null) {
-      // The peers' measurements do not change more often.
+      // No new check before the peers have new measurements.
       Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS);
       return;
     }
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Returns the share of the machines that the leader observes; empty unless it is so small that
-   * the fault may be on the leader's side.
+   * Returns the share of its machines that the leader observes; empty unless the share is so small
+   * that the leader itself may be partitioned.
    */
   private static OptionalDouble shareIfIsolated(LeaderTerm term) {
     return term.scheduler.callLocked(
@@ -83,7 +83,7 @@
             PeerOperation.ANNOUNCE_TRANSFER, successor, LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
       } catch (IOException | RuntimeException e) {
         LOG.debug(
-            "announcing a leadership transfer failed, successor={}: {}", successor, e.toString());
+            "announcing a leadership transfer failed: successor={}: {}", successor, e.toString());
       }
     }
   }
--- a/src/main/java/org/astershift/controller/LockedScheduler.java
+++ b/src/main/java/org/astershift/controller/LockedScheduler.java
@@ -23,12 +23,12 @@
   private final TermContext context;
   private volatile boolean isClosed;
 
-  LockedScheduler(Scheduler scheduler, TermContext host) {
+  LockedScheduler(Scheduler scheduler, TermContext context) {
     this.scheduler = scheduler;
-    this.context = host;
+    this.context = context;
   }
 
-  /** Steps that run under one hold of the lock. */
+  /** Work that needs the lock for all of its steps. */
   interface LockedWork<R, E extends Exception> {
     R apply(Scheduler scheduler) throws E;
   }
@@ -67,7 +67,7 @@
       passNeeded = scheduler.passRequested();
     }
     if (deposed) {
-      context.stepDown("worker " + heartbeat.machineName() + " has seen a higher fencing token");
+      context.stepDown("machine " + heartbeat.machineName() + " has seen a higher fencing token");
       return null;
     }
     if (passNeeded) {
@@ -76,7 +76,7 @@
     return commands;
   }
 
-  /** Handles the result of a direct request; {@code heartbeat} is null without a response. */
+  /** Handles the result of a direct request; {@code heartbeat} is null if no response arrived. */
   void onCommandResult(
       String machineName, boolean outcomeUnknown, Heartbeat heartbeat, long receivedMs) {
     boolean deposed;
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Returns whether a queued direct request is still due; if not, it counts as settled. */
+  /** Returns whether a queued direct request is still due; settles it if not. */
   boolean isRequestStillDue(Decision.SendCommands request) {
     synchronized (lock) {
       return scheduler.directCommandsStillDue(request, LeaderTerm.nowMs());
@@ -103,9 +103,9 @@
   }
 
   /**
-   * Returns the commands to send over a connection that is established by now. The lease is checked
-   * only at this point: a start that was decided earlier must not reach a worker that may already
-   * answer to the next leader, however long connecting took or this process was paused.
+   * Returns the commands to send over a connection that has been established. The lease is checked
+   * only at this point: however long connecting took or this process was paused, a start that was
+   * decided earlier must not reach a worker that may already follow the next leader.
    */
   List<Command> commandsToSend(Decision.SendCommands request) {
     synchronized (lock) {
@@ -131,7 +131,7 @@
     }
   }
 
-  /** Handles jobs whose ends could not be recorded: a later pass finishes them again. */
+  /** Handles jobs whose ends could not be recorded; a later pass decides again to finish them. */
   void onFinishFailed(Collection<String> jobIds) {
     synchronized (lock) {
       for (String jobId : jobIds) {
@@ -192,7 +192,7 @@
     }
   }
 
-  /** Returns the done tasks of each job whose progress record is behind, and clears that list. */
+  /** Returns the done tasks of each incomplete job that completed tasks since the last call. */
   Map<String, BitSet> drainUnpersistedProgress() {
     synchronized (lock) {
       return scheduler.drainUnpersistedProgress();
--- a/src/main/java/org/astershift/controller/LoopTiming.java
+++ b/src/main/java/org/astershift/controller/LoopTiming.java
@@ -2,20 +2,22 @@
 
 /** Intervals, timeouts and batch sizes of the controller's loops. */
 public final class LoopTiming {
-  /** Interval between renewals of the leader lease, milliseconds; several fit into its duration. */
+  /**
+   * Interval between renewals of the leader lease, in milliseconds; several fit into its duration.
+   */
   public static final long LEADER_LEASE_RENEW_INTERVAL_MS = 500;
 
-  /** Timeout of a compare-and-swap of the leader key, milliseconds. */
+  /** Maximum wait of a write of the leader key for the store's rate limit, in milliseconds. */
   public static final long LEADER_KEY_TIMEOUT_MS = 1000;
 
-  /** Interval between election steps while another node holds the lease, milliseconds. */
+  /** Interval between election steps while another controller holds the lease, in milliseconds. */
   public static final long ELECTION_POLL_INTERVAL_MS = 300;
 
-  /** Longest wait for an event before the next scheduling pass, milliseconds. */
+  /** Maximum wait for an event before the next scheduling pass, in milliseconds. */
   public static final long PASS_INTERVAL_MS = 250;
 
   /**
-   * Shortest pause between two passes, milliseconds, so that one pass handles a burst of events.
+   * Minimum pause between two passes, in milliseconds, so that one pass handles a burst of events.
    */
   public static final long PASS_MIN_GAP_MS = 30;
 
@@ -26,46 +28,46 @@
   public static final long PASS_REST_FACTOR = 2;
 
   /**
-   * Longest pause after a pass while machines of earlier leaders are unreconciled, milliseconds:
-   * long passes must not delay their reconciliation. At other times an overloaded node needs the
-   * full pause.
+   * Maximum pause after a pass while machines of earlier leaders are unreconciled, in milliseconds:
+   * pauses after long passes must not delay their reconciliation. At other times an overloaded
+   * controller needs the full pause.
    */
   public static final long PASS_REST_MAX_MS = 750;
 
-  /** Lateness of a pass from which the process is assumed to have been paused, milliseconds. */
+  /** Delay of a pass above which the process is assumed to have been paused, in milliseconds. */
   public static final long PROCESS_PAUSE_MS = 1500;
 
-  /** Interval between the samples in which each controller probes machines, milliseconds. */
+  /** Interval between the samples in which each controller probes machines, in milliseconds. */
   public static final long REACHABILITY_SAMPLE_INTERVAL_MS = 2000;
 
-  /** Machines in one reachability sample. */
+  /** Maximum number of machines in one reachability sample. */
   public static final int REACHABILITY_SAMPLE_MACHINES = 6;
 
-  /** Interval between queries to the peers while the store does not respond, milliseconds. */
+  /** Interval between queries to the peers while the store does not respond, in milliseconds. */
   public static final long REACHABILITY_QUERY_INTERVAL_MS = 500;
 
-  /** Timeout of a query to a peer, which the peer answers from memory, milliseconds. */
+  /** Timeout of a query that a peer answers from memory, in milliseconds. */
   public static final int REACHABILITY_QUERY_TIMEOUT_MS = 400;
 
-  /** Pause before a cloud call is retried, milliseconds. */
+  /** Pause before a cloud call is retried, in milliseconds. */
   public static final long CLOUD_RETRY_BACKOFF_MS = 1000;
 
-  /** Longest wait of a cancellation request until it is persisted, milliseconds. */
+  /** Time after which no further attempt is made to persist a cancellation, in milliseconds. */
   public static final long CANCEL_WAIT_MS = 1200;
 
-  /** Interval between attempts to persist a waiting cancellation, milliseconds. */
+  /** Interval between checks whether a waiting cancellation can be persisted, in milliseconds. */
   public static final long CANCEL_POLL_INTERVAL_MS = 40;
 
-  /** Interval between reads of the cloud's machine list, milliseconds. */
+  /** Interval between reads of the cloud's machine list, in milliseconds. */
   public static final long MACHINE_LIST_INTERVAL_MS = 2500;
 
-  /** Interval between reads of the cloud's machine types, whose prices change, milliseconds. */
+  /** Interval between reads of the cloud's machine types, whose prices change, in milliseconds. */
   public static final long MACHINE_TYPES_INTERVAL_MS = 60_000;
 
-  /** Interval between saves of the progress of jobs, milliseconds. */
+  /** Interval between saves of the progress of jobs, in milliseconds. */
   public static final long PROGRESS_SAVE_INTERVAL_MS = 2000;
 
-  /** Most job ends in one transaction. */
+  /** Maximum number of job ends in one transaction. */
   public static final int COMPLETION_BATCH_JOBS = 100;
 
   private LoopTiming() {}
--- a/src/main/java/org/astershift/controller/MachineReleaser.java
+++ b/src/main/java/org/astershift/controller/MachineReleaser.java
@@ -42,7 +42,7 @@
       requestPass.run();
     } catch (IOException e) {
       LOG.info(
-          "releasing machines failed; will retry, machines={}: {}",
+          "releasing machines failed; will retry: machines={}: {}",
           request.machineNames(),
           e.toString());
       CloudBackoff.sleep();
--- a/src/main/java/org/astershift/controller/PassLoop.java
+++ b/src/main/java/org/astershift/controller/PassLoop.java
@@ -20,7 +20,7 @@
   private final PassSignal signal;
   private final DecisionExecutor executor;
 
-  /** Monotonic time, in milliseconds, after which the next pass is late. */
+  /** Monotonic time, in milliseconds, after which the next pass counts as late. */
   private long nextPassDueMs = Long.MAX_VALUE;
 
   private boolean isReconciling;
@@ -38,7 +38,7 @@
   /** Result of one pass; {@code summary} is null if no summary is due. */
   private record Pass(List<Decision> decisions, boolean attemptsExhausted, Summary summary) {}
 
-  /** Log lines of a summary; {@code cancellations} is null if there were none. */
+  /** Log lines of a summary; {@code cancellations} is null if there was no cancellation. */
   private record Summary(
       String jobs, String reconciliation, String services, String cancellations) {}
 
@@ -52,7 +52,7 @@
       try {
         runPass(lateMs);
       } catch (RuntimeException | Error e) {
-        LOG.error("scheduling pass failed, token={}", term.token, e);
+        LOG.error("scheduling pass failed; will retry: token={}", term.token, e);
         Threads.backOff();
       }
       pause((System.nanoTime() - beganNs) / 1_000_000);
@@ -77,7 +77,7 @@
   private Pass decide(Scheduler scheduler, long lateMs) {
     long nowMs = LeaderTerm.nowMs();
     if (lateMs > LoopTiming.PROCESS_PAUSE_MS) {
-      LOG.info("process pause detected, node={} late_ms={}", node, lateMs);
+      LOG.info("process pause detected: node={} late_ms={}", node, lateMs);
       scheduler.onProcessResumed(nowMs);
     }
     List<Decision> decisions = scheduler.runPass(nowMs, term.leaseCertainUntilMs());
--- a/src/main/java/org/astershift/controller/PeerProbes.java
+++ b/src/main/java/org/astershift/controller/PeerProbes.java
@@ -19,7 +19,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks the other controllers to probe machines from which the leader gets no heartbeats. An answer
+ * Asks the other controllers to probe machines from which the leader gets no heartbeats. A response
  * has one code character for each machine, in the order of the request.
  */
 final class PeerProbes {
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Asks all peers concurrently. {@code onResults} gets the results of the peers that gave one, on
-   * the thread that handles the last answer.
+   * Asks all peers concurrently. Once every peer has responded or failed, {@code onResults} gets
+   * the results of the peers that gave one, on the thread that handled the last peer.
    */
   void probeThroughPeers(
       Decision.ProbeThroughPeers request, Consumer<List<Decision.PeerProbeResult>> onResults) {
@@ -55,7 +55,7 @@
       onResults.accept(List.of());
     }
     for (JobService.PeerChannel peer : peers) {
-      // Failed requests are counted too: the results are reported after the last one.
+      // Failed requests count too: the results are reported after the last request.
       pool.execute(
           "peer-probe", () -> round.add(probeThrough(peer, machines, addresses.toString())));
     }
@@ -65,9 +65,9 @@
   private static Decision.PeerProbeResult probeThrough(
       JobService.PeerChannel peer, List<Decision.MachineAddress> machines, String addresses) {
     try {
-      PeerResponse answer =
+      PeerResponse response =
           peer.call(PeerOperation.PROBE_MACHINES, addresses, PeerClient.PEER_TIMEOUT_MS);
-      return answer.isOk() ? decode(machines, answer.phase()) : null;
+      return response.isOk() ? decode(machines, response.phase()) : null;
     } catch (IOException | RuntimeException e) {
       LOG.debug("probe through a peer failed: {}", e.toString());
       return null;
@@ -77,7 +77,8 @@
   private static Decision.PeerProbeResult decode(
       List<Decision.MachineAddress> machines, String codes) throws IOException {
     if (codes == null || codes.length() != machines.size()) {
-      throw new IOException("malformed probe result of a peer: " + codes);
+      throw new IOException(
+          "malformed probe result of a peer, expected one code for each machine: " + codes);
     }
     Set<String> reached = new HashSet<>();
     Set<String> unreached = new HashSet<>();
@@ -91,7 +92,7 @@
     return new Decision.PeerProbeResult(reached, unreached);
   }
 
-  /** Encodes the answer to a peer; a null element is a machine whose state is unknown. */
+  /** Encodes the response to a peer; a null element is a machine that was not probed in time. */
   static PeerResponse encodeResponse(List<Boolean> answered) {
     StringBuilder codes = new StringBuilder();
     int reached = 0;
--- a/src/main/java/org/astershift/controller/PeerReachability.java
+++ b/src/main/java/org/astershift/controller/PeerReachability.java
@@ -14,25 +14,25 @@
 
   private PeerReachability() {}
 
-  /** Encodes this node's answer; {@code storeAvailable} if the store responds to this node. */
+  /** Encodes this controller's response; {@code storeAvailable} if the store responds. */
   static PeerResponse encodeResponse(
       WorkerReachability.Measurement measurement, boolean storeAvailable) {
     return new PeerResponse(
         200, storeAvailable ? "" : "apart", measurement.answeredCount(), measurement.probedCount());
   }
 
-  /** Returns a peer's status as it reports it; null if it does not answer. */
+  /** Queries a peer for its status; returns null if no valid response arrives. */
   static Candidacy.PeerStatus query(String node, JobService.PeerChannel peer) {
     try {
-      PeerResponse answer =
+      PeerResponse response =
           peer.call(
               PeerOperation.WORKER_REACHABILITY, "", LoopTiming.REACHABILITY_QUERY_TIMEOUT_MS);
       WorkerReachability.Measurement measurement =
-          new WorkerReachability.Measurement(answer.runningTasks(), answer.doneTasks());
+          new WorkerReachability.Measurement(response.runningTasks(), response.doneTasks());
       return new Candidacy.PeerStatus(
-          node, answer.isOk() && "".equals(answer.phase()), measurement);
+          node, response.isOk() && "".equals(response.phase()), measurement);
     } catch (IOException | RuntimeException e) {
-      LOG.debug("peer did not answer, node={}: {}", node, e.toString());
+      LOG.debug("no valid response from a peer: peer={}: {}", node, e.toString());
       return null;
     }
   }
--- a/src/main/java/org/astershift/controller/PersistedRecordHandler.java
+++ b/src/main/java/org/astershift/controller/PersistedRecordHandler.java
@@ -11,7 +11,7 @@
   private final Supplier<LeaderTerm> currentTerm;
   private final CloudProvisioner provisioner;
 
-  /** {@code currentTerm} may supply null or another term, if the token's term is not current. */
+  /** {@code currentTerm} supplies null or another term if the token's term is not current. */
   PersistedRecordHandler(
       long token, Supplier<LeaderTerm> currentTerm, CloudProvisioner provisioner) {
     this.token = token;
@@ -46,7 +46,7 @@
       }
     } catch (JsonFormatException e) {
       throw new IllegalStateException(
-          "record written by this term cannot be decoded, key=" + key, e);
+          "record written by this term cannot be decoded: key=" + key, e);
     }
   }
 }
--- a/src/main/java/org/astershift/controller/ProgressSaver.java
+++ b/src/main/java/org/astershift/controller/ProgressSaver.java
@@ -20,7 +20,7 @@
         Map<String, BitSet> unsaved = term.scheduler.drainUnpersistedProgress();
         unsaved.forEach((jobId, done) -> save(term, jobId, done));
       } catch (RuntimeException | Error e) {
-        LOG.error("saving progress failed, token={}", term.token, e);
+        LOG.error("saving progress failed: token={}", term.token, e);
       }
     }
   }
--- a/src/main/java/org/astershift/controller/ReachabilityProber.java
+++ b/src/main/java/org/astershift/controller/ReachabilityProber.java
@@ -24,9 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Probes recorded machines from this node: small random samples continuously, which measure how
- * much of the fleet it reaches, and the machines that a leading peer asks about. A probe carries no
- * fencing token, so any node may send it.
+ * Probes recorded machines from this controller: small random samples continuously, which measure
+ * how much of the fleet this controller reaches, and the machines that a leader asks about. A probe
+ * carries no fencing token, so any controller may send it.
  */
 final class ReachabilityProber {
   private static final Logger LOG = LoggerFactory.getLogger(ReachabilityProber.class);
@@ -36,7 +36,7 @@
   private final TaskPool probePool;
   private final WorkerReachability workerReachability = new WorkerReachability();
 
-  /** A separate pool, so that probes of silent machines do not delay the samples. */
+  /** Pool for the samples alone, so that probes of silent machines do not delay them. */
   private final TaskPool samplePool =
       Threads.newPool("sample", LoopTiming.REACHABILITY_SAMPLE_MACHINES);
 
@@ -59,7 +59,7 @@
   private void sampleLoop() throws InterruptedException {
     boolean lastSampleTimedOut = false;
     while (true) {
-      if (!lastSampleTimedOut) { // waiting for the timeout was pause enough
+      if (!lastSampleTimedOut) { // a sample that timed out has paused the loop already
         Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS);
       }
       samplePool.startQueuedTasks();
@@ -97,7 +97,7 @@
           picked.add(machine.address());
         }
       } catch (JsonFormatException e) {
-        LOG.debug("machine record cannot be decoded, machine={}: {}", name, e.getMessage());
+        LOG.debug("machine record cannot be decoded: machine={}: {}", name, e.getMessage());
       }
     }
     return new ArrayList<>(picked);
@@ -129,7 +129,7 @@
     }
     if (!pending.await(timeoutMs + Scheduler.SUSPECT_AFTER_MS, TimeUnit.MILLISECONDS)) {
       LOG.debug(
-          "probes did not finish in time, pending={} of={}", pending.getCount(), answered.length);
+          "probes did not finish in time: pending={} of={}", pending.getCount(), answered.length);
     }
     synchronized (answered) {
       return Arrays.asList(answered.clone());
@@ -137,15 +137,17 @@
   }
 
   /**
-   * Probes machines for a leading peer; {@code addresses} are separated by spaces. Also done if
-   * this node reaches few machines: any machine that it reaches is alive.
+   * Probes machines for a peer that leads; {@code addresses} are separated by spaces. Done even if
+   * this controller reaches few machines, since any machine that it reaches is alive.
    */
   PeerResponse probeForPeer(String addresses) throws InterruptedException {
     List<Boolean> answered =
         probe(probePool, List.of(addresses.split(" ")), Scheduler.PEER_PROBE_TIMEOUT_MS);
-    PeerResponse answer = PeerProbes.encodeResponse(answered);
+    PeerResponse response = PeerProbes.encodeResponse(answered);
     LOG.debug(
-        "probed machines for a peer, machines={} reached={}", answered.size(), answer.doneTasks());
-    return answer;
+        "probed machines for a peer: machines={} reached={}",
+        answered.size(),
+        response.doneTasks());
+    return response;
   }
 }
--- a/src/main/java/org/astershift/controller/RecordPage.java
+++ b/src/main/java/org/astershift/controller/RecordPage.java
@@ -8,9 +8,9 @@
 import org.astershift.store.RecordCodec;
 
 /**
- * One page of records: the entries that it should hold, and which of them changed since its last
- * write. Guarded by the lock of its {@link LeaderRecords}, except for the revision, which only the
- * writer thread uses once writing has begun.
+ * One page of records: the entries that the page should hold, and the keys of those that changed
+ * since its last write. Guarded by the lock of its {@link LeaderRecords}, except for the revision,
+ * which only the writer thread uses once writing has begun.
  */
 final class RecordPage {
   /** Due time of a page without changes. */
--- a/src/main/java/org/astershift/controller/RecordWriter.java
+++ b/src/main/java/org/astershift/controller/RecordWriter.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the due pages of a term's records on one thread while the term lasts. */
+/** Writes the due pages of a term's records on one thread until the term ends. */
 final class RecordWriter {
   private static final Logger LOG = LoggerFactory.getLogger(RecordWriter.class);
 
@@ -62,14 +62,14 @@
     try {
       return commit(writes);
     } catch (RuntimeException | Error e) {
-      LOG.error("writing record pages failed; will retry, token={}", token, e);
+      LOG.error("writing record pages failed; will retry: token={}", token, e);
       return new Outcome.Unknown(e.toString());
     }
   }
 
   /**
-   * Commits the pages in one transaction. It is conditional on the pages' revisions, so that an
-   * earlier attempt that is applied late cannot undo a later change.
+   * Commits the pages in one transaction. The transaction requires the pages' known revisions, so
+   * that an earlier attempt that is applied late cannot undo a later change.
    */
   private Outcome commit(List<RecordPage.Snapshot> writes) throws InterruptedException {
     StoreClient.Transaction txn =
@@ -108,7 +108,7 @@
     } catch (RuntimeException | Error e) {
       // The record is durable, and the loop must go on: a leader that writes no records opens no
       // jobs and provisions no machines.
-      LOG.error("handling a durable record failed, kind={} key={}", write.page().kind, key, e);
+      LOG.error("handling a durable record failed: kind={} key={}", write.page().kind, key, e);
     }
   }
 
@@ -123,7 +123,10 @@
         try {
           write.page().revision = store.get(write.page().key).revision();
         } catch (IOException e) {
-          LOG.debug("reading a record page failed, key={}: {}", write.page().key, e.toString());
+          LOG.debug(
+              "reading a record page failed; will retry: key={}: {}",
+              write.page().key,
+              e.toString());
           Thread.sleep(Threads.RETRY_BACKOFF_MS);
         }
       }
--- a/src/main/java/org/astershift/controller/RequestCoalescer.java
+++ b/src/main/java/org/astershift/controller/RequestCoalescer.java
@@ -6,11 +6,11 @@
 import org.astershift.coordination.CoalescerState.Ticket;
 
 /**
- * Lets concurrent callers with the same key share one answer; {@link CoalescerState} decides which
+ * Lets concurrent callers with the same key share one result; {@link CoalescerState} decides which
  * caller computes it and which ones wait. Callable from any thread.
  */
 final class RequestCoalescer<A> {
-  /** Computes an answer; a computation begins only after all callers that share it have asked. */
+  /** Computes a result; the computation begins only after all callers that share it have asked. */
   interface Computation<A> {
     A compute(String key) throws InterruptedException;
   }
@@ -22,7 +22,7 @@
     this.computation = work;
   }
 
-  /** Returns the answer; null if another caller computed it and failed. */
+  /** Returns the result; null if another caller computed it and failed. */
   A get(String key) throws InterruptedException {
     synchronized (this) {
       Ticket<A> ticket = state.join(key);
@@ -33,13 +33,13 @@
         awaitTurn(key);
       }
     }
-    A answer = null;
+    A result = null;
     try {
-      answer = computation.compute(key);
-      return answer;
+      result = computation.compute(key);
+      return result;
     } finally {
       synchronized (this) {
-        state.complete(key, answer);
+        state.complete(key, result);
         notifyAll();
       }
     }
--- a/src/main/java/org/astershift/controller/TermContext.java
+++ b/src/main/java/org/astershift/controller/TermContext.java
@@ -1,6 +1,9 @@
 package org.astershift.controller;
 
-/** The controller as seen by one leader term. Callable from any thread. */
+/**
+ * What a leader term needs from its controller: the state of the lease, and the end of the term.
+ * Callable from any thread.
+ */
 interface TermContext {
   /** Returns the monotonic time, in milliseconds, before which no other controller can lead. */
   long leaseCertainUntilMs();
@@ -8,7 +11,7 @@
   /** Returns whether no other controller can have become leader since the term began. */
   boolean isLeaseCertain();
 
-  /** Ends the term: another leader is certain, or the term cannot go on. */
+  /** Ends the term, since another controller leads or the term cannot go on. */
   void stepDown(String reason);
 
   /** Requests a scheduling pass. */
--- a/src/main/java/org/astershift/coordination/Cancellation.java
+++ b/src/main/java/org/astershift/coordination/Cancellation.java
@@ -13,11 +13,11 @@
 
   /** The next step. */
   public enum Action {
-    /** Answer with the known end, which is durable and final. */
+    /** Respond with the known end, which is durable and final. */
     REPLY_WITH_END,
     /** Forward the cancellation to the leader. */
     FORWARD,
-    /** Answer 503. */
+    /** Respond with 503. */
     REJECT,
     /** Read the store: the job has ended, is unknown, or is not loaded by this leader yet. */
     READ_STORE,
@@ -37,17 +37,17 @@
   /**
    * What this controller knows of the job and its cancellation.
    *
-   * @param ended the end of the job is known
-   * @param mayForward the request may be forwarded to the leader
-   * @param leading this controller has a term
-   * @param leaseCertain no other term can have begun since this controller's term did
-   * @param managed the term manages the job
-   * @param storeRead the store was read for the job
-   * @param fenced an older leader cannot renew the lease of any machine that may hold a task of the
-   *     job
-   * @param startInFlight a start of a task of the job is in flight or unconfirmed
-   * @param complete all tasks of the job are done
-   * @param deadlinePassed the user's request must be answered now
+   * @param hasEnded whether the end of the job is known
+   * @param mayForward whether the request may be forwarded to the leader
+   * @param isLeading whether this controller has a term
+   * @param isLeaseCertain whether no other term can have begun since this controller's term did
+   * @param isManaged whether the term manages the job
+   * @param wasStoreRead whether the store was read for the job
+   * @param isFenced whether an older leader cannot renew the lease of any machine that may hold a
+   *     task of the job
+   * @param hasStartInFlight whether a start of a task of the job is in flight or unconfirmed
+   * @param isComplete whether all tasks of the job are done
+   * @param hasDeadlinePassed whether the user's request must be answered now
    */
   public record View(
       boolean hasEnded,
--- a/src/main/java/org/astershift/coordination/Candidacy.java
+++ b/src/main/java/org/astershift/coordination/Candidacy.java
@@ -17,7 +17,7 @@
  * as leader; if the peers that answer reach no more workers, the leader stays.
  */
 public final class Candidacy {
-  /** Least margin of a peer's reached share over the leader's observed share for a transfer. */
+  /** Minimum margin of a peer's reached share over the leader's observed share for a transfer. */
   private static final double TRANSFER_MIN_GAIN_SHARE = 0.3;
 
   /**
@@ -26,23 +26,26 @@
    */
   static final long CANDIDACY_DELAY_MS = 3000;
 
-  /** Shortest age of a term at which its leader may transfer the leadership, milliseconds. */
+  /** Minimum age of a term at which its leader may transfer the leadership, in milliseconds. */
   static final long TRANSFER_MIN_TERM_MS = 8000;
 
-  /** Shortest time between two resignations without another leader in between, milliseconds. */
+  /** Minimum time between two resignations without another leader in between, in milliseconds. */
   static final long RESIGN_MIN_INTERVAL_MS = 60_000;
 
   private final Map<String, Long> lastLedMs = new HashMap<>();
   private long keyAbsentSinceMs = -1;
   private long lastDeferralMs = Long.MIN_VALUE / 2;
 
-  /** A peer's status as it reports it; {@code storeAvailable} if the store responds to it. */
+  /**
+   * A peer's status as the peer reports it; {@code isStoreAvailable} is true if the store responds
+   * to the peer.
+   */
   public record PeerStatus(String node, boolean isStoreAvailable, Measurement workerReachability) {}
 
   /** A transfer to {@code successor}, or to any controller if that is null. */
   public record LeadershipTransfer(String successor) {}
 
-  /** Records that the leader key names {@code node}. */
+  /** Records that the leader key names the controller {@code node}. */
   public synchronized void onHolderObserved(String node, long nowMs) {
     keyAbsentSinceMs = -1;
     lastLedMs.put(node, nowMs);
@@ -58,15 +61,15 @@
         && nowMs - keyAbsentSinceMs >= (own.isReachabilityPoor() ? CANDIDACY_DELAY_MS : 0);
   }
 
-  /** Records that the leader announced a transfer to another controller than this one. */
+  /** Records that the leader announced a transfer to another controller. */
   public synchronized void deferToSuccessor(long nowMs) {
     lastDeferralMs = nowMs;
   }
 
   /**
-   * Decides about a transfer by a leader that observes only a part of its machines; returns null if
-   * it stays. The term must have lasted a while, so that an unstable link does not move the
-   * leadership often.
+   * Decides whether a leader that observes only a part of its machines transfers the leadership;
+   * returns null if it does not. The term must have lasted for {@link #TRANSFER_MIN_TERM_MS}, so
+   * that an unstable link does not move the leadership often.
    *
    * @param observedShare share of its machines that the leader observes
    * @param statuses status of each peer that answered
@@ -84,12 +87,12 @@
     }
     PeerStatus best = null;
     for (PeerStatus status : statuses) {
-      boolean better =
+      boolean eligible =
           status.isStoreAvailable()
               && status.workerReachability().isReachabilitySufficient()
               && status.workerReachability().answeredShare()
                   >= observedShare + TRANSFER_MIN_GAIN_SHARE;
-      if (better
+      if (eligible
           && (best == null
               || status.workerReachability().answeredShare()
                   > best.workerReachability().answeredShare())) {
--- a/src/main/java/org/astershift/coordination/CoalescerState.java
+++ b/src/main/java/org/astershift/coordination/CoalescerState.java
@@ -27,7 +27,7 @@
     }
   }
 
-  /** The part of a caller in its round. */
+  /** What a caller does in its round. */
   public enum Role {
     /** Computes the result now. */
     COMPUTE,
@@ -58,7 +58,7 @@
     return new Ticket<>(round, Role.COMPUTE);
   }
 
-  /** Returns whether a computation is running; the queued caller begins when none is. */
+  /** Returns whether a computation is running; the queued caller must wait until none is. */
   public boolean isComputing(String key) {
     return computing.containsKey(key);
   }
@@ -68,15 +68,15 @@
     computing.put(key, queued.remove(key));
   }
 
-  /** Removes a queued caller that gave up; callers that share its round get null. */
+  /** Removes a queued caller that was interrupted; callers that share its round get null. */
   public void abandonQueued(String key) {
     queued.remove(key).isCompleted = true;
   }
 
   /** Ends a computation; {@code result} is null if it failed. */
-  public void complete(String key, A answer) {
+  public void complete(String key, A result) {
     Round<A> round = computing.remove(key);
-    round.result = answer;
+    round.result = result;
     round.isCompleted = true;
   }
 }
--- a/src/main/java/org/astershift/coordination/Election.java
+++ b/src/main/java/org/astershift/coordination/Election.java
@@ -10,9 +10,10 @@
 /**
  * One controller's part in the leader election. The leader holds one key of the store, which is
  * attached to a lease. The leader's fencing token is the revision at which the key was created, so
- * a later leader has a higher token. A process never takes over the key of the node's previous
- * process. Once the lease may have expired, {@link #isLeaseCertain} is false and the leader answers
- * nothing that another leader could contradict, but it keeps its term until it sees another leader.
+ * a later leader has a higher token. A process never takes over a key that its controller's
+ * previous process created. Once the lease may have expired, {@link #isLeaseCertain} is false and
+ * the leader answers nothing that another leader could contradict, but it keeps its term until it
+ * sees another leader.
  *
  * <p>The caller gets the next {@link Action}, executes it, reports the outcome, and repeats.
  * Methods that end a term may be called at any time and from any thread. Times are milliseconds of
@@ -20,8 +21,8 @@
  */
 public final class Election {
   /**
-   * Duration of the leader's lease, milliseconds: a shorter lease makes failover faster, a longer
-   * one tolerates slower renewals.
+   * Duration of the leader's lease, in milliseconds: a shorter lease makes failover faster, a
+   * longer one tolerates slower renewals.
    */
   public static final long LEADER_LEASE_MS = 2000;
 
@@ -31,7 +32,7 @@
    */
   private static final long RESIGN_BACKOFF_MS = 5000;
 
-  /** Time without a response of the store after which a follower reads the key, milliseconds. */
+  /** Time without a response of the store after which a follower reads the key, in milliseconds. */
   private static final long STORE_KEEPALIVE_MS = 700;
 
   private final String node;
@@ -47,7 +48,8 @@
   private long candidacyAllowedMs = Long.MIN_VALUE / 2;
 
   /**
-   * Whether this process has been a candidate, so that a key with its node's name may be its own.
+   * Whether this process has been a candidate, so that a key that names this controller may be its
+   * own.
    */
   private boolean wasCandidate;
 
@@ -77,7 +79,7 @@
     /** Leave the election to others for now: this controller reaches few workers. */
     record Defer(Measurement workerReachability) implements Action {}
 
-    /** Delete the key at this revision, which this node's previous process left behind. */
+    /** Delete the key at this revision, which this controller's previous process left behind. */
     record RemoveStaleKey(long revision) implements Action {}
 
     /** Get a lease; report it to {@link #onLeaseGranted}. */
@@ -108,13 +110,13 @@
     record EndTerm(long token, String reason) implements Action {}
   }
 
-  /** The node that holds the key, and the revision of the key. */
+  /** The name of the controller that holds the key, and the revision of the key. */
   public record Holder(String node, long revision) {}
 
   /**
    * What this controller knows.
    *
-   * @param cacheLoaded the cache holds a state of the store
+   * @param isCacheLoaded whether the cache holds a state of the store
    * @param holder the holder of the key according to the cache; null if the key does not exist
    *     there
    * @param workerReachability how much of the fleet this controller reaches
@@ -190,7 +192,8 @@
       candidacy.onHolderObserved(view.holder().node(), view.nowMs());
       isDeferralReported = false;
       hasOtherLedSinceResigning |= !ownKey;
-      // If this node's previous process left the key, it is dead: this process has its addresses.
+      // A key of this controller's previous process is stale: that process has ended, since this
+      // process holds its addresses.
       return ownKey && !wasCandidate
           ? new Action.RemoveStaleKey(view.holder().revision())
           : new Action.Wait();
@@ -266,15 +269,16 @@
   }
 
   /**
-   * Handles whether the cache has reached this revision. Only the revision of the key created last
-   * counts: if the cache had only reached that of an earlier key, the term would begin without the
-   * records written between the two, and ignore them as older than its token.
+   * Handles the end of a wait for the cache; {@code reached} tells whether the cache has reached
+   * this revision. Only the revision of the key created last counts: if the cache had only reached
+   * that of an earlier key, the term would begin without the records written between the two, and
+   * ignore them as older than its token.
    */
-  public synchronized void onRevisionAwaited(long revision, boolean caughtUp) {
+  public synchronized void onRevisionAwaited(long revision, boolean reached) {
     if (step != Step.KEY_CREATED || revision != createdRevision) {
       return;
     }
-    if (!caughtUp) {
+    if (!reached) {
       step = Step.FOLLOWER;
       pendingActions.add(new Action.RevokeLease(lease));
       return;
@@ -284,7 +288,10 @@
     pendingActions.add(new Action.BeginTerm(token));
   }
 
-  /** Handles a renewal; {@code renewed} is null without a response, false if the lease expired. */
+  /**
+   * Handles a renewal; {@code renewed} is null if no response arrived, and false if the lease has
+   * expired.
+   */
   public synchronized void onLeaseRenewed(Boolean renewed) {
     if (step != Step.LEADER || renewed == null) {
       return;
@@ -299,10 +306,10 @@
   /** Resigns after a term could not begin, instead of holding the leadership without effect. */
   public synchronized List<Action> onTermStartFailed(long termToken, long nowMs) {
     candidacyAllowedMs = nowMs + RESIGN_BACKOFF_MS;
-    return endAndRevoke(termToken, "it could not begin");
+    return endAndRevoke(termToken, "its term could not begin");
   }
 
-  /** Ends the term with this token: another leader is certain, or the term cannot go on. */
+  /** Ends the term with this token, since another controller leads or the term cannot go on. */
   public synchronized List<Action> stepDown(long termToken, String reason) {
     return endTerm(termToken, reason) ? drainPending() : List.of();
   }
@@ -310,14 +317,14 @@
   /** Handles the leader's token as another controller reports it; a higher one ends this term. */
   public synchronized List<Action> onLeaderObserved(long observedToken) {
     return observedToken > token
-        ? stepDown(token, "another node reports a later leader with token " + observedToken)
+        ? stepDown(token, "another controller reports a later leader with token " + observedToken)
         : List.of();
   }
 
   /**
-   * Resigns as leader, because this controller reaches too few workers. Has no effect soon after
-   * another resignation if no other controller led in between, since the others then reach no more
-   * workers.
+   * Resigns as leader, because this controller reaches too few workers. Has no effect within {@link
+   * Candidacy#RESIGN_MIN_INTERVAL_MS} of its last resignation if no other controller has led since:
+   * then the others reach no more workers.
    */
   public synchronized List<Action> resign(long termToken, String reason, long nowMs) {
     if ((nowMs < resignAllowedMs && !hasOtherLedSinceResigning)
--- a/src/main/java/org/astershift/coordination/JobQuery.java
+++ b/src/main/java/org/astershift/coordination/JobQuery.java
@@ -1,7 +1,7 @@
 package org.astershift.coordination;
 
 /**
- * Decides the source of a controller's answer to a poll. Polls are linearizable: once any
+ * Decides the source of a controller's response to a poll. Polls are linearizable: once any
  * controller has reported a job as accepted, done or cancelled, none reports an older state.
  * Therefore only a leader that certainly holds its lease answers from memory, since only a leader
  * ends jobs; all other controllers ask the leader, or read the store after the poll has arrived.
@@ -9,13 +9,13 @@
 public final class JobQuery {
   private JobQuery() {}
 
-  /** The source of an answer. */
+  /** The source of a response. */
   public enum Source {
-    /** The end in this node's cache, which is durable and final. */
+    /** The end in this controller's cache, which is durable and final. */
     KNOWN_END,
-    /** The memory of this node, which leads. */
+    /** The memory of this controller, which is the leader. */
     LEADER_MEMORY,
-    /** The leader on another node. */
+    /** The leader, which is another controller. */
     REMOTE_LEADER,
     /** The store. */
     STORE
@@ -24,11 +24,13 @@
   /**
    * What this controller knows of the job.
    *
-   * @param ended the end of the job is known
-   * @param leading this controller has a term
-   * @param answerableFromMemory the term manages the job and has no write of its end in flight
-   * @param leaseCertain no other term can have begun; checked after {@code answerableFromMemory}
-   * @param mayForward the leader may be asked
+   * @param hasEnded whether the end of the job is known
+   * @param isLeading whether this controller has a term
+   * @param isAnswerableFromMemory whether the term manages the job and has no write of its end in
+   *     flight
+   * @param isLeaseCertain whether no other term can have begun; checked after {@code
+   *     isAnswerableFromMemory}
+   * @param mayForward whether the poll may be forwarded to the leader
    */
   public record View(
       boolean hasEnded,
--- a/src/main/java/org/astershift/coordination/StoreReachability.java
+++ b/src/main/java/org/astershift/coordination/StoreReachability.java
@@ -1,15 +1,16 @@
 package org.astershift.coordination;
 
 /**
- * Determines from the reports of its peers why the store does not respond to this node. In an
- * outage of the store this node stays ready, since no node could do more. If the store responds to
- * a peer, or no peer responds either, this node is partitioned: it reports not ready, so that users
- * go to other nodes, and keeps its workers. Used by one thread.
+ * Determines from the reports of its peers why the store does not respond to this controller.
+ * During an outage of the store this controller stays ready, since no other controller could do
+ * more. If the store responds to a peer, or no peer responds either, this controller is
+ * partitioned: it reports not ready, so that users go to other controllers, and keeps its workers.
+ * Used by one thread.
  */
 public final class StoreReachability {
   /**
-   * Time, in milliseconds, without a response of the store or of any peer after which this node
-   * counts as isolated: longer than a restart of all peers during an outage takes.
+   * Time, in milliseconds, without a response of the store or of any peer after which this
+   * controller counts as isolated: longer than a restart of all peers during an outage takes.
    */
   static final long ISOLATED_AFTER_MS = 6000;
 
@@ -23,9 +24,10 @@
     ISOLATED
   }
 
+  /** Time since which neither the store nor a peer has responded; -1 while the store responds. */
   private long silentSinceMs = -1;
 
-  /** Records that the store responds to this node. */
+  /** Records that the store responds to this controller. */
   public void onStoreResponded() {
     silentSinceMs = -1;
   }
@@ -34,16 +36,16 @@
    * Returns the verdict after the peers were queried while the store did not respond.
    *
    * @param peerCount number of peers queried
-   * @param answered number of peers that answered
-   * @param storeRespondsToPeer the store responds to one of the peers
+   * @param answeredCount number of peers that answered
+   * @param storeRespondsToPeer whether the store responds to one of the peers
    */
   public Verdict onPeersQueried(
-      int peerCount, int answered, boolean storeRespondsToPeer, long nowMs) {
+      int peerCount, int answeredCount, boolean storeRespondsToPeer, long nowMs) {
     if (storeRespondsToPeer) {
       silentSinceMs = nowMs;
       return Verdict.PARTITIONED;
     }
-    if (silentSinceMs < 0 || answered > 0 || peerCount == 0) {
+    if (silentSinceMs < 0 || answeredCount > 0 || peerCount == 0) {
       silentSinceMs = nowMs;
     }
     return nowMs - silentSinceMs >= ISOLATED_AFTER_MS ? Verdict.ISOLATED : Verdict.OUTAGE;
--- a/src/main/java/org/astershift/coordination/TermJobs.java
+++ b/src/main/java/org/astershift/coordination/TermJobs.java
@@ -7,14 +7,16 @@
 import java.util.Set;
 
 /**
- * The jobs that one term manages, and those of them that may have ended without the leader knowing
- * it yet. A job's live record is written once and deleted when the job ends, and from the revision
- * of the term's token on only this term can end jobs. The live jobs are therefore those that were
- * live at that revision and those recorded after it, except for the jobs that this term has ended.
- * Callable from any thread.
+ * The jobs that one term manages, and which of these jobs may have ended without the leader's
+ * knowledge. A job's live record is written once and deleted when the job ends, and from the
+ * revision of the term's token on only this term can end jobs. The live jobs are therefore those
+ * that were live at that revision and those recorded after it, except for the jobs that this term
+ * has ended. Callable from any thread.
  */
 public final class TermJobs {
-  /** Most ended jobs that are kept in order to ignore late reads of their live records. */
+  /**
+   * Maximum number of ended jobs that are kept in order to ignore late reads of their live records.
+   */
   static final int ENDED_IN_TERM_JOBS = 10_000;
 
   private final long token;
@@ -28,9 +30,9 @@
   private final Set<String> endedInTerm = new LinkedHashSet<>();
 
   /**
-   * Jobs whose end may be durable, with the number of writes that are in flight or got no response.
-   * The progress of these jobs in memory must no longer be reported, since another node may have
-   * read the end and reported it.
+   * Jobs whose end may be durable, with the number of writes of the end that are in flight or got
+   * no response. The progress of these jobs in memory must no longer be reported, since another
+   * controller may have read the end and reported it.
    */
   private final Map<String, Integer> unconfirmedEnds = new HashMap<>();
 
@@ -50,8 +52,9 @@
    * Adopts a job whose live record with this revision was read at some time; returns false if the
    * term does not begin to manage the job by this call. A record that is older than the token, but
    * was not among the jobs loaded at the token, belongs to a job that has ended: a thread read or
-   * wrote the record while this node was a follower, and was delayed until the node led. If the job
-   * were adopted, its tasks would start although its user may have seen it cancelled.
+   * wrote the record while this controller was a follower, and was delayed until this controller
+   * led. If the job were adopted, its tasks would start although its user may have seen it
+   * cancelled.
    */
   public synchronized boolean adopt(String jobId, long revision) {
     if (isLoaded && revision < token) {
@@ -77,7 +80,7 @@
 
   /** Records that a write of the job's end was not applied and never will be. */
   public synchronized void onEndWriteRejected(String jobId) {
-    unconfirmedEnds.computeIfPresent(jobId, (key, tries) -> tries > 1 ? tries - 1 : null);
+    unconfirmedEnds.computeIfPresent(jobId, (key, writes) -> writes > 1 ? writes - 1 : null);
   }
 
   /** Returns whether the job's end may be durable, so that its progress may be outdated. */
--- a/src/main/java/org/astershift/coordination/WorkerReachability.java
+++ b/src/main/java/org/astershift/coordination/WorkerReachability.java
@@ -10,15 +10,15 @@
  */
 public final class WorkerReachability {
   /**
-   * Most samples in a measurement. If no machine of the last sample answered, that sample counts
-   * alone, so that a partition is noticed soon.
+   * Maximum number of samples in a measurement. If no machine of the last sample answered, that
+   * sample counts alone, so that a partition is noticed soon.
    */
   private static final int REACHABILITY_SAMPLES = 2;
 
-  /** Age after which a sample no longer counts, milliseconds. */
+  /** Age after which a sample no longer counts, in milliseconds. */
   static final long REACHABILITY_SAMPLE_VALID_MS = 8000;
 
-  /** Least number of probes in a usable measurement. */
+  /** Minimum number of probes in a usable measurement. */
   private static final int REACHABILITY_MIN_RESULTS = 3;
 
   /** Share of answered probes below which a controller reaches few machines. */
@@ -29,11 +29,11 @@
   private record Sample(int probedCount, int answeredCount, long probedMs) {}
 
   /**
-   * How many of the recently probed machines answered. {@code probed} is 0 if nothing is known, as
-   * after a start or in a fleet without machines.
+   * How many of the recently probed machines answered. {@code probedCount} is 0 if nothing is
+   * known, as after a start or in a fleet without machines.
    */
   public record Measurement(int probedCount, int answeredCount) {
-    /** The measurement of a node that has probed nothing. */
+    /** The measurement of a controller that has probed nothing. */
     public static final Measurement UNKNOWN = new Measurement(0, 0);
 
     /** Returns whether enough machines were probed. */
@@ -53,7 +53,7 @@
 
     /**
      * Returns whether enough machines were probed and answered; a machine that does not answer this
-     * node is then probably gone.
+     * controller is then probably gone.
      */
     public boolean isReachabilitySufficient() {
       return isKnown() && !isReachabilityPoor();
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Returns the measurement from the samples that still count. */
+  /** Returns the measurement from the samples that still count at {@code nowMs}. */
   public synchronized Measurement measurement(long nowMs) {
     Sample last = samples.peekLast();
     if (last != null && last.answeredCount == 0 && last.probedCount >= REACHABILITY_MIN_RESULTS) {
--- a/src/main/java/org/astershift/http/ConnectionSlots.java
+++ b/src/main/java/org/astershift/http/ConnectionSlots.java
@@ -16,7 +16,7 @@
  * seconds. Some slots are therefore kept free for new connections: when free slots run short, a
  * worker's connection is closed together with the response to its heartbeat, and the worker
  * reconnects for its next heartbeat. Closing an idle connection at any other time would make its
- * worker treat this node as dead.
+ * worker treat this controller as dead.
  *
  * <p>Thread-safe.
  */
@@ -94,8 +94,8 @@
       return isServed;
     }
 
-    void setBeingServed(boolean active) {
-      isServed = active;
+    void setBeingServed(boolean served) {
+      isServed = served;
     }
   }
 
@@ -126,8 +126,7 @@
     connections.add(connection);
     List<Connection> evicted = new ArrayList<>(1);
     if (connections.size() > capacity) {
-      // Evicts users' and new connections first, and a worker's only if workers exceed their
-      // share.
+      // Users' and new connections are evicted first, workers' only if they exceed their share.
       Connection longestIdle =
           findLongestIdle(connection, ConnectionKind.UNRESERVED, ConnectionKind.NEW);
       if (longestIdle == null && reservedCount > capacity - unreservedCapacity) {
--- a/src/main/java/org/astershift/http/HttpClient.java
+++ b/src/main/java/org/astershift/http/HttpClient.java
@@ -110,7 +110,7 @@
   private static int parseStatus(String startLine) throws IOException {
     String[] statusLine = startLine.split(" ", 3);
     if (statusLine.length < 2 || !statusLine[1].matches("[0-9]{3}")) {
-      throw new IOException("malformed HTTP status line");
+      throw new IOException("malformed HTTP response: status line without a three-digit status");
     }
     return Integer.parseInt(statusLine[1]);
   }
--- a/src/main/java/org/astershift/http/HttpMessageReader.java
+++ b/src/main/java/org/astershift/http/HttpMessageReader.java
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Waits for the first byte of a message; returns false if the peer closes the connection first.
-   * There is no timeout, since it would cost two more system calls per read: another thread has to
-   * shut down the socket if the wait takes too long.
+   * Waits for the first byte of a message; returns false if the connection is closed first. There
+   * is no timeout, since it would cost two more system calls per read: another thread has to shut
+   * down the socket if the wait takes too long.
    */
   boolean awaitFirstByte() throws IOException {
     hasDeadline = false;
--- a/src/main/java/org/astershift/http/HttpServer.java
+++ b/src/main/java/org/astershift/http/HttpServer.java
@@ -179,7 +179,7 @@
         logConnections();
       } catch (IOException | ThreadUnavailableException e) {
         if (!isClosed) {
-          LOG.info("accepting a connection failed: {}", e.toString());
+          LOG.info("accepting a connection failed; will retry: {}", e.toString());
           Threads.backOff();
         }
       }
@@ -191,7 +191,7 @@
       closeWithoutSlot(evicted);
     }
     if (!openSockets.containsKey(connection)) {
-      return; // rejected: all slots are busy
+      return; // rejected: no other connection could be evicted
     }
     try {
       connection.setBeingServed(true);
@@ -247,7 +247,7 @@
         }
       }
     } catch (IOException e) {
-      LOG.debug("connection failed: {}", e.toString());
+      LOG.debug("serving a connection failed; closing it: {}", e.toString());
     } finally {
       openSockets.remove(connection);
       slots.release(connection);
--- a/src/main/java/org/astershift/http/TaskPool.java
+++ b/src/main/java/org/astershift/http/TaskPool.java
@@ -9,8 +9,8 @@
 
 /**
  * A thread pool of bounded size that never drops a task because a thread could not be started. A
- * plain executor throws to its caller and drops the task, so that a thread waiting for its result
- * waits indefinitely. Here the task stays queued for a running thread or for {@link
+ * plain executor throws to its caller and drops the task, so that a thread that waits for the
+ * task's result waits indefinitely. Here the task stays queued for a running thread or for {@link
  * #startQueuedTasks}. Thread-safe. Created by {@link Threads#newPool}.
  */
 public final class TaskPool {
@@ -51,7 +51,7 @@
       executor.prestartCoreThread();
     } catch (OutOfMemoryError e) {
       LOG.error(
-          "starting a pool thread failed, tasks stay queued: queued={}: {}",
+          "starting a pool thread failed; tasks stay queued: queued={}: {}",
           executor.getQueue().size(),
           e.toString());
     }
--- a/src/main/java/org/astershift/peer/PeerClient.java
+++ b/src/main/java/org/astershift/peer/PeerClient.java
@@ -63,7 +63,7 @@
         } catch (IOException e) {
           // The peer has closed the connection, for example by restarting, which is no sign of a
           // partition. The request is sent again: all requests are idempotent.
-          LOG.debug("idle peer connection was closed, connecting again: {}", e.toString());
+          LOG.debug("idle peer connection was closed; connecting again: {}", e.toString());
         }
       }
       return call(null, operation, argument, timeoutMs);
--- a/src/main/java/org/astershift/peer/PeerCodec.java
+++ b/src/main/java/org/astershift/peer/PeerCodec.java
@@ -16,7 +16,10 @@
 
   private PeerCodec() {}
 
-  /** A request between controllers; the meaning of {@code argument} depends on the operation. */
+  /**
+   * A request between controllers, with the wire name of its operation; the meaning of {@code
+   * argument} depends on the operation.
+   */
   record PeerRequest(String operationName, String argument) {}
 
   static void write(DataOutputStream out, PeerRequest request) throws IOException {
--- a/src/main/java/org/astershift/peer/PeerOperation.java
+++ b/src/main/java/org/astershift/peer/PeerOperation.java
@@ -6,7 +6,7 @@
   POLL_JOB("poll"),
   /** Asks the leader to cancel a job. */
   CANCEL_JOB("cancel"),
-  /** Asks whether the store responds to the other controller, and which node leads. */
+  /** Asks whether the store responds to the other controller, and which controller leads. */
   STORE_STATUS("state"),
   /** Asks how much of the fleet the other controller reaches. */
   WORKER_REACHABILITY("reach"),
--- a/src/main/java/org/astershift/peer/PeerResponse.java
+++ b/src/main/java/org/astershift/peer/PeerResponse.java
@@ -7,7 +7,7 @@
  * and decoders know.
  */
 public record PeerResponse(int status, String phase, int doneTasks, int runningTasks) {
-  /** Response to a request for a job id that no job has. */
+  /** Response to a request with a job id that no job has. */
   public static final PeerResponse NOT_FOUND = new PeerResponse(404, null, 0, 0);
 
   /** Response to a request that cannot be answered at present; the sender may repeat it. */
@@ -20,7 +20,7 @@
   private static final String DONE = "done";
   private static final String CANCELLED = "withdrawn";
 
-  /** Returns the response for a live job whose progress this node does not know. */
+  /** Returns the response for a live job whose progress this controller does not know. */
   public static PeerResponse ofAccepted() {
     return new PeerResponse(200, QUEUED, 0, 0);
   }
--- a/src/main/java/org/astershift/peer/PeerServer.java
+++ b/src/main/java/org/astershift/peer/PeerServer.java
@@ -58,7 +58,7 @@
           throw e;
         }
       } catch (IOException | ThreadUnavailableException e) {
-        LOG.info("accepting a peer connection failed: {}", e.toString());
+        LOG.info("accepting a peer connection failed; will retry: {}", e.toString());
         Threads.backOff();
       }
     }
--- a/src/main/java/org/astershift/store/RateLimiter.java
+++ b/src/main/java/org/astershift/store/RateLimiter.java
@@ -4,10 +4,10 @@
 import java.util.Deque;
 
 /**
- * Token bucket that limits this node to its share of a rate limit, in permits per second, that all
- * nodes share. Interactive requests are served first in, first out, so that a burst of one kind
- * does not starve the others; background requests get only the permits that interactive ones leave.
- * Thread-safe.
+ * Token bucket that limits this controller to its share of a rate limit, in permits per second,
+ * that all controllers share. Interactive requests are served first in, first out, so that a burst
+ * of one kind does not starve the others; background requests get only the permits that interactive
+ * ones leave. Thread-safe.
  */
 public final class RateLimiter {
   /** Share of the burst that background requests must leave unused. */
@@ -56,8 +56,9 @@
   }
 
   /**
-   * Sets this node's share of the limit, and its burst in seconds of that share. The shares of all
-   * nodes may add up to more than the limit, since the store enforces the limit itself.
+   * Sets this controller's share of the limit, and its burst in seconds of that share. The shares
+   * of all controllers may add up to more than the limit, since the store enforces the limit
+   * itself.
    */
   public synchronized void setShare(double share, double burstS) {
     refill();
--- a/src/main/java/org/astershift/store/RecordCodec.java
+++ b/src/main/java/org/astershift/store/RecordCodec.java
@@ -14,8 +14,8 @@
 
 /**
  * Keys and values of the records in the store. All live records have one key prefix, which every
- * node watches. Records outlive releases, so their format must stay compatible; golden files pin
- * it.
+ * controller watches. Records outlive releases, so their format must stay compatible; golden files
+ * pin it.
  */
 public final class RecordCodec {
   /**
@@ -53,7 +53,7 @@
    */
   public static final String ENDED_JOB_PREFIX = "d/";
 
-  /** Encodes the value of the leader key: the name of the leader's node. */
+  /** Encodes the value of the leader key: the name of the leading controller. */
   public static Map<String, Object> encodeLeader(String node) {
     return Map.of("node", node);
   }
--- a/src/main/java/org/astershift/store/StoreClient.java
+++ b/src/main/java/org/astershift/store/StoreClient.java
@@ -14,8 +14,8 @@
 import org.astershift.http.RequestNotSentException;
 
 /**
- * Client of the consensus-backed key-value store that stays within this node's share of the store's
- * rate limits. Thread-safe; calls block up to their timeouts.
+ * Client of the consensus-backed key-value store that stays within this controller's share of the
+ * store's rate limits. Thread-safe; calls block up to their timeouts.
  */
 public final class StoreClient {
   /**
@@ -32,7 +32,7 @@
 
   /**
    * Burst of a follower, in seconds of its share. A follower only accepts jobs, and submissions
-   * arrive in bursts at one node.
+   * arrive in bursts at one controller.
    */
   private static final double FOLLOWER_BURST_S = 3;
 
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Sets this node's share of the rate limits. The shares of all nodes add up to more than one,
-   * since load is uneven; if the nodes together exceed a limit, the store responds with 429.
+   * Sets the share of the rate limits. The shares of all controllers add up to more than one, since
+   * load is uneven; if all together exceed a limit, the store responds with 429.
    */
   public void setLeading(boolean leading) {
     if (peerCount > 0) {
@@ -93,7 +93,7 @@
     return silenceMs() > STORE_UNAVAILABLE_AFTER_MS;
   }
 
-  /** Returns the milliseconds since the store's last response to this node other than a 503. */
+  /** Returns the milliseconds since the store last responded, not counting 503 responses. */
   public long silenceMs() {
     return (System.nanoTime() - lastResponseNs) / 1_000_000;
   }
@@ -105,7 +105,7 @@
     return response;
   }
 
-  /** Reason of a rejection that the same transaction would meet again, since it is too large. */
+  /** Reason of a rejection that the same transaction would get again, since it is too large. */
   public static final String MALFORMED_REASON = "status 400";
 
   /** A key, its value (null if the key does not exist), and the revision of its last change. */
@@ -149,7 +149,7 @@
     private final List<Map<String, Object>> conditions = new ArrayList<>();
     private final List<Map<String, Object>> changes = new ArrayList<>();
 
-    /** Adds the condition that the key has this revision, else nothing is applied. */
+    /** Requires that the key has this revision (0: does not exist); else nothing is applied. */
     public Transaction requireRevision(String key, long revision) {
       Map<String, Object> condition = new LinkedHashMap<>();
       condition.put("k", key);
@@ -287,14 +287,14 @@
       long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
       if (!writeLimiter.acquire(urgency, txn.changeCount(), remainingMs)
           || !requestLimiter.acquire(urgency, 1, remainingMs)) {
-        return new Outcome.Rejected("rate limit: timed out waiting for this node's share");
+        return new Outcome.Rejected("rate limit: timed out waiting for this controller's share");
       }
       Outcome outcome = sendOnce(body);
       if (!(outcome instanceof Outcome.Rejected rejected
           && rejected.reason().equals(OVER_LIMIT_REASON))) {
         return outcome;
       }
-      writeLimiter.drain(); // all nodes together have reached the limit
+      writeLimiter.drain(); // all controllers together have reached the limit
     }
   }
 
@@ -370,7 +370,7 @@
     return response;
   }
 
-  /** Pauses this node's requests if all nodes together have reached the limit. */
+  /** Pauses this controller's requests if all controllers together have reached the limit. */
   private void backOffIfOverLimit(HttpClient.Response response) {
     if (response.status() == OVER_LIMIT_STATUS) {
       requestLimiter.drain();
@@ -380,7 +380,7 @@
   private static void acquire(RateLimiter limiter, RateLimiter.Urgency urgency) throws IOException {
     try {
       if (!limiter.acquire(urgency, 1, STORE_TIMEOUT_MS)) {
-        throw new StoreException("rate limit: timed out waiting for this node's share");
+        throw new StoreException("rate limit: timed out waiting for this controller's share");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/org/astershift/store/WatchCache.java
+++ b/src/main/java/org/astershift/store/WatchCache.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's copy of the live keys of the store, kept up to date by a watch, so that a failover
- * needs no reads from the store. The copy may lag behind: data that must be current is read from
- * the store itself. Thread-safe.
+ * This controller's copy of the live keys of the store, kept up to date by a watch, so that a
+ * failover needs no reads from the store. The copy may lag behind: data that must be current is
+ * read from the store itself. Thread-safe.
  */
 public class WatchCache {
   private static final Logger LOG = LoggerFactory.getLogger(WatchCache.class);
@@ -100,7 +100,7 @@
           Thread.sleep(WATCH_GAP_MS);
         }
       } catch (IOException | RuntimeException e) {
-        LOG.debug("watching the store failed, retrying: {}", e.toString());
+        LOG.debug("watching the store failed; will retry: {}", e.toString());
         Threads.backOff();
       }
     }
@@ -142,7 +142,7 @@
       revision = firstRevision;
       notifyAll();
     }
-    LOG.info("cache loaded, keys={} revision={}", latest.size(), firstRevision);
+    LOG.info("cache loaded: keys={} revision={}", latest.size(), firstRevision);
     listener.onChanges(changes);
   }
 
--- a/src/main/java/org/astershift/worker/CommandSender.java
+++ b/src/main/java/org/astershift/worker/CommandSender.java
@@ -111,7 +111,7 @@
       return new Result(false, null);
     } catch (IOException | JsonFormatException e) {
       LOG.info(
-          "no valid response to commands, outcome unknown: address={}: {}", address, e.toString());
+          "no valid response to commands; outcome unknown: address={}: {}", address, e.toString());
       return new Result(true, null);
     }
   }
--- a/src/main/java/org/astershift/worker/WorkerCodec.java
+++ b/src/main/java/org/astershift/worker/WorkerCodec.java
@@ -197,19 +197,19 @@
     return parser.getBooleanValue();
   }
 
-  private static Heartbeat.TaskPhase decodePhase(String word) throws JsonFormatException {
-    return switch (word) {
+  private static Heartbeat.TaskPhase decodePhase(String wireName) throws JsonFormatException {
+    return switch (wireName) {
       case "fetching" -> Heartbeat.TaskPhase.FETCHING;
       case "gathering" -> Heartbeat.TaskPhase.WAITING;
       case "running" -> Heartbeat.TaskPhase.RUNNING;
       case "saving" -> Heartbeat.TaskPhase.SAVING;
       case "exited" -> Heartbeat.TaskPhase.EXITED;
-      default -> throw new JsonFormatException("unknown task state: " + word);
+      default -> throw new JsonFormatException("unknown task state: " + wireName);
     };
   }
 
-  private static String decodeExitReason(String word) {
-    return word.equals("halted") ? "stopped" : word;
+  private static String decodeExitReason(String wireName) {
+    return wireName.equals("halted") ? "stopped" : wireName;
   }
 
   /** Encodes the body of the response to a heartbeat. */
