--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -265,7 +265,7 @@
           Scheduler.JobProgress progress = lockedScheduler.progress(jobId);
           return new CancellationState(
               lockedScheduler.canConfirmCancellation(jobId),
-              lockedScheduler.mayStart(jobId),
+              lockedScheduler.mayStillStart(jobId),
               progress != null && progress.complete());
         });
   }
--- a/src/main/java/org/astershift/controller/LockedScheduler.java
+++ b/src/main/java/org/astershift/controller/LockedScheduler.java
@@ -64,7 +64,7 @@
       scheduler.extendLeaseCertainty(context.leaseCertainUntilMs());
       commands = scheduler.onHeartbeat(heartbeat, receivedMs, LeaderTerm.nowMs());
       deposed = scheduler.isDeposed();
-      passNeeded = scheduler.passRequested();
+      passNeeded = scheduler.isPassRequested();
     }
     if (deposed) {
       context.stepDown("machine " + heartbeat.machineName() + " has seen a higher fencing token");
@@ -86,7 +86,7 @@
       scheduler.onCommandResult(
           machineName, outcomeUnknown, heartbeat, receivedMs, LeaderTerm.nowMs());
       deposed = scheduler.isDeposed();
-      passNeeded = scheduler.passRequested();
+      passNeeded = scheduler.isPassRequested();
     }
     if (deposed) {
       context.stepDown("machine " + machineName + " has seen a higher fencing token");
@@ -98,7 +98,7 @@
   /** Returns whether a queued direct request is still due; settles it if not. */
   boolean isRequestStillDue(Decision.SendCommands request) {
     synchronized (lock) {
-      return scheduler.directCommandsStillDue(request, LeaderTerm.nowMs());
+      return scheduler.areDirectCommandsStillDue(request, LeaderTerm.nowMs());
     }
   }
 
@@ -109,7 +109,7 @@
    */
   List<Command> commandsToSend(Decision.SendCommands request) {
     synchronized (lock) {
-      return scheduler.commandsStillWanted(request, context.isLeaseCertain());
+      return scheduler.selectSendableCommands(request, context.isLeaseCertain());
     }
   }
 
--- a/src/main/java/org/astershift/scheduler/AttemptAdoption.java
+++ b/src/main/java/org/astershift/scheduler/AttemptAdoption.java
@@ -60,7 +60,7 @@
     attempt.startSent = true;
     attempt.phase = status.phase();
     attempt.exitReason = ExitReason.of(status.exitReason());
-    attempt.lastShownSequence = sequence;
+    attempt.lastReportedSequence = sequence;
     return attempt;
   }
 
--- a/src/main/java/org/astershift/scheduler/AttemptNumbers.java
+++ b/src/main/java/org/astershift/scheduler/AttemptNumberGenerator.java
@@ -4,7 +4,7 @@
  * Generates the attempt numbers of one term: the fencing token in the high bits and a counter in
  * the low bits. Numbers are never reused, so a term that exhausts its counter has to end.
  */
-final class AttemptNumbers {
+final class AttemptNumberGenerator {
   /** Width of the counter in bits, enough for weeks at a few hundred starts per second. */
   static final int ATTEMPT_COUNTER_BITS = 28;
 
@@ -14,7 +14,7 @@
   private final long fencingToken;
   private long lastCounter;
 
-  AttemptNumbers(long fencingToken) {
+  AttemptNumberGenerator(long fencingToken) {
     this.fencingToken = fencingToken;
   }
 
--- a/src/main/java/org/astershift/scheduler/AttemptRegistry.java
+++ b/src/main/java/org/astershift/scheduler/AttemptRegistry.java
@@ -32,11 +32,11 @@
     addUsage(attempt, 1);
     holdTask(attempt);
     job.lastPlacedMs = nowMs;
-    cluster.commandsPending.add(machine);
+    cluster.machinesWithPendingCommands.add(machine);
     if (!job.opened) {
       cluster.jobsToOpen.add(job);
     } else if (job.spec.kind() == JobKind.SERVICE) {
-      cluster.placementsToPersist.add(job);
+      cluster.servicesToPersist.add(job);
     }
     cluster.requestPass();
     return attempt;
@@ -170,7 +170,7 @@
     attempt.machine.preemptible = null;
     attempt.stopGracePeriodS =
         attempt.job.spec.checkpointIntervalS() > 0 ? attempt.job.spec.checkpointSaveS() + 1 : 0;
-    cluster.commandsPending.add(attempt.machine);
+    cluster.machinesWithPendingCommands.add(attempt.machine);
   }
 
   private void addUsage(TaskAttempt attempt, int sign) {
--- a/src/main/java/org/astershift/scheduler/CapacityPool.java
+++ b/src/main/java/org/astershift/scheduler/CapacityPool.java
@@ -9,7 +9,7 @@
     return new CapacityPool(request.typeName(), request.zone(), request.spot());
   }
 
-  Decision.ProvisionMachines request(int count) {
+  Decision.ProvisionMachines createRequest(int count) {
     return new Decision.ProvisionMachines(typeName, zone, spot, count);
   }
 }
--- a/src/main/java/org/astershift/scheduler/ClassObjectives.java
+++ b/src/main/java/org/astershift/scheduler/ClassObjectives.java
@@ -7,6 +7,6 @@
  * @param finishS the tightest objective for finishing its jobs, in seconds; null if there is none
  * @param anyObjective whether there is an objective of any kind
  */
-public record ClassObjectives(Double startS, Double finishS, boolean anyObjective) {
+public record ClassObjectives(Double startS, Double finishS, boolean hasAnyObjective) {
   static final ClassObjectives NONE = new ClassObjectives(null, null, false);
 }
--- a/src/main/java/org/astershift/scheduler/ClusterState.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -35,22 +35,22 @@
   final Set<Job> waitingJobs = new LinkedHashSet<>();
 
   /** Machines that may need a command before their next heartbeat. */
-  final Set<Machine> commandsPending = new LinkedHashSet<>();
+  final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
 
   /** Live machines without a durable record, which get no tasks yet. */
-  final Set<Machine> unregistered = new LinkedHashSet<>();
+  final Set<Machine> unregisteredMachines = new LinkedHashSet<>();
 
   /** Jobs with placed tasks that must be opened before the first start command. */
   final Set<Job> jobsToOpen = new LinkedHashSet<>();
 
   /** Opened services with a replica placed since the last pass. */
-  final Set<Job> placementsToPersist = new LinkedHashSet<>();
+  final Set<Job> servicesToPersist = new LinkedHashSet<>();
 
   /** Jobs that may be complete; the next pass checks them. */
   final Set<Job> completionCandidates = new LinkedHashSet<>();
 
   /** Jobs with done tasks that are not persisted yet. */
-  final Set<Job> unpersistedProgress = new LinkedHashSet<>();
+  final Set<Job> jobsWithUnpersistedProgress = new LinkedHashSet<>();
 
   final ServiceStatistics serviceStatistics = new ServiceStatistics();
   final IncarnationTracker incarnations;
@@ -62,7 +62,7 @@
   final HeartbeatTiming heartbeatTiming;
   final ZonePartitions zonePartitions = new ZonePartitions();
   final RemovedMachines removedMachines;
-  final AttemptNumbers attemptNumbers;
+  final AttemptNumberGenerator attemptNumbers;
   final AttemptRegistry attempts = new AttemptRegistry(this);
   final ReconciliationLog reconciliationLog = new ReconciliationLog();
 
@@ -70,8 +70,8 @@
   long candidateChecks;
 
   private final UnfinishedJobs unfinishedJobs;
-  private int unreconciledMachines;
-  private boolean passRequested;
+  private int unreconciledMachineCount;
+  private boolean isPassRequested;
 
   ClusterState(DeploymentLimits limits, SchedulingPolicy policy, long fencingToken) {
     this.limits = limits;
@@ -81,21 +81,21 @@
     this.quotaUsage = new QuotaUsage(limits.teams(), unobservedUsage);
     this.heartbeatTiming = new HeartbeatTiming(limits);
     this.removedMachines = new RemovedMachines(limits);
-    this.attemptNumbers = new AttemptNumbers(fencingToken);
+    this.attemptNumbers = new AttemptNumberGenerator(fencingToken);
     this.unfinishedJobs = new UnfinishedJobs(limits.teams());
   }
 
   /** Requests a pass, because something changed that it may act on. */
   void requestPass() {
-    passRequested = true;
+    isPassRequested = true;
   }
 
-  boolean passRequested() {
-    return passRequested;
+  boolean isPassRequested() {
+    return isPassRequested;
   }
 
   void clearPassRequest() {
-    passRequested = false;
+    isPassRequested = false;
   }
 
   /** Replaces the machine types and recomputes everything derived from them. */
@@ -114,7 +114,7 @@
 
   void addJob(Job job) {
     machineTypes.resolveTypes(job);
-    job.shareGroup = minimumShare.groupOf(job.spec);
+    job.minimumShareGroup = minimumShare.groupOf(job.spec);
     jobs.put(job.spec.id(), job);
     if (!job.waitingTasks.isEmpty()) {
       waitingJobs.add(job);
@@ -133,7 +133,7 @@
     waitingJobs.remove(job);
     jobsToOpen.remove(job);
     completionCandidates.remove(job);
-    unpersistedProgress.remove(job);
+    jobsWithUnpersistedProgress.remove(job);
     serviceStatistics.onEnded(job, cancelled);
     if (!cancelled) {
       MinimumShare.onJobFinished(job);
@@ -142,7 +142,7 @@
     for (TaskAttempt attempt : new ArrayList<>(job.attempts.values())) {
       if (attempt.startSent) {
         attempt.cancelGracePeriod();
-        commandsPending.add(attempt.machine);
+        machinesWithPendingCommands.add(attempt.machine);
       } else {
         attempts.drop(attempt);
       }
@@ -160,7 +160,7 @@
     if (job.waitingTasks.isEmpty()) {
       waitingJobs.remove(job);
     }
-    unpersistedProgress.add(job);
+    jobsWithUnpersistedProgress.add(job);
     if (job.isComplete()) {
       completionCandidates.add(job);
       requestPass();
@@ -170,19 +170,19 @@
   /** Returns the done tasks of each incomplete job that completed tasks since the last call. */
   Map<String, BitSet> drainUnpersistedProgress() {
     Map<String, BitSet> doneTasksByJob = new LinkedHashMap<>();
-    for (Job job : unpersistedProgress) {
+    for (Job job : jobsWithUnpersistedProgress) {
       if (!job.isComplete()) {
         doneTasksByJob.put(job.spec.id(), (BitSet) job.doneTasks.clone());
       }
     }
-    unpersistedProgress.clear();
+    jobsWithUnpersistedProgress.clear();
     return doneTasksByJob;
   }
 
   void addMachine(Machine machine) {
     machine.type = machineTypes.all().get(machine.typeName);
     machines.put(machine.name, machine);
-    unreconciledMachines += machine.inherited && !machine.fenced ? 1 : 0;
+    unreconciledMachineCount += machine.inherited && !machine.fenced ? 1 : 0;
     unobservedUsage.update(machine, true);
     enterState(machine, machine.state);
   }
@@ -198,7 +198,7 @@
     machine.fenced = true;
     machine.leaseFromMs = nowMs;
     machine.leaseRenewedMs = nowMs;
-    machine.consecutiveUnanswered = 0;
+    machine.consecutiveUnansweredCommands = 0;
     machine.unverified = false;
     unobservedUsage.update(machine, true);
     if (machine.inherited) {
@@ -209,8 +209,8 @@
   }
 
   private void onReconciled(Machine machine, long nowMs) {
-    unreconciledMachines--;
-    if (unreconciledMachines == 0) {
+    unreconciledMachineCount--;
+    if (unreconciledMachineCount == 0) {
       LOG.info(
           "all machines of earlier leaders are reconciled or gone: token={} after_ms={}",
           fencingToken,
@@ -222,22 +222,22 @@
     machine.state = state;
     if (state == Machine.State.LIVE) {
       if (!machine.registered) {
-        unregistered.add(machine);
+        unregisteredMachines.add(machine);
       }
       requestPass();
     } else {
-      unregistered.remove(machine);
+      unregisteredMachines.remove(machine);
     }
   }
 
   /** Returns whether some machine may still hold tasks that this leader does not know. */
   boolean hasUnreconciledMachines() {
-    return unreconciledMachines > 0;
+    return unreconciledMachineCount > 0;
   }
 
   /** Returns whether so few machines are unreconciled that this leader is not at fault. */
   boolean hasFewUnreconciledMachines() {
-    return unreconciledMachines
+    return unreconciledMachineCount
         <= Math.max(
             FleetAssessment.SILENT_FEW_MACHINES, machines.size() * FEW_UNRECONCILED_MAX_SHARE);
   }
@@ -290,7 +290,7 @@
     machine.resetAfterRestart();
     machine.leaseFromMs = nowMs;
     machine.unreconciledSinceMs = nowMs;
-    unreconciledMachines += alreadyCounted ? 0 : 1;
+    unreconciledMachineCount += alreadyCounted ? 0 : 1;
     unobservedUsage.update(machine, true);
     enterState(machine, Machine.State.UNRECONCILED);
   }
@@ -322,8 +322,8 @@
     }
     attempts.dropAll(machine);
     unobservedUsage.update(machine, false);
-    commandsPending.remove(machine);
-    unregistered.remove(machine);
+    machinesWithPendingCommands.remove(machine);
+    unregisteredMachines.remove(machine);
     removedMachines.requestDeregistration(machine);
     requestPass();
   }
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -40,7 +40,7 @@
   /**
    * Returns the response to the newest heartbeat: every command whose effect is not visible yet.
    */
-  List<Command> heartbeatResponse(Machine machine, long nowMs) {
+  List<Command> createHeartbeatResponse(Machine machine, long nowMs) {
     List<Command> commands = new ArrayList<>(4);
     for (TaskAttempt attempt : machine.attempts.values()) {
       // A worker sends one heartbeat at a time: the previous response has arrived or never will.
@@ -178,8 +178,8 @@
    * of a leader that was suspended meanwhile. A heartbeat response, in contrast, reaches only an
    * incarnation that has just shown its token.
    */
-  Decision.SendCommands urgentCommands(Machine machine, boolean leaseCertain, long nowMs) {
-    if (machine.directCommands.inFlight()
+  Decision.SendCommands createUrgentCommands(Machine machine, boolean leaseCertain, long nowMs) {
+    if (machine.directCommands.isInFlight()
         || machine.address == null
         || machine.epoch == 0
         || machine.state != Machine.State.LIVE) {
@@ -193,21 +193,21 @@
       } else if (leaseCertain
           && isStartDue(attempt)
           && !cluster.heartbeatTiming.isOutboundPartitioned(machine, nowMs)) {
-        commands.add(directStart(attempt));
+        commands.add(createDirectStart(attempt));
       }
     }
     if (commands.isEmpty()) {
       return null;
     }
     concurrencyLimit.onSent(machine.name, nowMs);
-    return directCommands(machine, commands, COMMAND_TIMEOUT_MS, nowMs);
+    return createDirectCommands(machine, commands, COMMAND_TIMEOUT_MS, nowMs);
   }
 
   /**
    * Returns a direct command that fences an inherited machine, or probes a machine whose heartbeat
    * is overdue, that may have restarted, or that is inbound-partitioned; null if none is due.
    */
-  Decision.SendCommands fenceOrProbe(Machine machine, boolean leaseCertain, long nowMs) {
+  Decision.SendCommands createFenceOrProbe(Machine machine, boolean leaseCertain, long nowMs) {
     if (!canFenceOrProbe(machine, nowMs)) {
       return null;
     }
@@ -218,9 +218,9 @@
             || (machine.isInboundPartitioned()
                 && nowMs - machine.directCommands.lastSentMs() >= PARTITION_PROBE_INTERVAL_MS);
     return fence || probe || restartCheck
-        ? directCommands(
+        ? createDirectCommands(
             machine,
-            unacknowledgedCommands(machine, leaseCertain, nowMs),
+            repeatUnacknowledgedCommands(machine, leaseCertain, nowMs),
             Scheduler.MACHINE_PROBE_TIMEOUT_MS,
             nowMs)
         : null;
@@ -231,7 +231,7 @@
         machine.state == Machine.State.LEASE_EXPIRED
             && !machine.staleMessageSeen
             && machine.directCommands.unansweredCount() > 0;
-    return !machine.directCommands.inFlight()
+    return !machine.directCommands.isInFlight()
         && machine.address != null
         && machine.state != Machine.State.BOOTING
         && !givenUp
@@ -246,7 +246,8 @@
    * by now is sent with a stop, so that the worker remembers the attempt; otherwise a cancellation
    * would wait for it indefinitely.
    */
-  private List<Command> unacknowledgedCommands(Machine machine, boolean leaseCertain, long nowMs) {
+  private List<Command> repeatUnacknowledgedCommands(
+      Machine machine, boolean leaseCertain, long nowMs) {
     List<Command> commands = new ArrayList<>(0);
     boolean startsAllowed =
         leaseCertain
@@ -259,11 +260,11 @@
           && attempt.startUnconfirmed
           && attempt.job.state == Job.State.LIVE) {
         if (attempt.isUnwanted()) {
-          commands.add(directStart(attempt));
+          commands.add(createDirectStart(attempt));
           commands.add(Command.stop(attempt, attempt.gracePeriodS()));
         } else if (attempt.job.opened
             && !cluster.heartbeatTiming.isOutboundPartitioned(machine, nowMs)) {
-          commands.add(directStart(attempt));
+          commands.add(createDirectStart(attempt));
         }
       } else if (!attempt.isExited() && attempt.isUnwanted() && attempt.stopSent) {
         commands.add(Command.stop(attempt, attempt.gracePeriodS()));
@@ -301,14 +302,14 @@
    * Returns a start to send in a direct command for the machine's current epoch. Marks it as in
    * flight, since the attempt must not be dropped while the start may still arrive.
    */
-  private static Command directStart(TaskAttempt attempt) {
+  private static Command createDirectStart(TaskAttempt attempt) {
     attempt.startSent = true;
     attempt.startInFlight = true;
     attempt.startEpoch = Math.max(1, attempt.machine.epoch);
     return Command.start(attempt);
   }
 
-  private Decision.SendCommands directCommands(
+  private Decision.SendCommands createDirectCommands(
       Machine machine, List<Command> commands, int timeoutMs, long nowMs) {
     boolean silent =
         machine.state == Machine.State.UNRECONCILED
--- a/src/main/java/org/astershift/scheduler/CostStatistics.java
+++ b/src/main/java/org/astershift/scheduler/CostStatistics.java
@@ -9,7 +9,7 @@
   private long lastAccrualMs = -1; // -1: nothing is accrued yet
   private double bootingCost;
   private double idleCost;
-  private double unusedCost;
+  private double unusedCapacityCost;
   private double usedCost;
 
   /** Cost of machines in any other state: unreconciled, with an expired lease, or releasing. */
@@ -39,7 +39,7 @@
     } else {
       double share = usedShare(machine);
       usedCost += cost * share;
-      unusedCost += cost * (1 - share);
+      unusedCapacityCost += cost * (1 - share);
     }
   }
 
@@ -59,7 +59,7 @@
         Locale.ROOT,
         "cost: %.2f used by tasks, %.2f unused beside tasks, %.2f idle, %.2f booting, %.2f other",
         usedCost,
-        unusedCost,
+        unusedCapacityCost,
         idleCost,
         bootingCost,
         otherCost);
--- a/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
+++ b/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
@@ -54,7 +54,8 @@
     double delayMs = 0;
     for (double deadlineMultiple : cluster.limits.deadlineMultiples()) {
       List<Job> postponed = new ArrayList<>();
-      loadCpuS = admit(undecided, deadlineMultiple, loadCpuS, capacityPerMs, postponed, nowMs);
+      loadCpuS =
+          admitOrPostpone(undecided, deadlineMultiple, loadCpuS, capacityPerMs, postponed, nowMs);
       setUrgency(undecided, delayMs);
       undecided = postponed;
       undecided.sort(Comparator.comparingDouble(Job::latestStartMs));
@@ -80,7 +81,7 @@
    * keep the processors that they hold; running tasks of the same priority add to the load.
    */
   private CpuLoad runningLoad(Priority priority) {
-    double availableCpus = cluster.utilization.processorsWithoutAccelerators();
+    double availableCpus = cluster.utilization.provisionedNonGpuCpus();
     double loadCpuS = 0;
     for (Job job : cluster.jobs.values()) {
       JobSpec spec = job.spec;
@@ -103,7 +104,7 @@
    * and on as many as its team's quota allows. Returns the initial load plus that of the admitted
    * jobs, in processor seconds.
    */
-  private double admit(
+  private double admitOrPostpone(
       List<Job> undecided,
       double deadlineMultiple,
       double initialLoadCpuS,
--- a/src/main/java/org/astershift/scheduler/DeferralTracker.java
+++ b/src/main/java/org/astershift/scheduler/DeferralTracker.java
@@ -24,10 +24,10 @@
   /**
    * Constraints of jobs that found room since the last pass began, whether deferred or admitted.
    */
-  private final Set<Job.PlacementConstraints> deferredNow = new HashSet<>();
+  private final Set<Job.PlacementConstraints> constraintsWithRoom = new HashSet<>();
 
   /** Constraints whose deferral has expired in this pass. */
-  private final Set<Job.PlacementConstraints> admittedNow = new HashSet<>();
+  private final Set<Job.PlacementConstraints> admittedConstraints = new HashSet<>();
 
   private boolean passInProgress;
 
@@ -36,10 +36,10 @@
    * or that were admitted then.
    */
   void beginPass() {
-    deferredSinceMs.keySet().retainAll(deferredNow);
-    deferredSinceMs.keySet().removeAll(admittedNow);
-    deferredNow.clear();
-    admittedNow.clear();
+    deferredSinceMs.keySet().retainAll(constraintsWithRoom);
+    deferredSinceMs.keySet().removeAll(admittedConstraints);
+    constraintsWithRoom.clear();
+    admittedConstraints.clear();
     passInProgress = true;
   }
 
@@ -53,13 +53,13 @@
    * the job may use the room.
    */
   boolean tryAdmit(Job job, long nowMs) {
-    deferredNow.add(job.placementConstraints);
+    constraintsWithRoom.add(job.placementConstraints);
     long sinceMs = deferredSinceMs.computeIfAbsent(job.placementConstraints, p -> nowMs);
     // Between passes only one machine is offered, and it would use up the admission.
     if (!passInProgress || nowMs - sinceMs < DEFERRAL_LIMIT_MS) {
       return false;
     }
-    admittedNow.add(job.placementConstraints);
+    admittedConstraints.add(job.placementConstraints);
     return true;
   }
 }
--- a/src/main/java/org/astershift/scheduler/Demand.java
+++ b/src/main/java/org/astershift/scheduler/Demand.java
@@ -12,17 +12,17 @@
  */
 final class Demand {
   final Job job;
-  private int remaining;
+  private int remainingTasks;
   private String onlyZone;
-  private final Map<String, Integer> takenByZone = new HashMap<>();
+  private final Map<String, Integer> assignedTasksByZone = new HashMap<>();
 
   Demand(Job job, int tasks) {
     this.job = job;
-    this.remaining = tasks;
+    this.remainingTasks = tasks;
   }
 
-  int remaining() {
-    return remaining;
+  int remainingTasks() {
+    return remainingTasks;
   }
 
   /** Counts only the room of this zone from now on. */
@@ -37,34 +37,36 @@
     }
     return job.spec.spread()
         ? Math.min(
-            remaining,
-            job.spec.spreadLimit() - job.attemptsInZone(zone) - takenByZone.getOrDefault(zone, 0))
-        : remaining;
+            remainingTasks,
+            job.spec.spreadLimit()
+                - job.attemptsInZone(zone)
+                - assignedTasksByZone.getOrDefault(zone, 0))
+        : remainingTasks;
   }
 
   /** Takes room for as many of the remaining tasks as may run and fit on these machines. */
-  void fill(List<PlannedMachine> machines) {
+  void assignTo(List<PlannedMachine> machines) {
     for (PlannedMachine machine : machines) {
-      if (remaining == 0) {
+      if (remainingTasks == 0) {
         return;
       }
       if (!machine.hasRoomFor(job.spec)) {
         continue; // most machines are full, and this runs for each job and machine
       }
-      for (int n = maxTasksIn(machine.zone); n > 0 && machine.take(job.spec); n--) {
-        takenByZone.merge(machine.zone, 1, Integer::sum);
-        remaining--;
+      for (int n = maxTasksIn(machine.zone); n > 0 && machine.tryAllocate(job.spec); n--) {
+        assignedTasksByZone.merge(machine.zone, 1, Integer::sum);
+        remainingTasks--;
       }
     }
   }
 
   /** Returns how many of the remaining tasks find room in this zone. */
-  int fittingTasks(List<PlannedMachine> machines, String zone) {
+  int countFittingTasks(List<PlannedMachine> machines, String zone) {
     int fitting = 0;
     int limit = maxTasksIn(zone);
     for (PlannedMachine machine : machines) {
       if (fitting < limit && machine.zone.equals(zone)) {
-        fitting += machine.fittingTasks(job.spec, limit - fitting);
+        fitting += machine.countAllowedTasks(job.spec, limit - fitting);
       }
     }
     return fitting;
--- a/src/main/java/org/astershift/scheduler/DirectCommandState.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommandState.java
@@ -2,17 +2,17 @@
 
 /** The direct commands to one machine: whether one is in flight and which got no answer. */
 final class DirectCommandState {
-  private boolean inFlight;
+  private boolean isInFlight;
   private boolean sentWhileSilent;
-  private boolean unansweredWhileSilent;
-  private boolean anyUnconfirmed;
+  private boolean hasUnansweredWhileSilent;
+  private boolean hasUnconfirmedCommand;
   private int unansweredCount;
   private MessagePosition positionWhenSent = MessagePosition.NONE;
   private long lastSentMs = -1_000_000;
 
   /** Records that a command is sent; {@code silent}: the machine is silent or unreconciled. */
   void onSent(Machine machine, boolean silent, long nowMs) {
-    inFlight = true;
+    isInFlight = true;
     sentWhileSilent = silent;
     lastSentMs = nowMs;
     positionWhenSent = new MessagePosition(machine.epoch, machine.sequence);
@@ -20,24 +20,24 @@
 
   /** Records that the command in flight was answered or will not be answered. */
   void onSettled() {
-    inFlight = false;
+    isInFlight = false;
   }
 
   /** Records that a command got no answer; if {@code outcomeUnknown}, it may still arrive. */
   void onUnanswered(boolean outcomeUnknown) {
-    anyUnconfirmed |= outcomeUnknown;
+    hasUnconfirmedCommand |= outcomeUnknown;
     unansweredCount++;
-    unansweredWhileSilent |= sentWhileSilent;
+    hasUnansweredWhileSilent |= sentWhileSilent;
   }
 
   /** Resets the unanswered commands, since a message of the machine has arrived after them. */
   void clearUnanswered() {
     unansweredCount = 0;
-    unansweredWhileSilent = false;
+    hasUnansweredWhileSilent = false;
   }
 
-  boolean inFlight() {
-    return inFlight;
+  boolean isInFlight() {
+    return isInFlight;
   }
 
   /** Returns when a command was last sent; a time long past if none was. */
@@ -51,22 +51,22 @@
   }
 
   /** Returns whether a command got no answer that was sent while the machine was silent. */
-  boolean unansweredWhileSilent() {
-    return unansweredWhileSilent;
+  boolean hasUnansweredWhileSilent() {
+    return hasUnansweredWhileSilent;
   }
 
   /** Returns whether a later incarnation may get a command of this term that got no answer. */
-  boolean anyUnconfirmed() {
-    return anyUnconfirmed;
+  boolean hasUnconfirmedCommand() {
+    return hasUnconfirmedCommand;
   }
 
   /** Returns whether the message is newer than the last one handled before the command was sent. */
-  boolean precedes(Heartbeat heartbeat) {
+  boolean isNewerThanWhenSent(Heartbeat heartbeat) {
     return positionWhenSent.precedes(heartbeat);
   }
 
   /** Returns whether no newer message of the machine was handled since the command was sent. */
-  boolean nothingHandledSinceSent(Machine machine) {
+  boolean isPositionUnchangedSinceSent(Machine machine) {
     return positionWhenSent.equals(new MessagePosition(machine.epoch, machine.sequence));
   }
 }
--- a/src/main/java/org/astershift/scheduler/DirectCommands.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommands.java
@@ -42,7 +42,7 @@
   }
 
   /** Returns the commands of the decision without starts that must no longer be sent. */
-  List<Command> stillWanted(Decision.SendCommands decision, boolean leaseCertain) {
+  List<Command> selectSendableCommands(Decision.SendCommands decision, boolean leaseCertain) {
     return decision.commands().stream()
         .filter(
             command ->
@@ -98,13 +98,13 @@
   private void onAnswer(Machine machine, Heartbeat answer, long waitedMs, long nowMs) {
     CommandReconciler.onAnswered(machine, MessageClassifier.isOvertaken(machine, answer));
     heartbeatReconciler.resolveSender(answer, nowMs);
-    if (heartbeatReconciler.deposed()) {
+    if (heartbeatReconciler.isDeposed()) {
       return;
     }
     Evidence evidence = classifier.classifyAnswer(machine, answer, nowMs);
     machine.history.add(
         MachineEvent.ofMessage(MachineEvent.Kind.ANSWER, answer, evidence, waitedMs, nowMs));
-    machine.consecutiveUnanswered = 0;
+    machine.consecutiveUnansweredCommands = 0;
     if (evidence == Evidence.STALE) {
       cluster.reconciliationLog.onAnswerOvertaken(machine, nowMs);
       machine.staleMessageSeen = machine.restartSuspected;
@@ -112,7 +112,7 @@
     }
     machine.staleMessageSeen = false;
     resolveRestartSuspicion(machine, evidence, nowMs);
-    heartbeatReconciler.trackIncarnation(machine, answer, true, nowMs);
+    heartbeatReconciler.recordIncarnation(machine, answer, true, nowMs);
     heartbeatReconciler.recordContact(machine, answer, nowMs);
     heartbeatReconciler.reconcile(machine, answer, false, nowMs);
     commandReconciler.dropNeverStarted(machine);
@@ -135,8 +135,8 @@
     machine.directCommands.onUnanswered(outcomeUnknown);
     machine.history.add(
         MachineEvent.withoutMessage(MachineEvent.Kind.NO_ANSWER, machine, 0, nowMs));
-    machine.consecutiveUnanswered++;
-    if (machine.consecutiveUnanswered == Machine.INBOUND_PARTITION_TRIES
+    machine.consecutiveUnansweredCommands++;
+    if (machine.consecutiveUnansweredCommands == Machine.INBOUND_PARTITION_TRIES
         && !cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs)) {
       LOG.info("inbound partition, machine gets no new tasks: machine={}", machine.name);
     }
@@ -145,7 +145,7 @@
   /** Makes the next pass send commands that became due while another one was in flight. */
   private void requeueUrgentCommands(Machine machine) {
     if (CommandReconciler.isUrgentCommandDue(machine)) {
-      cluster.commandsPending.add(machine);
+      cluster.machinesWithPendingCommands.add(machine);
       cluster.requestPass();
     }
   }
--- a/src/main/java/org/astershift/scheduler/FailureDetector.java
+++ b/src/main/java/org/astershift/scheduler/FailureDetector.java
@@ -51,7 +51,7 @@
   private double releaseBudget;
 
   private long lastLoggedMs = Long.MIN_VALUE / 2;
-  private int retainedReachable;
+  private int retainedReachedByPeers;
   private int retainedUndecided;
   private int retainedOverBudget;
 
@@ -72,8 +72,8 @@
   }
 
   /** Returns the machines that peers should probe now, or null if no probe is due. */
-  Decision.ProbeThroughPeers nextPeerProbe(long nowMs) {
-    return peerProber.nextProbe(fleet, nowMs);
+  Decision.ProbeThroughPeers startPeerProbe(long nowMs) {
+    return peerProber.startProbe(fleet, nowMs);
   }
 
   /** Records the results of the peers that answered a probe. */
@@ -100,9 +100,9 @@
     releaseBudget =
         Math.max(
             FleetAssessment.SILENT_FEW_MACHINES,
-            (fleet.reportingMachines() + releasesMs.size()) * RELEASED_SILENT_SHARE);
+            (fleet.machineCount() + releasesMs.size()) * RELEASED_SILENT_SHARE);
     markPartitionedZones(nowMs);
-    retainedReachable = 0;
+    retainedReachedByPeers = 0;
     retainedUndecided = 0;
     retainedOverBudget = 0;
   }
@@ -130,13 +130,13 @@
   boolean tryRelease(Machine machine, long nowMs) {
     boolean blocksReconciliation = cluster.blocksReconciliation(machine, nowMs);
     if (evidence.isReachedByPeers(machine, nowMs) && !blocksReconciliation) {
-      retainedReachable++;
+      retainedReachedByPeers++;
       return false;
     }
     boolean conclusive =
-        fleet.hasFewOverdue()
+        fleet.hasFewOverdueMachines()
             ? isConclusiveForFew(machine, nowMs)
-            : fleet.observesEnough() && isConclusiveForMany(machine, nowMs);
+            : fleet.hasSufficientVisibility() && isConclusiveForMany(machine, nowMs);
     if (!conclusive && !blocksReconciliation) {
       retainedUndecided++;
       return false;
@@ -202,15 +202,15 @@
   }
 
   /** Logs periodically how many silent machines are retained, and why. */
-  void logRetained(long nowMs) {
-    int retained = retainedReachable + retainedUndecided + retainedOverBudget;
+  void logRetainedMachines(long nowMs) {
+    int retained = retainedReachedByPeers + retainedUndecided + retainedOverBudget;
     if (retained > 0 && nowMs - lastLoggedMs > LogIntervals.SUMMARY_INTERVAL_MS) {
       lastLoggedMs = nowMs;
       LOG.info(
           "silent machines retained: count={} reached_by_peers={} undecided={} over_budget={}"
               + " budget_window_s={} observed={} fleet={}",
           retained,
-          retainedReachable,
+          retainedReachedByPeers,
           retainedUndecided,
           retainedOverBudget,
           RELEASED_SILENT_WINDOW_MS / 1000,
--- a/src/main/java/org/astershift/scheduler/FleetAssessment.java
+++ b/src/main/java/org/astershift/scheduler/FleetAssessment.java
@@ -30,10 +30,10 @@
   private static final double SILENT_FLEET_SHARE = 0.25;
 
   private final Map<String, ZoneHealth> zones;
-  private final int reportingMachines;
+  private final int machineCount;
   private final int fleetSize;
   private final int overdueCount;
-  private final boolean hasFewOverdue;
+  private final boolean hasFewOverdueMachines;
   private final boolean isLocalEvidenceConclusive;
 
   /**
@@ -56,16 +56,17 @@
         overdueElsewhere += zone.overdueCount();
       }
     }
-    reportingMachines = reporting;
+    machineCount = reporting;
     fleetSize = scatteredReleases + reporting;
     overdueCount = overdue;
-    hasFewOverdue = overdueCount <= Math.max(SILENT_FEW_MACHINES, fleetSize * LOCAL_EVIDENCE_SHARE);
+    hasFewOverdueMachines =
+        overdueCount <= Math.max(SILENT_FEW_MACHINES, fleetSize * LOCAL_EVIDENCE_SHARE);
     boolean isolated =
         overdueCount > SILENT_FEW_MACHINES
             && overdueCount * 2 > fleetSize
             && unanswered > SILENT_FEW_MACHINES;
     isLocalEvidenceConclusive =
-        observesEnough()
+        hasSufficientVisibility()
             && !isolated
             && overdueElsewhere <= Math.max(SILENT_FEW_MACHINES, fleetSize * SILENT_FLEET_SHARE);
   }
@@ -80,8 +81,8 @@
   }
 
   /** Returns the number of machines that should send heartbeats. */
-  int reportingMachines() {
-    return reportingMachines;
+  int machineCount() {
+    return machineCount;
   }
 
   /** Returns the number of reporting machines plus recently released silent ones. */
@@ -94,12 +95,12 @@
   }
 
   /** Returns whether so few machines are overdue that the fault is attributed to them. */
-  boolean hasFewOverdue() {
-    return hasFewOverdue;
+  boolean hasFewOverdueMachines() {
+    return hasFewOverdueMachines;
   }
 
   /** Returns whether this leader observes enough of the fleet to judge the rest of it. */
-  boolean observesEnough() {
+  boolean hasSufficientVisibility() {
     return fleetSize - overdueCount >= fleetSize * LONE_OBSERVER_SHARE;
   }
 
@@ -118,9 +119,9 @@
       unanswered += zone.unansweredSeenCount();
       unansweredNew += zone.unansweredUnseenCount();
     }
-    boolean mostOverdue = overdue > SILENT_FEW_MACHINES && overdue * 2 > reportingMachines;
+    boolean mostOverdue = overdue > SILENT_FEW_MACHINES && overdue * 2 > machineCount;
     boolean isolated = mostOverdue && unanswered > SILENT_FEW_MACHINES;
     boolean inboundPartitioned = mostOverdue && (unanswered + unansweredNew) * 2 > overdue;
-    return new FleetVisibility(reportingMachines, overdue, isolated, inboundPartitioned);
+    return new FleetVisibility(machineCount, overdue, isolated, inboundPartitioned);
   }
 }
--- a/src/main/java/org/astershift/scheduler/FleetVisibility.java
+++ b/src/main/java/org/astershift/scheduler/FleetVisibility.java
@@ -12,4 +12,4 @@
  *     neither isolated nor inbound-partitioned, because it has not sent any command yet
  */
 record FleetVisibility(
-    int machineCount, int overdueCount, boolean isolated, boolean inboundPartitioned) {}
+    int machineCount, int overdueCount, boolean isIsolated, boolean isInboundPartitioned) {}
--- a/src/main/java/org/astershift/scheduler/FreeCapacity.java
+++ b/src/main/java/org/astershift/scheduler/FreeCapacity.java
@@ -11,7 +11,7 @@
   private double cpus;
   private double gpus;
   private double memoryGb;
-  private int tasks;
+  private int freeTaskSlots;
 
   FreeCapacity() {}
 
@@ -19,11 +19,11 @@
     this.cpus = cpus;
     this.gpus = gpus;
     this.memoryGb = memoryGb;
-    this.tasks = tasks;
+    this.freeTaskSlots = tasks;
   }
 
   final void add(FreeCapacity other) {
-    tasks += other.tasks;
+    freeTaskSlots += other.freeTaskSlots;
     cpus += other.cpus;
     gpus += other.gpus;
     memoryGb += other.memoryGb;
@@ -31,7 +31,7 @@
 
   /** Adds the capacity that is free on the machine and not reserved. */
   final void addFree(Machine machine) {
-    tasks += machine.freeTaskSlots();
+    freeTaskSlots += machine.freeTaskSlots();
     cpus += machine.freeCpus();
     gpus += machine.freeGpus();
     memoryGb += machine.freeMemoryGb();
@@ -39,7 +39,7 @@
 
   /** Adds the room of one task. */
   final void add(JobSpec spec) {
-    tasks++;
+    freeTaskSlots++;
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
@@ -50,19 +50,19 @@
     cpus -= spec.cpus();
     gpus -= spec.gpus();
     memoryGb -= spec.memoryGb();
-    tasks--;
+    freeTaskSlots--;
   }
 
   /** Returns whether one task fits. */
   final boolean hasRoomFor(JobSpec spec) {
-    return fits(spec, tasks, cpus, gpus, memoryGb);
+    return fits(spec, freeTaskSlots, cpus, gpus, memoryGb);
   }
 
   /** Returns whether one task fits into this capacity and what is free on the machine combined. */
-  final boolean hasRoomCombinedWith(Machine machine, JobSpec spec) {
+  final boolean hasRoomTogetherWith(Machine machine, JobSpec spec) {
     return fits(
         spec,
-        machine.freeTaskSlots() + tasks,
+        machine.freeTaskSlots() + freeTaskSlots,
         machine.freeCpus() + cpus,
         machine.freeGpus() + gpus,
         machine.freeMemoryGb() + memoryGb);
@@ -77,11 +77,11 @@
   }
 
   /** Returns how many such tasks fit, at most {@code limit}. */
-  final int fitCount(JobSpec spec, int limit) {
+  final int countFittingTasks(JobSpec spec, int limit) {
     if (!hasRoomFor(spec)) {
       return 0;
     }
-    double count = Math.min(limit, tasks);
+    double count = Math.min(limit, freeTaskSlots);
     count = spec.cpus() > 0 ? Math.min(count, (cpus + TOLERANCE) / spec.cpus()) : count;
     count = spec.gpus() > 0 ? Math.min(count, (gpus + TOLERANCE) / spec.gpus()) : count;
     count = spec.memoryGb() > 0 ? Math.min(count, (memoryGb + TOLERANCE) / spec.memoryGb()) : count;
--- a/src/main/java/org/astershift/scheduler/GangScheduler.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -54,7 +54,7 @@
    */
   private record Assignment(Map<Integer, Machine> machines, int imageHits, int domainRoom) {
     /** Prefers more image hits, and then the domain with less room left over. */
-    boolean betterThan(Assignment other) {
+    boolean isBetterThan(Assignment other) {
       return other == null
           || imageHits > other.imageHits
           || (imageHits == other.imageHits && domainRoom < other.domainRoom);
@@ -79,7 +79,7 @@
             && !roomReserved
             && !job.isSuspect()
             && isStarved(job, nowMs)
-            && isWithinTeamLimit(job)) {
+            && isWithinTeamQuota(job)) {
           roomReserved = reserveRoom(job, domains, nowMs);
         }
       }
@@ -90,12 +90,12 @@
    * Places the gangs of a starved group until it holds its minimum share; reserves room for the
    * first gang that lacks room.
    */
-  void placeStarved(ShareGroup group, List<Machine> usable, long nowMs) {
+  void placeStarved(MinimumShareGroup group, List<Machine> usable, long nowMs) {
     for (Job job : group.agedJobs()) {
       if (!group.isStarved()) {
         return;
       }
-      if (mayStart(job) && isWithinTeamLimit(job)) {
+      if (mayStart(job) && isWithinTeamQuota(job)) {
         int tasks = job.waitingCount();
         Map<String, PlacementDomain> domains = findPlacementDomains(job, usable, nowMs);
         if (place(job, domains.values(), nowMs)) {
@@ -109,7 +109,7 @@
 
   /** Places this gang if there is room for it now; reserves nothing. */
   void placeIfRoom(Job job, List<Machine> usable, long nowMs) {
-    if (mayStart(job) && isWithinTeamLimit(job)) {
+    if (mayStart(job) && isWithinTeamQuota(job)) {
       place(job, findPlacementDomains(job, usable, nowMs).values(), nowMs);
     }
   }
@@ -117,14 +117,14 @@
   private static boolean mayStart(Job job) {
     return job.spec.kind() == JobKind.GANG
         && !job.waitingTasks.isEmpty()
-        && !earlierAttemptRemains(job);
+        && !hasEarlierAttempt(job);
   }
 
   /**
    * Returns whether an earlier attempt of the gang is still held: it has to be gone from all
    * machines before the next attempt starts.
    */
-  private static boolean earlierAttemptRemains(Job job) {
+  private static boolean hasEarlierAttempt(Job job) {
     return !job.attempts.isEmpty() && (job.isGangAttemptClosed() || hasStoppingTask(job));
   }
 
@@ -147,7 +147,7 @@
     return nowMs - job.submittedMs >= objectiveS * 1000 * GANG_RESERVATION_OBJECTIVE_FACTOR;
   }
 
-  private boolean isWithinTeamLimit(Job job) {
+  private boolean isWithinTeamQuota(Job job) {
     return cluster.teamQuotaAllows(job, job.waitingCount());
   }
 
@@ -168,7 +168,7 @@
           domains.computeIfAbsent(
               job.spec.oneZone() ? machine.zone : "", zone -> new PlacementDomain());
       domain.taskCapacity += machine.type.capacity(job.spec);
-      int fittingTasks = machine.fitCount(job.spec, job.waitingCount());
+      int fittingTasks = machine.countFittingTasks(job.spec, job.waitingCount());
       if (fittingTasks > 0) {
         domain.freeMachines.add(machine);
         if (pastWaitingAge
@@ -187,7 +187,7 @@
    * them.
    */
   private boolean place(Job job, Collection<PlacementDomain> domains, long nowMs) {
-    Assignment best = bestAssignment(job, domains);
+    Assignment best = findBestAssignment(job, domains);
     if (best == null) {
       return false;
     }
@@ -206,12 +206,12 @@
     return true;
   }
 
-  private Assignment bestAssignment(Job job, Collection<PlacementDomain> domains) {
+  private Assignment findBestAssignment(Job job, Collection<PlacementDomain> domains) {
     Assignment best = null;
     for (PlacementDomain domain : domains) {
       if (domain.taskRoom >= job.waitingCount()) {
         Assignment assignment = assignTasks(job, domain);
-        if (assignment.machines().size() == job.waitingCount() && assignment.betterThan(best)) {
+        if (assignment.machines().size() == job.waitingCount() && assignment.isBetterThan(best)) {
           best = assignment;
         }
       }
@@ -231,7 +231,7 @@
     int imageHits = 0;
     int index = job.waitingTasks.nextSetBit(0);
     for (Machine machine : domain.candidates) {
-      int room = machine.fitCount(job.spec, job.waitingCount());
+      int room = machine.countFittingTasks(job.spec, job.waitingCount());
       for (int assignedHere = 0; assignedHere < room && index >= 0; assignedHere++) {
         if (!isWithinSpreadLimit(job, machine.zone, tasksByZone)
             || PlacementRules.hasAttemptOnMachine(machine, job, index)
@@ -258,7 +258,7 @@
    * even with all machines empty.
    */
   private static boolean reserveRoom(Job job, Map<String, PlacementDomain> domains, long nowMs) {
-    String zone = zoneToReserve(job, domains);
+    String zone = chooseZoneToReserve(job, domains);
     if (zone == null) {
       return false;
     }
@@ -271,7 +271,7 @@
       job.reservedZone = zone;
     }
     for (Machine machine : domains.get(zone).freeMachines) {
-      machine.reserve(job.spec, machine.fitCount(job.spec, job.waitingCount()));
+      machine.reserve(job.spec, machine.countFittingTasks(job.spec, job.waitingCount()));
       machine.idleSinceMs = nowMs;
     }
     return true;
@@ -281,7 +281,7 @@
    * Returns the zone reserved so far if it can still hold the gang, else the zone with the most
    * free machines among those that can; null if none can.
    */
-  private static String zoneToReserve(Job job, Map<String, PlacementDomain> domains) {
+  private static String chooseZoneToReserve(Job job, Map<String, PlacementDomain> domains) {
     String best = null;
     int bestFreeMachines = 0;
     for (Map.Entry<String, PlacementDomain> entry : domains.entrySet()) {
--- a/src/main/java/org/astershift/scheduler/HeartbeatHandler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatHandler.java
@@ -29,7 +29,7 @@
       return commandReconciler.stopsForEndedJobs(heartbeat); // delayed; the machine is gone
     }
     Machine machine = heartbeatReconciler.resolveSender(heartbeat, nowMs);
-    if (heartbeatReconciler.deposed()) {
+    if (heartbeatReconciler.isDeposed()) {
       return List.of();
     }
     MessageClassifier.Evidence evidence = classifier.classifyHeartbeat(machine, heartbeat);
@@ -61,9 +61,9 @@
         !machine.fenced
             && machine.messageOrder.hasHeartbeat()
             && heartbeat.fencingToken() < cluster.fencingToken;
-    machine.unfencedHeartbeats += unfenced ? 1 : 0;
+    machine.unfencedHeartbeatCount += unfenced ? 1 : 0;
     machine.messageOrder.onHeartbeat(heartbeat);
-    heartbeatReconciler.trackIncarnation(machine, heartbeat, false, nowMs);
+    heartbeatReconciler.recordIncarnation(machine, heartbeat, false, nowMs);
     heartbeatReconciler.recordContact(machine, heartbeat, nowMs);
     boolean previousAnswered = nowMs - machine.leaseFromMs < cluster.limits.leaseS() * 500;
     renewLease(machine, nowMs);
@@ -75,7 +75,7 @@
     if (machine.heldAttemptCount() < heldBefore && placement.hasWaitingGang(machine)) {
       cluster.requestPass();
     }
-    List<Command> commands = commandReconciler.heartbeatResponse(machine, nowMs);
+    List<Command> commands = commandReconciler.createHeartbeatResponse(machine, nowMs);
     if (!commands.isEmpty()) {
       machine.history.add(
           MachineEvent.withoutMessage(
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -12,7 +12,7 @@
   private final ClusterState cluster;
   private final TaskExitHandler exitHandler;
   private final AttemptAdoption adoption;
-  private boolean deposed;
+  private boolean isDeposed;
 
   HeartbeatReconciler(ClusterState cluster) {
     this.cluster = cluster;
@@ -21,8 +21,8 @@
   }
 
   /** Returns whether a worker sent a higher fencing token, so another leader has taken over. */
-  boolean deposed() {
-    return deposed;
+  boolean isDeposed() {
+    return isDeposed;
   }
 
   /**
@@ -32,7 +32,7 @@
    */
   Machine resolveSender(Heartbeat heartbeat, long nowMs) {
     if (heartbeat.fencingToken() > cluster.fencingToken) {
-      deposed = true;
+      isDeposed = true;
     }
     Machine machine = cluster.machines.get(heartbeat.machineName());
     if (machine == null) {
@@ -61,7 +61,7 @@
    *
    * @param directResponse whether the message answers direct commands of this leader
    */
-  void trackIncarnation(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
+  void recordIncarnation(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
     if (!machine.isNewestMessage(heartbeat)) {
       return;
     }
@@ -171,7 +171,7 @@
       if (attempt == null) {
         unknownTasks.add(status);
       } else {
-        attempt.lastShownSequence = heartbeat.sequence();
+        attempt.lastReportedSequence = heartbeat.sequence();
         updateAttempt(attempt, status, nowMs);
       }
     }
@@ -182,7 +182,7 @@
   private void dropAbsentAttempts(Machine machine, long sequence) {
     List<TaskAttempt> absentAttempts = new ArrayList<>(0);
     for (TaskAttempt attempt : machine.attempts.values()) {
-      if (attempt.phase != null && attempt.lastShownSequence != sequence) {
+      if (attempt.phase != null && attempt.lastReportedSequence != sequence) {
         absentAttempts.add(attempt);
       }
     }
@@ -199,7 +199,8 @@
       job.closeAttempt(attempt.attemptNumber);
     }
     if (attempt.phase == null) {
-      attempt.machine.consecutiveUnanswered = 0; // a command of this leader reached the machine
+      attempt.machine.consecutiveUnansweredCommands =
+          0; // a command of this leader reached the machine
     }
     if (status.phase() == Heartbeat.TaskPhase.EXITED) {
       exitHandler.onReportedExit(attempt, status, nowMs);
--- a/src/main/java/org/astershift/scheduler/IdleMachines.java
+++ b/src/main/java/org/astershift/scheduler/IdleMachines.java
@@ -32,7 +32,7 @@
   private final ClusterState cluster;
 
   /** Minimum number of idle machines over a sliding window, by machine type. */
-  private final Map<String, SlidingWindowMinimum> minimumIdle = new HashMap<>();
+  private final Map<String, SlidingWindowMinimum> minimumIdleByType = new HashMap<>();
 
   IdleMachines(ClusterState cluster) {
     this.cluster = cluster;
@@ -62,13 +62,13 @@
    *
    * <p>Has to be called at each plan, since it samples the number of idle machines.
    */
-  Set<Machine> surplus(long nowMs) {
+  Set<Machine> selectSurplus(long nowMs) {
     Map<String, List<Machine>> idleByType = new HashMap<>();
     double costAllowance = collectIdle(idleByType);
-    minimumIdle.keySet().retainAll(idleByType.keySet());
+    minimumIdleByType.keySet().retainAll(idleByType.keySet());
     List<Machine> surplus = new ArrayList<>();
     for (Map.Entry<String, List<Machine>> entry : idleByType.entrySet()) {
-      surplus.addAll(surplusOfType(entry.getKey(), entry.getValue(), nowMs));
+      surplus.addAll(selectSurplusOfType(entry.getKey(), entry.getValue(), nowMs));
     }
     surplus.sort(Comparator.comparingDouble(machine -> machine.type.hourlyPrice(machine.spot)));
     Set<Machine> releasable = new HashSet<>();
@@ -104,12 +104,12 @@
    * Returns the surplus machines of one type: on-demand machines before spot machines, and those
    * that have been idle for longest first.
    */
-  private List<Machine> surplusOfType(String typeName, List<Machine> idle, long nowMs) {
+  private List<Machine> selectSurplusOfType(String typeName, List<Machine> idle, long nowMs) {
     MachineType type = cluster.machineTypes.all().get(typeName);
     double replacementS = type.bootS() * IDLE_BOOT_FACTOR;
     long windowMs = (long) (1000 * Math.max(cluster.policy.idleReleaseS(), replacementS));
     int leastIdle =
-        minimumIdle
+        minimumIdleByType
             .computeIfAbsent(typeName, t -> new SlidingWindowMinimum())
             .add(idle.size(), nowMs, windowMs);
     idle.sort(
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -31,7 +31,7 @@
 
   private final long fencingToken;
   private long leaseCertainUntilMs = Long.MAX_VALUE;
-  private long lastCertainMs = Long.MIN_VALUE;
+  private long updateLastCertainTime = Long.MIN_VALUE;
 
   IncarnationTracker(long fencingToken) {
     this.fencingToken = fencingToken;
@@ -55,13 +55,14 @@
    * command.
    */
   boolean isUsable(Machine machine, long nowMs) {
-    return !isLeaseUncertain(nowMs) || machine.incarnation.hadMessageBy(lastCertainMs(nowMs));
+    return !isLeaseUncertain(nowMs)
+        || machine.incarnation.hadMessageBy(updateLastCertainTime(nowMs));
   }
 
   /** Updates and returns the latest known time at which no other node can have led. */
-  private long lastCertainMs(long nowMs) {
-    lastCertainMs = Math.max(lastCertainMs, Math.min(nowMs, leaseCertainUntilMs));
-    return lastCertainMs;
+  private long updateLastCertainTime(long nowMs) {
+    updateLastCertainTime = Math.max(updateLastCertainTime, Math.min(nowMs, leaseCertainUntilMs));
+    return updateLastCertainTime;
   }
 
   /**
@@ -75,8 +76,8 @@
       Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
     boolean noUnansweredCommand =
         !directResponse
-            && !machine.directCommands.inFlight()
-            && !machine.directCommands.anyUnconfirmed();
+            && !machine.directCommands.isInFlight()
+            && !machine.directCommands.hasUnconfirmedCommand();
     return (noUnansweredCommand && machine.fenced && heartbeat.fencingToken() == fencingToken)
         || isProvenSameIncarnation(machine, heartbeat, nowMs);
   }
@@ -120,7 +121,7 @@
   void onMessage(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
     boolean first = !machine.incarnation.isKnown();
     machine.incarnation.onMessage(nowMs);
-    lastCertainMs(nowMs);
+    updateLastCertainTime(nowMs);
     if (directResponse) {
       machine.incarnation.confirmExistence(
           machine.directCommands.lastSentMs()); // it answered after that time
--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -81,7 +81,7 @@
   Set<String> backfillTypes = Set.of();
 
   /** The group whose minimum share the job counts for; set when the job is added. */
-  ShareGroup shareGroup;
+  MinimumShareGroup minimumShareGroup;
 
   /** The machine on which room is reserved for one of the job's tasks; null if there is none. */
   Machine reservedMachine;
@@ -152,7 +152,7 @@
     this.spec = spec;
     this.submittedMs = submittedMs;
     this.startObjectiveS = objectives.startS();
-    this.hasObjective = objectives.anyObjective();
+    this.hasObjective = objectives.hasAnyObjective();
     this.deadlines = new JobDeadlines(spec, submittedMs, objectives);
     this.opened = opened;
     this.doneTasks = doneTasks;
@@ -184,14 +184,14 @@
   }
 
   /** Returns whether a task of the job may still start without a further command. */
-  boolean mayStart() {
+  boolean mayStillStart() {
     for (TaskAttempt attempt : attempts.values()) {
-      if (attempt.mayStart()) {
+      if (attempt.mayStillStart()) {
         return true;
       }
     }
     for (TaskAttempt attempt : duplicateAttempts) {
-      if (attempt.mayStart()) {
+      if (attempt.mayStillStart()) {
         return true;
       }
     }
@@ -204,7 +204,7 @@
   }
 
   /** Returns whether the job failed so recently on the machine that it avoids this machine. */
-  boolean avoids(Machine machine, long nowMs) {
+  boolean shouldAvoid(Machine machine, long nowMs) {
     Long failedMs = lastFailureMsByMachine.get(machine.name);
     return failedMs != null && !isSuspect() && nowMs - failedMs < FAILED_MACHINE_AVOID_MS;
   }
--- a/src/main/java/org/astershift/scheduler/JobCancellation.java
+++ b/src/main/java/org/astershift/scheduler/JobCancellation.java
@@ -17,7 +17,7 @@
       job.cancellationRequested = true;
       for (TaskAttempt attempt : job.attempts.values()) {
         attempt.cancelGracePeriod();
-        cluster.commandsPending.add(attempt.machine);
+        cluster.machinesWithPendingCommands.add(attempt.machine);
       }
       cluster.requestPass();
     }
--- a/src/main/java/org/astershift/scheduler/JobOutcome.java
+++ b/src/main/java/org/astershift/scheduler/JobOutcome.java
@@ -5,8 +5,8 @@
   /** Processors or accelerators of all tasks of the job, whichever are more. */
   private final double size;
 
-  private boolean started;
-  private boolean finished;
+  private boolean hasStarted;
+  private boolean hasFinished;
 
   JobOutcome(double size) {
     this.size = size;
@@ -16,20 +16,20 @@
     return size;
   }
 
-  boolean started() {
-    return started;
+  boolean hasStarted() {
+    return hasStarted;
   }
 
-  boolean finished() {
-    return finished;
+  boolean hasFinished() {
+    return hasFinished;
   }
 
   /** Records that a task of the job runs. */
   void onStarted() {
-    started = true;
+    hasStarted = true;
   }
 
   void onEnded(boolean cancelled) {
-    finished = !cancelled;
+    hasFinished = !cancelled;
   }
 }
--- a/src/main/java/org/astershift/scheduler/LogSummary.java
+++ b/src/main/java/org/astershift/scheduler/LogSummary.java
@@ -16,7 +16,7 @@
   }
 
   /** Returns jobs, machines, utilization, commands in flight and cost. */
-  String clusterLine() {
+  String clusterSummary() {
     int liveMachines = 0;
     int bootingMachines = 0;
     int waitingTasks = 0;
@@ -45,7 +45,7 @@
   }
 
   /** Returns the service of each class and team; warns about jobs that have not started. */
-  String serviceLine(long nowMs) {
+  String serviceSummary(long nowMs) {
     // Tasks that run on unreconciled machines seem to wait.
     if (!cluster.hasUnreconciledMachines()) {
       cluster.serviceStatistics.warnAboutUnstartedJobs(
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -48,7 +48,7 @@
   boolean inherited;
 
   /** Number of held attempts of jobs that this leader does not manage. */
-  private int orphanedAttempts;
+  private int orphanedAttemptCount;
 
   long epoch;
   long sequence;
@@ -71,7 +71,7 @@
   final DirectCommandState directCommands = new DirectCommandState();
 
   /** Number of consecutive direct commands without an answer or other proof of their receipt. */
-  int consecutiveUnanswered;
+  int consecutiveUnansweredCommands;
 
   /** Time from which the machine may hold unknown tasks: the term's start or its own restart. */
   long unreconciledSinceMs;
@@ -80,7 +80,7 @@
   long firstMessageMs = -1;
 
   /** Number of heartbeats without this leader's token after one was answered with the token. */
-  int unfencedHeartbeats;
+  int unfencedHeartbeatCount;
 
   final MessageOrder messageOrder = new MessageOrder();
 
@@ -129,13 +129,13 @@
   final Map<TaskAttempt.Key, TaskAttempt> attempts = new LinkedHashMap<>();
 
   /** Within a pass: capacity reserved for waiting tasks. */
-  private Reservation reserved = Reservation.NONE;
+  private Reservation hasReservation = Reservation.NONE;
 
   /** Within a pass: work that can be preempted here; null if not computed or outdated. */
   PreemptibleWork preemptible;
 
   /** Within a pass: number of tasks placed on this machine. */
-  int placedInPass;
+  int tasksPlacedInPass;
 
   private final ImageCache images = new ImageCache();
   private final MachineResources resources = new MachineResources();
@@ -170,14 +170,14 @@
 
   /** Returns whether direct commands do not reach the machine, though its heartbeats arrive. */
   boolean isInboundPartitioned() {
-    return consecutiveUnanswered >= INBOUND_PARTITION_TRIES;
+    return consecutiveUnansweredCommands >= INBOUND_PARTITION_TRIES;
   }
 
   /** Returns whether an unreconciled machine is inbound-partitioned and sends an earlier token. */
   boolean isInboundPartitionedUnreconciled() {
     return state == State.UNRECONCILED
         && isInboundPartitioned()
-        && unfencedHeartbeats >= INBOUND_PARTITION_TRIES;
+        && unfencedHeartbeatCount >= INBOUND_PARTITION_TRIES;
   }
 
   /**
@@ -201,7 +201,7 @@
     sequence = 0;
     messageOrder.reset();
     firstMessageMs = -1;
-    unfencedHeartbeats = 0;
+    unfencedHeartbeatCount = 0;
     fenced = false;
     inherited = true;
     registered = false;
@@ -272,12 +272,12 @@
 
   /** Returns whether the machine may hold tasks whose usage is unknown to this leader. */
   boolean mayHoldUnobservedUsage() {
-    return (inherited && !fenced) || orphanedAttempts > 0;
+    return (inherited && !fenced) || orphanedAttemptCount > 0;
   }
 
   /** Changes the number of held attempts of jobs that this leader does not manage. */
   void addOrphanedAttempts(int delta) {
-    orphanedAttempts += delta;
+    orphanedAttemptCount += delta;
   }
 
   /**
@@ -285,8 +285,8 @@
    * its tasks use none of them and fit other types, so that backfill does not retain the machine.
    */
   boolean isIdle() {
-    if (!hasAttempts() || type == null || type.gpus() == 0 || usedGpus() > TOLERANCE) {
-      return !hasAttempts();
+    if (!hasHeldAttempts() || type == null || type.gpus() == 0 || usedGpus() > TOLERANCE) {
+      return !hasHeldAttempts();
     }
     for (TaskAttempt attempt : attempts.values()) {
       if (!attempt.isExited() && attempt.job.usableTypes.contains(typeName)) {
@@ -310,7 +310,7 @@
   }
 
   /** Returns how many more tasks of the job fit, up to {@code limit}. */
-  int fitCount(JobSpec spec, int limit) {
+  int countFittingTasks(JobSpec spec, int limit) {
     if (!fits(spec)) {
       return 0;
     }
@@ -330,43 +330,43 @@
   /** Clears the reservation and returns it, to be restored by {@link #reserve(Reservation)}. */
   Reservation clearReservation() {
     preemptible = null;
-    Reservation previous = reserved;
-    reserved = Reservation.NONE;
+    Reservation previous = hasReservation;
+    hasReservation = Reservation.NONE;
     return previous;
   }
 
-  boolean reserved() {
-    return reserved.tasks() > 0;
+  boolean hasReservation() {
+    return hasReservation.tasks() > 0;
   }
 
   double freeCpus() {
-    return type.cpus() - usedCpus() - reserved.cpus();
+    return type.cpus() - usedCpus() - hasReservation.cpus();
   }
 
   double freeGpus() {
-    return type.gpus() - usedGpus() - reserved.gpus();
+    return type.gpus() - usedGpus() - hasReservation.gpus();
   }
 
   double freeMemoryGb() {
-    return type.memoryGb() - usedMemoryGb() - reserved.memoryGb();
+    return type.memoryGb() - usedMemoryGb() - hasReservation.memoryGb();
   }
 
   /** Returns how many more tasks the machine's heartbeats can report. */
   int freeTaskSlots() {
-    return MachineType.MAX_TASKS_PER_MACHINE - attempts.size() - reserved.tasks();
+    return MachineType.MAX_TASKS_PER_MACHINE - attempts.size() - hasReservation.tasks();
   }
 
   /** Reserves capacity for this many more tasks of the job until the next pass. */
   void reserve(JobSpec spec, int tasks) {
-    reserved = reserved.plus(spec, tasks);
+    hasReservation = hasReservation.plus(spec, tasks);
   }
 
   /** Replaces the reservation until the next pass. */
   void reserve(Reservation reservation) {
-    reserved = reservation;
+    hasReservation = reservation;
   }
 
-  boolean hasAttempts() {
+  boolean hasHeldAttempts() {
     return resources.heldAttemptCount() > 0;
   }
 
--- a/src/main/java/org/astershift/scheduler/MachineEvent.java
+++ b/src/main/java/org/astershift/scheduler/MachineEvent.java
@@ -59,7 +59,7 @@
   }
 
   /** Formats the event for the log, with its age as of {@code nowMs}. */
-  String describe(long nowMs) {
+  String format(long nowMs) {
     return kind
         + (evidence == null ? "" : " " + evidence)
         + " epoch="
--- a/src/main/java/org/astershift/scheduler/MachineHistory.java
+++ b/src/main/java/org/astershift/scheduler/MachineHistory.java
@@ -24,10 +24,10 @@
   }
 
   /** Formats the kept events for the log, oldest first, with their ages as of {@code nowMs}. */
-  String describe(long nowMs) {
+  String formatEvents(long nowMs) {
     StringJoiner joined = new StringJoiner("; ", "[", "]");
     for (MachineEvent event : events) {
-      joined.add(event.describe(nowMs));
+      joined.add(event.format(nowMs));
     }
     return joined.toString();
   }
--- a/src/main/java/org/astershift/scheduler/MessageClassifier.java
+++ b/src/main/java/org/astershift/scheduler/MessageClassifier.java
@@ -80,7 +80,7 @@
     if (!isOvertaken(machine, answer)) {
       return Evidence.RESTARTED;
     }
-    if (!machine.directCommands.precedes(answer)) {
+    if (!machine.directCommands.isNewerThanWhenSent(answer)) {
       // Only suspected: a newer message may already report tasks started on a new incarnation.
       suspectRestart(machine);
     }
@@ -100,7 +100,7 @@
    */
   static boolean isOvertaken(Machine machine, Heartbeat answer) {
     return !machine.isNewestMessage(answer)
-        && !machine.directCommands.nothingHandledSinceSent(machine);
+        && !machine.directCommands.isPositionUnchangedSinceSent(machine);
   }
 
   /** Returns whether the heartbeat is of a later epoch than the one in which tasks are held. */
@@ -108,7 +108,7 @@
     return machine.fenced
         && machine.epoch > 0
         && heartbeat.epoch() > machine.epoch
-        && machine.hasAttempts();
+        && machine.hasHeldAttempts();
   }
 
   /**
--- a/src/main/java/org/astershift/scheduler/MessageOrder.java
+++ b/src/main/java/org/astershift/scheduler/MessageOrder.java
@@ -3,7 +3,7 @@
 /** Tracks the order of the messages of a machine's current incarnation. */
 final class MessageOrder {
   private MessagePosition lastHeartbeat = MessagePosition.NONE;
-  private MessagePosition fencedFrom = MessagePosition.NONE;
+  private MessagePosition firstFencedMessage = MessagePosition.NONE;
 
   /** Records the newest heartbeat; the response to it may have renewed the machine's lease. */
   void onHeartbeat(Heartbeat heartbeat) {
@@ -12,7 +12,7 @@
 
   /** Records the first known message that carries this leader's fencing token. */
   void onFenced(Heartbeat message) {
-    fencedFrom = MessagePosition.of(message);
+    firstFencedMessage = MessagePosition.of(message);
   }
 
   /** Returns whether any heartbeat has been recorded since the last reset. */
@@ -30,12 +30,12 @@
    * lower token in such a message does not indicate another incarnation.
    */
   boolean precedesFence(Heartbeat message) {
-    return fencedFrom.follows(message);
+    return firstFencedMessage.follows(message);
   }
 
   /** Clears the recorded positions, after a restart of the machine. */
   void reset() {
     lastHeartbeat = MessagePosition.NONE;
-    fencedFrom = MessagePosition.NONE;
+    firstFencedMessage = MessagePosition.NONE;
   }
 }
--- a/src/main/java/org/astershift/scheduler/MinimumShare.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShare.java
@@ -11,13 +11,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves each job class of each team (a {@link ShareGroup}) a minimum share, whatever its priority.
- * Priorities are served one after the other, so without the minimum a long burst of urgent work
- * would starve the lower priorities for as long as it lasts. A group is starved if its jobs wait
- * beyond an age, too many of them compared with those finished, while the group holds less than a
- * small share of the machines that it can use. A starved group is served before all priorities but
- * the first, the oldest job first, until it holds that share; and only the first priority preempts
- * what it holds up to that share.
+ * Serves each job class of each team (a {@link MinimumShareGroup}) a minimum share, whatever its
+ * priority. Priorities are served one after the other, so without the minimum a long burst of
+ * urgent work would starve the lower priorities for as long as it lasts. A group is starved if its
+ * jobs wait beyond an age, too many of them compared with those finished, while the group holds
+ * less than a small share of the machines that it can use. A starved group is served before all
+ * priorities but the first, the oldest job first, until it holds that share; and only the first
+ * priority preempts what it holds up to that share.
  */
 final class MinimumShare {
   private static final Logger LOG = LoggerFactory.getLogger(MinimumShare.class);
@@ -47,22 +47,22 @@
   private static final double PROTECTION_FACTOR = 1.5;
 
   private final ClusterState cluster;
-  private final Map<String, ShareGroup> groups = new HashMap<>();
-  private final Map<String, Set<ShareGroup>> groupsByClass = new HashMap<>();
-  private final List<ShareGroup> starvedGroups = new ArrayList<>();
+  private final Map<String, MinimumShareGroup> groups = new HashMap<>();
+  private final Map<String, Set<MinimumShareGroup>> groupsByClass = new HashMap<>();
+  private final List<MinimumShareGroup> starvedGroups = new ArrayList<>();
 
   MinimumShare(ClusterState cluster) {
     this.cluster = cluster;
   }
 
   /** Returns the group that a new job belongs to; creates the group if necessary. */
-  ShareGroup groupOf(JobSpec spec) {
+  MinimumShareGroup groupOf(JobSpec spec) {
     boolean accelerated = spec.gpus() > 0;
     String suffix = accelerated ? " (accelerated)" : "";
     return groups.computeIfAbsent(
         spec.jobClass() + " of " + spec.team() + suffix,
         name ->
-            new ShareGroup(
+            new MinimumShareGroup(
                 name,
                 groupsByClass.computeIfAbsent(spec.jobClass() + suffix, key -> new HashSet<>()),
                 accelerated));
@@ -91,51 +91,51 @@
    * Returns whether the job's tasks belong to its group's minimum share, which is not preempted.
    */
   static boolean isProtected(Job job, long nowMs) {
-    ShareGroup group = job.shareGroup;
+    MinimumShareGroup group = job.minimumShareGroup;
     return group != null
-        && group.held() <= group.minimum() * PROTECTION_FACTOR
+        && group.heldAmount() <= group.minimumAmount() * PROTECTION_FACTOR
         && isPastServiceAge(job, nowMs);
   }
 
   /** Recomputes all groups; {@code startable} are the jobs with tasks that may be placed now. */
   void refresh(List<Job> startable, long nowMs) {
     starvedGroups.clear();
-    for (ShareGroup group : groups.values()) {
-      group.clear();
+    for (MinimumShareGroup group : groups.values()) {
+      group.reset();
     }
     addWaitingJobs(startable, nowMs);
     int groupsToServe = 0;
-    for (ShareGroup group : groups.values()) {
+    for (MinimumShareGroup group : groups.values()) {
       group.selectJobsToServe();
       groupsToServe += group.needsService() ? 1 : 0;
     }
     for (Job job : cluster.jobs.values()) {
-      job.shareGroup.addLiveJob(job);
+      job.minimumShareGroup.addLiveJob(job);
     }
-    findStarved(groupsToServe, nowMs);
+    findStarvedGroups(groupsToServe, nowMs);
   }
 
   private static void addWaitingJobs(List<Job> startable, long nowMs) {
     for (Job job : startable) {
       if (!job.isSuspect() && isPastServiceAge(job, nowMs)) {
-        job.shareGroup.addAgedJob(job);
+        job.minimumShareGroup.addAgedJob(job);
       }
       if (!job.isSuspect() && isOverdue(job, nowMs)) {
-        job.shareGroup.addOverdueJob(job);
+        job.minimumShareGroup.addOverdueJob(job);
       }
     }
   }
 
-  private void findStarved(int groupsToServe, long nowMs) {
+  private void findStarvedGroups(int groupsToServe, long nowMs) {
     double classShare = Math.min(SHARE_PER_CLASS, SHARE_ALL_CLASSES / Math.max(1, groupsToServe));
-    for (ShareGroup group : groups.values()) {
+    for (MinimumShareGroup group : groups.values()) {
       // All teams of a class share one minimum. With a minimum for each team, classes that are
       // served well in total would have late jobs served before jobs that can still be on time.
       group.setClassMinimum(
           classShare
-              * (group.accelerated
-                  ? cluster.utilization.accelerators()
-                  : cluster.utilization.processors()));
+              * (group.needsAccelerators
+                  ? cluster.utilization.liveGpus()
+                  : cluster.utilization.liveCpus()));
       if (group.isStarved()) {
         group.agedJobs().sort(Comparator.comparingLong(job -> job.submittedMs));
         starvedGroups.add(group);
@@ -143,30 +143,31 @@
       logStarvation(group, nowMs);
     }
     starvedGroups.sort(
-        Comparator.comparingDouble((ShareGroup group) -> group.held() / group.minimum()));
+        Comparator.comparingDouble(
+            (MinimumShareGroup group) -> group.heldAmount() / group.minimumAmount()));
   }
 
-  private static void logStarvation(ShareGroup group, long nowMs) {
+  private static void logStarvation(MinimumShareGroup group, long nowMs) {
     boolean starved = group.isStarved();
     if (starved && !group.starvationLogged) {
       LOG.info(
           "serving starved group first: group=\"{}\" waiting_s={} held={} minimum={} unit={}",
           group.name,
           (nowMs - group.agedJobs().get(0).submittedMs) / 1000,
-          Math.round(group.held()),
-          Math.round(group.minimum()),
-          group.accelerated ? "accelerators" : "processors");
+          Math.round(group.heldAmount()),
+          Math.round(group.minimumAmount()),
+          group.needsAccelerators ? "accelerators" : "processors");
     }
     group.starvationLogged = starved || (group.starvationLogged && !group.agedJobs().isEmpty());
   }
 
   /** Counts a finished job for its group. */
   static void onJobFinished(Job job) {
-    job.shareGroup.onJobFinished();
+    job.minimumShareGroup.onJobFinished();
   }
 
   /** Returns the starved groups, those that hold the least of their minimum first. */
-  List<ShareGroup> starvedGroups() {
+  List<MinimumShareGroup> starvedGroups() {
     return starvedGroups;
   }
 }
--- a/src/main/java/org/astershift/scheduler/ShareGroup.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShareGroup.java
@@ -9,7 +9,7 @@
  * that they hold and the minimum share that they should hold. {@link MinimumShare} refreshes the
  * group once a pass. Amounts are processors, or accelerators for a group that needs these.
  */
-final class ShareGroup {
+final class MinimumShareGroup {
   /** Aged jobs per finished job above which the group counts as underserved. */
   private static final double AGED_JOBS_PER_FINISHED_JOB = 0.5;
 
@@ -19,9 +19,9 @@
   /**
    * All groups of the same class, including this one: they divide the minimum share of the class.
    */
-  private final Set<ShareGroup> classGroups;
+  private final Set<MinimumShareGroup> classGroups;
 
-  final boolean accelerated;
+  final boolean needsAccelerators;
 
   /** Whether the team has live jobs of the class. */
   private boolean hasLiveJobs;
@@ -38,32 +38,32 @@
   private double heldByOverdueJobs;
 
   /** Number of jobs finished in this leader's term. */
-  private int finishedJobs;
+  private int finishedJobCount;
 
-  private double held;
-  private double minimum;
+  private double heldAmount;
+  private double minimumAmount;
 
   /** Within a pass: the part of its shortfall that the group may still take. */
-  private double allowance;
+  private double remainingAllowance;
 
   /** Whether the starvation was logged, and the aged jobs have not all been served since. */
   boolean starvationLogged;
 
-  ShareGroup(String name, Set<ShareGroup> classGroups, boolean accelerated) {
+  MinimumShareGroup(String name, Set<MinimumShareGroup> classGroups, boolean accelerated) {
     this.name = name;
     this.classGroups = classGroups;
     classGroups.add(this);
-    this.accelerated = accelerated;
+    this.needsAccelerators = accelerated;
   }
 
   /** Clears the results of the last refresh. */
-  void clear() {
+  void reset() {
     agedJobs.clear();
     overdueJobs.clear();
     heldByOverdueJobs = 0;
-    held = 0;
+    heldAmount = 0;
     hasLiveJobs = false;
-    allowance = 0;
+    remainingAllowance = 0;
   }
 
   void addAgedJob(Job job) {
@@ -72,12 +72,12 @@
 
   void addOverdueJob(Job job) {
     overdueJobs.add(job);
-    heldByOverdueJobs += heldBy(job);
+    heldByOverdueJobs += amountHeldBy(job);
   }
 
   void addLiveJob(Job job) {
     hasLiveJobs = true;
-    held += heldBy(job);
+    heldAmount += amountHeldBy(job);
   }
 
   /** Limits the jobs that are served first to the overdue ones if the group is not underserved. */
@@ -93,8 +93,8 @@
    * whole class.
    */
   void setClassMinimum(double classMinimum) {
-    minimum = classMinimum / presentGroupCount();
-    allowance = shortfall();
+    minimumAmount = classMinimum / liveGroupCount();
+    remainingAllowance = shortfall();
   }
 
   /** Returns the jobs to serve first while the group is starved. */
@@ -104,24 +104,24 @@
 
   /** Returns whether the group may take more now, ahead of jobs of all priorities but the first. */
   boolean isStarved() {
-    return allowance > 0;
+    return remainingAllowance > 0;
   }
 
   /** Deducts placed tasks of the job from what the group may still take. */
   void onPlaced(Job job, int tasks) {
-    allowance -= tasks * amountPerTask(job);
+    remainingAllowance -= tasks * amountPerTask(job);
   }
 
   void onJobFinished() {
-    finishedJobs++;
+    finishedJobCount++;
   }
 
-  double held() {
-    return held;
+  double heldAmount() {
+    return heldAmount;
   }
 
-  double minimum() {
-    return minimum;
+  double minimumAmount() {
+    return minimumAmount;
   }
 
   boolean needsService() {
@@ -134,7 +134,7 @@
    * underserved.
    */
   private boolean isUnderserved() {
-    return agedJobs.size() > finishedJobs * AGED_JOBS_PER_FINISHED_JOB;
+    return agedJobs.size() > finishedJobCount * AGED_JOBS_PER_FINISHED_JOB;
   }
 
   /**
@@ -143,24 +143,24 @@
    */
   private double shortfall() {
     if (isUnderserved()) {
-      return Math.max(0, minimum - held);
+      return Math.max(0, minimumAmount - heldAmount);
     }
-    return Math.max(0, overdueJobs.isEmpty() ? 0 : minimum - heldByOverdueJobs);
+    return Math.max(0, overdueJobs.isEmpty() ? 0 : minimumAmount - heldByOverdueJobs);
   }
 
-  private int presentGroupCount() {
+  private int liveGroupCount() {
     int presentGroups = 0;
-    for (ShareGroup group : classGroups) {
+    for (MinimumShareGroup group : classGroups) {
       presentGroups += group.hasLiveJobs ? 1 : 0;
     }
     return Math.max(1, presentGroups);
   }
 
-  private double heldBy(Job job) {
+  private double amountHeldBy(Job job) {
     return job.attempts.size() * amountPerTask(job);
   }
 
   private double amountPerTask(Job job) {
-    return accelerated ? job.spec.gpus() : job.spec.cpus();
+    return needsAccelerators ? job.spec.gpus() : job.spec.cpus();
   }
 }
--- a/src/main/java/org/astershift/scheduler/PeerProber.java
+++ b/src/main/java/org/astershift/scheduler/PeerProber.java
@@ -64,10 +64,10 @@
    * available by the time the machines may be released. A sample of each zone comes first; it is
    * sufficient if the whole zone is partitioned.
    */
-  Decision.ProbeThroughPeers nextProbe(FleetAssessment fleet, long nowMs) {
+  Decision.ProbeThroughPeers startProbe(FleetAssessment fleet, long nowMs) {
     // A leader that sees hardly any of its fleet releases nothing, regardless of its peers'
     // results.
-    if (probeInFlight || !(fleet.hasFewOverdue() || fleet.observesEnough())) {
+    if (probeInFlight || !(fleet.hasFewOverdueMachines() || fleet.hasSufficientVisibility())) {
       return null;
     }
     List<Machine> suspects = selectSuspects(fleet, nowMs);
@@ -87,7 +87,7 @@
     List<Machine> remaining = new ArrayList<>();
     for (Machine machine : cluster.allMachines()) {
       if (machine.address == null
-          || !isSuspect(machine, fleet.hasFewOverdue(), nowMs)
+          || !isSuspect(machine, fleet.hasFewOverdueMachines(), nowMs)
           || hasCurrentResults(machine, nowMs)) {
         continue;
       }
@@ -144,7 +144,7 @@
                 || cluster.heartbeatTiming.isHeartbeatOverdue(machine, nowMs));
     // A control that answers no commands would make every peer look partitioned.
     controls.sort(
-        Comparator.comparing((Machine machine) -> machine.consecutiveUnanswered > 0)
+        Comparator.comparing((Machine machine) -> machine.consecutiveUnansweredCommands > 0)
             .thenComparingLong(machine -> -machine.lastMessageMs));
     return controls;
   }
--- a/src/main/java/org/astershift/scheduler/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -15,16 +15,20 @@
  * thread-safe: runs under the lock of the {@link Scheduler}'s caller.
  */
 final class Placement {
-  private static final FillStep[] ALL_STEPS = {FillStep.CACHED, FillStep.FETCHING, FillStep.ANY};
-  private static final FillStep[] ALL_STEPS_SPREADING = {
-    FillStep.CACHED_SPREADING, FillStep.FETCHING_SPREADING, FillStep.ANY_SPREADING
+  private static final PlacementStep[] ALL_STEPS = {
+    PlacementStep.IMAGE_CACHED, PlacementStep.IMAGE_FETCHING, PlacementStep.IMAGE_ABSENT
+  };
+  private static final PlacementStep[] ALL_STEPS_SPREADING = {
+    PlacementStep.IMAGE_CACHED_SPREADING,
+    PlacementStep.IMAGE_FETCHING_SPREADING,
+    PlacementStep.IMAGE_ABSENT_SPREADING
   };
 
   private final ClusterState cluster;
   private final WaitQueue queue;
   private final PlacementRules rules;
   private final DeferralTracker deferrals = new DeferralTracker();
-  private final MachineFiller filler;
+  private final TaskPlacer taskPlacer;
   private final GangScheduler gangs;
   private final Preemption preemption;
 
@@ -32,7 +36,7 @@
     this.cluster = cluster;
     this.queue = new WaitQueue(cluster);
     this.rules = new PlacementRules(cluster);
-    this.filler = new MachineFiller(cluster, queue, rules, deferrals);
+    this.taskPlacer = new TaskPlacer(cluster, queue, rules, deferrals);
     this.gangs = new GangScheduler(cluster, rules);
     this.preemption = new Preemption(cluster);
   }
@@ -49,9 +53,9 @@
   }
 
   private void placeWindow(long nowMs) {
-    List<Machine> usable = preparedUsableMachines(nowMs);
+    List<Machine> usable = prepareUsableMachines(nowMs);
     for (Priority priority : Priority.values()) {
-      placeTier(queue.tier(priority), usable, nowMs);
+      placeJobs(queue.jobsWithPriority(priority), usable, nowMs);
       if (priority == Priority.PRODUCTION) {
         cluster.minimumShare.starvedGroups().forEach(group -> placeStarved(group, usable, nowMs));
       }
@@ -59,11 +63,11 @@
     placeInReservedRoom(usable, nowMs);
   }
 
-  private List<Machine> preparedUsableMachines(long nowMs) {
+  private List<Machine> prepareUsableMachines(long nowMs) {
     List<Machine> usable = new ArrayList<>();
     for (Machine machine : cluster.allMachines()) {
       machine.clearReservation();
-      machine.placedInPass = 0;
+      machine.tasksPlacedInPass = 0;
       if (cluster.isUsable(machine, nowMs)) {
         usable.add(machine);
       }
@@ -71,21 +75,22 @@
     return usable;
   }
 
-  private void placeTier(List<Job> jobs, List<Machine> usable, long nowMs) {
+  private void placeJobs(List<Job> jobs, List<Machine> usable, long nowMs) {
     if (jobs.isEmpty()) {
       return;
     }
     gangs.place(jobs, usable, nowMs);
-    List<Job> nonGangJobs = nonGangJobs(jobs);
+    List<Job> nonGangJobs = selectNonGangJobs(jobs);
     if (nonGangJobs.isEmpty()) {
       return;
     }
-    List<Machine> candidates = machinesWithRoom(usable, nonGangJobs);
-    filler.fillAll(candidates, nonGangJobs, FillStep.CACHED_SPREADING, null, nowMs);
-    filler.fillAll(candidates, nonGangJobs, FillStep.CACHED, null, nowMs);
+    List<Machine> candidates = selectMachinesWithRoom(usable, nonGangJobs);
+    taskPlacer.offerMachines(
+        candidates, nonGangJobs, PlacementStep.IMAGE_CACHED_SPREADING, null, nowMs);
+    taskPlacer.offerMachines(candidates, nonGangJobs, PlacementStep.IMAGE_CACHED, null, nowMs);
     preemption.makeRoom(nonGangJobs, usable, true, nowMs);
-    filler.fillAll(candidates, nonGangJobs, FillStep.FETCHING, null, nowMs);
-    filler.fillAll(candidates, nonGangJobs, FillStep.ANY, null, nowMs);
+    taskPlacer.offerMachines(candidates, nonGangJobs, PlacementStep.IMAGE_FETCHING, null, nowMs);
+    taskPlacer.offerMachines(candidates, nonGangJobs, PlacementStep.IMAGE_ABSENT, null, nowMs);
     preemption.makeRoom(nonGangJobs, usable, false, nowMs);
   }
 
@@ -93,15 +98,15 @@
    * Serves the oldest jobs of a starved group until it holds its minimum share, and reserves room
    * for one of them if the group still holds less.
    */
-  private void placeStarved(ShareGroup group, List<Machine> usable, long nowMs) {
+  private void placeStarved(MinimumShareGroup group, List<Machine> usable, long nowMs) {
     gangs.placeStarved(group, usable, nowMs);
-    List<Job> nonGangJobs = nonGangJobs(group.agedJobs());
+    List<Job> nonGangJobs = selectNonGangJobs(group.agedJobs());
     if (nonGangJobs.isEmpty() || !group.isStarved()) {
       return;
     }
-    List<Machine> candidates = machinesWithRoom(usable, nonGangJobs);
-    for (FillStep step : ALL_STEPS) {
-      filler.fillAll(candidates, nonGangJobs, step, group, nowMs);
+    List<Machine> candidates = selectMachinesWithRoom(usable, nonGangJobs);
+    for (PlacementStep step : ALL_STEPS) {
+      taskPlacer.offerMachines(candidates, nonGangJobs, step, group, nowMs);
     }
     if (group.isStarved()) {
       reserveRoom(nonGangJobs, usable, nowMs);
@@ -115,7 +120,7 @@
   private void reserveRoom(List<Job> nonGangJobs, List<Machine> usable, long nowMs) {
     for (Job job : nonGangJobs) {
       if (!job.waitingTasks.isEmpty() && cluster.teamQuotaAllows(job)) {
-        job.reservedMachine = machineToReserve(job, usable, nowMs);
+        job.reservedMachine = chooseMachineToReserve(job, usable, nowMs);
         if (job.reservedMachine != null) {
           job.reservedMachine.reserve(job.spec, 1);
           return;
@@ -128,7 +133,7 @@
    * Returns the machine reserved for the job so far if it is still eligible, else the eligible
    * machine with the most free processors; null if no machine is eligible.
    */
-  private static Machine machineToReserve(Job job, List<Machine> usable, long nowMs) {
+  private static Machine chooseMachineToReserve(Job job, List<Machine> usable, long nowMs) {
     Machine best = null;
     for (Machine machine : usable) {
       boolean eligible =
@@ -157,7 +162,7 @@
     List<Machine> machines = new ArrayList<>(reservations.keySet());
     Map<Job.PlacementConstraints, Boolean> roomByConstraints = new HashMap<>();
     for (Priority priority : Priority.values()) {
-      for (Job job : queue.tier(priority)) {
+      for (Job job : queue.jobsWithPriority(priority)) {
         if (!job.waitingTasks.isEmpty()
             && !job.isSuspect()
             && roomByConstraints.computeIfAbsent(
@@ -173,7 +178,7 @@
   private static Map<Machine, Reservation> takeReservations(List<Machine> usable) {
     Map<Machine, Reservation> reservations = new LinkedHashMap<>();
     for (Machine machine : usable) {
-      if (machine.reserved()) {
+      if (machine.hasReservation()) {
         reservations.put(machine, machine.clearReservation());
       }
     }
@@ -194,9 +199,9 @@
       gangs.placeIfRoom(job, usable, nowMs);
       return;
     }
-    for (FillStep step : ALL_STEPS) {
+    for (PlacementStep step : ALL_STEPS) {
       for (Machine machine : machines) {
-        filler.fill(machine, job, step, null, nowMs);
+        taskPlacer.placeTasks(machine, job, step, null, nowMs);
       }
     }
   }
@@ -209,19 +214,19 @@
     if (queue.isEmpty() || !machine.isUsable(nowMs)) {
       return;
     }
-    if (machine.reserved()) {
+    if (machine.hasReservation()) {
       cluster.requestPass(); // only a pass knows which task the room is reserved for
       return;
     }
     if (!queue.hasRoomForAny(machine)) {
       return; // most heartbeats come from full machines, and hundreds arrive a second
     }
-    machine.placedInPass = 0;
+    machine.tasksPlacedInPass = 0;
     List<Machine> machineOnly = List.of(machine);
     for (Priority priority : Priority.values()) {
-      placeOnMachine(machine, machineOnly, queue.tier(priority), null, nowMs);
+      placeOnMachine(machine, machineOnly, queue.jobsWithPriority(priority), null, nowMs);
       if (priority == Priority.PRODUCTION) {
-        for (ShareGroup group : cluster.minimumShare.starvedGroups()) {
+        for (MinimumShareGroup group : cluster.minimumShare.starvedGroups()) {
           if (group.isStarved()) {
             placeOnMachine(machine, machineOnly, group.agedJobs(), group, nowMs);
           }
@@ -234,13 +239,13 @@
       Machine machine,
       List<Machine> machineOnly,
       List<Job> tier,
-      ShareGroup starvedGroup,
+      MinimumShareGroup starvedGroup,
       long nowMs) {
-    List<Job> jobs = nonGangJobs(tier);
+    List<Job> jobs = selectNonGangJobs(tier);
     jobs.removeIf(job -> !queue.isStartable(job, nowMs) || !rules.hasRoomFor(machine, job));
     if (!jobs.isEmpty()) {
-      for (FillStep step : ALL_STEPS_SPREADING) {
-        filler.fillAll(machineOnly, jobs, step, starvedGroup, nowMs);
+      for (PlacementStep step : ALL_STEPS_SPREADING) {
+        taskPlacer.offerMachines(machineOnly, jobs, step, starvedGroup, nowMs);
       }
     }
   }
@@ -255,7 +260,7 @@
     return false;
   }
 
-  private static List<Job> nonGangJobs(List<Job> jobs) {
+  private static List<Job> selectNonGangJobs(List<Job> jobs) {
     List<Job> nonGangJobs = new ArrayList<>(jobs.size());
     for (Job job : jobs) {
       if (job.spec.kind() != JobKind.GANG && !job.waitingTasks.isEmpty()) {
@@ -269,7 +274,7 @@
    * Returns the machines with room for any of the jobs: spot machines before on-demand machines,
    * and among both the fullest first, so that the others become empty and can be released.
    */
-  private static List<Machine> machinesWithRoom(List<Machine> usable, List<Job> jobs) {
+  private static List<Machine> selectMachinesWithRoom(List<Machine> usable, List<Job> jobs) {
     MinimumRequirements minimum = new MinimumRequirements(jobs);
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : usable) {
--- a/src/main/java/org/astershift/scheduler/PlacementRules.java
+++ b/src/main/java/org/astershift/scheduler/PlacementRules.java
@@ -37,7 +37,7 @@
   static boolean isMachineAllowed(Machine machine, Job job, long nowMs) {
     return (!machine.spot || job.spec.spotAllowed())
         && job.isZoneAllowed(machine.zone)
-        && !job.avoids(machine, nowMs);
+        && !job.shouldAvoid(machine, nowMs);
   }
 
   /** Returns whether the job has waited long enough to take a machine without its image. */
--- a/src/main/java/org/astershift/scheduler/PlannedMachine.java
+++ b/src/main/java/org/astershift/scheduler/PlannedMachine.java
@@ -43,20 +43,20 @@
   }
 
   /** Returns how many such tasks may run and fit here, at most {@code limit}. */
-  int fittingTasks(JobSpec spec, int limit) {
-    return allows(spec) ? fitCount(spec, limit) : 0;
+  int countAllowedTasks(JobSpec spec, int limit) {
+    return isAllowed(spec) ? countFittingTasks(spec, limit) : 0;
   }
 
   /** Takes the room of one task if the task may run and fits here; returns whether it did. */
-  boolean take(JobSpec spec) {
-    if (!hasRoomFor(spec) || !allows(spec)) {
+  boolean tryAllocate(JobSpec spec) {
+    if (!hasRoomFor(spec) || !isAllowed(spec)) {
       return false;
     }
     remove(spec);
     return true;
   }
 
-  private boolean allows(JobSpec spec) {
+  private boolean isAllowed(JobSpec spec) {
     return (!spot || spec.spotAllowed())
         && (type.gpus() == 0 || spec.gpus() > 0)
         && (spec.machineTypes() == null || spec.machineTypes().contains(type.name()))
--- a/src/main/java/org/astershift/scheduler/PoolAvailability.java
+++ b/src/main/java/org/astershift/scheduler/PoolAvailability.java
@@ -33,7 +33,7 @@
   }
 
   /** Returns whether the pool was not refused recently and its zone is partitioned. */
-  boolean isAvailableInPartition(CapacityPool pool, long nowMs) {
+  boolean isAvailableInPartitionedZone(CapacityPool pool, long nowMs) {
     return !wasRecentlyRefused(pool, nowMs) && cluster.isZonePartitioned(pool.zone(), nowMs);
   }
 
--- a/src/main/java/org/astershift/scheduler/PoolSelector.java
+++ b/src/main/java/org/astershift/scheduler/PoolSelector.java
@@ -35,19 +35,20 @@
    * that machine shows when the zone is reachable again, which matters to jobs that may run nowhere
    * else.
    */
-  Decision.ProvisionMachines cheapestRequest(Demand demand) {
-    Decision.ProvisionMachines request = cheapestRequest(demand, false);
-    return request == null ? cheapestRequest(demand, true) : request;
+  Decision.ProvisionMachines selectCheapestRequest(Demand demand) {
+    Decision.ProvisionMachines request = selectCheapestRequest(demand, false);
+    return request == null ? selectCheapestRequest(demand, true) : request;
   }
 
-  private Decision.ProvisionMachines cheapestRequest(Demand demand, boolean inPartitionedZone) {
+  private Decision.ProvisionMachines selectCheapestRequest(
+      Demand demand, boolean inPartitionedZone) {
     JobSpec spec = demand.job.spec;
     Decision.ProvisionMachines best = null;
     double bestCost = Double.MAX_VALUE;
     for (String name : demand.job.usableTypes) {
       MachineType type = types.all().get(name);
       int tasksPerMachine = Math.max(1, type.capacity(spec));
-      int machinesNeeded = divideRoundingUp(demand.remaining(), tasksPerMachine);
+      int machinesNeeded = divideRoundingUp(demand.remainingTasks(), tasksPerMachine);
       for (boolean spot : spec.spotChoices()) {
         for (String zone : type.zones()) {
           CapacityPool pool = new CapacityPool(name, zone, spot);
@@ -56,9 +57,9 @@
           if (allowedTasks > 0 && canRequest(pool, inPartitionedZone) && cost < bestCost) {
             int allowedMachines =
                 Math.min(machinesNeeded, divideRoundingUp(allowedTasks, tasksPerMachine));
-            int count = spreadCount(spec, type, machinesNeeded, allowedMachines);
+            int count = machineCountInZone(spec, type, machinesNeeded, allowedMachines);
             bestCost = cost;
-            best = pool.request(inPartitionedZone ? 1 : count);
+            best = pool.createRequest(inPartitionedZone ? 1 : count);
           }
         }
       }
@@ -68,20 +69,21 @@
 
   private boolean canRequest(CapacityPool pool, boolean inPartitionedZone) {
     return inPartitionedZone
-        ? availability.isAvailableInPartition(pool, nowMs) && !zoneLoad.hasPending(pool.zone())
+        ? availability.isAvailableInPartitionedZone(pool, nowMs)
+            && !zoneLoad.hasPending(pool.zone())
         : availability.isAvailable(pool, nowMs);
   }
 
   private double cost(MachineType type, CapacityPool pool, int machines) {
     double price = type.hourlyPrice(pool.spot()) * (1 + type.bootS() / EXPECTED_MACHINE_LIFETIME_S);
-    return machines * price * (1 + ZONE_SPREAD_PRICE_SHARE * zoneLoad.machinesIn(pool.zone()));
+    return machines * price * (1 + ZONE_SPREAD_PRICE_SHARE * zoneLoad.machineCountIn(pool.zone()));
   }
 
   /**
    * Returns no more than the zone's even part of the machines needed, unless the job has to be in
    * one zone.
    */
-  private static int spreadCount(
+  private static int machineCountInZone(
       JobSpec spec, MachineType type, int machinesNeeded, int allowedMachines) {
     int zoneShare = Math.max(1, divideRoundingUp(machinesNeeded, type.zones().size()));
     return spec.oneZone() ? allowedMachines : Math.min(allowedMachines, zoneShare);
@@ -96,7 +98,7 @@
    * where they can be obtained now. If there is none, returns any zone that may take the demand, or
    * "" if none may.
    */
-  String cheapestZone(
+  String selectCheapestZone(
       Demand demand, List<PlannedMachine> freeMachines, List<PlannedMachine> pendingMachines) {
     String best = "";
     String fallback = "";
@@ -105,7 +107,7 @@
       int maxTasks = demand.maxTasksIn(zone);
       // An array that is also spread runs in the zone one part after the other.
       boolean mayRunInParts = demand.job.spec.kind() == JobKind.ARRAY && maxTasks > 0;
-      if (maxTasks < demand.remaining() && !mayRunInParts) {
+      if (maxTasks < demand.remainingTasks() && !mayRunInParts) {
         continue;
       }
       fallback = zone;
@@ -113,8 +115,8 @@
           Math.max(
               0,
               maxTasks
-                  - demand.fittingTasks(freeMachines, zone)
-                  - demand.fittingTasks(pendingMachines, zone));
+                  - demand.countFittingTasks(freeMachines, zone)
+                  - demand.countFittingTasks(pendingMachines, zone));
       double price = missingTasks == 0 ? 0 : lowestPrice(demand.job, zone);
       double cost = missingTasks * price;
       if (cost < bestCost) {
--- a/src/main/java/org/astershift/scheduler/PreemptibleWork.java
+++ b/src/main/java/org/astershift/scheduler/PreemptibleWork.java
@@ -46,7 +46,7 @@
    * Returns the result for the job's priority and kind of objective: the one cached earlier in this
    * pass, or else a new one.
    */
-  static PreemptibleWork of(Machine machine, Job job, long nowMs) {
+  static PreemptibleWork getOrCreate(Machine machine, Job job, long nowMs) {
     boolean tightObjective = job.hasTightStartObjective();
     Priority priority = job.spec.priority();
     PreemptibleWork work = machine.preemptible;
@@ -66,14 +66,14 @@
 
   /** Returns whether a task would find room if all candidates stopped. */
   boolean canMakeRoomFor(Machine machine, JobSpec spec) {
-    return freedIfAllStop.hasRoomCombinedWith(machine, spec);
+    return freedIfAllStop.hasRoomTogetherWith(machine, spec);
   }
 
   /**
    * Returns the attempts to preempt for one task, those with the least loss first: none if the task
    * fits without, null if all candidates would not be enough.
    */
-  List<TaskAttempt> victimsFor(Machine machine, JobSpec spec) {
+  List<TaskAttempt> selectVictims(Machine machine, JobSpec spec) {
     FreeCapacity room = new FreeCapacity();
     room.addFree(machine);
     room.add(freedByStopping);
--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -47,7 +47,7 @@
         continue;
       }
       if (!job.hasTightStartObjective() && hosts == null) {
-        hosts = hostsOfWorkWithoutObjective(usable);
+        hosts = findHostsOfWorkWithoutObjective(usable);
       }
       List<Machine> candidates = job.hasTightStartObjective() ? usable : hosts;
       int needed = job.waitingCount() - job.tasksAwaitingPreemption;
@@ -64,7 +64,7 @@
         && cluster.teamQuotaAllows(job);
   }
 
-  private List<Machine> hostsOfWorkWithoutObjective(List<Machine> usable) {
+  private List<Machine> findHostsOfWorkWithoutObjective(List<Machine> usable) {
     boolean anyWithoutObjective = false;
     for (Job job : cluster.jobs.values()) {
       anyWithoutObjective |= !job.hasObjective && !job.attempts.isEmpty();
@@ -98,7 +98,7 @@
     PriorityQueue<PreemptionChoice> choices = new PriorityQueue<>(PreemptionChoice.CHEAPEST_FIRST);
     int order = 0;
     for (Machine machine : usable) {
-      PreemptionChoice choice = cheapestChoice(machine, job, imageHitsOnly, order++, nowMs);
+      PreemptionChoice choice = findCheapestChoice(machine, job, imageHitsOnly, order++, nowMs);
       if (choice != null) {
         choices.add(choice);
       }
@@ -108,7 +108,8 @@
       PreemptionChoice best = choices.remove();
       reserveAndPreempt(best, job);
       tasksWithRoom++;
-      PreemptionChoice next = cheapestChoice(best.machine(), job, imageHitsOnly, order++, nowMs);
+      PreemptionChoice next =
+          findCheapestChoice(best.machine(), job, imageHitsOnly, order++, nowMs);
       if (next != null) {
         choices.add(next);
       }
@@ -120,14 +121,14 @@
    * Returns the cheapest way to make room for one task of the job on this machine; null if there is
    * none.
    */
-  private PreemptionChoice cheapestChoice(
+  private PreemptionChoice findCheapestChoice(
       Machine machine, Job job, boolean imageHitsOnly, int order, long nowMs) {
     cluster.candidateChecks++;
     JobSpec spec = job.spec;
     if (!job.usableTypes.contains(machine.typeName)) {
       return null;
     }
-    PreemptibleWork work = PreemptibleWork.of(machine, job, nowMs);
+    PreemptibleWork work = PreemptibleWork.getOrCreate(machine, job, nowMs);
     if (!work.canMakeRoomFor(machine, spec)) {
       return null;
     }
@@ -135,7 +136,7 @@
     if ((imageHitsOnly && !imageHit) || !PlacementRules.isMachineAllowed(machine, job, nowMs)) {
       return null;
     }
-    List<TaskAttempt> victims = work.victimsFor(machine, spec);
+    List<TaskAttempt> victims = work.selectVictims(machine, spec);
     if (victims == null) {
       return null;
     }
--- a/src/main/java/org/astershift/scheduler/QueueWindow.java
+++ b/src/main/java/org/astershift/scheduler/QueueWindow.java
@@ -27,7 +27,7 @@
   private final List<Job> jobs = new ArrayList<>();
 
   /** Tasks within their team's quota that were offered so far, whether in the window or not. */
-  private int seenTasks;
+  private int offeredTasks;
 
   private int tasksOverQuota;
 
@@ -40,9 +40,9 @@
    * Adds the job if it still belongs to the window; jobs have to be offered in the order of the
    * queue.
    */
-  void offer(Job job) {
-    int startableTasks = remainingQuota.take(job, job.waitingCount());
-    seenTasks += startableTasks;
+  void addIfInWindow(Job job) {
+    int startableTasks = remainingQuota.allocate(job, job.waitingCount());
+    offeredTasks += startableTasks;
     tasksOverQuota += job.waitingCount() - startableTasks;
     if (startableTasks == 0 && tasksOverQuota >= cluster.policy.windowTasks()) {
       return;
@@ -50,7 +50,7 @@
     int sameConstraintTasks =
         tasksByConstraints.merge(job.placementConstraints, startableTasks, Integer::sum)
             - startableTasks;
-    if (seenTasks - startableTasks >= cluster.policy.windowTasks()
+    if (offeredTasks - startableTasks >= cluster.policy.windowTasks()
         && (startableTasks == 0 || sameConstraintTasks >= WINDOW_OVERFLOW_TASKS)) {
       return;
     }
--- a/src/main/java/org/astershift/scheduler/ReconciliationLog.java
+++ b/src/main/java/org/astershift/scheduler/ReconciliationLog.java
@@ -47,11 +47,11 @@
         machine.name,
         reason,
         shown.size(),
-        describeFirstTasks(shown),
-        evidence == null ? "none" : evidence.describe(evidence.atMs()));
+        formatFirstTasks(shown),
+        evidence == null ? "none" : evidence.format(evidence.atMs()));
   }
 
-  private static String describeFirstTasks(List<TaskAttempt> attempts) {
+  private static String formatFirstTasks(List<TaskAttempt> attempts) {
     StringJoiner names = new StringJoiner(", ", "[", "]");
     for (TaskAttempt attempt :
         attempts.subList(0, Math.min(attempts.size(), TASKS_NAMED_IN_LINE))) {
@@ -70,10 +70,10 @@
           attempt.name(),
           attempt.attemptNumber,
           attempt.machine.name,
-          attempt.machine.history.describe(nowMs),
+          attempt.machine.history.formatEvents(nowMs),
           other.attemptNumber,
           other.machine.name,
-          other.machine.history.describe(nowMs));
+          other.machine.history.formatEvents(nowMs));
     }
   }
 
@@ -85,7 +85,7 @@
           "answer overtaken by a newer message: machine={} restart_suspected={} events={}",
           machine.name,
           machine.restartSuspected,
-          machine.history.describe(nowMs));
+          machine.history.formatEvents(nowMs));
     }
   }
 
--- a/src/main/java/org/astershift/scheduler/ScaleIn.java
+++ b/src/main/java/org/astershift/scheduler/ScaleIn.java
@@ -39,7 +39,7 @@
   private final Set<String> failedMachines = new HashSet<>();
 
   /** Machines whose release is in flight. */
-  private final Set<String> releaseRequested = new HashSet<>();
+  private final Set<String> machinesBeingReleased = new HashSet<>();
 
   ScaleIn(ClusterState cluster, FailureDetector failureDetector) {
     this.cluster = cluster;
@@ -55,7 +55,7 @@
   /** Removes machines whose release the cloud has confirmed. */
   void onReleased(List<String> names, long nowMs) {
     for (String name : names) {
-      releaseRequested.remove(name);
+      machinesBeingReleased.remove(name);
       failedMachines.remove(name);
       cluster.removeMachine(name, "returned", nowMs);
     }
@@ -63,7 +63,7 @@
 
   /** Records that a release got no response, so that a later plan requests it again. */
   void onReleaseFailed(List<String> names) {
-    releaseRequested.removeAll(names);
+    machinesBeingReleased.removeAll(names);
   }
 
   /**
@@ -76,14 +76,14 @@
     List<String> toRelease = new ArrayList<>();
     List<String> silentToRelease = new ArrayList<>();
     for (String name : failedMachines) {
-      if (releaseRequested.add(name)) {
+      if (machinesBeingReleased.add(name)) {
         toRelease.add(name);
       }
     }
     failureDetector.assessFleet(nowMs);
-    Set<Machine> surplus = idleMachines.surplus(nowMs);
+    Set<Machine> surplus = idleMachines.selectSurplus(nowMs);
     for (Machine machine : cluster.allMachines()) {
-      String reason = releaseReason(machine, surplus, leaseCertainlyHeld, nowMs);
+      String reason = determineReleaseReason(machine, surplus, leaseCertainlyHeld, nowMs);
       if (reason != null) {
         LOG.info(
             "machine {} ({} in {}) is returned: {}",
@@ -93,11 +93,11 @@
             reason);
         cluster.enterState(machine, Machine.State.RELEASING);
       }
-      if (machine.state == Machine.State.RELEASING && releaseRequested.add(machine.name)) {
+      if (machine.state == Machine.State.RELEASING && machinesBeingReleased.add(machine.name)) {
         (machine.releasedAsSilent ? silentToRelease : toRelease).add(machine.name);
       }
     }
-    failureDetector.logRetained(nowMs);
+    failureDetector.logRetainedMachines(nowMs);
     addReleases(decisions, toRelease, false);
     addReleases(decisions, silentToRelease, true);
   }
@@ -110,7 +110,7 @@
   }
 
   /** Returns why the machine is to be released now; null if it is not. */
-  private String releaseReason(
+  private String determineReleaseReason(
       Machine machine, Set<Machine> surplus, boolean leaseCertainlyHeld, long nowMs) {
     if (machine.state == Machine.State.RELEASING) {
       return null;
@@ -127,7 +127,7 @@
     return switch (machine.state) {
       case BOOTING -> bootTimeoutReason(machine, nowMs);
       case LIVE ->
-          machine.quarantined ? quarantineReason(machine) : idleReason(machine, surplus, nowMs);
+          machine.quarantined ? drainQuarantined(machine) : idleReason(machine, surplus, nowMs);
       default -> null;
     };
   }
@@ -147,11 +147,11 @@
    * Stops the tasks of a quarantined machine. Returns the reason for its release once they have
    * stopped; null until then.
    */
-  private String quarantineReason(Machine machine) {
+  private String drainQuarantined(Machine machine) {
     for (TaskAttempt attempt : machine.heldAttempts()) {
       cluster.stop(attempt);
     }
-    return machine.hasAttempts() ? null : "faulty";
+    return machine.hasHeldAttempts() ? null : "faulty";
   }
 
   private String idleReason(Machine machine, Set<Machine> surplus, long nowMs) {
--- a/src/main/java/org/astershift/scheduler/ScaleOut.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOut.java
@@ -23,7 +23,7 @@
   /** Calls to the cloud that are in flight, by request ID. */
   private final Map<String, Decision.ProvisionMachines> pendingRequests = new LinkedHashMap<>();
 
-  private boolean planDue;
+  private boolean isPlanDue;
 
   ScaleOut(ClusterState cluster) {
     this.cluster = cluster;
@@ -37,7 +37,7 @@
 
   /** Records that the call to the cloud has ended, whatever its result. */
   void onSettled(String requestId) {
-    planDue |= pendingRequests.remove(requestId) != null;
+    isPlanDue |= pendingRequests.remove(requestId) != null;
   }
 
   /** Records that the cloud provided fewer machines than requested. */
@@ -49,8 +49,8 @@
    * Returns whether a call to the cloud has ended since the last plan, so that another call may go
    * out.
    */
-  boolean planDue() {
-    return planDue;
+  boolean isPlanDue() {
+    return isPlanDue;
   }
 
   /**
@@ -58,18 +58,18 @@
    * they are, demand accumulates, and the next calls ask for as many machines as they may.
    */
   void plan(List<Decision> decisions, long nowMs) {
-    planDue = false;
+    isPlanDue = false;
     int calls = ThreadBudget.PROVISION_THREADS - pendingRequests.size();
     if (calls <= 0) {
       return;
     }
     ScaleOutPlan plan = new ScaleOutPlan(cluster, availability, nowMs);
-    for (Decision.ProvisionMachines request : plan.requestsForDemand(pendingRequests.values())) {
+    for (Decision.ProvisionMachines request : plan.planRequests(pendingRequests.values())) {
       if (calls-- == 0) {
         return;
       }
       int count = Math.min(request.count(), PROVISION_BATCH_MACHINES);
-      decisions.add(CapacityPool.of(request).request(count));
+      decisions.add(CapacityPool.of(request).createRequest(count));
       LOG.info(
           "scale-out requested: count={} type={} zone={} spot={}",
           count,
--- a/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOutPlan.java
@@ -47,7 +47,7 @@
    * Returns one request for each pool; {@code pendingRequests} are the calls to the cloud in
    * flight.
    */
-  Collection<Decision.ProvisionMachines> requestsForDemand(
+  Collection<Decision.ProvisionMachines> planRequests(
       Collection<Decision.ProvisionMachines> pendingRequests) {
     for (Machine machine : cluster.allMachines()) {
       addMachine(machine);
@@ -55,7 +55,7 @@
     for (Decision.ProvisionMachines request : pendingRequests) {
       addPending(request);
     }
-    for (Job job : waitingJobs()) {
+    for (Job job : collectWaitingJobs()) {
       requestMachinesFor(job);
     }
     return requests.values();
@@ -86,7 +86,7 @@
     zoneLoad.addPending(request);
   }
 
-  private List<Job> waitingJobs() {
+  private List<Job> collectWaitingJobs() {
     List<Job> jobs = new ArrayList<>();
     for (Job job : cluster.waitingJobs) {
       // Tasks that may be running on an unreconciled machine need no other machine.
@@ -102,42 +102,42 @@
   }
 
   private void requestMachinesFor(Job job) {
-    Demand demand = uncoveredDemand(job);
-    for (int i = 0; demand.remaining() > 0 && i < POOLS_PER_JOB; i++) {
-      Decision.ProvisionMachines request = selector.cheapestRequest(demand);
+    Demand demand = findUncoveredDemand(job);
+    for (int i = 0; demand.remainingTasks() > 0 && i < POOLS_PER_JOB; i++) {
+      Decision.ProvisionMachines request = selector.selectCheapestRequest(demand);
       if (request == null) {
         break;
       }
       int firstNew = pendingMachines.size();
       addPending(request);
-      demand.fill(pendingMachines.subList(firstNew, pendingMachines.size()));
+      demand.assignTo(pendingMachines.subList(firstNew, pendingMachines.size()));
       requests.merge(
           CapacityPool.of(request),
           request,
-          (a, b) -> CapacityPool.of(a).request(a.count() + b.count()));
+          (a, b) -> CapacityPool.of(a).createRequest(a.count() + b.count()));
     }
   }
 
   /** Returns the tasks of the job that neither free nor pending machines can take. */
-  private Demand uncoveredDemand(Job job) {
+  private Demand findUncoveredDemand(Job job) {
     boolean mayUseSoonFree = mayUseSoonFree(job);
     int maxTasks = concurrency.desiredConcurrency(job, nowMs);
     // Tasks that end soon free their team's quota as well as their room. If only the room counted,
     // it would cover all tasks that the quota allows now, and no machine would be requested.
     int tasks =
         mayUseSoonFree
-            ? remainingQuota.takeIncludingSoonReleased(job, maxTasks)
-            : remainingQuota.take(job, maxTasks);
+            ? remainingQuota.allocateIncludingSoonReleased(job, maxTasks)
+            : remainingQuota.allocate(job, maxTasks);
     Demand demand = new Demand(job, tasks);
     if (job.spec.oneZone()) {
-      demand.restrictToZone(selector.cheapestZone(demand, freeMachines, pendingMachines));
+      demand.restrictToZone(selector.selectCheapestZone(demand, freeMachines, pendingMachines));
     }
     if (job.spec.kind() == JobKind.GANG) {
-      demand.fill(freeMachines);
+      demand.assignTo(freeMachines);
     } else if (mayUseSoonFree) {
-      demand.fill(soonFreeMachines);
+      demand.assignTo(soonFreeMachines);
     }
-    demand.fill(pendingMachines);
+    demand.assignTo(pendingMachines);
     return demand;
   }
 
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -161,7 +161,7 @@
       job.opened = true;
       cluster.jobsToOpen.remove(job);
       for (TaskAttempt attempt : job.attempts.values()) {
-        cluster.commandsPending.add(attempt.machine);
+        cluster.machinesWithPendingCommands.add(attempt.machine);
       }
       cluster.requestPass();
     }
@@ -180,7 +180,7 @@
       return; // the machine restarted during the write and is registered again
     }
     machine.registered = true;
-    cluster.unregistered.remove(machine);
+    cluster.unregisteredMachines.remove(machine);
   }
 
   /** Handles a decision that could not be carried out: a later pass repeats it. */
@@ -214,9 +214,9 @@
    * in flight or unconfirmed or an image is being fetched. This ends when the machine reports the
    * outcome, is gone, or its lease expires.
    */
-  public boolean mayStart(String jobId) {
+  public boolean mayStillStart(String jobId) {
     Job job = cluster.jobs.get(jobId);
-    return job != null && job.mayStart();
+    return job != null && job.mayStillStart();
   }
 
   /** Returns whether an unrenewed lease expires within the time promised for a cancellation. */
@@ -226,13 +226,13 @@
 
   /** Returns whether a worker showed a higher fencing token: another leader has taken over. */
   public boolean isDeposed() {
-    return heartbeatReconciler.deposed();
+    return heartbeatReconciler.isDeposed();
   }
 
   /** Returns whether this leader seems to be partitioned from most machines. */
   public boolean isIsolated() {
     FleetVisibility visibility = schedulingPass.fleetVisibility();
-    return visibility.isolated() || visibility.inboundPartitioned();
+    return visibility.isIsolated() || visibility.isInboundPartitioned();
   }
 
   /** Returns what share of the machines that should send heartbeats do so; 1 if there are none. */
@@ -263,8 +263,8 @@
   }
 
   /** Returns whether something changed that a pass may act on. */
-  public boolean passRequested() {
-    return cluster.passRequested();
+  public boolean isPassRequested() {
+    return cluster.isPassRequested();
   }
 
   /** Records that this process was suspended for a while. */
@@ -287,7 +287,7 @@
   }
 
   /** Returns whether queued direct commands are still due; settles them if not. */
-  public boolean directCommandsStillDue(Decision.SendCommands decision, long nowMs) {
+  public boolean areDirectCommandsStillDue(Decision.SendCommands decision, long nowMs) {
     return directCommands.isStillDue(decision, nowMs);
   }
 
@@ -298,8 +298,9 @@
    * before any later leader, which either fences it or sees its next incarnation before it starts
    * the task elsewhere. Heartbeat responses carry the omitted commands.
    */
-  public List<Command> commandsStillWanted(Decision.SendCommands decision, boolean leaseCertain) {
-    return directCommands.stillWanted(decision, leaseCertain);
+  public List<Command> selectSendableCommands(
+      Decision.SendCommands decision, boolean leaseCertain) {
+    return directCommands.selectSendableCommands(decision, leaseCertain);
   }
 
   /** Handles the result of direct commands; {@code heartbeat} is null if there was no answer. */
@@ -364,7 +365,7 @@
 
   /** Returns a log line with jobs, machines, utilization, commands and cost. */
   public String clusterSummary() {
-    return logSummary.clusterLine();
+    return logSummary.clusterSummary();
   }
 
   /** Returns a log line with counts of what messages of machines proved. */
@@ -374,7 +375,7 @@
 
   /** Returns a log line on service per class and team; warns about unstarted jobs. */
   public String serviceSummary(long nowMs) {
-    return logSummary.serviceLine(nowMs);
+    return logSummary.serviceSummary(nowMs);
   }
 
   /** For tests: returns the number of checks of a job against a machine so far. */
--- a/src/main/java/org/astershift/scheduler/SchedulingPass.java
+++ b/src/main/java/org/astershift/scheduler/SchedulingPass.java
@@ -93,26 +93,26 @@
   private void detectFailures(List<Decision> decisions, long nowMs) {
     failureDetector.assessFleet(nowMs);
     fleetVisibility = failureDetector.fleetVisibility();
-    Decision.ProbeThroughPeers peerProbe = failureDetector.nextPeerProbe(nowMs);
+    Decision.ProbeThroughPeers peerProbe = failureDetector.startPeerProbe(nowMs);
     if (peerProbe != null) {
       decisions.add(peerProbe);
     }
   }
 
   private void sendUrgentCommands(List<Decision> decisions, boolean leaseCertain, long nowMs) {
-    List<Machine> machinesWithCommands = new ArrayList<>(cluster.commandsPending);
-    cluster.commandsPending.clear();
+    List<Machine> machinesWithCommands = new ArrayList<>(cluster.machinesWithPendingCommands);
+    cluster.machinesWithPendingCommands.clear();
     for (Machine machine : machinesWithCommands) {
       if (!commandReconciler.canSendNow(machine)) {
-        cluster.commandsPending.add(machine);
+        cluster.machinesWithPendingCommands.add(machine);
         continue;
       }
       Decision.SendCommands urgentCommands =
-          commandReconciler.urgentCommands(machine, leaseCertain, nowMs);
+          commandReconciler.createUrgentCommands(machine, leaseCertain, nowMs);
       if (urgentCommands != null) {
         decisions.add(urgentCommands);
-      } else if (machine.directCommands.inFlight()) {
-        cluster.commandsPending.add(machine);
+      } else if (machine.directCommands.isInFlight()) {
+        cluster.machinesWithPendingCommands.add(machine);
       }
     }
   }
@@ -121,7 +121,7 @@
     commandReconciler.concurrencyLimit().removeLost(nowMs);
     for (Machine machine : cluster.allMachines()) {
       Decision.SendCommands fenceOrProbe =
-          commandReconciler.fenceOrProbe(machine, leaseCertain, nowMs);
+          commandReconciler.createFenceOrProbe(machine, leaseCertain, nowMs);
       if (fenceOrProbe != null) {
         decisions.add(fenceOrProbe);
       }
@@ -129,7 +129,7 @@
   }
 
   private void registerMachines(List<Decision> decisions) {
-    for (Machine machine : cluster.unregistered) {
+    for (Machine machine : cluster.unregisteredMachines) {
       if (!machine.unverified && outstandingDecisions.add(Kind.REGISTER_MACHINE, machine.name)) {
         decisions.add(
             new Decision.RegisterMachine(
@@ -155,12 +155,12 @@
   }
 
   private void persistPlacements(List<Decision> decisions) {
-    for (Job job : cluster.placementsToPersist) {
+    for (Job job : cluster.servicesToPersist) {
       if (job.state == Job.State.LIVE && !job.attempts.isEmpty()) {
         decisions.add(new Decision.PersistPlacement(job.spec.id(), job.replicaMachineNames()));
       }
     }
-    cluster.placementsToPersist.clear();
+    cluster.servicesToPersist.clear();
   }
 
   private void finishJobs(List<Decision> decisions) {
@@ -173,7 +173,7 @@
   }
 
   private void planScaling(List<Decision> decisions, boolean leaseCertain, long nowMs) {
-    boolean planDue = nowMs - lastPlanMs >= SCALING_PLAN_INTERVAL_MS || scaleOut.planDue();
+    boolean planDue = nowMs - lastPlanMs >= SCALING_PLAN_INTERVAL_MS || scaleOut.isPlanDue();
     if (!planDue || cluster.machineTypes.all().isEmpty()) {
       return;
     }
--- a/src/main/java/org/astershift/scheduler/ServiceCounters.java
+++ b/src/main/java/org/astershift/scheduler/ServiceCounters.java
@@ -117,8 +117,8 @@
     int startedJobs = 0;
     int finishedJobs = 0;
     for (JobOutcome outcome : largest) {
-      startedJobs += outcome.started() ? 1 : 0;
-      finishedJobs += outcome.finished() ? 1 : 0;
+      startedJobs += outcome.hasStarted() ? 1 : 0;
+      finishedJobs += outcome.hasFinished() ? 1 : 0;
     }
     return largest.size() < 2
         ? ""
--- a/src/main/java/org/astershift/scheduler/SilenceEvidence.java
+++ b/src/main/java/org/astershift/scheduler/SilenceEvidence.java
@@ -42,7 +42,7 @@
    */
   private boolean hasUnansweredProbe(Machine machine, long nowMs) {
     return cluster.incarnations.isLeaseUncertain(nowMs)
-        ? machine.directCommands.unansweredWhileSilent()
+        ? machine.directCommands.hasUnansweredWhileSilent()
         : machine.directCommands.unansweredCount() > 0;
   }
 
--- a/src/main/java/org/astershift/scheduler/TaskAttempt.java
+++ b/src/main/java/org/astershift/scheduler/TaskAttempt.java
@@ -16,7 +16,7 @@
   Heartbeat.TaskPhase phase;
 
   /** Sequence number of the newest message that showed the attempt; -1 if none did. */
-  long lastShownSequence = -1;
+  long lastReportedSequence = -1;
 
   /** Whether a start was sent, as a direct command or in a heartbeat response. */
   boolean startSent;
@@ -88,7 +88,7 @@
    * Returns whether the task may still start without a further command, because its image is being
    * fetched or a start, direct or in a heartbeat response, is in flight or unconfirmed.
    */
-  boolean mayStart() {
+  boolean mayStillStart() {
     return phase == Heartbeat.TaskPhase.FETCHING
         || (phase == null && (isStartPending() || startInHeartbeatResponse) && !startLeaseExpired);
   }
--- a/src/main/java/org/astershift/scheduler/MachineFiller.java
+++ b/src/main/java/org/astershift/scheduler/TaskPlacer.java
@@ -5,15 +5,15 @@
 import org.slf4j.LoggerFactory;
 
 /** Places waiting tasks of jobs other than gangs on machines, one machine and job at a time. */
-final class MachineFiller {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineFiller.class);
+final class TaskPlacer {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskPlacer.class);
 
   private final ClusterState cluster;
   private final WaitQueue queue;
   private final PlacementRules rules;
   private final DeferralTracker deferrals;
 
-  MachineFiller(
+  TaskPlacer(
       ClusterState cluster, WaitQueue queue, PlacementRules rules, DeferralTracker deferrals) {
     this.cluster = cluster;
     this.queue = queue;
@@ -25,11 +25,11 @@
    * Offers each machine to the jobs in their order. {@code starvedGroup} is the group whose minimum
    * share the jobs are served for, until it holds that share; null in the regular order.
    */
-  void fillAll(
+  void offerMachines(
       List<Machine> candidates,
       List<Job> jobs,
-      FillStep step,
-      ShareGroup starvedGroup,
+      PlacementStep step,
+      MinimumShareGroup starvedGroup,
       long nowMs) {
     MinimumRequirements minimum = new MinimumRequirements(jobs);
     for (Machine machine : candidates) {
@@ -38,14 +38,15 @@
           if (starvedGroup != null && !starvedGroup.isStarved()) {
             return;
           }
-          fill(machine, job, step, starvedGroup, nowMs);
+          placeTasks(machine, job, step, starvedGroup, nowMs);
         }
       }
     }
   }
 
   /** Places as many tasks of the job on the machine as the step allows. */
-  void fill(Machine machine, Job job, FillStep step, ShareGroup starvedGroup, long nowMs) {
+  void placeTasks(
+      Machine machine, Job job, PlacementStep step, MinimumShareGroup starvedGroup, long nowMs) {
     cluster.candidateChecks++;
     if (!isCandidate(machine, job, starvedGroup, nowMs)) {
       return;
@@ -58,7 +59,7 @@
     while (index >= 0
         && (starvedGroup == null || starvedGroup.isStarved())
         && hasTaskToPlace(job, locality)
-        && mayTakeAnother(machine, job, step)
+        && canPlaceAnotherTask(machine, job, step)
         && (locality > 0 || mayFetchImage(machine, job, nowMs))
         && job.isZoneAllowed(machine.zone)
         && cluster.teamQuotaAllows(job)) {
@@ -75,7 +76,8 @@
     }
   }
 
-  private boolean isCandidate(Machine machine, Job job, ShareGroup starvedGroup, long nowMs) {
+  private boolean isCandidate(
+      Machine machine, Job job, MinimumShareGroup starvedGroup, long nowMs) {
     return !job.waitingTasks.isEmpty()
         && rules.hasRoomFor(machine, job)
         && PlacementRules.isMachineAllowed(machine, job, nowMs)
@@ -101,10 +103,10 @@
     return locality == 1 || job.waitingCount() > job.tasksAwaitingPreemption;
   }
 
-  private boolean mayTakeAnother(Machine machine, Job job, FillStep step) {
+  private boolean canPlaceAnotherTask(Machine machine, Job job, PlacementStep step) {
     int batchTasks = machine.hasRecentFailures() ? 1 : cluster.policy.machineBatchTasks();
     return !(step.spreadReplicas() && PlacementRules.wouldExceedReplicaShare(machine, job))
-        && machine.placedInPass < batchTasks
+        && machine.tasksPlacedInPass < batchTasks
         && !job.isProbeInProgress()
         && rules.hasRoomFor(machine, job);
   }
@@ -118,9 +120,10 @@
         || cluster.utilization.of(machine) < cluster.policy.utilizationThreshold();
   }
 
-  private void place(Machine machine, Job job, int index, ShareGroup starvedGroup, long nowMs) {
+  private void place(
+      Machine machine, Job job, int index, MinimumShareGroup starvedGroup, long nowMs) {
     cluster.place(job, index, machine, cluster.nextAttemptNumber(), nowMs);
-    machine.placedInPass++;
+    machine.tasksPlacedInPass++;
     if (starvedGroup != null) {
       starvedGroup.onPlaced(job, 1);
     }
--- a/src/main/java/org/astershift/scheduler/Team.java
+++ b/src/main/java/org/astershift/scheduler/Team.java
@@ -5,7 +5,7 @@
     String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {
 
   /** Returns whether the team has any limit. */
-  public boolean isLimited() {
+  public boolean hasQuota() {
     return maxCpus > 0 || maxGpus > 0;
   }
 
--- a/src/main/java/org/astershift/scheduler/Utilization.java
+++ b/src/main/java/org/astershift/scheduler/Utilization.java
@@ -50,12 +50,12 @@
   }
 
   /** Returns the processors of live and booting machines without accelerators. */
-  double processorsWithoutAccelerators() {
+  double provisionedNonGpuCpus() {
     return withoutAccelerators.liveCpus + withoutAccelerators.bootingCpus;
   }
 
   /** Returns the accelerators of live machines. */
-  double accelerators() {
+  double liveGpus() {
     return withAccelerators.liveGpus;
   }
 
@@ -63,7 +63,7 @@
    * Returns the processors of live machines for work without accelerators: those of machines with
    * accelerators count only if there are no others.
    */
-  double processors() {
+  double liveCpus() {
     return withoutAccelerators.liveCpus > 0
         ? withoutAccelerators.liveCpus
         : withAccelerators.liveCpus;
--- a/src/main/java/org/astershift/scheduler/WaitQueue.java
+++ b/src/main/java/org/astershift/scheduler/WaitQueue.java
@@ -27,7 +27,7 @@
   private Map<Priority, List<Job>> jobsByPriority = Map.of();
 
   /** Jobs in the window that have objectives, without gangs and suspect jobs. */
-  private final List<Job> withObjective = new ArrayList<>();
+  private final List<Job> objectiveJobs = new ArrayList<>();
 
   /** The requirements of all jobs in the window and in starved groups, as of the last sort. */
   private MinimumRequirements minimumRequirements = new MinimumRequirements(List.of());
@@ -41,7 +41,7 @@
    * Returns the jobs of this priority in the window, in the order in which to serve them; some may
    * have been served since the last sort.
    */
-  List<Job> tier(Priority priority) {
+  List<Job> jobsWithPriority(Priority priority) {
     return jobsByPriority.getOrDefault(priority, List.of());
   }
 
@@ -51,7 +51,7 @@
    * enough.
    */
   boolean hasWaitingObjectiveWork(Machine machine) {
-    for (Job job : withObjective) {
+    for (Job job : objectiveJobs) {
       if (!job.waitingTasks.isEmpty()
           && (job.spec.spotAllowed() || !machine.spot)
           && job.usableTypes.contains(machine.typeName)
@@ -77,7 +77,7 @@
   /** Sorts all waiting jobs and selects the window again. */
   void refresh(long nowMs) {
     jobsByPriority = Map.of();
-    List<Job> startable = startableJobs(nowMs);
+    List<Job> startable = collectStartableJobs(nowMs);
     cluster.minimumShare.refresh(startable, nowMs);
     assignDeadlineUrgency(startable, nowMs);
     startable.sort(SERVICE_ORDER);
@@ -85,7 +85,7 @@
   }
 
   /** Returns the jobs with tasks that may start now, with their sort keys set. */
-  private List<Job> startableJobs(long nowMs) {
+  private List<Job> collectStartableJobs(long nowMs) {
     List<Job> startable = new ArrayList<>();
     for (Job job : cluster.waitingJobs) {
       FaultAttribution.checkProbe(job, nowMs);
@@ -93,7 +93,7 @@
         boolean byStartObjective = job.startObjectiveS != null && !job.isDeadlineDriven();
         job.urgencyMs =
             byStartObjective ? job.submittedMs + job.startObjectiveS * 1000 : job.latestStartMs();
-        job.bestEffort = !job.hasObjective && !isBelowGuarantee(job);
+        job.bestEffort = !job.hasObjective && !isBelowGuaranteedQuota(job);
         startable.add(job);
       }
     }
@@ -114,13 +114,13 @@
   private void fillWindow(List<Job> queue) {
     QueueWindow window = new QueueWindow(cluster);
     for (Job job : queue) {
-      window.offer(job);
+      window.addIfInWindow(job);
     }
     jobsByPriority = window.jobsByPriority();
-    withObjective.clear();
+    objectiveJobs.clear();
     for (Job job : window.jobs()) {
       if (job.hasObjective && job.spec.kind() != JobKind.GANG && !job.isSuspect()) {
-        withObjective.add(job);
+        objectiveJobs.add(job);
       }
     }
     // Starved groups are served even if their jobs are outside the window.
@@ -146,7 +146,7 @@
     return !cluster.hasUnreconciledMachines() || !job.inherited;
   }
 
-  private boolean isBelowGuarantee(Job job) {
+  private boolean isBelowGuaranteedQuota(Job job) {
     Team team = cluster.limits.teams().get(job.spec.team());
     if (team == null) {
       return false;
--- a/src/main/java/org/astershift/scheduler/ZoneLoad.java
+++ b/src/main/java/org/astershift/scheduler/ZoneLoad.java
@@ -22,7 +22,7 @@
     zonesWithPending.add(request.zone());
   }
 
-  int machinesIn(String zone) {
+  int machineCountIn(String zone) {
     return machinesByZone.getOrDefault(zone, 0);
   }
 
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -541,7 +541,7 @@
     long untilNs = System.nanoTime() + OBSERVATION_NS;
     boolean inFlight;
     do {
-      inFlight = term.scheduler.callLocked(scheduler -> scheduler.mayStart(ID));
+      inFlight = term.scheduler.callLocked(scheduler -> scheduler.mayStillStart(ID));
     } while (!inFlight && System.nanoTime() < untilNs); // settled as soon as it has failed
     Await.until(
         "the cancellation to be confirmed",
--- a/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
+++ b/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
@@ -119,7 +119,7 @@
       boolean isUnregistered = machine.state == Machine.State.LIVE && !machine.registered;
       check(
           differences,
-          isUnregistered == cluster.unregistered.contains(machine),
+          isUnregistered == cluster.unregisteredMachines.contains(machine),
           machine.name + " is unregistered: expected " + isUnregistered);
     }
     check(
@@ -148,7 +148,7 @@
       }
       check(
           differences,
-          !unobservedUsageUnbounded || !team.isLimited() || remaining[0] < 0 || remaining[1] < 0,
+          !unobservedUsageUnbounded || !team.hasQuota() || remaining[0] < 0 || remaining[1] < 0,
           team.name() + " has quota left although unobserved usage is unbounded");
     }
     for (Job job : cluster.jobs.values()) {
--- a/src/test/java/org/astershift/scheduler/FuzzController.java
+++ b/src/test/java/org/astershift/scheduler/FuzzController.java
@@ -158,7 +158,7 @@
             execute(decision);
           }
         });
-    sim.after(50 + sim.random.nextInt(scheduler.passRequested() ? 60 : 250), this::pass);
+    sim.after(50 + sim.random.nextInt(scheduler.isPassRequested() ? 60 : 250), this::pass);
   }
 
   void persistProgress() {
--- a/src/test/java/org/astershift/scheduler/FuzzNetwork.java
+++ b/src/test/java/org/astershift/scheduler/FuzzNetwork.java
@@ -14,11 +14,11 @@
   void sendDirect(FuzzController controller, Decision.SendCommands decision) {
     controller.handle(
         () -> {
-          if (!controller.scheduler.directCommandsStillDue(decision, controller.clock())) {
+          if (!controller.scheduler.areDirectCommandsStillDue(decision, controller.clock())) {
             return;
           }
           List<Command> commands =
-              controller.scheduler.commandsStillWanted(
+              controller.scheduler.selectSendableCommands(
                   decision, controller.clock() < controller.leaseCertainUntilMs);
           FuzzWorker worker = sim.workers.get(decision.machineName());
           boolean[] hasResult = {false};
--- a/src/test/java/org/astershift/scheduler/FuzzUsers.java
+++ b/src/test/java/org/astershift/scheduler/FuzzUsers.java
@@ -137,7 +137,7 @@
                       isManaged,
                       true,
                       isManaged && scheduler.canConfirmCancellation(id),
-                      isManaged && scheduler.mayStart(id),
+                      isManaged && scheduler.mayStillStart(id),
                       progress != null && progress.complete(),
                       sim.nowMs > untilMs));
           switch (action) {
--- a/src/test/java/org/astershift/scheduler/TracePlayer.java
+++ b/src/test/java/org/astershift/scheduler/TracePlayer.java
@@ -152,8 +152,8 @@
         // The direct commands that a pass decided for this machine are about to be sent.
         Decision.SendCommands commands = lastDirectCommands.get(words.get(2));
         boolean isLeaseCertain = nowMs < (long) (event.number("lease_certain", 1e9) * 1000);
-        return scheduler.directCommandsStillDue(commands, nowMs)
-            ? describeCommands(scheduler.commandsStillWanted(commands, isLeaseCertain))
+        return scheduler.areDirectCommandsStillDue(commands, nowMs)
+            ? describeCommands(scheduler.selectSendableCommands(commands, isLeaseCertain))
             : List.of("not due");
       }
       case "process_resumed" -> scheduler.onProcessResumed(nowMs);
@@ -163,7 +163,7 @@
       case "ended" -> scheduler.onJobEnded(words.get(2), event.hasFlag("cancelled"), nowMs);
       case "cancel" -> {
         scheduler.requestCancellation(words.get(2));
-        String startNote = scheduler.mayStart(words.get(2)) ? ", may start" : "";
+        String startNote = scheduler.mayStillStart(words.get(2)) ? ", may start" : "";
         return List.of("confirmable " + scheduler.canConfirmCancellation(words.get(2)) + startNote);
       }
       case "released" -> scheduler.onMachinesReleased(List.of(words.get(2)), nowMs);
@@ -347,7 +347,7 @@
       long attempt =
           parts[2].startsWith("old")
               ? Long.parseLong(parts[2].substring(3))
-              : (TOKEN << AttemptNumbers.ATTEMPT_COUNTER_BITS) | Long.parseLong(parts[2]);
+              : (TOKEN << AttemptNumberGenerator.ATTEMPT_COUNTER_BITS) | Long.parseLong(parts[2]);
       statuses.add(
           new Heartbeat.TaskStatus(
               parts[0],
@@ -380,10 +380,12 @@
   }
 
   private static String describeCommand(Command command) {
-    long term = command.attemptNumber() >> AttemptNumbers.ATTEMPT_COUNTER_BITS;
+    long term = command.attemptNumber() >> AttemptNumberGenerator.ATTEMPT_COUNTER_BITS;
     String attempt =
         term == TOKEN
-            ? "" + (command.attemptNumber() & ((1L << AttemptNumbers.ATTEMPT_COUNTER_BITS) - 1))
+            ? ""
+                + (command.attemptNumber()
+                    & ((1L << AttemptNumberGenerator.ATTEMPT_COUNTER_BITS) - 1))
             : "old" + command.attemptNumber();
     String grace = command.kind() == Command.Kind.STOP ? " grace " + command.gracePeriodS() : "";
     return command.kind().name().toLowerCase(java.util.Locale.ROOT)
--- a/src/test/java/org/astershift/simulation/CommandSenderModel.java
+++ b/src/test/java/org/astershift/simulation/CommandSenderModel.java
@@ -47,7 +47,7 @@
   private List<Command> commandsStillWanted(Decision.SendCommands decision) {
     boolean leaseCertain =
         term.isLeaseCertain() || controller.hasMutation(Mutation.STARTS_WITH_UNCERTAIN_LEASE);
-    List<Command> wanted = term.scheduler().commandsStillWanted(decision, leaseCertain);
+    List<Command> wanted = term.scheduler().selectSendableCommands(decision, leaseCertain);
     controller.onStartsWithheld(decision.commands().size() - wanted.size());
     return wanted;
   }
--- a/src/test/java/org/astershift/simulation/InvariantChecker.java
+++ b/src/test/java/org/astershift/simulation/InvariantChecker.java
@@ -127,7 +127,7 @@
    */
   private void checkQuota(String teamName, String task) {
     Team team = simulation.teams().get(teamName);
-    if (!team.isLimited()) {
+    if (!team.hasQuota()) {
       return;
     }
     double[] teamUsage = usage(teamName);
--- a/src/test/java/org/astershift/simulation/JobServiceModel.java
+++ b/src/test/java/org/astershift/simulation/JobServiceModel.java
@@ -107,7 +107,7 @@
         managed && (unreconciled || term.scheduler().canConfirmCancellation(request.job())),
         managed
             && !controller.hasMutation(Mutation.CONFIRM_CANCEL_WHILE_STARTING)
-            && term.scheduler().mayStart(request.job()),
+            && term.scheduler().mayStillStart(request.job()),
         progress != null && progress.complete(),
         controller.clock() >= request.deadlineMs());
   }
