--- a/src/main/java/org/astershift/scheduler/AttemptAdoption.java
+++ b/src/main/java/org/astershift/scheduler/AttemptAdoption.java
@@ -81,8 +81,9 @@
       cluster.reconciliationLog.onTaskFoundTwice(attempt, other, nowMs);
     }
     if (other != null && machine.fenced && !other.machine.fenced && job.state == Job.State.LIVE) {
-      // The other machine's status may be a delayed copy, while this machine is fenced, so its
-      // status is current. A task is never on two machines, so this attempt takes over the task.
+      // The other machine's status may be a delayed copy, while this machine is fenced, so this
+      // machine's status is current. A task is never on two machines, so this attempt takes over
+      // the task.
       LOG.info(
           "task taken over from an attempt on an unfenced machine: task={} machine={} unfenced={}",
           attempt.name(),
--- a/src/main/java/org/astershift/scheduler/ClassObjectives.java
+++ b/src/main/java/org/astershift/scheduler/ClassObjectives.java
@@ -5,7 +5,7 @@
  *
  * @param startS the tightest objective for starting its tasks, in seconds; null if there is none
  * @param finishS the tightest objective for finishing its jobs, in seconds; null if there is none
- * @param anyObjective whether there is an objective of any kind
+ * @param hasAnyObjective whether there is an objective of any kind
  */
 public record ClassObjectives(Double startS, Double finishS, boolean hasAnyObjective) {
   static final ClassObjectives NONE = new ClassObjectives(null, null, false);
--- a/src/main/java/org/astershift/scheduler/ClusterState.java
+++ b/src/main/java/org/astershift/scheduler/ClusterState.java
@@ -189,7 +189,8 @@
 
   /**
    * Records that the machine has acknowledged this term's fencing token. An older leader may have
-   * answered its heartbeats until now, so its lease with this leader counts from now.
+   * answered the machine's heartbeats until now, so the machine's lease with this leader counts
+   * from now.
    */
   void fence(Machine machine, long nowMs) {
     if (machine.fenced) {
@@ -235,7 +236,10 @@
     return unreconciledMachineCount > 0;
   }
 
-  /** Returns whether so few machines are unreconciled that this leader is not at fault. */
+  /**
+   * Returns whether so few machines are unreconciled that the fault is attributed to them, not to
+   * this leader.
+   */
   boolean hasFewUnreconciledMachines() {
     return unreconciledMachineCount
         <= Math.max(
@@ -258,8 +262,8 @@
 
   /**
    * Handles a message that may be from an incarnation that began while the lease was uncertain. If
-   * this term knew no incarnation of the machine, its record may also be for an earlier incarnation
-   * and is written again.
+   * this term knew no incarnation of the machine, the machine's record may also be for an earlier
+   * incarnation and is written again.
    */
   void onUnprovenIncarnation(Machine machine) {
     if (machine.incarnation.isKnown()) {
@@ -305,7 +309,7 @@
         && heartbeatTiming.unreconciledMs(machine, nowMs) > Scheduler.UNFENCED_RELEASE_MS;
   }
 
-  /** Removes a machine that is provably gone, with everything on it. */
+  /** Removes a machine that is provably gone, with all of its attempts. */
   void removeMachine(String machineName, String reason, long nowMs) {
     Machine machine = machines.remove(machineName);
     if (machine == null) {
@@ -365,17 +369,17 @@
     return quotaUsage.of(team);
   }
 
-  /** Returns whether the limit of the job's team allows one more of the job's tasks. */
+  /** Returns whether the quota of the job's team allows one more of the job's tasks. */
   boolean teamQuotaAllows(Job job) {
     return quotaUsage.allows(job.spec, 1);
   }
 
-  /** Returns whether the limit of the job's team allows this many more of the job's tasks. */
+  /** Returns whether the quota of the job's team allows this many more of the job's tasks. */
   boolean teamQuotaAllows(Job job, int tasks) {
     return quotaUsage.allows(job.spec, tasks);
   }
 
-  /** Returns the processors and accelerators that the team may still use within its limit. */
+  /** Returns the processors and accelerators that the team may still use within its quota. */
   double[] remainingTeamQuota(String teamName) {
     return quotaUsage.remaining(teamName);
   }
--- a/src/main/java/org/astershift/scheduler/CommandReconciler.java
+++ b/src/main/java/org/astershift/scheduler/CommandReconciler.java
@@ -5,8 +5,8 @@
 
 /**
  * Turns the difference between the attempts wanted on a machine and those that it reports into
- * commands. They are sent in the response to the machine's heartbeat, or as direct commands if they
- * should not wait for the next heartbeat.
+ * commands. The commands are sent in the response to the machine's heartbeat, or as direct commands
+ * if they should not wait for the next heartbeat.
  */
 final class CommandReconciler {
   /**
@@ -16,8 +16,8 @@
   private static final long FENCE_DELAY_UNSEEN_MS = 1500;
 
   /**
-   * Milliseconds after its first message in this term within which an inherited machine should show
-   * this term's fencing token.
+   * Milliseconds from an inherited machine's first message in this term until the machine gets a
+   * direct command that fences it, unless it has shown this term's fencing token.
    */
   private static final long FENCE_DELAY_SEEN_MS = 2500;
 
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Returns the response to the newest heartbeat: every command whose effect is not visible yet.
+   * Returns the commands of the response to the newest heartbeat: all commands whose effect is not
+   * visible yet. Records the starts among them in their attempts.
    */
   List<Command> createHeartbeatResponse(Machine machine, long nowMs) {
     List<Command> commands = new ArrayList<>(4);
@@ -112,7 +113,7 @@
 
   /**
    * Returns whether the worker may forget an exited attempt. A completed one stays in its
-   * heartbeats until the completion is persisted, so that a next leader can learn of it.
+   * heartbeats until the completion is persisted, so that the next leader learns of it.
    */
   private static boolean canForget(TaskAttempt attempt) {
     return attempt.job.state != Job.State.LIVE
@@ -131,8 +132,8 @@
   }
 
   /**
-   * Returns whether the machine's urgent commands may be sent now. Stops always may, since the
-   * stops of a gang have to arrive together; starts may only within the concurrency limit.
+   * Returns whether the machine's urgent commands may be sent now. Stops may always be sent, since
+   * the stops of a gang have to arrive together; starts only within the concurrency limit.
    */
   boolean canSendNow(Machine machine) {
     if (concurrencyLimit.hasCapacity()) {
@@ -172,11 +173,11 @@
   }
 
   /**
-   * Returns the commands that should not wait for the machine's next heartbeat; null if there are
-   * none. Starts are included only while this leader's lease is certain: a machine that a later
-   * leader fenced and that then restarts has no fencing token, so it would execute a direct start
-   * of a leader that was suspended meanwhile. A heartbeat response, in contrast, reaches only an
-   * incarnation that has just shown its token.
+   * Returns the commands that should not wait for the machine's next heartbeat, and marks them as
+   * sent; null if there are none. Starts are included only while this leader's lease is certain: a
+   * machine that a later leader fenced and that then restarts has no fencing token, so it would
+   * execute a direct start of a leader that was suspended meanwhile. A heartbeat response, in
+   * contrast, reaches only an incarnation that has just shown its token.
    */
   Decision.SendCommands createUrgentCommands(Machine machine, boolean leaseCertain, long nowMs) {
     if (machine.directCommands.isInFlight()
@@ -240,11 +241,11 @@
   }
 
   /**
-   * Returns the commands that were sent without a visible effect. Without heartbeats no response
-   * repeats them, so a probe does. Heartbeats of a machine that restarted in this term prove
-   * nothing, so the probe also repeats unconfirmed starts. The start of an attempt that is unwanted
-   * by now is sent with a stop, so that the worker remembers the attempt; otherwise a cancellation
-   * would wait for it indefinitely.
+   * Returns the commands that were sent without a visible effect. While no heartbeats arrive, no
+   * response repeats these commands, so a probe does. Heartbeats of a machine that restarted in
+   * this term prove nothing, so the probe also repeats unconfirmed starts. The start of an attempt
+   * that is unwanted by now is sent with a stop, so that the worker remembers the attempt;
+   * otherwise a cancellation would wait for it indefinitely.
    */
   private List<Command> repeatUnacknowledgedCommands(
       Machine machine, boolean leaseCertain, long nowMs) {
@@ -324,8 +325,8 @@
 
   /**
    * Handles the answer to a direct command. If the answer is {@code overtaken} by a newer message,
-   * a start that no message has shown may have been executed by a later incarnation than the known
-   * one.
+   * a start that no message has reported may have been executed by a later incarnation than the
+   * known one.
    */
   static void onAnswered(Machine machine, boolean overtaken) {
     machine.directCommands.onSettled();
--- a/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
+++ b/src/main/java/org/astershift/scheduler/DeadlineAdmission.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 
 /**
- * Decides which job arrays can still meet their deadlines together. Where machines are short,
+ * Decides which job arrays can still meet their deadlines together. When machines are scarce,
  * serving the earliest deadline first makes all jobs late; so the largest of the jobs that do not
  * fit are postponed, which leaves most jobs on time (the Moore-Hodgson algorithm). Postponed jobs
  * are served after the others.
@@ -36,9 +36,9 @@
    * is due.
    */
   void assignUrgency(Priority priority, List<Job> jobs, long nowMs) {
-    CpuLoad running = runningLoad(priority);
-    double capacityPerMs = Math.max(running.availableCpus(), 1) / 1000;
-    double loadCpuS = running.loadCpuS();
+    CpuLoad runningLoad = runningLoad(priority);
+    double capacityPerMs = Math.max(runningLoad.availableCpus(), 1) / 1000;
+    double loadCpuS = runningLoad.loadCpuS();
     List<Job> undecided = new ArrayList<>(jobs.size());
     for (Job job : jobs) {
       double objectiveRiskMs = job.objectiveAtRiskMs();
@@ -123,9 +123,9 @@
       double runMs = job.spec.estimateS() * 1000;
       double dueMs =
           job.completionDueMs(deadlineMultiple) - nowMs + runMs * LATENESS_TOLERANCE_SHARE;
-      boolean overTeamLimit = Math.max(runMs, team.requiredMs()) > dueMs;
-      if (overTeamLimit || Math.max(runMs, fleet.requiredMs()) > dueMs) {
-        Job largest = (overTeamLimit ? team : fleet).largest();
+      boolean overTeamQuota = Math.max(runMs, team.requiredMs()) > dueMs;
+      if (overTeamQuota || Math.max(runMs, fleet.requiredMs()) > dueMs) {
+        Job largest = (overTeamQuota ? team : fleet).largest();
         fleet.remove(largest);
         teams.get(largest.spec.team()).remove(largest);
         postponed.add(largest);
--- a/src/main/java/org/astershift/scheduler/DeferralTracker.java
+++ b/src/main/java/org/astershift/scheduler/DeferralTracker.java
@@ -9,20 +9,21 @@
  * Tracks for how long jobs have been deferred, by their placement constraints. A job is deferred
  * while room that it could use is withheld because more urgent work is waiting. Once the deferral
  * has lasted for the limit, all jobs with the same constraints may use the room within one pass,
- * and a new deferral begins: otherwise they would wait, although processors are free, for as long
- * as larger work waits.
+ * and a new deferral begins. Without a limit such jobs would wait, although processors are free,
+ * for as long as larger work waits.
  */
 final class DeferralTracker {
   /**
-   * Limit of a deferral in milliseconds. The requirement on the service is 90 s; the difference is
-   * left for the start of the task.
+   * Limit of a deferral in milliseconds. No job should wait for 90 s while a machine has room for
+   * it; the difference is left for the start of the task.
    */
   private static final long DEFERRAL_LIMIT_MS = 60_000;
 
   private final Map<Job.PlacementConstraints, Long> deferredSinceMs = new HashMap<>();
 
   /**
-   * Constraints of jobs that found room since the last pass began, whether deferred or admitted.
+   * Constraints of jobs for which there was room since the last pass began, whether the jobs were
+   * deferred or admitted.
    */
   private final Set<Job.PlacementConstraints> constraintsWithRoom = new HashSet<>();
 
--- a/src/main/java/org/astershift/scheduler/Demand.java
+++ b/src/main/java/org/astershift/scheduler/Demand.java
@@ -7,8 +7,8 @@
 /**
  * The tasks of one job for which a scale-out plan looks for room. For a job that has to be in one
  * zone only the room of one zone counts, and for a spread job no more of a zone than the job may
- * use: otherwise no machine would be requested for the job, and it would wait next to room that it
- * cannot take.
+ * use. Otherwise no machine would be requested for the job, and the job would wait next to room
+ * that it cannot take.
  */
 final class Demand {
   final Job job;
@@ -44,31 +44,36 @@
         : remainingTasks;
   }
 
-  /** Takes room for as many of the remaining tasks as may run and fit on these machines. */
+  /** Assigns as many of the remaining tasks to these machines as may run and fit there. */
   void assignTo(List<PlannedMachine> machines) {
     for (PlannedMachine machine : machines) {
       if (remainingTasks == 0) {
         return;
       }
       if (!machine.hasRoomFor(job.spec)) {
-        continue; // most machines are full, and this runs for each job and machine
+        continue; // a cheap check first: most machines are full, and each job checks each machine
       }
-      for (int n = maxTasksIn(machine.zone); n > 0 && machine.tryAllocate(job.spec); n--) {
+      for (int taskRoom = maxTasksIn(machine.zone);
+          taskRoom > 0 && machine.tryAllocate(job.spec);
+          taskRoom--) {
         assignedTasksByZone.merge(machine.zone, 1, Integer::sum);
         remainingTasks--;
       }
     }
   }
 
-  /** Returns how many of the remaining tasks find room in this zone. */
+  /**
+   * Returns how many of the remaining tasks find room on those of the machines that are in this
+   * zone.
+   */
   int countFittingTasks(List<PlannedMachine> machines, String zone) {
-    int fitting = 0;
-    int limit = maxTasksIn(zone);
+    int fittingTasks = 0;
+    int maxTasks = maxTasksIn(zone);
     for (PlannedMachine machine : machines) {
-      if (fitting < limit && machine.zone.equals(zone)) {
-        fitting += machine.countAllowedTasks(job.spec, limit - fitting);
+      if (fittingTasks < maxTasks && machine.zone.equals(zone)) {
+        fittingTasks += machine.countAllowedTasks(job.spec, maxTasks - fittingTasks);
       }
     }
-    return fitting;
+    return fittingTasks;
   }
 }
--- a/src/main/java/org/astershift/scheduler/DirectCommandState.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommandState.java
@@ -30,7 +30,9 @@
     hasUnansweredWhileSilent |= sentWhileSilent;
   }
 
-  /** Resets the unanswered commands, since a message of the machine has arrived after them. */
+  /**
+   * Resets what is known of unanswered commands, since a later message of the machine has arrived.
+   */
   void clearUnanswered() {
     unansweredCount = 0;
     hasUnansweredWhileSilent = false;
@@ -50,7 +52,7 @@
     return unansweredCount;
   }
 
-  /** Returns whether a command got no answer that was sent while the machine was silent. */
+  /** Returns whether a command that was sent while the machine was silent got no answer. */
   boolean hasUnansweredWhileSilent() {
     return hasUnansweredWhileSilent;
   }
--- a/src/main/java/org/astershift/scheduler/DirectCommands.java
+++ b/src/main/java/org/astershift/scheduler/DirectCommands.java
@@ -28,7 +28,10 @@
     this.commandReconciler = commandReconciler;
   }
 
-  /** Returns whether the decision should still be carried out; settles it if not. */
+  /**
+   * Returns whether the decision should still be carried out; if not, settles the machine's direct
+   * command.
+   */
   boolean isStillDue(Decision.SendCommands decision, long nowMs) {
     Machine machine = cluster.machines.get(decision.machineName());
     if (machine == null
--- a/src/main/java/org/astershift/scheduler/FailureDetector.java
+++ b/src/main/java/org/astershift/scheduler/FailureDetector.java
@@ -9,11 +9,12 @@
 
 /**
  * Decides which silent machines may be released. A leader that lost its network cannot distinguish
- * a healthy fleet from a dead one, so a peer that reaches other machines must have failed to reach
- * this one. If no such peer answers, local evidence is enough to release a few machines. To release
- * more, the evidence must fit a known pattern (a whole zone is silent, or the leases have expired),
- * and the leader must still receive heartbeats from a part of the fleet. Regardless of the
- * evidence, only a limited share of the fleet may be released within a time window.
+ * a healthy fleet from a dead one, so a release requires that a peer which reaches other machines
+ * failed to reach the silent one. If no such peer answers, local evidence is enough to release a
+ * few machines. To release more, the evidence must fit a known pattern (a whole zone is silent, or
+ * the leases have expired), and the leader must still receive heartbeats from a part of the fleet.
+ * Regardless of the evidence, only a limited share of the fleet may be released within a time
+ * window.
  */
 final class FailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
@@ -71,7 +72,7 @@
     return evidence.isSilent(machine, nowMs);
   }
 
-  /** Returns the machines that peers should probe now, or null if no probe is due. */
+  /** Starts a probe by the peers; returns the machines to probe, or null if no probe is due. */
   Decision.ProbeThroughPeers startPeerProbe(long nowMs) {
     return peerProber.startProbe(fleet, nowMs);
   }
--- a/src/main/java/org/astershift/scheduler/FaultAttribution.java
+++ b/src/main/java/org/astershift/scheduler/FaultAttribution.java
@@ -103,8 +103,8 @@
    * job, with growing pauses.
    */
   private void suspectJob(Job job, long nowMs) {
-    boolean first = !job.isSuspect();
-    if (first) {
+    boolean newlySuspect = !job.isSuspect();
+    if (newlySuspect) {
       LOG.info(
           "job suspect, probed with growing pauses: job={} class={} failed_machines={}",
           job.spec.id(),
--- a/src/main/java/org/astershift/scheduler/FleetAssessment.java
+++ b/src/main/java/org/astershift/scheduler/FleetAssessment.java
@@ -18,7 +18,7 @@
 
   /**
    * Share of the fleet that a leader must observe to release more than {@link
-   * #LOCAL_EVIDENCE_SHARE} while no peer is conclusive. A leader that observes less is more likely
+   * #LOCAL_EVIDENCE_SHARE}, whatever the peers report. A leader that observes less is more likely
    * to be partitioned than to have a dead fleet.
    */
   private static final double LONE_OBSERVER_SHARE = 0.25;
@@ -44,30 +44,30 @@
    */
   FleetAssessment(Map<String, ZoneHealth> zones, int scatteredReleases) {
     this.zones = zones;
-    int reporting = 0;
+    int machines = 0;
     int overdue = scatteredReleases;
     int overdueElsewhere = scatteredReleases;
-    int unanswered = 0;
+    int unansweredSeen = 0;
     for (ZoneHealth zone : zones.values()) {
-      reporting += zone.machineCount();
+      machines += zone.machineCount();
       overdue += zone.overdueCount();
-      unanswered += zone.unansweredSeenCount();
+      unansweredSeen += zone.unansweredSeenCount();
       if (!zone.isMostlySilent()) {
         overdueElsewhere += zone.overdueCount();
       }
     }
-    machineCount = reporting;
-    fleetSize = scatteredReleases + reporting;
+    machineCount = machines;
+    fleetSize = scatteredReleases + machines;
     overdueCount = overdue;
     hasFewOverdueMachines =
         overdueCount <= Math.max(SILENT_FEW_MACHINES, fleetSize * LOCAL_EVIDENCE_SHARE);
-    boolean isolated =
+    boolean seemsIsolated =
         overdueCount > SILENT_FEW_MACHINES
             && overdueCount * 2 > fleetSize
-            && unanswered > SILENT_FEW_MACHINES;
+            && unansweredSeen > SILENT_FEW_MACHINES;
     isLocalEvidenceConclusive =
         hasSufficientVisibility()
-            && !isolated
+            && !seemsIsolated
             && overdueElsewhere <= Math.max(SILENT_FEW_MACHINES, fleetSize * SILENT_FLEET_SHARE);
   }
 
@@ -85,7 +85,7 @@
     return machineCount;
   }
 
-  /** Returns the number of reporting machines plus recently released silent ones. */
+  /** Returns the number of machines machines plus recently released silent ones. */
   int fleetSize() {
     return fleetSize;
   }
@@ -112,16 +112,16 @@
   /** Returns how much of its fleet this leader observes, not counting released machines. */
   FleetVisibility visibility() {
     int overdue = 0;
-    int unanswered = 0;
-    int unansweredNew = 0;
+    int unansweredSeen = 0;
+    int unansweredUnseen = 0;
     for (ZoneHealth zone : zones.values()) {
       overdue += zone.overdueCount();
-      unanswered += zone.unansweredSeenCount();
-      unansweredNew += zone.unansweredUnseenCount();
+      unansweredSeen += zone.unansweredSeenCount();
+      unansweredUnseen += zone.unansweredUnseenCount();
     }
     boolean mostOverdue = overdue > SILENT_FEW_MACHINES && overdue * 2 > machineCount;
-    boolean isolated = mostOverdue && unanswered > SILENT_FEW_MACHINES;
-    boolean inboundPartitioned = mostOverdue && (unanswered + unansweredNew) * 2 > overdue;
+    boolean isolated = mostOverdue && unansweredSeen > SILENT_FEW_MACHINES;
+    boolean inboundPartitioned = mostOverdue && (unansweredSeen + unansweredUnseen) * 2 > overdue;
     return new FleetVisibility(machineCount, overdue, isolated, inboundPartitioned);
   }
 }
--- a/src/main/java/org/astershift/scheduler/FleetVisibility.java
+++ b/src/main/java/org/astershift/scheduler/FleetVisibility.java
@@ -5,9 +5,9 @@
  *
  * @param machineCount number of machines that should send heartbeats
  * @param overdueCount number of these machines whose heartbeat is overdue
- * @param isolated whether most are overdue, and several overdue machines that this leader has seen
- *     before left a direct command unanswered
- * @param inboundPartitioned whether most are overdue, and most overdue machines, including those
+ * @param isIsolated whether most are overdue, and more than a few overdue machines that this leader
+ *     has seen before left a direct command unanswered
+ * @param isInboundPartitioned whether most are overdue, and most overdue machines, including those
  *     that this leader has never seen, left a direct command unanswered. A busy new leader is
  *     neither isolated nor inbound-partitioned, because it has not sent any command yet
  */
--- a/src/main/java/org/astershift/scheduler/GangScheduler.java
+++ b/src/main/java/org/astershift/scheduler/GangScheduler.java
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Returns whether an earlier attempt of the gang is still held: it has to be gone from all
-   * machines before the next attempt starts.
+   * Returns whether an earlier attempt of the gang is still held: that attempt has to be gone from
+   * all machines before the next attempt starts.
    */
   private static boolean hasEarlierAttempt(Job job) {
     return !job.attempts.isEmpty() && (job.isGangAttemptClosed() || hasStoppingTask(job));
@@ -187,15 +187,15 @@
    * them.
    */
   private boolean place(Job job, Collection<PlacementDomain> domains, long nowMs) {
-    Assignment best = findBestAssignment(job, domains);
-    if (best == null) {
+    Assignment assignment = findBestAssignment(job, domains);
+    if (assignment == null) {
       return false;
     }
     if (job.attempts.isEmpty()) {
       job.gangAttemptNumber = cluster.nextAttemptNumber();
     }
     job.reservedZone = null;
-    for (Map.Entry<Integer, Machine> entry : best.machines().entrySet()) {
+    for (Map.Entry<Integer, Machine> entry : assignment.machines().entrySet()) {
       cluster.place(job, entry.getKey(), entry.getValue(), job.gangAttemptNumber, nowMs);
       LOG.debug(
           "gang task placed: job={} index={} machine={}",
@@ -231,8 +231,8 @@
     int imageHits = 0;
     int index = job.waitingTasks.nextSetBit(0);
     for (Machine machine : domain.candidates) {
-      int room = machine.countFittingTasks(job.spec, job.waitingCount());
-      for (int assignedHere = 0; assignedHere < room && index >= 0; assignedHere++) {
+      int taskRoom = machine.countFittingTasks(job.spec, job.waitingCount());
+      for (int assignedHere = 0; assignedHere < taskRoom && index >= 0; assignedHere++) {
         if (!isWithinSpreadLimit(job, machine.zone, tasksByZone)
             || PlacementRules.hasAttemptOnMachine(machine, job, index)
             || !cluster.teamQuotaAllows(job, machines.size() + 1)) {
@@ -282,7 +282,7 @@
    * free machines among those that can; null if none can.
    */
   private static String chooseZoneToReserve(Job job, Map<String, PlacementDomain> domains) {
-    String best = null;
+    String bestZone = null;
     int bestFreeMachines = 0;
     for (Map.Entry<String, PlacementDomain> entry : domains.entrySet()) {
       PlacementDomain domain = entry.getValue();
@@ -292,11 +292,11 @@
       if (entry.getKey().equals(job.reservedZone)) {
         return entry.getKey();
       }
-      if (best == null || domain.freeMachines.size() > bestFreeMachines) {
-        best = entry.getKey();
+      if (bestZone == null || domain.freeMachines.size() > bestFreeMachines) {
+        bestZone = entry.getKey();
         bestFreeMachines = domain.freeMachines.size();
       }
     }
-    return best;
+    return bestZone;
   }
 }
--- a/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatReconciler.java
@@ -12,7 +12,7 @@
   private final ClusterState cluster;
   private final TaskExitHandler exitHandler;
   private final AttemptAdoption adoption;
-  private boolean isDeposed;
+  private boolean higherTokenSeen;
 
   HeartbeatReconciler(ClusterState cluster) {
     this.cluster = cluster;
@@ -22,7 +22,7 @@
 
   /** Returns whether a worker sent a higher fencing token, so another leader has taken over. */
   boolean isDeposed() {
-    return isDeposed;
+    return higherTokenSeen;
   }
 
   /**
@@ -32,7 +32,7 @@
    */
   Machine resolveSender(Heartbeat heartbeat, long nowMs) {
     if (heartbeat.fencingToken() > cluster.fencingToken) {
-      isDeposed = true;
+      higherTokenSeen = true;
     }
     Machine machine = cluster.machines.get(heartbeat.machineName());
     if (machine == null) {
@@ -59,18 +59,18 @@
   /**
    * Records to which incarnation a message belongs.
    *
-   * @param directResponse whether the message answers direct commands of this leader
+   * @param isDirectAnswer whether the message answers direct commands of this leader
    */
-  void recordIncarnation(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
+  void recordIncarnation(Machine machine, Heartbeat heartbeat, boolean isDirectAnswer, long nowMs) {
     if (!machine.isNewestMessage(heartbeat)) {
       return;
     }
     boolean leaseUncertain = cluster.incarnations.isLeaseUncertain(nowMs);
     if (leaseUncertain
-        && !cluster.incarnations.isSameIncarnation(machine, heartbeat, directResponse, nowMs)) {
+        && !cluster.incarnations.isSameIncarnation(machine, heartbeat, isDirectAnswer, nowMs)) {
       cluster.onUnprovenIncarnation(machine);
     }
-    cluster.incarnations.onMessage(machine, heartbeat, directResponse, nowMs);
+    cluster.incarnations.onMessage(machine, heartbeat, isDirectAnswer, nowMs);
   }
 
   /**
--- a/src/main/java/org/astershift/scheduler/HeartbeatTiming.java
+++ b/src/main/java/org/astershift/scheduler/HeartbeatTiming.java
@@ -5,7 +5,7 @@
 
 /**
  * Determines when a machine counts as silent, and from which time a restart can no longer explain
- * its silence. All times are milliseconds of the steady clock.
+ * its silence. All times are milliseconds of the monotonic clock.
  */
 final class HeartbeatTiming {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatTiming.class);
@@ -62,8 +62,8 @@
    * which is already half over, expires.
    */
   boolean isOutboundPartitioned(Machine machine, long nowMs) {
-    long sinceMs = nowMs - Math.max(resumedMs, machine.leaseRenewedMs);
-    return sinceMs > limits.leaseS() * 1000 * OUTBOUND_PARTITION_LEASES;
+    long unrenewedMs = nowMs - Math.max(resumedMs, machine.leaseRenewedMs);
+    return unrenewedMs > limits.leaseS() * 1000 * OUTBOUND_PARTITION_LEASES;
   }
 
   /** Logs when the outbound partition of a machine begins and ends. */
--- a/src/main/java/org/astershift/scheduler/IncarnationTracker.java
+++ b/src/main/java/org/astershift/scheduler/IncarnationTracker.java
@@ -31,7 +31,7 @@
 
   private final long fencingToken;
   private long leaseCertainUntilMs = Long.MAX_VALUE;
-  private long updateLastCertainTime = Long.MIN_VALUE;
+  private long lastCertainMs = Long.MIN_VALUE;
 
   IncarnationTracker(long fencingToken) {
     this.fencingToken = fencingToken;
@@ -61,8 +61,8 @@
 
   /** Updates and returns the latest known time at which no other node can have led. */
   private long updateLastCertainTime(long nowMs) {
-    updateLastCertainTime = Math.max(updateLastCertainTime, Math.min(nowMs, leaseCertainUntilMs));
-    return updateLastCertainTime;
+    lastCertainMs = Math.max(lastCertainMs, Math.min(nowMs, leaseCertainUntilMs));
+    return lastCertainMs;
   }
 
   /**
@@ -73,9 +73,9 @@
    * command to the machine is in flight or was lost.
    */
   boolean isSameIncarnation(
-      Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
+      Machine machine, Heartbeat heartbeat, boolean isDirectAnswer, long nowMs) {
     boolean noUnansweredCommand =
-        !directResponse
+        !isDirectAnswer
             && !machine.directCommands.isInFlight()
             && !machine.directCommands.hasUnconfirmedCommand();
     return (noUnansweredCommand && machine.fenced && heartbeat.fencingToken() == fencingToken)
@@ -118,26 +118,26 @@
   }
 
   /** Records that a newer message proves its incarnation to exist, and since when. */
-  void onMessage(Machine machine, Heartbeat heartbeat, boolean directResponse, long nowMs) {
-    boolean first = !machine.incarnation.isKnown();
+  void onMessage(Machine machine, Heartbeat heartbeat, boolean isDirectAnswer, long nowMs) {
+    boolean isFirstMessage = !machine.incarnation.isKnown();
     machine.incarnation.onMessage(nowMs);
     updateLastCertainTime(nowMs);
-    if (directResponse) {
+    if (isDirectAnswer) {
       machine.incarnation.confirmExistence(
           machine.directCommands.lastSentMs()); // it answered after that time
     } else if (heartbeat.fencingToken() == fencingToken) {
       machine.incarnation.confirmExistence(machine.firstKnownMs); // it knows this term's token
     }
-    if (first) {
+    if (isFirstMessage) {
       LOG.debug(
           "new incarnation: machine={} epoch={} sequence={} token={} registered={}"
-              + " direct_response={} lease_uncertain={}",
+              + " direct_answer={} lease_uncertain={}",
           machine.name,
           heartbeat.epoch(),
           heartbeat.sequence(),
           heartbeat.fencingToken(),
           machine.registered,
-          directResponse,
+          isDirectAnswer,
           isLeaseUncertain(nowMs));
     }
   }
--- a/src/main/java/org/astershift/scheduler/Job.java
+++ b/src/main/java/org/astershift/scheduler/Job.java
@@ -313,8 +313,9 @@
   }
 
   /**
-   * Prevents further starts under this attempt number. The gang has run as a whole, so its
-   * remaining tasks are ending, and a new task would wait for them without success.
+   * Prevents further starts under this attempt number. The gang has run as a whole, or one of its
+   * tasks has stopped waiting for the others, so the remaining tasks are ending, and a new task
+   * would wait for them without success.
    */
   void closeAttempt(long attemptNumber) {
     closedAttemptNumber = Math.max(closedAttemptNumber, attemptNumber);
--- a/src/main/java/org/astershift/scheduler/JobDeadlines.java
+++ b/src/main/java/org/astershift/scheduler/JobDeadlines.java
@@ -11,7 +11,7 @@
 
   /**
    * Share of the start objective after which a postponed job is at risk of missing it. The rest is
-   * for waiting its turn, since many jobs may become at risk at the same time.
+   * left for the wait until the job is served, since many jobs may become at risk at the same time.
    */
   private static final double OBJECTIVE_RISK_START_SHARE = 0.6;
 
@@ -108,7 +108,10 @@
     return seconds == Double.MAX_VALUE ? seconds : submittedMs + seconds * 1000;
   }
 
-  /** Returns when the last of these objectives is missed; from then on the job is not urgent. */
+  /**
+   * Returns when the later of the start and the finish objective is missed; from then on neither
+   * makes the job urgent.
+   */
   double objectiveMissedMs() {
     double seconds =
         Math.max(
--- a/src/main/java/org/astershift/scheduler/LogSummary.java
+++ b/src/main/java/org/astershift/scheduler/LogSummary.java
@@ -15,7 +15,7 @@
     this.costStatistics = costStatistics;
   }
 
-  /** Returns jobs, machines, utilization, commands in flight and cost. */
+  /** Returns a log line with jobs, machines, utilization, commands in flight and cost. */
   String clusterSummary() {
     int liveMachines = 0;
     int bootingMachines = 0;
@@ -44,7 +44,10 @@
         + costStatistics;
   }
 
-  /** Returns the service of each class and team; warns about jobs that have not started. */
+  /**
+   * Returns a log line with the service of each class and team; warns about jobs that have not
+   * started.
+   */
   String serviceSummary(long nowMs) {
     // Tasks that run on unreconciled machines seem to wait.
     if (!cluster.hasUnreconciledMachines()) {
--- a/src/main/java/org/astershift/scheduler/Machine.java
+++ b/src/main/java/org/astershift/scheduler/Machine.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** This leader's state of one machine. All times are milliseconds of the steady clock. */
+/** This leader's state of one machine. All times are milliseconds of the monotonic clock. */
 final class Machine {
   /** Consecutive unanswered direct commands after which a machine is inbound-partitioned. */
   static final int INBOUND_PARTITION_TRIES = 2;
@@ -91,7 +91,7 @@
   /** The incarnation for which a record is being written; null if there is none. */
   MachineIncarnation registeringIncarnation;
 
-  /** Whether a restart is suspected from a lower token or a missing task, maybe of a stale copy. */
+  /** Whether a lower token or a missing task suggests a restart; the message may be stale. */
   boolean restartSuspected;
 
   /** Whether the machine restarted in this term; heartbeats then do not prove their incarnation. */
@@ -108,7 +108,7 @@
 
   final PeerProbeResults peerProbeResults = new PeerProbeResults();
 
-  /** Time at which the cloud last had the machine; a later list without it proves it gone. */
+  /** Time when the machine was last listed or added; a later list without it proves it gone. */
   long lastListedMs;
 
   /** Seconds until the cloud reclaims the machine; null without a notice. */
@@ -128,8 +128,8 @@
   /** Held attempts on this machine, and exited ones until the worker has forgotten them. */
   final Map<TaskAttempt.Key, TaskAttempt> attempts = new LinkedHashMap<>();
 
-  /** Within a pass: capacity reserved for waiting tasks. */
-  private Reservation hasReservation = Reservation.NONE;
+  /** Capacity reserved for waiting tasks until the next pass. */
+  private Reservation reservedCapacity = Reservation.NONE;
 
   /** Within a pass: work that can be preempted here; null if not computed or outdated. */
   PreemptibleWork preemptible;
@@ -192,7 +192,7 @@
 
   /**
    * Resets the state after a restart, as if the machine had never been seen. The machine must be
-   * registered again before use, so that no leader it followed in between considers it reconciled.
+   * registered again before use, so no leader that it followed in between considers it reconciled.
    */
   void resetAfterRestart() {
     restartedInTerm = true;
@@ -330,40 +330,40 @@
   /** Clears the reservation and returns it, to be restored by {@link #reserve(Reservation)}. */
   Reservation clearReservation() {
     preemptible = null;
-    Reservation previous = hasReservation;
-    hasReservation = Reservation.NONE;
+    Reservation previous = reservedCapacity;
+    reservedCapacity = Reservation.NONE;
     return previous;
   }
 
   boolean hasReservation() {
-    return hasReservation.tasks() > 0;
+    return reservedCapacity.tasks() > 0;
   }
 
   double freeCpus() {
-    return type.cpus() - usedCpus() - hasReservation.cpus();
+    return type.cpus() - usedCpus() - reservedCapacity.cpus();
   }
 
   double freeGpus() {
-    return type.gpus() - usedGpus() - hasReservation.gpus();
+    return type.gpus() - usedGpus() - reservedCapacity.gpus();
   }
 
   double freeMemoryGb() {
-    return type.memoryGb() - usedMemoryGb() - hasReservation.memoryGb();
+    return type.memoryGb() - usedMemoryGb() - reservedCapacity.memoryGb();
   }
 
   /** Returns how many more tasks the machine's heartbeats can report. */
   int freeTaskSlots() {
-    return MachineType.MAX_TASKS_PER_MACHINE - attempts.size() - hasReservation.tasks();
+    return MachineType.MAX_TASKS_PER_MACHINE - attempts.size() - reservedCapacity.tasks();
   }
 
   /** Reserves capacity for this many more tasks of the job until the next pass. */
   void reserve(JobSpec spec, int tasks) {
-    hasReservation = hasReservation.plus(spec, tasks);
+    reservedCapacity = reservedCapacity.plus(spec, tasks);
   }
 
   /** Replaces the reservation until the next pass. */
   void reserve(Reservation reservation) {
-    hasReservation = reservation;
+    reservedCapacity = reservation;
   }
 
   boolean hasHeldAttempts() {
@@ -375,13 +375,13 @@
   }
 
   List<TaskAttempt> heldAttempts() {
-    List<TaskAttempt> unexited = new ArrayList<>();
+    List<TaskAttempt> heldAttempts = new ArrayList<>();
     for (TaskAttempt attempt : attempts.values()) {
       if (!attempt.isExited()) {
-        unexited.add(attempt);
+        heldAttempts.add(attempt);
       }
     }
-    return unexited;
+    return heldAttempts;
   }
 
   boolean hasCachedImage(String image) {
--- a/src/main/java/org/astershift/scheduler/MachineIncarnation.java
+++ b/src/main/java/org/astershift/scheduler/MachineIncarnation.java
@@ -4,7 +4,7 @@
  * One incarnation of a machine: from a start of its worker until the next start under the same
  * name. The protocol has no identifier for incarnations, and epochs and sequence numbers start
  * again with each, so the evidence about each incarnation is kept in a separate object. All times
- * are milliseconds of the steady clock.
+ * are milliseconds of the monotonic clock.
  */
 final class MachineIncarnation {
   private static final long NEVER_MS = Long.MAX_VALUE;
--- a/src/main/java/org/astershift/scheduler/MachineResources.java
+++ b/src/main/java/org/astershift/scheduler/MachineResources.java
@@ -10,7 +10,7 @@
   private double nonGpuMemoryGb;
   private int heldAttemptCount;
 
-  /** Adds one task of the job, or removes one where {@code sign} is -1. */
+  /** Adds one task of the job, or removes one if {@code sign} is -1. */
   void add(JobSpec spec, int sign) {
     usedCpus += sign * spec.cpus();
     usedGpus += sign * spec.gpus();
--- a/src/main/java/org/astershift/scheduler/MessageClassifier.java
+++ b/src/main/java/org/astershift/scheduler/MessageClassifier.java
@@ -16,8 +16,8 @@
     CURRENT,
     /**
      * A newer message has already been handled, so this one proves neither the presence nor the
-     * absence of tasks. A stale heartbeat may be a copy, or one whose worker stopped waiting: the
-     * response then has no receiver.
+     * absence of tasks. A stale heartbeat may be a copy, or its worker may have stopped waiting, so
+     * that the response has no receiver.
      */
     STALE,
     /**
--- a/src/main/java/org/astershift/scheduler/MinimumShare.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShare.java
@@ -12,10 +12,10 @@
 
 /**
  * Serves each job class of each team (a {@link MinimumShareGroup}) a minimum share, whatever its
- * priority. Priorities are served one after the other, so without the minimum a long burst of
- * urgent work would starve the lower priorities for as long as it lasts. A group is starved if its
- * jobs wait beyond an age, too many of them compared with those finished, while the group holds
- * less than a small share of the machines that it can use. A starved group is served before all
+ * priority. Priorities are served one after the other, so without the minimum share a long burst of
+ * urgent work would starve the lower priorities for as long as it lasts. A group is starved if too
+ * many of its jobs, compared with those finished, wait beyond an age while the group holds less
+ * than a small share of the machines that it can use. A starved group is served before all
  * priorities but the first, the oldest job first, until it holds that share; and only the first
  * priority preempts what it holds up to that share.
  */
@@ -57,15 +57,15 @@
 
   /** Returns the group that a new job belongs to; creates the group if necessary. */
   MinimumShareGroup groupOf(JobSpec spec) {
-    boolean accelerated = spec.gpus() > 0;
-    String suffix = accelerated ? " (accelerated)" : "";
+    boolean needsAccelerators = spec.gpus() > 0;
+    String suffix = needsAccelerators ? " (accelerated)" : "";
     return groups.computeIfAbsent(
         spec.jobClass() + " of " + spec.team() + suffix,
         name ->
             new MinimumShareGroup(
                 name,
                 groupsByClass.computeIfAbsent(spec.jobClass() + suffix, key -> new HashSet<>()),
-                accelerated));
+                needsAccelerators));
   }
 
   /**
--- a/src/main/java/org/astershift/scheduler/MinimumShareGroup.java
+++ b/src/main/java/org/astershift/scheduler/MinimumShareGroup.java
@@ -5,9 +5,10 @@
 import java.util.Set;
 
 /**
- * The jobs of one class and one team that need accelerators, or those that do not, with the amount
- * that they hold and the minimum share that they should hold. {@link MinimumShare} refreshes the
- * group once a pass. Amounts are processors, or accelerators for a group that needs these.
+ * The jobs of one class and one team that need accelerators, or those that need none, with the
+ * amount of resources that they hold and the minimum that they should hold. {@link MinimumShare}
+ * refreshes the group once a pass. Amounts are processors, or accelerators for a group that needs
+ * these.
  */
 final class MinimumShareGroup {
   /** Aged jobs per finished job above which the group counts as underserved. */
@@ -56,7 +57,7 @@
     this.needsAccelerators = accelerated;
   }
 
-  /** Clears the results of the last refresh. */
+  /** Clears the results of the last refresh of {@link MinimumShare}. */
   void reset() {
     agedJobs.clear();
     overdueJobs.clear();
@@ -102,7 +103,10 @@
     return agedJobs;
   }
 
-  /** Returns whether the group may take more now, ahead of jobs of all priorities but the first. */
+  /**
+   * Returns whether the group may take more resources now, ahead of jobs of all priorities but the
+   * first.
+   */
   boolean isStarved() {
     return remainingAllowance > 0;
   }
--- a/src/main/java/org/astershift/scheduler/PeerProbeResults.java
+++ b/src/main/java/org/astershift/scheduler/PeerProbeResults.java
@@ -4,7 +4,7 @@
  * Holds the results of peers that probed one machine. A result is valid only while the machine
  * sends nothing to this leader, and only for a limited time. A peer is conclusive if it reached the
  * controls of the probe; a failure reported by any other peer is ignored. All times are
- * milliseconds of the steady clock.
+ * milliseconds of the monotonic clock.
  */
 final class PeerProbeResults {
   /**
@@ -34,7 +34,8 @@
   private long unreachedMs = NEVER_MS;
 
   /**
-   * Time of the first such probe since the machine last sent a message or was reached by a peer.
+   * Time of the first probe in which conclusive peers failed to reach the machine since the machine
+   * last sent a message or was reached by a peer.
    */
   private long firstUnreachedMs = NEVER_MS;
 
--- a/src/main/java/org/astershift/scheduler/PeerProber.java
+++ b/src/main/java/org/astershift/scheduler/PeerProber.java
@@ -18,10 +18,12 @@
 final class PeerProber {
   private static final Logger LOG = LoggerFactory.getLogger(PeerProber.class);
 
-  /** Most suspects in one probe: as many as a busy peer can probe within its deadline. */
+  /**
+   * Maximum number of suspects in one probe: as many as a busy peer can probe within its deadline.
+   */
   private static final int PEER_PROBE_BATCH_MACHINES = 56;
 
-  /** Most controls in one probe. */
+  /** Maximum number of controls in one probe. */
   private static final int PEER_PROBE_CONTROL_MACHINES = 8;
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
@@ -59,10 +61,10 @@
   }
 
   /**
-   * Returns the machines that peers should probe, or null if there are none or a probe is in
-   * flight. Machines are selected as soon as their heartbeats are overdue, so that the results are
-   * available by the time the machines may be released. A sample of each zone comes first; it is
-   * sufficient if the whole zone is partitioned.
+   * Starts a probe by the peers; returns the machines to probe, or null if there are none or a
+   * probe is in flight. Machines are selected as soon as their heartbeats are overdue, so that the
+   * results are available by the time the machines may be released. A sample of each zone comes
+   * first; it is sufficient if the whole zone is partitioned.
    */
   Decision.ProbeThroughPeers startProbe(FleetAssessment fleet, long nowMs) {
     // A leader that sees hardly any of its fleet releases nothing, regardless of its peers'
@@ -83,8 +85,8 @@
 
   private List<Machine> selectSuspects(FleetAssessment fleet, long nowMs) {
     Map<String, Integer> sampled = new HashMap<>();
-    List<Machine> sample = new ArrayList<>();
-    List<Machine> remaining = new ArrayList<>();
+    List<Machine> zoneSample = new ArrayList<>();
+    List<Machine> remainingSuspects = new ArrayList<>();
     for (Machine machine : cluster.allMachines()) {
       if (machine.address == null
           || !isSuspect(machine, fleet.hasFewOverdueMachines(), nowMs)
@@ -95,13 +97,13 @@
       int probedBefore = zone == null ? 0 : zone.probedCount();
       if (probedBefore + sampled.merge(machine.zone, 1, Integer::sum)
           <= ZoneHealth.PEER_PROBE_ZONE_SAMPLE_MACHINES) {
-        sample.add(machine);
+        zoneSample.add(machine);
       } else if (zone == null || !zone.isConfirmedByPeers()) {
-        remaining.add(machine);
+        remainingSuspects.add(machine);
       }
     }
-    sample.addAll(remaining);
-    return sample;
+    zoneSample.addAll(remainingSuspects);
+    return zoneSample;
   }
 
   /** Returns whether the machine may have to be released soon. */
@@ -124,9 +126,9 @@
    * explain a failed probe.
    */
   private boolean hasCurrentResults(Machine machine, long nowMs) {
-    boolean askedTooEarly = machine.peerProbeResults.isUnreached(machine.lastContactMs(), nowMs);
+    boolean probedTooEarly = machine.peerProbeResults.isUnreached(machine.lastContactMs(), nowMs);
     return evidence.isUnreachedByPeers(machine, nowMs)
-        || (askedTooEarly && nowMs < cluster.heartbeatTiming.restartExcludedFromMs(machine))
+        || (probedTooEarly && nowMs < cluster.heartbeatTiming.restartExcludedFromMs(machine))
         || machine.peerProbeResults.isFreshlyReached(machine.lastContactMs(), nowMs);
   }
 
--- a/src/main/java/org/astershift/scheduler/Placement.java
+++ b/src/main/java/org/astershift/scheduler/Placement.java
@@ -134,7 +134,7 @@
    * machine with the most free processors; null if no machine is eligible.
    */
   private static Machine chooseMachineToReserve(Job job, List<Machine> usable, long nowMs) {
-    Machine best = null;
+    Machine emptiest = null;
     for (Machine machine : usable) {
       boolean eligible =
           job.usableTypes.contains(machine.typeName)
@@ -143,11 +143,11 @@
       if (eligible && machine == job.reservedMachine) {
         return machine;
       }
-      if (eligible && (best == null || machine.freeCpus() > best.freeCpus())) {
-        best = machine;
+      if (eligible && (emptiest == null || machine.freeCpus() > emptiest.freeCpus())) {
+        emptiest = machine;
       }
     }
-    return best;
+    return emptiest;
   }
 
   /**
@@ -238,10 +238,10 @@
   private void placeOnMachine(
       Machine machine,
       List<Machine> machineOnly,
-      List<Job> tier,
+      List<Job> jobsOfPriority,
       MinimumShareGroup starvedGroup,
       long nowMs) {
-    List<Job> jobs = selectNonGangJobs(tier);
+    List<Job> jobs = selectNonGangJobs(jobsOfPriority);
     jobs.removeIf(job -> !queue.isStartable(job, nowMs) || !rules.hasRoomFor(machine, job));
     if (!jobs.isEmpty()) {
       for (PlacementStep step : ALL_STEPS_SPREADING) {
--- a/src/main/java/org/astershift/scheduler/PlannedMachine.java
+++ b/src/main/java/org/astershift/scheduler/PlannedMachine.java
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Returns the room on the machine including what its array tasks will have freed by {@code atMs}
-   * according to their estimates.
+   * Returns the room on the machine, including the room that its array tasks will have freed by
+   * {@code atMs} according to their estimates.
    */
   static PlannedMachine withExpectedReleases(Machine machine, long atMs) {
     PlannedMachine planned = new PlannedMachine(machine);
@@ -47,7 +47,10 @@
     return isAllowed(spec) ? countFittingTasks(spec, limit) : 0;
   }
 
-  /** Takes the room of one task if the task may run and fits here; returns whether it did. */
+  /**
+   * Takes the room of one task if the task may run and fits here; returns whether the room was
+   * taken.
+   */
   boolean tryAllocate(JobSpec spec) {
     if (!hasRoomFor(spec) || !isAllowed(spec)) {
       return false;
--- a/src/main/java/org/astershift/scheduler/PoolAvailability.java
+++ b/src/main/java/org/astershift/scheduler/PoolAvailability.java
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Returns whether the pool was not refused recently and its zone is reachable; in any other zone
-   * no machine comes up.
+   * Returns whether the pool was not refused recently and its zone is not partitioned; in a
+   * partitioned zone no machine comes up.
    */
   boolean isAvailable(CapacityPool pool, long nowMs) {
     return !wasRecentlyRefused(pool, nowMs) && !cluster.isZonePartitioned(pool.zone(), nowMs);
--- a/src/main/java/org/astershift/scheduler/PoolSelector.java
+++ b/src/main/java/org/astershift/scheduler/PoolSelector.java
@@ -43,7 +43,7 @@
   private Decision.ProvisionMachines selectCheapestRequest(
       Demand demand, boolean inPartitionedZone) {
     JobSpec spec = demand.job.spec;
-    Decision.ProvisionMachines best = null;
+    Decision.ProvisionMachines bestRequest = null;
     double bestCost = Double.MAX_VALUE;
     for (String name : demand.job.usableTypes) {
       MachineType type = types.all().get(name);
@@ -59,12 +59,12 @@
                 Math.min(machinesNeeded, divideRoundingUp(allowedTasks, tasksPerMachine));
             int count = machineCountInZone(spec, type, machinesNeeded, allowedMachines);
             bestCost = cost;
-            best = pool.createRequest(inPartitionedZone ? 1 : count);
+            bestRequest = pool.createRequest(inPartitionedZone ? 1 : count);
           }
         }
       }
     }
-    return best;
+    return bestRequest;
   }
 
   private boolean canRequest(CapacityPool pool, boolean inPartitionedZone) {
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Returns no more than the zone's even part of the machines needed, unless the job has to be in
-   * one zone.
+   * Returns how many machines to request in one zone: no more than the zone's even part of the
+   * machines needed, unless the job has to be in one zone.
    */
   private static int machineCountInZone(
       JobSpec spec, MachineType type, int machinesNeeded, int allowedMachines) {
@@ -100,8 +100,8 @@
    */
   String selectCheapestZone(
       Demand demand, List<PlannedMachine> freeMachines, List<PlannedMachine> pendingMachines) {
-    String best = "";
-    String fallback = "";
+    String bestZone = "";
+    String fallbackZone = "";
     double bestCost = Double.MAX_VALUE;
     for (String zone : types.zones()) {
       int maxTasks = demand.maxTasksIn(zone);
@@ -110,7 +110,7 @@
       if (maxTasks < demand.remainingTasks() && !mayRunInParts) {
         continue;
       }
-      fallback = zone;
+      fallbackZone = zone;
       int missingTasks =
           Math.max(
               0,
@@ -120,11 +120,11 @@
       double price = missingTasks == 0 ? 0 : lowestPrice(demand.job, zone);
       double cost = missingTasks * price;
       if (cost < bestCost) {
-        best = zone;
+        bestZone = zone;
         bestCost = cost;
       }
     }
-    return best.isEmpty() ? fallback : best;
+    return bestZone.isEmpty() ? fallbackZone : bestZone;
   }
 
   private double lowestPrice(Job job, String zone) {
--- a/src/main/java/org/astershift/scheduler/PreemptibleWork.java
+++ b/src/main/java/org/astershift/scheduler/PreemptibleWork.java
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Returns the result for the job's priority and kind of objective: the one cached earlier in this
-   * pass, or else a new one.
+   * Returns the work on the machine that may be preempted for jobs of this job's priority and kind
+   * of objective. Uses the result cached earlier in this pass, if any.
    */
   static PreemptibleWork getOrCreate(Machine machine, Job job, long nowMs) {
     boolean tightObjective = job.hasTightStartObjective();
@@ -74,17 +74,17 @@
    * fits without, null if all candidates would not be enough.
    */
   List<TaskAttempt> selectVictims(Machine machine, JobSpec spec) {
-    FreeCapacity room = new FreeCapacity();
-    room.addFree(machine);
-    room.add(freedByStopping);
-    if (room.hasRoomFor(spec)) {
+    FreeCapacity available = new FreeCapacity();
+    available.addFree(machine);
+    available.add(freedByStopping);
+    if (available.hasRoomFor(spec)) {
       return List.of();
     }
     List<TaskAttempt> victims = new ArrayList<>();
     for (TaskAttempt attempt : candidates) {
       victims.add(attempt);
-      room.add(attempt.job.spec);
-      if (room.hasRoomFor(spec)) {
+      available.add(attempt.job.spec);
+      if (available.hasRoomFor(spec)) {
         return victims;
       }
     }
--- a/src/main/java/org/astershift/scheduler/Preemption.java
+++ b/src/main/java/org/astershift/scheduler/Preemption.java
@@ -105,11 +105,11 @@
     }
     int tasksWithRoom = 0;
     while (tasksWithRoom < needed && !choices.isEmpty()) {
-      PreemptionChoice best = choices.remove();
-      reserveAndPreempt(best, job);
+      PreemptionChoice cheapest = choices.remove();
+      reserveAndPreempt(cheapest, job);
       tasksWithRoom++;
       PreemptionChoice next =
-          findCheapestChoice(best.machine(), job, imageHitsOnly, order++, nowMs);
+          findCheapestChoice(cheapest.machine(), job, imageHitsOnly, order++, nowMs);
       if (next != null) {
         choices.add(next);
       }
--- a/src/main/java/org/astershift/scheduler/QueueWindow.java
+++ b/src/main/java/org/astershift/scheduler/QueueWindow.java
@@ -26,7 +26,10 @@
   private final Map<Priority, List<Job>> jobsByPriority = new EnumMap<>(Priority.class);
   private final List<Job> jobs = new ArrayList<>();
 
-  /** Tasks within their team's quota that were offered so far, whether in the window or not. */
+  /**
+   * Number of tasks within their team's quota of all jobs passed so far, whether in the window or
+   * not.
+   */
   private int offeredTasks;
 
   private int tasksOverQuota;
@@ -37,8 +40,8 @@
   }
 
   /**
-   * Adds the job if it still belongs to the window; jobs have to be offered in the order of the
-   * queue.
+   * Adds the job if the job still belongs to the window. Has to be called for all jobs in the order
+   * of the queue.
    */
   void addIfInWindow(Job job) {
     int startableTasks = remainingQuota.allocate(job, job.waitingCount());
--- a/src/main/java/org/astershift/scheduler/QuotaUsage.java
+++ b/src/main/java/org/astershift/scheduler/QuotaUsage.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The resources that the tasks of each team use, and what remains of the team's limit. Resources
- * that unobserved tasks may use count in full against every team, see {@link UnobservedUsage}.
+ * The resources that the tasks of each team use, and what remains of the team's quota. Resources
+ * that unobserved tasks may use count in full against every team; see {@link UnobservedUsage}.
  */
 final class QuotaUsage {
   private final Map<String, Team> teams;
@@ -19,7 +19,7 @@
     this.unobservedUsage = unobservedUsage;
   }
 
-  /** Adds one task of the job, or removes one where {@code sign} is -1. */
+  /** Adds one task of the job, or removes one if {@code sign} is -1. */
   void add(JobSpec spec, int sign) {
     double[] usage = usageByTeam.computeIfAbsent(spec.team(), t -> new double[2]);
     usage[0] += sign * spec.cpus();
@@ -31,7 +31,7 @@
     return usageByTeam.getOrDefault(team, new double[2]);
   }
 
-  /** Returns whether the limit of the job's team allows this many more of its tasks. */
+  /** Returns whether the quota of the job's team allows this many more of its tasks. */
   boolean allows(JobSpec spec, int tasks) {
     Team team = teams.get(spec.team());
     if (team == null) {
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Returns the processors and accelerators that the team may still take; negative if it is over
-   * its limit.
+   * Returns the processors and accelerators that the team may still take; negative if the team is
+   * over its quota.
    */
   double[] remaining(String teamName) {
     Team team = teams.get(teamName);
--- a/src/main/java/org/astershift/scheduler/ReconciliationLog.java
+++ b/src/main/java/org/astershift/scheduler/ReconciliationLog.java
@@ -14,10 +14,13 @@
 final class ReconciliationLog {
   private static final Logger LOG = LoggerFactory.getLogger(ReconciliationLog.class);
 
-  /** Most tasks named in one log line. */
+  /** Maximum number of tasks named in one log line. */
   private static final int TASKS_NAMED_IN_LINE = 5;
 
-  /** Most machine histories logged per summary interval: a fault may affect the whole fleet. */
+  /**
+   * Maximum number of machine histories logged per summary interval: a fault may affect the whole
+   * fleet.
+   */
   private static final int HISTORIES_LOGGED = 10;
 
   private int tasksFoundTwice;
@@ -32,22 +35,22 @@
 
   /** Logs those of the attempts about to be dropped that the machine reported as not exited. */
   void onDropped(Machine machine, List<TaskAttempt> attempts, DropReason reason) {
-    List<TaskAttempt> shown = new ArrayList<>(0);
+    List<TaskAttempt> reported = new ArrayList<>(0);
     for (TaskAttempt attempt : attempts) {
       if (attempt.phase != null && !attempt.isExited()) {
-        shown.add(attempt);
+        reported.add(attempt);
       }
     }
-    if (shown.isEmpty()) {
+    if (reported.isEmpty()) {
       return;
     }
     MachineEvent evidence = machine.history.newest();
     LOG.info(
-        "tasks dropped: machine={} reason={} shown={} tasks={} last_event=\"{}\"",
+        "tasks dropped: machine={} reason={} reported={} tasks={} last_event=\"{}\"",
         machine.name,
         reason,
-        shown.size(),
-        formatFirstTasks(shown),
+        reported.size(),
+        formatFirstTasks(reported),
         evidence == null ? "none" : evidence.format(evidence.atMs()));
   }
 
--- a/src/main/java/org/astershift/scheduler/RemainingQuota.java
+++ b/src/main/java/org/astershift/scheduler/RemainingQuota.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The quota that each team may still take. Jobs use it up one after the other: several jobs of a
- * team may each fit alone and not all together.
+ * The quota that each team has left. Jobs use it up one after the other: several jobs of a team may
+ * each fit alone and not all together.
  */
 final class RemainingQuota {
   private static final double TOLERANCE = 1e-6;
@@ -15,7 +15,7 @@
   /** The part of each team's usage that is expected to be released soon. */
   private final Map<String, ResourceAmounts> soonReleasedByTeam = new HashMap<>();
 
-  /** Processors and accelerators that a team may take. */
+  /** Processors and accelerators that a team may still use. */
   private static final class ResourceAmounts {
     private double cpus;
     private double gpus;
@@ -26,22 +26,22 @@
     }
 
     /**
-     * Moves the amount by which a team is over its quota from {@code now} to here, since it has to
-     * be released first.
+     * Moves the amount by which a team is over its quota from {@code remaining} to here, since that
+     * amount has to be released first.
      */
-    void absorbDeficit(ResourceAmounts now) {
-      cpus += Math.min(0, now.cpus);
-      now.cpus = Math.max(0, now.cpus);
-      gpus += Math.min(0, now.gpus);
-      now.gpus = Math.max(0, now.gpus);
+    void absorbDeficit(ResourceAmounts remaining) {
+      cpus += Math.min(0, remaining.cpus);
+      remaining.cpus = Math.max(0, remaining.cpus);
+      gpus += Math.min(0, remaining.gpus);
+      remaining.gpus = Math.max(0, remaining.gpus);
     }
 
-    /** Takes quota for as many tasks as fit, at most {@code limit}; returns how many. */
-    int allocate(JobSpec spec, int limit) {
-      double count = limit;
-      count = spec.cpus() > 0 ? Math.min(count, cpus / spec.cpus() + TOLERANCE) : count;
-      count = spec.gpus() > 0 ? Math.min(count, gpus / spec.gpus() + TOLERANCE) : count;
-      int taken = (int) Math.max(0, count);
+    /** Takes quota for as many tasks as fit, at most {@code maxTasks}; returns how many. */
+    int allocate(JobSpec spec, int maxTasks) {
+      double taskCount = maxTasks;
+      taskCount = spec.cpus() > 0 ? Math.min(taskCount, cpus / spec.cpus() + TOLERANCE) : taskCount;
+      taskCount = spec.gpus() > 0 ? Math.min(taskCount, gpus / spec.gpus() + TOLERANCE) : taskCount;
+      int taken = (int) Math.max(0, taskCount);
       cpus -= taken * spec.cpus();
       gpus -= taken * spec.gpus();
       return taken;
@@ -61,22 +61,22 @@
   }
 
   /**
-   * Takes quota for as many tasks of the job as its team may run, at most {@code limit}; returns
+   * Takes quota for as many tasks of the job as its team may run, at most {@code maxTasks}; returns
    * how many.
    */
-  int allocate(Job job, int limit) {
-    return remainingOf(job.spec.team()).allocate(job.spec, limit);
+  int allocate(Job job, int maxTasks) {
+    return remainingOf(job.spec.team()).allocate(job.spec, maxTasks);
   }
 
   /**
    * Does the same as {@link #allocate}, but first uses the quota that tasks of the team which end
    * soon will release.
    */
-  int allocateIncludingSoonReleased(Job job, int limit) {
-    ResourceAmounts later = soonReleasedOf(job.spec.team());
-    later.absorbDeficit(remainingOf(job.spec.team()));
-    int taken = later.allocate(job.spec, limit);
-    return taken + allocate(job, limit - taken);
+  int allocateIncludingSoonReleased(Job job, int maxTasks) {
+    ResourceAmounts soonReleased = soonReleasedOf(job.spec.team());
+    soonReleased.absorbDeficit(remainingOf(job.spec.team()));
+    int taken = soonReleased.allocate(job.spec, maxTasks);
+    return taken + allocate(job, maxTasks - taken);
   }
 
   private ResourceAmounts remainingOf(String team) {
--- a/src/main/java/org/astershift/scheduler/ScaleIn.java
+++ b/src/main/java/org/astershift/scheduler/ScaleIn.java
@@ -67,12 +67,12 @@
   }
 
   /**
-   * Adds the releases that are due. {@code leaseCertainlyHeld}: no other node can be the leader.
+   * Adds the releases that are due. {@code leaseCertain}: no other node can be the leader.
    * Otherwise another leader may be using machines that seem unneeded here. Then only machines that
    * the cloud lists as failed and silent machines are released; possibly no other leader can
    * release the silent ones.
    */
-  void plan(List<Decision> decisions, boolean leaseCertainlyHeld, long nowMs) {
+  void plan(List<Decision> decisions, boolean leaseCertain, long nowMs) {
     List<String> toRelease = new ArrayList<>();
     List<String> silentToRelease = new ArrayList<>();
     for (String name : failedMachines) {
@@ -83,7 +83,7 @@
     failureDetector.assessFleet(nowMs);
     Set<Machine> surplus = idleMachines.selectSurplus(nowMs);
     for (Machine machine : cluster.allMachines()) {
-      String reason = determineReleaseReason(machine, surplus, leaseCertainlyHeld, nowMs);
+      String reason = determineReleaseReason(machine, surplus, leaseCertain, nowMs);
       if (reason != null) {
         LOG.info(
             "machine {} ({} in {}) is returned: {}",
@@ -109,9 +109,12 @@
     }
   }
 
-  /** Returns why the machine is to be released now; null if it is not. */
+  /**
+   * Returns why the machine is to be released now; null if it is not. Counts the release of a
+   * silent machine against the budget, and stops the tasks of a quarantined machine.
+   */
   private String determineReleaseReason(
-      Machine machine, Set<Machine> surplus, boolean leaseCertainlyHeld, long nowMs) {
+      Machine machine, Set<Machine> surplus, boolean leaseCertain, long nowMs) {
     if (machine.state == Machine.State.RELEASING) {
       return null;
     }
@@ -121,7 +124,7 @@
           ? "silent with " + machine.heldAttemptCount() + " tasks"
           : null;
     }
-    if (!leaseCertainlyHeld) {
+    if (!leaseCertain) {
       return null;
     }
     return switch (machine.state) {
@@ -155,10 +158,10 @@
   }
 
   private String idleReason(Machine machine, Set<Machine> surplus, long nowMs) {
-    boolean idle =
+    boolean shouldRelease =
         machine.isIdle()
             && (idleMachines.isIdleTooLong(machine, nowMs) || surplus.contains(machine))
             && nowMs - machine.firstKnownMs > MIN_CHARGE_MS;
-    return idle ? "idle" : null;
+    return shouldRelease ? "idle" : null;
   }
 }
--- a/src/main/java/org/astershift/scheduler/ScaleOut.java
+++ b/src/main/java/org/astershift/scheduler/ScaleOut.java
@@ -59,13 +59,13 @@
    */
   void plan(List<Decision> decisions, long nowMs) {
     isPlanDue = false;
-    int calls = ThreadBudget.PROVISION_THREADS - pendingRequests.size();
-    if (calls <= 0) {
+    int availableCalls = ThreadBudget.PROVISION_THREADS - pendingRequests.size();
+    if (availableCalls <= 0) {
       return;
     }
     ScaleOutPlan plan = new ScaleOutPlan(cluster, availability, nowMs);
     for (Decision.ProvisionMachines request : plan.planRequests(pendingRequests.values())) {
-      if (calls-- == 0) {
+      if (availableCalls-- == 0) {
         return;
       }
       int count = Math.min(request.count(), PROVISION_BATCH_MACHINES);
--- a/src/main/java/org/astershift/scheduler/Scheduler.java
+++ b/src/main/java/org/astershift/scheduler/Scheduler.java
@@ -295,7 +295,7 @@
    * Returns the commands of the decision to send once its connection exists. Omits starts of jobs
    * that are over or being cancelled, as their end may have been confirmed to the user meanwhile,
    * and all other starts unless {@code leaseCertain}: only then did the connected incarnation exist
-   * before any later leader, which either fences it or sees its next incarnation before it starts
+   * before any later leader, which either fences it or sees its next incarnation before starting
    * the task elsewhere. Heartbeat responses carry the omitted commands.
    */
   public List<Command> selectSendableCommands(
--- a/src/main/java/org/astershift/scheduler/ServiceCounters.java
+++ b/src/main/java/org/astershift/scheduler/ServiceCounters.java
@@ -52,9 +52,11 @@
     outcomes.remove(outcome);
   }
 
-  /** Records that a task runs; {@code first}: it is the first of its job in this term. */
-  void onStarted(boolean first, long nowMs) {
-    started += first ? 1 : 0;
+  /**
+   * Records that a task runs; {@code isFirstStart}: the task is the first of its job in this term.
+   */
+  void onStarted(boolean isFirstStart, long nowMs) {
+    started += isFirstStart ? 1 : 0;
     lastStartMs = nowMs;
   }
 
--- a/src/main/java/org/astershift/scheduler/ServiceStatistics.java
+++ b/src/main/java/org/astershift/scheduler/ServiceStatistics.java
@@ -15,7 +15,10 @@
 final class ServiceStatistics {
   private static final Logger LOG = LoggerFactory.getLogger(ServiceStatistics.class);
 
-  /** Milliseconds without a start before a warning about a job: half of the time it may take. */
+  /**
+   * Milliseconds without a start before a warning about a job: half of the time within which all
+   * tasks have to start (see {@link MinimumShare}).
+   */
   private static final long UNSTARTED_WARN_MS = 120_000;
 
   /** Milliseconds without a start before a warning about a class or team that waits. */
@@ -48,9 +51,9 @@
       return;
     }
     lastStartMs = Math.max(lastStartMs, nowMs);
-    boolean first = !job.started;
-    classCounters(job).onStarted(first, nowMs);
-    teamCounters(job).onStarted(first, nowMs);
+    boolean isFirstStart = !job.started;
+    classCounters(job).onStarted(isFirstStart, nowMs);
+    teamCounters(job).onStarted(isFirstStart, nowMs);
     job.started = true;
     job.outcome.onStarted();
   }
@@ -72,9 +75,9 @@
    */
   void warnAboutUnstartedJobs(Iterable<Job> waiting, Predicate<Job> withinQuota, long nowMs) {
     for (Job job : waiting) {
-      boolean late = nowMs - job.submittedMs >= UNSTARTED_WARN_MS;
+      boolean isLate = nowMs - job.submittedMs >= UNSTARTED_WARN_MS;
       boolean hasStarted = job.started || job.doneCount() > 0;
-      if (!late || hasStarted || job.startWarningLogged || job.spec.kind() == JobKind.SERVICE) {
+      if (!isLate || hasStarted || job.startWarningLogged || job.spec.kind() == JobKind.SERVICE) {
         continue;
       }
       job.startWarningLogged = true;
--- a/src/main/java/org/astershift/scheduler/TaskAttempt.java
+++ b/src/main/java/org/astershift/scheduler/TaskAttempt.java
@@ -12,10 +12,10 @@
   final long placedMs;
   final Key key;
 
-  /** The phase reported last; null while the machine has not shown the attempt in this epoch. */
+  /** The phase reported last; null while the machine has not reported the attempt in this epoch. */
   Heartbeat.TaskPhase phase;
 
-  /** Sequence number of the newest message that showed the attempt; -1 if none did. */
+  /** Sequence number of the newest message that reported the attempt; -1 if none did. */
   long lastReportedSequence = -1;
 
   /** Whether a start was sent, as a direct command or in a heartbeat response. */
@@ -32,7 +32,7 @@
   boolean startInFlight;
 
   /**
-   * Whether the lease has expired of the incarnation to which an unconfirmed start was sent, so
+   * Whether the lease of the incarnation to which an unconfirmed start was sent has expired, so
    * that only a restarted machine could execute it now.
    */
   boolean startLeaseExpired;
@@ -53,7 +53,10 @@
   /** Why the attempt exited; null while it has not. */
   ExitReason exitReason;
 
-  /** When the attempt was first seen running, in monotonic milliseconds; -1 if it was not. */
+  /**
+   * When the attempt was first reported as running, in milliseconds of the monotonic clock; -1 if
+   * it was not.
+   */
   long runningSinceMs = -1;
 
   TaskAttempt(Job job, int index, long attemptNumber, Machine machine, long placedMs) {
@@ -69,14 +72,17 @@
     return phase == Heartbeat.TaskPhase.EXITED;
   }
 
-  /** Ends a direct start's flight; if {@code unconfirmed}, the start may have been executed. */
+  /**
+   * Records that the direct start, if any, is no longer in flight; if {@code unconfirmed}, the
+   * start may still be executed or have been executed.
+   */
   void onDirectStartSettled(boolean unconfirmed) {
     startUnconfirmed |= startInFlight && unconfirmed;
     startInFlight = false;
   }
 
   /**
-   * Returns whether a direct start that the machine has not shown yet may still be executed. An
+   * Returns whether a direct start that the machine has not reported yet may still be executed. An
    * expired lease does not exclude this: a restarted machine is in its first epoch again and has no
    * fencing token, so it would execute a delayed start.
    */
--- a/src/main/java/org/astershift/scheduler/TaskExitHandler.java
+++ b/src/main/java/org/astershift/scheduler/TaskExitHandler.java
@@ -10,7 +10,7 @@
   /** Time without new starts on a machine that rejected one, until its status is known. */
   private static final long START_REJECTED_BACKOFF_MS = 1000;
 
-  /** Time without starts of a job that a machine does not know, as its upload may be late. */
+  /** Time without starts of a job that a machine does not know, as the job's upload may be late. */
   private static final long UNKNOWN_JOB_BACKOFF_MS = 1000;
 
   private final ClusterState cluster;
--- a/src/main/java/org/astershift/scheduler/UnfinishedJobs.java
+++ b/src/main/java/org/astershift/scheduler/UnfinishedJobs.java
@@ -42,12 +42,12 @@
     if (team == null) {
       return false;
     }
-    double remaining = job.spec.gpus() > 0 ? team.guaranteedGpus() : team.guaranteedCpus();
+    double remainingQuota = job.spec.gpus() > 0 ? team.guaranteedGpus() : team.guaranteedCpus();
     for (Job earlier : jobsByTeam.get(team.name()).headSet(job, true)) {
       JobSpec spec = earlier.spec;
-      remaining -=
+      remainingQuota -=
           (job.spec.gpus() > 0 ? spec.gpus() : spec.cpus()) * team.maxConcurrentTasks(spec);
-      if (remaining < -TOLERANCE) {
+      if (remainingQuota < -TOLERANCE) {
         return false;
       }
     }
--- a/src/main/java/org/astershift/scheduler/UnobservedUsage.java
+++ b/src/main/java/org/astershift/scheduler/UnobservedUsage.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * An upper bound of what tasks unknown to this leader use, so that teams with a limit can start
+ * An upper bound of what tasks unknown to this leader use, so that teams with a quota can start
  * work after a failover before all machines are reconciled. Such tasks run on unobserved machines
- * only and use no more than the capacity of these: the whole capacity counts against every team,
- * since any team may use all of it.
+ * only and use no more than the capacity of these machines. The whole capacity counts against every
+ * team, since any team may use all of it.
  *
  * <p>A machine is unobserved until it is fenced, and also while it holds tasks of jobs that have
  * ended, whose needs and teams are no longer known.
@@ -21,7 +21,7 @@
   private int machinesOfUnknownType;
 
   /**
-   * Updates the sums to the machine's present state; {@code present} is false once the machine is
+   * Updates the sums to the machine's current state; {@code present} is false once the machine is
    * gone.
    */
   void update(Machine machine, boolean present) {
--- a/src/main/java/org/astershift/scheduler/WaitQueue.java
+++ b/src/main/java/org/astershift/scheduler/WaitQueue.java
@@ -47,8 +47,8 @@
 
   /**
    * Returns whether a job with an objective is waiting that may use the machine. Room that is too
-   * small for its tasks must then not go to jobs without objectives, or it would never become large
-   * enough.
+   * small for its tasks must then not go to jobs without objectives, or the room would never become
+   * large enough.
    */
   boolean hasWaitingObjectiveWork(Machine machine) {
     for (Job job : objectiveJobs) {
@@ -64,7 +64,8 @@
   }
 
   /**
-   * Returns whether the machine may have room for any job in the window; false only if it has none.
+   * Returns whether the machine may have room for any job in the window; false only if there is
+   * none.
    */
   boolean hasRoomForAny(Machine machine) {
     return minimumRequirements.isSatisfiedBy(machine);
--- a/src/main/java/org/astershift/scheduler/ZoneHealth.java
+++ b/src/main/java/org/astershift/scheduler/ZoneHealth.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts a zone's machines that should send heartbeats, and those that are not doing so. */
+/** Counts a zone's machines that should send heartbeats, and those that do not. */
 final class ZoneHealth {
   /** Number of silent machines of a zone that peers probe before the zone counts as unreached. */
   static final int PEER_PROBE_ZONE_SAMPLE_MACHINES = 24;
