--- a/src/test/java/org/astershift/api/SubmissionTest.java
+++ b/src/test/java/org/astershift/api/SubmissionTest.java
@@ -292,9 +292,7 @@
     }
   }
 
-  /**
-   * Asserts that all nodes answer repeated submissions, even invalid ones, with the job's state.
-   */
+  /** Asserts that all nodes answer repeats, even invalid ones, with the state of the job. */
   private void assertKnown(int count, String id, String phase) throws Exception {
     String quoted = "\"" + id + "\"";
     for (String body :
