--- a/src/main/java/org/astershift/scheduler/FleetAssessment.java
+++ b/src/main/java/org/astershift/scheduler/FleetAssessment.java
@@ -85,7 +85,9 @@
     return machineCount;
   }
 
-  /** Returns the number of machines machines plus recently released silent ones. */
+  /**
+   * Returns {@link #machineCount()} plus the recently released machines that still count as silent.
+   */
   int fleetSize() {
     return fleetSize;
   }
