--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -73,7 +73,7 @@
   }
 
   private void submit(LeaderTerm term, String name, Decision.ProvisionMachines request) {
-    pool.execute("provision", () -> provisionUntilSettled(term, name, request));
+    pool.execute("rental", () -> provisionUntilSettled(term, name, request));
   }
 
   private void provisionUntilSettled(
