--- a/src/main/java/org/astershift/controller/CloudProvisioner.java
+++ b/src/main/java/org/astershift/controller/CloudProvisioner.java
@@ -37,7 +37,7 @@
   /** Resends, under their names, the requests that an earlier leader left unsettled. */
   void resumeProvisioning(LeaderTerm term) {
     term.records
-        .entries(LeaderRecords.RecordKind.PROVISIONING_REQUEST)
+        .entries(LeaderRecords.RecordKind.RENTAL)
         .forEach((name, value) -> resume(term, name, value));
   }
 
@@ -61,10 +61,7 @@
     String name = term.nextProvisioningRequestName();
     term.scheduler.onProvisioningStarted(name, request);
     term.records.put(
-        LeaderRecords.RecordKind.PROVISIONING_REQUEST,
-        name,
-        RecordCodec.encodeProvisionRequest(request),
-        0);
+        LeaderRecords.RecordKind.RENTAL, name, RecordCodec.encodeProvisionRequest(request), 0);
   }
 
   /** Sends a request whose record has become durable. */
@@ -82,8 +79,7 @@
       CloudBackoff.sleep();
     }
     if (CloudBackoff.shouldContinue(term)) {
-      term.records.remove(
-          LeaderRecords.RecordKind.PROVISIONING_REQUEST, name, LeaderRecords.REMOVAL_DELAY_MS);
+      term.records.remove(LeaderRecords.RecordKind.RENTAL, name, LeaderRecords.REMOVAL_DELAY_MS);
     }
   }
 
--- a/src/main/java/org/astershift/controller/DecisionExecutor.java
+++ b/src/main/java/org/astershift/controller/DecisionExecutor.java
@@ -41,7 +41,7 @@
   @Override
   public void visit(Decision.OpenJob decision) {
     term.records.put(
-        LeaderRecords.RecordKind.OPENED_JOB,
+        LeaderRecords.RecordKind.OPENED,
         decision.jobId(),
         RecordCodec.encodePlacement(decision.replicaMachineNames()),
         0);
@@ -51,7 +51,7 @@
   public void visit(Decision.PersistPlacement decision) {
     if (term.manages(decision.jobId())) {
       term.records.replace(
-          LeaderRecords.RecordKind.OPENED_JOB,
+          LeaderRecords.RecordKind.OPENED,
           decision.jobId(),
           RecordCodec.encodePlacement(decision.replicaMachineNames()),
           PLACEMENT_RECORD_DELAY_MS);
--- a/src/main/java/org/astershift/controller/LeaderRecords.java
+++ b/src/main/java/org/astershift/controller/LeaderRecords.java
@@ -47,8 +47,8 @@
    * kind do not rewrite entries of the others.
    */
   enum RecordKind {
-    OPENED_JOB('o'),
-    PROVISIONING_REQUEST('i'),
+    OPENED('o'),
+    RENTAL('i'),
     MACHINE('m'),
     PROGRESS('p');
 
--- a/src/main/java/org/astershift/controller/LeaderTerm.java
+++ b/src/main/java/org/astershift/controller/LeaderTerm.java
@@ -110,7 +110,7 @@
         lockedScheduler -> {
           records.load(watchCache.entriesWithPrefix(RecordCodec.LEADER_PAGE_PREFIX));
           loadMachines(lockedScheduler);
-          Map<String, Object> openedJobs = records.entries(LeaderRecords.RecordKind.OPENED_JOB);
+          Map<String, Object> openedJobs = records.entries(LeaderRecords.RecordKind.OPENED);
           Map<String, BitSet> doneTasks = loadProgress();
           loadJobs(lockedScheduler, watchCache, openedJobs, doneTasks);
           termJobs.onLoaded();
@@ -288,7 +288,7 @@
   }
 
   private void deleteRecords(String jobId) {
-    records.remove(LeaderRecords.RecordKind.OPENED_JOB, jobId, LeaderRecords.REMOVAL_DELAY_MS);
+    records.remove(LeaderRecords.RecordKind.OPENED, jobId, LeaderRecords.REMOVAL_DELAY_MS);
     for (String key : records.keysWithPrefix(LeaderRecords.RecordKind.PROGRESS, jobId + "/")) {
       records.remove(LeaderRecords.RecordKind.PROGRESS, key, LeaderRecords.REMOVAL_DELAY_MS);
     }
@@ -304,7 +304,7 @@
     return "machines="
         + records.count(LeaderRecords.RecordKind.MACHINE)
         + " opened_jobs="
-        + records.count(LeaderRecords.RecordKind.OPENED_JOB)
+        + records.count(LeaderRecords.RecordKind.OPENED)
         + " jobs="
         + termJobs.count();
   }
--- a/src/main/java/org/astershift/controller/PersistedRecordHandler.java
+++ b/src/main/java/org/astershift/controller/PersistedRecordHandler.java
@@ -27,7 +27,7 @@
     }
     try {
       switch (kind) {
-        case OPENED_JOB -> {
+        case OPENED -> {
           term.scheduler.onJobOpened(key);
           term.requestPass();
         }
@@ -37,7 +37,7 @@
             term.requestPass();
           }
         }
-        case PROVISIONING_REQUEST -> provisioner.onRequestPersisted(term, key, value);
+        case RENTAL -> provisioner.onRequestPersisted(term, key, value);
         case PROGRESS -> {
           BitSet done = new BitSet();
           String jobId = RecordCodec.mergeSegment(done, key, value);
--- a/src/test/java/org/astershift/controller/FailoverFencingTest.java
+++ b/src/test/java/org/astershift/controller/FailoverFencingTest.java
@@ -253,8 +253,7 @@
         "the provisioning request to be completed",
         () -> {
           boolean provisioned = !cloud.workersEverProvisioned().isEmpty();
-          return provisioned
-              && term.records.entries(LeaderRecords.RecordKind.PROVISIONING_REQUEST).isEmpty();
+          return provisioned && term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty();
         });
     Map<String, Object> machines = term.records.entries(LeaderRecords.RecordKind.MACHINE);
     assertFalse(machines.isEmpty());
--- a/src/test/java/org/astershift/controller/FencingTest.java
+++ b/src/test/java/org/astershift/controller/FencingTest.java
@@ -166,7 +166,7 @@
           }
           answered.addAndGet(executed && requestContains(request, "late-note") ? 1 : 0);
         });
-    term.records.put(LeaderRecords.RecordKind.OPENED_JOB, "late-note", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED, "late-note", true, 0);
     Await.until("the late write to be answered", () -> answered.get() > 0);
     assertFalse(storeEmulator.containsKey(RecordCodec.LEADER_PAGE_PREFIX + "o0"));
     Await.until("the term to end", term::hasEnded);
@@ -183,12 +183,12 @@
     LeaderTerm term = controller.awaitLeadership();
     String page = RecordCodec.LEADER_PAGE_PREFIX + "o0";
     storeEmulator.loseResponses(1);
-    term.records.put(LeaderRecords.RecordKind.OPENED_JOB, "first", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED, "first", true, 0);
     Await.until(
         "the response to a record write to be lost",
         () -> storeEmulator.lostResponses(RecordCodec.LEADER_PAGE_PREFIX) > 0);
     storeEmulator.loseResponses(0);
-    term.records.put(LeaderRecords.RecordKind.OPENED_JOB, "second", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED, "second", true, 0);
     Await.until("both entries on the page", () -> entryCount(page) == 2);
     long revision = read(page).revision();
     List<String> conditions = new ArrayList<>();
@@ -198,7 +198,7 @@
             conditions.add(new String(request.body(), StandardCharsets.UTF_8));
           }
         });
-    term.records.put(LeaderRecords.RecordKind.OPENED_JOB, "third", true, 0);
+    term.records.put(LeaderRecords.RecordKind.OPENED, "third", true, 0);
     Await.until("the third entry on the page", () -> entryCount(page) == 3);
     assertTrue(conditions.get(0).contains("{\"k\":\"" + page + "\",\"stamp\":" + revision + "}"));
   }
@@ -590,12 +590,12 @@
               }
               durable.add(name);
             });
-    records.put(LeaderRecords.RecordKind.OPENED_JOB, "bad", 1, 0);
-    records.put(LeaderRecords.RecordKind.OPENED_JOB, "beside it", 1, 0);
+    records.put(LeaderRecords.RecordKind.OPENED, "bad", 1, 0);
+    records.put(LeaderRecords.RecordKind.OPENED, "beside it", 1, 0);
     Thread loop = new Thread(Threads.logFailures("records", () -> records.writeLoop(null)));
     loop.start();
     Await.until("the first page", () -> entryCount(RecordCodec.LEADER_PAGE_PREFIX + "o0") == 2);
-    records.put(LeaderRecords.RecordKind.OPENED_JOB, "later", 1, 0);
+    records.put(LeaderRecords.RecordKind.OPENED, "later", 1, 0);
     Await.until("the later record to be durable", () -> durable.contains("later"));
     assertEquals(List.of("beside it", "later"), List.copyOf(durable));
     records.close();
--- a/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
+++ b/src/test/java/org/astershift/controller/GoldenRecordPagesTest.java
@@ -37,12 +37,11 @@
     Map<String, Entry> entries = new LinkedHashMap<>();
     entries.put(
         "opened",
-        new Entry(
-            LeaderRecords.RecordKind.OPENED_JOB, "wk-1", RecordCodec.encodePlacement(List.of())));
+        new Entry(LeaderRecords.RecordKind.OPENED, "wk-1", RecordCodec.encodePlacement(List.of())));
     entries.put(
         "rental",
         new Entry(
-            LeaderRecords.RecordKind.PROVISIONING_REQUEST,
+            LeaderRecords.RecordKind.RENTAL,
             "as-41-1",
             RecordCodec.encodeProvisionRequest(request)));
     entries.put(
--- a/src/test/java/org/astershift/controller/RentalRejectedTest.java
+++ b/src/test/java/org/astershift/controller/RentalRejectedTest.java
@@ -27,6 +27,6 @@
     Await.until("a machine to be provisioned", () -> !cloud.workersEverProvisioned().isEmpty());
     Await.until(
         "no provisioning request to be pending",
-        () -> term.records.entries(LeaderRecords.RecordKind.PROVISIONING_REQUEST).isEmpty());
+        () -> term.records.entries(LeaderRecords.RecordKind.RENTAL).isEmpty());
   }
 }
