--- a/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
+++ b/src/main/java/org/astershift/controller/LeadershipTransferCheck.java
@@ -43,7 +43,7 @@
         candidacy.decideTransfer(
             share, queryPeers(), peers.size(), term.beganMs, LeaderTerm.nowMs());
     if (transfer == null) {
-      // No new check before the peers have new measurements.
+      // Peers normally measure at this interval; asking sooner would give the same results.
       Thread.sleep(LoopTiming.REACHABILITY_SAMPLE_INTERVAL_MS);
       return;
     }
