--- a/src/test/java/org/astershift/knownfailures/KnownFailure.java
+++ b/src/test/java/org/astershift/knownfailures/KnownFailure.java
@@ -16,7 +16,7 @@
  *
  * @param test the case as {@code Class#method}, or {@code Class/display name} for a dynamic test
  * @param reproduction command and seed that show the failure
- * @param seen what was observed
+ * @param observed what was observed
  * @param cause the cause, or "suspected: ..." while no evidence names it
  * @param issue the open issue
  */
