--- a/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
+++ b/src/test/java/org/astershift/scheduler/DerivedStateCheck.java
@@ -125,7 +125,9 @@
     check(
         differences,
         cluster.hasUnreconciledMachines() == unreconciledMachines > 0,
-        "hasUnreconciledMachines() is wrong with " + unreconciledMachines + " unreconciled machines");
+        "hasUnreconciledMachines() is wrong with "
+            + unreconciledMachines
+            + " unreconciled machines");
     for (Team team : cluster.limits.teams().values()) {
       double[] usage = usageByTeam.getOrDefault(team.name(), new double[2]);
       double[] keptUsage = cluster.teamUsage(team.name());
