--- a/src/test/java/org/astershift/controller/LeaderTermTest.java
+++ b/src/test/java/org/astershift/controller/LeaderTermTest.java
@@ -24,7 +24,7 @@
  */
 class LeaderTermTest {
   /** The host of a term that nothing ends. */
-  private static final class NoOpTermHost implements TermContext {
+  private static final class NoOpTermContext implements TermContext {
     @Override
     public long leaseCertainUntilMs() {
       return 0;
@@ -47,7 +47,7 @@
     Settings.StoreLimits limits = new Settings.StoreLimits(100, 100, 8, 8);
     LeaderRecords records = new LeaderRecords(5, null, limits, (kind, key, value) -> {});
     return new LeaderTerm(
-        5, new Scheduler(facts, OperatorSettings.defaults(), 5), records, new NoOpTermHost());
+        5, new Scheduler(facts, OperatorSettings.defaults(), 5), records, new NoOpTermContext());
   }
 
   private static RecordCodec.JobRecord jobRecord() {
--- a/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
+++ b/src/test/java/org/astershift/scheduler/SchedulerFuzzer.java
@@ -16,8 +16,9 @@
  * minimal execution of its decisions. The model and the checker are deliberately independent of
  * those of the simulation tests.
  *
- * <p>One case is excluded, which docs/design.md describes ("A start that no fence stops"): a start
- * in flight to one incarnation of a machine does not reach the next incarnation after a failover.
+ * <p>One case is excluded, which docs/design.md describes ("A start under an earlier token"): a
+ * start in flight to one incarnation of a machine does not reach the next incarnation after a
+ * failover.
  */
 final class SchedulerFuzzer {
   /** The rules of the protocol, with the violations found. */
